--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -13,11 +13,11 @@
 import random
 import time
 
-from roadspur import interface as io
-from roadspur.policy import fleet as module
-from roadspur.policy.attempts import Flight
-from roadspur.policy.fleet import Fleet
-from roadspur.policy.store import Customer
+from thistleusher import interface as io
+from thistleusher.policy import fleet as module
+from thistleusher.policy.attempts import Flight
+from thistleusher.policy.fleet import Fleet
+from thistleusher.policy.store import Customer
 
 CLASS = io.ClassSettings("read", io.Effect.SAFE, objective=2.0, deadline=6.0)
 PLAN = io.PlanSettings("basic", 1e9, 1e9)
--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from roadspur.common.config_items import ConfigurationFollower, assemble, changes, difference
-from roadspur.control import orders
-from roadspur.transport.news import State
+from thistleusher.common.config_items import ConfigurationFollower, assemble, changes, difference
+from thistleusher.control import orders
+from thistleusher.transport.news import State
 
 REPEATS = 5
 SIZES = ((100, 1_000), (1_000, 10_000), (16_000, 160_000))  # routes, tenants
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -21,8 +21,8 @@
 import httptools
 import uvloop
 
-from roadspur.state.store import SYNCS
 from standins.fleet import free_ports
+from thistleusher.state.store import SYNCS
 
 HOST = "127.0.0.1"
 TICK = os.sysconf("SC_CLK_TCK")
@@ -174,13 +174,13 @@
         }
         path = folder / "config.json"
         path.write_text(json.dumps(config))
-        self.forms["daemon"] = (Process("roadspur", env={"PROXY_CONFIG": str(path)}), ports[1])
+        self.forms["daemon"] = (Process("thistleusher", env={"PROXY_CONFIG": str(path)}), ports[1])
         for sync, port in zip(SYNCS, free_ports(len(SYNCS), 0), strict=True):  # the same with a state folder
             kept = folder / f"config-{sync}.json"
             kept.write_text(json.dumps({**config, "listen": f"{HOST}:{port}"}))
             (folder / f"{sync}.toml").write_text(f'folder = "{folder}/{sync}"\nsync = "{sync}"\n')
             self.forms[f"daemon, folder with sync {sync}"] = (
-                Process("roadspur", "--state", f"{folder}/{sync}.toml", env={"PROXY_CONFIG": str(kept)}),
+                Process("thistleusher", "--state", f"{folder}/{sync}.toml", env={"PROXY_CONFIG": str(kept)}),
                 port,
             )
         for n, (form, name, more) in enumerate(
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from roadspur import interface as io
 from tests.ledger.world import BASIC, PLUS, CounterModel, Store, World
+from thistleusher import interface as io
 
 NARROW = 8  # ingresses of a ceilinged member's set
 CALLS_PER_S = 4.0  # of the counter, for each ingress
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -21,12 +21,12 @@
 from absl import logging
 
 from benchmarks.scale.inputs import address_of, settings, zone_of
-from roadspur.common.boot import CONTROL, PROXY, REGISTRY, RING
-from roadspur.common.process import TICK_S, Settings
-from roadspur.proxy.decisions import Charge
-from roadspur.proxy.knowledge import InForce, Output, Verdict
-from roadspur.proxy.program import Heartbeats, ProxyProgram
-from roadspur.transport import links
+from thistleusher.common.boot import CONTROL, PROXY, REGISTRY, RING
+from thistleusher.common.process import TICK_S, Settings
+from thistleusher.proxy.decisions import Charge
+from thistleusher.proxy.knowledge import InForce, Output, Verdict
+from thistleusher.proxy.program import Heartbeats, ProxyProgram
+from thistleusher.transport import links
 
 MOST_TIMES = 200_000  # of verdicts that are remembered
 
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -52,7 +52,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "roadspur.system",
+                "thistleusher.system",
                 self.program,
                 stdout=log,
                 stderr=log,
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -13,17 +13,17 @@
 from typing import Any
 
 from benchmarks.scale.inputs import PAGE, backends, changed, configuration, settings
-from roadspur.common import config_items
-from roadspur.common.boot import read_boot
-from roadspur.proxy.decisions import Decisions
-from roadspur.proxy.placement import Place
-from roadspur.registry.charges import REMEMBERED, ChargeLedger
-from roadspur.registry.counts import Counts
-from roadspur.registry.instances import Survey
-from roadspur.services.wire import read_address
-from roadspur.transport.codec import decode, encode
-from roadspur.transport.messages import Charge, News
-from roadspur.transport.news import Follower, Publisher, State
+from thistleusher.common import config_items
+from thistleusher.common.boot import read_boot
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.placement import Place
+from thistleusher.registry.charges import REMEMBERED, ChargeLedger
+from thistleusher.registry.counts import Counts
+from thistleusher.registry.instances import Survey
+from thistleusher.services.wire import read_address
+from thistleusher.transport.codec import decode, encode
+from thistleusher.transport.messages import Charge, News
+from thistleusher.transport.news import Follower, Publisher, State
 
 ROUTES, SERVICES, TENANTS, BACKENDS = 16_000, 360, 160_000, 10_000
 PARTS = (16, 4, 1)  # of the target
@@ -92,7 +92,7 @@
     whole_s = timed(lambda: proxy.take(whole))
     proxy_mb = resident_mb() - before
     change_s = timed(lambda: proxy.take(change))
-    from roadspur.common.checks import read_configuration  # after the proxy's figures, as a proxy does not load it
+    from thistleusher.common.checks import read_configuration  # after the proxy's figures, as a proxy does not load it
 
     return {
         "document MB": len(body) / MB,
--- a/benchmarks/serve.py
+++ b/benchmarks/serve.py
@@ -1,7 +1,7 @@
 """What the benchmarks measure, each as a program of its own: `python -m benchmarks.serve FORM CONFIG`.
 
 `app` is a bare ASGI host and application, `middleware` the same with the library, `passthrough` a proxy that parses
-and relays and does nothing else. The daemon is `python -m roadspur` itself.
+and relays and does nothing else. The daemon is `python -m thistleusher` itself.
 """
 
 from __future__ import annotations
@@ -133,7 +133,7 @@
     elif form == "app":
         factory = lambda: HostConnection(app)  # noqa: E731
     else:
-        from roadspur.embed import EmbeddedIngress, QuotaMiddleware, nested_settings
+        from thistleusher.embed import EmbeddedIngress, QuotaMiddleware, nested_settings
 
         ingress = EmbeddedIngress(nested_settings(config["settings"])[0], counter=config.get("counter"), seed=1)
         await ingress.open()
--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -2,7 +2,7 @@
 
 python -m benchmarks.simnet_faults [--minutes 0.5] [--jobs 4] [--only WORDS]
 
-Each fault is a place or a few in `roadspur/control/` changed in a copy of the tree. There days are drawn until a rule
+Each fault is a place or a few in `thistleusher/control/` changed in a copy of the tree. There days are drawn until a rule
 breaks, then the named tests run, then every order of events is searched from four beginnings. Exit code 1 where one is
 not found.
 """
@@ -21,7 +21,7 @@
 from benchmarks.control_faults import FAULTS, Wrong
 
 ROOT = Path(__file__).resolve().parent.parent
-PARTS = ("roadspur", "simnet", "tests", "benchmarks", "docs")
+PARTS = ("thistleusher", "simnet", "tests", "benchmarks", "docs")
 SEARCH_DEPTH = 4
 NAMED = (
     "test_control.py",
@@ -49,7 +49,7 @@
 def wronged(fault: Wrong, folder: Path) -> None:
     """Put a fault into a copy of the tree."""
     for right, wrong in fault.edits:
-        paths = [path for path in (folder / "roadspur" / "control").glob("*.py") if right in path.read_text()]
+        paths = [path for path in (folder / "thistleusher" / "control").glob("*.py") if right in path.read_text()]
         if len(paths) != 1 or paths[0].read_text().count(right) != 1:
             raise Moved
         paths[0].write_text(paths[0].read_text().replace(right, wrong))
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).parents[1]
-PARTS = ("roadspur", "standins", "soak", "tests", "examples", "docs", "pyproject.toml")
+PARTS = ("thistleusher", "standins", "soak", "tests", "examples", "docs", "pyproject.toml")
 
 
 class Wrong(NamedTuple):
@@ -101,7 +101,7 @@
             shutil.copytree(whole, folder / part, ignore=shutil.ignore_patterns("__pycache__"))
         else:
             shutil.copy(whole, folder / part)
-    path = folder / "roadspur" / fault.file
+    path = folder / "thistleusher" / fault.file
     text = path.read_text()
     if fault.right not in text:
         raise ValueError(f"{fault.file}: {fault.right!r} is not there any more")
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -13,11 +13,11 @@
 import time
 from pathlib import Path
 
-from roadspur.state.keeper import PORTION, Keeper
-from roadspur.state.options import StateOptions
-from roadspur.state.store import SYNCS
 from tests.ledger.world import World
 from tests.ledger.world import settings as told
+from thistleusher.state.keeper import PORTION, Keeper
+from thistleusher.state.options import StateOptions
+from thistleusher.state.store import SYNCS
 
 
 class Never:
--- a/examples/client_script.py
+++ b/examples/client_script.py
@@ -10,7 +10,7 @@
 import argparse
 import sys
 
-from roadspur.client import Answered, PlainClient, Refused, UnknownEnd
+from thistleusher.client import Answered, PlainClient, Refused, UnknownEnd
 
 
 def main() -> int:
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -5,7 +5,7 @@
 from starlette.responses import JSONResponse
 from starlette.routing import Route
 
-from roadspur.embed import (
+from thistleusher.embed import (
     PASS,
     BadRequest,
     Call,
@@ -40,7 +40,7 @@
 
 async def matches(request):
     found = ["one", "two"]
-    request.scope["roadspur.admission"].settle(0.5 * len(found))  # what it really cost
+    request.scope["thistleusher.admission"].settle(0.5 * len(found))  # what it really cost
     return JSONResponse(found)
 
 
--- a/roadspur/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""roadspur: admission, routing and attempt decisions of a quota gateway."""
--- a/roadspur/net/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""roadspur.net: the real ingress, sockets round the decisions."""
--- a/simnet/backends.py
+++ b/simnet/backends.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from roadspur import interface as io
-from roadspur.core.driver import Held
-from roadspur.core.ports import Ended
 from simnet.places import PLACES, way
+from thistleusher import interface as io
+from thistleusher.core.driver import Held
+from thistleusher.core.ports import Ended
 
 if TYPE_CHECKING:
     from simnet.processes import ProxyProcess
--- a/simnet/clients.py
+++ b/simnet/clients.py
@@ -10,12 +10,12 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from roadspur.control.leases import Holder
-from roadspur.transport.core_members import CoreMembers
-from roadspur.transport.messages import AnyMessage, CoreInfo, LeaseGranted, LeaseTaken, Message, News
-from roadspur.transport.news import Follower
 from simnet.machine import SteadyClock
 from simnet.rules import Broken, held_order
+from thistleusher.control.leases import Holder
+from thistleusher.transport.core_members import CoreMembers
+from thistleusher.transport.messages import AnyMessage, CoreInfo, LeaseGranted, LeaseTaken, Message, News
+from thistleusher.transport.news import Follower
 
 if TYPE_CHECKING:
     from simnet.cluster import Cluster
--- a/simnet/cluster.py
+++ b/simnet/cluster.py
@@ -10,17 +10,17 @@
 import random
 from collections.abc import Callable, Iterable, Sequence
 
-from roadspur.control.interface import Answer, Note, Outward, Send, Tell, Write
-from roadspur.control.leases import Grantor
-from roadspur.control.node import ControlNode
-from roadspur.control.service import ControlService
-from roadspur.transport.messages import AnyMessage, News, VoteRequest
 from simnet.clients import Clients
 from simnet.clock import Clock
 from simnet.machine import Feed, Machine
 from simnet.operators import Make, Operators
 from simnet.rules import CONFIG, Broken, Ledger, held_order
 from simnet.wires import Wires
+from thistleusher.control.interface import Answer, Note, Outward, Send, Tell, Write
+from thistleusher.control.leases import Grantor
+from thistleusher.control.node import ControlNode
+from thistleusher.control.service import ControlService
+from thistleusher.transport.messages import AnyMessage, News, VoteRequest
 
 TICK_S = 0.06
 RESTART_S = 0.3  # after the end of a process, until it is started again
--- a/simnet/disk.py
+++ b/simnet/disk.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from roadspur.control.interface import Records, Stored
-from roadspur.transport.messages import Position, ViewRecord
+from thistleusher.control.interface import Records, Stored
+from thistleusher.transport.messages import Position, ViewRecord
 
 SYNC_S = 0.001
 SPREAD_S = 0.004
--- a/simnet/machine.py
+++ b/simnet/machine.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from roadspur.control.interface import Outward
-from roadspur.transport.news import State
 from simnet.disk import Disk
+from thistleusher.control.interface import Outward
+from thistleusher.transport.news import State
 
 if TYPE_CHECKING:
-    from roadspur.control.node import ControlNode
-    from roadspur.control.service import ControlService
+    from thistleusher.control.node import ControlNode
+    from thistleusher.control.service import ControlService
 
 CLOCK_DRIFT = 0.01  # by which a steady clock runs fast or slow at most
 SLOW_INPUT_S = 0.012  # that a slowed machine takes for one input
--- a/simnet/operators.py
+++ b/simnet/operators.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from roadspur.common.failures import ANSWERS, Failure, Kind
-from roadspur.control.interface import Answer, Change, Read, Unread
-from roadspur.transport.news import State
 from simnet.clock import Clock
 from simnet.machine import Machine
 from simnet.rules import CONFIG, Broken, Ledger, Order, held_order
+from thistleusher.common.failures import ANSWERS, Failure, Kind
+from thistleusher.control.interface import Answer, Change, Read, Unread
+from thistleusher.transport.news import State
 
 PATIENCE_S = 1.0  # with one machine
 ORDER_S = 8.0  # for which an order is sent again
--- a/simnet/places.py
+++ b/simnet/places.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from roadspur.common.boot import Bounds
+from thistleusher.common.boot import Bounds
 
 RATE = BURST = 40.0  # of the one limited tenant
 BOUNDS = Bounds()
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -6,25 +6,25 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
-from roadspur import interface as io
-from roadspur.common.configuration import Found
-from roadspur.control.interface import Answer, Change, Outward, Send, Tell, Write
-from roadspur.control.leases import Grantor
-from roadspur.control.node import ControlNode
-from roadspur.control.service import ControlService
-from roadspur.core.driver import Driver, Held
-from roadspur.core.ports import Ended, Final
-from roadspur.proxy import knowledge
-from roadspur.proxy.decisions import Asked, Charge, Decisions
-from roadspur.proxy.knowledge import InForce, Knowledge, Serving, ToPeer, ToRegistry, ToRing
-from roadspur.registry.registry import Call as PlatformCall
-from roadspur.registry.registry import Output as RegistryOutput
-from roadspur.registry.registry import Registry, ToControl
-from roadspur.registry.registry import Tell as RegistryTell
-from roadspur.transport.messages import AnyMessage, HandOver, Hello, RingBeat
 from simnet.backends import Attempt
 from simnet.disk import Disk
 from simnet.places import BOUNDS, CORES, DEADLINE_S, PLACES, ZONES
+from thistleusher import interface as io
+from thistleusher.common.configuration import Found
+from thistleusher.control.interface import Answer, Change, Outward, Send, Tell, Write
+from thistleusher.control.leases import Grantor
+from thistleusher.control.node import ControlNode
+from thistleusher.control.service import ControlService
+from thistleusher.core.driver import Driver, Held
+from thistleusher.core.ports import Ended, Final
+from thistleusher.proxy import knowledge
+from thistleusher.proxy.decisions import Asked, Charge, Decisions
+from thistleusher.proxy.knowledge import InForce, Knowledge, Serving, ToPeer, ToRegistry, ToRing
+from thistleusher.registry.registry import Call as PlatformCall
+from thistleusher.registry.registry import Output as RegistryOutput
+from thistleusher.registry.registry import Registry, ToControl
+from thistleusher.registry.registry import Tell as RegistryTell
+from thistleusher.transport.messages import AnyMessage, HandOver, Hello, RingBeat
 
 if TYPE_CHECKING:
     from simnet.system import World
--- a/simnet/rules.py
+++ b/simnet/rules.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from roadspur.transport.news import State
+from thistleusher.transport.news import State
 
 CONFIG = "config"  # the item that holds the configuration: {"v": number, "z": contents}
 
--- a/simnet/search.py
+++ b/simnet/search.py
@@ -24,11 +24,11 @@
 
 import msgspec
 
-from roadspur.control.interface import Answer, Change, Output, Send, Stored, Write
-from roadspur.control.node import ControlNode
-from roadspur.transport.messages import AnyMessage, Position, RecordView, ViewRecord, VoteRequest
-from roadspur.transport.news import State
 from simnet.rules import CONFIG, Broken, held_order
+from thistleusher.control.interface import Answer, Change, Output, Send, Stored, Write
+from thistleusher.control.node import ControlNode
+from thistleusher.transport.messages import AnyMessage, Position, RecordView, ViewRecord, VoteRequest
+from thistleusher.transport.news import State
 
 VOTERS = {"1": "a", "2": "b", "3": "a"}
 LEARNER, LEARNER_ZONE = "4", "b"
--- a/simnet/system.py
+++ b/simnet/system.py
@@ -20,18 +20,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from roadspur.common import config_items
-from roadspur.common.configuration import Configuration
-from roadspur.common.failures import Failure
-from roadspur.control.interface import Change
-from roadspur.core.ports import Final, Verdict
-from roadspur.transport.codec import decode, encode
-from roadspur.transport.messages import AnyMessage, Hello
 from simnet.backends import Backend
 from simnet.clock import Clock
 from simnet.core import Broken
 from simnet.places import BOUNDS, BURST, CORES, DEADLINE_S, PLACES, PROXIES, RATE, document, way
 from simnet.processes import ControlProcess, Process, ProxyProcess, RegistryProcess
+from thistleusher.common import config_items
+from thistleusher.common.configuration import Configuration
+from thistleusher.common.failures import Failure
+from thistleusher.control.interface import Change
+from thistleusher.core.ports import Final, Verdict
+from thistleusher.transport.codec import decode, encode
+from thistleusher.transport.messages import AnyMessage, Hello
 
 TICK_S = 0.06
 CONTACT_S = 5.0
--- a/simnet/wires.py
+++ b/simnet/wires.py
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Callable
 
-from roadspur.transport.codec import decode, encode
-from roadspur.transport.messages import AnyMessage
 from simnet.clock import Clock
+from thistleusher.transport.codec import decode, encode
+from thistleusher.transport.messages import AnyMessage
 
 HANGS_S = 1.5  # for which what a cut holds up may still arrive
 
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -17,22 +17,22 @@
 
 import httptools
 
-from roadspur import interface as io
-from roadspur.assembly import make_gateway
-from roadspur.interface import TOLD, TOLD_MARK, name_of
-from roadspur.ledger.beginning import HELLO, HELLO_MARK
-from roadspur.ledger.escrow import ROW, SETTLED
-from roadspur.net.config import BadConfiguration, read_config
-from roadspur.net.counters_file import read_counters
-from roadspur.net.discovery import Watch, read_listing_text
-from roadspur.net.server import ClientConnection, IngressServer
-from roadspur.services.counter import Add, Link
-from roadspur.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
-from roadspur.settings import nested_settings
 from soak.case import BadCase, read_case
 from standins.faults import BadScript, read_script
 from standins.fleet import Options, settings
 from standins.records import read_records
+from thistleusher import interface as io
+from thistleusher.assembly import make_gateway
+from thistleusher.interface import TOLD, TOLD_MARK, name_of
+from thistleusher.ledger.beginning import HELLO, HELLO_MARK
+from thistleusher.ledger.escrow import ROW, SETTLED
+from thistleusher.net.config import BadConfiguration, read_config
+from thistleusher.net.counters_file import read_counters
+from thistleusher.net.discovery import Watch, read_listing_text
+from thistleusher.net.server import ClientConnection, IngressServer
+from thistleusher.services.counter import Add, Link
+from thistleusher.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
+from thistleusher.settings import nested_settings
 
 Check = Callable[[bytes, random.Random], Hashable]
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -105,7 +105,7 @@
 
 
 class IngressProcess:
-    """One `python -m roadspur`."""
+    """One `python -m thistleusher`."""
 
     def __init__(self, number: int, port: int, config: dict[str, Any], folder: Path, keeps: bool = False) -> None:
         """`keeps`: it has a state folder of its own."""
@@ -122,7 +122,7 @@
     async def start(self) -> None:
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "roadspur", *self.words, env={**os.environ, "PROXY_CONFIG": str(self.path)},
+                sys.executable, "-m", "thistleusher", *self.words, env={**os.environ, "PROXY_CONFIG": str(self.path)},
                 stdout=log, stderr=log)
 
     def move_counter(self, address: str) -> None:
--- a/standins/system.py
+++ b/standins/system.py
@@ -173,7 +173,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "roadspur.system",
+                "thistleusher.system",
                 self.program,
                 stdout=log,
                 stderr=log,
--- a/tests/client/test_calls.py
+++ b/tests/client/test_calls.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from roadspur.client.calls import Again, Answered, Budget, Call, How, Refused, Unknown
-from roadspur.client.directory import SHUN_S, Directory
+from thistleusher.client.calls import Again, Answered, Budget, Call, How, Refused, Unknown
+from thistleusher.client.directory import SHUN_S, Directory
 
 NONE: dict[str, str] = {}
 
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -5,7 +5,7 @@
 import httpx
 import pytest
 
-from roadspur.client import Answered, Client, PlainClient, Refused, UnknownEnd
+from thistleusher.client import Answered, Client, PlainClient, Refused, UnknownEnd
 
 HOST = "shop.example"
 
--- a/tests/client/test_loopback.py
+++ b/tests/client/test_loopback.py
@@ -7,9 +7,9 @@
 import sys
 from collections import Counter
 
-from roadspur.client import Answered, Client, UnknownEnd
-from roadspur.client.client import served
 from standins.system import DIRECTORY, FRONTS, HOST, System, hold
+from thistleusher.client import Answered, Client, UnknownEnd
+from thistleusher.client.client import served
 
 SERVERS = [f"{ip}:{DIRECTORY}" for ip in FRONTS]
 
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.core.driver import Driver
-from roadspur.core.ports import Ended, Verdict
 from tests.embed.forms import Script as Clock
 from tests.sockets import Script, settings
+from thistleusher import interface as io
+from thistleusher.core.driver import Driver
+from thistleusher.core.ports import Ended, Verdict
 
 
 class Try:
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -9,18 +9,18 @@
 from typing import Any
 from unittest.mock import patch
 
-from roadspur import interface as io
-from roadspur.assembly import make_gateway
-from roadspur.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
-from roadspur.ledger.beginning import HELLO_MARK
-from roadspur.net.config import read_config
-from roadspur.net.daemon import Daemon
-from roadspur.settings import nested_settings
 from standins.counter import Counter
 from standins.discovery import Discovery
 from standins.records import Began, Ran, Records
 from tests.embed.host import Host, serve_lifespan
 from tests.sockets import HOST, Client, closed_port, datagram_homes
+from thistleusher import interface as io
+from thistleusher.assembly import make_gateway
+from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
+from thistleusher.ledger.beginning import HELLO_MARK
+from thistleusher.net.config import read_config
+from thistleusher.net.daemon import Daemon
+from thistleusher.settings import nested_settings
 
 INSTANCES = 3
 
@@ -228,7 +228,7 @@
         told, _ = nested_settings(settings(n, **self.changes))
         ingress = EmbeddedIngress(told, counter=self.counter.address, clock=self.unix(), scheduler=self.script,
                                   peers=PeerAddresses(self.peers[n], tuple(self.peers)), seed=n + 1)
-        with patch("roadspur.embed.ingress.make_gateway", lambda *a: self.record(make_gateway(*a))):
+        with patch("thistleusher.embed.ingress.make_gateway", lambda *a: self.record(make_gateway(*a))):
             await ingress.open()
         host = Host(QuotaMiddleware(self.apps[n], ingress, decimal_retry_after=True))
         await host.start()
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -7,16 +7,16 @@
 import sys
 import time
 
-from roadspur.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware, Settings
 from tests.embed.host import Host, serve_lifespan
 from tests.helpers import KEYED, SAFE, UNSAFE
+from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware, Settings
 
 HELD = b"hold"
 
 
 def crash_settings(me: int) -> Settings:
     """Quotas whose refill no test's length could matter to."""
-    from roadspur import interface as io
+    from thistleusher import interface as io
 
     plan = io.PlanSettings("basic", rate=0.001, burst=8.0)
     return Settings(classes=(SAFE, KEYED, UNSAFE), plans=(plan,), instances=2, me=me, counter_timeout=1.0,
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -12,11 +12,11 @@
 from starlette.responses import PlainTextResponse, StreamingResponse
 from starlette.routing import Route
 
-from roadspur.embed import PASS, BadRequest, Call, EmbeddedIngress, MemoryCounter, QuotaMiddleware
 from standins.counter import Counter
 from tests.embed.host import Host, serve_lifespan
 from tests.embed.test_ingress import made, nothing_held, settings
 from tests.sockets import Client, call, run, until
+from thistleusher.embed import PASS, BadRequest, Call, EmbeddedIngress, MemoryCounter, QuotaMiddleware
 
 TERMS = "units=2,spread=1,first=0"
 
@@ -89,7 +89,7 @@
         async def act(scope, receive, send):
             name = dict(scope["headers"])[b"x-call-id"]
             if name == b"told":
-                scope["roadspur.admission"].settle(4.0)
+                scope["thistleusher.admission"].settle(4.0)
             value = {b"r1": b"1", b"r2": b"x", b"r3": b"99", b"r4": b"nan"}.get(name)
             await say(send, headers=[(b"x-cost-units", value)] if value else [])
 
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -14,13 +14,13 @@
 
 import pytest
 
-from roadspur import interface as io
 from standins.auditor import PlanRule, Rules, audit
 from standins.counter import Counter
 from standins.front import ClassShape, Front, Traffic
 from standins.records import Added
 from tests.embed.forms import FORMS, HOST, INSTANCES, Script
 from tests.sockets import call
+from thistleusher import interface as io
 
 STEPS = 2400
 START = 1_700_000_000.0
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -10,13 +10,13 @@
 import pytest
 import urllib3
 
-from roadspur.core.answers import headers_of, problem_of
-from roadspur.core.ports import Final, Verdict
-from roadspur.embed import MemoryCounter, QuotaMiddleware
 from tests.embed.host import Host
 from tests.embed.test_asgi import TERMS, Played, say
 from tests.embed.test_ingress import made
 from tests.sockets import run
+from thistleusher.core.answers import headers_of, problem_of
+from thistleusher.core.ports import Final, Verdict
+from thistleusher.embed import MemoryCounter, QuotaMiddleware
 
 HEADERS = {"X-Call-Class": "read", "X-Tier": "basic", "X-Budget": "2000m", "X-Call-Terms": TERMS}
 PATH = "/api/0000000000000007"
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from roadspur.embed import Call, EmbeddedIngress, PeerAddresses
-from roadspur.policy.store import Customer
 from standins.counter import Counter
 from tests.embed.program import crash_settings
 from tests.sockets import Client, call, closed_port, datagram_homes, run, until
+from thistleusher.embed import Call, EmbeddedIngress, PeerAddresses
+from thistleusher.policy.store import Customer
 
 IN_HAND = 50
 TERMS = "units=2,spread=2,first=0"
--- a/tests/embed/test_example.py
+++ b/tests/embed/test_example.py
@@ -43,6 +43,6 @@
 
 
 def test_the_library_imports_no_framework_and_no_daemon():
-    code = ("import sys, roadspur.embed\nfor name in ('starlette', 'fastapi', 'uvloop', 'roadspur.net'):\n"
+    code = ("import sys, thistleusher.embed\nfor name in ('starlette', 'fastapi', 'uvloop', 'thistleusher.net'):\n"
             "    assert name not in sys.modules, name\n")
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.embed import BadRequest, Call, EmbeddedIngress, MemoryCounter, NotServed, PeerAddresses, Verdict
 from standins.counter import Counter
 from tests.helpers import CEILED, KEYED, SAFE, UNSAFE
 from tests.sockets import datagram_homes, run, until
+from thistleusher import interface as io
+from thistleusher.embed import BadRequest, Call, EmbeddedIngress, MemoryCounter, NotServed, PeerAddresses, Verdict
 
 PLAN = io.PlanSettings("basic", rate=0.001, burst=8.0)  # no refill that a test's length could matter to
 CALL = Call(7, "basic", "read", 2.0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.policy import Gateway
+from thistleusher import interface as io
+from thistleusher.policy import Gateway
 
 SAFE = io.ClassSettings("read", io.Effect.SAFE, objective=2.0, deadline=6.0)
 KEYED = io.ClassSettings("pay", io.Effect.KEYED, objective=2.0, deadline=6.0, worth=5, window=1.0)
--- a/tests/ledger/test_beginning.py
+++ b/tests/ledger/test_beginning.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.ledger.beginning import FORGET_S, HELLO, HELLO_MARK, JOINT_MS, Lives
-from roadspur.ledger.bound import Assumed, bound_of
-from roadspur.ledger.escrow import GIVE_MARK, HEAD, epoch_length
 from tests.ledger.test_escrow import PLUS as TERMS
 from tests.ledger.test_escrow import START, Set
 from tests.ledger.world import BASIC, PLUS, TIMEOUT, World, settings
+from thistleusher import interface as io
+from thistleusher.ledger.beginning import FORGET_S, HELLO, HELLO_MARK, JOINT_MS, Lives
+from thistleusher.ledger.bound import Assumed, bound_of
+from thistleusher.ledger.escrow import GIVE_MARK, HEAD, epoch_length
 
 FIRST = 6 * int(os.environ.get("SOAK_SEED", "0"))
 SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))
--- a/tests/ledger/test_escrow.py
+++ b/tests/ledger/test_escrow.py
@@ -10,8 +10,8 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from roadspur.interface import name_of
-from roadspur.ledger.escrow import (
+from thistleusher.interface import name_of
+from thistleusher.ledger.escrow import (
     GIVE_MARK,
     GRAIN,
     HEAD,
--- a/tests/ledger/test_failures.py
+++ b/tests/ledger/test_failures.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.ledger import bound
-from roadspur.ledger.bound import Assumed, bound_of
-from roadspur.policy import health, sharing
 from tests.ledger.world import BASIC, PLUS, TIMEOUT, CounterModel, World, settings
+from thistleusher import interface as io
+from thistleusher.ledger import bound
+from thistleusher.ledger.bound import Assumed, bound_of
+from thistleusher.policy import health, sharing
 
 LENGTH = 30.0
 
--- a/tests/ledger/test_loopback.py
+++ b/tests/ledger/test_loopback.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from roadspur.ledger.bound import Assumed, bound_of
-from roadspur.settings import nested_settings
 from standins.auditor import PlanRule
 from standins.faults import Fault
 from standins.fleet import Options, run_fleet, settings
 from standins.match import Shape
 from standins.records import Added, Records
+from thistleusher.ledger.bound import Assumed, bound_of
+from thistleusher.settings import nested_settings
 
 SECONDS = 6.0
 AWAY = 3.5
@@ -117,7 +117,7 @@
     path.write_text(json.dumps({"settings": settings(Options(), 0)}))
 
     def bound(*args):
-        done = subprocess.run([sys.executable, "-m", "roadspur", "bound", *args], capture_output=True, text=True,
+        done = subprocess.run([sys.executable, "-m", "thistleusher", "bound", *args], capture_output=True, text=True,
                               timeout=60)
         return done.returncode, done.stdout, done.stderr
 
@@ -141,9 +141,9 @@
 
 
 def test_other_words_on_the_command_line_are_answered_with_the_usage():
-    done = subprocess.run([sys.executable, "-m", "roadspur", "sevre"], capture_output=True, text=True, timeout=60)
+    done = subprocess.run([sys.executable, "-m", "thistleusher", "sevre"], capture_output=True, text=True, timeout=60)
     assert done.returncode == 2 and "No such command 'sevre'" in done.stderr and done.stderr.count("\n") == 1
-    done = subprocess.run([sys.executable, "-m", "roadspur", "--help"], capture_output=True, text=True, timeout=60)
+    done = subprocess.run([sys.executable, "-m", "thistleusher", "--help"], capture_output=True, text=True, timeout=60)
     assert done.returncode == 0 and "bound" in done.stdout
 
 
--- a/tests/ledger/test_placement.py
+++ b/tests/ledger/test_placement.py
@@ -9,16 +9,16 @@
 
 import pytest
 
-from roadspur.ledger import Placement, bound_of
-from roadspur.ledger.bound import Assumed
-from roadspur.net.config import BadConfiguration
-from roadspur.net.counters_file import read_counters
-from roadspur.services.counters import Counters
 from standins.counter import Counter
 from tests.ledger.test_failures import spread
 from tests.ledger.world import BASIC, PLUS, World, settings
 from tests.sockets import Peer, call, ok, run, until
 from tests.test_program import FEW, Program, known
+from thistleusher.ledger import Placement, bound_of
+from thistleusher.ledger.bound import Assumed
+from thistleusher.net.config import BadConfiguration
+from thistleusher.net.counters_file import read_counters
+from thistleusher.services.counters import Counters
 
 ADDRESSES = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 RNG = random.Random(5)
--- a/tests/ledger/test_reserve.py
+++ b/tests/ledger/test_reserve.py
@@ -9,11 +9,11 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from roadspur import interface as io
-from roadspur.ledger import Ledger
-from roadspur.ledger.escrow import epoch_length
-from roadspur.ledger.reserve import KEEP, PART, TOP, Reserve
 from tests.ledger.test_escrow import EXAMPLES, PLUS, SEED, STEP, Set
+from thistleusher import interface as io
+from thistleusher.ledger import Ledger
+from thistleusher.ledger.escrow import epoch_length
+from thistleusher.ledger.reserve import KEEP, PART, TOP, Reserve
 
 FRESH = PLUS._replace(fresh=PLUS.burst)  # what a joint start may have at once, where nothing is remembered
 EPOCH = epoch_length(PLUS)
--- a/tests/ledger/world.py
+++ b/tests/ledger/world.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.assembly import make_gateway
-from roadspur.ledger import Placement
 from tests.helpers import KEYED, SAFE, UNSAFE
+from thistleusher import interface as io
+from thistleusher.assembly import make_gateway
+from thistleusher.ledger import Placement
 
 PLUS = io.PlanSettings("plus", rate=16.0, burst=36.0, ceiling_rate=29.0, ceiling_burst=65.0)
 BASIC = io.PlanSettings("basic", rate=2.4, burst=10.0)
--- a/tests/operator/test_log.py
+++ b/tests/operator/test_log.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from roadspur.log.options import LogOptions
-from roadspur.log.setup import Logs
+from thistleusher.log.options import LogOptions
+from thistleusher.log.setup import Logs
 
 
 class Stuck(io.StringIO):
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def log():
-    return logging.getLogger("roadspur.test")
+    return logging.getLogger("thistleusher.test")
 
 
 def test_json_lines_have_stable_fields_and_a_traceback_stays_in_its_line(log):
@@ -42,7 +42,7 @@
         log.exception("deciding")
     logs.close()
     first, second = [json.loads(line) for line in out.getvalue().splitlines()]
-    assert first["event"] == "ejected b1: failing" and first["level"] == "info" and first["logger"] == "roadspur.test"
+    assert first["event"] == "ejected b1: failing" and first["level"] == "info" and first["logger"] == "thistleusher.test"
     assert first["timestamp"].endswith("Z") and "KeyError" in second["exception"] and second["level"] == "error"
 
 
@@ -72,7 +72,7 @@
 
 
 def test_an_end_does_not_wait_for_such_a_reader_either(log, monkeypatch):
-    monkeypatch.setattr("roadspur.log.setup.CLOSE_S", 0.05)
+    monkeypatch.setattr("thistleusher.log.setup.CLOSE_S", 0.05)
     out = Stuck()
     logs = Logs(LogOptions(queue=16), out)
     log.info("first")
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -14,18 +14,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roadspur.cli.main import COMMANDS, main
-from roadspur.operator.document import reference, starting_file
-from roadspur.operator.layers import MOST, BadFile
-from roadspur.operator.reader import read_operator
-from roadspur.operator.secrets import Secret
-from roadspur.operator.sections import SECTIONS, Section
-from roadspur.operator.units import Bytes, Seconds, read_bytes, read_seconds
-from roadspur.state.records import Member, Room, pack
-from roadspur.state.store import Store
 from standins.counter import Counter
 from tests.sockets import Peer, call, ok, run
 from tests.test_program import TERMS, Program, known
+from thistleusher.cli.main import COMMANDS, main
+from thistleusher.operator.document import reference, starting_file
+from thistleusher.operator.layers import MOST, BadFile
+from thistleusher.operator.reader import read_operator
+from thistleusher.operator.secrets import Secret
+from thistleusher.operator.sections import SECTIONS, Section
+from thistleusher.operator.units import Bytes, Seconds, read_bytes, read_seconds
+from thistleusher.state.records import Member, Room, pack
+from thistleusher.state.store import Store
 
 GOOD = '''# an operator's file
 [state]
@@ -45,8 +45,8 @@
 
 def test_a_good_file_is_typed_and_the_last_layer_wins(tmp_path):
     path = written(tmp_path, GOOD)
-    o = read_operator(path, {"ROADSPUR_STATE__SYNC": "full", "ROADSPUR_STATE__MAX_SIZE": '"2MiB"', "ROADSPUR_X": "1",
-                             "ROADSPUR_STATE__COMMIT_EVERY": "1s"}, ["state.commit_every=30ms", "log.form=json"])
+    o = read_operator(path, {"THISTLEUSHER_STATE__SYNC": "full", "THISTLEUSHER_STATE__MAX_SIZE": '"2MiB"', "THISTLEUSHER_X": "1",
+                             "THISTLEUSHER_STATE__COMMIT_EVERY": "1s"}, ["state.commit_every=30ms", "log.form=json"])
     state = o.get("state")
     assert (state.folder, state.sync, state.max_size) == ("/var/lib/x", "full", 2 << 20)
     assert state.commit_every == 0.03 and isinstance(state.commit_every, Seconds)
@@ -54,7 +54,7 @@
     shown = {key: (value, origin) for key, value, origin in o.shown()}
     assert shown["state.folder"] == ("'/var/lib/x'", f"{path}:3")
     assert shown["state.commit_every"] == ("30ms", "command line")
-    assert shown["state.sync"] == ("'full'", "environment ROADSPUR_STATE__SYNC")
+    assert shown["state.sync"] == ("'full'", "environment THISTLEUSHER_STATE__SYNC")
     assert shown["log.queue"] == ("10000", "default")
     assert read_operator(None).sections == {}
 
@@ -136,7 +136,7 @@
 
 
 def test_the_reference_page_is_true_and_a_starting_file_changes_nothing_until_it_is_edited(tmp_path):
-    assert Path("docs/configuration.md").read_text() == reference(), "run: roadspur reference > docs/configuration.md"
+    assert Path("docs/configuration.md").read_text() == reference(), "run: thistleusher reference > docs/configuration.md"
     path = tmp_path / "start.toml"
     assert main(["init", str(path)]) == 0 == main(["check", "--operator", str(path)])
     assert main(["init", str(path)]) == 2 and path.read_text() == starting_file()
@@ -147,7 +147,7 @@
 
 
 def test_commands_are_imported_when_asked_for_and_end_with_their_codes(tmp_path, capsys):
-    code = "import sys, roadspur.cli.main\nassert not {'uvloop', 'msgspec', 'structlog'} & set(sys.modules)\n"
+    code = "import sys, thistleusher.cli.main\nassert not {'uvloop', 'msgspec', 'structlog'} & set(sys.modules)\n"
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
     assert main(["--help"]) == 0
     text = capsys.readouterr().out
@@ -157,7 +157,7 @@
     shown = [json.loads(line) for line in capsys.readouterr().out.splitlines() if line.startswith("{")]
     assert {"key": "log.queue", "value": "99", "from": "command line"} in shown
     assert main(["bound", str(tmp_path / "none")]) == 2
-    done = subprocess.run([sys.executable, "-m", "roadspur", "check"], capture_output=True, text=True, timeout=60)
+    done = subprocess.run([sys.executable, "-m", "thistleusher", "check"], capture_output=True, text=True, timeout=60)
     assert done.returncode == 0 and "no section" in done.stdout
 
 
@@ -235,7 +235,7 @@
     assert "owner's alone (mode 600), got 640" in wrong(f"'file:{place}'")
     place.chmod(0o600)
     assert "never the value itself" in wrong("'s3cret'") and "never the value itself" in wrong("['s3cret']")
-    assert "No such file" in wrong(f"'file:{place}x'") and "not set" in wrong("'env:ROADSPUR_NO_SUCH'")
+    assert "No such file" in wrong(f"'file:{place}x'") and "not set" in wrong("'env:THISTLEUSHER_NO_SUCH'")
     path = written(tmp_path, f"[hidden]\nkey = 'file:{place}'\n")
     secret = read_operator(path).get("hidden").key
     assert secret.reveal() == b"s3cret" and "s3cret" not in f"{secret}{secret!r}"
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -12,13 +12,13 @@
 
 import uvloop
 
-from roadspur import interface as io
-from roadspur.net.discovery import Listing, read_listing
-from roadspur.net.ingress import Ingress
-from roadspur.net.server import IngressServer
-from roadspur.net.upstream import Upstream
 from standins.http import read_message
 from tests.helpers import CEILED, KEYED, PLAN, SAFE, UNSAFE
+from thistleusher import interface as io
+from thistleusher.net.discovery import Listing, read_listing
+from thistleusher.net.ingress import Ingress
+from thistleusher.net.server import IngressServer
+from thistleusher.net.upstream import Upstream
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # for anything at all to happen; never what a test measures
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -8,12 +8,12 @@
 import pytest
 
 from benchmarks.soak_faults import FAULTS, ROOT
-from roadspur.settings import nested_settings
 from standins.deployments import BILLING, DEPLOYMENTS
 from standins.faults import Fault
 from standins.fleet import Options, run_fleet, settings
 from standins.match import Shape
 from standins.records import Answered, Asked, Records
+from thistleusher.settings import nested_settings
 
 SHAPE = Shape(cores=8, work=0.005, cold=0.22, cold_s=2.0)
 
@@ -60,4 +60,4 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.name)
 def test_the_lines_that_deliberate_faults_change_are_there(fault):
-    assert fault.right in (ROOT / "roadspur" / fault.file).read_text()
+    assert fault.right in (ROOT / "thistleusher" / fault.file).read_text()
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -7,9 +7,6 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net.discovery import Discovery as Follower
-from roadspur.services.counter import Counter as Client
 from standins.counter import Counter
 from standins.discovery import Discovery
 from standins.match import Keys, MatchServer, Shape
@@ -17,6 +14,9 @@
 from standins.relay import Relay
 from tests.sockets import HOST, call, run, until
 from tests.sockets import Client as Caller
+from thistleusher import interface as io
+from thistleusher.net.discovery import Discovery as Follower
+from thistleusher.services.counter import Counter as Client
 
 
 class Clock:
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from roadspur.state.records import read_member
-from roadspur.state.store import LISTED
 from standins.counter import Counter
 from tests.sockets import Peer, call, ok, run, until
 from tests.test_program import SETTINGS, TERMS, Program, known
+from thistleusher.state.records import read_member
+from thistleusher.state.store import LISTED
 
 SLOW = {**SETTINGS, "plans": [{"name": "basic", "rate": 0.001, "storeSize": 8.0, "pays": 1.0}],
         "extra": {**SETTINGS["extra"], "counterTimeout": 0.05}}
@@ -96,7 +96,7 @@
         program = with_state(tmp_path, backend, counter)
         await program.start()
         try:
-            second = subprocess.run([sys.executable, "-m", "roadspur", *program.args], capture_output=True, text=True,
+            second = subprocess.run([sys.executable, "-m", "thistleusher", *program.args], capture_output=True, text=True,
                                     env={"PROXY_CONFIG": str(program.path)}, timeout=60)
             assert second.returncode == 2 and second.stderr.count("\n") == 1
             assert "another process holds it" in second.stderr
@@ -107,6 +107,6 @@
 
 
 def test_nothing_of_it_is_imported_where_no_folder_is_given():
-    code = ("import sys, roadspur.__main__, roadspur.net.daemon\n"
-            "assert not {'sqlite3', 'msgspec', 'roadspur.state'} & set(sys.modules)\n")
+    code = ("import sys, thistleusher.__main__, thistleusher.net.daemon\n"
+            "assert not {'sqlite3', 'msgspec', 'thistleusher.state'} & set(sys.modules)\n")
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -15,14 +15,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roadspur import interface as io
-from roadspur.assembly import room_terms
-from roadspur.net.daemon import listing_of
-from roadspur.operator.units import Seconds
-from roadspur.policy import Gateway
-from roadspur.state.keeper import Keeper
-from roadspur.state.options import StateOptions, read_options
-from roadspur.state.records import (
+from tests.helpers import Ingress, only
+from tests.ledger.world import BASIC, PLUS, World
+from tests.ledger.world import settings as told
+from thistleusher import interface as io
+from thistleusher.assembly import room_terms
+from thistleusher.net.daemon import listing_of
+from thistleusher.operator.units import Seconds
+from thistleusher.policy import Gateway
+from thistleusher.state.keeper import Keeper
+from thistleusher.state.options import StateOptions, read_options
+from thistleusher.state.records import (
     BadRecord,
     Life,
     Listed,
@@ -35,12 +38,9 @@
     read_listed,
     read_member,
 )
-from roadspur.state.recovery import active_until, recover, still_learned, still_listed, still_there
-from roadspur.state.store import FILE, BadState, Store
-from roadspur.state.writer import Writer
-from tests.helpers import Ingress, only
-from tests.ledger.world import BASIC, PLUS, World
-from tests.ledger.world import settings as told
+from thistleusher.state.recovery import active_until, recover, still_learned, still_listed, still_there
+from thistleusher.state.store import FILE, BadState, Store
+from thistleusher.state.writer import Writer
 
 PLANS = {p.name: p for p in (BASIC, PLUS)}
 TERMS = room_terms(told(0))
@@ -197,8 +197,8 @@
 
 KILLED = """
 import sys
-from roadspur.state.records import Member, pack
-from roadspur.state.store import Store
+from thistleusher.state.records import Member, pack
+from thistleusher.state.store import Store
 store = Store(sys.argv[1], "n0", sync=sys.argv[2])
 store.begin("n0", 1.0)
 n = 0
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -15,17 +15,17 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.common.boot import Bounds
-from roadspur.common.configuration import Configuration, Index
-from roadspur.common.failures import Failure, Kind
-from roadspur.common.tables import record
-from roadspur.net.server import ClientConnection
-from roadspur.net.upstream import Connection, Endpoint, Pool, Terms, Upstream
-from roadspur.proxy.decisions import Decisions
-from roadspur.proxy.front import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
-from roadspur.proxy.placement import Place
-from roadspur.transport.api import CallServer, Handler, Readiness
+from thistleusher import interface as io
+from thistleusher.common.boot import Bounds
+from thistleusher.common.configuration import Configuration, Index
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.tables import record
+from thistleusher.net.server import ClientConnection
+from thistleusher.net.upstream import Connection, Endpoint, Pool, Terms, Upstream
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.front import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.placement import Place
+from thistleusher.transport.api import CallServer, Handler, Readiness
 
 NOT_READY = Failure(Kind.STARTING)
 SEEDS = 120
--- a/tests/system/test_charges.py
+++ b/tests/system/test_charges.py
@@ -5,16 +5,16 @@
 
 import pytest
 
-from roadspur.common.boot import Bounds
-from roadspur.common.shares import ALONE_S, COUNTED, LOST_S, OK, OVER
-from roadspur.proxy import decisions as decided
-from roadspur.proxy.decisions import Decisions
-from roadspur.proxy.knowledge import VERDICT_S, Knowledge, ToRegistry, Verdict
-from roadspur.registry import charges
-from roadspur.registry.charges import ChargeLedger
-from roadspur.registry.counts import Counts
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import Charge, ChargeResult, Echo, Presence, PresenceReport
+from thistleusher.common.boot import Bounds
+from thistleusher.common.shares import ALONE_S, COUNTED, LOST_S, OK, OVER
+from thistleusher.proxy import decisions as decided
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.knowledge import VERDICT_S, Knowledge, ToRegistry, Verdict
+from thistleusher.registry import charges
+from thistleusher.registry.charges import ChargeLedger
+from thistleusher.registry.counts import Counts
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import Charge, ChargeResult, Echo, Presence, PresenceReport
 
 RATE = BURST = 10.0
 LIMITS = {"t": (RATE, BURST)}
--- a/tests/system/test_commands.py
+++ b/tests/system/test_commands.py
@@ -5,8 +5,8 @@
 import pytest
 
 from benchmarks.control_faults import FAULTS
-from roadspur.common.commands import invoke
-from roadspur.common.events import Event, page
+from thistleusher.common.commands import invoke
+from thistleusher.common.events import Event, page
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -49,5 +49,5 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.name)
 def test_the_lines_that_deliberate_faults_change_are_there(fault):
-    sources = [path.read_text() for path in (ROOT / "roadspur" / "control").glob("*.py")]
+    sources = [path.read_text() for path in (ROOT / "thistleusher" / "control").glob("*.py")]
     assert all(sum(source.count(right) for source in sources) == 1 for right, _ in fault.edits)
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from roadspur.common.boot import read_boot
-from roadspur.common.checks import read_configuration
-from roadspur.common.config_items import (
+from thistleusher.common.boot import read_boot
+from thistleusher.common.checks import read_configuration
+from thistleusher.common.config_items import (
     ConfigurationFollower,
     Identity,
     assemble,
@@ -18,10 +18,10 @@
     number_of,
     was_taken,
 )
-from roadspur.common.configuration import Index, kept_configuration
-from roadspur.common.failures import ANSWERS, PROMISES, Kind
-from roadspur.common.tables import BadTable
-from roadspur.transport.news import Follower, State
+from thistleusher.common.configuration import Index, kept_configuration
+from thistleusher.common.failures import ANSWERS, PROMISES, Kind
+from thistleusher.common.tables import BadTable
+from thistleusher.transport.news import Follower, State
 
 SOUND = {
     "version": "00000007",
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -7,12 +7,17 @@
 import msgspec
 import pytest
 
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.interface import Send, Stored, Write
-from roadspur.control.leases import Holder
-from roadspur.control.node import ControlNode
-from roadspur.transport.messages import (
+from simnet.cluster import Cluster
+from simnet.core import draw, finish, run
+from simnet.disk import Disk
+from simnet.faults import Fault, Faults
+from simnet.rules import Broken
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.interface import Send, Stored, Write
+from thistleusher.control.leases import Holder
+from thistleusher.control.node import ControlNode
+from thistleusher.transport.messages import (
     Append,
     Deposed,
     Install,
@@ -26,11 +31,6 @@
     VoteRefused,
     VoteRequest,
 )
-from simnet.cluster import Cluster
-from simnet.core import draw, finish, run
-from simnet.disk import Disk
-from simnet.faults import Fault, Faults
-from simnet.rules import Broken
 
 
 def calm(machines: int = 3, seed: int = 1) -> Cluster:
@@ -971,7 +971,7 @@
     """So it may jump: all times are those of the steady clock, which each machine's own is in the simulation."""
     found = []
     for package in ("common", "transport", "control", "registry", "proxy"):
-        for path in Path("roadspur", package).glob("*.py"):
+        for path in Path("thistleusher", package).glob("*.py"):
             for part in ast.walk(ast.parse(path.read_text())):
                 if not isinstance(part, ast.Attribute):
                     continue
--- a/tests/system/test_copies.py
+++ b/tests/system/test_copies.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from roadspur.control.interface import Send, Stored, Write
-from roadspur.control.node import ControlNode
-from roadspur.transport.messages import (
+from thistleusher.control.interface import Send, Stored, Write
+from thistleusher.control.node import ControlNode
+from thistleusher.transport.messages import (
     Append,
     Appended,
     Install,
--- a/tests/system/test_decisions.py
+++ b/tests/system/test_decisions.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.common.boot import Bounds
-from roadspur.common.configuration import Configuration, Found
-from roadspur.common.shares import ALONE_S, OK, OVER, PROMPT_S
-from roadspur.common.tables import record
-from roadspur.proxy.budgets import Colds, Tries
-from roadspur.proxy.decisions import Asked, Charge, Counted, Decisions
-from roadspur.proxy.directory import addresses
-from roadspur.proxy.placement import Place, homes_of
+from thistleusher import interface as io
+from thistleusher.common.boot import Bounds
+from thistleusher.common.configuration import Configuration, Found
+from thistleusher.common.shares import ALONE_S, OK, OVER, PROMPT_S
+from thistleusher.common.tables import record
+from thistleusher.proxy.budgets import Colds, Tries
+from thistleusher.proxy.decisions import Asked, Charge, Counted, Decisions
+from thistleusher.proxy.directory import addresses
+from thistleusher.proxy.placement import Place, homes_of
 
 CONFIG = record(
     Configuration,
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from roadspur.common.boot import Bounds
-from roadspur.common.configuration import Configuration, Index
-from roadspur.common.tables import record
-from roadspur.net.upstream import Endpoint, Terms, Upstream
-from roadspur.proxy.decisions import Decisions
-from roadspur.proxy.front import ATTEMPT, ProxyFarewell, ProxyIngress, ProxyServer, outcome_of
-from roadspur.proxy.placement import Place
 from standins.http import read_message
+from thistleusher.common.boot import Bounds
+from thistleusher.common.configuration import Configuration, Index
+from thistleusher.common.tables import record
+from thistleusher.net.upstream import Endpoint, Terms, Upstream
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.front import ATTEMPT, ProxyFarewell, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.placement import Place
 
 ROUTE = {"hostname": "h.example", "deadline_ms": 2000, "target_ms": 500, "target": "s", "tries": 3}
 
--- a/tests/system/test_guards.py
+++ b/tests/system/test_guards.py
@@ -2,9 +2,9 @@
 
 import random
 
-from roadspur.control.interface import Answer, Change, Send, Stored, Write
-from roadspur.control.node import ControlNode
-from roadspur.transport.messages import (
+from thistleusher.control.interface import Answer, Change, Send, Stored, Write
+from thistleusher.control.node import ControlNode
+from thistleusher.transport.messages import (
     Append,
     Appended,
     Deposed,
--- a/tests/system/test_knowledge.py
+++ b/tests/system/test_knowledge.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from roadspur.common.boot import Bounds
-from roadspur.proxy import program as proxy_program
-from roadspur.proxy.decisions import Decisions
-from roadspur.proxy.knowledge import Core, Knowledge, ToPeer, ToRing
-from roadspur.proxy.program import Heartbeats, ProxyProgram
-from roadspur.registry import program as registry_program
-from roadspur.registry.program import RegistryProgram
-from roadspur.transport.codec import encode
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import Beat, CoreInfo, Echo, HandOver, Hello, News, RingBeat
-from roadspur.transport.news import State
-from roadspur.transport.ring import LACKS_S
 from tests.system.test_registry import PRESENCE, on_duty
+from thistleusher.common.boot import Bounds
+from thistleusher.proxy import program as proxy_program
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.knowledge import Core, Knowledge, ToPeer, ToRing
+from thistleusher.proxy.program import Heartbeats, ProxyProgram
+from thistleusher.registry import program as registry_program
+from thistleusher.registry.program import RegistryProgram
+from thistleusher.transport.codec import encode
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import Beat, CoreInfo, Echo, HandOver, Hello, News, RingBeat
+from thistleusher.transport.news import State
+from thistleusher.transport.ring import LACKS_S
 
 
 def entry(phase):
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from roadspur.control.leases import GRANT_S, Grantor, Holder
-from roadspur.transport.messages import LeaseGranted, LeaseReleased, LeaseRequest, LeaseTaken
 from simnet.clock import Clock
+from thistleusher.control.leases import GRANT_S, Grantor, Holder
+from thistleusher.transport.messages import LeaseGranted, LeaseReleased, LeaseRequest, LeaseTaken
 
 IPS = ("a", "b", "c")
 
--- a/tests/system/test_links.py
+++ b/tests/system/test_links.py
@@ -7,12 +7,12 @@
 import msgspec
 import pytest
 
-from roadspur.transport import links
-from roadspur.transport.codec import COMPRESSED, Deframer, MalformedMessage, frame
-from roadspur.transport.core_members import CoreMembers
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.links import Dial, Listener
-from roadspur.transport.messages import Beat, CoreInfo, Hello, Message, News, NewsAck
+from thistleusher.transport import links
+from thistleusher.transport.codec import COMPRESSED, Deframer, MalformedMessage, frame
+from thistleusher.transport.core_members import CoreMembers
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.links import Dial, Listener
+from thistleusher.transport.messages import Beat, CoreInfo, Hello, Message, News, NewsAck
 
 
 def test_a_dial_that_waits_is_tried_at_once_when_the_other_side_shows(monkeypatch):
--- a/tests/system/test_news.py
+++ b/tests/system/test_news.py
@@ -2,8 +2,8 @@
 
 import random
 
-from roadspur.transport.messages import Follow, NewsAck
-from roadspur.transport.news import Follower, Publisher, State
+from thistleusher.transport.messages import Follow, NewsAck
+from thistleusher.transport.news import Follower, Publisher, State
 
 
 def test_a_follower_gets_what_changed_and_acknowledges_it():
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from roadspur.common import checks
-from roadspur.common.config_items import NONE, REMEMBERED, assemble, changes, number_of
-from roadspur.common.failures import Failure, Kind
-from roadspur.control import orders
-from roadspur.control.orders import Standing
-from roadspur.transport.news import State
+from thistleusher.common import checks
+from thistleusher.common.config_items import NONE, REMEMBERED, assemble, changes, number_of
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.control import orders
+from thistleusher.control.orders import Standing
+from thistleusher.transport.news import State
 
 
 def document(number: int, contents: str = "a") -> bytes:
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from roadspur.common.shares import ALONE, ALONE_S, HERE_S, LOST_S, OVER, PROMPT_S
-from roadspur.proxy.quota import Quota
-from roadspur.registry.counts import Counts
 from simnet.clock import Clock
+from thistleusher.common.shares import ALONE, ALONE_S, HERE_S, LOST_S, OVER, PROMPT_S
+from thistleusher.proxy.quota import Quota
+from thistleusher.registry.counts import Counts
 
 RATE = BURST = 100.0
 SLACK = 20.0
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from roadspur.registry.instances import EMPTY, Garbage, Survey
-from roadspur.registry.members import ALONE_S, SILENT_S, Members
-from roadspur.registry.registry import Call, Registry, Tell, ToControl
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import (
+from thistleusher.registry.instances import EMPTY, Garbage, Survey
+from thistleusher.registry.members import ALONE_S, SILENT_S, Members
+from thistleusher.registry.registry import Call, Registry, Tell, ToControl
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import (
     Beat,
     Charge,
     CoreInfo,
@@ -20,8 +20,8 @@
     News,
     Presence,
 )
-from roadspur.transport.ring import LACKS_S, Ring
-from roadspur.transport.ring import SILENT_S as RING_S
+from thistleusher.transport.ring import LACKS_S, Ring
+from thistleusher.transport.ring import SILENT_S as RING_S
 
 
 def entry(n, phase="ready", cold=0):
--- a/tests/system/test_scale.py
+++ b/tests/system/test_scale.py
@@ -6,8 +6,8 @@
 
 from benchmarks.scale.fit import fit, quantile, table
 from benchmarks.scale.inputs import CHANGED_ROUTES, address_of, changed, configuration, settings
-from roadspur.common.boot import read_boot
-from roadspur.common.checks import read_configuration
+from thistleusher.common.boot import read_boot
+from thistleusher.common.checks import read_configuration
 
 
 def test_a_line_is_found_again_and_errors_around_it_cancel():
--- a/tests/system/test_search.py
+++ b/tests/system/test_search.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from roadspur.control.leading import Leading
 from simnet.search import BEGINNINGS, LEARNER, search
+from thistleusher.control.leading import Leading
 
 
 def test_the_searches_begin_where_they_say():
--- a/tests/system/test_service.py
+++ b/tests/system/test_service.py
@@ -2,11 +2,11 @@
 
 import random
 
-from roadspur.control.interface import Stored, Tell, Write
-from roadspur.control.leases import GRANT_S, Grantor, Holder
-from roadspur.control.node import ControlNode
-from roadspur.control.service import ControlService
-from roadspur.transport.messages import (
+from thistleusher.control.interface import Stored, Tell, Write
+from thistleusher.control.leases import GRANT_S, Grantor, Holder
+from thistleusher.control.node import ControlNode
+from thistleusher.control.service import ControlService
+from thistleusher.transport.messages import (
     Heartbeat,
     LeaseGranted,
     LeaseRequest,
--- a/tests/system/test_world.py
+++ b/tests/system/test_world.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from roadspur.common.configuration import Route
-from roadspur.control.interface import Change
-from roadspur.proxy import decisions
-from roadspur.proxy.quota import Quota
-from roadspur.registry import instances
-from roadspur.registry.registry import Registry
 from simnet.core import Broken
 from simnet.system import CORES, World, draw, run
+from thistleusher.common.configuration import Route
+from thistleusher.control.interface import Change
+from thistleusher.proxy import decisions
+from thistleusher.proxy.quota import Quota
+from thistleusher.registry import instances
+from thistleusher.registry.registry import Registry
 
 
 @pytest.mark.parametrize("first", range(0, 24, 4))
--- a/tests/talk/test_fleet.py
+++ b/tests/talk/test_fleet.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.ledger.bound import Assumed, bound_of, table
 from tests.ledger.world import BASIC, CounterModel, World, settings
+from thistleusher import interface as io
+from thistleusher.ledger.bound import Assumed, bound_of, table
 
 FLEET, WIDE, NARROW = 60, 50, 5
 MEMBERS = 240
--- a/tests/talk/test_talk.py
+++ b/tests/talk/test_talk.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.talk import Homes, Outbox, Talk
-from roadspur.talk.held import MOST, Held
-from roadspur.talk.homes import ANSWER_S, CANDIDATES, KNOWN_MOST, KNOWN_S, MISSES, MUTE_S, OUT_MOST
-from roadspur.talk.outbox import ALIVE_S, BURST_S, COMPANY_S, LAZY_S
-from roadspur.talk.talk import ANSWER, ASK, SETTLE_MOST, SETTLED
+from thistleusher import interface as io
+from thistleusher.talk import Homes, Outbox, Talk
+from thistleusher.talk.held import MOST, Held
+from thistleusher.talk.homes import ANSWER_S, CANDIDATES, KNOWN_MOST, KNOWN_S, MISSES, MUTE_S, OUT_MOST
+from thistleusher.talk.outbox import ALIVE_S, BURST_S, COMPANY_S, LAZY_S
+from thistleusher.talk.talk import ANSWER, ASK, SETTLE_MOST, SETTLED
 
 
 def request(name: str = "r1", first: int = 190, width: int = 120, units: float = 2.0) -> io.Request:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.policy import gateway, sharing
-from roadspur.policy.health import ALONE, ASK_S, CounterHealth
-from roadspur.policy.store import Customer
 from tests.helpers import CEILED, PLAN, SAFE, Ingress, only, some
+from thistleusher import interface as io
+from thistleusher.policy import gateway, sharing
+from thistleusher.policy.health import ALONE, ASK_S, CounterHealth
+from thistleusher.policy.store import Customer
 
 
 def serve(g: Ingress, actions: list[io.Action]) -> bool:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.policy import fleet as fleet_module
-from roadspur.policy.fleet import PROOF
 from tests.helpers import SAFE, UNSAFE, Ingress, only, some
+from thistleusher import interface as io
+from thistleusher.policy import fleet as fleet_module
+from thistleusher.policy.fleet import PROOF
 
 RAN = [io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.TIMEOUT]
 NOT_RUN = [io.Outcome.FULL, io.Outcome.CONNECT_FAILED]
--- a/tests/test_farewell.py
+++ b/tests/test_farewell.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net.farewell import LAST_S, LONGEST_S, MORE_S, QUIET_S, SHORT_S, Farewell
 from tests.sockets import Client, Peer, Rig, call, in_turn, ok, run, until
+from thistleusher import interface as io
+from thistleusher.net.farewell import LAST_S, LONGEST_S, MORE_S, QUIET_S, SHORT_S, Farewell
 
 WHOLE = LONGEST_S + MORE_S  # after which an ingress may be killed
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net.guard import EARLY, WARY_S, Guard
 from standins.http import read_message
 from tests.sockets import HOST, Peer, Rig, call, in_turn, ok, run, until
+from thistleusher import interface as io
+from thistleusher.net.guard import EARLY, WARY_S, Guard
 
 IDLE = 15.0
 
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from roadspur import interface as io
 from tests.sockets import Client, Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, unix, until
+from thistleusher import interface as io
 
 
 def test_a_request_is_served_byte_for_byte_and_goes_on_unchanged():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.policy.fleet import NEAR, SCAN, Fleet
 from tests.helpers import PLAN, SAFE, Ingress, some
+from thistleusher import interface as io
+from thistleusher.policy.fleet import NEAR, SCAN, Fleet
 
 
 def part(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from roadspur.net.config import read_config
-from roadspur.net.daemon import Daemon
 from standins.counter import Counter
 from tests.sockets import HOST, Client, Peer, call, closed_port, entry, ok, run, until
+from thistleusher.net.config import read_config
+from thistleusher.net.daemon import Daemon
 
 SETTINGS = {
     "balancers": 1, "me": 0, "zone": "z0", "step": 0.004, "classes": [
@@ -36,7 +36,7 @@
 
 
 class Program:
-    """`python -m roadspur` with peers of the test's."""
+    """`python -m thistleusher` with peers of the test's."""
 
     def __init__(self, tmp_path, **config):
         self.port, self.args = closed_port(), ()
@@ -48,7 +48,7 @@
 
     async def start(self):
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "roadspur", *self.args, env={**os.environ, "PROXY_CONFIG": str(self.path)},
+            sys.executable, "-m", "thistleusher", *self.args, env={**os.environ, "PROXY_CONFIG": str(self.path)},
             stderr=subprocess.PIPE)
         while True:
             try:
@@ -209,7 +209,7 @@
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     if config is not None:
         env["PROXY_CONFIG"] = str(path)
-    done = subprocess.run([sys.executable, "-m", "roadspur"], env=env, capture_output=True, text=True,
+    done = subprocess.run([sys.executable, "-m", "thistleusher"], env=env, capture_output=True, text=True,
                           timeout=60)
     lines = [line for line in done.stderr.splitlines() if " INFO " not in line]
-    assert done.returncode == 2 and len(lines) == 1 and lines[0].startswith("roadspur: ")
+    assert done.returncode == 2 and len(lines) == 1 and lines[0].startswith("thistleusher: ")
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from roadspur.net import server as server_module
 from tests.sockets import Client, Peer, Rig, call, entry, in_turn, listing, ok, run, until
+from thistleusher.net import server as server_module
 
 BODY = b"x" * (64 * 1024)
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import discovery as discovery_module
-from roadspur.net.discovery import Discovery, read_listing
-from roadspur.services import counter as counter_module
-from roadspur.services.counter import Counter
-from roadspur.services.peers import Peers
 from tests.sockets import HOST, Peer, closed_port, entry, ok, run, until
+from thistleusher import interface as io
+from thistleusher.net import discovery as discovery_module
+from thistleusher.net.discovery import Discovery, read_listing
+from thistleusher.services import counter as counter_module
+from thistleusher.services.counter import Counter
+from thistleusher.services.peers import Peers
 
 LONG = 10.0  # a time-out that no test waits for
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.net import upstream as upstream_module
 from tests.sockets import Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, until
+from thistleusher import interface as io
+from thistleusher.net import upstream as upstream_module
 
 BIG = b"x" * (64 * 1024 + 1)
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur import wirehost
-from roadspur.settings import BadSetting
+from thistleusher import interface as io
+from thistleusher import wirehost
+from thistleusher.settings import BadSetting
 
 BORN = ("BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
         "classes.count=1 classes.0.name=read classes.0.semantics=retryable classes.0.objective=2.0 "
@@ -136,7 +136,7 @@
     ("CLOCK 1\n", ["END"]),
 ])
 def test_malformed_lines_end_in_one_plain_line(text, words):
-    command = [sys.executable, "-m", "roadspur.wirehost"]
+    command = [sys.executable, "-m", "thistleusher.wirehost"]
     got = subprocess.run(command, input=text, capture_output=True, text=True)
     assert got.returncode != 0 and got.stdout == ""
     assert got.stderr.count("\n") == 1 and "Traceback" not in got.stderr
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from roadspur import interface as io
-from roadspur.policy.work import FIRST, LEAST, MOST, WorkOfClass
 from tests.helpers import Ingress, only, some
+from thistleusher import interface as io
+from thistleusher.policy.work import FIRST, LEAST, MOST, WorkOfClass
 
 
 def learned(time_of, units=(1.0, 2.0, 6.0), answers=300, seed=3):
--- /dev/null
+++ b/thistleusher/__init__.py
@@ -0,0 +1,1 @@
+"""thistleusher: admission, routing and attempt decisions of a quota gateway."""
--- a/roadspur/__main__.py
+++ b/thistleusher/__main__.py
@@ -12,24 +12,24 @@
 
 import uvloop
 
-from roadspur.net.config import BadConfiguration, Config, read_config
-from roadspur.net.counters_file import read_counters
-from roadspur.net.daemon import Daemon
+from thistleusher.net.config import BadConfiguration, Config, read_config
+from thistleusher.net.counters_file import read_counters
+from thistleusher.net.daemon import Daemon
 
 if TYPE_CHECKING:
-    from roadspur.ledger import Placement
-    from roadspur.state.keeper import Keeper
-    from roadspur.state.options import StateOptions
+    from thistleusher.ledger import Placement
+    from thistleusher.state.keeper import Keeper
+    from thistleusher.state.options import StateOptions
 
-log = logging.getLogger("roadspur")
+log = logging.getLogger("thistleusher")
 
 NOTICE_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
 
 
-USAGE = """usage: python -m roadspur              serve as PROXY_CONFIG says
-       python -m roadspur --counters FILE   the same, with several counters
-       python -m roadspur --state FILE      the same, with a state folder; both may be given
-       python -m roadspur bound -h    how far quotas can be passed while the counter fails
+USAGE = """usage: python -m thistleusher              serve as PROXY_CONFIG says
+       python -m thistleusher --counters FILE   the same, with several counters
+       python -m thistleusher --state FILE      the same, with a state folder; both may be given
+       python -m thistleusher bound -h    how far quotas can be passed while the counter fails
 with the extra 'operator' also: serve --operator FILE, check, show, init, reference, state (--help for each)
 """
 
@@ -37,12 +37,12 @@
 def command(argv: list[str]) -> int:
     """The commands beside serving; each is imported only when it is asked for."""
     if argv[0] == "bound":
-        from roadspur.cli import bound
+        from thistleusher.cli import bound
 
         return bound.main(argv[1:])
     if argv[0] not in ("-h", "--help"):
         try:
-            from roadspur.cli.main import main as others
+            from thistleusher.cli.main import main as others
         except ImportError:
             print(USAGE, end="", file=sys.stderr)
             return 2
@@ -61,10 +61,10 @@
 
 def keeper_of(config: Config, options: StateOptions) -> Keeper:
     """The state folder; BadConfiguration says what keeps it from being used."""
-    from roadspur.assembly import room_terms
-    from roadspur.policy.sharing import kept_for
-    from roadspur.state.keeper import Keeper
-    from roadspur.state.store import BadState
+    from thistleusher.assembly import room_terms
+    from thistleusher.policy.sharing import kept_for
+    from thistleusher.state.keeper import Keeper
+    from thistleusher.state.store import BadState
 
     try:
         return Keeper(options, config.name, config.settings, kept_for(config.settings), room_terms(config.settings))
@@ -75,7 +75,7 @@
 def state_options(path: str) -> StateOptions:
     """The file that `--state` names; BadConfiguration says what is wrong with it."""
     try:
-        from roadspur.state.options import read_options
+        from thistleusher.state.options import read_options
     except ImportError as error:
         raise BadConfiguration(f"--state needs the extra 'operator': {error}") from error
     try:
@@ -116,7 +116,7 @@
     try:
         uvloop.run(serve(read_config(extras.environ), extras))
     except (BadConfiguration, OSError) as error:
-        print(f"roadspur: {error}", file=sys.stderr)
+        print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 1
@@ -135,7 +135,7 @@
     try:
         state = state_options(files["--state"]) if "--state" in files else None
     except BadConfiguration as error:
-        print(f"roadspur: {error}", file=sys.stderr)
+        print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     return run(Extras(os.environ, (lambda: read_counters(counters)) if counters else None, state))
 
--- a/roadspur/assembly.py
+++ b/thistleusher/assembly.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from roadspur import interface as io
-from roadspur.interface import TOLD_MOST
-from roadspur.ledger import Ledger, Placement
-from roadspur.ledger.bound import fresh_room
-from roadspur.ledger.escrow import WANT_S, Terms
-from roadspur.policy import Gateway
-from roadspur.talk import Talk
+from thistleusher import interface as io
+from thistleusher.interface import TOLD_MOST
+from thistleusher.ledger import Ledger, Placement
+from thistleusher.ledger.bound import fresh_room
+from thistleusher.ledger.escrow import WANT_S, Terms
+from thistleusher.policy import Gateway
+from thistleusher.talk import Talk
 
 
 def make_gateway(settings: io.Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
--- a/roadspur/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -1,4 +1,4 @@
-"""`python -m roadspur bound CONFIG`: how far quotas and ceilings can be passed while the counter fails."""
+"""`python -m thistleusher bound CONFIG`: how far quotas and ceilings can be passed while the counter fails."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 import sys
 from collections.abc import Sequence
 
-from roadspur import interface as io
-from roadspur.ledger.bound import Assumed, table
-from roadspur.net.config import BadConfiguration, read_data
-from roadspur.settings import BadSetting, nested_settings
+from thistleusher import interface as io
+from thistleusher.ledger.bound import Assumed, table
+from thistleusher.net.config import BadConfiguration, read_data
+from thistleusher.settings import BadSetting, nested_settings
 
 
 def read(path: str) -> io.Settings:
@@ -23,7 +23,7 @@
 
 def main(argv: Sequence[str]) -> int:
     """0: printed; 2: the configuration or an option cannot be used."""
-    parser = argparse.ArgumentParser(prog="python -m roadspur bound", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m thistleusher bound", description=__doc__)
     parser.add_argument("config", help="the ingress's configuration, as PROXY_CONFIG names it")
     parser.add_argument("--outage", type=float, default=60.0, help="seconds that the failure lasts (default 60)")
     parser.add_argument("--loss", type=float, default=0.05, help="share of datagrams lost (default 0.05)")
@@ -36,7 +36,7 @@
         lines = table(settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew,
                                         folders=args.folders))
     except (BadConfiguration, ValueError) as error:
-        print(f"roadspur: {error}", file=sys.stderr)
+        print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     print(f"units, for a failure of {args.outage:g} s; {100 * args.loss:g}% of datagrams lost, {args.delay:g} s late")
     if not settings.peers:
--- a/roadspur/cli/main.py
+++ b/thistleusher/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line, `roadspur`: each command is imported only when it is asked for.
+"""The command line, `thistleusher`: each command is imported only when it is asked for.
 
 Exit codes: 0 done; 1 ended by a signal or found something wrong in what it looked at; 2 cannot be started as asked, one
 line on standard error.
@@ -12,10 +12,10 @@
 import click
 
 COMMANDS = {
-    "serve": ("roadspur.cli.serve", "serve"), "check": ("roadspur.cli.options", "check"),
-    "show": ("roadspur.cli.options", "show"), "init": ("roadspur.cli.options", "init"),
-    "reference": ("roadspur.cli.options", "reference"), "state": ("roadspur.cli.state", "state"),
-    "bound": ("roadspur.cli.main", "bound"),
+    "serve": ("thistleusher.cli.serve", "serve"), "check": ("thistleusher.cli.options", "check"),
+    "show": ("thistleusher.cli.options", "show"), "init": ("thistleusher.cli.options", "init"),
+    "reference": ("thistleusher.cli.options", "reference"), "state": ("thistleusher.cli.state", "state"),
+    "bound": ("thistleusher.cli.main", "bound"),
 }
 
 
@@ -31,8 +31,8 @@
 
 
 @click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
-@click.version_option(package_name="roadspur", prog_name="roadspur")
-def roadspur() -> None:
+@click.version_option(package_name="thistleusher", prog_name="thistleusher")
+def thistleusher() -> None:
     """An ingress that holds customers to quotas which all ingresses share."""
 
 
@@ -40,7 +40,7 @@
 @click.argument("words", nargs=-1, type=click.UNPROCESSED)
 def bound(words: tuple[str, ...]) -> int:
     """How far quotas and ceilings can be passed while the counter fails."""
-    from roadspur.cli import bound as command
+    from thistleusher.cli import bound as command
 
     return command.main(words)
 
@@ -48,11 +48,11 @@
 def main(argv: list[str] | None = None) -> int:
     """Run a command; what is wrong is one line."""
     try:
-        return int(roadspur.main(argv, prog_name="roadspur", standalone_mode=False) or 0)
+        return int(thistleusher.main(argv, prog_name="thistleusher", standalone_mode=False) or 0)
     except click.exceptions.Abort:
         return 1
     except click.ClickException as error:
-        print(f"roadspur: {' '.join(error.format_message().split())}", file=sys.stderr)
+        print(f"thistleusher: {' '.join(error.format_message().split())}", file=sys.stderr)
         return 2
 
 
--- a/roadspur/cli/options.py
+++ b/thistleusher/cli/options.py
@@ -10,8 +10,8 @@
 
 import click
 
-from roadspur.operator.layers import BadFile
-from roadspur.operator.reader import Options, read_operator
+from thistleusher.operator.layers import BadFile
+from thistleusher.operator.reader import Options, read_operator
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -39,7 +39,7 @@
     options = read(path, words)
     config = config or os.environ.get("PROXY_CONFIG")
     if config:
-        from roadspur.net.config import BadConfiguration, read_config
+        from thistleusher.net.config import BadConfiguration, read_config
 
         try:
             read_config({**os.environ, "PROXY_CONFIG": config})
@@ -62,7 +62,7 @@
 @click.argument("path")
 def init(path: str) -> None:
     """Write a commented starting file; one that is there is left alone."""
-    from roadspur.operator.document import starting_file
+    from thistleusher.operator.document import starting_file
 
     try:
         with Path(path).open("x", encoding="utf-8") as file:
@@ -74,6 +74,6 @@
 @click.command()
 def reference() -> None:
     """Print docs/configuration.md."""
-    from roadspur.operator.document import reference as page
+    from thistleusher.operator.document import reference as page
 
     click.echo(page(), nl=False)
--- a/roadspur/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -1,4 +1,4 @@
-"""`roadspur serve`: one ingress on real sockets, with an operator's file."""
+"""`thistleusher serve`: one ingress on real sockets, with an operator's file."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 import click
 
-from roadspur.cli.options import layers, read
-from roadspur.operator.reader import Options
+from thistleusher.cli.options import layers, read
+from thistleusher.operator.reader import Options
 
 if TYPE_CHECKING:
-    from roadspur.ledger import Placement
-    from roadspur.services.options import CountersOptions
+    from thistleusher.ledger import Placement
+    from thistleusher.services.options import CountersOptions
 
 
 @click.command()
@@ -20,7 +20,7 @@
 @click.option("--config", metavar="FILE", help="The platform's configuration (default: PROXY_CONFIG).")
 def serve(path: str | None, words: tuple[str, ...], config: str | None) -> int:
     """Serve in the foreground until SIGTERM; SIGHUP reads both files anew."""
-    from roadspur.__main__ import Extras, run
+    from thistleusher.__main__ import Extras, run
 
     environ = {**os.environ, **({"PROXY_CONFIG": config} if config else {})}
     first = read(path, words)
@@ -33,7 +33,7 @@
     log_options = first.get("log")
     if log_options is None:
         return run(extras)
-    from roadspur.log.setup import Logs
+    from thistleusher.log.setup import Logs
 
     logs = Logs(log_options)
     try:
@@ -44,7 +44,7 @@
 
 def read_again(path: str | None, words: tuple[str, ...]) -> Options:
     """The same layers as at the start; BadConfiguration where they cannot be used any more."""
-    from roadspur.net.config import BadConfiguration
+    from thistleusher.net.config import BadConfiguration
 
     try:
         return read(path, words)
--- a/roadspur/cli/state.py
+++ b/thistleusher/cli/state.py
@@ -1,4 +1,4 @@
-"""`roadspur state`: look at a state folder that no process holds. Nothing in it is changed."""
+"""`thistleusher state`: look at a state folder that no process holds. Nothing in it is changed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from roadspur.state.store import BadState, Store
+from thistleusher.state.store import BadState, Store
 
 
 @click.group()
--- a/roadspur/client/__init__.py
+++ b/thistleusher/client/__init__.py
@@ -5,7 +5,7 @@
 both need httpx (extra `client`).
 """
 
-from roadspur.client.calls import Answered, Ended, Refused, Unknown, UnknownEnd
-from roadspur.client.client import Client, PlainClient
+from thistleusher.client.calls import Answered, Ended, Refused, Unknown, UnknownEnd
+from thistleusher.client.client import Client, PlainClient
 
 __all__ = ["Answered", "Ended", "Client", "PlainClient", "Refused", "Unknown", "UnknownEnd"]
--- a/roadspur/client/client.py
+++ b/thistleusher/client/client.py
@@ -16,8 +16,8 @@
 
 import httpx
 
-from roadspur.client.calls import Again, Answered, Budget, Call, Ended, How, Unknown, UnknownEnd
-from roadspur.client.directory import Directory
+from thistleusher.client.calls import Again, Answered, Budget, Call, Ended, How, Unknown, UnknownEnd
+from thistleusher.client.directory import Directory
 
 OPEN_S = 1.0  # for a connection to stand
 RESOLVE_S = 1.0  # for a directory to answer
--- a/roadspur/common/boot.py
+++ b/thistleusher/common/boot.py
@@ -2,7 +2,7 @@
 
 Unknown fields are ignored, as the users' page asks. What is wrong is told all at once: an exception group with one
 `BadSetting` a fault, each of them one line. A file that can be used is read without the library that explains what
-is wrong with one that cannot (`roadspur.common.checks`).
+is wrong with one that cannot (`thistleusher.common.checks`).
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from roadspur.common.tables import BadTable, record
-from roadspur.services.wire import read_address
+from thistleusher.common.tables import BadTable, record
+from thistleusher.services.wire import read_address
 
 VARIABLE = "THISTLEUSHER_NODE_FILE"
 USUAL = "/etc/thistleusher/boot.conf"
@@ -193,7 +193,7 @@
     except BadSetting as error:
         raise ExceptionGroup("settings", [error]) from None
     except BadTable:
-        from roadspur.common.checks import explain_boot  # takes a while to load, and is not needed otherwise
+        from thistleusher.common.checks import explain_boot  # takes a while to load, and is not needed otherwise
 
         raise ExceptionGroup("settings", explain_boot(nested(text))) from None
     wrong = [BadSetting(text) for text in faults_of(boot)]
--- a/roadspur/common/checks.py
+++ b/thistleusher/common/checks.py
@@ -17,10 +17,10 @@
 
 from pydantic import ConfigDict, TypeAdapter, ValidationError
 
-from roadspur.common.boot import BadSetting, Boot
-from roadspur.common.config_items import canonical
-from roadspur.common.configuration import Configuration, Route, Service, Tenant
-from roadspur.common.tables import known
+from thistleusher.common.boot import BadSetting, Boot
+from thistleusher.common.config_items import canonical
+from thistleusher.common.configuration import Configuration, Route, Service, Tenant
+from thistleusher.common.tables import known
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
 TARGET_EXCESS_MS = 60_000.0  # by which a route's target_ms may not exceed its deadline_ms
--- a/roadspur/common/commands.py
+++ b/thistleusher/common/commands.py
@@ -12,11 +12,11 @@
 
 import cappa
 
-from roadspur.common.boot import read_boot
-from roadspur.common.checks import read_configuration
-from roadspur.common.configuration import brief
-from roadspur.common.events import page
-from roadspur.common.start import start
+from thistleusher.common.boot import read_boot
+from thistleusher.common.checks import read_configuration
+from thistleusher.common.configuration import brief
+from thistleusher.common.events import page
+from thistleusher.common.start import start
 
 
 @dataclass
@@ -90,7 +90,7 @@
         return 0
 
 
-@cappa.command(name="roadspur-system", help="thistleusher: a global load balancer")
+@cappa.command(name="thistleusher-system", help="thistleusher: a global load balancer")
 @dataclass
 class System:
     """One of the programs, or a tool."""
--- a/roadspur/common/config_items.py
+++ b/thistleusher/common/config_items.py
@@ -31,9 +31,9 @@
 
 import msgspec
 
-from roadspur.common.configuration import Configuration, Index, Limits, Route, Service, Tenant
-from roadspur.common.tables import record
-from roadspur.transport.news import State
+from thistleusher.common.configuration import Configuration, Index, Limits, Route, Service, Tenant
+from thistleusher.common.tables import record
+from thistleusher.transport.news import State
 
 NONE = -1  # the number of no configuration
 REMEMBERED = 64  # configurations whose digests are kept
--- a/roadspur/common/configuration.py
+++ b/thistleusher/common/configuration.py
@@ -1,6 +1,6 @@
 """The operator's configuration: its records, and the index in which a proxy looks up routes and tenants.
 
-What is valid is stated in `roadspur.common.checks`, for the control node that acknowledges and for the command that
+What is valid is stated in `thistleusher.common.checks`, for the control node that acknowledges and for the command that
 checks offline. Who has a configuration from a control node reads it without checks. Unknown fields are ignored.
 """
 
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple, TypeVar
 
-from roadspur.common.tables import record
+from thistleusher.common.tables import record
 
 REPEATABLE = ("pure", "download")
 
--- a/roadspur/common/process.py
+++ b/thistleusher/common/process.py
@@ -10,8 +10,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from roadspur.common.boot import boot_path, read_boot
-from roadspur.common.events import Event, say
+from thistleusher.common.boot import boot_path, read_boot
+from thistleusher.common.events import Event, say
 
 TICK_S = 0.06
 LOOK_S = 1.0  # between looks at the settings file, which may change without a signal
--- a/roadspur/common/start.py
+++ b/thistleusher/common/start.py
@@ -10,11 +10,11 @@
 import uvloop
 from absl import logging
 
-from roadspur.common.process import Settings
+from thistleusher.common.process import Settings
 
 
 def start(program: str, path: Path | None = None, verbose: bool = False) -> int:
-    """Run `roadspur.<program>.program` with the settings at a path, or at the one the environment names."""
+    """Run `thistleusher.<program>.program` with the settings at a path, or at the one the environment names."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
     try:
@@ -26,7 +26,7 @@
         for fault in group.exceptions:
             print(f"settings: {fault}", file=sys.stderr)
         return 2
-    main = importlib.import_module(f"roadspur.{program}.program").main
+    main = importlib.import_module(f"thistleusher.{program}.program").main
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(main(settings))
--- a/roadspur/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -4,10 +4,10 @@
 
 from collections import deque
 
-from roadspur.common.failures import Failure, Kind
-from roadspur.control.context import Context
-from roadspur.control.interface import Call, Change
-from roadspur.control.timing import HOLD_S
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.control.context import Context
+from thistleusher.control.interface import Call, Change
+from thistleusher.control.timing import HOLD_S
 
 
 class Calls:
--- a/roadspur/control/context.py
+++ b/thistleusher/control/context.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Iterable
 
-from roadspur.common.events import Event
-from roadspur.control.interface import Answer, Note, Output, Send
-from roadspur.transport.messages import AnyMessage
+from thistleusher.common.events import Event
+from thistleusher.control.interface import Answer, Note, Output, Send
+from thistleusher.transport.messages import AnyMessage
 
 
 class Context:
--- a/roadspur/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from roadspur.common.events import Event
-from roadspur.control.context import Context
-from roadspur.control.interface import Records, Stored, Write
-from roadspur.control.replica import Replica
-from roadspur.transport.messages import Items, Position, ViewRecord
+from thistleusher.common.events import Event
+from thistleusher.control.context import Context
+from thistleusher.control.interface import Records, Stored, Write
+from thistleusher.control.replica import Replica
+from thistleusher.transport.messages import Items, Position, ViewRecord
 
 After = Callable[[bool], None]  # told whether a write is on disk
 
--- a/roadspur/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -12,14 +12,14 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
-from roadspur.common.events import Event
-from roadspur.control import membership
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.interface import Records
-from roadspur.control.joining import Joining
-from roadspur.control.role import Candidacy, Role
-from roadspur.control.timing import (
+from thistleusher.common.events import Event
+from thistleusher.control import membership
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.interface import Records
+from thistleusher.control.joining import Joining
+from thistleusher.control.role import Candidacy, Role
+from thistleusher.control.timing import (
     CANDIDACY_S,
     FOUND_S,
     GUARD_S,
@@ -29,7 +29,7 @@
     RETRY_S,
     SHUN_S,
 )
-from roadspur.transport.messages import (
+from thistleusher.transport.messages import (
     Found,
     Install,
     Installed,
--- a/roadspur/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from roadspur.common.events import Event
-from roadspur.transport.messages import AnyMessage, Items, Position, ViewRecord
-from roadspur.transport.news import State
+from thistleusher.common.events import Event
+from thistleusher.transport.messages import AnyMessage, Items, Position, ViewRecord
+from thistleusher.transport.news import State
 
 
 class Send(NamedTuple):
--- a/roadspur/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -10,13 +10,13 @@
 from functools import partial
 from typing import NamedTuple
 
-from roadspur.common.events import Event
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.interface import Records
-from roadspur.control.role import Role
-from roadspur.control.timing import LEARNER_GONE_S, LEARNER_S, RETRY_S
-from roadspur.transport.messages import Found, Position, Status, StatusRequest, ViewRecord
+from thistleusher.common.events import Event
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.interface import Records
+from thistleusher.control.role import Role
+from thistleusher.control.timing import LEARNER_GONE_S, LEARNER_S, RETRY_S
+from thistleusher.transport.messages import Found, Position, Status, StatusRequest, ViewRecord
 
 
 class Founder(NamedTuple):
--- a/roadspur/control/leading.py
+++ b/thistleusher/control/leading.py
@@ -9,17 +9,17 @@
 
 from functools import partial
 
-from roadspur.common.events import Event
-from roadspur.common.failures import Failure
-from roadspur.control import membership
-from roadspur.control.calls import Calls
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.elections import Elections
-from roadspur.control.interface import Call, Change, Publish, PublishChange, Read, Unread
-from roadspur.control.joining import Joining, Learner
-from roadspur.control.role import Candidacy, Leadership, Pending, Role
-from roadspur.control.timing import (
+from thistleusher.common.events import Event
+from thistleusher.common.failures import Failure
+from thistleusher.control import membership
+from thistleusher.control.calls import Calls
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.elections import Elections
+from thistleusher.control.interface import Call, Change, Publish, PublishChange, Read, Unread
+from thistleusher.control.joining import Joining, Learner
+from thistleusher.control.role import Candidacy, Leadership, Pending, Role
+from thistleusher.control.timing import (
     ABROAD_S,
     DISK_S,
     HEARTBEAT_S,
@@ -34,7 +34,7 @@
     STEADY_S,
     TURN_S,
 )
-from roadspur.transport.messages import (
+from thistleusher.transport.messages import (
     Append,
     Appended,
     Deposed,
--- a/roadspur/control/leases.py
+++ b/thistleusher/control/leases.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from roadspur.transport.messages import LeaseGranted, LeaseReleased, LeaseRequest, LeaseTaken, Message
+from thistleusher.transport.messages import LeaseGranted, LeaseReleased, LeaseRequest, LeaseTaken, Message
 
 GRANT_S = 1.0
 MARGIN_S = 0.2
--- a/roadspur/control/membership.py
+++ b/thistleusher/control/membership.py
@@ -13,8 +13,8 @@
 from collections.abc import Mapping, Set
 from typing import NamedTuple
 
-from roadspur.control.joining import Learner
-from roadspur.control.timing import EXCHANGE_S, LEAST_VOTERS, SHRINK_S
+from thistleusher.control.joining import Learner
+from thistleusher.control.timing import EXCHANGE_S, LEAST_VOTERS, SHRINK_S
 
 
 class Preference(NamedTuple):
--- a/roadspur/control/node.py
+++ b/thistleusher/control/node.py
@@ -33,17 +33,17 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from roadspur.common.failures import Failure, Kind
-from roadspur.control.calls import Calls
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.interface import Call, Output, Stored
-from roadspur.control.joining import Joining
-from roadspur.control.leading import Leading
-from roadspur.control.role import Leadership, Role
-from roadspur.control.timing import GUARD_S, RETRY_S, STOPPING_TURN_S, TURN_S
-from roadspur.control.voting import Voting
-from roadspur.transport.messages import (
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.control.calls import Calls
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.interface import Call, Output, Stored
+from thistleusher.control.joining import Joining
+from thistleusher.control.leading import Leading
+from thistleusher.control.role import Leadership, Role
+from thistleusher.control.timing import GUARD_S, RETRY_S, STOPPING_TURN_S, TURN_S
+from thistleusher.control.voting import Voting
+from thistleusher.transport.messages import (
     AnyMessage,
     Append,
     Appended,
@@ -66,7 +66,7 @@
     VoteRefused,
     VoteRequest,
 )
-from roadspur.transport.news import State
+from thistleusher.transport.news import State
 
 Handle = Callable[[str, Any], None]
 
--- a/roadspur/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -25,7 +25,7 @@
 from types import ModuleType
 from typing import Any, NamedTuple
 
-from roadspur.common.config_items import (
+from thistleusher.common.config_items import (
     Identity,
     Split,
     assemble,
@@ -37,9 +37,9 @@
     split,
     was_taken,
 )
-from roadspur.common.failures import Failure, Kind
-from roadspur.control.interface import Change, Read, Unread
-from roadspur.transport.news import State
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.control.interface import Change, Read, Unread
+from thistleusher.transport.news import State
 
 MOST_ZONE_BYTES = 400  # zones' names are keys on the disk, which bounds them at 511
 DIGEST_SHOWN = 12  # digits of a digest in the log
@@ -64,7 +64,7 @@
 
 def checks() -> ModuleType:
     """The module that checks configurations: loaded late, as a start must not wait for it."""
-    return importlib.import_module("roadspur.common.checks")
+    return importlib.import_module("thistleusher.common.checks")
 
 
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
--- a/roadspur/control/program.py
+++ b/thistleusher/control/program.py
@@ -13,19 +13,19 @@
 from pathlib import Path
 from typing import Any
 
-from roadspur.common.boot import CONTROL
-from roadspur.common.events import say
-from roadspur.common.failures import Failure, Kind
-from roadspur.common.process import Settings, serve
-from roadspur.control import orders
-from roadspur.control.interface import Answer, Call, Note, Outward, Send, Tell, Write
-from roadspur.control.leases import Grantor
-from roadspur.control.node import ControlNode
-from roadspur.control.service import ControlService
-from roadspur.control.storage import Storage
-from roadspur.net.server import Bounds
-from roadspur.services.wire import read_address
-from roadspur.transport.api import (
+from thistleusher.common.boot import CONTROL
+from thistleusher.common.events import say
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.process import Settings, serve
+from thistleusher.control import orders
+from thistleusher.control.interface import Answer, Call, Note, Outward, Send, Tell, Write
+from thistleusher.control.leases import Grantor
+from thistleusher.control.node import ControlNode
+from thistleusher.control.service import ControlService
+from thistleusher.control.storage import Storage
+from thistleusher.net.server import Bounds
+from thistleusher.services.wire import read_address
+from thistleusher.transport.api import (
     BeginEvacuation,
     CallServer,
     Document,
@@ -35,8 +35,8 @@
     ReadConfiguration,
     ReplaceConfiguration,
 )
-from roadspur.transport.links import Dial, Link, Listener
-from roadspur.transport.messages import AnyMessage, Hello
+from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.messages import AnyMessage, Hello
 
 BODY_MOST = 64 * 1024 * 1024
 LAST_WORDS_S = 0.15  # for last messages to go out
@@ -207,5 +207,5 @@
 
 
 async def main(settings: Settings) -> None:
-    """What `python -m roadspur.system control` runs."""
+    """What `python -m thistleusher.system control` runs."""
     await ControlProgram(settings).run()
--- a/roadspur/control/replica.py
+++ b/thistleusher/control/replica.py
@@ -12,9 +12,9 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-from roadspur.control.interface import Stored
-from roadspur.transport.messages import Install, Items, Position
-from roadspur.transport.news import State
+from thistleusher.control.interface import Stored
+from thistleusher.transport.messages import Install, Items, Position
+from thistleusher.transport.news import State
 
 HISTORY_MOST = 1024  # changes back, from which a replica is brought on by changes alone
 NO_EPOCH = -1
--- a/roadspur/control/role.py
+++ b/thistleusher/control/role.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from roadspur.common.events import Event
-from roadspur.control.calls import Calls
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.interface import Change, Records
-from roadspur.control.replica import Undo
-from roadspur.control.timing import (
+from thistleusher.common.events import Event
+from thistleusher.control.calls import Calls
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.interface import Change, Records
+from thistleusher.control.replica import Undo
+from thistleusher.control.timing import (
     CONTACT_S,
     GUARD_S,
     LEADER_SEEN_S,
@@ -25,7 +25,7 @@
     RETURN_S,
     TURN_S,
 )
-from roadspur.transport.messages import Items, Position, StepDown, ViewRecord
+from thistleusher.transport.messages import Items, Position, StepDown, ViewRecord
 
 
 @dataclass(slots=True)
--- a/roadspur/control/service.py
+++ b/thistleusher/control/service.py
@@ -10,8 +10,8 @@
 import itertools
 from collections.abc import Callable, Iterable
 
-from roadspur.common.failures import Failure
-from roadspur.control.interface import (
+from thistleusher.common.failures import Failure
+from thistleusher.control.interface import (
     Answer,
     Call,
     Change,
@@ -23,9 +23,9 @@
     Tell,
     Write,
 )
-from roadspur.control.leases import Grantor
-from roadspur.control.node import ControlNode
-from roadspur.transport.messages import (
+from thistleusher.control.leases import Grantor
+from thistleusher.control.node import ControlNode
+from thistleusher.transport.messages import (
     AnyMessage,
     CoreInfo,
     Follow,
@@ -36,7 +36,7 @@
     News,
     NewsAck,
 )
-from roadspur.transport.news import Publisher, State
+from thistleusher.transport.news import Publisher, State
 
 NO_EPOCH = -1
 
--- a/roadspur/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -18,9 +18,9 @@
 import msgpack
 import msgspec
 
-from roadspur.common.events import Event, say
-from roadspur.control.interface import Records, Stored
-from roadspur.transport.messages import Items, Position, ViewRecord
+from thistleusher.common.events import Event, say
+from thistleusher.control.interface import Records, Stored
+from thistleusher.transport.messages import Items, Position, ViewRecord
 
 MAP_MB = 96
 PART = 0.5  # of the disk, that the map may take
--- a/roadspur/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -8,14 +8,14 @@
 
 from functools import partial
 
-from roadspur.common.events import Event
-from roadspur.control.context import Context
-from roadspur.control.durable import Durable
-from roadspur.control.interface import Records
-from roadspur.control.joining import Joining
-from roadspur.control.role import Role
-from roadspur.control.timing import YIELD_S
-from roadspur.transport.messages import (
+from thistleusher.common.events import Event
+from thistleusher.control.context import Context
+from thistleusher.control.durable import Durable
+from thistleusher.control.interface import Records
+from thistleusher.control.joining import Joining
+from thistleusher.control.role import Role
+from thistleusher.control.timing import YIELD_S
+from thistleusher.transport.messages import (
     Append,
     Appended,
     Deposed,
--- a/roadspur/core/answers.py
+++ b/thistleusher/core/answers.py
@@ -11,8 +11,8 @@
 import json
 import math
 
-from roadspur import interface as io
-from roadspur.core.ports import Final, Verdict
+from thistleusher import interface as io
+from thistleusher.core.ports import Final, Verdict
 
 STATUS = {Verdict.SERVED: 200, Verdict.OVER_QUOTA: 429, Verdict.NO_ROOM: 503, Verdict.FAILED: 502,
           Verdict.FAULT: 500, Verdict.INVALID: 400}
--- a/roadspur/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -19,8 +19,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.core.ports import (
+from thistleusher import interface as io
+from thistleusher.core.ports import (
     AttemptPort,
     BackendPort,
     CounterPort,
--- a/roadspur/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 
 class Timer(Protocol):
--- a/roadspur/core/request.py
+++ b/thistleusher/core/request.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterable
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 CALL_ID = re.compile(rb"[!-~]{1,64}")
 BUDGET = re.compile(rb"([0-9]{1,10})([mu])")
--- a/roadspur/embed/__init__.py
+++ b/thistleusher/embed/__init__.py
@@ -4,14 +4,14 @@
 request of an application. Each request has exactly one final answer, and its units are charged at most once.
 """
 
-from roadspur.core.ports import Final, Verdict
-from roadspur.core.request import BadRequest
-from roadspur.embed.asgi import QuotaMiddleware, from_headers
-from roadspur.embed.call import PASS, Call
-from roadspur.embed.counter import MemoryCounter
-from roadspur.embed.ingress import Admission, EmbeddedIngress, NotServed, PeerAddresses
-from roadspur.interface import ClassSettings, Effect, Group, PlanSettings, Settings
-from roadspur.settings import nested_settings
+from thistleusher.core.ports import Final, Verdict
+from thistleusher.core.request import BadRequest
+from thistleusher.embed.asgi import QuotaMiddleware, from_headers
+from thistleusher.embed.call import PASS, Call
+from thistleusher.embed.counter import MemoryCounter
+from thistleusher.embed.ingress import Admission, EmbeddedIngress, NotServed, PeerAddresses
+from thistleusher.interface import ClassSettings, Effect, Group, PlanSettings, Settings
+from thistleusher.settings import nested_settings
 
 __all__ = ["PASS", "Admission", "BadRequest", "Call", "ClassSettings", "Effect", "EmbeddedIngress", "Final",
            "Group", "MemoryCounter", "NotServed", "PeerAddresses", "PlanSettings", "QuotaMiddleware", "Settings",
--- a/roadspur/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -12,12 +12,12 @@
 from collections.abc import Awaitable, Callable, MutableMapping
 from typing import Any, Union
 
-from roadspur import interface as io
-from roadspur.core.answers import STATUS, headers_of, problem_of, ratelimit_headers
-from roadspur.core.ports import Final, Verdict
-from roadspur.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
-from roadspur.embed.call import PASS, Call, Passed
-from roadspur.embed.ingress import Admission, EmbeddedIngress, NotServed
+from thistleusher import interface as io
+from thistleusher.core.answers import STATUS, headers_of, problem_of, ratelimit_headers
+from thistleusher.core.ports import Final, Verdict
+from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
+from thistleusher.embed.call import PASS, Call, Passed
+from thistleusher.embed.ingress import Admission, EmbeddedIngress, NotServed
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -27,7 +27,7 @@
 Mapped = Union[Call, io.Request, Passed]
 Identify = Callable[[Scope], Union[Mapped, Awaitable[Mapped]]]
 
-SCOPE_KEY = "roadspur.admission"
+SCOPE_KEY = "thistleusher.admission"
 
 
 def from_headers(ingress: EmbeddedIngress) -> Identify:
@@ -51,7 +51,7 @@
     `ratelimit_fields` adds `RateLimit` and `RateLimit-Policy` to answers, `problem_details` a body that tells the
     reason to refusals and failures (RFC 9457). `Retry-After` holds whole seconds, rounded up, and `Retry-After-Ms` the
     exact time; `decimal_retry_after` puts that into `Retry-After`, for clients known to read it. The application
-    finds its `Admission` at `scope["roadspur.admission"]`, to `settle`
+    finds its `Admission` at `scope["thistleusher.admission"]`, to `settle`
     true units; the answer's `X-Cost-Units` header does the same.
     """
 
--- a/roadspur/embed/call.py
+++ b/thistleusher/embed/call.py
@@ -5,8 +5,8 @@
 from enum import Enum
 from typing import Final, Literal, NamedTuple
 
-from roadspur import interface as io
-from roadspur.core.request import MAX_BUDGET_S, MAX_CUSTOMER, BadRequest
+from thistleusher import interface as io
+from thistleusher.core.request import MAX_BUDGET_S, MAX_CUSTOMER, BadRequest
 
 
 class _Pass(Enum):
--- a/roadspur/embed/counter.py
+++ b/thistleusher/embed/counter.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 
 class MemoryCounter:
--- a/roadspur/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -21,17 +21,17 @@
 from types import TracebackType
 from typing import Any, NamedTuple, Protocol, Self
 
-from roadspur import interface as io
-from roadspur.assembly import make_gateway
-from roadspur.core.driver import Driver, Held
-from roadspur.core.ports import CounterPort, Ended, Final, Scheduler
-from roadspur.core.request import BadRequest
-from roadspur.embed.call import Call, checked
-from roadspur.embed.counter import MemoryCounter, MemoryPort
-from roadspur.policy import Gateway
-from roadspur.services.counter import Counter
-from roadspur.services.peers import Peers
-from roadspur.services.wire import read_address
+from thistleusher import interface as io
+from thistleusher.assembly import make_gateway
+from thistleusher.core.driver import Driver, Held
+from thistleusher.core.ports import CounterPort, Ended, Final, Scheduler
+from thistleusher.core.request import BadRequest
+from thistleusher.embed.call import Call, checked
+from thistleusher.embed.counter import MemoryCounter, MemoryPort
+from thistleusher.policy import Gateway
+from thistleusher.services.counter import Counter
+from thistleusher.services.peers import Peers
+from thistleusher.services.wire import read_address
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/interface.py
+++ b/thistleusher/interface.py
@@ -458,7 +458,7 @@
 
 
 class Escrow(Protocol):
-    """What holds members to an ingress's own share of their allowance; `roadspur.ledger` is one.
+    """What holds members to an ingress's own share of their allowance; `thistleusher.ledger` is one.
 
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
@@ -520,7 +520,7 @@
 
 
 class Talk(Protocol):
-    """Who is told and asked what in a large fleet; `roadspur.talk` is one. Plans by their number, times in seconds."""
+    """Who is told and asked what in a large fleet; `thistleusher.talk` is one. Plans by their number, times in seconds."""
 
     def note(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
         """Something of a member has changed; `lazy`: it may wait for company."""
--- a/roadspur/ledger/bound.py
+++ b/thistleusher/ledger/bound.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from roadspur import interface as io
-from roadspur.ledger.reserve import KEEP, TOP
-from roadspur.talk.homes import CANDIDATES, MUTE_S
-from roadspur.talk.talk import TELL_PART
+from thistleusher import interface as io
+from thistleusher.ledger.reserve import KEEP, TOP
+from thistleusher.talk.homes import CANDIDATES, MUTE_S
+from thistleusher.talk.talk import TELL_PART
 
 MISSES = 8        # misses in a row after which an ingress counts the counter as down
 TOUCH_S = 1.0     # without a peer's message, after which it is out of touch
--- a/roadspur/ledger/escrow.py
+++ b/thistleusher/ledger/escrow.py
@@ -33,10 +33,10 @@
 from itertools import islice
 from typing import NamedTuple
 
-from roadspur import interface as io
-from roadspur.interface import name_of, plan_of
-from roadspur.ledger.beginning import HELLO_MARK, Lives
-from roadspur.ledger.reserve import KEEP, Reserve
+from thistleusher import interface as io
+from thistleusher.interface import name_of, plan_of
+from thistleusher.ledger.beginning import HELLO_MARK, Lives
+from thistleusher.ledger.reserve import KEEP, Reserve
 
 WHOLE = 1 << 12   # parts of a share
 GRAIN = 64        # parts of a unit, in which rooms are given
--- a/roadspur/log/setup.py
+++ b/thistleusher/log/setup.py
@@ -12,7 +12,7 @@
 import structlog
 from structlog.typing import Processor
 
-from roadspur.log.options import LogOptions
+from thistleusher.log.options import LogOptions
 
 CLOSE_S = 1.0  # for what waits, at the end
 
--- /dev/null
+++ b/thistleusher/net/__init__.py
@@ -0,0 +1,1 @@
+"""thistleusher.net: the real ingress, sockets round the decisions."""
--- a/roadspur/net/config.py
+++ b/thistleusher/net/config.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.net.discovery import Listing, read_listing
-from roadspur.net.wire import Address, read_address
-from roadspur.settings import BadSetting, nested_settings
+from thistleusher import interface as io
+from thistleusher.net.discovery import Listing, read_listing
+from thistleusher.net.wire import Address, read_address
+from thistleusher.settings import BadSetting, nested_settings
 
 
 class BadConfiguration(Exception):
--- a/roadspur/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -7,10 +7,10 @@
 
 import tomllib
 
-from roadspur.ledger.placement import Placement
-from roadspur.net.config import BadConfiguration
-from roadspur.operator.layers import plain
-from roadspur.services.wire import read_address
+from thistleusher.ledger.placement import Placement
+from thistleusher.net.config import BadConfiguration
+from thistleusher.operator.layers import plain
+from thistleusher.services.wire import read_address
 
 
 def read_counters(path: str) -> Placement:
--- a/roadspur/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -9,32 +9,32 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
 
-from roadspur import interface as io
-from roadspur.assembly import make_gateway
-from roadspur.core.ports import Scheduler
-from roadspur.ledger.placement import Placement
-from roadspur.net.config import Config
-from roadspur.net.discovery import Discovery, Listing
-from roadspur.net.farewell import Farewell
-from roadspur.net.ingress import Ingress
-from roadspur.net.server import IngressServer
-from roadspur.net.upstream import Endpoint, Upstream
-from roadspur.services.counter import Counter
-from roadspur.services.counters import Counters
-from roadspur.services.peers import Peers
+from thistleusher import interface as io
+from thistleusher.assembly import make_gateway
+from thistleusher.core.ports import Scheduler
+from thistleusher.ledger.placement import Placement
+from thistleusher.net.config import Config
+from thistleusher.net.discovery import Discovery, Listing
+from thistleusher.net.farewell import Farewell
+from thistleusher.net.ingress import Ingress
+from thistleusher.net.server import IngressServer
+from thistleusher.net.upstream import Endpoint, Upstream
+from thistleusher.services.counter import Counter
+from thistleusher.services.counters import Counters
+from thistleusher.services.peers import Peers
 
 if TYPE_CHECKING:  # imported only where a state folder is given
-    from roadspur.state.keeper import Keeper
-    from roadspur.state.records import Listed, Place
+    from thistleusher.state.keeper import Keeper
+    from thistleusher.state.records import Listed, Place
 
-log = logging.getLogger("roadspur")
+log = logging.getLogger("thistleusher")
 
 LAST_WORDS_S = 0.05  # in which the counter takes in what was not in it yet
 SOCKETS_SPARE = 64  # descriptors that are neither clients' nor backends'
 
 
 class Daemon:
-    """What `python -m roadspur` runs. `clock` gives Unix time in seconds; it must agree at all ingresses."""
+    """What `python -m thistleusher` runs. `clock` gives Unix time in seconds; it must agree at all ingresses."""
 
     def __init__(self, config: Config, clock: Callable[[], float] = time.time,
                  scheduler: Scheduler | None = None, placement: Placement | None = None,
@@ -89,7 +89,7 @@
 
     def places(self) -> tuple[int, tuple[Place, ...]]:
         """The list of backends as it stands, to be kept."""
-        from roadspur.state.records import Place
+        from thistleusher.state.records import Place
 
         entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in self.upstream.pools]
         return self.version, tuple(
--- a/roadspur/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -11,9 +11,9 @@
 
 import httptools
 
-from roadspur import interface as io
-from roadspur.net.upstream import Endpoint
-from roadspur.net.wire import Address, read_address
+from thistleusher import interface as io
+from thistleusher.net.upstream import Endpoint
+from thistleusher.net.wire import Address, read_address
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -6,13 +6,13 @@
 import time
 from collections.abc import Callable
 
-from roadspur import interface as io
-from roadspur.core.answers import STATUS, headers_of
-from roadspur.core.driver import Driver, Held
-from roadspur.core.ports import Decisions, Ended, Final, Scheduler, Verdict
-from roadspur.net.discovery import Listing
-from roadspur.net.upstream import Exchange, Upstream
-from roadspur.net.wire import Answer, Call
+from thistleusher import interface as io
+from thistleusher.core.answers import STATUS, headers_of
+from thistleusher.core.driver import Driver, Held
+from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
+from thistleusher.net.discovery import Listing
+from thistleusher.net.upstream import Exchange, Upstream
+from thistleusher.net.wire import Answer, Call
 
 Reply = Callable[[int, bytes, bytes], None]  # status, further header lines, body
 
--- a/roadspur/net/server.py
+++ b/thistleusher/net/server.py
@@ -17,10 +17,10 @@
 
 import httptools
 
-from roadspur.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
-from roadspur.net.farewell import Farewell
-from roadspur.net.ingress import Ingress, Reply
-from roadspur.net.wire import MAX_BODY, MAX_HEAD, Call
+from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
+from thistleusher.net.farewell import Farewell
+from thistleusher.net.ingress import Ingress, Reply
+from thistleusher.net.wire import MAX_BODY, MAX_HEAD, Call
 
 PIPELINE = 16  # requests read ahead on one connection
 SLOW_S = 2.0  # for a first byte, for the rest of a request, and for a client to read its answers
--- a/roadspur/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
-from roadspur import interface as io
-from roadspur.net.guard import Guard
-from roadspur.net.wire import MAX_BODY, Address, Answer, AnswerReader
+from thistleusher import interface as io
+from thistleusher.net.guard import Guard
+from thistleusher.net.wire import MAX_BODY, Address, Answer, AnswerReader
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/net/wire.py
+++ b/thistleusher/net/wire.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from roadspur import interface as io
-from roadspur.services.wire import MAX_BODY, MAX_HEAD, Address, Answer, AnswerReader, read_address
+from thistleusher import interface as io
+from thistleusher.services.wire import MAX_BODY, MAX_HEAD, Address, Answer, AnswerReader, read_address
 
 __all__ = ["MAX_BODY", "MAX_HEAD", "Address", "Answer", "AnswerReader", "Call", "read_address"]
 
--- a/roadspur/operator/secrets.py
+++ b/thistleusher/operator/secrets.py
@@ -1,6 +1,6 @@
 """Values that must not be seen: named in the operator's file, kept in a file of their own or in the environment.
 
-`"file:/etc/roadspur/key"` or `"env:ROADSPUR_KEY"`; the value itself is never in the operator's file, and never printed.
+`"file:/etc/thistleusher/key"` or `"env:THISTLEUSHER_KEY"`; the value itself is never in the operator's file, and never printed.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Secret:
-    """A secret's value. Shown as its source, in errors and in `roadspur show` as well."""
+    """A secret's value. Shown as its source, in errors and in `thistleusher show` as well."""
 
     __slots__ = ("source", "_value")
 
--- a/roadspur/operator/sections.py
+++ b/thistleusher/operator/sections.py
@@ -22,10 +22,10 @@
 
 
 SECTIONS = {
-    "state": Section("roadspur.state.options", "StateOptions",
+    "state": Section("thistleusher.state.options", "StateOptions",
                      "A folder in which members' stores, rooms, learned speeds and the list outlive the process."),
-    "counters": Section("roadspur.services.options", "CountersOptions",
+    "counters": Section("thistleusher.services.options", "CountersOptions",
                         "Several counters that share the names by rendezvous hashing, in place of the platform's one."),
-    "log": Section("roadspur.log.options", "LogOptions",
+    "log": Section("thistleusher.log.options", "LogOptions",
                    "How log lines look, and how many wait while nobody reads them."),
 }
--- a/roadspur/policy/__init__.py
+++ b/thistleusher/policy/__init__.py
@@ -3,6 +3,6 @@
 Pure: no I/O and no clock; every time it needs comes with an event. The same events give the same actions.
 """
 
-from roadspur.policy.gateway import Gateway
+from thistleusher.policy.gateway import Gateway
 
 __all__ = ["Gateway"]
--- a/roadspur/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -6,13 +6,13 @@
 import random
 from collections import deque
 
-from roadspur import interface as io
-from roadspur.interface import GIFTS, HOME_MARKS
-from roadspur.policy.attempts import Attempts, Charge, Flight
-from roadspur.policy.fleet import Fleet
-from roadspur.policy.health import ALONE, ASK_DOWN, ASK_S
-from roadspur.policy.sharing import Sharing
-from roadspur.policy.store import Customer
+from thistleusher import interface as io
+from thistleusher.interface import GIFTS, HOME_MARKS
+from thistleusher.policy.attempts import Attempts, Charge, Flight
+from thistleusher.policy.fleet import Fleet
+from thistleusher.policy.health import ALONE, ASK_DOWN, ASK_S
+from thistleusher.policy.sharing import Sharing
+from thistleusher.policy.store import Customer
 
 HOLD_S = 0.25  # for which a request waits at most for shares that peers are asked for
 HOME_WAITS = 5  # time-outs of the counter that a request must have left for its member's home to be asked
--- a/roadspur/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -8,10 +8,10 @@
 
 import bisect
 
-from roadspur import interface as io
-from roadspur.policy.fleet import PRESSED, Fleet
-from roadspur.policy.sharing import Sharing
-from roadspur.policy.store import Customer
+from thistleusher import interface as io
+from thistleusher.policy.fleet import PRESSED, Fleet
+from thistleusher.policy.sharing import Sharing
+from thistleusher.policy.store import Customer
 
 SILENT_X = 8.0    # usual latencies of owed answers after which a backend counts as silent
 BEAT_S = 0.05     # between looks at silent backends and at what is held
--- a/roadspur/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -13,8 +13,8 @@
 from itertools import islice
 from typing import NamedTuple
 
-from roadspur import interface as io
-from roadspur.policy.work import WorkOfClass
+from thistleusher import interface as io
+from thistleusher.policy.work import WorkOfClass
 
 BAD_SHARE = 0.5   # share of faults of a backend that is out of order
 USUAL = (0.02, 0.4)  # least and most that the whole fleet's share of faults is taken for
--- a/roadspur/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -1,4 +1,4 @@
-"""All decisions of a quota gateway; its settings, events and actions are in roadspur/interface.py.
+"""All decisions of a quota gateway; its settings, events and actions are in thistleusher/interface.py.
 
 `Gateway` ties the concerns together. From the bottom up: `store` (one customer's bucket), `sharing` (stores
 in step with peers), `fleet` (backends), `attempts` (what is sent and tried again), `admission` (the counter).
@@ -11,13 +11,13 @@
 from itertools import islice
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.policy.admission import Admission
-from roadspur.policy.attempts import BEAT_S, Attempts
-from roadspur.policy.fleet import Fleet
-from roadspur.policy.health import Counters
-from roadspur.policy.sharing import Sharing
-from roadspur.policy.store import Customer
+from thistleusher import interface as io
+from thistleusher.policy.admission import Admission
+from thistleusher.policy.attempts import BEAT_S, Attempts
+from thistleusher.policy.fleet import Fleet
+from thistleusher.policy.health import Counters
+from thistleusher.policy.sharing import Sharing
+from thistleusher.policy.store import Customer
 
 BEAT, TELL, GREET, HOME = 0, 1, 2, 3  # tokens of timers
 
--- a/roadspur/policy/health.py
+++ b/thistleusher/policy/health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 ALONE = 8         # misses in a row after which the counter counts as down for all, not just crowded
 WAIT = 0.3        # mean wait for the counter, of its time-out, that the share of requests that call aims at
--- a/roadspur/policy/sharing.py
+++ b/thistleusher/policy/sharing.py
@@ -10,13 +10,13 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from roadspur import interface as io
-from roadspur.interface import ESCROW_MARKS, LEVELS, TOLD, TOLD_MARK, TOLD_MOST
-from roadspur.policy.health import CounterHealth, Counters
-from roadspur.policy.store import Customer
+from thistleusher import interface as io
+from thistleusher.interface import ESCROW_MARKS, LEVELS, TOLD, TOLD_MARK, TOLD_MOST
+from thistleusher.policy.health import CounterHealth, Counters
+from thistleusher.policy.store import Customer
 
 if TYPE_CHECKING:
-    from roadspur.policy.attempts import Charge
+    from thistleusher.policy.attempts import Charge
 
 KEPT_LENGTHS = 6.0  # windows after which a quiet customer is forgotten: its store has long been full
 TELL_S, TELL_PART, TELL_MOST_S = io.TELL_S, io.TELL_PART, 0.25  # between tellings at most, where all are told all
--- a/roadspur/policy/store.py
+++ b/thistleusher/policy/store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 UNKNOWN = 0.8   # of the burst that counts as left at the end of a window that nothing was seen of
 GUESS_S = 2.0   # after which that is no longer held against a customer, however slowly its store refills
--- a/roadspur/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -17,14 +17,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from roadspur import interface as io
-from roadspur.common.boot import Bounds
-from roadspur.common.configuration import Configuration, Found
-from roadspur.common.shares import ALONE, OVER, PROMPT_S
-from roadspur.policy.fleet import Backend, Fleet
-from roadspur.proxy.budgets import UNKNOWN, Colds, Tries
-from roadspur.proxy.placement import Ground, Place, homes_of, tiers
-from roadspur.proxy.quota import Quota
+from thistleusher import interface as io
+from thistleusher.common.boot import Bounds
+from thistleusher.common.configuration import Configuration, Found
+from thistleusher.common.shares import ALONE, OVER, PROMPT_S
+from thistleusher.policy.fleet import Backend, Fleet
+from thistleusher.proxy.budgets import UNKNOWN, Colds, Tries
+from thistleusher.proxy.placement import Ground, Place, homes_of, tiers
+from thistleusher.proxy.quota import Quota
 
 SWEEP = 1  # token of the timer
 SWEEP_S = 0.05
--- a/roadspur/proxy/front.py
+++ b/thistleusher/proxy/front.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from roadspur import interface as io
-from roadspur.common.configuration import Index
-from roadspur.common.failures import ANSWERS, Failure, Kind, header_of
-from roadspur.core.driver import Held
-from roadspur.core.ports import Ended, Final, Verdict
-from roadspur.net.farewell import Farewell
-from roadspur.net.ingress import Ingress, Reply, Sent
-from roadspur.net.server import Bounds, ClientConnection, Server
-from roadspur.net.upstream import Exchange, Upstream
-from roadspur.net.wire import Answer
-from roadspur.proxy.decisions import PLAN, Asked, Charge, Decisions, class_of
-from roadspur.transport.api import refusal
+from thistleusher import interface as io
+from thistleusher.common.configuration import Index
+from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
+from thistleusher.core.driver import Held
+from thistleusher.core.ports import Ended, Final, Verdict
+from thistleusher.net.farewell import Farewell
+from thistleusher.net.ingress import Ingress, Reply, Sent
+from thistleusher.net.server import Bounds, ClientConnection, Server
+from thistleusher.net.upstream import Exchange, Upstream
+from thistleusher.net.wire import Answer
+from thistleusher.proxy.decisions import PLAN, Asked, Charge, Decisions, class_of
+from thistleusher.transport.api import refusal
 
 SEAL, NOT_RUN, ATTEMPT = b"x-server-seal", b"x-not-run", b"x-attempt-id"
 OWN = {
--- a/roadspur/proxy/knowledge.py
+++ b/thistleusher/proxy/knowledge.py
@@ -13,17 +13,17 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from roadspur.common.config_items import ConfigurationFollower
-from roadspur.common.configuration import Index
-from roadspur.common.events import Event
-from roadspur.common.shares import ALONE_S, OVER
-from roadspur.proxy import decisions as decided
-from roadspur.proxy.decisions import Counted, Decisions
-from roadspur.proxy.placement import Place
-from roadspur.services.wire import Address, read_address
-from roadspur.transport.core_members import CoreMembers
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import (
+from thistleusher.common.config_items import ConfigurationFollower
+from thistleusher.common.configuration import Index
+from thistleusher.common.events import Event
+from thistleusher.common.shares import ALONE_S, OVER
+from thistleusher.proxy import decisions as decided
+from thistleusher.proxy.decisions import Counted, Decisions
+from thistleusher.proxy.placement import Place
+from thistleusher.services.wire import Address, read_address
+from thistleusher.transport.core_members import CoreMembers
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import (
     AnyMessage,
     Charge,
     ChargeResult,
@@ -37,8 +37,8 @@
     PresenceReport,
     RingBeat,
 )
-from roadspur.transport.news import Follower
-from roadspur.transport.ring import Ring
+from thistleusher.transport.news import Follower
+from thistleusher.transport.ring import Ring
 
 MOST_CHARGES = 20_000  # that are remembered; one that is forgotten gets no answer and is not given back
 VERDICT_S = ALONE_S  # after a charge was sent, from which its verdict is too old to be used
--- a/roadspur/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -12,17 +12,17 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from roadspur.common.birth import BORN
-from roadspur.common.boot import CONTROL, PROXY, REGISTRY, RING
-from roadspur.common.events import Event, say
-from roadspur.common.failures import Failure, Kind
-from roadspur.common.process import Settings, life, serve
-from roadspur.net.server import Bounds
-from roadspur.net.upstream import Endpoint, Terms, Upstream
-from roadspur.proxy.decisions import Decisions
-from roadspur.proxy.directory import TTL_S, addresses
-from roadspur.proxy.front import ATTEMPT, ProxyFarewell, ProxyIngress, ProxyServer, outcome_of
-from roadspur.proxy.knowledge import (
+from thistleusher.common.birth import BORN
+from thistleusher.common.boot import CONTROL, PROXY, REGISTRY, RING
+from thistleusher.common.events import Event, say
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.process import Settings, life, serve
+from thistleusher.net.server import Bounds
+from thistleusher.net.upstream import Endpoint, Terms, Upstream
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.directory import TTL_S, addresses
+from thistleusher.proxy.front import ATTEMPT, ProxyFarewell, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.knowledge import (
     Backends,
     Core,
     InForce,
@@ -34,13 +34,13 @@
     ToRing,
     Verdict,
 )
-from roadspur.services.wire import read_address
-from roadspur.transport.api import Addresses, CallServer, Handler, Readiness, Ready, Resolve
-from roadspur.transport.codec import MalformedMessage, decode, encode
-from roadspur.transport.core_links import CoreLinks
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.links import Dial, Link, Listener
-from roadspur.transport.messages import AnyMessage, HandOver, HandOverTaken, RingBeat
+from thistleusher.services.wire import read_address
+from thistleusher.transport.api import Addresses, CallServer, Handler, Readiness, Ready, Resolve
+from thistleusher.transport.codec import MalformedMessage, decode, encode
+from thistleusher.transport.core_links import CoreLinks
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.messages import AnyMessage, HandOver, HandOverTaken, RingBeat
 
 CONNECT_S = 0.6  # to a backend of another region
 NEAR_S = 0.25  # to one of this region
@@ -270,5 +270,5 @@
 
 
 async def main(settings: Settings) -> None:
-    """What `python -m roadspur.system proxy` runs."""
+    """What `python -m thistleusher.system proxy` runs."""
     await ProxyProgram(settings).run()
--- a/roadspur/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -12,10 +12,10 @@
 
 import math
 
-from roadspur.common.shares import ALONE
-from roadspur.registry.counts import NO_WINDOW, Count, Counts
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import Charge, ChargeResult
+from thistleusher.common.shares import ALONE
+from thistleusher.registry.counts import NO_WINDOW, Count, Counts
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import Charge, ChargeResult
 
 REMEMBERED = 256  # charges of a sender's life; what comes later than so many others is neither counted nor given back
 
--- a/roadspur/registry/platform.py
+++ b/thistleusher/registry/platform.py
@@ -5,8 +5,8 @@
 import asyncio
 import socket
 
-from roadspur.net.upstream import watch
-from roadspur.services.wire import Address, Answer, AnswerReader
+from thistleusher.net.upstream import watch
+from thistleusher.services.wire import Address, Answer, AnswerReader
 
 CALL_S = 1.0
 MOST = 4 * 1024 * 1024
--- a/roadspur/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -10,16 +10,16 @@
 import random
 import time
 
-from roadspur.common.boot import CONTROL, REGISTRY
-from roadspur.common.events import say
-from roadspur.common.process import Settings, life, serve
-from roadspur.registry.platform import Platform
-from roadspur.registry.registry import Call, Core, Output, Registry, Tell, ToControl
-from roadspur.services.wire import read_address
-from roadspur.transport.core_links import CoreLinks
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.links import Dial, Link, Listener
-from roadspur.transport.messages import AnyMessage, Follow
+from thistleusher.common.boot import CONTROL, REGISTRY
+from thistleusher.common.events import say
+from thistleusher.common.process import Settings, life, serve
+from thistleusher.registry.platform import Platform
+from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
+from thistleusher.services.wire import read_address
+from thistleusher.transport.core_links import CoreLinks
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.messages import AnyMessage, Follow
 
 LEAVE_S = 0.1
 
@@ -134,5 +134,5 @@
 
 
 async def main(settings: Settings) -> None:
-    """What `python -m roadspur.system registry` runs."""
+    """What `python -m thistleusher.system registry` runs."""
     await RegistryProgram(settings).run()
--- a/roadspur/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -14,16 +14,16 @@
 import random
 from typing import Any, NamedTuple
 
-from roadspur.common.config_items import ConfigurationFollower
-from roadspur.common.events import Event
-from roadspur.control.leases import Holder
-from roadspur.registry.charges import ChargeLedger
-from roadspur.registry.counts import Counts
-from roadspur.registry.instances import Garbage, Survey
-from roadspur.registry.members import Members
-from roadspur.transport.core_members import CoreMembers
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import (
+from thistleusher.common.config_items import ConfigurationFollower
+from thistleusher.common.events import Event
+from thistleusher.control.leases import Holder
+from thistleusher.registry.charges import ChargeLedger
+from thistleusher.registry.counts import Counts
+from thistleusher.registry.instances import Garbage, Survey
+from thistleusher.registry.members import Members
+from thistleusher.transport.core_members import CoreMembers
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import (
     AnyMessage,
     Charge,
     CoreInfo,
@@ -39,7 +39,7 @@
     Presence,
     PresenceReport,
 )
-from roadspur.transport.news import Follower, Publisher
+from thistleusher.transport.news import Follower, Publisher
 
 DUTY = "registrar"
 TERM_BITS = 24  # of a number, below the holder's term
--- a/roadspur/services/counter.py
+++ b/thistleusher/services/counter.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from roadspur import interface as io
-from roadspur.services.wire import Address, Answer, AnswerReader
+from thistleusher import interface as io
+from thistleusher.services.wire import Address, Answer, AnswerReader
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/services/counters.py
+++ b/thistleusher/services/counters.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from roadspur import interface as io
-from roadspur.ledger.placement import Placement
-from roadspur.services.counter import Counter
-from roadspur.services.wire import read_address
+from thistleusher import interface as io
+from thistleusher.ledger.placement import Placement
+from thistleusher.services.counter import Counter
+from thistleusher.services.wire import read_address
 
 LEAVE_S = 2.0  # for the answers that a counter taken out still owes
 
--- a/roadspur/services/options.py
+++ b/thistleusher/services/options.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from roadspur.ledger.placement import Placement
-from roadspur.services.wire import read_address
+from thistleusher.ledger.placement import Placement
+from thistleusher.services.wire import read_address
 
 
 class CountersOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/roadspur/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-from roadspur import interface as io
-from roadspur.services.wire import Address
+from thistleusher import interface as io
+from thistleusher.services.wire import Address
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/settings.py
+++ b/thistleusher/settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NoReturn
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 GROUPS = {"all": io.Group.ALL, "zone": io.Group.ZONE, "cell": io.Group.CELL}
 EFFECTS = {"retryable": io.Effect.SAFE, "dedup": io.Effect.KEYED, "fragile": io.Effect.UNSAFE}
--- a/roadspur/state/keeper.py
+++ b/thistleusher/state/keeper.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from roadspur import interface as io
-from roadspur.state.options import StateOptions
-from roadspur.state.records import Life, Listed, Member, Place, Room, pack
-from roadspur.state.recovery import Recovered, active_until, recover, still_learned, still_listed, still_there
-from roadspur.state.store import LEARNED, LISTED, Store
-from roadspur.state.writer import Writer
+from thistleusher import interface as io
+from thistleusher.state.options import StateOptions
+from thistleusher.state.records import Life, Listed, Member, Place, Room, pack
+from thistleusher.state.recovery import Recovered, active_until, recover, still_learned, still_listed, still_there
+from thistleusher.state.store import LEARNED, LISTED, Store
+from thistleusher.state.writer import Writer
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/state/options.py
+++ b/thistleusher/state/options.py
@@ -1,6 +1,6 @@
 """The section [state] of the operator's file, and the file of its own that `--state` names:
 
-    folder = "/var/lib/roadspur"
+    folder = "/var/lib/thistleusher"
     sync = "normal"      # off, normal or full: what a loss of power may cost
     commit_ms = 50       # what a kill may cost, 5 to 10,000
     most_mb = 256        # bound of the folder's file, 1 to 65,536
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from roadspur.operator.layers import one_line
-from roadspur.operator.units import Bytes, Seconds
+from thistleusher.operator.layers import one_line
+from thistleusher.operator.units import Bytes, Seconds
 
 COMMIT = Seconds(0.005), Seconds(10.0)
 SIZE = Bytes(1 << 20), Bytes(1 << 36)
--- a/roadspur/state/records.py
+++ b/thistleusher/state/records.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from roadspur import interface as io
+from thistleusher import interface as io
 
 FORMAT = 1
 T = TypeVar("T")
@@ -57,7 +57,7 @@
 
 
 class Room(msgspec.Struct, array_like=True, frozen=True):
-    """What an earlier life left alone of a member's allowance; see `roadspur.ledger.reserve`."""
+    """What an earlier life left alone of a member's allowance; see `thistleusher.ledger.reserve`."""
 
     plan: str
     customer: int
--- a/roadspur/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -24,8 +24,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from roadspur import interface as io
-from roadspur.state.records import Life, Listed, Member, Room
+from thistleusher import interface as io
+from thistleusher.state.records import Life, Listed, Member, Room
 
 LEARNED_S, FAULTS_S, LIST_S = 600.0, 10.0, 60.0  # for which speeds, faults and a list say something
 
--- a/roadspur/state/store.py
+++ b/thistleusher/state/store.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Literal, TypeVar
 
-from roadspur import interface as io
-from roadspur.state.records import (
+from thistleusher import interface as io
+from thistleusher.state.records import (
     FORMAT,
     BadRecord,
     Life,
--- a/roadspur/state/writer.py
+++ b/thistleusher/state/writer.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from roadspur.state.store import Slot
+from thistleusher.state.store import Slot
 
 log = logging.getLogger(__name__)
 
--- a/roadspur/talk/__init__.py
+++ b/thistleusher/talk/__init__.py
@@ -4,8 +4,8 @@
 merged, never queued without end; and a member whose set is too wide for tellings has one account, at its home.
 """
 
-from roadspur.talk.homes import Homes
-from roadspur.talk.outbox import Outbox
-from roadspur.talk.talk import Talk
+from thistleusher.talk.homes import Homes
+from thistleusher.talk.outbox import Outbox
+from thistleusher.talk.talk import Talk
 
 __all__ = ["Homes", "Outbox", "Talk"]
--- a/roadspur/talk/talk.py
+++ b/thistleusher/talk/talk.py
@@ -12,10 +12,10 @@
 import math
 import struct
 
-from roadspur import interface as io
-from roadspur.talk.held import Held
-from roadspur.talk.homes import ANSWER_S, Asked, Homes
-from roadspur.talk.outbox import Outbox
+from thistleusher import interface as io
+from thistleusher.talk.held import Held
+from thistleusher.talk.homes import ANSWER_S, Asked, Homes
+from thistleusher.talk.outbox import Outbox
 
 ASK, ANSWER, SETTLED = b"\x07", b"\x08", b"\x09"
 QUESTION = struct.Struct(">H5sHHH")
--- a/roadspur/transport/api.py
+++ b/thistleusher/transport/api.py
@@ -13,10 +13,10 @@
 from typing import Any, ClassVar, Generic, NamedTuple, TypeVar
 from urllib.parse import parse_qs, unquote
 
-from roadspur.common.events import Event, say
-from roadspur.common.failures import ANSWERS, Failure, Kind, header_of
-from roadspur.net.ingress import Reply
-from roadspur.net.server import Bounds, ClientConnection, Early, Server
+from thistleusher.common.events import Event, say
+from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
+from thistleusher.net.ingress import Reply
+from thistleusher.net.server import Bounds, ClientConnection, Early, Server
 
 MOST_CONNECTIONS = 400
 JSON = b"Content-Type: application/json\r\n"
--- a/roadspur/transport/codec.py
+++ b/thistleusher/transport/codec.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from roadspur.transport.messages import AnyMessage, Message
+from thistleusher.transport.messages import AnyMessage, Message
 
 MOST_BYTES = 64 * 1024 * 1024
 LENGTH = struct.Struct(">I")
--- a/roadspur/transport/core_links.py
+++ b/thistleusher/transport/core_links.py
@@ -8,8 +8,8 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from roadspur.transport.links import Dial
-from roadspur.transport.messages import AnyMessage, Message
+from thistleusher.transport.links import Dial
+from thistleusher.transport.messages import AnyMessage, Message
 
 
 class CoreLinks:
--- a/roadspur/transport/core_members.py
+++ b/thistleusher/transport/core_members.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from roadspur.transport.messages import CoreInfo
+from thistleusher.transport.messages import CoreInfo
 
 
 class CoreMembers:
--- a/roadspur/transport/errors.py
+++ b/thistleusher/transport/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from roadspur.transport.messages import Message
+from thistleusher.transport.messages import Message
 
 
 class UnexpectedMessage(ValueError):
--- a/roadspur/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable
 from typing import cast
 
-from roadspur.common.events import Event, say
-from roadspur.net.upstream import watch
-from roadspur.transport.codec import Deframer, MalformedMessage, frame
-from roadspur.transport.errors import UnexpectedMessage
-from roadspur.transport.messages import AnyMessage, Beat, Follow, HandOver, Hello, Message
+from thistleusher.common.events import Event, say
+from thistleusher.net.upstream import watch
+from thistleusher.transport.codec import Deframer, MalformedMessage, frame
+from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.messages import AnyMessage, Beat, Follow, HandOver, Hello, Message
 
 BEAT_S = 0.4
 SILENT_S = 1.5
--- a/roadspur/transport/news.py
+++ b/thistleusher/transport/news.py
@@ -14,7 +14,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from roadspur.transport.messages import Follow, Items, News, NewsAck
+from thistleusher.transport.messages import Follow, Items, News, NewsAck
 
 REMOVED_MOST = 2000  # removed items that are remembered, so that a follower further behind gets the whole state
 
--- a/roadspur/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from roadspur import interface as io
-from roadspur.assembly import make_gateway
-from roadspur.settings import (
+from thistleusher import interface as io
+from thistleusher.assembly import make_gateway
+from thistleusher.settings import (
     BadSetting,
     bad,
     read_choice,
