--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -2,9 +2,9 @@
 
 python -m benchmarks.simnet_faults [--minutes 0.5] [--jobs 4] [--only WORDS]
 
-Each fault is a place or a few in `thistleusher/control/` changed in a copy of the tree. There days are drawn until a rule
-breaks, then the named tests run, then every order of events is searched from four beginnings. Exit code 1 where one is
-not found.
+Each fault is a place or a few in `thistleusher/control/` changed in a copy of the tree. There days are drawn until
+a rule breaks, then the named tests run, then every order of events is searched from four beginnings. Exit code 1 where
+one is not found.
 """
 
 from __future__ import annotations
--- a/examples/client_script.py
+++ b/examples/client_script.py
@@ -22,8 +22,12 @@
     parser.add_argument("--read", default="/read/1", help="path of the read")
     parser.add_argument("--pay", default="/pay/1", help="path of the payout")
     options = parser.parse_args()
-    with PlainClient(options.directory, options.host, key=options.key,
-                     on_try=lambda t: print(f"  try {t.id} at {t.address}: {t.status or t.error}")) as client:
+    with PlainClient(
+        options.directory,
+        options.host,
+        key=options.key,
+        on_try=lambda t: print(f"  try {t.id} at {t.address}: {t.status or t.error}"),
+    ) as client:
         balance = client.get(options.read)
         print(f"balance: {balance}")
         try:
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -18,11 +18,18 @@
 )
 
 SETTINGS = Settings(
-    classes=(ClassSettings("browse", Effect.SAFE, objective=2.0, deadline=6.0),
-             ClassSettings("send-message", Effect.UNSAFE, objective=1.5, deadline=7.5)),
-    plans=(PlanSettings("basic", rate=2.0, burst=8.0),  # units a second, units at once
-           PlanSettings("plus", rate=16.0, burst=36.0)),
-    max_units=4.0, settles=True, max_retry_after=1.0)
+    classes=(
+        ClassSettings("browse", Effect.SAFE, objective=2.0, deadline=6.0),
+        ClassSettings("send-message", Effect.UNSAFE, objective=1.5, deadline=7.5),
+    ),
+    plans=(
+        PlanSettings("basic", rate=2.0, burst=8.0),  # units a second, units at once
+        PlanSettings("plus", rate=16.0, burst=36.0),
+    ),
+    max_units=4.0,
+    settles=True,
+    max_retry_after=1.0,
+)
 PLANS = {"ana": "basic", "iva": "plus"}
 NUMBERS = {name: number for number, name in enumerate(PLANS)}
 
@@ -50,7 +57,11 @@
 
 ingress = EmbeddedIngress(SETTINGS)  # counter="10.2.0.2:6400" shares quotas with other processes
 app = Starlette(
-    routes=[Route("/matches", matches), Route("/messages", send, methods=["POST"]),
-            Route("/health", lambda request: JSONResponse("ok"))],
+    routes=[
+        Route("/matches", matches),
+        Route("/messages", send, methods=["POST"]),
+        Route("/health", lambda request: JSONResponse("ok")),
+    ],
     lifespan=ingress.lifespan,
-    middleware=[Middleware(QuotaMiddleware, ingress=ingress, identify=identify, ratelimit_fields=True)])
+    middleware=[Middleware(QuotaMiddleware, ingress=ingress, identify=identify, ratelimit_fields=True)],
+)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -43,8 +43,15 @@
             return 2
     seed = random.SystemRandom().getrandbits(32) if args.seed is None else args.seed
     print(f"seed {seed}", flush=True)
-    soak = Soak(seed, args.minutes, args.workers, tuple(args.only or KINDS), args.folder, args.go_on,
-                lambda line: print(line, flush=True))
+    soak = Soak(
+        seed,
+        args.minutes,
+        args.workers,
+        tuple(args.only or KINDS),
+        args.folder,
+        args.go_on,
+        lambda line: print(line, flush=True),
+    )
     report = soak.run()
     print("\n".join(report.lines()))
     return 1 if report.found else 0
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -22,15 +22,31 @@
 from thistleusher.ledger.bound import Assumed, bound_of
 from thistleusher.settings import nested_settings
 
-LATE_S = 0.15        # that a busy machine may add to a datagram's way
-JOINT_S = 2.0        # restarts of ingresses within it may be of all at once
-VALUES = {"counter.lose": (0.05, 0.4), "counter.spoil": (0.05, 0.4), "counter.delay": (0.005, 0.2),
-          "counter.forget": (0.02, 0.5), "counter.late": (0.1, 0.3), "match.slow": (2.0, 8.0),
-          "match.errors": (0.1, 1.0), "match.resets": (0.05, 0.5), "match.cuts": (0.05, 0.5),
-          "relay.loss": (0.01, 0.3), "relay.delay": (0.0, 0.5)}
-OFTEN = ("match.errors", "match.resets", "match.cuts", "match.drain", "ingress.kill", "hall.lose",
-         "counter.silence")  # where rules are at stake
-GROWTH_MB = 40.0     # of memory over a run, beyond which a process counts as one that grows without end
+LATE_S = 0.15  # that a busy machine may add to a datagram's way
+JOINT_S = 2.0  # restarts of ingresses within it may be of all at once
+VALUES = {
+    "counter.lose": (0.05, 0.4),
+    "counter.spoil": (0.05, 0.4),
+    "counter.delay": (0.005, 0.2),
+    "counter.forget": (0.02, 0.5),
+    "counter.late": (0.1, 0.3),
+    "match.slow": (2.0, 8.0),
+    "match.errors": (0.1, 1.0),
+    "match.resets": (0.05, 0.5),
+    "match.cuts": (0.05, 0.5),
+    "relay.loss": (0.01, 0.3),
+    "relay.delay": (0.0, 0.5),
+}
+OFTEN = (
+    "match.errors",
+    "match.resets",
+    "match.cuts",
+    "match.drain",
+    "ingress.kill",
+    "hall.lose",
+    "counter.silence",
+)  # where rules are at stake
+GROWTH_MB = 40.0  # of memory over a run, beyond which a process counts as one that grows without end
 MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
 
 
@@ -44,29 +60,57 @@
         action = ACTIONS[do]
         many = servers if do.startswith("match.") else HALLS if do.startswith("hall.") else ingresses
         low, high = VALUES.get(do, (0.0, 0.0))
-        faults.append([round(rng.uniform(0.0, seconds * 0.8), 2), do, rng.randrange(many) if action.target else 0,
-                       round(rng.uniform(0.2, seconds * 0.6), 2) if action.ends else 0.0,
-                       round(rng.uniform(low, high), 3) if action.value else 0.0])
-    return Case("fleet", seed, {
-        "ingresses": ingresses, "servers": servers, "seconds": seconds, "rate": round(rng.uniform(60.0, 200.0), 1),
-        "basic": rng.randint(2, 60), "plus": rng.randint(1, 10), "move": rng.choice([0.0, 0.7, 2.0]),
-        "faults": sorted(faults), "deployment": rng.choice(list(DEPLOYMENTS)),
-        "folders": rng.random() < 0.4})
+        faults.append(
+            [
+                round(rng.uniform(0.0, seconds * 0.8), 2),
+                do,
+                rng.randrange(many) if action.target else 0,
+                round(rng.uniform(0.2, seconds * 0.6), 2) if action.ends else 0.0,
+                round(rng.uniform(low, high), 3) if action.value else 0.0,
+            ]
+        )
+    return Case(
+        "fleet",
+        seed,
+        {
+            "ingresses": ingresses,
+            "servers": servers,
+            "seconds": seconds,
+            "rate": round(rng.uniform(60.0, 200.0), 1),
+            "basic": rng.randint(2, 60),
+            "plus": rng.randint(1, 10),
+            "move": rng.choice([0.0, 0.7, 2.0]),
+            "faults": sorted(faults),
+            "deployment": rng.choice(list(DEPLOYMENTS)),
+            "folders": rng.random() < 0.4,
+        },
+    )
 
 
 def options_of(case: Case) -> Options:
     """The stand-ins' words for a case, with the errors that are stated for it."""
     s = case.size
-    faults = tuple(Fault(float(at), str(do), int(target), float(lasts), float(value))
-                   for at, do, target, lasts, value in s["faults"])
+    faults = tuple(
+        Fault(float(at), str(do), int(target), float(lasts), float(value))
+        for at, do, target, lasts, value in s["faults"]
+    )
     deployment = DEPLOYMENTS[s.get("deployment", "matching")]
     few, many = list(deployment.plans)[-1], list(deployment.plans)[0]
-    plain = Options(ingresses=s["ingresses"], servers=s["servers"], seconds=s["seconds"], rate=s["rate"],
-                    seed=case.seed % 2 ** 31, loss=0.0, members={many: s["basic"], few: s["plus"]},
-                    faults=faults, move_s=s["move"], shape=Shape(cores=8, work=0.005), deployment=deployment,
-                    folders=bool(s.get("folders", False)))
-    return Options(**{name: getattr(plain, name) for name in Options.__dataclass_fields__} | {
-        "plans": rules(plain)})
+    plain = Options(
+        ingresses=s["ingresses"],
+        servers=s["servers"],
+        seconds=s["seconds"],
+        rate=s["rate"],
+        seed=case.seed % 2**31,
+        loss=0.0,
+        members={many: s["basic"], few: s["plus"]},
+        faults=faults,
+        move_s=s["move"],
+        shape=Shape(cores=8, work=0.005),
+        deployment=deployment,
+        folders=bool(s.get("folders", False)),
+    )
+    return Options(**{name: getattr(plain, name) for name in Options.__dataclass_fields__} | {"plans": rules(plain)})
 
 
 def rules(o: Options) -> dict[str, PlanRule]:
@@ -82,9 +126,14 @@
         b = bound_of(told, plan, assumed)
         quota = b.quota_split if cut or loss > 0.1 else b.quota_cut_off
         rule = o.plans[plan.name]
-        out[plan.name] = PlanRule(rule.rate, rule.burst, rule.ceiling_rate, rule.ceiling_burst,
-                                  quota + len(lives) * b.quota_restart,
-                                  (b.ceiling or 0.0) + joint(lives, o.ingresses) * (b.ceiling_restart or 0.0))
+        out[plan.name] = PlanRule(
+            rule.rate,
+            rule.burst,
+            rule.ceiling_rate,
+            rule.ceiling_burst,
+            quota + len(lives) * b.quota_restart,
+            (b.ceiling or 0.0) + joint(lives, o.ingresses) * (b.ceiling_restart or 0.0),
+        )
     return out
 
 
@@ -184,7 +233,7 @@
     if half:
         out += [case.but(faults=faults[:half]), case.but(faults=faults[half:])]
     if len(faults) > 1:
-        out += [case.but(faults=faults[:n] + faults[n + 1:]) for n in range(len(faults))]
+        out += [case.but(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
     last = max((f[0] + f[3] for f in faults), default=0.0)
     if s["seconds"] > last + 1.5:
         out.append(case.but(seconds=round(last + 1.0, 2)))
--- a/soak/moments.py
+++ b/soak/moments.py
@@ -17,8 +17,12 @@
 DAY_S = 86_400.0
 MOVED = Path(__file__).parent / "moved"
 # Those whose counts and seeds the kind `suite` plays with are left to it; they take all time by hand.
-ELSEWHERE = {"tests/ledger/test_escrow.py", "tests/ledger/test_failures.py", "tests/ledger/test_beginning.py",
-             "tests/soak/test_soak.py"}
+ELSEWHERE = {
+    "tests/ledger/test_escrow.py",
+    "tests/ledger/test_failures.py",
+    "tests/ledger/test_beginning.py",
+    "tests/soak/test_soak.py",
+}
 
 
 def files() -> list[str]:
@@ -37,8 +41,13 @@
     path = os.pathsep.join(filter(None, (str(MOVED), os.environ.get("PYTHONPATH"))))
     env = {**os.environ, "PYTHONPATH": path, "MOVED_CLOCK_S": str(float(case.size["moved"]))}
     try:
-        done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", str(case.size["test"])],
-                              capture_output=True, text=True, env=env, timeout=600)
+        done = subprocess.run(
+            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", str(case.size["test"])],
+            capture_output=True,
+            text=True,
+            env=env,
+            timeout=600,
+        )
     except subprocess.TimeoutExpired:
         return Outcome("the tests did not end within 600 s", "ends")
     if done.returncode:
--- a/soak/mutate.py
+++ b/soak/mutate.py
@@ -10,13 +10,59 @@
 import random
 from collections.abc import Callable, Hashable, Sequence
 
-WORDS = (b"\r\n", b"\r\n\r\n", b"\n", b"\0", b"\xff", b"\xc3\x28", b":", b" ", b"0", b"-1", b"1e400", b"nan", b"NaN",
-         b"inf", b"Infinity", b"-Infinity", b"99999999999999999999", b"9" * 400, b"1_0", b"0x10", b"+5", b"1e5",
-         b"{", b"}", b"[", b"]", b'"', b"null", b"true", b"[" * 3000, b'{"a":' * 1500, b"Content-Length: 5\r\n",
-         b"Content-Length: 0\r\n", b"Transfer-Encoding: chunked\r\n", b"Connection: close\r\n",
-         b"Connection: Upgrade\r\nUpgrade: h2c\r\n", b"Expect: 100-continue\r\n", b"HTTP/1.1 100 Continue\r\n\r\n",
-         b"HTTP/1.1 200 OK\r\n", b"HTTP/1.0", b"5\r\nhello\r\n", b"0\r\n\r\n", b"GET /healthz HTTP/1.1\r\n\r\n",
-         b"%00", b"%2f", b"\x01", b"\x02", b"\x03", b"\x04", b"\x05", b"\x06")
+WORDS = (
+    b"\r\n",
+    b"\r\n\r\n",
+    b"\n",
+    b"\0",
+    b"\xff",
+    b"\xc3\x28",
+    b":",
+    b" ",
+    b"0",
+    b"-1",
+    b"1e400",
+    b"nan",
+    b"NaN",
+    b"inf",
+    b"Infinity",
+    b"-Infinity",
+    b"99999999999999999999",
+    b"9" * 400,
+    b"1_0",
+    b"0x10",
+    b"+5",
+    b"1e5",
+    b"{",
+    b"}",
+    b"[",
+    b"]",
+    b'"',
+    b"null",
+    b"true",
+    b"[" * 3000,
+    b'{"a":' * 1500,
+    b"Content-Length: 5\r\n",
+    b"Content-Length: 0\r\n",
+    b"Transfer-Encoding: chunked\r\n",
+    b"Connection: close\r\n",
+    b"Connection: Upgrade\r\nUpgrade: h2c\r\n",
+    b"Expect: 100-continue\r\n",
+    b"HTTP/1.1 100 Continue\r\n\r\n",
+    b"HTTP/1.1 200 OK\r\n",
+    b"HTTP/1.0",
+    b"5\r\nhello\r\n",
+    b"0\r\n\r\n",
+    b"GET /healthz HTTP/1.1\r\n\r\n",
+    b"%00",
+    b"%2f",
+    b"\x01",
+    b"\x02",
+    b"\x03",
+    b"\x04",
+    b"\x05",
+    b"\x06",
+)
 MOST = 200_000
 
 
@@ -29,7 +75,7 @@
         if kind == 0 and data:
             data[at % len(data)] ^= 1 << rng.randrange(8)
         elif kind == 1:
-            del data[at:min(to, at + rng.choice((1, 4, 64, 4096)))]
+            del data[at : min(to, at + rng.choice((1, 4, 64, 4096)))]
         elif kind == 2:
             data[at:at] = rng.choice(WORDS)
         elif kind == 3:
@@ -38,7 +84,7 @@
             data[at:at] = data[at:to] * rng.choice((1, 1, 2, 50))
         elif kind == 5:
             other = rng.choice(corpus)
-            data[at:] = other[rng.randrange(len(other) + 1):]
+            data[at:] = other[rng.randrange(len(other) + 1) :]
         elif kind == 6:
             data[at:at] = rng.randbytes(rng.randint(1, 9))
         else:
@@ -53,7 +99,7 @@
     while tries > 0:
         at, shorter = 0, False
         while at < len(data) and tries > 0:
-            without = data[:at] + data[at + step:]
+            without = data[:at] + data[at + step :]
             tries -= 1
             if len(without) < len(data) and fails(without):
                 data, shorter = without, True
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -46,7 +46,7 @@
     out, at = [], 0
     while at < len(data):
         size = rng.choice((1, 7, 100, 1400, 65536)) if len(data) < 4000 else rng.choice((1400, 65536))
-        out.append(data[at:at + size])
+        out.append(data[at : at + size])
         at += size
     return out
 
@@ -78,6 +78,7 @@
 
 # Clients.
 
+
 class _Decided:
     """An ingress that serves whatever it takes, at once."""
 
@@ -133,8 +134,13 @@
             raise Broken(f"{len(ingress.taken)} requests taken, answers {client.statuses}")
         for call in ingress.taken:
             r = call.request
-            if not (0 < r.units <= told.max_units and 0 <= r.customer < 1 << 33 and 0 < r.expires_in < 1e5
-                    and r.plan in {p.name for p in told.plans} and 1 <= r.width <= told.instances):
+            if not (
+                0 < r.units <= told.max_units
+                and 0 <= r.customer < 1 << 33
+                and 0 < r.expires_in < 1e5
+                and r.plan in {p.name for p in told.plans}
+                and 1 <= r.width <= told.instances
+            ):
                 raise Broken(f"taken as it cannot be meant: {r!r}")
             head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
             if rest != call.body or b"\0" in head or b"\n" in head.replace(b"\r\n", b""):
@@ -148,6 +154,7 @@
 
 # Backends, counter, discovery, peers.
 
+
 def answer(data: bytes, rng: random.Random) -> Hashable:
     """A backend's bytes: whole answers, or the reason why none can be read any more."""
     reader, whole = AnswerReader(), []
@@ -179,6 +186,7 @@
 
 def counter(data: bytes, rng: random.Random) -> Hashable:
     """The counter's bytes: each call has one verdict in the end, and a total is a number."""
+
     async def main() -> Hashable:
         line = _Line()
         link, transport = Link(line), Transport()  # type: ignore[arg-type]
@@ -199,6 +207,7 @@
 
 def discovery(data: bytes, rng: random.Random) -> Hashable:
     """Discovery's bytes: a list that can be meant, or an end with a reason."""
+
     async def main() -> Hashable:
         seen: list[int] = []
 
@@ -226,7 +235,7 @@
     told, now = _told(), 5000.0
     gateway = make_gateway(told, 1, now)
     shown = []
-    for n, part in enumerate(data[i:i + 256] for i in range(0, min(len(data), 2560), 256)):
+    for n, part in enumerate(data[i : i + 256] for i in range(0, min(len(data), 2560), 256)):
         now += 0.05
         acts = gateway.handle(now, io.PeerMessage(1 + n % 2, part))
         acts += gateway.handle(now, io.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
@@ -247,6 +256,7 @@
 
 # Files.
 
+
 def _file(read: Callable[[str], object], plain: type[Exception]) -> Check:
     def check(data: bytes, rng: random.Random) -> Hashable:
         path = Path(_folder()) / f"input-{os.getpid()}"
@@ -259,6 +269,7 @@
                 raise Broken(f"an error that does not name the file in one line: {text!r}") from error
             return text.rpartition(path.name)[2][:40]
         return "read"
+
     return check
 
 
@@ -281,39 +292,80 @@
         return str(error)[:20]
 
 
-_CALL = (b"POST /api/0000000000000007 HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: a1\r\nX-Call-Class: browse\r\n"
-         b"X-Tier: plus\r\nX-Budget: 480m\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n"
-         b"X-Call-Terms: units=2,spread=3,first=1\r\n\r\nhello")
+_CALL = (
+    b"POST /api/0000000000000007 HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: a1\r\nX-Call-Class: browse\r\n"
+    b"X-Tier: plus\r\nX-Budget: 480m\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n"
+    b"X-Call-Terms: units=2,spread=3,first=1\r\n\r\nhello"
+)
 _OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Cost-Units: 1.5\r\n\r\n12.5"
-_LIST = (b'{"index":41,"snapshot":true,"endpoints":[{"name":"s","address":"10.1.0.18:8080","zone":"a","type":"m2",'
-         b'"group":3,"status":"SERVING","weight":1.0,"since_ms":0},{"name":"t","address":"10.1.0.18:8080","status":"DELETED"}]}\n')
+_LIST = (
+    b'{"index":41,"snapshot":true,"endpoints":[{"name":"s","address":"10.1.0.18:8080","zone":"a","type":"m2",'
+    b'"group":3,"status":"SERVING","weight":1.0,"since_ms":0},{"name":"t","address":"10.1.0.18:8080","status":"DELETED"}]}\n'
+)
 _LIFE = (5000_000).to_bytes(8)
-_ROW = ROW.pack(name_of(1, 7), 5000 // 4 & 0xff, 0, 3, 512, 640)
+_ROW = ROW.pack(name_of(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
 _SCRIPT = b'[[fault]]\nat = 2.0\ndo = "match.slow"\ntarget = 3\nfor = 1.5\nvalue = 0.2\n'
 
 
 def _config_bytes() -> bytes:
     import json
 
-    return json.dumps({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "counter": "127.0.0.1:3",
-                       "peer_listen": "127.0.0.1:4", "peers": ["127.0.0.1:4"] * 3, "seed": "1f",
-                       "limits": {"sockets": 99}, "settings": settings(Options(), 0)}).encode()
+    return json.dumps(
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:2",
+            "counter": "127.0.0.1:3",
+            "peer_listen": "127.0.0.1:4",
+            "peers": ["127.0.0.1:4"] * 3,
+            "seed": "1f",
+            "limits": {"sockets": 99},
+            "settings": settings(Options(), 0),
+        }
+    ).encode()
 
 
 READERS: dict[str, tuple[Check, tuple[bytes, ...]]] = {
-    "request": (request, (_CALL, _CALL.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked") + b"\r\n0\r\n\r\n",
-                          b"GET /healthz HTTP/1.1\r\n\r\n", _CALL + _CALL.replace(b"a1", b"a2"))),
-    "answer": (answer, (_OK, _OK + _OK, b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-                        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n")),
+    "request": (
+        request,
+        (
+            _CALL,
+            _CALL.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked") + b"\r\n0\r\n\r\n",
+            b"GET /healthz HTTP/1.1\r\n\r\n",
+            _CALL + _CALL.replace(b"a1", b"a2"),
+        ),
+    ),
+    "answer": (
+        answer,
+        (
+            _OK,
+            _OK + _OK,
+            b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n",
+        ),
+    ),
     "counter": (counter, (_OK * 3, _OK.replace(b"12.5", b"-1.0"), b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")),
-    "discovery": (discovery, (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(_LIST), _LIST),
-                              b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n"
-                              % (len(_LIST), _LIST))),
-    "datagram": (datagram, (
-        TOLD_MARK + TOLD.pack(name_of(1, 7), 8, 8, 50), b"\x02" + _LIFE + _ROW, b"\x03" + _LIFE + _ROW,
-        b"\x05" + _LIFE + _ROW,
-        b"\x06" + _LIFE + SETTLED.pack(name_of(1, 7), 5000 // 4 & 0xff, 512, 640, 100, 10, 50, 5), TOLD_MARK, b"12345",
-        HELLO_MARK + HELLO.pack(5000_000, 5000_000, 5000_000, 0), HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7))),
+    "discovery": (
+        discovery,
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(_LIST), _LIST),
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(_LIST), _LIST),
+        ),
+    ),
+    "datagram": (
+        datagram,
+        (
+            TOLD_MARK + TOLD.pack(name_of(1, 7), 8, 8, 50),
+            b"\x02" + _LIFE + _ROW,
+            b"\x03" + _LIFE + _ROW,
+            b"\x05" + _LIFE + _ROW,
+            b"\x06" + _LIFE + SETTLED.pack(name_of(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
+            TOLD_MARK,
+            b"12345",
+            HELLO_MARK + HELLO.pack(5000_000, 5000_000, 5000_000, 0),
+            HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
+        ),
+    ),
     "config": (_file(_config, BadConfiguration), (_config_bytes(),)),
     "counters": (_file(read_counters, BadConfiguration), (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',)),
     "script": (_file(_script, BadScript), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
@@ -343,4 +395,3 @@
         _kept["told"] = nested_settings(settings(Options(), 0))[0]
     told: io.Settings = _kept["told"]
     return told
-
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -21,7 +21,7 @@
 from soak.case import Case, Outcome
 from soak.shrink import shrink
 
-FLEETS = 0.5   # of the workers, that fleets may have at a time, one at least
+FLEETS = 0.5  # of the workers, that fleets may have at a time, one at least
 
 
 @dataclass(slots=True)
@@ -47,8 +47,9 @@
     began = time.monotonic()
     logging.disable(logging.CRITICAL)  # spoilt input is logged, by the thousand here
     try:
-        outcome = {"fleet": fleets.run, "bytes": inputs.run, "suite": suites.run,
-                   "moment": moments.run}[case.kind](case)
+        outcome = {"fleet": fleets.run, "bytes": inputs.run, "suite": suites.run, "moment": moments.run}[case.kind](
+            case
+        )
     except Exception as error:
         outcome = Outcome(f"{type(error).__name__}: {error}", "soak")
     finally:
@@ -70,8 +71,17 @@
 class Soak:
     """`minutes` of cases drawn from `seed`, by `workers` processes; `kinds` as in `case.KINDS`."""
 
-    def __init__(self, seed: int, minutes: float, workers: int, kinds: tuple[str, ...], folder: Path,
-                 go_on: bool = False, say: Callable[[str], None] = print, shrinks: int = 40) -> None:
+    def __init__(
+        self,
+        seed: int,
+        minutes: float,
+        workers: int,
+        kinds: tuple[str, ...],
+        folder: Path,
+        go_on: bool = False,
+        say: Callable[[str], None] = print,
+        shrinks: int = 40,
+    ) -> None:
         self.rng, self.minutes, self.workers, self.kinds = random.Random(seed), minutes, workers, kinds
         self.folder, self.go_on, self.say, self.shrinks = folder, go_on, say, shrinks
         self.report = Report(seed)
@@ -117,8 +127,11 @@
                 if now - said > 10.0:
                     said = now
                     left = f"{max(0.0, end - now):.0f} s left"
-                    self.say(f"{left}; " + ", ".join(f"{k} {n}" for k, n in sorted(self.report.cases.items()))
-                             + f"; found {len(self.report.found)}")
+                    self.say(
+                        f"{left}; "
+                        + ", ".join(f"{k} {n}" for k, n in sorted(self.report.cases.items()))
+                        + f"; found {len(self.report.found)}"
+                    )
                 self.grow = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)  # growing counts
         return self.report
 
--- a/soak/shrink.py
+++ b/soak/shrink.py
@@ -7,8 +7,13 @@
 from soak.case import Case, Outcome
 
 
-def shrink(case: Case, outcome: Outcome, smaller: Callable[[Case], Sequence[Case]], run: Callable[[Case], Outcome],
-           tries: int = 40) -> tuple[Case, Outcome]:
+def shrink(
+    case: Case,
+    outcome: Outcome,
+    smaller: Callable[[Case], Sequence[Case]],
+    run: Callable[[Case], Outcome],
+    tries: int = 40,
+) -> tuple[Case, Outcome]:
     """Greedy: the first smaller case that still fails takes its place, until none does or the tries are used up."""
     best, found = case, outcome
     while tries > 0:
--- a/soak/suites.py
+++ b/soak/suites.py
@@ -10,9 +10,11 @@
 
 from soak.case import Case, Outcome
 
-TESTS = ("tests/ledger/test_escrow.py",
-         "tests/ledger/test_failures.py::test_random_interleavings_of_all_failures_keep_the_bound",
-         "tests/ledger/test_beginning.py::test_random_lives_keep_the_bound")
+TESTS = (
+    "tests/ledger/test_escrow.py",
+    "tests/ledger/test_failures.py::test_random_interleavings_of_all_failures_keep_the_bound",
+    "tests/ledger/test_beginning.py::test_random_lives_keep_the_bound",
+)
 PASSED = re.compile(r"(\d+) passed")
 
 
@@ -24,11 +26,20 @@
 
 def run(case: Case) -> Outcome:
     """One run of pytest in a process of its own."""
-    env = {**os.environ, "SOAK_SEED": str(case.seed), "LEDGER_EXAMPLES": str(case.size["examples"]),
-           "LEDGER_SCHEDULES": str(case.size["schedules"])}
+    env = {
+        **os.environ,
+        "SOAK_SEED": str(case.seed),
+        "LEDGER_EXAMPLES": str(case.size["examples"]),
+        "LEDGER_SCHEDULES": str(case.size["schedules"]),
+    }
     try:
-        done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", str(case.size["test"])],
-                              capture_output=True, text=True, env=env, timeout=1800)
+        done = subprocess.run(
+            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", str(case.size["test"])],
+            capture_output=True,
+            text=True,
+            env=env,
+            timeout=1800,
+        )
     except subprocess.TimeoutExpired:
         return Outcome("the tests did not end within half an hour", "ends")
     passed = PASSED.search(done.stdout)
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -23,15 +23,20 @@
 from standins.match import MatchServer, Shape
 from standins.records import Records, read_records
 
-CURL = ("curl -i -H 'X-Call-Id: mine-1' -H 'X-Call-Class: browse' -H 'X-Tier: basic' -H 'X-Budget: 2000m'"
-        " -H 'X-Call-Terms: units=1,spread={spread},first=0' http://{host}:{port}/api/00000000000003e7")
+CURL = (
+    "curl -i -H 'X-Call-Id: mine-1' -H 'X-Call-Class: browse' -H 'X-Tier: basic' -H 'X-Budget: 2000m'"
+    " -H 'X-Call-Terms: units=1,spread={spread},first=0' http://{host}:{port}/api/00000000000003e7"
+)
 
 
 def parser() -> argparse.ArgumentParser:
     p = argparse.ArgumentParser(prog="python -m standins", description=__doc__)
     sub = p.add_subparsers(dest="command", required=True)
-    f = sub.add_parser("fleet", help="ingresses among stand-ins, with traffic and an auditor",
-                       epilog="Fault scripts: TOML with [[fault]] tables; actions: " + ", ".join(ACTIONS))
+    f = sub.add_parser(
+        "fleet",
+        help="ingresses among stand-ins, with traffic and an auditor",
+        epilog="Fault scripts: TOML with [[fault]] tables; actions: " + ", ".join(ACTIONS),
+    )
     f.add_argument("--seconds", type=float, default=10.0, help="length of the traffic (default 10)")
     f.add_argument("--rate", type=float, default=120.0, help="first tries a second (default 120)")
     f.add_argument("--ingresses", type=int, default=3)
@@ -44,8 +49,13 @@
     f.add_argument("--faults", metavar="FILE", help="a fault script")
     f.add_argument("--records", metavar="FILE", help="write what stand-ins recorded, a JSON line each")
     whole = sub.add_parser("system", help="the whole system: core machines, proxies, and stand-ins around them")
-    whole.add_argument("--hold", type=float, default=0.0, metavar="SECONDS",
-                       help="no story: stay up for so long, with one configuration in force")
+    whole.add_argument(
+        "--hold",
+        type=float,
+        default=0.0,
+        metavar="SECONDS",
+        help="no story: stay up for so long, with one configuration in force",
+    )
     c = sub.add_parser("counter", help="the counter service alone")
     c.add_argument("--parts", type=int, default=1)
     c.add_argument("--per-s", type=float, default=0.0, help="calls a second of each part; 0 for no bound")
@@ -72,13 +82,18 @@
         assert fleet.front is not None
         t = fleet.front.tally
         at = asyncio.get_running_loop().time() - began
-        head = (f"{at:5.1f} s  sent {fleet.front.sent}  out {fleet.front.out}  200: {t.get(200, 0)}"
-                f"  429: {t.get(429, 0)}  503: {t.get(503, 0)}"
-                f"  other: {sum(n for s, n in t.items() if s not in (200, 429, 503))}"
-                f"  counter calls {fleet.counter.calls}")
+        head = (
+            f"{at:5.1f} s  sent {fleet.front.sent}  out {fleet.front.out}  200: {t.get(200, 0)}"
+            f"  429: {t.get(429, 0)}  503: {t.get(503, 0)}"
+            f"  other: {sum(n for s, n in t.items() if s not in (200, 429, 503))}"
+            f"  counter calls {fleet.counter.calls}"
+        )
         if live:
-            rows = [f"  {s.name:6} {s.address:16} inflight {s.inflight:3} queue {s.waiting:3} speed "
-                    f"{s.speed():4.2f}{'  draining' if s.draining else ''}" for s in fleet.servers]
+            rows = [
+                f"  {s.name:6} {s.address:16} inflight {s.inflight:3} queue {s.waiting:3} speed "
+                f"{s.speed():4.2f}{'  draining' if s.draining else ''}"
+                for s in fleet.servers
+            ]
             print("\x1b[2J\x1b[H" + "\n".join([head, *rows]), flush=True)
         else:
             print(head, flush=True)
@@ -89,13 +104,25 @@
         if getattr(args, key) < low:
             print(f"standins: --{key}: expected {low} or more, got {getattr(args, key)}", file=sys.stderr)
             return 2
-    options = Options(args.ingresses, args.servers, args.seconds, args.rate, args.seed, args.port,
-                      faults=tuple(read_script(args.faults)) if args.faults else (),
-                      move_s=args.move, deployment=DEPLOYMENTS[args.deployment], folders=args.folders)
+    options = Options(
+        args.ingresses,
+        args.servers,
+        args.seconds,
+        args.rate,
+        args.seed,
+        args.port,
+        faults=tuple(read_script(args.faults)) if args.faults else (),
+        move_s=args.move,
+        deployment=DEPLOYMENTS[args.deployment],
+        folders=args.folders,
+    )
 
     async def watch(f: Fleet) -> None:
-        print(f"{args.ingresses} ingresses, {args.servers} match servers. Try: "
-              + CURL.format(host=HOST, port=f.ingresses[0].port, spread=args.ingresses), flush=True)
+        print(
+            f"{args.ingresses} ingresses, {args.servers} match servers. Try: "
+            + CURL.format(host=HOST, port=f.ingresses[0].port, spread=args.ingresses),
+            flush=True,
+        )
         await table(f)
 
     with sink_of(args.records) as sink:
@@ -145,8 +172,10 @@
             lines = Path(args.file).read_text(encoding="utf-8").splitlines()
             d = DEPLOYMENTS[args.deployment]
             effects = {name: c.effect for name, c in d.classes.items()}
-            verdict = audit(read_records(lines, args.file), Rules(
-                d.plans, effects, cold_multiple=d.cold_multiple, cold_window=d.cold_window))
+            verdict = audit(
+                read_records(lines, args.file),
+                Rules(d.plans, effects, cold_multiple=d.cold_multiple, cold_window=d.cold_window),
+            )
             print("\n".join(verdict.lines()))
             return 0 if verdict.kept else 1
         if args.command == "system":
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -48,8 +48,8 @@
     cold_window: float = 1.5
     ceiling_s: float = 0.15  # what the ceiling's rate gives in this time is slack
     passed_on: bool = False  # a server's own 500 is its answer: the library passes it on
-    calm: bool = False       # no fault was caused
-    starved_tries: int = 3   # of one member refused with room in a calm run, and
+    calm: bool = False  # no fault was caused
+    starved_tries: int = 3  # of one member refused with room in a calm run, and
     starved_share: float = 0.05  # share of its tries, beyond which it is starved
 
 
@@ -92,11 +92,15 @@
 
     def lines(self) -> list[str]:
         """The verdict for people, one fact a line."""
-        out = [f"{'plan':10} {'class':14} {'tries':>7} {'served':>7} {'refused':>7} {'failed':>7}"
-               f" {'p50 ms':>7} {'p99 ms':>7}"]
+        out = [
+            f"{'plan':10} {'class':14} {'tries':>7} {'served':>7} {'refused':>7} {'failed':>7}"
+            f" {'p50 ms':>7} {'p99 ms':>7}"
+        ]
         for (plan, cls), f in sorted(self.figures.items()):
-            out.append(f"{plan:10} {cls:14} {f.tries:7} {f.served:7} {f.refused:7} {f.failed:7}"
-                       f" {f.quantile(0.5) * 1000:7.1f} {f.quantile(0.99) * 1000:7.1f}")
+            out.append(
+                f"{plan:10} {cls:14} {f.tries:7} {f.served:7} {f.refused:7} {f.failed:7}"
+                f" {f.quantile(0.5) * 1000:7.1f} {f.quantile(0.99) * 1000:7.1f}"
+            )
         for plan, units in sorted(self.over.items()):
             out.append(f"beyond quota, worst member of {plan}: {units:.2f} units")
         for plan, units in sorted(self.above.items()):
@@ -117,8 +121,13 @@
             asked[r.id] = r
         elif isinstance(r, Withdrawn):
             asked.pop(r.id, None)
-    breaches = [*_lost(ordered, asked, rules), *_twice(ordered, asked, rules), *_drains(ordered, rules),
-                *_cold(ordered, rules), *_faults(ordered, asked, rules)]
+    breaches = [
+        *_lost(ordered, asked, rules),
+        *_twice(ordered, asked, rules),
+        *_drains(ordered, rules),
+        *_cold(ordered, rules),
+        *_faults(ordered, asked, rules),
+    ]
     if rules.calm:
         breaches += _starved(ordered, asked, rules)
     over, above, beyond = _units(ordered, asked, rules)
@@ -215,8 +224,11 @@
             allowed = rules.cold_multiple * u.cores * speed * rules.cold_window
             work = sum(b.work for b in held)
             if work > allowed + 2 * max(b.work for b in held):
-                yield Breach("cold", r.at, f"{r.server}: {work:.2f} s of work in {rules.cold_window:g} s, "
-                                           f"{allowed:.2f} allowed")
+                yield Breach(
+                    "cold",
+                    r.at,
+                    f"{r.server}: {work:.2f} s of work in {rules.cold_window:g} s, " f"{allowed:.2f} allowed",
+                )
 
 
 def _faults(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
@@ -246,8 +258,11 @@
             refused[who] += stores[who].pour(r.at, 0.0, p.rate) <= p.burst / 2
     for who, count in sorted(refused.items()):
         if count > max(rules.starved_tries, rules.starved_share * tries[who]):
-            yield Breach("starved", ordered[-1].at, f"member {who[0]} of {who[1]}: {count} of {tries[who]} tries"
-                                                    " refused with half of its quota unused")
+            yield Breach(
+                "starved",
+                ordered[-1].at,
+                f"member {who[0]} of {who[1]}: {count} of {tries[who]} tries" " refused with half of its quota unused",
+            )
 
 
 class _Store:
@@ -264,8 +279,9 @@
         return self.level
 
 
-def _units(ordered: list[Record], asked: dict[str, Asked],
-           rules: Rules) -> tuple[dict[str, float], dict[str, float], list[Breach]]:
+def _units(
+    ordered: list[Record], asked: dict[str, Asked], rules: Rules
+) -> tuple[dict[str, float], dict[str, float], list[Breach]]:
     """Units beyond quota and ceiling, taken when a try's first attempt comes to a server."""
     quota: dict[tuple[int, str], _Store] = defaultdict(_Store)
     ceiling: dict[tuple[int, str], _Store] = defaultdict(_Store)
@@ -283,14 +299,21 @@
             beyond = quota[who].pour(r.at, a.units, p.rate) - p.burst
             over[a.plan] = max(over.get(a.plan, 0.0), beyond)
             if p.error is not None and beyond > p.error:
-                breaches.append(Breach("quota", r.at, f"member {a.member} of {a.plan}: {beyond:.2f} units"
-                                                      f" beyond its quota, {p.error:.2f} allowed"))
+                breaches.append(
+                    Breach(
+                        "quota",
+                        r.at,
+                        f"member {a.member} of {a.plan}: {beyond:.2f} units"
+                        f" beyond its quota, {p.error:.2f} allowed",
+                    )
+                )
         if p.ceiling_rate > 0:
             beyond = ceiling[who].pour(r.at, a.units, p.ceiling_rate) - p.ceiling_burst
             above[a.plan] = max(above.get(a.plan, -p.ceiling_burst), beyond)
             if beyond > rules.ceiling_s * p.ceiling_rate + p.ceiling_error:
-                breaches.append(Breach("ceiling", r.at, f"member {a.member} of {a.plan}: {beyond:.2f} units"
-                                                        f" beyond its ceiling"))
+                breaches.append(
+                    Breach("ceiling", r.at, f"member {a.member} of {a.plan}: {beyond:.2f} units" f" beyond its ceiling")
+                )
     return over, above, breaches
 
 
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -22,8 +22,15 @@
 class Counter(Service):
     """`per_s`: calls a second that each part serves, 0 for no bound; `delay`: seconds before each answer."""
 
-    def __init__(self, records: Records | None = None, seed: int = 0, parts: int = 1, per_s: float = 0.0,
-                 delay: float = 0.0, clock: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        records: Records | None = None,
+        seed: int = 0,
+        parts: int = 1,
+        per_s: float = 0.0,
+        delay: float = 0.0,
+        clock: Callable[[], float] = time.time,
+    ) -> None:
         super().__init__()
         self.records = records or Records()
         self.rng = random.Random(seed)
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -32,17 +32,28 @@
 
 MATCHING = Deployment(
     "matching",
-    {"browse": ClassShape("safe", 0.7), "send-message": ClassShape("keyed", 0.25),
-     "charge": ClassShape("unsafe", 0.05)},
+    {
+        "browse": ClassShape("safe", 0.7),
+        "send-message": ClassShape("keyed", 0.25),
+        "charge": ClassShape("unsafe", 0.05),
+    },
     {"basic": PlanRule(2.4, 10.0), "plus": PlanRule(16.0, 36.0, 29.0, 65.0)},
-    {"basic": 40, "plus": 8}, Shape(cores=3, work=0.03, cold=0.3, cold_s=5.0))
+    {"basic": 40, "plus": 8},
+    Shape(cores=3, work=0.03, cold=0.3, cold_s=5.0),
+)
 
 # The dear class must never run twice and is half of the traffic; no plan has a ceiling.
 BILLING = Deployment(
     "billing",
     {"share-read": ClassShape("safe", 0.51), "settle-post": ClassShape("unsafe", 0.49, 4.0)},
     {"klein": PlanRule(1.6, 7.0), "mittel": PlanRule(5.2, 24.0), "gross": PlanRule(21.0, 42.0)},
-    {"klein": 30, "mittel": 16, "gross": 4}, Shape(cores=2, work=0.03, cold=0.22, cold_s=6.0),
-    max_attempts=5, retry_after=True, cold_multiple=2.0, cold_window=3.0, worth={"share-read": 3.0, "settle-post": 9.0})
+    {"klein": 30, "mittel": 16, "gross": 4},
+    Shape(cores=2, work=0.03, cold=0.22, cold_s=6.0),
+    max_attempts=5,
+    retry_after=True,
+    cold_multiple=2.0,
+    cold_window=3.0,
+    worth={"share-read": 3.0, "settle-post": 9.0},
+)
 
 DEPLOYMENTS = {d.name: d for d in (MATCHING, BILLING)}
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -31,11 +31,20 @@
         self.silent = False
         self.wake = asyncio.Event()
 
-    def put(self, name: str, address: str, status: str = "SERVING", zone: str = "z0", cell: int = 0,
-            born: float = 0.0) -> None:
+    def put(
+        self, name: str, address: str, status: str = "SERVING", zone: str = "z0", cell: int = 0, born: float = 0.0
+    ) -> None:
         """A server's entry; status DELETED takes it off the list."""
-        entry = {"name": name, "address": address, "zone": zone, "type": "std", "group": cell,
-                 "status": status, "weight": 1.0, "since_ms": round(born * 1000)}
+        entry = {
+            "name": name,
+            "address": address,
+            "zone": zone,
+            "type": "std",
+            "group": cell,
+            "status": status,
+            "weight": 1.0,
+            "since_ms": round(born * 1000),
+        }
         self.index += 1
         self.changes.append((self.index, entry))
         if status == "DELETED":
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,11 +1,11 @@
 """Fault scripts: what goes wrong and when, read from TOML and checked before anything starts.
 
-    [[fault]]
-    at = 2.0             # seconds after the traffic begins
-    do = "match.silence"  # one of ACTIONS
-    target = 3           # number of the server, ingress or hall, where the action takes one
-    for = 1.5            # seconds until it ends, where the action has an end
-    value = 0.2          # share or seconds, where the action takes one
+[[fault]]
+at = 2.0             # seconds after the traffic begins
+do = "match.silence"  # one of ACTIONS
+target = 3           # number of the server, ingress or hall, where the action takes one
+for = 1.5            # seconds until it ends, where the action has an end
+value = 0.2          # share or seconds, where the action takes one
 """
 
 from __future__ import annotations
@@ -28,19 +28,31 @@
 
 
 ACTIONS = {
-    "counter.silence": Action(ends=True), "counter.refuse": Action(ends=True), "counter.restart": Action(),
-    "counter.lose": Action(ends=True, value=True), "counter.spoil": Action(ends=True, value=True),
-    "counter.delay": Action(ends=True, value=True), "counter.forget": Action(ends=True, value=True),
-    "counter.old": Action(ends=True), "counter.split": Action(target=True, ends=True),
+    "counter.silence": Action(ends=True),
+    "counter.refuse": Action(ends=True),
+    "counter.restart": Action(),
+    "counter.lose": Action(ends=True, value=True),
+    "counter.spoil": Action(ends=True, value=True),
+    "counter.delay": Action(ends=True, value=True),
+    "counter.forget": Action(ends=True, value=True),
+    "counter.old": Action(ends=True),
+    "counter.split": Action(target=True, ends=True),
     "counter.late": Action(target=True, ends=True, value=True),
-    "match.kill": Action(target=True, ends=True), "match.drain": Action(target=True, ends=True),
-    "match.silence": Action(target=True, ends=True), "match.slow": Action(True, True, True),
-    "match.errors": Action(True, True, True), "match.resets": Action(True, True, True),
-    "match.cuts": Action(True, True, True), "match.close_idle": Action(target=True),
+    "match.kill": Action(target=True, ends=True),
+    "match.drain": Action(target=True, ends=True),
+    "match.silence": Action(target=True, ends=True),
+    "match.slow": Action(True, True, True),
+    "match.errors": Action(True, True, True),
+    "match.resets": Action(True, True, True),
+    "match.cuts": Action(True, True, True),
+    "match.close_idle": Action(target=True),
     "hall.lose": Action(target=True, ends=True),
-    "discovery.silence": Action(ends=True), "relay.loss": Action(ends=True, value=True),
-    "relay.delay": Action(ends=True, value=True), "relay.isolate": Action(target=True, ends=True),
-    "ingress.kill": Action(target=True), "ingress.restart": Action(target=True),
+    "discovery.silence": Action(ends=True),
+    "relay.loss": Action(ends=True, value=True),
+    "relay.delay": Action(ends=True, value=True),
+    "relay.isolate": Action(target=True, ends=True),
+    "ingress.kill": Action(target=True),
+    "ingress.restart": Action(target=True),
 }
 
 
@@ -89,8 +101,7 @@
             raise BadScript(f"{where}: {key}: expected a number of 0 or more, to {LONGEST:g}, got {value!r:.40}")
     if isinstance(target := data.get("target", 0), bool) or not isinstance(target, int) or target < 0:
         raise BadScript(f"{where}: target: expected a whole number of 0 or more, got {target!r}")
-    return Fault(float(data["at"]), str(data["do"]), target, float(data.get("for", 0)),
-                 float(data.get("value", 0)))
+    return Fault(float(data["at"]), str(data["do"]), target, float(data.get("for", 0)), float(data.get("value", 0)))
 
 
 async def play(script: list[Fault], switch: Callable[[Fault, bool], Any]) -> None:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -66,18 +66,55 @@
 def settings(o: Options, me: int) -> dict[str, Any]:
     """What an ingress is told, in the words of its configuration."""
     d = o.deployment
-    classes = [{"name": name, "semantics": SEMANTICS[c.effect], "objective": c.budget, "hardLimit": c.budget,
-                "credit": d.worth.get(name, 1.0), "group": "all", "window": 15.0} for name, c in d.classes.items()]
-    plans = [{"name": name, "rate": p.rate, "storeSize": p.burst, "capRate": p.ceiling_rate,
-              "neverOverDepth": p.ceiling_burst, "pays": 1.0} for name, p in o.plans.items()]
-    return {"balancers": o.ingresses, "me": me, "zone": "z0", "step": 0.004, "classes": classes,
-            "plans": plans,
-            "extra": {"counter": True, "counterTimeout": 0.08, "maxUnits": 4, "truedUp": False,
-                      "peerInPerS": 100.0},
-            "limits": {"maxAttempts": d.max_attempts, "retryAfter": d.retry_after, "cancel": True, "peers": True,
-                       "connIdle": 15.0, "mayProbe": True, "connectTimeout": 0.5, "maxRetryAfter": 1.0},
-            "invariants": {"drainGrace": 1.0, "fallMultiple": d.cold_multiple, "tipAfter": d.cold_window,
-                           "startCapacity": o.shape.cold, "cold": o.shape.cold_s}}
+    classes = [
+        {
+            "name": name,
+            "semantics": SEMANTICS[c.effect],
+            "objective": c.budget,
+            "hardLimit": c.budget,
+            "credit": d.worth.get(name, 1.0),
+            "group": "all",
+            "window": 15.0,
+        }
+        for name, c in d.classes.items()
+    ]
+    plans = [
+        {
+            "name": name,
+            "rate": p.rate,
+            "storeSize": p.burst,
+            "capRate": p.ceiling_rate,
+            "neverOverDepth": p.ceiling_burst,
+            "pays": 1.0,
+        }
+        for name, p in o.plans.items()
+    ]
+    return {
+        "balancers": o.ingresses,
+        "me": me,
+        "zone": "z0",
+        "step": 0.004,
+        "classes": classes,
+        "plans": plans,
+        "extra": {"counter": True, "counterTimeout": 0.08, "maxUnits": 4, "truedUp": False, "peerInPerS": 100.0},
+        "limits": {
+            "maxAttempts": d.max_attempts,
+            "retryAfter": d.retry_after,
+            "cancel": True,
+            "peers": True,
+            "connIdle": 15.0,
+            "mayProbe": True,
+            "connectTimeout": 0.5,
+            "maxRetryAfter": 1.0,
+        },
+        "invariants": {
+            "drainGrace": 1.0,
+            "fallMultiple": d.cold_multiple,
+            "tipAfter": d.cold_window,
+            "startCapacity": o.shape.cold,
+            "cold": o.shape.cold_s,
+        },
+    }
 
 
 def hold_ports(count: int, first: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[socket.socket]:
@@ -122,8 +159,14 @@
     async def start(self) -> None:
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "thistleusher", *self.words, env={**os.environ, "PROXY_CONFIG": str(self.path)},
-                stdout=log, stderr=log)
+                sys.executable,
+                "-m",
+                "thistleusher",
+                *self.words,
+                env={**os.environ, "PROXY_CONFIG": str(self.path)},
+                stdout=log,
+                stderr=log,
+            )
 
     def move_counter(self, address: str) -> None:
         """Have it follow its counter elsewhere, by SIGHUP."""
@@ -177,8 +220,9 @@
         self.other = Counter(self.records, options.seed + 1, parts=2, per_s=2000.0, delay=0.001)  # the split's
         self.discovery = Discovery(self.records)
         self.keys = Keys()
-        self.servers = [MatchServer(f"s-{n}", self.records, options.shape, self.keys, options.seed)
-                        for n in range(options.servers)]
+        self.servers = [
+            MatchServer(f"s-{n}", self.records, options.shape, self.keys, options.seed) for n in range(options.servers)
+        ]
         self.ingresses: list[IngressProcess] = []
         self.relay: Relay | None = None
         self.front: Front | None = None
@@ -188,8 +232,9 @@
     def check(self, faults: Sequence[Fault]) -> None:
         """BadScript where a fault's target is not there."""
         for f in faults:
-            many = (self.o.servers if f.do.startswith("match.") else HALLS if f.do.startswith("hall.")
-                    else self.o.ingresses)
+            many = (
+                self.o.servers if f.do.startswith("match.") else HALLS if f.do.startswith("hall.") else self.o.ingresses
+            )
             if f.target >= many:
                 raise BadScript(f"{f.do}: target: expected a number below {many}, got {f.target}")
 
@@ -224,17 +269,32 @@
             for s in held:
                 s.close()
         for n in range(o.ingresses):
-            self.ingresses.append(IngressProcess(n, ports[n], {
-                "name": f"n{n}", "listen": f"{HOST}:{ports[n]}", "discovery": self.discovery.address,
-                "counter": self.counter.address, "peer_listen": f"{HOST}:{homes[n][1]}",
-                "peers": self.relay.addresses, "seed": f"{o.seed + n:x}",
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": self.discovery.listing(), "settings": settings(o, n)}, self.folder, o.folders))
+            self.ingresses.append(
+                IngressProcess(
+                    n,
+                    ports[n],
+                    {
+                        "name": f"n{n}",
+                        "listen": f"{HOST}:{ports[n]}",
+                        "discovery": self.discovery.address,
+                        "counter": self.counter.address,
+                        "peer_listen": f"{HOST}:{homes[n][1]}",
+                        "peers": self.relay.addresses,
+                        "seed": f"{o.seed + n:x}",
+                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                        "known": self.discovery.listing(),
+                        "settings": settings(o, n),
+                    },
+                    self.folder,
+                    o.folders,
+                )
+            )
             await self.ingresses[n].start()
         for ingress in self.ingresses:
             await ingress.ready()
-        traffic = Traffic(o.seconds, o.rate, o.members, o.deployment.classes, seed=o.seed, spread=o.ingresses,
-                          move_s=o.move_s)
+        traffic = Traffic(
+            o.seconds, o.rate, o.members, o.deployment.classes, seed=o.seed, spread=o.ingresses, move_s=o.move_s
+        )
         self.front = Front([(HOST, p) for p in ports], traffic, self.records)
 
     async def run(self, watch: Callable[[], Coroutine[Any, Any, None]] | None = None) -> Verdict:
@@ -252,8 +312,12 @@
                         await task
         d = self.o.deployment
         effects = {name: c.effect for name, c in d.classes.items()}
-        return audit(self.records.all, Rules(self.o.plans, effects, calm=not self.o.faults,
-                                             cold_multiple=d.cold_multiple, cold_window=d.cold_window))
+        return audit(
+            self.records.all,
+            Rules(
+                self.o.plans, effects, calm=not self.o.faults, cold_multiple=d.cold_multiple, cold_window=d.cold_window
+            ),
+        )
 
     async def stop(self) -> None:
         """End all that was started, the ingresses in order."""
@@ -262,8 +326,9 @@
         await asyncio.gather(*(i.end() for i in self.ingresses))
         if self.relay is not None:
             self.relay.stop()
-        await asyncio.gather(self.counter.stop(), self.other.stop(), self.discovery.stop(),
-                             *(s.stop() for s in self.servers))
+        await asyncio.gather(
+            self.counter.stop(), self.other.stop(), self.discovery.stop(), *(s.stop() for s in self.servers)
+        )
 
     def list(self, number: int, status: str = "SERVING") -> None:
         """Put a server on the list, as discovery tells it."""
@@ -342,8 +407,9 @@
         ingresses = self.ingresses[hall::HALLS]
         for ingress in ingresses:
             self.records.add(Crashed(time.time(), str(ingress.number)))
-        await asyncio.gather(*(i.end(signal.SIGKILL) for i in ingresses),
-                             *(s.stop() for s in self.servers[hall::HALLS]))
+        await asyncio.gather(
+            *(i.end(signal.SIGKILL) for i in ingresses), *(s.stop() for s in self.servers[hall::HALLS])
+        )
         for ingress in ingresses:
             self.records.add(Crashed(time.time(), str(ingress.number)))
         if hall == 0:
@@ -390,8 +456,9 @@
     return used.ru_utime + used.ru_stime
 
 
-async def run_fleet(options: Options, watch: Callable[[Fleet], Coroutine[Any, Any, None]] | None = None,
-                    records: Records | None = None) -> tuple[Verdict, float, int]:
+async def run_fleet(
+    options: Options, watch: Callable[[Fleet], Coroutine[Any, Any, None]] | None = None, records: Records | None = None
+) -> tuple[Verdict, float, int]:
     """Start, run and stop a fleet; gives the verdict, CPU seconds of the ingresses, and the tries sent."""
     before = children_cpu()
     with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
--- a/standins/front.py
+++ b/standins/front.py
@@ -77,8 +77,19 @@
         if traffic.move_s > 0:
             step = int(at // traffic.move_s) % spread
         ingress = (first + step) % ingresses
-        out.append(Plan(at, f"op{len(out)}", member, plan, rng.choices(names, shares)[0],
-                        rng.randint(1, traffic.most_units), ingress, first, spread))
+        out.append(
+            Plan(
+                at,
+                f"op{len(out)}",
+                member,
+                plan,
+                rng.choices(names, shares)[0],
+                rng.randint(1, traffic.most_units),
+                ingress,
+                first,
+                spread,
+            )
+        )
     return out
 
 
@@ -92,8 +103,13 @@
 class Front:
     """Sends what was drawn, and keeps what came of it in records."""
 
-    def __init__(self, ingresses: Sequence[tuple[str, int]], traffic: Traffic, records: Records | None = None,
-                 clock: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        ingresses: Sequence[tuple[str, int]],
+        traffic: Traffic,
+        records: Records | None = None,
+        clock: Callable[[], float] = time.time,
+    ) -> None:
         self.ingresses, self.traffic, self.clock = list(ingresses), traffic, clock
         self.records = records or Records()
         self.idle: list[list[Line]] = [[] for _ in ingresses]
@@ -141,12 +157,14 @@
                 return answered
         return None
 
-    async def exchange(self, plan: Plan, name: str, number: int, line: Line, raw: bytes,
-                       again: bool, used: bool) -> Answered | None:
+    async def exchange(
+        self, plan: Plan, name: str, number: int, line: Line, raw: bytes, again: bool, used: bool
+    ) -> Answered | None:
         """One try at one ingress; None where it was never taken."""
         budget = self.traffic.classes[plan.cls].budget
-        asked = Asked(self.clock(), name, plan.op, str(number), plan.member, plan.plan, plan.cls, plan.units,
-                      budget, again)
+        asked = Asked(
+            self.clock(), name, plan.op, str(number), plan.member, plan.plan, plan.cls, plan.units, budget, again
+        )
         self.records.add(asked)
         self.sent += 1
         status, after, body = 0, 0.0, ""
@@ -192,10 +210,15 @@
 
     def message(self, plan: Plan, name: str, again: bool) -> bytes:
         cls = self.traffic.classes[plan.cls]
-        lines = [f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{plan.member:016x} HTTP/1.1",
-                 "Host: backend.local", f"X-Call-Id: {name}", f"X-Call-Class: {plan.cls}",
-                 f"X-Tier: {plan.plan}", f"X-Budget: {round(cls.budget * 1000)}m",
-                 f"X-Call-Terms: units={plan.units},spread={plan.spread},first={plan.first}"]
+        lines = [
+            f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{plan.member:016x} HTTP/1.1",
+            "Host: backend.local",
+            f"X-Call-Id: {name}",
+            f"X-Call-Class: {plan.cls}",
+            f"X-Tier: {plan.plan}",
+            f"X-Budget: {round(cls.budget * 1000)}m",
+            f"X-Call-Terms: units={plan.units},spread={plan.spread},first={plan.first}",
+        ]
         if cls.effect == "keyed":
             lines.append(f"Idempotency-Key: {plan.op}")
         if again:
--- a/standins/match.py
+++ b/standins/match.py
@@ -51,8 +51,15 @@
 class MatchServer(Service):
     """One server. Requests without `X-Call-Id` are answered 404, as no client sent them."""
 
-    def __init__(self, name: str, records: Records | None = None, shape: Shape | None = None,
-                 keys: Keys | None = None, seed: int = 0, clock: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        name: str,
+        records: Records | None = None,
+        shape: Shape | None = None,
+        keys: Keys | None = None,
+        seed: int = 0,
+        clock: Callable[[], float] = time.time,
+    ) -> None:
         super().__init__()
         self.name, self.records, self.shape = name, records or Records(), shape or Shape()
         self.keys, self.seed, self.clock = keys or Keys(clock=clock), seed, clock
@@ -119,8 +126,7 @@
         finally:
             self.inflight -= 1
 
-    async def run(self, name: str, key: str, work: float, draw: random.Random,
-                  connection: Connection) -> bytes | None:
+    async def run(self, name: str, key: str, work: float, draw: random.Random, connection: Connection) -> bytes | None:
         self.waiting += 1
         try:
             await self.slots.acquire()
--- a/standins/records.py
+++ b/standins/records.py
@@ -98,8 +98,7 @@
 
 
 Record = Union[Asked, Answered, Withdrawn, Began, Ran, Up, Told, Added, Crashed]
-KINDS: dict[str, Any] = {k.__name__: k for k in (
-    Asked, Answered, Withdrawn, Began, Ran, Up, Told, Added, Crashed)}
+KINDS: dict[str, Any] = {k.__name__: k for k in (Asked, Answered, Withdrawn, Began, Ran, Up, Told, Added, Crashed)}
 
 
 class Records:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -33,13 +33,13 @@
 class Relay:
     """`loss`: share of datagrams that are lost; `delay`: seconds at most by which each is late."""
 
-    def __init__(self, homes: Sequence[Address], seed: int = 0, loss: float = 0.0,
-                 delay: float = 0.0) -> None:
+    def __init__(self, homes: Sequence[Address], seed: int = 0, loss: float = 0.0, delay: float = 0.0) -> None:
         self.homes = list(homes)
         self.numbers = {home: n for n, home in enumerate(homes)}
         self.loss, self.delay = loss, delay
-        self.draws = {(a, b): random.Random(f"{seed} {a} {b}") for a in range(len(homes))
-                      for b in range(len(homes))}  # one stream a pair: what others send changes nothing
+        self.draws = {
+            (a, b): random.Random(f"{seed} {a} {b}") for a in range(len(homes)) for b in range(len(homes))
+        }  # one stream a pair: what others send changes nothing
         self.cut: set[int] = set()
         self.doors: list[Door] = []
         self.carried = self.lost = 0
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -75,8 +75,15 @@
     assert rig.script.events[-1] == io.ClientGone("r1")
 
 
-@pytest.mark.parametrize("cls,writes,verdict", [("read", True, Verdict.NO_ROOM), ("pay", True, Verdict.NO_ROOM),
-                                                ("once", True, Verdict.FAILED), ("once", False, Verdict.NO_ROOM)])
+@pytest.mark.parametrize(
+    "cls,writes,verdict",
+    [
+        ("read", True, Verdict.NO_ROOM),
+        ("pay", True, Verdict.NO_ROOM),
+        ("once", True, Verdict.FAILED),
+        ("once", False, Verdict.NO_ROOM),
+    ],
+)
 def test_what_may_have_run_is_refused_only_where_repeats_are_harmless(cls, writes, verdict):
     rig = Rig(on_request(io.Attempt("r1", "b0")), writes)
     rig.take(cls=cls)
@@ -140,10 +147,12 @@
 
     Found by a hunt: an answer of 503 at 36.215 s, and the request at a backend at 36.262 s (REFUSED).
     """
+
     def decide(e):
         if isinstance(e, io.Request):
             return [io.Attempt("r1", "b0")]
         return [io.Attempt("r1", "b1")] if isinstance(e, io.AttemptEnded) and not e.done else []
+
     rig = Rig(decide, writes=False)
     rig.take(cls="once")
     rig.writes = True  # the second one would be written at once
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -27,15 +27,37 @@
 
 def settings(me: int, **changes: Any) -> dict[str, Any]:
     """Settings as a configuration holds them; the plans' quotas are felt within the played minutes."""
-    classes = [{"name": name, "semantics": how, "objective": 20.0, "hardLimit": 60.0, "group": "all", "window": 15.0}
-               for name, how in (("browse", "retryable"), ("send-message", "dedup"), ("charge", "fragile"))]
-    plans = [{"name": "basic", "rate": 2.4, "storeSize": 10.0},
-             {"name": "plus", "rate": 16.0, "storeSize": 36.0, "capRate": 29.0, "neverOverDepth": 65.0}]
-    return {"balancers": INSTANCES, "me": me, "classes": classes, "plans": plans, "step": 0.004,
-            "extra": {"counter": True, "counterTimeout": changes.get("timeout", 5.0), "maxUnits": 4, "truedUp": True,
-                      "peerInPerS": 100.0},
-            "limits": {"maxAttempts": 1, "cancel": True, "peers": True, "connIdle": 15.0, "connectTimeout": 2.0,
-                       "maxRetryAfter": 1.0, "ownBackends": True}}
+    classes = [
+        {"name": name, "semantics": how, "objective": 20.0, "hardLimit": 60.0, "group": "all", "window": 15.0}
+        for name, how in (("browse", "retryable"), ("send-message", "dedup"), ("charge", "fragile"))
+    ]
+    plans = [
+        {"name": "basic", "rate": 2.4, "storeSize": 10.0},
+        {"name": "plus", "rate": 16.0, "storeSize": 36.0, "capRate": 29.0, "neverOverDepth": 65.0},
+    ]
+    return {
+        "balancers": INSTANCES,
+        "me": me,
+        "classes": classes,
+        "plans": plans,
+        "step": 0.004,
+        "extra": {
+            "counter": True,
+            "counterTimeout": changes.get("timeout", 5.0),
+            "maxUnits": 4,
+            "truedUp": True,
+            "peerInPerS": 100.0,
+        },
+        "limits": {
+            "maxAttempts": 1,
+            "cancel": True,
+            "peers": True,
+            "connIdle": 15.0,
+            "connectTimeout": 2.0,
+            "maxRetryAfter": 1.0,
+            "ownBackends": True,
+        },
+    }
 
 
 class Script:
@@ -95,8 +117,11 @@
         self.replies += isinstance(event, io.CounterReply)
         self.heard += isinstance(event, io.PeerMessage)
         self.calls += sum(isinstance(a, io.CounterAdd) for a in actions)
-        self.told += sum(len(self.there) - 1 if a.peer is None else a.peer < len(self.there)
-                         for a in actions if isinstance(a, io.Tell))
+        self.told += sum(
+            len(self.there) - 1 if a.peer is None else a.peer < len(self.there)
+            for a in actions
+            if isinstance(a, io.Tell)
+        )
         return actions
 
     def __getattr__(self, name: str) -> Any:
@@ -179,8 +204,10 @@
 
     async def quiet(self) -> None:
         """Every call has its reply and every datagram has come."""
-        while not (all(r.calls == r.replies for r in self.recorders)
-                   and sum(r.told for r in self.recorders) == sum(r.heard for r in self.recorders)):
+        while not (
+            all(r.calls == r.replies for r in self.recorders)
+            and sum(r.told for r in self.recorders) == sum(r.heard for r in self.recorders)
+        ):
             await asyncio.sleep(0)
 
     async def advance(self, seconds: float) -> None:
@@ -202,10 +229,21 @@
         discovery.put("app", app.address)
         port = closed_port()
         path = self.changes["folder"] / f"{n}.json"
-        path.write_text(json.dumps({
-            "name": f"n{n}", "listen": f"{HOST}:{port}", "discovery": discovery.address, "seed": f"{n + 1:x}",
-            "counter": self.counter.address, "peer_listen": self.peers[n], "peers": self.peers,
-            "known": discovery.listing(), "settings": settings(n, **self.changes)}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": f"n{n}",
+                    "listen": f"{HOST}:{port}",
+                    "discovery": discovery.address,
+                    "seed": f"{n + 1:x}",
+                    "counter": self.counter.address,
+                    "peer_listen": self.peers[n],
+                    "peers": self.peers,
+                    "known": discovery.listing(),
+                    "settings": settings(n, **self.changes),
+                }
+            )
+        )
         daemon = Daemon(read_config({"PROXY_CONFIG": str(path)}), self.unix(), self.script)
         driver = daemon.ingress.driver
         driver.gateway = self.record(driver.gateway)
@@ -226,8 +264,14 @@
 
     async def open(self, n: int) -> int:
         told, _ = nested_settings(settings(n, **self.changes))
-        ingress = EmbeddedIngress(told, counter=self.counter.address, clock=self.unix(), scheduler=self.script,
-                                  peers=PeerAddresses(self.peers[n], tuple(self.peers)), seed=n + 1)
+        ingress = EmbeddedIngress(
+            told,
+            counter=self.counter.address,
+            clock=self.unix(),
+            scheduler=self.script,
+            peers=PeerAddresses(self.peers[n], tuple(self.peers)),
+            seed=n + 1,
+        )
         with patch("thistleusher.embed.ingress.make_gateway", lambda *a: self.record(make_gateway(*a))):
             await ingress.open()
         host = Host(QuotaMiddleware(self.apps[n], ingress, decimal_retry_after=True))
--- a/tests/embed/host.py
+++ b/tests/embed/host.py
@@ -23,8 +23,9 @@
         self.outof: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
 
     async def start(self, port: int = 0) -> None:
-        self.lifespan = asyncio.create_task(self.app({"type": "lifespan", "asgi": {"version": "3.0"}, "state": {}},
-                                                     self.into.get, self.outof.put))
+        self.lifespan = asyncio.create_task(
+            self.app({"type": "lifespan", "asgi": {"version": "3.0"}, "state": {}}, self.into.get, self.outof.put)
+        )
         await self.into.put({"type": "lifespan.startup"})
         message = await self.outof.get()
         assert message["type"] == "lifespan.startup.complete", message
@@ -44,10 +45,20 @@
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
         name = message.headers.get("x-call-id", "")
-        scope = {"type": "http", "asgi": {"version": "3.0", "spec_version": "2.4"}, "http_version": "1.1",
-                 "method": method, "scheme": "http", "path": path, "raw_path": path.encode(),
-                 "query_string": query.encode(), "root_path": "", "client": ("127.0.0.1", 1), "server": None,
-                 "headers": [(k.encode(), v.encode()) for k, v in message.headers.items()]}
+        scope = {
+            "type": "http",
+            "asgi": {"version": "3.0", "spec_version": "2.4"},
+            "http_version": "1.1",
+            "method": method,
+            "scheme": "http",
+            "path": path,
+            "raw_path": path.encode(),
+            "query_string": query.encode(),
+            "root_path": "",
+            "client": ("127.0.0.1", 1),
+            "server": None,
+            "headers": [(k.encode(), v.encode()) for k, v in message.headers.items()],
+        }
         exchange = Exchange(message, connection)
         task = self.running[name] = asyncio.create_task(self.app(scope, exchange.receive, exchange.send))
         gone = asyncio.create_task(exchange.watch())
@@ -98,14 +109,16 @@
             self.chunked = not any(n.lower() == b"content-length" for n, _ in headers)
             if self.chunked:
                 headers.append((b"transfer-encoding", b"chunked"))
-            writer.write(b"HTTP/1.1 %d X\r\n" % message["status"]
-                         + b"".join(b"%s: %s\r\n" % h for h in headers) + b"\r\n")
+            writer.write(
+                b"HTTP/1.1 %d X\r\n" % message["status"] + b"".join(b"%s: %s\r\n" % h for h in headers) + b"\r\n"
+            )
         elif message["type"] == "http.response.body":
             body = message.get("body", b"")
             self.complete = not message.get("more_body", False)
             if self.chunked:
-                writer.write((b"%x\r\n%s\r\n" % (len(body), body) if body else b"")
-                             + (b"0\r\n\r\n" if self.complete else b""))
+                writer.write(
+                    (b"%x\r\n%s\r\n" % (len(body), body) if body else b"") + (b"0\r\n\r\n" if self.complete else b"")
+                )
             else:
                 writer.write(body)
             await writer.drain()
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -19,8 +19,17 @@
     from thistleusher import interface as io
 
     plan = io.PlanSettings("basic", rate=0.001, burst=8.0)
-    return Settings(classes=(SAFE, KEYED, UNSAFE), plans=(plan,), instances=2, me=me, counter_timeout=1.0,
-                    max_units=4.0, max_retry_after=1.0, peers=True, peer_in_per_s=100.0)
+    return Settings(
+        classes=(SAFE, KEYED, UNSAFE),
+        plans=(plan,),
+        instances=2,
+        me=me,
+        counter_timeout=1.0,
+        max_units=4.0,
+        max_retry_after=1.0,
+        peers=True,
+        peer_in_per_s=100.0,
+    )
 
 
 async def app(scope, receive, send):
@@ -36,9 +45,12 @@
 
 
 async def main(config) -> None:
-    ingress = EmbeddedIngress(crash_settings(0), counter=config["counter"],
-                              peers=PeerAddresses(config["peers"][0], tuple(config["peers"])),
-                              clock=lambda: time.time() + config["ahead"])
+    ingress = EmbeddedIngress(
+        crash_settings(0),
+        counter=config["counter"],
+        peers=PeerAddresses(config["peers"][0], tuple(config["peers"])),
+        clock=lambda: time.time() + config["ahead"],
+    )
     await ingress.open()
     gateway = ingress.driver.gateway
     gateway.fleet.slots = 100.0  # the limit is another test's matter
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -40,8 +40,9 @@
 
 
 async def say(send, status=200, body=b"fine", headers=()):
-    await send({"type": "http.response.start", "status": status, "headers": [(b"content-length", b"%d" % len(body)),
-                                                                              *headers]})
+    await send(
+        {"type": "http.response.start", "status": status, "headers": [(b"content-length", b"%d" % len(body)), *headers]}
+    )
     await send({"type": "http.response.body", "body": body})
 
 
@@ -81,6 +82,7 @@
             assert [a[0] for a in answers] == [200, 200, 200, 429]
             assert answers[-1][1]["retry-after"] == "1" and answers[-1][1]["ratelimit"].startswith('"basic";r=0;')
             assert sum(rig.counter.totals().values()) == 8.0 and nothing_held(rig.ingress)
+
     run(main())
 
 
@@ -101,6 +103,7 @@
             for name in ("r3", "r4"):  # what cannot be meant is left out
                 assert (await client.ask(raw(name, path="/api/000000000000000b")))[0] == 200
             assert rig.ingress.room(11, "basic") == 4.0
+
     run(main())
 
 
@@ -121,6 +124,7 @@
                 await send({"type": "http.response.body", "body": b"x"})
 
         async with Rig(act) as rig:
+
             async def once(name, cls="read"):
                 client = await rig.client()
                 member = f"/api/{len(name):016x}"  # a quota for each
@@ -138,6 +142,7 @@
             assert await once("body") == 500 and "before its response" in str(rig.host.errors.pop())
             await until(lambda: not rig.host.running)
             assert set(rig.host.answers.values()) <= {0, 1} and nothing_held(rig.ingress)
+
     run(main())
 
 
@@ -161,6 +166,7 @@
             answer = await client.reader.readuntil(b"0\r\n\r\n")
             assert b" 200 " in answer and b"one " in answer and b"two" in answer
             await until(lambda: nothing_held(rig.ingress))
+
     run(main())
 
 
@@ -188,6 +194,7 @@
             stubborn.set()
             await until(lambda: not rig.host.running)
             assert rig.host.answers == {"r1": 1, "r2": 1, "stubborn": 1} and nothing_held(rig.ingress)
+
     run(main())
 
 
@@ -237,6 +244,7 @@
             await until(lambda: sum(counter.totals().values()) == (2.0 if where == "identify" else 4.0))
             assert rig.host.answers["cut"] == (where == "answer")
         await counter.stop()
+
     run(main())
 
 
@@ -265,6 +273,7 @@
             await until(lambda: nothing_held(rig.ingress) and not rig.host.running)
             assert rig.host.answers == {"r1": int(midway)} and not rig.host.errors
             assert sum(rig.counter.totals().values()) == 2.0
+
     run(main())
 
 
@@ -287,15 +296,24 @@
             await QuotaMiddleware(rig.app, rig.ingress)(scope, receive, send)
             assert sent == ["out"] and rig.app.scopes[-1] is scope and list(scope) == ["type", "path", "headers"]
             assert rig.app.scopes[0]["type"] == "lifespan" and rig.counter.totals() == {}
+
     run(main())
 
 
-@pytest.mark.parametrize("bad,status", [
-    (dict(X_Tier="gold"), 400), (dict(X_Tier=None), 400), (dict(path="/api/x"), 404),
-    (dict(X_Call_Terms="units=0,spread=1,first=0"), 400), (dict(X_Call_Terms="units=nan,spread=1,first=0"), 400),
-    (dict(X_Call_Terms="units=5,spread=1,first=0"), 400), (dict(X_Call_Id=None), 400), (dict(X_Budget="1h"), 400),
-    (dict(path="/api/ffffffffffffffff"), 400),
-])
+@pytest.mark.parametrize(
+    "bad,status",
+    [
+        (dict(X_Tier="gold"), 400),
+        (dict(X_Tier=None), 400),
+        (dict(path="/api/x"), 404),
+        (dict(X_Call_Terms="units=0,spread=1,first=0"), 400),
+        (dict(X_Call_Terms="units=nan,spread=1,first=0"), 400),
+        (dict(X_Call_Terms="units=5,spread=1,first=0"), 400),
+        (dict(X_Call_Id=None), 400),
+        (dict(X_Budget="1h"), 400),
+        (dict(path="/api/ffffffffffffffff"), 400),
+    ],
+)
 def test_a_bad_mapping_is_the_daemons_4xx_counted_and_not_charged(bad, status):
     async def main():
         async def act(scope, receive, send):
@@ -306,14 +324,23 @@
             answer = await client.ask(call("r1", **{**dict(X_Call_Terms=TERMS), **bad}))
             assert answer[0] == status and answer[2]
             assert rig.ingress.invalid == 1 and rig.counter.totals() == {} and nothing_held(rig.ingress)
+
     run(main())
 
 
-@pytest.mark.parametrize("mapped,status", [
-    (Call(7, "gold", "read"), 400), (Call(7, "basic", "read", 0.0), 400), (Call(7, "basic", "read", math.nan), 400),
-    (None, 400), (Call(None, "basic", "read"), 400), (BadRequest("no member"), 400), (PASS, 200),
-    (Call(7, "basic", "read"), 200),
-])
+@pytest.mark.parametrize(
+    "mapped,status",
+    [
+        (Call(7, "gold", "read"), 400),
+        (Call(7, "basic", "read", 0.0), 400),
+        (Call(7, "basic", "read", math.nan), 400),
+        (None, 400),
+        (Call(None, "basic", "read"), 400),
+        (BadRequest("no member"), 400),
+        (PASS, 200),
+        (Call(7, "basic", "read"), 200),
+    ],
+)
 def test_a_hosts_own_mapping_is_checked_the_same(mapped, status):
     async def main():
         async def act(scope, receive, send):
@@ -329,6 +356,7 @@
             assert (await client.ask(raw()))[0] == status
             assert rig.ingress.invalid == (status == 400)
             assert sum(rig.counter.totals().values()) == (1.0 if isinstance(mapped, Call) and status == 200 else 0.0)
+
     run(main())
 
 
@@ -346,6 +374,7 @@
             assert "charged twice" in str(nested.errors.pop())
             assert sum(rig.counter.totals().values()) == 4.0 and nothing_held(rig.ingress)
             await nested.stop()
+
     run(main())
 
 
@@ -358,6 +387,7 @@
             await rig.ingress.close()
             assert (await (await rig.client()).ask(raw()))[0] == 500
             assert isinstance(rig.host.errors[0], RuntimeError) and "closed" in str(rig.host.errors[0])
+
     run(main())
 
 
@@ -376,6 +406,7 @@
             assert (await two.ask(raw("same")))[0] == 400
             go.set()
             assert (await one.answer())[0] == 200 and sum(rig.counter.totals().values()) == 2.0
+
     run(main())
 
 
@@ -391,13 +422,16 @@
             async def parts():
                 for n in range(3):
                     yield f"{n} "
+
             return StreamingResponse(parts())
 
         identify = [lambda scope: Call(3, "basic", "read", 2.0) if scope["path"] != "/health" else PASS]
         if framework == "starlette":
-            app = Starlette(routes=[Route(p, e) for p, e in (("/i", items), ("/s", stream), ("/health", items))],
-                            lifespan=ingress.lifespan,
-                            middleware=[Middleware(QuotaMiddleware, ingress=ingress, identify=identify[0])])
+            app = Starlette(
+                routes=[Route(p, e) for p, e in (("/i", items), ("/s", stream), ("/health", items))],
+                lifespan=ingress.lifespan,
+                middleware=[Middleware(QuotaMiddleware, ingress=ingress, identify=identify[0])],
+            )
         else:
             app = FastAPI(lifespan=ingress.lifespan)
             app.add_middleware(QuotaMiddleware, ingress=ingress, identify=identify[0], ratelimit_fields=True)
@@ -419,6 +453,7 @@
         await host.stop()
         with pytest.raises(RuntimeError, match="closed"):
             ingress.admit(Call(3, "basic", "read"))
+
     run(main())
 
 
@@ -448,5 +483,6 @@
             assert len(refused) >= 30 and set(refused) == {(503, True)}  # at once, while the others are held
             go.set()
             await asyncio.gather(*tasks)
-            assert {s for s, _ in done[len(refused):]} == {200} and nothing_held(rig.ingress)
+            assert {s for s, _ in done[len(refused) :]} == {200} and nothing_held(rig.ingress)
+
     run(main())
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -49,9 +49,11 @@
         cls = rng.choices(list(EFFECTS), (0.65, 0.25, 0.1))[0]
         units, first = rng.randint(1, 4), member % INSTANCES
         lines: dict[str, str | None] = {
-            "X_Tier": plan, "X_Call_Terms": f"units={units},spread=3,first={first}",
+            "X_Tier": plan,
+            "X_Call_Terms": f"units={units},spread=3,first={first}",
             "X_Again": "1" if n % 7 == 0 else None,
-            "Idempotency_Key": f"k{n}" if cls == "send-message" else None}
+            "Idempotency_Key": f"k{n}" if cls == "send-message" else None,
+        }
         if n % 97 == 0:
             lines["X_Tier"] = "gold"
         if n % 101 == 0:
@@ -59,8 +61,17 @@
         path = f"/api/{member:016x}" if n % 103 else "/nowhere"
         raw = call(f"q{n}", cls, budget="30000m", path=path, **lines)
         raw = raw if cls != "browse" else raw.replace(b"POST ", b"GET ", 1)
-        out.append(Step(rng.expovariate(25.0), (first + rng.choice((0, 0, 0, 1, 2))) % INSTANCES, f"q{n}", raw,
-                        rng.expovariate(100.0), rng.random() < 0.02, rng.choice(("", "", "1", "3.5", "junk"))))
+        out.append(
+            Step(
+                rng.expovariate(25.0),
+                (first + rng.choice((0, 0, 0, 1, 2))) % INSTANCES,
+                f"q{n}",
+                raw,
+                rng.expovariate(100.0),
+                rng.random() < 0.02,
+                rng.choice(("", "", "1", "3.5", "junk")),
+            )
+        )
     return out
 
 
@@ -114,8 +125,11 @@
 
     daemon, middleware = asyncio.run(asyncio.wait_for(main(), 120))
     # The one difference that is meant: an application's own 500 is its answer, a backend's is not passed on.
-    wrong = [(s.name, a, b) for s, a, b in zip(steps, daemon.answers, middleware.answers, strict=True)
-             if a != b and not (s.error and a[0] in (502, 503) and b[0] == 500)]
+    wrong = [
+        (s.name, a, b)
+        for s, a, b in zip(steps, daemon.answers, middleware.answers, strict=True)
+        if a != b and not (s.error and a[0] in (502, 503) and b[0] == 500)
+    ]
     assert not wrong, wrong[:5]
     for one, other in zip(daemon.logs, middleware.logs, strict=True):
         for a, b in zip(one, other, strict=True):
@@ -134,8 +148,11 @@
     async def main():
         counter = Counter(seed=3, delay=0.001)
         await counter.start()
-        classes = {"browse": ClassShape("safe", 0.65, 2.0), "send-message": ClassShape("keyed", 0.25, 2.0),
-                   "charge": ClassShape("unsafe", 0.1, 2.0)}
+        classes = {
+            "browse": ClassShape("safe", 0.65, 2.0),
+            "send-message": ClassShape("keyed", 0.25, 2.0),
+            "charge": ClassShape("unsafe", 0.1, 2.0),
+        }
         traffic = Traffic(3.0, 150.0, {"basic": 30, "plus": 6}, classes, seed=9)
         async with FORMS[form](None, counter, folder=tmp_path, timeout=0.08) as fleet:
             for app in fleet.apps:
@@ -163,8 +180,11 @@
             counter.refusing = False
             await running
         await counter.stop()
-        rules = Rules({"basic": PlanRule(2.4, 10.0), "plus": PlanRule(16.0, 36.0, 29.0, 65.0)}, EFFECTS,
-                      passed_on=form == "middleware")
+        rules = Rules(
+            {"basic": PlanRule(2.4, 10.0), "plus": PlanRule(16.0, 36.0, 29.0, 65.0)},
+            EFFECTS,
+            passed_on=form == "middleware",
+        )
         verdict = audit(fleet.records.all, rules)
         assert verdict.kept, verdict.lines()
         assert front.sent > 360 and front.tally[200] > 150 and front.tally.get(429, 0) > 0
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -24,6 +24,7 @@
 
 async def with_host(ask, **options):
     """A host whose member has spent its quota, and what `ask` makes of it."""
+
     async def act(scope, receive, send):
         await say(send)
 
@@ -51,8 +52,12 @@
                 return True
 
         with urllib3.PoolManager() as pool, pytest.raises(urllib3.exceptions.MaxRetryError):
-            pool.request("GET", f"http://127.0.0.1:{port}{PATH}", headers={**HEADERS, "X-Call-Id": "u"},
-                         retries=Waits(total=2, status_forcelist=[429], allowed_methods=None))
+            pool.request(
+                "GET",
+                f"http://127.0.0.1:{port}{PATH}",
+                headers={**HEADERS, "X-Call-Id": "u"},
+                retries=Waits(total=2, status_forcelist=[429], allowed_methods=None),
+            )
         return waited
 
     waited = run(with_host(lambda port: asyncio.to_thread(ask, port)))
@@ -91,5 +96,6 @@
     known = verdict in (Verdict.OVER_QUOTA, Verdict.NO_ROOM)
     assert body["reason"] and body["status"] >= 400 and ("retry_in" in body) == known
     assert headers_of(Final(verdict, 0.431), whole=True) == (
-        ((b"Retry-After", b"1"), (b"Retry-After-Ms", b"431")) if known else ())
+        ((b"Retry-After", b"1"), (b"Retry-After-Ms", b"431")) if known else ()
+    )
     assert headers_of(Final(verdict, 0.0)) == ()
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -30,7 +30,8 @@
 
     async def start(self):
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tests.embed.program", self.config, stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "tests.embed.program", self.config, stdout=asyncio.subprocess.PIPE
+        )
         assert await self.process.stdout.readline() == b"ready\n"
         self.reading = asyncio.create_task(self.read())
 
@@ -57,8 +58,12 @@
         ahead = length / 2 - (time.time() + Customer(7, plan, 0.0).phase) % length  # no window turns, whatever the hour
         program = Program({"port": closed_port(), "counter": counter.address, "peers": peers, "ahead": ahead})
         await program.start()
-        peer = EmbeddedIngress(crash_settings(1), counter=counter.address, peers=PeerAddresses(peers[1], tuple(peers)),
-                               clock=lambda: time.time() + ahead)
+        peer = EmbeddedIngress(
+            crash_settings(1),
+            counter=counter.address,
+            peers=PeerAddresses(peers[1], tuple(peers)),
+            clock=lambda: time.time() + ahead,
+        )
         await peer.open()
         member = Call(7, "basic", "read", 1.0, spread=2)
         try:
@@ -99,4 +104,5 @@
                 await program.kill()
             await peer.close()
             await counter.stop()
+
     run(main())
--- a/tests/embed/test_example.py
+++ b/tests/embed/test_example.py
@@ -39,10 +39,13 @@
         assert (await ask("/health", "nobody"))[0] == 200 and (await ask("/matches", "nobody"))[0] == 400
         client.writer.close()
         await host.stop()
+
     run(main())
 
 
 def test_the_library_imports_no_framework_and_no_daemon():
-    code = ("import sys, thistleusher.embed\nfor name in ('starlette', 'fastapi', 'uvloop', 'thistleusher.net'):\n"
-            "    assert name not in sys.modules, name\n")
+    code = (
+        "import sys, thistleusher.embed\nfor name in ('starlette', 'fastapi', 'uvloop', 'thistleusher.net'):\n"
+        "    assert name not in sys.modules, name\n"
+    )
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -18,8 +18,19 @@
 
 
 def settings(**more):
-    return io.Settings(**{**dict(classes=(SAFE, KEYED, UNSAFE), plans=(PLAN, CEILED), counter_timeout=1.0,
-                                 max_units=4.0, settles=True, max_retry_after=1.0), **more})
+    return io.Settings(
+        **{
+            **dict(
+                classes=(SAFE, KEYED, UNSAFE),
+                plans=(PLAN, CEILED),
+                counter_timeout=1.0,
+                max_units=4.0,
+                settles=True,
+                max_retry_after=1.0,
+            ),
+            **more,
+        }
+    )
 
 
 def made(**more):
@@ -42,8 +53,13 @@
 
 def nothing_held(ingress):
     gateway = ingress.driver.gateway
-    return (ingress.held == 0 and not gateway.attempts.flights and not gateway.attempts.queue
-            and gateway.fleet.out == 0 and not gateway.admission.calls)
+    return (
+        ingress.held == 0
+        and not gateway.attempts.flights
+        and not gateway.attempts.queue
+        and gateway.fleet.out == 0
+        and not gateway.admission.calls
+    )
 
 
 def test_a_member_is_held_to_its_quota_and_told_when_to_come_back():
@@ -62,6 +78,7 @@
             assert sorted(counter.totals().values()) == [2.0, 8.0]
             assert ingress.room(7, "basic") == 0.0 and ingress.room(8, "basic") == 6.0
             assert ingress.room(9, "basic") == 8.0 and nothing_held(ingress)
+
     run(main())
 
 
@@ -79,6 +96,7 @@
             async with ingress.admit(CALL):
                 pass
             assert list(counter.totals().values()) == [6.0]  # with the next call
+
     run(main())
 
 
@@ -89,6 +107,7 @@
                 async with ingress.admit(CALL):
                     raise KeyError("x")
             assert ingress.driver.gateway.fleet.backends["app"].errors > 0 and nothing_held(ingress)
+
     run(main())
 
 
@@ -102,6 +121,7 @@
                 assert ended.value.final.verdict is verdict
             assert nothing_held(ingress)
             assert not asyncio.current_task().cancelling()
+
     run(main())
 
 
@@ -114,6 +134,7 @@
                 ingress.driver._overdue(held)  # its time is up
                 assert ingress.held == 1
             assert nothing_held(ingress)
+
     run(main())
 
 
@@ -138,8 +159,13 @@
                 await until(lambda: inside)
             counter.silence(where == "counter")
             task = asyncio.create_task(work(7))
-            await until({"counter": lambda: ingress.driver.gateway.admission.calls,
-                         "queue": lambda: ingress.driver.gateway.attempts.queue, "body": lambda: 7 in inside}[where])
+            await until(
+                {
+                    "counter": lambda: ingress.driver.gateway.admission.calls,
+                    "queue": lambda: ingress.driver.gateway.attempts.queue,
+                    "body": lambda: 7 in inside,
+                }[where]
+            )
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
@@ -154,6 +180,7 @@
             totals = sorted(counter.totals().values())
             assert totals == [2.0] * len(totals) and len(totals) == 2 + len(others)  # charged once, whoever
         await counter.stop()
+
     run(main())
 
 
@@ -171,14 +198,17 @@
             for cancel_first in (False, True):
                 task = asyncio.create_task(work())
                 await until(lambda: asked.names)
-                steps = [lambda: ingress.driver.submit(io.CounterReply(asked.names.pop(), io.Outcome.OK, 0.0, 2.0)),
-                         task.cancel]
+                steps = [
+                    lambda: ingress.driver.submit(io.CounterReply(asked.names.pop(), io.Outcome.OK, 0.0, 2.0)),
+                    task.cancel,
+                ]
                 for step in reversed(steps) if cancel_first else steps:  # both before the task comes to run
                     step()
                 with pytest.raises(asyncio.CancelledError):
                     await task
                 assert not ran and nothing_held(ingress)
         assert not caplog.records  # no fault was met on the way
+
     run(main())
 
 
@@ -191,12 +221,14 @@
                     raise KeyError("x")
             assert admission.final is not None and admission.final.verdict is Verdict.NO_ROOM  # at once
             assert nothing_held(ingress)
+
     run(main())
 
 
 def test_a_host_that_cancels_while_time_runs_out_stays_cancelled():
     async def main():
         async with made() as ingress:
+
             async def work():
                 async with ingress.admit(CALL) as admission:
                     try:
@@ -214,14 +246,30 @@
             with pytest.raises(asyncio.CancelledError):
                 await task
             assert nothing_held(ingress)
+
     run(main())
 
 
-@pytest.mark.parametrize("change", [
-    dict(plan="gold"), dict(member=-1), dict(member=1 << 33), dict(member=True), dict(member=None),
-    dict(units=0.0), dict(units=math.nan), dict(units=5.0), dict(units=-1.0), dict(units="2"),
-    dict(class_name="write"), dict(budget=-1.0), dict(budget=math.nan), dict(spread=2), dict(first=1),
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        dict(plan="gold"),
+        dict(member=-1),
+        dict(member=1 << 33),
+        dict(member=True),
+        dict(member=None),
+        dict(units=0.0),
+        dict(units=math.nan),
+        dict(units=5.0),
+        dict(units=-1.0),
+        dict(units="2"),
+        dict(class_name="write"),
+        dict(budget=-1.0),
+        dict(budget=math.nan),
+        dict(spread=2),
+        dict(first=1),
+    ],
+)
 def test_a_call_that_cannot_be_used_is_counted_and_not_charged(change):
     async def main():
         counter = MemoryCounter()
@@ -229,6 +277,7 @@
             with pytest.raises(BadRequest, match="expected|no such"):
                 ingress.admit(CALL._replace(**change))
             assert ingress.invalid == 1 and counter.totals() == {} and nothing_held(ingress)
+
     run(main())
 
 
@@ -253,6 +302,7 @@
         with pytest.raises(RuntimeError, match="opened before"):
             await ingress.open()
         await ingress.close()
+
     run(main())
 
 
@@ -265,6 +315,7 @@
             ingress.admit(CALL)
         async with made() as fresh, fresh.admit(CALL):
             pass
+
     run(main())
     run(main())
 
@@ -291,12 +342,15 @@
         ends = await asyncio.gather(first, second, return_exceptions=True)
         assert [e.final.verdict for e in ends] == [Verdict.FAILED, Verdict.NO_ROOM]
         await counter.stop()
+
     run(main())
 
 
 def test_bad_addresses_and_settings_are_refused_at_once():
-    for error, more in (("expected host:port", dict(counter="nowhere")),
-                        ("expected 1 addresses", dict(peers=PeerAddresses("127.0.0.1:1", ())))):
+    for error, more in (
+        ("expected host:port", dict(counter="nowhere")),
+        ("expected 1 addresses", dict(peers=PeerAddresses("127.0.0.1:1", ()))),
+    ):
         with pytest.raises(ValueError, match=error):
             EmbeddedIngress(settings(), **more)
     with pytest.raises(ValueError, match="counter_timeout"):
@@ -307,13 +361,20 @@
     async def main():
         addresses = tuple(datagram_homes(2))
         counter = MemoryCounter()
-        both = [EmbeddedIngress(settings(instances=2, me=n, peers=True, peer_in_per_s=100.0), counter=counter,
-                                peers=PeerAddresses(addresses[n], addresses)) for n in range(2)]
+        both = [
+            EmbeddedIngress(
+                settings(instances=2, me=n, peers=True, peer_in_per_s=100.0),
+                counter=counter,
+                peers=PeerAddresses(addresses[n], addresses),
+            )
+            for n in range(2)
+        ]
         async with both[0], both[1]:
             for _ in range(3):
                 async with both[0].admit(CALL):
                     pass
             await until(lambda: both[1].room(7, "basic") < 2.5)
+
     run(main())
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,21 +18,40 @@
 class Ingress:
     """Drives one gateway; a healthy counter of its own unless told otherwise."""
 
-    def __init__(self, backends: int = 4, now: float = 100.0, born: float = 0.0, seed: int = 1,
-                 **more: Any) -> None:
+    def __init__(self, backends: int = 4, now: float = 100.0, born: float = 0.0, seed: int = 1, **more: Any) -> None:
         args: dict[str, Any] = dict(
-            classes=(SAFE, KEYED, ZONED, UNSAFE), plans=(PLAN, CEILED), counter=True, counter_timeout=0.08,
-            max_attempts=4, may_cancel=True, settles=True, instances=1, zone="z0", step=0.002,
-            start_capacity=0.2, cold_time=10.0, fall_multiple=2.5, fall_after=1.0, max_retry_after=1.0)
+            classes=(SAFE, KEYED, ZONED, UNSAFE),
+            plans=(PLAN, CEILED),
+            counter=True,
+            counter_timeout=0.08,
+            max_attempts=4,
+            may_cancel=True,
+            settles=True,
+            instances=1,
+            zone="z0",
+            step=0.002,
+            start_capacity=0.2,
+            cold_time=10.0,
+            fall_multiple=2.5,
+            fall_after=1.0,
+            max_retry_after=1.0,
+        )
         args.update(more)
         self.now, self.n = now, 0
         self.gw = Gateway(io.Settings(**args), seed, now)
         self.counts: dict[int, float] = {}
         self.log: list[io.Action] = []
         self.counter = "up"
-        self.give(io.ListUpdate(io.ListKind.SAVED, 1, tuple(
-            io.BackendEntry(f"b{i}", io.Phase.RUNNING, born=born, zone=f"z{i % 2}", cell=i)
-            for i in range(backends))))
+        self.give(
+            io.ListUpdate(
+                io.ListKind.SAVED,
+                1,
+                tuple(
+                    io.BackendEntry(f"b{i}", io.Phase.RUNNING, born=born, zone=f"z{i % 2}", cell=i)
+                    for i in range(backends)
+                ),
+            )
+        )
 
     def give(self, event: io.Event) -> list[io.Action]:
         """Hand in one event and what the counter answers to it; returns all actions."""
@@ -54,18 +73,31 @@
         self.counts[a.name] = self.counts.get(a.name, 0.0) + a.amount
         return io.CounterReply(a.name, io.Outcome.OK, 0.001, self.counts[a.name])
 
-    def ask(self, cls: str = "read", units: float = 1.0, customer: int = 7, plan: str = "basic",
-            expires: float = 6.0, width: int = 2) -> list[io.Action]:
+    def ask(
+        self,
+        cls: str = "read",
+        units: float = 1.0,
+        customer: int = 7,
+        plan: str = "basic",
+        expires: float = 6.0,
+        width: int = 2,
+    ) -> list[io.Action]:
         """One request; its id is r1, r2, ..."""
         self.n += 1
         return self.give(io.Request(f"r{self.n}", cls, plan, customer, expires, units, width))
 
-    def end(self, attempt: io.Attempt, outcome: io.Outcome = io.Outcome.OK, n: int = 0, elapsed: float = 0.1,
-            true: float = 0.0, done: bool | None = None) -> list[io.Action]:
+    def end(
+        self,
+        attempt: io.Attempt,
+        outcome: io.Outcome = io.Outcome.OK,
+        n: int = 0,
+        elapsed: float = 0.1,
+        true: float = 0.0,
+        done: bool | None = None,
+    ) -> list[io.Action]:
         """The outcome of an attempt."""
         ok = outcome is io.Outcome.OK if done is None else done
-        return self.give(io.AttemptEnded(attempt.request, n, attempt.backend, outcome, elapsed, ok,
-                                         true_units=true))
+        return self.give(io.AttemptEnded(attempt.request, n, attempt.backend, outcome, elapsed, ok, true_units=true))
 
     def beat(self, seconds: float) -> list[io.Action]:
         """Let time pass in beats of the gateway's timer."""
--- a/tests/ledger/test_beginning.py
+++ b/tests/ledger/test_beginning.py
@@ -64,6 +64,7 @@
 
 # A joint start.
 
+
 @pytest.mark.parametrize("moment", range(50))
 def test_a_fleet_that_starts_together_serves_at_every_moment_of_an_epoch(moment):
     offsets = (AT_ONCE, tuple(n / 100 for n in range(6)))[moment % 2]
@@ -79,9 +80,16 @@
     within(w, "basic")
 
 
-@pytest.mark.parametrize("offsets,most", [
-    ((0.0, 1.0, 3.0), 0.25), ((0.0, 0.02, 60.0), 0.25), ((0.0, 0.02, math.inf), 0.25),
-    ((0.0, 0.5, 1.0, 2.0, 2.5, 3.0), 0.4)], ids=["within 3 s", "a minute later", "never", "six"])
+@pytest.mark.parametrize(
+    "offsets,most",
+    [
+        ((0.0, 1.0, 3.0), 0.25),
+        ((0.0, 0.02, 60.0), 0.25),
+        ((0.0, 0.02, math.inf), 0.25),
+        ((0.0, 0.5, 1.0, 2.0, 2.5, 3.0), 0.4),
+    ],
+    ids=["within 3 s", "a minute later", "never", "six"],
+)
 @pytest.mark.parametrize("plan", ["plus", "basic"])
 def test_who_waits_for_others_serves_part_at_once_and_all_after_the_epoch(offsets, most, plan):
     w = begun(offsets, 1.3, plan, 70.0 if plan == "plus" else 12.0)
@@ -106,6 +114,7 @@
 
 # Restarts.
 
+
 @pytest.mark.parametrize("down", [0.1, 1.0])
 @pytest.mark.parametrize("times", [1, 3])
 def test_all_killed_at_once_with_their_shares_spent(down, times):
@@ -235,6 +244,7 @@
 
 # Greetings.
 
+
 def test_two_lives_heard_in_the_wrong_order():
     s = Set(TERMS)
     s.now = START - START % EPOCH + EPOCH + 1.0
@@ -321,9 +331,17 @@
     assert a.heard(101.0 + FORGET_S, 1, early.hello(111.0, 0)) is not None and a.lives[1] == early.life
 
 
-@pytest.mark.parametrize("payload", [HELLO_MARK, HELLO_MARK + bytes(3), HELLO_MARK + HELLO.pack(5, 0, 0, 0),
-                                     HELLO_MARK + HELLO.pack(5, 0, 9, 0), HELLO_MARK + bytes(HELLO.size + 1),
-                                     GIVE_MARK + bytes(HEAD - 2)])
+@pytest.mark.parametrize(
+    "payload",
+    [
+        HELLO_MARK,
+        HELLO_MARK + bytes(3),
+        HELLO_MARK + HELLO.pack(5, 0, 0, 0),
+        HELLO_MARK + HELLO.pack(5, 0, 9, 0),
+        HELLO_MARK + bytes(HELLO.size + 1),
+        GIVE_MARK + bytes(HEAD - 2),
+    ],
+)
 def test_greetings_that_cannot_be_used_change_nothing(payload):
     node = Set(TERMS).nodes[0]
     assert node.heard(START, 1, payload) == [] and not node.lives.clean and node.lives.origin == node.lives.life
--- a/tests/ledger/test_escrow.py
+++ b/tests/ledger/test_escrow.py
@@ -109,17 +109,27 @@
 
 
 STEP = st.one_of(
-    st.tuples(st.just("wait"), st.floats(0.0, 8.0)), st.tuples(st.just("wait"), st.floats(0.0, 0.2)),
+    st.tuples(st.just("wait"), st.floats(0.0, 8.0)),
+    st.tuples(st.just("wait"), st.floats(0.0, 0.2)),
     st.tuples(st.just("ask"), st.integers(0, 2), st.floats(0.1, 4.0), st.integers(1, 20)),
-    st.tuples(st.just("deliver"), st.integers(0, 50)), st.tuples(st.just("copy"), st.integers(0, 50)),
-    st.tuples(st.just("lose"), st.integers(0, 50)), st.tuples(st.just("settle")),
-    st.tuples(st.just("restart"), st.integers(0, 2)))
+    st.tuples(st.just("deliver"), st.integers(0, 50)),
+    st.tuples(st.just("copy"), st.integers(0, 50)),
+    st.tuples(st.just("lose"), st.integers(0, 50)),
+    st.tuples(st.just("settle")),
+    st.tuples(st.just("restart"), st.integers(0, 2)),
+)
 
 
 @pytest.mark.parametrize("terms", [PLUS, BASIC], ids=["ceiling", "quota"])
 @(seed(int(SEED)) if SEED else lambda test: test)
-@settings(max_examples=EXAMPLES, derandomize=not SEED, deadline=None, database=None,
-          suppress_health_check=list(HealthCheck), phases=[Phase.generate, Phase.shrink])
+@settings(
+    max_examples=EXAMPLES,
+    derandomize=not SEED,
+    deadline=None,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+    phases=[Phase.generate, Phase.shrink],
+)
 @given(steps=st.lists(STEP, min_size=5, max_size=60))
 def test_a_set_never_lets_in_more_than_one_store_would(terms, steps):
     s = Set(terms)
@@ -166,8 +176,11 @@
                 pass
         for node in range(3):
             s.greet(node)
-        late += [(s.now + rng.choice((0.01, 0.05, 0.5, 1.5)) * rng.random(), m) for m in s.wire
-                 for _ in range(rng.choice((0, 1, 1, 1, 2)))]
+        late += [
+            (s.now + rng.choice((0.01, 0.05, 0.5, 1.5)) * rng.random(), m)
+            for m in s.wire
+            for _ in range(rng.choice((0, 1, 1, 1, 2)))
+        ]
         s.wire = [m for due, m in late if due <= s.now]
         late = [x for x in late if x[0] > s.now]
         for _ in range(len(s.wire)):
@@ -290,12 +303,21 @@
     assert list(node.allowances) == [(1, 999)]
 
 
-@pytest.mark.parametrize("payload", [b"", b"x", WANT_MARK, GIVE_MARK + b"123", GIVE_MARK + LIFE + b"123",
-                                     b"\x09" + LIFE + bytes(ROW.size),
-                                     WANT_MARK + LIFE + ROW.pack(name_of(99, 7), 0, 0, 3, 0, 9),
-                                     WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 0, 0, 9),
-                                     WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 9, 0, 9),
-                                     GIVE_MARK + LIFE + ROW.pack(name_of(0, 7), 77, 0, 3, 4096, 0xffff)])
+@pytest.mark.parametrize(
+    "payload",
+    [
+        b"",
+        b"x",
+        WANT_MARK,
+        GIVE_MARK + b"123",
+        GIVE_MARK + LIFE + b"123",
+        b"\x09" + LIFE + bytes(ROW.size),
+        WANT_MARK + LIFE + ROW.pack(name_of(99, 7), 0, 0, 3, 0, 9),
+        WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 0, 0, 9),
+        WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 9, 0, 9),
+        GIVE_MARK + LIFE + ROW.pack(name_of(0, 7), 77, 0, 3, 4096, 0xFFFF),
+    ],
+)
 def test_messages_that_cannot_be_used_change_nothing(payload):
     node = Ledger(3, 0, 0.0, (PLUS,))
     node.take(START, 0, 7, 0, 3, 1.0, 0.0)
--- a/tests/ledger/test_failures.py
+++ b/tests/ledger/test_failures.py
@@ -104,8 +104,22 @@
     w.at(12.0, lambda: w.join(CounterModel()))
 
 
-FAULTS = [silence, refuse_late, split, split_and_cut_off, replaced, replaced_twice, forgets, loses_replies, old_totals,
-          silent_and_restart, silent_and_all_restart, silent_and_cut_off, silent_with_lossy_peers, everything]
+FAULTS = [
+    silence,
+    refuse_late,
+    split,
+    split_and_cut_off,
+    replaced,
+    replaced_twice,
+    forgets,
+    loses_replies,
+    old_totals,
+    silent_and_restart,
+    silent_and_all_restart,
+    silent_and_cut_off,
+    silent_with_lossy_peers,
+    everything,
+]
 
 
 def stated(fault, bound):
@@ -293,9 +307,17 @@
         def part_of(w=w, rng=rng):
             w.cut = {rng.randrange(3)} if rng.random() < 0.5 else set()
 
-        steps = [lambda w=w: silence(w), lambda w=w: w.split(), lambda w=w: w.join(CounterModel()), part_of,
-                 lambda w=w, good=good: w.join(good), lambda w=w: forgets(w), lambda w=w: loses_replies(w),
-                 lambda w=w: old_totals(w), lambda w=w, rng=rng: w.restart(rng.randrange(3))]
+        steps = [
+            lambda w=w: silence(w),
+            lambda w=w: w.split(),
+            lambda w=w: w.join(CounterModel()),
+            part_of,
+            lambda w=w, good=good: w.join(good),
+            lambda w=w: forgets(w),
+            lambda w=w: loses_replies(w),
+            lambda w=w: old_totals(w),
+            lambda w=w, rng=rng: w.restart(rng.randrange(3)),
+        ]
         began = w.now
         for _ in range(rng.randint(3, 8)):
             rng.choice(steps)()
--- a/tests/ledger/test_loopback.py
+++ b/tests/ledger/test_loopback.py
@@ -30,23 +30,36 @@
     "late and losing": [Fault(1.0, "counter.lose", lasts=AWAY, value=0.2), Fault(2.0, "counter.old", lasts=1.0)],
     "late for one ingress": [Fault(1.0, "counter.late", 0, AWAY, 0.2)],
     "all restart in a silence": [
-        Fault(1.0, "counter.silence", lasts=AWAY), *(Fault(2.0 + n / 1000, "ingress.kill", n) for n in range(3))],
+        Fault(1.0, "counter.silence", lasts=AWAY),
+        *(Fault(2.0 + n / 1000, "ingress.kill", n) for n in range(3)),
+    ],
     "silent from the first request": [Fault(0.0, "counter.silence", lasts=SECONDS)],
     "all restart three times in a silence": [
         Fault(0.5, "counter.silence", lasts=5.0),
-        *(Fault(at + n / 1000, "ingress.kill", n) for at in (1.0, 2.2, 3.4) for n in range(3))],
+        *(Fault(at + n / 1000, "ingress.kill", n) for at in (1.0, 2.2, 3.4) for n in range(3)),
+    ],
     "all restart three times in a silence, with folders": [
         Fault(0.5, "counter.silence", lasts=5.0),
-        *(Fault(at + n / 1000, "ingress.kill", n) for at in (1.0, 2.2, 3.4) for n in range(3))],
+        *(Fault(at + n / 1000, "ingress.kill", n) for at in (1.0, 2.2, 3.4) for n in range(3)),
+    ],
     "split, replaced and restarted, with folders": [
-        Fault(0.8, "counter.split", 0, AWAY), Fault(2.0, "counter.restart"), Fault(5.0, "counter.silence", lasts=0.7),
-        *(Fault(at + n / 3, "ingress.kill", n) for at in (1.5, 4.4) for n in range(3))],
+        Fault(0.8, "counter.split", 0, AWAY),
+        Fault(2.0, "counter.restart"),
+        Fault(5.0, "counter.silence", lasts=0.7),
+        *(Fault(at + n / 3, "ingress.kill", n) for at in (1.5, 4.4) for n in range(3)),
+    ],
     "one restarts all the time in a silence": [
-        Fault(0.5, "counter.silence", lasts=5.0), *(Fault(1.0 + n * 0.4, "ingress.kill", 1) for n in range(10))],
+        Fault(0.5, "counter.silence", lasts=5.0),
+        *(Fault(1.0 + n * 0.4, "ingress.kill", 1) for n in range(10)),
+    ],
     "planned restarts through the tier": [Fault(0.5 + 1.7 * n, "ingress.restart", n) for n in range(3)],
     "silence, restarts and lossy peers": [
-        Fault(0.5, "relay.loss", lasts=5.0, value=0.2), Fault(0.5, "relay.delay", lasts=5.0, value=0.5),
-        Fault(1.0, "counter.silence", lasts=AWAY), Fault(1.5, "ingress.restart", 1), Fault(2.5, "ingress.kill", 2)],
+        Fault(0.5, "relay.loss", lasts=5.0, value=0.2),
+        Fault(0.5, "relay.delay", lasts=5.0, value=0.5),
+        Fault(1.0, "counter.silence", lasts=AWAY),
+        Fault(1.5, "ingress.restart", 1),
+        Fault(2.5, "ingress.kill", 2),
+    ],
 }
 
 
@@ -63,15 +76,29 @@
         error = b.quota_split if split else b.quota_cut_off if away else b.quota_in_touch
         joint = 3 if "three" in scenario else 1 if "all restart" in scenario else 0
         rule = o.plans[plan.name]
-        out[plan.name] = PlanRule(rule.rate, rule.burst, rule.ceiling_rate, rule.ceiling_burst,
-                                  error + joint * b.quota_restart,
-                                  (b.ceiling or 0.0) + joint * (b.ceiling_restart or 0.0))
+        out[plan.name] = PlanRule(
+            rule.rate,
+            rule.burst,
+            rule.ceiling_rate,
+            rule.ceiling_burst,
+            error + joint * b.quota_restart,
+            (b.ceiling or 0.0) + joint * (b.ceiling_restart or 0.0),
+        )
     return out
 
 
 async def played(scenario):
-    size = dict(servers=6, seconds=SECONDS, rate=120.0, loss=0.0, faults=tuple(SCENARIOS[scenario]), move_s=1.0,
-                members={"basic": 6, "plus": 2}, shape=Shape(cores=8, work=0.005), folders="folders" in scenario)
+    size = dict(
+        servers=6,
+        seconds=SECONDS,
+        rate=120.0,
+        loss=0.0,
+        faults=tuple(SCENARIOS[scenario]),
+        move_s=1.0,
+        members={"basic": 6, "plus": 2},
+        shape=Shape(cores=8, work=0.005),
+        folders="folders" in scenario,
+    )
     rules = stated(Options(**size), scenario)
     records = Records()
     verdict, _, sent = await run_fleet(Options(**size, plans=rules), records=records)
@@ -81,8 +108,9 @@
 @functools.cache
 def group(number):
     """Some scenarios at a time: a fleet mostly waits."""
+
     async def main():
-        names = list(SCENARIOS)[number * AT_A_TIME:(number + 1) * AT_A_TIME]
+        names = list(SCENARIOS)[number * AT_A_TIME : (number + 1) * AT_A_TIME]
         return dict(zip(names, await asyncio.gather(*(played(n) for n in names)), strict=True))
 
     return asyncio.run(asyncio.wait_for(main(), 60))
@@ -98,8 +126,15 @@
 
 def test_five_thousand_members_fall_back_and_come_back_over_sockets():
     async def main():
-        size = dict(servers=6, seconds=5.0, rate=250.0, loss=0.0, members={"basic": 5000},
-                    shape=Shape(cores=8, work=0.002), faults=(Fault(1.5, "counter.silence", lasts=2.0),))
+        size = dict(
+            servers=6,
+            seconds=5.0,
+            rate=250.0,
+            loss=0.0,
+            members={"basic": 5000},
+            shape=Shape(cores=8, work=0.002),
+            faults=(Fault(1.5, "counter.silence", lasts=2.0),),
+        )
         rules = stated(Options(**size), "silence")
         records = Records()
         verdict, _, sent = await run_fleet(Options(**size, plans=rules), records=records)
@@ -117,8 +152,9 @@
     path.write_text(json.dumps({"settings": settings(Options(), 0)}))
 
     def bound(*args):
-        done = subprocess.run([sys.executable, "-m", "thistleusher", "bound", *args], capture_output=True, text=True,
-                              timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "thistleusher", "bound", *args], capture_output=True, text=True, timeout=60
+        )
         return done.returncode, done.stdout, done.stderr
 
     code, out, error = bound(str(path), "--outage", "30")
--- a/tests/ledger/test_outages.py
+++ b/tests/ledger/test_outages.py
@@ -8,8 +8,12 @@
 from tests.sockets import Client, Peer, call, datagram_homes, ok, run
 from tests.test_program import SETTINGS, in_process
 
-SHARED = {**SETTINGS, "balancers": 3, "extra": {**SETTINGS["extra"], "counterTimeout": 0.05},
-          "limits": {**SETTINGS["limits"], "peers": True}}
+SHARED = {
+    **SETTINGS,
+    "balancers": 3,
+    "extra": {**SETTINGS["extra"], "counterTimeout": 0.05},
+    "limits": {**SETTINGS["limits"], "peers": True},
+}
 KEPT_S = 24.0  # three epochs of 2 x 8 / 2 s, after which a ledger forgets an allowance
 
 
@@ -19,8 +23,9 @@
         clock, backend, counter = [1000.0], await Peer.start(ok(b"fine")), Counter()
         await counter.start()
         here, *others = datagram_homes(3)
-        async with in_process(backend, counter, lambda: clock[0], settings=SHARED, peer_listen=here,
-                              peers=[here, *others]) as (daemon, port):
+        async with in_process(
+            backend, counter, lambda: clock[0], settings=SHARED, peer_listen=here, peers=[here, *others]
+        ) as (daemon, port):
             client = await Client.connect(port)
 
             async def ask(name, member):
@@ -40,4 +45,5 @@
             assert {c for _, c in held} <= {0, 1, 2, 9} and len(held) >= 3
         counter.silence(False)
         await counter.stop()
+
     run(main())
--- a/tests/ledger/test_placement.py
+++ b/tests/ledger/test_placement.py
@@ -70,11 +70,18 @@
     assert w.kept() > 0.7
 
 
-@pytest.mark.parametrize("text,error", [
-    ("counters = [", "c.toml: "), ("counters = 3", "counters: expected a list"), ("counters = []", "one or more"),
-    ('counters = ["x"]', "expected host:port"), ('counters = ["127.0.0.1:1", "127.0.0.1:1"]', "each once"),
-    ('counter = ["127.0.0.1:1"]', "counter: no such key"), ("", "counters: expected a list"),
-])
+@pytest.mark.parametrize(
+    "text,error",
+    [
+        ("counters = [", "c.toml: "),
+        ("counters = 3", "counters: expected a list"),
+        ("counters = []", "one or more"),
+        ('counters = ["x"]', "expected host:port"),
+        ('counters = ["127.0.0.1:1", "127.0.0.1:1"]', "each once"),
+        ('counter = ["127.0.0.1:1"]', "counter: no such key"),
+        ("", "counters: expected a list"),
+    ],
+)
 def test_a_file_of_counters_that_cannot_be_used_is_named_with_its_key(tmp_path, text, error):
     path = tmp_path / "c.toml"
     path.write_text(text)
@@ -114,6 +121,7 @@
         assert not counters.leaving
         for service in services:
             await service.stop()
+
     run(main())
 
 
@@ -146,5 +154,5 @@
             await program.end()
         for service in services:
             await service.stop()
-    run(main())
 
+    run(main())
--- a/tests/ledger/test_reserve.py
+++ b/tests/ledger/test_reserve.py
@@ -65,13 +65,25 @@
         kept.land(n)
 
 
-KEEPS = st.one_of(STEP, st.tuples(st.sampled_from(["note", "land"]), st.integers(0, 2)),
-                  st.tuples(st.just("crash"), st.integers(0, 2), st.integers(0, 2)), st.tuples(st.just("all"),))
+KEEPS = st.one_of(
+    STEP,
+    st.tuples(st.sampled_from(["note", "land"]), st.integers(0, 2)),
+    st.tuples(st.just("crash"), st.integers(0, 2), st.integers(0, 2)),
+    st.tuples(
+        st.just("all"),
+    ),
+)
 
 
 @(seed(int(SEED)) if SEED else lambda test: test)
-@settings(max_examples=EXAMPLES, derandomize=not SEED, deadline=None, database=None,
-          suppress_health_check=list(HealthCheck), phases=[Phase.generate, Phase.shrink])
+@settings(
+    max_examples=EXAMPLES,
+    derandomize=not SEED,
+    deadline=None,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+    phases=[Phase.generate, Phase.shrink],
+)
 @given(steps=st.lists(KEEPS, min_size=5, max_size=60))
 def test_kills_at_any_moment_let_in_no_more_than_one_store_would(steps):
     s = Kept()
--- a/tests/ledger/world.py
+++ b/tests/ledger/world.py
@@ -23,9 +23,19 @@
 
 
 def settings(me: int, instances: int = 3) -> io.Settings:
-    return io.Settings(classes=(SAFE, KEYED, UNSAFE), plans=(BASIC, PLUS), counter=True, counter_timeout=TIMEOUT,
-                       max_units=4.0, max_attempts=3, instances=instances, me=me, peers=True, peer_in_per_s=100.0,
-                       max_retry_after=1.0)
+    return io.Settings(
+        classes=(SAFE, KEYED, UNSAFE),
+        plans=(BASIC, PLUS),
+        counter=True,
+        counter_timeout=TIMEOUT,
+        max_units=4.0,
+        max_attempts=3,
+        instances=instances,
+        me=me,
+        peers=True,
+        peer_in_per_s=100.0,
+        max_retry_after=1.0,
+    )
 
 
 class CounterModel:
@@ -76,9 +86,15 @@
 class World:
     """Everything, moved by events in order of time."""
 
-    def __init__(self, seed: int = 1, instances: int = 3, start: float = 5000.0,
-                 placement: Placement | None = None, offsets: tuple[float, ...] = (),
-                 skews: tuple[float, ...] = ()) -> None:
+    def __init__(
+        self,
+        seed: int = 1,
+        instances: int = 3,
+        start: float = 5000.0,
+        placement: Placement | None = None,
+        offsets: tuple[float, ...] = (),
+        skews: tuple[float, ...] = (),
+    ) -> None:
         """`placement`: several counters share the names, each found in `parts` by its address.
 
         `offsets`: seconds after which each ingress starts (inf: never); `skews`: by how much its clock is ahead.
@@ -156,11 +172,13 @@
     def restart(self, n: int) -> None:
         """An ingress starts with nothing of its own; what was on its way to it is gone."""
         self.life[n] += 1
-        self.gateways[n] = make_gateway(settings(n, self.instances), self.rng.getrandbits(32),
-                                        self.now + self.skews[n], self.placement)
+        self.gateways[n] = make_gateway(
+            settings(n, self.instances), self.rng.getrandbits(32), self.now + self.skews[n], self.placement
+        )
         self.remind(n)
-        self.give(n, io.ListUpdate(io.ListKind.SAVED, 1, tuple(
-            io.BackendEntry(f"b{i}", io.Phase.RUNNING) for i in range(10))))
+        self.give(
+            n, io.ListUpdate(io.ListKind.SAVED, 1, tuple(io.BackendEntry(f"b{i}", io.Phase.RUNNING) for i in range(10)))
+        )
 
     def remind(self, n: int) -> None:
         """An ingress has been made, and nothing has happened to it yet: what it is to know of an earlier life."""
@@ -229,13 +247,13 @@
 
     # Members.
 
-    def ask(self, n: int, member: int = 7, plan: str = "plus", units: float = 1.0, first: int = 0,
-            width: int = 0) -> None:
+    def ask(
+        self, n: int, member: int = 7, plan: str = "plus", units: float = 1.0, first: int = 0, width: int = 0
+    ) -> None:
         """One request; `fair` are those that one store with the quota would have let in. Its set is all by default."""
         p = PLUS if plan == "plus" else BASIC
         name = f"r{next(self.numbers)}"
-        r = self.requests[name] = io.Request(
-            name, "read", plan, member, 6.0, units, width or self.instances, first)
+        r = self.requests[name] = io.Request(name, "read", plan, member, 6.0, units, width or self.instances, first)
         self.asked += 1
         self.began[name] = self.now
         ideal = self.ideal.setdefault((plan, member), Store(p.rate, p.burst))
@@ -254,10 +272,18 @@
         self.quotas.setdefault((r.plan, r.customer), Store(p.rate, p.burst)).pour(self.now, r.units)
         if p.ceiling_rate:
             self.ceilings.setdefault((r.plan, r.customer), Store(p.ceiling_rate, p.ceiling_burst)).pour(
-                self.now, r.units)
-
-    def traffic(self, seconds: float, rate: float, home: Callable[[float], int], plan: str = "plus",
-                members: int = 1, units: tuple[float, ...] = (1.0, 2.0, 4.0)) -> None:
+                self.now, r.units
+            )
+
+    def traffic(
+        self,
+        seconds: float,
+        rate: float,
+        home: Callable[[float], int],
+        plan: str = "plus",
+        members: int = 1,
+        units: tuple[float, ...] = (1.0, 2.0, 4.0),
+    ) -> None:
         """Requests at `rate` a second, through the ingress that `home` names for the seconds gone by."""
         began, t = self.now, 0.0
         while (t := t + self.rng.expovariate(rate)) < seconds:
--- a/tests/operator/test_log.py
+++ b/tests/operator/test_log.py
@@ -42,7 +42,9 @@
         log.exception("deciding")
     logs.close()
     first, second = [json.loads(line) for line in out.getvalue().splitlines()]
-    assert first["event"] == "ejected b1: failing" and first["level"] == "info" and first["logger"] == "thistleusher.test"
+    assert (
+        first["event"] == "ejected b1: failing" and first["level"] == "info" and first["logger"] == "thistleusher.test"
+    )
     assert first["timestamp"].endswith("Z") and "KeyError" in second["exception"] and second["level"] == "error"
 
 
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -27,14 +27,14 @@
 from thistleusher.state.records import Member, Room, pack
 from thistleusher.state.store import Store
 
-GOOD = '''# an operator's file
+GOOD = """# an operator's file
 [state]
 folder = "/var/lib/x"
 commit_every = "20ms"
 
 [counters]
 addresses = ["10.0.0.1:6400", "10.0.0.2:6400"]
-'''
+"""
 
 
 def written(tmp_path, text, name="operator.toml"):
@@ -45,8 +45,16 @@
 
 def test_a_good_file_is_typed_and_the_last_layer_wins(tmp_path):
     path = written(tmp_path, GOOD)
-    o = read_operator(path, {"THISTLEUSHER_STATE__SYNC": "full", "THISTLEUSHER_STATE__MAX_SIZE": '"2MiB"', "THISTLEUSHER_X": "1",
-                             "THISTLEUSHER_STATE__COMMIT_EVERY": "1s"}, ["state.commit_every=30ms", "log.form=json"])
+    o = read_operator(
+        path,
+        {
+            "THISTLEUSHER_STATE__SYNC": "full",
+            "THISTLEUSHER_STATE__MAX_SIZE": '"2MiB"',
+            "THISTLEUSHER_X": "1",
+            "THISTLEUSHER_STATE__COMMIT_EVERY": "1s",
+        },
+        ["state.commit_every=30ms", "log.form=json"],
+    )
     state = o.get("state")
     assert (state.folder, state.sync, state.max_size) == ("/var/lib/x", "full", 2 << 20)
     assert state.commit_every == 0.03 and isinstance(state.commit_every, Seconds)
@@ -59,28 +67,34 @@
     assert read_operator(None).sections == {}
 
 
-@pytest.mark.parametrize("text,where,error", [
-    ("[state]\nfolder = 3\n", ":2: state.folder: ", "Expected `str`"),
-    ("[state]\n", ":1: state: ", "missing required field `folder`"),
-    ("[state]\nfolder = 'x'\nsnyc = 'off'\n", ":3: state.snyc: ", "did you mean sync?"),
-    ("[stat]\nfolder = 'x'\n", ":1: [stat]: ", "did you mean state?"),
-    ("[zzz]\n", ":1: [zzz]: ", "there are counters, log, state"),
-    ("[state]\nfolder = 'x'\nsync = 'now'\n", ":3: state.sync: ", "Invalid enum value"),
-    ("[state]\nfolder = 'x'\ncommit_every = 50\n", ":3: state.commit_every: ", "such as '250ms'"),
-    ("[state]\nfolder = 'x'\ncommit_every = '1ms'\n", ":3: state.commit_every: ", "expected 5ms to 10s, got 1ms"),
-    ("[state]\nfolder = 'x'\ncommit_every = nan\n", ":3: state.commit_every: ", "got nan"),
-    ("[state]\nfolder = 'x'\nmax_size = 1e400\n", ":3: state.max_size: ", "got inf"),
-    ("[state]\nfolder = 'x'\nmax_size = '1.5B'\n", ":3: state.max_size: ", "whole number of bytes"),
-    ("[log]\nqueue = 3\n", ":2: log.queue: ", ">= 16"),
-    ("[counters]\naddresses = ['a:1', 'a:1']\n", ":2: counters.addresses: ", ""),
-    ("[counters]\naddresses = ['a']\n", ":2: counters.addresses: ", ""),
-    ("state = 3\n", ":1: state: ", "expected a section"),
-    ("[state]\nfolder = 'x'\nfolder = 'y'\n", ": ", "overwrite"),
-    ("[state]\nfolder = ", ": ", "Invalid"),
-    ("include = 3\n", ": include: ", "list of file names"),
-    ("include = ['none.toml']\n", "none.toml: ", "No such file"),
-    ("x = " + "[" * 5000, ": ", ""), (b"\xff\xfe", ": ", "not UTF-8 at byte 0"), ('"a\\nb" = 1\n', ": ", "a\\nb"),
-    ("[state]\nfolder = 'x'\n\"s\\ny\" = 1\n", ": state.", "no such key")])
+@pytest.mark.parametrize(
+    "text,where,error",
+    [
+        ("[state]\nfolder = 3\n", ":2: state.folder: ", "Expected `str`"),
+        ("[state]\n", ":1: state: ", "missing required field `folder`"),
+        ("[state]\nfolder = 'x'\nsnyc = 'off'\n", ":3: state.snyc: ", "did you mean sync?"),
+        ("[stat]\nfolder = 'x'\n", ":1: [stat]: ", "did you mean state?"),
+        ("[zzz]\n", ":1: [zzz]: ", "there are counters, log, state"),
+        ("[state]\nfolder = 'x'\nsync = 'now'\n", ":3: state.sync: ", "Invalid enum value"),
+        ("[state]\nfolder = 'x'\ncommit_every = 50\n", ":3: state.commit_every: ", "such as '250ms'"),
+        ("[state]\nfolder = 'x'\ncommit_every = '1ms'\n", ":3: state.commit_every: ", "expected 5ms to 10s, got 1ms"),
+        ("[state]\nfolder = 'x'\ncommit_every = nan\n", ":3: state.commit_every: ", "got nan"),
+        ("[state]\nfolder = 'x'\nmax_size = 1e400\n", ":3: state.max_size: ", "got inf"),
+        ("[state]\nfolder = 'x'\nmax_size = '1.5B'\n", ":3: state.max_size: ", "whole number of bytes"),
+        ("[log]\nqueue = 3\n", ":2: log.queue: ", ">= 16"),
+        ("[counters]\naddresses = ['a:1', 'a:1']\n", ":2: counters.addresses: ", ""),
+        ("[counters]\naddresses = ['a']\n", ":2: counters.addresses: ", ""),
+        ("state = 3\n", ":1: state: ", "expected a section"),
+        ("[state]\nfolder = 'x'\nfolder = 'y'\n", ": ", "overwrite"),
+        ("[state]\nfolder = ", ": ", "Invalid"),
+        ("include = 3\n", ": include: ", "list of file names"),
+        ("include = ['none.toml']\n", "none.toml: ", "No such file"),
+        ("x = " + "[" * 5000, ": ", ""),
+        (b"\xff\xfe", ": ", "not UTF-8 at byte 0"),
+        ('"a\\nb" = 1\n', ": ", "a\\nb"),
+        ("[state]\nfolder = 'x'\n\"s\\ny\" = 1\n", ": state.", "no such key"),
+    ],
+)
 def test_what_cannot_be_used_is_one_line(tmp_path, text, where, error):
     path = written(tmp_path, text)
     with pytest.raises(BadFile) as raised:
@@ -121,14 +135,16 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
-@given(st.integers(1, 10 ** 9))
+@given(st.integers(1, 10**9))
 def test_units_come_back_as_they_are_shown(n):
     assert read_bytes(str(Bytes(n))) == n
     assert read_seconds(str(Seconds(n / 1000))) == pytest.approx(n / 1000, rel=1e-9)
 
 
-@pytest.mark.parametrize("text", ["", "5", "ms", "-5ms", "5 m s", "1e3s", "nan s", "inf s", "5xs", "٣s", 5, None, True,
-                                  "9" * 20 + "s", "5ms\n"])
+@pytest.mark.parametrize(
+    "text",
+    ["", "5", "ms", "-5ms", "5 m s", "1e3s", "nan s", "inf s", "5xs", "٣s", 5, None, True, "9" * 20 + "s", "5ms\n"],
+)
 def test_what_is_no_duration_or_size(text):
     for read in (read_seconds, read_bytes):
         with pytest.raises(ValueError, match="expected"):
@@ -136,12 +152,17 @@
 
 
 def test_the_reference_page_is_true_and_a_starting_file_changes_nothing_until_it_is_edited(tmp_path):
-    assert Path("docs/configuration.md").read_text() == reference(), "run: thistleusher reference > docs/configuration.md"
+    assert (
+        Path("docs/configuration.md").read_text() == reference()
+    ), "run: thistleusher reference > docs/configuration.md"
     path = tmp_path / "start.toml"
     assert main(["init", str(path)]) == 0 == main(["check", "--operator", str(path)])
     assert main(["init", str(path)]) == 2 and path.read_text() == starting_file()
-    lines = [line.removeprefix("# ") for line in starting_file().splitlines()[2:]
-             if line.startswith("# [") or " = " in line.split("  # ")[0]]
+    lines = [
+        line.removeprefix("# ")
+        for line in starting_file().splitlines()[2:]
+        if line.startswith("# [") or " = " in line.split("  # ")[0]
+    ]
     edited = "\n".join(lines).replace("folder = ...", 'folder = "x"').replace("= ...", '= ["a:1", "b:2"]')
     assert set(read_operator(written(tmp_path, edited)).sections) == set(SECTIONS)
 
@@ -166,8 +187,12 @@
     assert main(["state", "show", folder]) == 2 and "no state folder" in capsys.readouterr().err
     store = Store(folder, "n0")
     store.begin("n0", 100.0)
-    store.commit([(("member", 7), pack(Member(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
-                  (("room", 1), pack(Room("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0)))])
+    store.commit(
+        [
+            (("member", 7), pack(Member(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
+            (("room", 1), pack(Room("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
+        ]
+    )
     assert main(["state", "show", folder]) == 2 and "another process holds it" in capsys.readouterr().err
     store.end(160.0)
     store.close()
@@ -208,6 +233,7 @@
         store = Store.existing(tmp_path / "state")
         assert store.before.ended > 0 and store.listed().places[0].name == "b0"
         store.close()
+
     run(scenario())
 
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -64,7 +64,7 @@
     outcome = inputs.run(case)
     assert outcome.why.startswith("it holds both") and outcome.count < 5000
     least = inputs.smallest(case, outcome)
-    assert sorted(bytes.fromhex(least.size["data"])) == [ord("0"), 0xff]
+    assert sorted(bytes.fromhex(least.size["data"])) == [ord("0"), 0xFF]
     path = tmp_path / "found.json"
     least.write(path, outcome.why)
     assert main(["--replay", str(path)]) == 1 and "it holds both" in capsys.readouterr().out
@@ -84,7 +84,7 @@
 
     def smaller(case):
         faults = case.size["faults"]
-        return [case.but(faults=faults[:n] + faults[n + 1:]) for n in range(len(faults))]
+        return [case.but(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
 
     case = Case("fleet", 1, {"faults": list(range(10))})
     least, why = shrink(case, run(case), smaller, run)
@@ -104,9 +104,20 @@
 
 
 def test_a_small_fleet_under_a_random_script_breaks_nothing_and_a_wrong_bound_is_seen(monkeypatch):
-    case = Case("fleet", 4, {"ingresses": 3, "servers": 4, "seconds": 2.0, "rate": 60.0, "basic": 2, "plus": 1,
-                             "move": 0.5, "faults": [[0.3, "counter.silence", 0, 1.0, 0.0],
-                                                        [0.5, "relay.loss", 0, 0.5, 0.2]]})
+    case = Case(
+        "fleet",
+        4,
+        {
+            "ingresses": 3,
+            "servers": 4,
+            "seconds": 2.0,
+            "rate": 60.0,
+            "basic": 2,
+            "plus": 1,
+            "move": 0.5,
+            "faults": [[0.3, "counter.silence", 0, 1.0, 0.0], [0.5, "relay.loss", 0, 0.5, 0.2]],
+        },
+    )
     outcome, _ = play(case)
     assert outcome.why == "" and outcome.count > 60
     sound = fleets.rules
@@ -155,12 +166,14 @@
 
 def test_a_test_that_hangs_on_the_hour_is_found_and_one_that_does_not_is_not(tmp_path):
     path = tmp_path / "test_hour.py"
-    path.write_text("import subprocess, sys, time\nfrom pathlib import Path\n"
-                    "def test_hour():\n"
-                    "    child = subprocess.check_output([sys.executable, '-c', 'import time; print(time.time())'])\n"
-                    "    now = Path(__file__).with_name('now'); now.touch()\n"
-                    "    assert abs(now.stat().st_mtime - float(child)) < 60\n"
-                    "    assert abs(time.time() - time.time_ns() / 1e9) < 60\n")
+    path.write_text(
+        "import subprocess, sys, time\nfrom pathlib import Path\n"
+        "def test_hour():\n"
+        "    child = subprocess.check_output([sys.executable, '-c', 'import time; print(time.time())'])\n"
+        "    now = Path(__file__).with_name('now'); now.touch()\n"
+        "    assert abs(now.stat().st_mtime - float(child)) < 60\n"
+        "    assert abs(time.time() - time.time_ns() / 1e9) < 60\n"
+    )
     case = Case("moment", 1, {"test": str(path), "moved": 7200.0})
     found = moments.run(case)
     assert "test_hour" in found.why and found.part == str(path)
@@ -169,8 +182,18 @@
     assert {d["test"] for d in drawn} == set(moments.files()) and max(d["moved"] for d in drawn) > 80_000
 
 
-@pytest.mark.parametrize("text", ["", "[]", "{}", '{"kind": "fleet"}', '{"kind": "x", "seed": 1}',
-                                  '{"kind": "bytes", "seed": 1.5}', '{"kind": "bytes", "seed": 1, "size": 3}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "[]",
+        "{}",
+        '{"kind": "fleet"}',
+        '{"kind": "x", "seed": 1}',
+        '{"kind": "bytes", "seed": 1.5}',
+        '{"kind": "bytes", "seed": 1, "size": 3}',
+    ],
+)
 def test_a_file_that_is_no_case_is_named(tmp_path, text, capsys):
     path = tmp_path / "case.json"
     path.write_text(text)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -37,9 +37,18 @@
 
 def settings(**more: Any) -> io.Settings:
     args: dict[str, Any] = dict(
-        classes=(SAFE, KEYED, UNSAFE), plans=(PLAN, CEILED), instances=3, counter_timeout=0.08, max_units=4.0,
-        max_attempts=3, settles=True, may_probe=True, may_cancel=True, connect_timeout=2.0,
-        max_retry_after=1.0)
+        classes=(SAFE, KEYED, UNSAFE),
+        plans=(PLAN, CEILED),
+        instances=3,
+        counter_timeout=0.08,
+        max_units=4.0,
+        max_attempts=3,
+        settles=True,
+        may_probe=True,
+        may_cancel=True,
+        connect_timeout=2.0,
+        max_retry_after=1.0,
+    )
     return io.Settings(**{**args, **more})
 
 
@@ -88,8 +97,9 @@
 
 
 def ok(body: bytes = b"fine", *lines: bytes) -> bytes:
-    return b"".join([b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % len(body), *(x + b"\r\n" for x in lines),
-                     b"\r\n", body])
+    return b"".join(
+        [b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % len(body), *(x + b"\r\n" for x in lines), b"\r\n", body]
+    )
 
 
 class Peer:
@@ -151,12 +161,23 @@
         return int(line.split(" ")[1]), headers, body
 
 
-def call(name: str = "r1", cls: str = "read", body: bytes = b"", budget: str = "6000m",
-         path: str = "/api/000000000000000a", **headers: str | None) -> bytes:
+def call(
+    name: str = "r1",
+    cls: str = "read",
+    body: bytes = b"",
+    budget: str = "6000m",
+    path: str = "/api/000000000000000a",
+    **headers: str | None,
+) -> bytes:
     """A request as the front sends it; a header given as None is left out."""
     lines: dict[str, str | None] = {
-        "X-Call-Id": name, "X-Call-Class": cls, "X-Tier": "basic", "X-Budget": budget,
-        "X-Call-Terms": "units=2,spread=2,first=1", "Content-Length": str(len(body))}
+        "X-Call-Id": name,
+        "X-Call-Class": cls,
+        "X-Tier": "basic",
+        "X-Budget": budget,
+        "X-Call-Terms": "units=2,spread=2,first=1",
+        "Content-Length": str(len(body)),
+    }
     if cls == "pay":
         lines["Idempotency-Key"] = "k1"
     lines.update({k.replace("_", "-"): v for k, v in headers.items()})
@@ -166,8 +187,16 @@
 
 
 def entry(name: str, port: int, status: str = "SERVING", since_ms: int = 0) -> dict[str, Any]:
-    return {"name": name, "address": f"{HOST}:{port}", "zone": "z0", "type": "std", "group": 1,
-            "status": status, "weight": 1.0, "since_ms": since_ms}
+    return {
+        "name": name,
+        "address": f"{HOST}:{port}",
+        "zone": "z0",
+        "type": "std",
+        "group": 1,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
 
 
 def listing(*entries: dict[str, Any], index: int = 1, snapshot: bool = True) -> Listing:
@@ -215,8 +244,7 @@
 class Rig:
     """An ingress with its client side, in this process."""
 
-    def __init__(self, decide: Callable[[io.Event], list[io.Action]], idle: float = 15.0,
-                 **more: Any) -> None:
+    def __init__(self, decide: Callable[[io.Event], list[io.Action]], idle: float = 15.0, **more: Any) -> None:
         loop = asyncio.get_running_loop()
         self.script = Script(decide)
         self.settings = settings(**more)
--- a/tests/standins/test_auditor.py
+++ b/tests/standins/test_auditor.py
@@ -21,8 +21,10 @@
     read_records,
 )
 
-RULES = Rules({"basic": PlanRule(2.0, 8.0), "plus": PlanRule(10.0, 20.0, 16.0, 32.0)},
-              {"read": "safe", "pay": "keyed", "once": "unsafe"})
+RULES = Rules(
+    {"basic": PlanRule(2.0, 8.0), "plus": PlanRule(10.0, 20.0, 16.0, 32.0)},
+    {"read": "safe", "pay": "keyed", "once": "unsafe"},
+)
 
 
 def asked(at, name, cls="read", op=None, plan="basic", member=1, units=1.0, ingress="0"):
@@ -40,8 +42,13 @@
     out += [asked(3.0, "b", "once"), answered(3.1, "b", 429)]
     out += [asked(4.0, "b2", "once", op="b"), Began(4.1, "b2", "s2", "", 0.1, True)]
     out += [Began(4.2, "b2", "s3", "", 0.1), Ran(4.3, "b2", "s3", ""), answered(4.4, "b2")]
-    out += [asked(5.0, "k", "pay"), Began(5.1, "k", "s2", "k", 0.1), Ran(5.2, "k", "s2", "k"),
-            Began(5.3, "k", "s3", "k", 0.1), answered(5.4, "k")]
+    out += [
+        asked(5.0, "k", "pay"),
+        Began(5.1, "k", "s2", "k", 0.1),
+        Ran(5.2, "k", "s2", "k"),
+        Began(5.3, "k", "s3", "k", 0.1),
+        answered(5.4, "k"),
+    ]
     out += [asked(6.0, "c", ingress="1"), Crashed(6.1, "1")]
     out += [asked(6.0, "w", ingress="1"), Withdrawn(6.2, "w", "1"), asked(6.3, "w"), answered(6.4, "w")]
     out += [asked(7.0, f"p{n}", plan="plus", units=4.0) for n in range(8)]
@@ -60,31 +67,66 @@
     assert any("200.0" in line for line in verdict.lines())  # ms: the eight of plus
 
 
-@pytest.mark.parametrize("rule,more", [
-    ("lost", [asked(20.0, "x")]),
-    ("lost", [asked(20.0, "x"), answered(20.1, "x", 0)]),
-    ("lost", [asked(20.0, "x"), answered(20.1, "x"), answered(20.2, "x", 503)]),
-    ("lost", [asked(20.0, "x"), answered(22.06, "x")]),
-    ("lost", [asked(20.0, "x"), Answered(20.1, "x", 200, 0.0, "s y")]),
-    ("lost", [asked(20.0, "x"), Crashed(20.5, "1")]),  # another ingress died
-    ("lost", [asked(20.0, "x"), Began(20.1, "x", "s2", "", 0.1), Withdrawn(20.2, "x", "0")]),
-    ("twice", [asked(20.0, "x", "once"), Began(20.1, "x", "s2", "", 0.1), Began(20.2, "x", "s3", "", 0.1),
-               answered(20.5, "x")]),
-    ("twice", [asked(20.0, "x", "once", "o"), Began(20.1, "x", "s2", "", 0.1), answered(20.2, "x", 503),
-               asked(21.0, "y", "once", "o"), Began(21.1, "y", "s2", "", 0.1), answered(21.2, "y")]),
-    ("twice", [asked(20.0, "x", "pay"), Ran(20.1, "x", "s2", "k"), Ran(20.3, "x", "s3", "k"),
-               answered(20.5, "x")]),
-    ("drain", [Told(20.0, "s2", "DRAINING"), asked(20.0, "x"), Began(21.06, "x", "s2", "", 0.1),
-               answered(21.5, "x")]),
-    ("drain", [Told(20.0, "s2", "DELETED"), asked(20.0, "x"), Began(21.06, "x", "s2", "", 0.1, True),
-               answered(21.5, "x")]),
-    ("cold", [Up(20.0, "s2", 2.0, 0.5, 10.0)] + [asked(20.0, f"x{n}") for n in range(10)]
-     + [Began(20.0, f"x{n}", "s2", "", 1.0) for n in range(9)]
-     + [answered(20.5, f"x{n}") for n in range(10)]),
-    ("fault", [asked(20.0, "x"), answered(20.1, "x", 500)]),
-    ("ceiling", [asked(20.0, f"x{n}", plan="plus", units=4.0, member=9) for n in range(9)]
-     + [Began(20.0, f"x{n}", "s2", "", 0.1) for n in range(9)] + [answered(20.5, f"x{n}") for n in range(9)]),
-])
+@pytest.mark.parametrize(
+    "rule,more",
+    [
+        ("lost", [asked(20.0, "x")]),
+        ("lost", [asked(20.0, "x"), answered(20.1, "x", 0)]),
+        ("lost", [asked(20.0, "x"), answered(20.1, "x"), answered(20.2, "x", 503)]),
+        ("lost", [asked(20.0, "x"), answered(22.06, "x")]),
+        ("lost", [asked(20.0, "x"), Answered(20.1, "x", 200, 0.0, "s y")]),
+        ("lost", [asked(20.0, "x"), Crashed(20.5, "1")]),  # another ingress died
+        ("lost", [asked(20.0, "x"), Began(20.1, "x", "s2", "", 0.1), Withdrawn(20.2, "x", "0")]),
+        (
+            "twice",
+            [
+                asked(20.0, "x", "once"),
+                Began(20.1, "x", "s2", "", 0.1),
+                Began(20.2, "x", "s3", "", 0.1),
+                answered(20.5, "x"),
+            ],
+        ),
+        (
+            "twice",
+            [
+                asked(20.0, "x", "once", "o"),
+                Began(20.1, "x", "s2", "", 0.1),
+                answered(20.2, "x", 503),
+                asked(21.0, "y", "once", "o"),
+                Began(21.1, "y", "s2", "", 0.1),
+                answered(21.2, "y"),
+            ],
+        ),
+        ("twice", [asked(20.0, "x", "pay"), Ran(20.1, "x", "s2", "k"), Ran(20.3, "x", "s3", "k"), answered(20.5, "x")]),
+        (
+            "drain",
+            [Told(20.0, "s2", "DRAINING"), asked(20.0, "x"), Began(21.06, "x", "s2", "", 0.1), answered(21.5, "x")],
+        ),
+        (
+            "drain",
+            [
+                Told(20.0, "s2", "DELETED"),
+                asked(20.0, "x"),
+                Began(21.06, "x", "s2", "", 0.1, True),
+                answered(21.5, "x"),
+            ],
+        ),
+        (
+            "cold",
+            [Up(20.0, "s2", 2.0, 0.5, 10.0)]
+            + [asked(20.0, f"x{n}") for n in range(10)]
+            + [Began(20.0, f"x{n}", "s2", "", 1.0) for n in range(9)]
+            + [answered(20.5, f"x{n}") for n in range(10)],
+        ),
+        ("fault", [asked(20.0, "x"), answered(20.1, "x", 500)]),
+        (
+            "ceiling",
+            [asked(20.0, f"x{n}", plan="plus", units=4.0, member=9) for n in range(9)]
+            + [Began(20.0, f"x{n}", "s2", "", 0.1) for n in range(9)]
+            + [answered(20.5, f"x{n}") for n in range(9)],
+        ),
+    ],
+)
 def test_each_broken_rule_is_caught_and_only_that(rule, more):
     verdict = audit(sound() + more, RULES)
     assert {b.rule for b in verdict.breaches} == {rule} and len(verdict.breaches) == 1, verdict.breaches
@@ -94,15 +136,31 @@
 @pytest.mark.parametrize("crashed,kept", [("0", True), ("1", False)])
 def test_what_ran_for_an_ingress_that_was_killed_is_not_the_next_ones_repeat(crashed, kept):
     """The front sends a try again whose ingress died under it; one withdrawn from a live ingress is none of that."""
-    first = [asked(20.0, "x", "once"), Began(20.1, "x", "s2", "", 0.1), Crashed(20.12, crashed),
-             Withdrawn(20.2, "x", "0")]
-    again = [asked(20.2, "x", "once", ingress="2"), Ran(20.25, "x", "s2", ""), Began(20.3, "x", "s3", "", 0.1),
-             Ran(20.4, "x", "s3", ""), answered(20.5, "x")]
+    first = [
+        asked(20.0, "x", "once"),
+        Began(20.1, "x", "s2", "", 0.1),
+        Crashed(20.12, crashed),
+        Withdrawn(20.2, "x", "0"),
+    ]
+    again = [
+        asked(20.2, "x", "once", ingress="2"),
+        Ran(20.25, "x", "s2", ""),
+        Began(20.3, "x", "s3", "", 0.1),
+        Ran(20.4, "x", "s3", ""),
+        answered(20.5, "x"),
+    ]
     elsewhere = [Crashed(20.0, "3"), Withdrawn(20.21, "x", "3")]  # it was down before, and took nothing
     assert ("lost" not in {b.rule for b in audit(first + elsewhere + again, RULES).breaches}) is kept
     assert ("twice" not in {b.rule for b in audit(first + again, RULES).breaches}) is kept
-    same = [asked(20.0, "x", "once"), Began(20.1, "x", "s2", "", 0.1), Ran(20.11, "x", "s2", ""),
-            Crashed(20.12, crashed), Began(20.5, "x", "s3", "", 0.1), Ran(20.51, "x", "s3", ""), answered(20.6, "x")]
+    same = [
+        asked(20.0, "x", "once"),
+        Began(20.1, "x", "s2", "", 0.1),
+        Ran(20.11, "x", "s2", ""),
+        Crashed(20.12, crashed),
+        Began(20.5, "x", "s3", "", 0.1),
+        Ran(20.51, "x", "s3", ""),
+        answered(20.6, "x"),
+    ]
     assert ("twice" not in {b.rule for b in audit(same, RULES).breaches}) is kept
     more = [*first, *again[:-1], Began(20.45, "x", "s4", "", 0.1), answered(20.5, "x")]  # once only
     assert "twice" in {b.rule for b in audit(more, RULES).breaches}
@@ -115,8 +173,14 @@
     refused = [r for n in range(4) for r in (asked(20.0 + n, f"x{n}"), answered(20.1 + n, f"x{n}", 429))]
     assert [b.rule for b in audit(refused, calm).breaches] == ["starved"] and audit(refused, RULES).kept
     assert audit(refused[:6], calm).kept  # three tries may happen
-    spent = [asked(20.0, "s", units=4.0), Began(20.0, "s", "s2", "", 0.1), answered(20.0, "s"),
-             asked(20.0, "t", units=4.0), Began(20.0, "t", "s2", "", 0.1), answered(20.0, "t")]
+    spent = [
+        asked(20.0, "s", units=4.0),
+        Began(20.0, "s", "s2", "", 0.1),
+        answered(20.0, "s"),
+        asked(20.0, "t", units=4.0),
+        Began(20.0, "t", "s2", "", 0.1),
+        answered(20.0, "t"),
+    ]
     soon = [r for n in range(4) for r in (asked(20.0, f"x{n}"), answered(20.5, f"x{n}", 429))]
     assert audit(spent + soon, calm).kept  # they had no room
 
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -21,8 +21,18 @@
 def play(faults, seconds=5.0, **more):
     """A billing fleet; its verdict, and the share of each class that was served from a time on."""
     records = Records()
-    options = Options(ingresses=2, servers=6, seconds=seconds, rate=120.0, loss=0.0, deployment=BILLING, shape=SHAPE,
-                      members={"mittel": 40, "gross": 60}, faults=tuple(faults), **more)
+    options = Options(
+        ingresses=2,
+        servers=6,
+        seconds=seconds,
+        rate=120.0,
+        loss=0.0,
+        deployment=BILLING,
+        shape=SHAPE,
+        members={"mittel": 40, "gross": 60},
+        faults=tuple(faults),
+        **more,
+    )
     verdict, _, _ = asyncio.run(asyncio.wait_for(run_fleet(options, records=records), 60))
 
     def served(cls, since=0.0, until=1e9):
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -25,18 +25,24 @@
     assert faults and faults == sorted(faults) and all(f.do in ACTIONS for f in faults)
 
 
-@pytest.mark.parametrize("text,error", [
-    ("x", "script.toml"), ("[[faults]]\n", "expected .*fault"), ("fault = 3", "expected .*fault"),
-    ("[[fault]]\nat = 1\ndo = 'match.eat'", "fault 1: do: expected one of"),
-    ("[[fault]]\nat = 1", "fault 1: do"), ("[[fault]]\ndo = 'counter.restart'", "fault 1: at: missing"),
-    ("[[fault]]\nat = -1\ndo = 'counter.restart'", "at: expected a number of 0 or more"),
-    ("[[fault]]\nat = true\ndo = 'counter.restart'", "at: expected a number"),
-    ("[[fault]]\nat = 1\ndo = 'match.kill'", "target: missing"),
-    ("[[fault]]\nat = 1\ndo = 'match.kill'\ntarget = 0.5", "target: expected a whole number"),
-    ("[[fault]]\nat = 1\ndo = 'counter.restart'\nfor = 1", "for: counter.restart takes no such key"),
-    ("[[fault]]\nat = 1\ndo = 'relay.loss'", "value: missing"),
-    ("[[fault]]\nat = 1\ndo = 'relay.loss'\nvalue = 0.1\nsize = 3", "size: relay.loss takes no such key"),
-])
+@pytest.mark.parametrize(
+    "text,error",
+    [
+        ("x", "script.toml"),
+        ("[[faults]]\n", "expected .*fault"),
+        ("fault = 3", "expected .*fault"),
+        ("[[fault]]\nat = 1\ndo = 'match.eat'", "fault 1: do: expected one of"),
+        ("[[fault]]\nat = 1", "fault 1: do"),
+        ("[[fault]]\ndo = 'counter.restart'", "fault 1: at: missing"),
+        ("[[fault]]\nat = -1\ndo = 'counter.restart'", "at: expected a number of 0 or more"),
+        ("[[fault]]\nat = true\ndo = 'counter.restart'", "at: expected a number"),
+        ("[[fault]]\nat = 1\ndo = 'match.kill'", "target: missing"),
+        ("[[fault]]\nat = 1\ndo = 'match.kill'\ntarget = 0.5", "target: expected a whole number"),
+        ("[[fault]]\nat = 1\ndo = 'counter.restart'\nfor = 1", "for: counter.restart takes no such key"),
+        ("[[fault]]\nat = 1\ndo = 'relay.loss'", "value: missing"),
+        ("[[fault]]\nat = 1\ndo = 'relay.loss'\nvalue = 0.1\nsize = 3", "size: relay.loss takes no such key"),
+    ],
+)
 def test_a_bad_script_is_named_by_file_fault_and_key(tmp_path, text, error):
     path = tmp_path / "script.toml"
     path.write_text(text)
@@ -62,6 +68,7 @@
 
         await play([Fault(0.0, "a", lasts=0.03), Fault(0.01, "b")], switch)
         assert seen == [("a", True), ("b", True), "waited for", ("a", False)]
+
     run(main())
 
 
@@ -76,21 +83,23 @@
 @pytest.mark.parametrize("script", [p.stem for p in SCRIPTS])
 def test_a_fleet_keeps_the_rules_under_each_script(script):
     async def main():
-        faults = tuple(f._replace(at=f.at / 2, lasts=f.lasts / 2) for f in
-                       read_script(f"examples/faults/{script}.toml"))
+        faults = tuple(
+            f._replace(at=f.at / 2, lasts=f.lasts / 2) for f in read_script(f"examples/faults/{script}.toml")
+        )
         records = Records()
         verdict, cpu, sent = await run_fleet(
-            Options(servers=6, seconds=4.0, rate=60.0, faults=faults, loss=0.0), records=records)
+            Options(servers=6, seconds=4.0, rate=60.0, faults=faults, loss=0.0), records=records
+        )
         assert verdict.kept, verdict.lines()
         assert sent > 150 and cpu > 0 and sum(1 for _ in records.of(Ran)) > 50
         assert sum(1 for _ in records.of(Crashed)) == {"restarts": 2, "lost-hall": 4}.get(script, 0)
+
     asyncio.run(asyncio.wait_for(main(), 60))
 
 
 def test_the_command_line_says_what_is_wrong(tmp_path):
     def standins(*args):
-        done = subprocess.run([sys.executable, "-m", "standins", *args], capture_output=True, text=True,
-                              timeout=60)
+        done = subprocess.run([sys.executable, "-m", "standins", *args], capture_output=True, text=True, timeout=60)
         return done.returncode, done.stderr
 
     assert standins("fleet", "--servers", "0") == (2, "standins: --servers: expected 1 or more, got 0\n")
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -50,6 +50,7 @@
             assert b" 400 " in await add(counter.port, **bad)
         assert len(list(counter.records.of(type(counter.records.all[0])))) == 3
         await counter.stop()
+
     run(main())
 
 
@@ -90,6 +91,7 @@
         assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # it answers and forgets
         client.close()
         await counter.stop()
+
     run(main())
 
 
@@ -103,6 +105,7 @@
         assert counter.busy_until[0] >= began + 0.1 - 1e-6  # ten turns of 10 ms, one behind another
         assert loop.time() - began >= 0.09  # and each was waited for: timers ring up to a millisecond early
         await counter.stop()
+
     run(main())
 
 
@@ -125,6 +128,7 @@
         assert (await ask[0].ask(b"GET /x HTTP/1.1\r\n\r\n"))[0] == 404
         for s in servers:
             await s.stop()
+
     run(main())
 
 
@@ -165,6 +169,7 @@
         await server.stop()
         with pytest.raises(OSError):
             await Caller.connect(server.port)
+
     run(main())
 
 
@@ -183,11 +188,11 @@
         await until(lambda: len(heard) == 2)
         discovery.put("s0", "127.0.0.1:1", "DELETED")
         await until(lambda: len(heard) == 3)
-        assert [e.phase for h in heard for e, _ in h.entries] == [
-            io.Phase.RUNNING, io.Phase.STOPPING, io.Phase.DELETED]
+        assert [e.phase for h in heard for e, _ in h.entries] == [io.Phase.RUNNING, io.Phase.STOPPING, io.Phase.DELETED]
         assert [t.status for t in discovery.records.of(Told)] == ["SERVING", "DRAINING", "DELETED"]
         follower.close()
         await discovery.stop()
+
     run(main())
 
 
@@ -224,4 +229,5 @@
         relay.stop()
         for s in socks:
             s.close()
+
     run(main())
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -12,7 +12,7 @@
 
 from tests.ledger.world import BASIC, World
 
-UNITS = 4.0   # of the largest request
+UNITS = 4.0  # of the largest request
 
 
 class Crashing(World):
@@ -55,9 +55,23 @@
 def played(at, early, keep=True):
     """An ordinary second, an outage in which the quota is used up, and the counter back: all is written back."""
     w = Crashing(at, early, keep)
-    for n, (when, units) in enumerate([(0.0, 2.0), (0.1, 4.0), (0.3, 1.0), (0.9, 2.0), (1.0, 4.0), (1.2, 4.0),
-                                       (1.5, 2.0), (2.6, 1.0), (2.9, 4.0), (3.2, 1.0), (3.3, 1.0),
-                                       (6.0, 1.0), (8.0, 2.0)]):
+    for n, (when, units) in enumerate(
+        [
+            (0.0, 2.0),
+            (0.1, 4.0),
+            (0.3, 1.0),
+            (0.9, 2.0),
+            (1.0, 4.0),
+            (1.2, 4.0),
+            (1.5, 2.0),
+            (2.6, 1.0),
+            (2.9, 4.0),
+            (3.2, 1.0),
+            (3.3, 1.0),
+            (6.0, 1.0),
+            (8.0, 2.0),
+        ]
+    ):
         w.at(when, lambda u=units, m=n % 2: w.ask(0, m, "basic", u))
     for when, silent in ((0.8, True), (2.5, False)):
         w.at(when, lambda silent=silent: setattr(w.counters[0], "silent", silent))
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -15,8 +15,11 @@
 from thistleusher.state.records import read_member
 from thistleusher.state.store import LISTED
 
-SLOW = {**SETTINGS, "plans": [{"name": "basic", "rate": 0.001, "storeSize": 8.0, "pays": 1.0}],
-        "extra": {**SETTINGS["extra"], "counterTimeout": 0.05}}
+SLOW = {
+    **SETTINGS,
+    "plans": [{"name": "basic", "rate": 0.001, "storeSize": 8.0, "pays": 1.0}],
+    "extra": {**SETTINGS["extra"], "counterTimeout": 0.05},
+}
 
 
 def with_state(tmp_path, backend, counter):
@@ -66,6 +69,7 @@
             await program.end()
             counter.silence(False)
             await counter.stop()
+
     run(main())
 
 
@@ -79,13 +83,15 @@
             assert (await client.ask(call("a", X_Call_Terms=TERMS)))[0] == 200
             await until(lambda: read_fact(tmp_path, LISTED) is not None)
             await program.end()
-            program.path.write_text(json.dumps({k: v for k, v in json.loads(program.path.read_text()).items()
-                                                if k != "known"}))
+            program.path.write_text(
+                json.dumps({k: v for k, v in json.loads(program.path.read_text()).items() if k != "known"})
+            )
             client = await program.start()
             assert (await client.ask(call("b", X_Call_Terms=TERMS)))[0] == 200
         finally:
             await program.end()
             await counter.stop()
+
     run(main())
 
 
@@ -96,17 +102,25 @@
         program = with_state(tmp_path, backend, counter)
         await program.start()
         try:
-            second = subprocess.run([sys.executable, "-m", "thistleusher", *program.args], capture_output=True, text=True,
-                                    env={"PROXY_CONFIG": str(program.path)}, timeout=60)
+            second = subprocess.run(
+                [sys.executable, "-m", "thistleusher", *program.args],
+                capture_output=True,
+                text=True,
+                env={"PROXY_CONFIG": str(program.path)},
+                timeout=60,
+            )
             assert second.returncode == 2 and second.stderr.count("\n") == 1
             assert "another process holds it" in second.stderr
         finally:
             await program.end()
             await counter.stop()
+
     run(main())
 
 
 def test_nothing_of_it_is_imported_where_no_folder_is_given():
-    code = ("import sys, thistleusher.__main__, thistleusher.net.daemon\n"
-            "assert not {'sqlite3', 'msgspec', 'thistleusher.state'} & set(sys.modules)\n")
+    code = (
+        "import sys, thistleusher.__main__, thistleusher.net.daemon\n"
+        "assert not {'sqlite3', 'msgspec', 'thistleusher.state'} & set(sys.modules)\n"
+    )
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -48,18 +48,43 @@
 
 
 def member(key=7, **more):
-    fields = dict(key=key, plan="plus", rate=16.0, burst=36.0, level=3.0, at=100.0, window=44, told=5.0, pending=2.5,
-                  mine=40, theirs={1: 12})
+    fields = dict(
+        key=key,
+        plan="plus",
+        rate=16.0,
+        burst=36.0,
+        level=3.0,
+        at=100.0,
+        window=44,
+        told=5.0,
+        pending=2.5,
+        mine=40,
+        theirs={1: 12},
+    )
     return Member(**{**fields, **more})
 
 
 # Records.
 
+
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
-@given(st.builds(Member, key=st.integers(0, 2 ** 33), plan=st.text(max_size=20), rate=NUMBER, burst=NUMBER,
-                 level=NUMBER, at=NUMBER, window=st.integers(-1, 2 ** 40), told=NUMBER, pending=NUMBER,
-                 mine=st.integers(0, 2 ** 50),
-                 theirs=st.dictionaries(st.integers(0, 254), st.integers(0, 65535), max_size=5)), st.data())
+@given(
+    st.builds(
+        Member,
+        key=st.integers(0, 2**33),
+        plan=st.text(max_size=20),
+        rate=NUMBER,
+        burst=NUMBER,
+        level=NUMBER,
+        at=NUMBER,
+        window=st.integers(-1, 2**40),
+        told=NUMBER,
+        pending=NUMBER,
+        mine=st.integers(0, 2**50),
+        theirs=st.dictionaries(st.integers(0, 254), st.integers(0, 65535), max_size=5),
+    ),
+    st.data(),
+)
 def test_a_record_comes_back_and_one_with_a_flipped_bit_does_not(record, data):
     whole = pack(record)
     assert read_member(whole) == record
@@ -69,7 +94,7 @@
     with pytest.raises(BadRecord):
         read_member(bytes(spoilt))
     with pytest.raises(BadRecord):
-        read_member(whole[:data.draw(st.integers(0, len(whole) - 1))])
+        read_member(whole[: data.draw(st.integers(0, len(whole) - 1))])
 
 
 def test_one_version_back_and_forward_can_be_read():
@@ -78,6 +103,7 @@
 
     def packed(values):
         import zlib
+
         body = msgspec.msgpack.encode(values)
         return zlib.crc32(body).to_bytes(4) + body
 
@@ -92,6 +118,7 @@
 
 # The folder.
 
+
 def test_members_and_lives_are_there_again(tmp_path):
     store = Store(tmp_path / "a", "n0")
     first = store.begin("n0", 100.0)
@@ -189,8 +216,10 @@
 def test_a_spoilt_record_costs_itself_only(tmp_path):
     store = Store(tmp_path / "a", "n0")
     store.begin("n0", 1.0)
-    store.commit([(("member", n), pack(member(n))) for n in range(5)] + [
-        (("member", 5), b""), (("member", 6), pack(member())[:-1])])
+    store.commit(
+        [(("member", n), pack(member(n))) for n in range(5)]
+        + [(("member", 5), b""), (("member", 6), pack(member())[:-1])]
+    )
     assert [m.key for m in store.members()] == [0, 1, 2, 3, 4] and store.spoilt == 2
     store.close()
 
@@ -213,8 +242,9 @@
 @pytest.mark.parametrize("sync", ["off", "normal", "full"])
 def test_what_was_committed_survives_a_kill_and_a_commit_is_whole_or_not_there(tmp_path, sync):
     for life in range(3):
-        program = subprocess.Popen([sys.executable, "-c", KILLED, str(tmp_path / "a"), sync], stdout=subprocess.PIPE,
-                                   text=True)
+        program = subprocess.Popen(
+            [sys.executable, "-c", KILLED, str(tmp_path / "a"), sync], stdout=subprocess.PIPE, text=True
+        )
         for _ in range(10 + 7 * life):
             last = int(program.stdout.readline())
         program.kill()
@@ -228,6 +258,7 @@
 
 # The writer.
 
+
 class Slow:
     """A disk that commits when it is let, and fails when told."""
 
@@ -287,6 +318,7 @@
 
 # Recovery.
 
+
 def saved(now=110.0, twin=False, kept=60.0, **more):
     return recover(now, [member(**more)], PLANS, kept, twin)
 
@@ -298,10 +330,16 @@
     assert found.theirs == {1: 12} and not saved().left_out
 
 
-@pytest.mark.parametrize("more,why", [
-    (dict(plan="gold"), "plan is gone"), (dict(level=float("nan")), "not a number"),
-    (dict(at=float("inf")), "not a number"), (dict(burst=0.0), "not a number"),
-    (dict(at=1.0, pending=0.0), "long full")])
+@pytest.mark.parametrize(
+    "more,why",
+    [
+        (dict(plan="gold"), "plan is gone"),
+        (dict(level=float("nan")), "not a number"),
+        (dict(at=float("inf")), "not a number"),
+        (dict(burst=0.0), "not a number"),
+        (dict(at=1.0, pending=0.0), "long full"),
+    ],
+)
 def test_what_says_nothing_is_left_out_and_counted(more, why):
     found = saved(**more)
     assert not found.members and found.left_out == {why: 1}
@@ -470,9 +508,18 @@
 ROOM = Room("plus", 7, 0, 3, *TERMS["plus"], 2.5, 100.0)
 
 
-@pytest.mark.parametrize("more,twin", [
-    (dict(plan="gold"), False), (dict(rate=28.0), False), (dict(room=-1.0), False), (dict(room=99.0), False),
-    (dict(at=float("nan")), False), (dict(width=0), False), ({}, True)])
+@pytest.mark.parametrize(
+    "more,twin",
+    [
+        (dict(plan="gold"), False),
+        (dict(rate=28.0), False),
+        (dict(room=-1.0), False),
+        (dict(room=99.0), False),
+        (dict(at=float("nan")), False),
+        (dict(width=0), False),
+        ({}, True),
+    ],
+)
 def test_a_room_is_worth_nothing_under_other_terms_or_in_a_copy(more, twin):
     assert still_there([ROOM], PLANS, TERMS) == [io.SavedRoom(1, 7, 0, 3, 2.5, 100.0)]
     assert still_there([msgspec.structs.replace(ROOM, **more)], PLANS, TERMS, twin) == []
@@ -519,8 +566,11 @@
     other = Ingress(now=now)
     other.gw = Gateway(other.gw.s, 2, now)
     other.gw.restore(now, [], still_learned(now, read_learned(pack(i.gw.fleet.learned(i.now)))))
-    other.give(io.ListUpdate(io.ListKind.SAVED, 2, tuple(
-        io.BackendEntry(f"b{n}", io.Phase.RUNNING, born=born) for n in range(4))))
+    other.give(
+        io.ListUpdate(
+            io.ListKind.SAVED, 2, tuple(io.BackendEntry(f"b{n}", io.Phase.RUNNING, born=born) for n in range(4))
+        )
+    )
     return other.gw.fleet
 
 
@@ -596,10 +646,18 @@
     assert kept == set(range(50))
 
 
-@pytest.mark.parametrize("text,error", [
-    ("", "folder"), ("folder = 3\n", "folder"), ('folder = "x"\nsnyc = "off"\n', "snyc"),
-    ('folder = "x"\nsync = "now"\n', "sync"), ('folder = "x"\ncommit_ms = 1\n', "commit_ms"),
-    ("folder = ", "Invalid"), ("\xff", "")])
+@pytest.mark.parametrize(
+    "text,error",
+    [
+        ("", "folder"),
+        ("folder = 3\n", "folder"),
+        ('folder = "x"\nsnyc = "off"\n', "snyc"),
+        ('folder = "x"\nsync = "now"\n', "sync"),
+        ('folder = "x"\ncommit_ms = 1\n', "commit_ms"),
+        ("folder = ", "Invalid"),
+        ("\xff", ""),
+    ],
+)
 def test_the_operators_file_is_checked_in_one_line(tmp_path, text, error):
     path = tmp_path / "state.toml"
     path.write_bytes(text.encode("latin-1"))
--- a/tests/talk/test_fleet.py
+++ b/tests/talk/test_fleet.py
@@ -32,8 +32,12 @@
         first = member * 7 % FLEET
         n = (first + min(w.rng.randrange(width), w.rng.randrange(width))) % FLEET  # unevenly
         units = w.rng.choice((1.0, 2.0))
-        w.at(t, lambda n=n, m=member, p=plan, u=units, f=first, d=width: (  # type: ignore[misc]
-            w.ask(n, m, p, u, f, d) if w.gateways[n] is not None else None))
+        w.at(
+            t,
+            lambda n=n, m=member, p=plan, u=units, f=first, d=width: (  # type: ignore[misc]
+                w.ask(n, m, p, u, f, d) if w.gateways[n] is not None else None
+            ),
+        )
     w.run(seconds)
     assert w.now == began + seconds
 
@@ -57,7 +61,8 @@
     """One ingress's words reach the lower half only."""
     give = w.give
     w.give = lambda n, e, life=None: (  # type: ignore[method-assign]
-        None if getattr(e, "sender", None) == 7 and n >= FLEET // 2 else give(n, e, life))
+        None if getattr(e, "sender", None) == 7 and n >= FLEET // 2 else give(n, e, life)
+    )
 
 
 def killed(w: World) -> None:
@@ -94,8 +99,7 @@
 ]
 
 
-@pytest.mark.parametrize("fault,refused,wide,narrow", FAULTS,
-                         ids=["calm", *(f.__name__ for f, *_ in FAULTS[1:])])
+@pytest.mark.parametrize("fault,refused,wide,narrow", FAULTS, ids=["calm", *(f.__name__ for f, *_ in FAULTS[1:])])
 def test_a_fleet_of_sixty_serves_through(fault, refused, wide, narrow):
     w = fleet()
     load(w, 6.0)
@@ -126,8 +130,12 @@
     w = fleet()
     for second in range(12):
         for n in range(20):
-            w.at(n / 20, lambda n=n, f=0 if second < 6 else 30: w.ask(  # type: ignore[misc]
-                (f + n * 7) % FLEET, 1, "basic", 2.0, f, WIDE))
+            w.at(
+                n / 20,
+                lambda n=n, f=0 if second < 6 else 30: w.ask(  # type: ignore[misc]
+                    (f + n * 7) % FLEET, 1, "basic", 2.0, f, WIDE
+                ),
+            )
         w.run(1.0)
     quota, _ = w.beyond("basic")
     assert quota <= BASIC.burst + 4.0 and w.kept() > 0.9
@@ -137,8 +145,12 @@
 def test_sets_of_one_and_sets_of_all(width):
     w = fleet()
     for n in range(200):
-        w.at(n / 20, lambda n=n: w.ask(  # type: ignore[misc]
-            (59 + n * 7 % width) % FLEET, 1, "basic", 1.0, 59, width))
+        w.at(
+            n / 20,
+            lambda n=n: w.ask(  # type: ignore[misc]
+                (59 + n * 7 % width) % FLEET, 1, "basic", 1.0, 59, width
+            ),
+        )
     w.run(11.0)
     assert 0.85 <= w.kept() <= 1.15 and w.beyond("basic")[0] <= 4.0
 
@@ -155,8 +167,12 @@
         member = w.rng.randrange(4 * instances)
         plan, width = ("basic", max(11, instances // 2)) if member % 3 == 0 else ("plus", NARROW)
         first = member * 7 % instances
-        w.at(t, lambda m=member, p=plan, f=first, d=width: w.ask(  # type: ignore[misc]
-            (f + w.rng.randrange(d)) % instances, m, p, 1.0, f, d))
+        w.at(
+            t,
+            lambda m=member, p=plan, f=first, d=width: w.ask(  # type: ignore[misc]
+                (f + w.rng.randrange(d)) % instances, m, p, 1.0, f, d
+            ),
+        )
     w.run(3.0)
     assert w.told / 3 / instances <= 60 and w.spilt == 0 and vain(w) <= 0.01
 
@@ -195,8 +211,10 @@
     assert w.beyond("plus")[1] <= CEILING_SLACK  # 251 units by words alone, 11 by words of the last second
 
 
-@pytest.mark.parametrize("width,lost,quiet,per_s", [
-    (4, 1.0, True, 240.0), (4, 1.0, False, 30.0), (8, 0.7, True, 240.0), (13, 1.0, True, 240.0)])
+@pytest.mark.parametrize(
+    "width,lost,quiet,per_s",
+    [(4, 1.0, True, 240.0), (4, 1.0, False, 30.0), (8, 0.7, True, 240.0), (13, 1.0, True, 240.0)],
+)
 def test_a_spike_in_the_very_second_in_which_words_are_lost_does_not_pass_a_ceiling(width, lost, quiet, per_s):
     """Words of the last second are not enough: 110, 41, 16 and 48 units beyond by them, none by shares."""
     w = fleet(per_s=per_s)
--- a/tests/talk/test_processes.py
+++ b/tests/talk/test_processes.py
@@ -12,13 +12,17 @@
 INGRESSES = 12  # more than tell everything to everybody
 
 
-@pytest.mark.parametrize("faults,crowded", [
-    ((), 0.01),
-    ((Fault(1.0, "counter.silence", lasts=2.0),), 0.1),
-    ((Fault(1.0, "counter.split", 0, lasts=2.0),), 0.02),
-    ((Fault(1.0, "relay.loss", value=0.7, lasts=2.0),), 0.1),
-    (tuple(Fault(1.0, "ingress.kill", n) for n in range(0, INGRESSES, 3)), 0.1),
-], ids=["calm", "counter silent", "counter split", "70% lost", "four killed at once"])
+@pytest.mark.parametrize(
+    "faults,crowded",
+    [
+        ((), 0.01),
+        ((Fault(1.0, "counter.silence", lasts=2.0),), 0.1),
+        ((Fault(1.0, "counter.split", 0, lasts=2.0),), 0.02),
+        ((Fault(1.0, "relay.loss", value=0.7, lasts=2.0),), 0.1),
+        (tuple(Fault(1.0, "ingress.kill", n) for n in range(0, INGRESSES, 3)), 0.1),
+    ],
+    ids=["calm", "counter silent", "counter split", "70% lost", "four killed at once"],
+)
 def test_a_large_fleet_keeps_the_rules_and_refuses_few_with_room(faults, crowded):
     fleets: list[Fleet] = []
 
@@ -27,10 +31,12 @@
 
     async def main() -> None:
         verdict, _, sent = await run_fleet(
-            Options(ingresses=INGRESSES, servers=8, seconds=4.0, rate=100.0, seed=6, faults=faults, loss=0.0), watch)
+            Options(ingresses=INGRESSES, servers=8, seconds=4.0, rate=100.0, seed=6, faults=faults, loss=0.0), watch
+        )
         assert verdict.kept, verdict.lines()
         assert fleets[0].front is not None
         answered = fleets[0].front.tally
         assert sent > 250 and answered.get(200, 0) > 100
         assert answered.get(503, 0) <= crowded * sent, answered
+
     asyncio.run(asyncio.wait_for(main(), 90))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -177,9 +177,16 @@
     assert sent <= (CEILED.ceiling_burst - CEILED.burst) / 2 + 1
 
 
-@pytest.mark.parametrize("change,field", [
-    (dict(classes=()), "classes"), (dict(plans=()), "plans"), (dict(instances=0), "instances"),
-    (dict(counter_timeout=-1.0), "counter_timeout"), (dict(max_attempts=0), "max_attempts")])
+@pytest.mark.parametrize(
+    "change,field",
+    [
+        (dict(classes=()), "classes"),
+        (dict(plans=()), "plans"),
+        (dict(instances=0), "instances"),
+        (dict(counter_timeout=-1.0), "counter_timeout"),
+        (dict(max_attempts=0), "max_attempts"),
+    ],
+)
 def test_settings_that_cannot_hold_name_the_field(change, field):
     args = dict(classes=(SAFE,), plans=(PLAN,))
     args.update(change)
@@ -560,8 +567,9 @@
     assert g.gw.sharing.customers[7].pending == pytest.approx(-3.0)
 
 
-@pytest.mark.parametrize("payload", [
-    b"", io.TOLD_MARK, io.TOLD_MARK + bytes(7), io.TOLD_MARK + b"\xff" * 9, b"\x01" * 250])
+@pytest.mark.parametrize(
+    "payload", [b"", io.TOLD_MARK, io.TOLD_MARK + bytes(7), io.TOLD_MARK + b"\xff" * 9, b"\x01" * 250]
+)
 def test_what_a_peer_cannot_mean_changes_nothing(payload):
     g = Ingress(peers=True, instances=3, peer_in_per_s=100.0)
     serve(g, g.ask(units=1.0))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -233,9 +233,14 @@
 
 def test_stray_events_raise_nothing():
     g = Ingress()
-    for e in (io.TimerFired(99), io.ClientGone("nobody"), io.PeerMessage(1, b"x"),
-              io.AttemptStarted("nobody", 0, "b0", 0.1), io.ProbeEnded("b0", io.Outcome.OK, 0.1),
-              io.AttemptEnded("nobody", 0, "nowhere", io.Outcome.OK, 0.1, True)):
+    for e in (
+        io.TimerFired(99),
+        io.ClientGone("nobody"),
+        io.PeerMessage(1, b"x"),
+        io.AttemptStarted("nobody", 0, "b0", 0.1),
+        io.ProbeEnded("b0", io.Outcome.OK, 0.1),
+        io.AttemptEnded("nobody", 0, "nowhere", io.Outcome.OK, 0.1, True),
+    ):
         assert not finals(g.give(e))
 
 
@@ -246,6 +251,7 @@
             for a in some(g.ask(["read", "pay", "once"][k % 3], customer=k), io.Attempt):
                 g.end(a)
         return g.log
+
     assert play() == play()
 
 
@@ -366,8 +372,11 @@
     for seed in range(200):
         g = Ingress(backends=4, seed=seed)
         g.gw.fleet.rate, g.gw.fleet.rate_at = 0.01, g.now
-        g.give(io.ListUpdate(io.ListKind.CHANGE, 2, tuple(
-            io.BackendEntry(f"b{i}", io.Phase.RUNNING, born=g.now) for i in range(4))))
+        g.give(
+            io.ListUpdate(
+                io.ListKind.CHANGE, 2, tuple(io.BackendEntry(f"b{i}", io.Phase.RUNNING, born=g.now) for i in range(4))
+            )
+        )
         g.now += 5.0
         first += bool(some(g.ask(), io.Attempt))
     # 4 backends x 0.01 a second x 2.5 x 0.5 x mean ramp 0.6 x 5 s (judged at the ramp's present height)
@@ -389,9 +398,14 @@
     assert set(i.gw.fleet.backends) == {"b9"}
 
 
-@pytest.mark.parametrize("entries", [
-    (), (io.BackendEntry("b0", io.Phase.RUNNING, born=105.0, zone="z0"),),
-    (io.BackendEntry("b0", io.Phase.STOPPING, zone="z0"),)])
+@pytest.mark.parametrize(
+    "entries",
+    [
+        (),
+        (io.BackendEntry("b0", io.Phase.RUNNING, born=105.0, zone="z0"),),
+        (io.BackendEntry("b0", io.Phase.STOPPING, zone="z0"),),
+    ],
+)
 def test_attempts_out_are_counted_down_whatever_becomes_of_their_backend(entries):
     """A count that stays up for ever would use up the limit on attempts out."""
     g = Ingress(backends=1)
@@ -500,8 +514,9 @@
     for name in resting:
         fleet.backends[name].resting = g.now + 100.0
     looked = []
-    monkeypatch.setattr(fleet, "least", lambda now, f, among, least=fleet.least: (
-        looked.append(len(among)), least(now, f, among))[1])
+    monkeypatch.setattr(
+        fleet, "least", lambda now, f, among, least=fleet.least: (looked.append(len(among)), least(now, f, among))[1]
+    )
     sent = Counter(only(g.ask(), io.Attempt).backend for _ in range(500))
     assert not resting & set(sent) and len(sent) == 50 and max(sent.values()) <= 14  # 10 each
     assert sum(looked) / 500 < 2 * fleet_module.DRAWN and max(looked) in (fleet_module.DRAWN, 200)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -16,9 +16,11 @@
 
 def readers(path: Path) -> set[int]:
     """Lines of a file that name a wall clock."""
-    return {node.lineno for node in ast.walk(ast.parse(path.read_text()))
-            if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name)
-            and (node.value.id, node.attr) in WALL}
+    return {
+        node.lineno
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and (node.value.id, node.attr) in WALL
+    }
 
 
 def test_only_those_that_say_why_read_the_wall_clock():
@@ -28,6 +30,7 @@
 
 def test_a_reader_is_seen(tmp_path):
     path = tmp_path / "x.py"
-    path.write_text("import time\nfrom datetime import datetime\n"
-                    "a = time.monotonic()\nb = time.time()\nc = datetime.now()\n")
+    path.write_text(
+        "import time\nfrom datetime import datetime\n" "a = time.monotonic()\nb = time.time()\nc = datetime.now()\n"
+    )
     assert readers(path) == {4, 5}
--- a/tests/test_farewell.py
+++ b/tests/test_farewell.py
@@ -36,6 +36,7 @@
 
 def test_kept_connections_go_on_being_served_until_nobody_asks_any_more():
     """Whoever is in front cannot open new ones; closing these would leave its requests with nowhere to go."""
+
     async def main():
         backend = await Peer.start(ok())
         rig = Rig(lambda e: [io.Attempt(e.id, "b0")] if isinstance(e, io.Request) else [])
@@ -53,6 +54,7 @@
         assert not leaving.done()
         await leaving
         assert await client.reader.read() == b"" and await late.reader.read() == b""
+
     run(main())
 
 
@@ -70,6 +72,7 @@
         status, headers, _ = await client.ask(call("r2"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert len([e for e in rig.script.events if isinstance(e, io.Request)]) == 1
+
     run(main())
 
 
@@ -86,14 +89,16 @@
         client = await rig.start(b0=backend.port)
         client.writer.write(call("r1", budget="6000m"))
         await until(lambda: backend.seen)
-        leaving = asyncio.create_task(rig.server.leave(
-            asyncio.sleep(0.0), Farewell(asyncio.get_running_loop().time() - WHOLE, 7.5)))
+        leaving = asyncio.create_task(
+            rig.server.leave(asyncio.sleep(0.0), Farewell(asyncio.get_running_loop().time() - WHOLE, 7.5))
+        )
         await until(lambda: rig.server.leaving)
         assert not leaving.done()
         go.set()
         status, headers, _ = await client.answer()
         assert status == 200 and headers["connection"] == "close"
         await leaving
+
     run(main())
 
 
@@ -113,4 +118,5 @@
             assert (status, headers["connection"]) == (503, "close")
         assert (await client.ask(call("r1")))[0] == 200
         await leaving
+
     run(main())
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -75,6 +75,7 @@
 
 def test_an_unsafe_request_on_a_kept_connection_that_breaks_early_goes_out_on_a_new_one():
     """The backend resets its first connection at the second request's first bytes: nothing has run."""
+
     async def main():
         backend = await Faulty(first_breaks).start()
         rig = Rig(in_turn("b0", "b0"))
@@ -84,6 +85,7 @@
         assert (await client.ask(call("r2", cls="once")))[2] == b"run 2"
         assert backend.connections == 2 and backend.whole == 2
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.OK, io.Outcome.OK]
+
     run(main())
 
 
@@ -97,11 +99,13 @@
         assert (await client.ask(call("r2", cls="once")))[0] != 200
         assert rig.script.ends()[-1].outcome is io.Outcome.RESET
         assert rig.upstream.guard.wary(rig.upstream.loop.time())
+
     run(main())
 
 
 def test_a_new_connection_that_breaks_before_the_last_byte_could_not_be_reached():
     """Never run, told as that; not tried again by the sockets, which know of no other backend."""
+
     async def act(peer, number, reader, writer):
         await reader.read(1)
         writer.transport.abort()
@@ -114,6 +118,7 @@
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.CONNECT_FAILED, io.Outcome.OK]
         assert backend.connections == 1
+
     run(main())
 
 
@@ -131,6 +136,7 @@
         assert (await client.ask(call("r1", cls="once")))[0] != 200
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.RESET]
         assert backend.connections == backend.whole == 1
+
     run(main())
 
 
@@ -147,6 +153,7 @@
         wary(rig)
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert rig.script.ends()[0].outcome is io.Outcome.CONNECT_FAILED
+
     run(main())
 
 
@@ -164,6 +171,7 @@
         rig.upstream.guard.hold = lambda: 0.05
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert rig.script.ends()[0].outcome is io.Outcome.MOOT and backend.whole == 0
+
     run(main())
 
 
@@ -182,4 +190,5 @@
         client.writer.close()
         await until(lambda: not rig.ingress.held)
         assert backend.whole == 0 and rig.script.ends()[-1].outcome is io.Outcome.MOOT
+
     run(main())
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -17,17 +17,19 @@
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         status, _, body = await client.ask(
-            call("r1", "pay", b"\x00\xffbody", path="/api/v1/00000001ffffffff?q=1", X_Again="1"))
+            call("r1", "pay", b"\x00\xffbody", path="/api/v1/00000001ffffffff?q=1", X_Again="1")
+        )
         assert (status, body) == (200, payload)
         seen = backend.seen[0]
         assert seen.line == "POST /api/v1/00000001ffffffff?q=1 HTTP/1.1" and seen.body == b"\x00\xffbody"
         assert seen.headers["x-call-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
         assert 0 < int(seen.headers["x-budget"].removesuffix("m")) < 6000
         request = next(e for e in rig.script.events if isinstance(e, io.Request))
-        assert request[:4] == ("r1", "pay", "basic", 0x1ffffffff) and request[5:9] == (2.0, 2, 1, True)
+        assert request[:4] == ("r1", "pay", "basic", 0x1FFFFFFFF) and request[5:9] == (2.0, 2, 1, True)
         assert 5 < request.expires_in < 6
         assert rig.script.ends()[0].true_units == 3.0 and rig.script.ends()[0].done
         assert not rig.ingress.held
+
     run(main())
 
 
@@ -43,6 +45,7 @@
         assert all(before <= t <= unix() for t in rig.script.times)
         born = rig.script.events[1].entries[0].born
         assert born == started / 1000
+
     run(main())
 
 
@@ -53,6 +56,7 @@
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call()))[0] == 200
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.MOOT, io.Outcome.OK]
+
     run(main())
 
 
@@ -65,6 +69,7 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         assert asyncio.get_running_loop().time() - began < 5
         assert rig.script.events[-1] == io.ClientGone("r1") and not rig.ingress.held
+
     run(main())
 
 
@@ -78,6 +83,7 @@
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.TIMEOUT, False)]
         await until(backend.seen[0].ended)
         assert (await client.ask(call("r2", cls="pay", budget="250000u")))[0] == 503
+
     run(main())
 
 
@@ -93,6 +99,7 @@
         rig.ingress.submit(io.TimerFired(1))
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.MOOT, True)]
         assert not backend.seen and not rig.ingress.held
+
     run(main())
 
 
@@ -115,6 +122,7 @@
         await until(rig.script.ends)
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.OK, True)]
         assert not rig.ingress.held
+
     run(main())
 
 
@@ -127,6 +135,7 @@
         assert status == 429 and float(headers["retry-after"]) == 0.25
         status, headers, _ = await client.ask(call("r2"))
         assert status == 503 and float(headers["retry-after"]) == rig.settings.max_retry_after
+
     run(main())
 
 
@@ -145,6 +154,7 @@
         assert rig.script.events[-1] == io.ClientGone("bad")  # nothing of it stays in the module
         assert (await client.ask(call("good")))[0] == 200
         assert "a fault of the module" in caplog.text
+
     run(main())
 
 
@@ -157,6 +167,7 @@
         second = await Client.connect(rig.port)
         assert (await second.ask(call("same")))[0] == 400
         assert len(rig.ingress.held) == 1
+
     run(main())
 
 
@@ -178,6 +189,7 @@
         assert (await client.ask(call()))[0] == 200
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.MOOT, io.Outcome.OK]
         assert not draining.seen and len(other.seen) == 1
+
     run(main())
 
 
@@ -192,11 +204,11 @@
         rig.ingress.listed(gone)
         assert (await client.ask(call("r2")))[0] == 503
         assert len(backend.seen) == 1 and rig.script.ends()[-1].outcome is io.Outcome.MOOT
+
     run(main())
 
 
-@pytest.mark.parametrize("figure,units", [
-    (b"3", 3.0), (b"1e300", 0.0), (b"nan", 0.0), (b"-2", 0.0), (b"x", 0.0)])
+@pytest.mark.parametrize("figure,units", [(b"3", 3.0), (b"1e300", 0.0), (b"nan", 0.0), (b"-2", 0.0), (b"x", 0.0)])
 def test_a_figure_on_use_that_cannot_be_meant_is_left_out(figure, units):
     async def main():
         backend = await Peer.start(ok(b"fine", b"X-Cost-Units: " + figure))
@@ -204,6 +216,7 @@
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call()))[0] == 200
         assert rig.script.ends()[0].true_units == units
+
     run(main())
 
 
@@ -215,16 +228,17 @@
         rig.ingress.listed(listing(entry("b0", backend.port, "DRAINING"), snapshot=False))
         rig.ingress.listed(listing(index=2))
         assert not rig.upstream.pools
+
     run(main())
 
 
 def test_a_probe_brings_the_load_report():
     async def main():
         report = b"TEXT latency_ms=14.5, inflight=7, util=1"
-        backend = await Peer.start(
-            b"HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n%s" % (len(report), report))
-        rig = Rig(lambda e: [io.Probe("b0"), io.Probe("b1")] if isinstance(e, io.TimerFired) else [],
-                  connect_timeout=5.0)
+        backend = await Peer.start(b"HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n%s" % (len(report), report))
+        rig = Rig(
+            lambda e: [io.Probe("b0"), io.Probe("b1")] if isinstance(e, io.TimerFired) else [], connect_timeout=5.0
+        )
         await rig.start(b0=backend.port, b1=closed_port())
         rig.ingress.submit(io.TimerFired(1))
 
@@ -235,4 +249,5 @@
         assert found()["b0"].load == {"latency_ms": 14.5, "inflight": 7.0}
         assert found()["b1"].outcome is io.Outcome.CONNECT_FAILED
         assert backend.seen[0].line == "GET /load HTTP/1.1"
+
     run(main())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,8 +15,16 @@
 def part(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
     settings = io.Settings(classes=(SAFE,), plans=(PLAN,), instances=instances, me=me)
     fleet = Fleet(settings, random.Random(me), [], 100.0)
-    fleet.listed(100.0, io.ListUpdate(io.ListKind.WHOLE, 1, tuple(
-        io.BackendEntry(f"b{n}", io.Phase.RUNNING) for n in random.Random(me).sample(range(backends), backends))))
+    fleet.listed(
+        100.0,
+        io.ListUpdate(
+            io.ListKind.WHOLE,
+            1,
+            tuple(
+                io.BackendEntry(f"b{n}", io.Phase.RUNNING) for n in random.Random(me).sample(range(backends), backends)
+            ),
+        ),
+    )
     fleet.rate = rate
     fleet.draw_near(100.0)
     return fleet
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,16 +19,28 @@
 from thistleusher.net.daemon import Daemon
 
 SETTINGS = {
-    "balancers": 1, "me": 0, "zone": "z0", "step": 0.004, "classes": [
+    "balancers": 1,
+    "me": 0,
+    "zone": "z0",
+    "step": 0.004,
+    "classes": [
         {"name": "read", "semantics": "retryable", "objective": 2.0, "hardLimit": 6.0},
-        {"name": "pay", "semantics": "dedup", "objective": 2.0, "hardLimit": 6.0, "window": 15.0,
-         "group": "all"}],
+        {"name": "pay", "semantics": "dedup", "objective": 2.0, "hardLimit": 6.0, "window": 15.0, "group": "all"},
+    ],
     "plans": [{"name": "basic", "rate": 2.0, "storeSize": 8.0, "pays": 1.1}],
     "extra": {"counter": True, "counterTimeout": 1.0, "maxUnits": 4, "truedUp": True, "peerInPerS": 100.0},
-    "limits": {"maxAttempts": 3, "cancel": True, "peers": False, "connIdle": 15.0, "connectTimeout": 2.0,
-               "maxRetryAfter": 1.0},
+    "limits": {
+        "maxAttempts": 3,
+        "cancel": True,
+        "peers": False,
+        "connIdle": 15.0,
+        "connectTimeout": 2.0,
+        "maxRetryAfter": 1.0,
+    },
     "loadReport": {"how": "pull", "fields": ["latency_ms", "inflight"]},
-    "areas": ["z0", "z1"], "unheard": {"of": 1}}
+    "areas": ["z0", "z1"],
+    "unheard": {"of": 1},
+}
 
 
 TERMS = "units=4,spread=1,first=0"
@@ -41,15 +53,29 @@
     def __init__(self, tmp_path, **config):
         self.port, self.args = closed_port(), ()
         self.path = tmp_path / "config.json"
-        self.path.write_text(json.dumps({
-            "name": "n0", "listen": f"{HOST}:{self.port}", "discovery": f"{HOST}:{closed_port()}",
-            "seed": "8c1f", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": SETTINGS, **config}))
+        self.path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"{HOST}:{self.port}",
+                    "discovery": f"{HOST}:{closed_port()}",
+                    "seed": "8c1f",
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "settings": SETTINGS,
+                    **config,
+                }
+            )
+        )
 
     async def start(self):
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "thistleusher", *self.args, env={**os.environ, "PROXY_CONFIG": str(self.path)},
-            stderr=subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "thistleusher",
+            *self.args,
+            env={**os.environ, "PROXY_CONFIG": str(self.path)},
+            stderr=subprocess.PIPE,
+        )
         while True:
             try:
                 return await Client.connect(self.port)
@@ -78,9 +104,18 @@
 async def in_process(backend, counter, clock, keeper=None, **more):
     """The program's daemon in this process, on a clock of the test's; gives it and its port."""
     port = closed_port()
-    config = read_config_text({
-        "name": "n0", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:{closed_port()}", "seed": "8c1f",
-        "counter": f"{HOST}:{counter.port}", "known": known(backend.port), "settings": SETTINGS, **more})
+    config = read_config_text(
+        {
+            "name": "n0",
+            "listen": f"{HOST}:{port}",
+            "discovery": f"{HOST}:{closed_port()}",
+            "seed": "8c1f",
+            "counter": f"{HOST}:{counter.port}",
+            "known": known(backend.port),
+            "settings": SETTINGS,
+            **more,
+        }
+    )
     daemon = Daemon(config, clock, keeper=keeper and keeper(config))
     await daemon.start()
     try:
@@ -100,6 +135,7 @@
         assert all(0 < float(a[1]["retry-after"]) <= 1 for a in answers[2:])
         assert len(backend.seen) == 2 and list(counter.totals().values()) == [8.0]
         await counter.stop()
+
     run(main())
 
 
@@ -133,6 +169,7 @@
             status, headers, _ = await held.answer()
             assert status == 200 and headers["connection"] == "close"
             await leaving
+
     run(main())
 
 
@@ -159,6 +196,7 @@
             assert await program.process.wait() == 0
         finally:
             await program.end()
+
     run(main())
 
 
@@ -168,8 +206,12 @@
         lists = ok(json.dumps(known(backend.port)).encode())
         counters = [await Peer.start(ok(b"1")) for _ in range(2)]
         lists = [await Peer.start(lists) for _ in range(2)]
-        program = Program(tmp_path, known=known(backend.port), counter=f"{HOST}:{counters[0].port}",
-                          discovery=f"{HOST}:{lists[0].port}")
+        program = Program(
+            tmp_path,
+            known=known(backend.port),
+            counter=f"{HOST}:{counters[0].port}",
+            discovery=f"{HOST}:{lists[0].port}",
+        )
         sound = program.path.read_text()
         client = await program.start()
         try:
@@ -179,8 +221,12 @@
             while b"stays as it was" not in await program.process.stderr.readline():
                 pass
             assert (await client.ask(call("r2", X_Call_Terms=FEW)))[0] == 200
-            program.path.write_text(json.dumps(json.loads(sound) | {
-                "counter": f"{HOST}:{counters[1].port}", "discovery": f"{HOST}:{lists[1].port}"}))
+            program.path.write_text(
+                json.dumps(
+                    json.loads(sound)
+                    | {"counter": f"{HOST}:{counters[1].port}", "discovery": f"{HOST}:{lists[1].port}"}
+                )
+            )
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: lists[1].seen and counters[1].connections)
             assert lists[1].seen[0].line == "GET /v1/servers HTTP/1.1"
@@ -191,25 +237,35 @@
             assert program.process.returncode is None
         finally:
             await program.end()
+
     run(main())
 
 
 SOUND = {"settings": SETTINGS, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "name": "n"}
 
 
-@pytest.mark.parametrize("config", [
-    None, "no json", "[]", "{}", {"settings": {}}, {"settings": SETTINGS},
-    {"settings": SETTINGS, "listen": "x"}, {**SOUND, "settings": {**SETTINGS, "plans": []}},
-    {**SOUND, "listen": "203.0.113.9:1"},  # no address of this machine
-    {**SOUND, "known": {"x": 1}}, {**SOUND, "seed": "no hex"},
-])
+@pytest.mark.parametrize(
+    "config",
+    [
+        None,
+        "no json",
+        "[]",
+        "{}",
+        {"settings": {}},
+        {"settings": SETTINGS},
+        {"settings": SETTINGS, "listen": "x"},
+        {**SOUND, "settings": {**SETTINGS, "plans": []}},
+        {**SOUND, "listen": "203.0.113.9:1"},  # no address of this machine
+        {**SOUND, "known": {"x": 1}},
+        {**SOUND, "seed": "no hex"},
+    ],
+)
 def test_bad_configuration_is_one_plain_line(tmp_path, config):
     path = tmp_path / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     if config is not None:
         env["PROXY_CONFIG"] = str(path)
-    done = subprocess.run([sys.executable, "-m", "thistleusher"], env=env, capture_output=True, text=True,
-                          timeout=60)
+    done = subprocess.run([sys.executable, "-m", "thistleusher"], env=env, capture_output=True, text=True, timeout=60)
     lines = [line for line in done.stderr.splitlines() if " INFO " not in line]
     assert done.returncode == 2 and len(lines) == 1 and lines[0].startswith("thistleusher: ")
