--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -13,48 +13,90 @@
 BODY = b"x" * (64 * 1024)
 
 
-@pytest.mark.parametrize("raw,status", [
-    (b"no http at all\r\n\r\n", 400),
-    (b"GET /api/000000000000000a HTTP/9.9\r\n\r\n", 400),
-    (b"\x00\xff\x00\xff\r\n\r\n", 400),
-    (call(Content_Length="-5"), 400),
-    (call(Content_Length="5", Transfer_Encoding="chunked"), 400),
-    # Where an ingress and a backend could read two different requests, or none.
-    (call(cls="pay", Transfer_Encoding="chunked", Content_Length="5"), 400),
-    *((call(cls="pay", Content_Length=None, Transfer_Encoding=t), 400) for t in (
-        "identity", "gzip, chunked", "chunked, gzip", "xchunked", "\x0bchunked", "chunked, chunked")),
-    *((call(cls="pay", Content_Length=n), 400) for n in (
-        "-1", "+5", "5, 5", "0x5", "1_0", "", "99999999999999999999999")),
-    (call(cls="pay", Content_Length="5\r\nContent-Length: 5"), 400),
-    (call(cls="pay", Content_Length="63000000"), 413),
-    (call(X_A="a\rb"), 400), (call(X_A="a\x00b"), 400), (call(X_A="a\r\n b"), 400), (call(X_A="a\x01"), 400),
-    (call().replace(b"Host:", b"Host :"), 400), (call().replace(b"\r\n", b"\n"), 400),
-    (call(X_Call_Id="r1\r\nX-Call-Id: r2"), 400), (call(Host="a"), 400),
-    (call(cls="pay", Idempotency_Key="a\r\nIdempotency-Key: b"), 400),
-    (call(Connection="upgrade", Upgrade="h2c"), 400), (b"CONNECT x:80 HTTP/1.1\r\n\r\n", 400),
-    (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400), (b"GET http://x/api/000000000000000a HTTP/1.1\r\n\r\n", 404),
-    *((call(cls="pay", Content_Length=None, Transfer_Encoding="chunked", body=b), 400) for b in (
-        b"-5\r\nabcde\r\n0\r\n\r\n", b"fffffffffffffffffff\r\na", b"3\r\nabcde\r\n0\r\n\r\n")),
-    (call(X_Call_Id=None), 400), (call(X_Call_Id="x" * 65), 400), (call(X_Call_Id="a b"), 400),
-    (call(X_Call_Class=None), 400), (call(X_Call_Class="unheard-of"), 400),
-    (call(X_Tier=None), 400), (call(X_Tier="unheard-of"), 400),
-    (call(X_Budget=None), 400), *((call(budget=b), 400) for b in (
-        "480", "0m", "-1m", "9999999999m", "99999999999999999999m", "nanm")),
-    *((call(X_Call_Terms=t), 400) for t in (
-        None, "units=nan,spread=1,first=0", "units=-1,spread=1,first=0", "units=5,spread=1,first=0",
-        "units=1,spread=0,first=0", "units=1,spread=9,first=0", "units=1,spread=1,first=3",
-        "units,spread,first", "", "units=0,spread=1,first=0", "units=1_0,spread=1,first=0",
-        "units=1e0,spread=1,first=0", "units=1,spread=1.5,first=0", "units=1,spread=-1,first=0",
-        "units=1,spread=1,first=-1", "units=1,units=2,spread=1,first=0", "units=inf,spread=1,first=0")),
-    (call(cls="pay", Idempotency_Key=None), 400), (call(cls="pay").replace(b"POST", b"GET"), 400),
-    (call().replace(b"GET", b"POST"), 400), (call().replace(b"GET", b"DELETE"), 400),
-    (call(path="/api/0000000200000000"), 400),
-    (call(path="/"), 404), (call(path="/api/12"), 404), (call(path="/api/000000000000000a/more"), 404),
-    (call(path="/load"), 404), (call(path="/a\xe9\xff"), 400),
-    (call(cls="pay", body=BODY + b"x"), 413),
-    (call(path="/" + "a" * 20_000), 431), (call(Other="x" * 20_000), 431),
-    (call(**{f"Other_{i}": "x" for i in range(3000)}), 431),
-])
+@pytest.mark.parametrize(
+    "raw,status",
+    [
+        (b"no http at all\r\n\r\n", 400),
+        (b"GET /api/000000000000000a HTTP/9.9\r\n\r\n", 400),
+        (b"\x00\xff\x00\xff\r\n\r\n", 400),
+        (call(Content_Length="-5"), 400),
+        (call(Content_Length="5", Transfer_Encoding="chunked"), 400),
+        # Where an ingress and a backend could read two different requests, or none.
+        (call(cls="pay", Transfer_Encoding="chunked", Content_Length="5"), 400),
+        *(
+            (call(cls="pay", Content_Length=None, Transfer_Encoding=t), 400)
+            for t in ("identity", "gzip, chunked", "chunked, gzip", "xchunked", "\x0bchunked", "chunked, chunked")
+        ),
+        *(
+            (call(cls="pay", Content_Length=n), 400)
+            for n in ("-1", "+5", "5, 5", "0x5", "1_0", "", "99999999999999999999999")
+        ),
+        (call(cls="pay", Content_Length="5\r\nContent-Length: 5"), 400),
+        (call(cls="pay", Content_Length="63000000"), 413),
+        (call(X_A="a\rb"), 400),
+        (call(X_A="a\x00b"), 400),
+        (call(X_A="a\r\n b"), 400),
+        (call(X_A="a\x01"), 400),
+        (call().replace(b"Host:", b"Host :"), 400),
+        (call().replace(b"\r\n", b"\n"), 400),
+        (call(X_Call_Id="r1\r\nX-Call-Id: r2"), 400),
+        (call(Host="a"), 400),
+        (call(cls="pay", Idempotency_Key="a\r\nIdempotency-Key: b"), 400),
+        (call(Connection="upgrade", Upgrade="h2c"), 400),
+        (b"CONNECT x:80 HTTP/1.1\r\n\r\n", 400),
+        (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400),
+        (b"GET http://x/api/000000000000000a HTTP/1.1\r\n\r\n", 404),
+        *(
+            (call(cls="pay", Content_Length=None, Transfer_Encoding="chunked", body=b), 400)
+            for b in (b"-5\r\nabcde\r\n0\r\n\r\n", b"fffffffffffffffffff\r\na", b"3\r\nabcde\r\n0\r\n\r\n")
+        ),
+        (call(X_Call_Id=None), 400),
+        (call(X_Call_Id="x" * 65), 400),
+        (call(X_Call_Id="a b"), 400),
+        (call(X_Call_Class=None), 400),
+        (call(X_Call_Class="unheard-of"), 400),
+        (call(X_Tier=None), 400),
+        (call(X_Tier="unheard-of"), 400),
+        (call(X_Budget=None), 400),
+        *((call(budget=b), 400) for b in ("480", "0m", "-1m", "9999999999m", "99999999999999999999m", "nanm")),
+        *(
+            (call(X_Call_Terms=t), 400)
+            for t in (
+                None,
+                "units=nan,spread=1,first=0",
+                "units=-1,spread=1,first=0",
+                "units=5,spread=1,first=0",
+                "units=1,spread=0,first=0",
+                "units=1,spread=9,first=0",
+                "units=1,spread=1,first=3",
+                "units,spread,first",
+                "",
+                "units=0,spread=1,first=0",
+                "units=1_0,spread=1,first=0",
+                "units=1e0,spread=1,first=0",
+                "units=1,spread=1.5,first=0",
+                "units=1,spread=-1,first=0",
+                "units=1,spread=1,first=-1",
+                "units=1,units=2,spread=1,first=0",
+                "units=inf,spread=1,first=0",
+            )
+        ),
+        (call(cls="pay", Idempotency_Key=None), 400),
+        (call(cls="pay").replace(b"POST", b"GET"), 400),
+        (call().replace(b"GET", b"POST"), 400),
+        (call().replace(b"GET", b"DELETE"), 400),
+        (call(path="/api/0000000200000000"), 400),
+        (call(path="/"), 404),
+        (call(path="/api/12"), 404),
+        (call(path="/api/000000000000000a/more"), 404),
+        (call(path="/load"), 404),
+        (call(path="/a\xe9\xff"), 400),
+        (call(cls="pay", body=BODY + b"x"), 413),
+        (call(path="/" + "a" * 20_000), 431),
+        (call(Other="x" * 20_000), 431),
+        (call(**{f"Other_{i}": "x" for i in range(3000)}), 431),
+    ],
+)
 def test_bad_input_is_answered_and_the_next_request_served(raw, status):
     async def main():
         backend = await Peer.start()
@@ -64,6 +106,7 @@
         assert not backend.seen and not rig.script.ends()
         other = await Client.connect(rig.port)
         assert (await other.ask(call("good")))[0] == 200
+
     run(main())
 
 
@@ -74,6 +117,7 @@
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call(cls="pay", body=BODY)))[0] == 200
         assert backend.seen[0].body == BODY
+
     run(main())
 
 
@@ -86,6 +130,7 @@
             client.writer.write(b"a" * 1024)
             await asyncio.sleep(0)
         assert (await client.answer())[0] == 431
+
     run(main())
 
 
@@ -99,6 +144,7 @@
         client = await rig.start()
         assert (await client.ask(begun))[0] == 408
         assert await client.reader.read() == b""
+
     run(main())
 
 
@@ -116,6 +162,7 @@
         assert (await once.ask(call()))[0] == 200
         assert await silent.reader.read() == b"" and await once.reader.read() == b""
         await until(lambda: not rig.server.connections)
+
     run(main())
 
 
@@ -131,6 +178,7 @@
         assert (await third.ask(call("r2")))[0] == 200
         assert await silent.reader.read() == b""
         assert (await used.ask(call("r3")))[0] == 200
+
     run(main())
 
 
@@ -147,6 +195,7 @@
             client.writer.write(call(f"r{n}"))
         await until(lambda: not rig.server.connections)
         assert len(backend.seen) < server_module.PIPELINE * 20
+
     run(main())
 
 
@@ -160,11 +209,13 @@
         client.writer.write(b"x" * (4 * server_module.LINGER_BYTES))
         await until(lambda: connection.paused or not rig.server.connections)
         await until(lambda: not rig.server.connections)
+
     run(main())
 
 
 def test_a_bad_request_ends_its_connection():
     """A client that repeats it as fast as it is turned away has to connect each time."""
+
     async def main():
         rig = Rig(lambda event: [])
         first = await rig.start()
@@ -175,6 +226,7 @@
             status, headers, _ = await client.ask(raw)
             assert status in (400, 404) and headers["connection"] == "close"
             assert await client.reader.read() == b""
+
     run(main())
 
 
@@ -185,6 +237,7 @@
         client.writer.write(call(budget="3600000m"))
         await until(lambda: rig.script.events[1:])
         assert rig.script.events[-1].expires_in <= 6.0
+
     run(main())
 
 
@@ -207,6 +260,7 @@
         for i in range(count):
             assert (await client.answer())[2] == f"r{i}".encode()
         assert (await client.answer())[0] == 400
+
     run(main())
 
 
@@ -222,6 +276,7 @@
         client = await Client.connect(rig.port)
         for _ in range(2):
             assert (await client.ask(health))[0] == 200
+
     run(main())
 
 
@@ -239,6 +294,7 @@
         assert (await three.ask(call("r4")))[0] == 200
         assert await two.reader.read() == b""
         assert (await one.ask(call("r5")))[0] == 200
+
     run(main())
 
 
@@ -253,6 +309,7 @@
         status, headers, _ = await two.ask(call("r2"))
         assert (status, headers["connection"]) == (503, "close") and float(headers["retry-after"]) > 0
         assert await two.reader.read() == b"" and list(rig.ingress.held) == ["r1"]
+
     run(main())
 
 
@@ -271,4 +328,5 @@
         await leaving
         assert (await client.answer())[1]["connection"] == "close"
         theirs.close()
+
     run(main())
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -47,6 +47,7 @@
         assert all(r.name == 8 and r.outcome is io.Outcome.OK for r in w.replies)
         assert len({s.writer for s in service.seen}) == 1
         assert service.seen[0].line == "POST /v2/numbers/8?delta=1.000000&life_ms=3000 HTTP/1.1"
+
     run(main())
 
 
@@ -69,21 +70,25 @@
         go.set()
         assert [(r.outcome, r.total) for r in (await w.some(2))[1:]] == [(io.Outcome.OK, 222.0)]
         assert service.connections == counter_module.LINES  # the connection was kept
+
     run(main())
 
 
-@pytest.mark.parametrize("answer,outcome", [
-    (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
-    (b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.CONNECT_FAILED),
-    (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.CONNECT_FAILED),
-    (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", io.Outcome.TIMEOUT),
-    # Spoilt: added, and the connection is of no further use.
-    *((ok(total), io.Outcome.ERROR) for total in (b"many", b"--3", b"nan", b"inf", b"", b"1e999", b"7 8")),
-    (b"rubbish\r\n\r\n", io.Outcome.ERROR),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n", io.Outcome.ERROR),
-    (b"HTTP/1.1 200 OK\r\nContent-Len", io.Outcome.ERROR),
-    (b"", io.Outcome.TIMEOUT),
-])
+@pytest.mark.parametrize(
+    "answer,outcome",
+    [
+        (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
+        (b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.CONNECT_FAILED),
+        (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.CONNECT_FAILED),
+        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", io.Outcome.TIMEOUT),
+        # Spoilt: added, and the connection is of no further use.
+        *((ok(total), io.Outcome.ERROR) for total in (b"many", b"--3", b"nan", b"inf", b"", b"1e999", b"7 8")),
+        (b"rubbish\r\n\r\n", io.Outcome.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n", io.Outcome.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Len", io.Outcome.ERROR),
+        (b"", io.Outcome.TIMEOUT),
+    ],
+)
 def test_only_what_surely_was_not_added_is_reported_so(answer, outcome):
     async def main():
         service = await Peer.start(answer)
@@ -94,6 +99,7 @@
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
         w.counter.add(4, 1.0, 3.0)  # on the same connection or a new one
         assert (await w.some(2))[1].total == 7.0
+
     run(main())
 
 
@@ -103,6 +109,7 @@
         w.counter.add(4, 1.0, 3.0)
         assert (await w.some(1))[0].outcome is io.Outcome.CONNECT_FAILED
         assert not w.counter.lines[0].unsent
+
     run(main())
 
 
@@ -121,6 +128,7 @@
         w.counter.timeout = LONG
         w.counter.add(4, 1.0, 3.0)
         assert (await w.some(2))[1].total == 7.0
+
     run(main())
 
 
@@ -132,11 +140,13 @@
         w.counter.add(4, 1.0, 3.0)
         w.counter.add(8, 1.0, 3.0)
         assert [r.outcome for r in await w.some(2)] == [io.Outcome.ERROR, io.Outcome.TIMEOUT]
+
     run(main())
 
 
 def test_news_of_an_old_connection_does_not_reach_the_new_one():
     """One object for both once let the late end of the old connection take the new one down."""
+
     async def main():
         service = await Peer.start(None)
         w = Watching(service.port)
@@ -152,6 +162,7 @@
         old.data_received(ok(b"111"))
         old.connection_lost(None)
         assert line.link is new and len(w.replies) == 1 and len(new.owed) == 1
+
     run(main())
 
 
@@ -180,6 +191,7 @@
         assert [(r.name, r.total) for r in await w.some(3)] == [(4, 1.0), (4, 2.0), (8, 1.0)]
         await until(lambda: first.closed)
         assert not w.counter.calls
+
     run(main())
 
 
@@ -224,12 +236,12 @@
         await until(lambda: len(got) == 3)
         agent.lines.put_nowait(None)
         await until(lambda: len(agent.requests) == 3)
-        assert [r.split(" ")[1] for r in agent.requests] == [
-            f"/v1/servers?stream=1&index={i}" for i in (41, 42, 44)]
+        assert [r.split(" ")[1] for r in agent.requests] == [f"/v1/servers?stream=1&index={i}" for i in (41, 42, 44)]
         assert (got[0].whole, got[1].whole) == (True, False)
         backend, endpoint = got[1].entries[0]
         assert (backend.backend, backend.phase, backend.born) == ("b1", io.Phase.STOPPING, 1.5)
         assert endpoint.address == (HOST, 81)
+
     run(main())
 
 
@@ -241,6 +253,7 @@
         agent = await Agent().listen()
         Discovery(asyncio.get_running_loop(), (HOST, agent.port), 7, lambda _: None)
         await until(lambda: len(agent.requests) == 3)
+
     run(main())
 
 
@@ -255,11 +268,13 @@
         discovery.source.address = (HOST, agent.port)
         agent.lines.put_nowait(text(8))
         await until(lambda: got)
+
     run(main())
 
 
 def test_discovery_that_moves_is_asked_for_the_whole_list_and_the_old_one_stays_until_then():
     """Versions need not go on from one to the other: only the whole list tells what has gone meanwhile."""
+
     async def main():
         old, new, go, got = await Agent().listen(), asyncio.Event(), asyncio.Event(), []
 
@@ -267,8 +282,7 @@
             new.set()
             await go.wait()
             if "stream" in seen.line:
-                return (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n"
-                        % (len(text(6)), text(6)))
+                return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(text(6)), text(6))
             return ok(text(5, entry("b0", 80), snapshot=True))
 
         agent = await Peer(act).listen()
@@ -285,6 +299,7 @@
         assert [s.line.split(" ")[1] for s in agent.seen] == ["/v1/servers", "/v1/servers?stream=1&index=5"]
         discovery.listed(object(), got[0])  # whatever is neither the present nor the newest says nothing
         assert len(got) == 3
+
     run(main())
 
 
@@ -307,16 +322,25 @@
         agent.lines.put_nowait(text(8))
         await until(lambda: got == [8, 8])
         assert all(r.endswith("index=7 HTTP/1.1") for r in agent.requests)
+
     run(main())
 
 
-@pytest.mark.parametrize("message", [
-    None, [], {}, {"index": 1, "snapshot": True}, {"index": "x", "snapshot": True, "endpoints": []},
-    {"index": 1, "snapshot": 1, "endpoints": []}, {"index": 1, "snapshot": True, "endpoints": [3]},
-    {"index": 1, "snapshot": True, "endpoints": [entry("b0", 80, "ASLEEP")]},
-    {"index": 1, "snapshot": True, "endpoints": [entry("b0", 0)]},
-    {"index": 1, "snapshot": True, "endpoints": [entry("b0", 80) | {"weight": float("nan")}]},
-])
+@pytest.mark.parametrize(
+    "message",
+    [
+        None,
+        [],
+        {},
+        {"index": 1, "snapshot": True},
+        {"index": "x", "snapshot": True, "endpoints": []},
+        {"index": 1, "snapshot": 1, "endpoints": []},
+        {"index": 1, "snapshot": True, "endpoints": [3]},
+        {"index": 1, "snapshot": True, "endpoints": [entry("b0", 80, "ASLEEP")]},
+        {"index": 1, "snapshot": True, "endpoints": [entry("b0", 0)]},
+        {"index": 1, "snapshot": True, "endpoints": [entry("b0", 80) | {"weight": float("nan")}]},
+    ],
+)
 def test_what_is_no_list_is_said_to_be_none(message):
     with pytest.raises(ValueError):
         read_listing(message)
@@ -349,4 +373,5 @@
         nodes[2].everyone = addresses[1]
         nodes[2].tell(None, b"by one address")
         await until(lambda: got[1])
+
     run(main())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,19 +14,22 @@
 BIG = b"x" * (64 * 1024 + 1)
 
 
-@pytest.mark.parametrize("answer,outcome", [
-    (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
-    (b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
-    (b"HTTP/1.1 504 Late\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
-    (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
-    (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
-    (b"", io.Outcome.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort", io.Outcome.RESET),
-    (b"HTTP/1.1 200 OK\r\n\r\nno length at all", io.Outcome.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n", io.Outcome.RESET),
-    (b"no HTTP at all\r\n\r\n", io.Outcome.RESET),
-    (ok(BIG), io.Outcome.RESET),
-])
+@pytest.mark.parametrize(
+    "answer,outcome",
+    [
+        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
+        (b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
+        (b"HTTP/1.1 504 Late\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
+        (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
+        (b"", io.Outcome.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort", io.Outcome.RESET),
+        (b"HTTP/1.1 200 OK\r\n\r\nno length at all", io.Outcome.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n", io.Outcome.RESET),
+        (b"no HTTP at all\r\n\r\n", io.Outcome.RESET),
+        (ok(BIG), io.Outcome.RESET),
+    ],
+)
 def test_only_a_whole_200_is_served(answer, outcome):
     async def main():
         async def act(seen):
@@ -40,26 +43,35 @@
         assert (status, body) == (200, b"whole")
         assert [e.outcome for e in rig.script.ends()] == [outcome, io.Outcome.OK]
         assert len(backend.seen) == 1  # nothing sends again by itself
+
     run(main())
 
 
-@pytest.mark.parametrize("answer", [
-    b"\x93.G\x85\xe1\xb4}\r\n\r\n", b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nno",
-    b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno", b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno",
-    ok(b"no", b"Content-Length: 2"), ok(b"no", b"Content-Length: -1"),
-    ok(b"no", b"Transfer-Encoding: chunked"),
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 1791\r\n\r\nno",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nno",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999999\r\n\r\nno",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 1_0\r\n\r\n0123456789",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppp\r\n" * 20_000,
-    b"HTTP/1.1 200 OK\r\n\r\nuntil the end",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nmidway", b"HTTP/1.1 200 OK\r\nContent-Le",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"\x93.G\x85\xe1\xb4}\r\n\r\n",
+        b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nno",
+        b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno",
+        b"HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno",
+        ok(b"no", b"Content-Length: 2"),
+        ok(b"no", b"Content-Length: -1"),
+        ok(b"no", b"Transfer-Encoding: chunked"),
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 1791\r\n\r\nno",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nno",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999999\r\n\r\nno",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 1_0\r\n\r\n0123456789",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppp\r\n" * 20_000,
+        b"HTTP/1.1 200 OK\r\n\r\nuntil the end",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nmidway",
+        b"HTTP/1.1 200 OK\r\nContent-Le",
+    ],
+)
 def test_a_spoilt_answer_on_a_connection_that_stays_open_is_a_failed_attempt(answer):
     """The request may have run; nobody may be served with it, nor wait for the rest until time is up."""
+
     async def main():
         backend, good = await Peer.start(answer), await Peer.start(ok(b"whole"))
         rig = Rig(in_turn("b0", "b1"))
@@ -68,13 +80,14 @@
         assert (status, body) == (200, b"whole")
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.RESET, io.Outcome.OK]
         await until(backend.seen[0].ended)
+
     run(main())
 
 
-@pytest.mark.parametrize("surplus", [
-    ok(b"a copy"), b"noise", b"HTTP/1.1 200 OK\r\nContent-", b"\xff\r\n\r\n"])
+@pytest.mark.parametrize("surplus", [ok(b"a copy"), b"noise", b"HTTP/1.1 200 OK\r\nContent-", b"\xff\r\n\r\n"])
 def test_what_comes_behind_an_answer_is_nobodys(surplus):
     """The end of an attempt may start the next one at once: it must not find this connection in the pool."""
+
     async def main():
         full = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         backend = await Peer.start(full + surplus, ok(b"first") + surplus, ok(b"second"))
@@ -84,6 +97,7 @@
         assert (await client.ask(call("r2")))[2] == b"second"
         assert backend.connections == 3
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.FULL, io.Outcome.OK, io.Outcome.OK]
+
     run(main())
 
 
@@ -91,8 +105,11 @@
     async def main():
         gate = asyncio.Event()
         backend = await Peer.start()
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0", 0.0 if e.id == "r1" else None)]
-                  if isinstance(e, io.Request) else in_turn("b0")(e))
+        rig = Rig(
+            lambda e: [io.Attempt(e.id, "b0", 0.0 if e.id == "r1" else None)]
+            if isinstance(e, io.Request)
+            else in_turn("b0")(e)
+        )
         client = await rig.start(b0=backend.port)
         connect = rig.upstream.connect
 
@@ -106,6 +123,7 @@
         await until(lambda: rig.upstream.pools["b0"].idle)
         assert (await client.ask(call("r2")))[0] == 200
         assert backend.connections == 1 and len(backend.seen) == 1
+
     run(main())
 
 
@@ -121,6 +139,7 @@
         rig.upstream.close()
         await until(backend.seen[0].ended)
         assert not rig.upstream.connections
+
     run(main())
 
 
@@ -133,6 +152,7 @@
         assert (await client.ask(call("r1")))[2] == BIG[1:]
         assert (await client.ask(call("r2")))[2] == b"abcde"
         assert backend.connections == 1
+
     run(main())
 
 
@@ -142,6 +162,7 @@
         client = await rig.start(b0=closed_port())
         assert (await client.ask(call(cls="once")))[0] == 503
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.CONNECT_FAILED]
+
     run(main())
 
 
@@ -155,9 +176,15 @@
             return ok()
 
         fast = await Peer(act).listen()
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0")] if isinstance(e, io.Request) else
-                  [io.CancelAttempt("r2", 0)] if isinstance(e, io.TimerFired) else
-                  [io.Attempt(e.request, "b1")] if isinstance(e, io.AttemptEnded) and not e.done else [])
+        rig = Rig(
+            lambda e: [io.Attempt(e.id, "b0")]
+            if isinstance(e, io.Request)
+            else [io.CancelAttempt("r2", 0)]
+            if isinstance(e, io.TimerFired)
+            else [io.Attempt(e.request, "b1")]
+            if isinstance(e, io.AttemptEnded) and not e.done
+            else []
+        )
         client = await rig.start(b0=slow.port, b1=fast.port)
         rig.script.decide, decide = in_turn("b1"), rig.script.decide
         await client.ask(call("r1"))  # so that a connection to b1 stands ready
@@ -169,18 +196,24 @@
         assert (await client.answer())[0] == 200
         assert ended[-1] is True
         assert [e.outcome for e in rig.script.ends()][1:] == [io.Outcome.CANCELLED, io.Outcome.OK]
+
     run(main())
 
 
 def test_a_time_out_of_the_module_ends_the_attempt():
     async def main():
         slow, fast = await Peer.start(None), await Peer.start()
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0", 0.05)] if isinstance(e, io.Request) else
-                  [io.Attempt(e.request, "b1")] if isinstance(e, io.AttemptEnded) and not e.done else [])
+        rig = Rig(
+            lambda e: [io.Attempt(e.id, "b0", 0.05)]
+            if isinstance(e, io.Request)
+            else [io.Attempt(e.request, "b1")]
+            if isinstance(e, io.AttemptEnded) and not e.done
+            else []
+        )
         client = await rig.start(b0=slow.port, b1=fast.port)
         assert (await client.ask(call()))[0] == 200
-        assert [(e.attempt, e.outcome) for e in rig.script.ends()] == [
-            (0, io.Outcome.TIMEOUT), (1, io.Outcome.OK)]
+        assert [(e.attempt, e.outcome) for e in rig.script.ends()] == [(0, io.Outcome.TIMEOUT), (1, io.Outcome.OK)]
+
     run(main())
 
 
@@ -193,13 +226,19 @@
             return ok(b"late")
 
         slow, fast = await Peer(act).listen(), await Peer.start(ok(b"in time"))
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0", 0.05)] if isinstance(e, io.Request) else
-                  [io.Attempt(e.request, "b1")] if isinstance(e, io.AttemptEnded) and not e.done else [])
+        rig = Rig(
+            lambda e: [io.Attempt(e.id, "b0", 0.05)]
+            if isinstance(e, io.Request)
+            else [io.Attempt(e.request, "b1")]
+            if isinstance(e, io.AttemptEnded) and not e.done
+            else []
+        )
         client = await rig.start(b0=slow.port, b1=fast.port)
         assert (await client.ask(call("r1")))[2] == b"in time"
         go.set()
         assert (await client.ask(call("r2", budget="5000m")))[2] in (b"late", b"in time")
         assert len(rig.script.ends()) == len({(e.request, e.attempt) for e in rig.script.ends()})
+
     run(main())
 
 
@@ -231,6 +270,7 @@
                 s.shutdown(socket.SHUT_WR)  # the ingress's loop has not heard of it yet
         assert (await one.ask(call("d")))[0] == 200
         assert [e.outcome for e in rig.script.ends()] == [io.Outcome.OK] * 4 and backend.connections == 3
+
     run(main())
 
 
@@ -259,6 +299,7 @@
             await until(seen.ended)
         assert (await one.ask(call("new")))[0] == 200
         assert (backend.connections, moved.connections) == ((3, 0) if change == "start" else (2, 1))
+
     run(main())
 
 
@@ -272,6 +313,7 @@
         await client.ask(call())
         await until(lambda: not rig.upstream.connections)
         await until(backend.seen[0].ended)
+
     run(main())
 
 
@@ -285,8 +327,11 @@
             return None if seen.headers["x-call-id"] == "c" else ok()
 
         backend = await Peer(act).listen()
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0", 0.05 if e.id == "c" else None)]
-                  if isinstance(e, io.Request) else in_turn("b0")(e))
+        rig = Rig(
+            lambda e: [io.Attempt(e.id, "b0", 0.05 if e.id == "c" else None)]
+            if isinstance(e, io.Request)
+            else in_turn("b0")(e)
+        )
         one = await rig.start(b0=backend.port)
         two = await one.connect(rig.port)
         one.writer.write(call("a"))
@@ -298,14 +343,20 @@
         assert len(rig.upstream.pools["b0"].idle) == 2
         assert (await one.ask(call("c")))[0] == 503
         assert not rig.upstream.connections
+
     run(main())
 
 
 def test_sockets_stay_within_their_number():
     async def main():
         backends = [await Peer.start() for _ in range(3)]
-        rig = Rig(lambda e: [io.Attempt(e.id, e.id)] if isinstance(e, io.Request) else
-                  [io.Refuse(e.request)] if isinstance(e, io.AttemptEnded) and not e.done else [])
+        rig = Rig(
+            lambda e: [io.Attempt(e.id, e.id)]
+            if isinstance(e, io.Request)
+            else [io.Refuse(e.request)]
+            if isinstance(e, io.AttemptEnded) and not e.done
+            else []
+        )
         rig.upstream.most = 2
         client = await rig.start(**{f"b{i}": b.port for i, b in enumerate(backends)})
         for i in range(3):
@@ -317,4 +368,5 @@
             pool.close_idle()
         assert (await client.ask(call("b1")))[0] == 503
         assert rig.script.ends()[-1].outcome is io.Outcome.CONNECT_FAILED
+
     run(main())
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -12,10 +12,12 @@
 from thistleusher import wirehost
 from thistleusher.settings import BadSetting
 
-BORN = ("BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
-        "classes.count=1 classes.0.name=read classes.0.semantics=retryable classes.0.objective=2.0 "
-        "classes.0.hardLimit=6.0 plans.count=1 plans.0.name=basic plans.0.rate=2.0 plans.0.storeSize=8.0 "
-        "limits.maxAttempts=3 loadReport.how=piggyback loadReport.fields=latency_ms,util unheard.of=5")
+BORN = (
+    "BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
+    "classes.count=1 classes.0.name=read classes.0.semantics=retryable classes.0.objective=2.0 "
+    "classes.0.hardLimit=6.0 plans.count=1 plans.0.name=basic plans.0.rate=2.0 plans.0.storeSize=8.0 "
+    "limits.maxAttempts=3 loadReport.how=piggyback loadReport.fields=latency_ms,util unheard.of=5"
+)
 ROW = "ROW 1 std Running 10.0.0.1:80 0 - z0"
 
 
@@ -41,25 +43,36 @@
     return h, rec
 
 
-@pytest.mark.parametrize("lines,event", [
-    (["UPDATE 3 SAVED 4 1", ROW], io.ListUpdate(io.ListKind.SAVED, 4, (
-        io.BackendEntry("10.0.0.1:80", io.Phase.RUNNING, 1.0, "std", 0, 0.0, "z0"),))),
-    (["UPDATE 3 FAILED 4 0"], io.ListUpdate(io.ListKind.FAILED, 4, ())),
-    (["WORK_ITEM 3 abc read basic 99 0.24 2 3 1 6"],
-     io.Request("abc", "read", "basic", 99, 0.24, 2.0, 3, 1, True, True)),
-    (["WORK_ITEM 3 abc read basic 99 0.24 2 - - -"], io.Request("abc", "read", "basic", 99, 0.24, 2.0)),
-    (["RETURNED 3 abc 0 b:1 success 0.02 1 86 3 14.5,0.62"], io.AttemptEnded(
-        "abc", 0, "b:1", io.Outcome.OK, 0.02, True, 86, 3.0, {"latency_ms": 14.5, "util": 0.62})),
-    (["RETURNED 3 abc 1 b:1 void 0 0 - - -"], io.AttemptEnded("abc", 1, "b:1", io.Outcome.MOOT, 0.0, False)),
-    (["TALLIED 3 0.002 77 success 38"], io.CounterReply(77, io.Outcome.OK, 0.002, 38.0)),
-    (["TALLIED 3 0.08 77 timed_out -"], io.CounterReply(77, io.Outcome.TIMEOUT, 0.08, 0.0)),
-    (["FIRED 3 9"], io.TimerFired(9)),
-    (["EXPIRED 3 abc"], io.ClientGone("abc")),
-    (["UNDER_WAY 3 abc 0.1 b:1 0"], io.AttemptStarted("abc", 0, "b:1", 0.1)),
-    (["PROBE_DONE 3 b:1 success 0.1 -"], io.ProbeEnded("b:1", io.Outcome.OK, 0.1)),
-    (["HEARD 3 2 68692037"], io.PeerMessage(2, b"hi 7")),
-    (["HEARD 3 2 -"], io.PeerMessage(2, b"")),
-])
+@pytest.mark.parametrize(
+    "lines,event",
+    [
+        (
+            ["UPDATE 3 SAVED 4 1", ROW],
+            io.ListUpdate(
+                io.ListKind.SAVED, 4, (io.BackendEntry("10.0.0.1:80", io.Phase.RUNNING, 1.0, "std", 0, 0.0, "z0"),)
+            ),
+        ),
+        (["UPDATE 3 FAILED 4 0"], io.ListUpdate(io.ListKind.FAILED, 4, ())),
+        (
+            ["WORK_ITEM 3 abc read basic 99 0.24 2 3 1 6"],
+            io.Request("abc", "read", "basic", 99, 0.24, 2.0, 3, 1, True, True),
+        ),
+        (["WORK_ITEM 3 abc read basic 99 0.24 2 - - -"], io.Request("abc", "read", "basic", 99, 0.24, 2.0)),
+        (
+            ["RETURNED 3 abc 0 b:1 success 0.02 1 86 3 14.5,0.62"],
+            io.AttemptEnded("abc", 0, "b:1", io.Outcome.OK, 0.02, True, 86, 3.0, {"latency_ms": 14.5, "util": 0.62}),
+        ),
+        (["RETURNED 3 abc 1 b:1 void 0 0 - - -"], io.AttemptEnded("abc", 1, "b:1", io.Outcome.MOOT, 0.0, False)),
+        (["TALLIED 3 0.002 77 success 38"], io.CounterReply(77, io.Outcome.OK, 0.002, 38.0)),
+        (["TALLIED 3 0.08 77 timed_out -"], io.CounterReply(77, io.Outcome.TIMEOUT, 0.08, 0.0)),
+        (["FIRED 3 9"], io.TimerFired(9)),
+        (["EXPIRED 3 abc"], io.ClientGone("abc")),
+        (["UNDER_WAY 3 abc 0.1 b:1 0"], io.AttemptStarted("abc", 0, "b:1", 0.1)),
+        (["PROBE_DONE 3 b:1 success 0.1 -"], io.ProbeEnded("b:1", io.Outcome.OK, 0.1)),
+        (["HEARD 3 2 68692037"], io.PeerMessage(2, b"hi 7")),
+        (["HEARD 3 2 -"], io.PeerMessage(2, b"")),
+    ],
+)
 def test_every_event(lines, event):
     h, rec = host()
     h.batch(["CLOCK 2", *lines])
@@ -73,18 +86,26 @@
     assert rec.events[0].outcome is outcome
 
 
-@pytest.mark.parametrize("action,line", [
-    (io.Attempt("abc", "b:1", 0.08), "SUBMIT_TO 3 abc b:1 0.080000"),
-    (io.Attempt("abc", "b:1"), "SUBMIT_TO 3 abc b:1 0"),
-    (io.CounterAdd(77, -4.0, 3.0), "COUNT 3 3.000000 77 -4"),
-    (io.CounterAdd(77, 0.5, 3.0), "COUNT 3 3.000000 77 0.500000"),
-    (io.Refuse("abc", 0.25), "DECLINE 3 abc 0.250000"), (io.Fail("abc"), "FINISH_ERROR 3 abc"),
-    (io.SetTimer(0.5, 7), "DEFER 3 0.500000 7"), (io.CancelAttempt("abc", 1), "DROP_ATTEMPT 3 abc 1"),
-    (io.Probe("b:1"), "TOUCH 3 b:1"), (io.CloseIdle("b:1"), "CLOSE_IDLE 3 b:1"),
-    (io.Tell(None, b"hi 7"), "MEMO_TO 3 * 68692037"), (io.Tell(2, b"a"), "MEMO_TO 3 2 61"),
-    (io.Subscribe(True), "FOLLOW 3 1"), (io.FetchList(), "GET_LIST 3"),
-    (io.Log("two\nlines"), "EMIT 3 two lines"),
-])
+@pytest.mark.parametrize(
+    "action,line",
+    [
+        (io.Attempt("abc", "b:1", 0.08), "SUBMIT_TO 3 abc b:1 0.080000"),
+        (io.Attempt("abc", "b:1"), "SUBMIT_TO 3 abc b:1 0"),
+        (io.CounterAdd(77, -4.0, 3.0), "COUNT 3 3.000000 77 -4"),
+        (io.CounterAdd(77, 0.5, 3.0), "COUNT 3 3.000000 77 0.500000"),
+        (io.Refuse("abc", 0.25), "DECLINE 3 abc 0.250000"),
+        (io.Fail("abc"), "FINISH_ERROR 3 abc"),
+        (io.SetTimer(0.5, 7), "DEFER 3 0.500000 7"),
+        (io.CancelAttempt("abc", 1), "DROP_ATTEMPT 3 abc 1"),
+        (io.Probe("b:1"), "TOUCH 3 b:1"),
+        (io.CloseIdle("b:1"), "CLOSE_IDLE 3 b:1"),
+        (io.Tell(None, b"hi 7"), "MEMO_TO 3 * 68692037"),
+        (io.Tell(2, b"a"), "MEMO_TO 3 2 61"),
+        (io.Subscribe(True), "FOLLOW 3 1"),
+        (io.FetchList(), "GET_LIST 3"),
+        (io.Log("two\nlines"), "EMIT 3 two lines"),
+    ],
+)
 def test_every_action(action, line):
     h, _ = host([action])
     assert h.batch(["CLOCK 2", "FIRED 3 1"]) == [line]
@@ -115,26 +136,30 @@
     class Broken(Recorder):
         def handle(self, now, event):
             raise RuntimeError("no\nidea")
+
     h = wirehost.Host(Broken())
     h.batch(["CLOCK 1", BORN])
     assert h.batch(["CLOCK 2", "FIRED 3 1"]) == ["EXCEPTION 3 RuntimeError: no idea"]
 
 
-@pytest.mark.parametrize("text,words", [
-    ("TICK 1\nEND\n", ["batch", "CLOCK"]),
-    ("CLOCK x\nEND\n", ["CLOCK", "clock", "number"]),
-    (f"CLOCK 1\n{BORN}\nFIRED 3\nEND\n", ["FIRED", "fields"]),
-    (f"CLOCK 1\n{BORN}\nFIRED 3 -4\nEND\n", ["FIRED", "ctx"]),
-    (f"CLOCK 1\n{BORN}\nJUMP 3 1\nEND\n", ["message", "JUMP"]),
-    ("CLOCK 1\nFIRED 3 1\nEND\n", ["FIRED", "ingress"]),
-    (f"CLOCK 1\n{BORN}\nUPDATE 3 FULL 1 2\n{ROW}\nEND\n", ["UPDATE", "rows"]),
-    (f"CLOCK 1\n{BORN}\nRETURNED 3 a 0 b what 0 0 0 0 -\nEND\n", ["RETURNED", "reason"]),
-    (f"CLOCK 1\n{BORN}\nRETURNED 3 a 0 b success 0 1 0 0 1,2,3\nEND\n", ["RETURNED", "gauge"]),
-    (f"CLOCK 1\n{BORN}\nWORK_ITEM 3 a odd basic 1 1 1 1 0 0\nEND\n", ["WORK_ITEM", "service", "odd"]),
-    (f"CLOCK 1\n{BORN}\nWORK_ITEM 3 a read basic 1 nan 1 1 0 0\nEND\n", ["WORK_ITEM", "expiresIn"]),
-    (f"CLOCK 1\n{BORN.replace('rate=2.0', 'rate=-2.0')}\nEND\n", ["plans.rate"]),
-    ("CLOCK 1\n", ["END"]),
-])
+@pytest.mark.parametrize(
+    "text,words",
+    [
+        ("TICK 1\nEND\n", ["batch", "CLOCK"]),
+        ("CLOCK x\nEND\n", ["CLOCK", "clock", "number"]),
+        (f"CLOCK 1\n{BORN}\nFIRED 3\nEND\n", ["FIRED", "fields"]),
+        (f"CLOCK 1\n{BORN}\nFIRED 3 -4\nEND\n", ["FIRED", "ctx"]),
+        (f"CLOCK 1\n{BORN}\nJUMP 3 1\nEND\n", ["message", "JUMP"]),
+        ("CLOCK 1\nFIRED 3 1\nEND\n", ["FIRED", "ingress"]),
+        (f"CLOCK 1\n{BORN}\nUPDATE 3 FULL 1 2\n{ROW}\nEND\n", ["UPDATE", "rows"]),
+        (f"CLOCK 1\n{BORN}\nRETURNED 3 a 0 b what 0 0 0 0 -\nEND\n", ["RETURNED", "reason"]),
+        (f"CLOCK 1\n{BORN}\nRETURNED 3 a 0 b success 0 1 0 0 1,2,3\nEND\n", ["RETURNED", "gauge"]),
+        (f"CLOCK 1\n{BORN}\nWORK_ITEM 3 a odd basic 1 1 1 1 0 0\nEND\n", ["WORK_ITEM", "service", "odd"]),
+        (f"CLOCK 1\n{BORN}\nWORK_ITEM 3 a read basic 1 nan 1 1 0 0\nEND\n", ["WORK_ITEM", "expiresIn"]),
+        (f"CLOCK 1\n{BORN.replace('rate=2.0', 'rate=-2.0')}\nEND\n", ["plans.rate"]),
+        ("CLOCK 1\n", ["END"]),
+    ],
+)
 def test_malformed_lines_end_in_one_plain_line(text, words):
     command = [sys.executable, "-m", "thistleusher.wirehost"]
     got = subprocess.run(command, input=text, capture_output=True, text=True)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -89,9 +89,16 @@
 def test_a_cold_backend_is_spared_by_work_and_not_by_requests(units, at_once):
     """Its budget is in units of mean work: one large request uses it up, two small ones do not."""
     g = trained(backends=3, start_capacity=0.2, cold_time=1e6)
-    g.give(io.ListUpdate(io.ListKind.CHANGE, 2, (
-        io.BackendEntry("b2", io.Phase.RUNNING, born=g.now, zone="z0", cell=2),
-        *(io.BackendEntry(name, io.Phase.STOPPING) for name in ("b0", "b1")))))
+    g.give(
+        io.ListUpdate(
+            io.ListKind.CHANGE,
+            2,
+            (
+                io.BackendEntry("b2", io.Phase.RUNNING, born=g.now, zone="z0", cell=2),
+                *(io.BackendEntry(name, io.Phase.STOPPING) for name in ("b0", "b1")),
+            ),
+        )
+    )
     g.gw.fleet.backends["b2"].tokens = 1.5
     sent = [a for _ in range(2) for a in some(g.ask("read", units=units), io.Attempt)]
     assert [a.backend for a in sent] == ["b2"] * at_once
--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -111,8 +111,9 @@
 def run(extras: Extras, logs: bool = False) -> int:
     """Serve; what keeps it from starting is one plain line and exit code 2. `logs`: they are set up already."""
     if not logs:
-        logging.basicConfig(level=logging.INFO, stream=sys.stderr,
-                            format="%(asctime)s %(name)s %(levelname)s %(message)s")
+        logging.basicConfig(
+            level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(name)s %(levelname)s %(message)s"
+        )
     try:
         uvloop.run(serve(read_config(extras.environ), extras))
     except (BadConfiguration, OSError) as error:
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -33,8 +33,9 @@
     args = parser.parse_args(argv)
     try:
         settings = read(args.config)
-        lines = table(settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew,
-                                        folders=args.folders))
+        lines = table(
+            settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
+        )
     except (BadConfiguration, ValueError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
--- a/thistleusher/cli/main.py
+++ b/thistleusher/cli/main.py
@@ -12,9 +12,12 @@
 import click
 
 COMMANDS = {
-    "serve": ("thistleusher.cli.serve", "serve"), "check": ("thistleusher.cli.options", "check"),
-    "show": ("thistleusher.cli.options", "show"), "init": ("thistleusher.cli.options", "init"),
-    "reference": ("thistleusher.cli.options", "reference"), "state": ("thistleusher.cli.state", "state"),
+    "serve": ("thistleusher.cli.serve", "serve"),
+    "check": ("thistleusher.cli.options", "check"),
+    "show": ("thistleusher.cli.options", "show"),
+    "init": ("thistleusher.cli.options", "init"),
+    "reference": ("thistleusher.cli.options", "reference"),
+    "state": ("thistleusher.cli.state", "state"),
     "bound": ("thistleusher.cli.main", "bound"),
 }
 
--- a/thistleusher/cli/options.py
+++ b/thistleusher/cli/options.py
@@ -18,8 +18,13 @@
 
 def layers(command: F) -> F:
     """The options of every command that reads the operator's file."""
-    command = click.option("--set", "words", metavar="SECTION.KEY=VALUE", multiple=True,
-                           help="A value that wins over file and environment; may be given again.")(command)
+    command = click.option(
+        "--set",
+        "words",
+        metavar="SECTION.KEY=VALUE",
+        multiple=True,
+        help="A value that wins over file and environment; may be given again.",
+    )(command)
     return click.option("--operator", "path", metavar="FILE", help="The operator's file.")(command)
 
 
@@ -54,8 +59,9 @@
 def show(path: str | None, words: tuple[str, ...], as_json: bool) -> None:
     """Print each effective value and where it comes from."""
     for key, value, origin in read(path, words).shown():
-        click.echo(json.dumps({"key": key, "value": value, "from": origin}) if as_json else
-                   f"{key} = {value}  # {origin}")
+        click.echo(
+            json.dumps({"key": key, "value": value, "from": origin}) if as_json else f"{key} = {value}  # {origin}"
+        )
 
 
 @click.command()
--- a/thistleusher/cli/state.py
+++ b/thistleusher/cli/state.py
@@ -44,8 +44,10 @@
             end = f"ended in order at {life.ended:.3f}" if life.ended else "did not end in order, or goes on"
             click.echo(f"ingress {life.name}, life {life.number}, began {life.began:.3f}, {end}")
         click.echo(f"{members} members, {owed:.2f} units in no count yet; {rooms} rooms")
-        click.echo(f"{len(learned.backends) if learned else 0} backends known; "
-                   f"{len(listed.places) if listed else 0} in the last list")
+        click.echo(
+            f"{len(learned.backends) if learned else 0} backends known; "
+            f"{len(listed.places) if listed else 0} in the last list"
+        )
 
 
 @state.command()
@@ -67,8 +69,11 @@
 def export(folder: str) -> None:
     """Every record as a JSON line, on standard output."""
     with opened(folder) as store:
-        records: list[tuple[str, Any]] = [("life", store.before), ("learned", store.learned()),
-                                          ("list", store.listed())]
+        records: list[tuple[str, Any]] = [
+            ("life", store.before),
+            ("learned", store.learned()),
+            ("list", store.listed()),
+        ]
         for kind, record in [r for r in records if r[1] is not None]:
             click.echo(line(kind, record))
         for m in store.members():
--- a/thistleusher/common/tables.py
+++ b/thistleusher/common/tables.py
@@ -1,8 +1,8 @@
 """Records out of tables that were read: the fields that a record has, as the types that it names, nothing else.
 
 This is how a process that starts while clients wait reads its settings, and how a proxy reads what a control node has
-checked. The library of `thistleusher.common.checks` takes 0.13 s of a front machine to load. For every table that passes
-its checks, both give the same record (`tests/system/test_configuration.py`).
+checked. The library of `thistleusher.common.checks` takes 0.13 s of a front machine to load. For every table that
+passes its checks, both give the same record (`tests/system/test_configuration.py`).
 
 Pure. Cost: one step a field.
 """
--- a/thistleusher/core/answers.py
+++ b/thistleusher/core/answers.py
@@ -14,12 +14,23 @@
 from thistleusher import interface as io
 from thistleusher.core.ports import Final, Verdict
 
-STATUS = {Verdict.SERVED: 200, Verdict.OVER_QUOTA: 429, Verdict.NO_ROOM: 503, Verdict.FAILED: 502,
-          Verdict.FAULT: 500, Verdict.INVALID: 400}
+STATUS = {
+    Verdict.SERVED: 200,
+    Verdict.OVER_QUOTA: 429,
+    Verdict.NO_ROOM: 503,
+    Verdict.FAILED: 502,
+    Verdict.FAULT: 500,
+    Verdict.INVALID: 400,
+}
 
 
-REASONS = {Verdict.OVER_QUOTA: "over-quota", Verdict.NO_ROOM: "no-room", Verdict.FAILED: "failed",
-           Verdict.FAULT: "fault", Verdict.INVALID: "invalid"}
+REASONS = {
+    Verdict.OVER_QUOTA: "over-quota",
+    Verdict.NO_ROOM: "no-room",
+    Verdict.FAILED: "failed",
+    Verdict.FAULT: "fault",
+    Verdict.INVALID: "invalid",
+}
 
 
 def headers_of(final: Final, whole: bool = False) -> tuple[tuple[bytes, bytes], ...]:
@@ -31,8 +42,10 @@
         return ()
     if not whole:
         return ((b"Retry-After", b"%.3f" % final.retry_in),)
-    return ((b"Retry-After", b"%d" % math.ceil(final.retry_in)),
-            (b"Retry-After-Ms", b"%d" % math.ceil(final.retry_in * 1000)))
+    return (
+        (b"Retry-After", b"%d" % math.ceil(final.retry_in)),
+        (b"Retry-After-Ms", b"%d" % math.ceil(final.retry_in * 1000)),
+    )
 
 
 def problem_of(final: Final) -> bytes:
@@ -41,8 +54,12 @@
     Its type is `about:blank`: the status says all there is (section 4.2.1).
     """
     status = STATUS[final.verdict]
-    body: dict[str, object] = {"type": "about:blank", "title": http.HTTPStatus(status).phrase, "status": status,
-                               "reason": REASONS[final.verdict]}
+    body: dict[str, object] = {
+        "type": "about:blank",
+        "title": http.HTTPStatus(status).phrase,
+        "status": status,
+        "reason": REASONS[final.verdict],
+    }
     if headers_of(final):
         body["retry_in"] = round(final.retry_in, 3)
     return json.dumps(body).encode()
@@ -58,5 +75,7 @@
     name = plan.name.encode("ascii", "replace").replace(b"\\", b"").replace(b'"', b"")
     window = max(1, math.ceil(plan.burst / plan.rate))
     left = max(0.0, min(plan.burst, room))
-    return ((b"RateLimit-Policy", b'"%s";q=%d;w=%d' % (name, int(plan.burst), window)),
-            (b"RateLimit", b'"%s";r=%d;t=%d' % (name, int(left), math.ceil((plan.burst - left) / plan.rate))))
+    return (
+        (b"RateLimit-Policy", b'"%s";q=%d;w=%d' % (name, int(plan.burst), window)),
+        (b"RateLimit", b'"%s";r=%d;t=%d' % (name, int(left), math.ceil((plan.burst - left) / plan.rate))),
+    )
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -42,11 +42,20 @@
 class Held:
     """A request that is owed one final answer. `context` is the front's own."""
 
-    __slots__ = ("request", "on_final", "context", "timer", "attempts", "attempt", "answered", "may_have_run",
-                 "deadline", "over")
-
-    def __init__(self, request: io.Request, on_final: Callable[[Final], None], context: Any,
-                 deadline: float) -> None:
+    __slots__ = (
+        "request",
+        "on_final",
+        "context",
+        "timer",
+        "attempts",
+        "attempt",
+        "answered",
+        "may_have_run",
+        "deadline",
+        "over",
+    )
+
+    def __init__(self, request: io.Request, on_final: Callable[[Final], None], context: Any, deadline: float) -> None:
         self.request, self.on_final, self.context, self.deadline = request, on_final, context, deadline
         self.timer: Timer | None = None
         self.attempts = 0
@@ -58,8 +67,14 @@
 class Driver:
     """One ingress without its sockets. `unix` gives Unix time in seconds, the same at all ingresses."""
 
-    def __init__(self, settings: io.Settings, gateway: Decisions, backends: BackendPort, scheduler: Scheduler,
-                 unix: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        settings: io.Settings,
+        gateway: Decisions,
+        backends: BackendPort,
+        scheduler: Scheduler,
+        unix: Callable[[], float] = time.time,
+    ) -> None:
         self.settings, self.gateway, self.backends = settings, gateway, backends
         self.scheduler, self.unix = scheduler, unix
         self.classes = {c.name: c for c in settings.classes}  # a front may name further ones as they come
@@ -71,11 +86,17 @@
         self.clock = 0.0
         self.timers: set[Timer] = set()
         self.carry: dict[type, Callable[[Any], None]] = {
-            io.Attempt: self._attempt, io.CounterAdd: self._count, io.SetTimer: self._set_timer,
-            io.Refuse: self._refuse, io.Fail: self._fail, io.CancelAttempt: self._cancel, io.Tell: self._tell,
+            io.Attempt: self._attempt,
+            io.CounterAdd: self._count,
+            io.SetTimer: self._set_timer,
+            io.Refuse: self._refuse,
+            io.Fail: self._fail,
+            io.CancelAttempt: self._cancel,
+            io.Tell: self._tell,
             io.Probe: lambda a: self.backends.probe(a.backend),
             io.CloseIdle: lambda a: self.backends.close_idle(a.backend),
-            io.Log: lambda a: log.info("%s", a.text)}  # the list of servers is always followed
+            io.Log: lambda a: log.info("%s", a.text),
+        }  # the list of servers is always followed
 
     # Events.
 
@@ -134,8 +155,9 @@
 
     # Requests.
 
-    def take(self, request: io.Request, on_final: Callable[[Final], None], context: Any = None,
-             came: float | None = None) -> Held | None:
+    def take(
+        self, request: io.Request, on_final: Callable[[Final], None], context: Any = None, came: float | None = None
+    ) -> Held | None:
         """A request is owed one answer from here on. `came`: when its client's time began, on the scheduler.
 
         None, and INVALID to `on_final`, where its id is that of a request still held.
@@ -201,13 +223,13 @@
         """A refusal says that trying again is harmless: so it is where nothing ran, or where repeats are."""
         cls = self.classes[held.request.class_name]
         ran = held.may_have_run or (held.attempt is not None and held.attempt.written)
-        return (not ran or cls.effect is io.Effect.SAFE
-                or (cls.effect is io.Effect.KEYED and cls.group is io.Group.ALL))
+        return not ran or cls.effect is io.Effect.SAFE or (cls.effect is io.Effect.KEYED and cls.group is io.Group.ALL)
 
     def _refusal(self, wait: float) -> Final:
         """Beyond a quota the module tells when there is room again."""
-        return Final(Verdict.OVER_QUOTA if wait > 0 else Verdict.NO_ROOM,
-                     wait if wait > 0 else self.settings.max_retry_after)
+        return Final(
+            Verdict.OVER_QUOTA if wait > 0 else Verdict.NO_ROOM, wait if wait > 0 else self.settings.max_retry_after
+        )
 
     def _refuse(self, a: io.Refuse) -> None:
         held = self.held.get(a.request)
@@ -233,15 +255,19 @@
         held = self.held.get(a.request)
         now = self.scheduler.time()
         if held is None or held.answered or held.over or held.attempt is not None:
-            log.log(logging.DEBUG if held is not None and held.over else logging.ERROR,
-                    "request %s: an attempt that is not allowed was not sent", a.request)
+            log.log(
+                logging.DEBUG if held is not None and held.over else logging.ERROR,
+                "request %s: an attempt that is not allowed was not sent",
+                a.request,
+            )
             number = held.attempts if held is not None else 0
             done = held is None or held.answered or held.over
             self.submit(io.AttemptEnded(a.request, number, a.backend, io.Outcome.MOOT, 0.0, done))
             return
         number, held.attempts = held.attempts, held.attempts + 1
         attempt = held.attempt = self.backends.prepare(
-            held, a.backend, lambda ended: self._ended(held, number, attempt, a.backend, ended, now))
+            held, a.backend, lambda ended: self._ended(held, number, attempt, a.backend, ended, now)
+        )
         left = held.deadline - now
         attempt.start(left if a.timeout is None else min(left, a.timeout))
 
@@ -250,8 +276,7 @@
         if held is not None and held.attempt is not None and held.attempts == a.attempt + 1:
             held.attempt.cancel()
 
-    def _ended(self, held: Held, number: int, attempt: AttemptPort, backend: str, ended: Ended,
-               sent: float) -> None:
+    def _ended(self, held: Held, number: int, attempt: AttemptPort, backend: str, ended: Ended, sent: float) -> None:
         """An attempt has its outcome: a good one is the answer, anything else is the module's to decide."""
         held.attempt = None
         held.may_have_run |= attempt.written and ended.outcome is not io.Outcome.FULL
@@ -261,8 +286,18 @@
             units = ended.true_units if ended.true_units <= self.settings.max_units else 0.0
             self.answer(held, Final(Verdict.SERVED, 0.0, ended.payload))
         elapsed = self.scheduler.time() - sent if ended.elapsed is None else ended.elapsed
-        self.submit(io.AttemptEnded(held.request.id, number, backend, ended.outcome, elapsed, held.answered,
-                                    true_units=units, load=ended.load))
+        self.submit(
+            io.AttemptEnded(
+                held.request.id,
+                number,
+                backend,
+                ended.outcome,
+                elapsed,
+                held.answered,
+                true_units=units,
+                load=ended.load,
+            )
+        )
         self._forget(held)
 
     def leave(self) -> None:
--- a/thistleusher/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -49,10 +49,10 @@
 
     SERVED = "served"
     OVER_QUOTA = "over_quota"  # refused: trying again is harmless, and has a chance after `retry_in`
-    NO_ROOM = "no_room"        # refused: trying again is harmless
-    FAILED = "failed"          # nothing is promised
-    FAULT = "fault"            # a fault of the program
-    INVALID = "invalid"        # no request that could be decided on; nothing was charged
+    NO_ROOM = "no_room"  # refused: trying again is harmless
+    FAILED = "failed"  # nothing is promised
+    FAULT = "fault"  # a fault of the program
+    INVALID = "invalid"  # no request that could be decided on; nothing was charged
 
 
 class Final(tuple[Verdict, float, Any]):
--- a/thistleusher/core/request.py
+++ b/thistleusher/core/request.py
@@ -75,8 +75,9 @@
         if cls.deadline > 0:  # a silent backend must not hold a request for longer than any client waits
             expires_in = min(expires_in, cls.deadline)
         units, spread, first = self.terms(values.get(b"x-call-terms", b""))
-        return io.Request(call_id.decode(), cls.name, plan, number, expires_in, units, spread, first,
-                          values.get(b"x-again") == b"1")
+        return io.Request(
+            call_id.decode(), cls.name, plan, number, expires_in, units, spread, first, values.get(b"x-again") == b"1"
+        )
 
     def terms(self, text: bytes) -> tuple[float, int, int]:
         """Units, and the ingresses of the customer's set."""
@@ -97,7 +98,6 @@
     pairs = [part.strip().partition("=")[::2] for part in text.decode("latin-1").split(",")]
     terms = dict(pairs)
     units, spread, first = (terms.get(key, "") for key in ("units", "spread", "first"))
-    if len(terms) < len(pairs) or not (UNITS.fullmatch(units) and COUNT.fullmatch(spread)
-                                       and COUNT.fullmatch(first)):
+    if len(terms) < len(pairs) or not (UNITS.fullmatch(units) and COUNT.fullmatch(spread) and COUNT.fullmatch(first)):
         raise BadRequest("x-call-terms: expected units=, spread= and first=, each once")
     return float(units), int(spread), int(first)
--- a/thistleusher/embed/__init__.py
+++ b/thistleusher/embed/__init__.py
@@ -13,6 +13,23 @@
 from thistleusher.interface import ClassSettings, Effect, Group, PlanSettings, Settings
 from thistleusher.settings import nested_settings
 
-__all__ = ["PASS", "Admission", "BadRequest", "Call", "ClassSettings", "Effect", "EmbeddedIngress", "Final",
-           "Group", "MemoryCounter", "NotServed", "PeerAddresses", "PlanSettings", "QuotaMiddleware", "Settings",
-           "Verdict", "from_headers", "nested_settings"]
+__all__ = [
+    "PASS",
+    "Admission",
+    "BadRequest",
+    "Call",
+    "ClassSettings",
+    "Effect",
+    "EmbeddedIngress",
+    "Final",
+    "Group",
+    "MemoryCounter",
+    "NotServed",
+    "PeerAddresses",
+    "PlanSettings",
+    "QuotaMiddleware",
+    "Settings",
+    "Verdict",
+    "from_headers",
+    "nested_settings",
+]
--- a/thistleusher/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -55,9 +55,15 @@
     true units; the answer's `X-Cost-Units` header does the same.
     """
 
-    def __init__(self, app: App, ingress: EmbeddedIngress, identify: Identify | None = None,
-                 ratelimit_fields: bool = False, problem_details: bool = False,
-                 decimal_retry_after: bool = False) -> None:
+    def __init__(
+        self,
+        app: App,
+        ingress: EmbeddedIngress,
+        identify: Identify | None = None,
+        ratelimit_fields: bool = False,
+        problem_details: bool = False,
+        decimal_retry_after: bool = False,
+    ) -> None:
         self.app, self.ingress = app, ingress
         self.identify = identify or from_headers(ingress)
         self.ratelimit_fields, self.problem_details = ratelimit_fields, problem_details
@@ -105,8 +111,9 @@
 
     __slots__ = ("middleware", "admission", "scope", "receive", "send", "status", "complete", "dropped", "answer")
 
-    def __init__(self, middleware: QuotaMiddleware, admission: Admission, scope: Scope, receive: Receive,
-                 send: Send) -> None:
+    def __init__(
+        self, middleware: QuotaMiddleware, admission: Admission, scope: Scope, receive: Receive, send: Send
+    ) -> None:
         self.middleware, self.admission = middleware, admission
         self.scope, self.receive, self.send = scope, receive, send
         self.status, self.complete, self.dropped = 0, False, False
@@ -128,9 +135,12 @@
         except BaseException as raised:
             error = raised
         try:
-            await admission.release(type(error) if error is not None else None, error,
-                                    error.__traceback__ if error is not None else None,
-                                    None if error is not None else self.outcome())
+            await admission.release(
+                type(error) if error is not None else None,
+                error,
+                error.__traceback__ if error is not None else None,
+                None if error is not None else self.outcome(),
+            )
         except NotServed:
             error = None
         finally:
--- a/thistleusher/embed/call.py
+++ b/thistleusher/embed/call.py
@@ -35,8 +35,13 @@
     id: str = ""
 
 
-def checked(settings: io.Settings, classes: dict[str, io.ClassSettings], plans: dict[str, io.PlanSettings],
-            call: Call, name: str) -> io.Request:
+def checked(
+    settings: io.Settings,
+    classes: dict[str, io.ClassSettings],
+    plans: dict[str, io.PlanSettings],
+    call: Call,
+    name: str,
+) -> io.Request:
     """The module's request; BadRequest says which part cannot be used. Nothing is charged then."""
     if not isinstance(call, Call):
         raise BadRequest(f"call: expected a Call, got {call!r}")
@@ -57,8 +62,17 @@
     spread = call.spread or settings.instances
     if not 1 <= spread <= settings.instances or not 0 <= call.first < settings.instances:
         raise BadRequest(f"spread, first: no such ingresses: {call.spread!r}, {call.first!r}")
-    return io.Request(call.id or name, call.class_name, call.plan, call.member, budget, float(call.units),
-                      spread, call.first, call.again)
+    return io.Request(
+        call.id or name,
+        call.class_name,
+        call.plan,
+        call.member,
+        budget,
+        float(call.units),
+        spread,
+        call.first,
+        call.again,
+    )
 
 
 def _number(value: object) -> bool:
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -84,15 +84,15 @@
         await self.acquire()
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         await self.release(kind, error, trace)
 
     def settle(self, true_units: float) -> None:
         """Tell what the request really cost; the last word before its end counts. BadRequest if unusable."""
         if not 0 <= true_units <= self.max_units:  # NaN is neither
-            raise BadRequest(f"true_units: expected 0 to {self.max_units:g}, "
-                             f"got {true_units!r}")
+            raise BadRequest(f"true_units: expected 0 to {self.max_units:g}, " f"got {true_units!r}")
         self._units = true_units
 
     def begin(self) -> bool:
@@ -132,8 +132,13 @@
             self._end(Ended(io.Outcome.MOOT))
             raise
 
-    async def release(self, kind: type[BaseException] | None, error: BaseException | None,
-                      trace: TracebackType | None, outcome: io.Outcome | None = None) -> None:
+    async def release(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
+        outcome: io.Outcome | None = None,
+    ) -> None:
         """The host's code has ended; `outcome` where it says more than its exception does."""
         if self._timeout is None:
             return
@@ -148,8 +153,12 @@
             await self._timeout.__aexit__(kind, error, trace)
         except TimeoutError:
             pass
-        if self.interrupted and not self.left and self.final is not None and (
-                kind is None or issubclass(kind, asyncio.CancelledError)):
+        if (
+            self.interrupted
+            and not self.left
+            and self.final is not None
+            and (kind is None or issubclass(kind, asyncio.CancelledError))
+        ):
             task = asyncio.current_task()
             if kind is None or task is None or task.cancelling() == 0:  # else the host cancels it as well
                 raise NotServed(self.final) from error
@@ -207,11 +216,24 @@
     repeated here, whatever `max_attempts` says. Bad addresses and settings are ValueErrors.
     """
 
-    def __init__(self, settings: io.Settings, *, counter: str | MemoryCounter | None = None,
-                 peers: PeerAddresses | None = None, clock: Callable[[], float] = time.time,
-                 scheduler: Scheduler | None = None, seed: int | None = None) -> None:
-        self.settings = replace(settings, max_attempts=1, counter=True, own_backends=True, own_counter=counter is None,
-                                peers=settings.peers and peers is not None)
+    def __init__(
+        self,
+        settings: io.Settings,
+        *,
+        counter: str | MemoryCounter | None = None,
+        peers: PeerAddresses | None = None,
+        clock: Callable[[], float] = time.time,
+        scheduler: Scheduler | None = None,
+        seed: int | None = None,
+    ) -> None:
+        self.settings = replace(
+            settings,
+            max_attempts=1,
+            counter=True,
+            own_backends=True,
+            own_counter=counter is None,
+            peers=settings.peers and peers is not None,
+        )
         if self.settings.counter_timeout <= 0:
             raise ValueError(f"counter_timeout: expected more than 0, got {settings.counter_timeout!r}")
         self.classes = {c.name: c for c in settings.classes}
@@ -239,8 +261,11 @@
     def driver(self) -> Driver:
         """The driver; RuntimeError where the ingress is not open."""
         if self._driver is None:
-            raise RuntimeError("the ingress is closed" if self._closed else
-                               "the ingress is not open: enter it with 'async with', in the lifespan, say")
+            raise RuntimeError(
+                "the ingress is closed"
+                if self._closed
+                else "the ingress is not open: enter it with 'async with', in the lifespan, say"
+            )
         return self._driver
 
     async def open(self) -> None:
@@ -252,8 +277,7 @@
         driver = Driver(self.settings, gateway, self, self.scheduler or loop, self.clock)
         port: _Closable
         if self.address is not None:
-            port = Counter(loop, self.address, self.settings.counter_timeout, driver.submit,
-                           driver.scheduler.time)
+            port = Counter(loop, self.address, self.settings.counter_timeout, driver.submit, driver.scheduler.time)
         else:
             port = MemoryPort(self.memory, driver.submit)
         driver.counter = self._counter = port
--- a/thistleusher/interface.py
+++ b/thistleusher/interface.py
@@ -10,9 +10,9 @@
 from enum import Enum
 from typing import NamedTuple, Protocol, Union
 
-TELL_S = 0.1      # between tellings to peers of what was let in
+TELL_S = 0.1  # between tellings to peers of what was let in
 TELL_PART = 0.75  # of the messages that an ingress takes in, that its peers' tellings may make up
-LEVELS = 100.0    # steps of a burst in which a telling says what is left in a store
+LEVELS = 100.0  # steps of a burst in which a telling says what is left in a store
 TOLD = struct.Struct(">5sHbb")  # customer, plan; quarter units let in so far, since last told; level
 TOLD_MARK = b"\x01"
 ESCROW_MARKS = (b"\x02", b"\x03", b"\x04", b"\x05", b"\x06")  # of messages that the escrow reads
@@ -129,8 +129,19 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(self, "plans.", "rate", "burst", "price", "over_worth", "over_cost", "max_open",
-                      "ceiling_rate", "ceiling_burst", "ceiling_slack")
+        _not_negative(
+            self,
+            "plans.",
+            "rate",
+            "burst",
+            "price",
+            "over_worth",
+            "over_cost",
+            "max_open",
+            "ceiling_rate",
+            "ceiling_burst",
+            "ceiling_slack",
+        )
 
     def wide(self, width: int) -> bool:
         """Whether a set is so wide that an even share of the burst is less than a unit."""
@@ -182,10 +193,28 @@
         _need(len(self.plans) > 0, "plans", "at least one plan", self.plans)
         _need(self.instances >= 1, "instances", "1 or more", self.instances)
         _need(self.max_attempts >= 1, "max_attempts", "1 or more", self.max_attempts)
-        _not_negative(self, "", "me", "step", "counter_timeout", "counter_price", "max_units",
-                      "max_retry_after", "peer_in_per_s", "ask_every", "drain_grace", "fall_multiple",
-                      "fall_after", "start_capacity", "cold_time", "connect_timeout", "late_fail_price",
-                      "waste_price", "cross_zone_price", "probe_price")
+        _not_negative(
+            self,
+            "",
+            "me",
+            "step",
+            "counter_timeout",
+            "counter_price",
+            "max_units",
+            "max_retry_after",
+            "peer_in_per_s",
+            "ask_every",
+            "drain_grace",
+            "fall_multiple",
+            "fall_after",
+            "start_capacity",
+            "cold_time",
+            "connect_timeout",
+            "late_fail_price",
+            "waste_price",
+            "cross_zone_price",
+            "probe_price",
+        )
 
     @property
     def large(self) -> bool:
@@ -294,8 +323,18 @@
     """This ingress ends in order: it takes no request any more, and holds none."""
 
 
-Event = Union[Leaving, ListUpdate, Request, AttemptStarted, AttemptEnded, ClientGone, TimerFired, ProbeEnded,
-              PeerMessage, CounterReply]
+Event = Union[
+    Leaving,
+    ListUpdate,
+    Request,
+    AttemptStarted,
+    AttemptEnded,
+    ClientGone,
+    TimerFired,
+    ProbeEnded,
+    PeerMessage,
+    CounterReply,
+]
 
 
 class Attempt(NamedTuple):
@@ -376,8 +415,9 @@
     text: str
 
 
-Action = Union[Attempt, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, Tell, CounterAdd, Subscribe,
-               FetchList, Log]
+Action = Union[
+    Attempt, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, Tell, CounterAdd, Subscribe, FetchList, Log
+]
 
 
 class SavedMember(NamedTuple):
@@ -463,8 +503,7 @@
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
 
-    def take(self, now: float, plan: int, customer: int, first: int, width: int, units: float,
-             spent: float) -> bool:
+    def take(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
         """Whether a request may be let in; `spent`: what is known to be gone of the whole allowance."""
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
@@ -520,7 +559,7 @@
 
 
 class Talk(Protocol):
-    """Who is told and asked what in a large fleet; `thistleusher.talk` is one. Plans by their number, times in seconds."""
+    """Who is told and asked what in a large fleet; `thistleusher.talk` is one. Times in seconds."""
 
     def note(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
         """Something of a member has changed; `lazy`: it may wait for company."""
--- a/thistleusher/ledger/beginning.py
+++ b/thistleusher/ledger/beginning.py
@@ -28,9 +28,9 @@
 HELLO_MARK = b"\x04"
 HELLO = struct.Struct(">QQQB")  # own life, receiver's life as known, origin of the chain; flags
 KNOWN, FLOWS, LEAVING = 1, 2, 4  # an earlier life of yours was known; shares went between us; this life is over
-JOINT_MS = 5000   # after a chain's origin, within which who begins is one of those that began together
-FORGET_S = 10.0   # of silence, after which a life gives way to one that is named earlier: a clock was put back
-AGAIN_S = 0.4     # between two greetings of one peer in a large fleet
+JOINT_MS = 5000  # after a chain's origin, within which who begins is one of those that began together
+FORGET_S = 10.0  # of silence, after which a life gives way to one that is named earlier: a clock was put back
+AGAIN_S = 0.4  # between two greetings of one peer in a large fleet
 GREET_S = (0.05, 0.25, 1.0)  # between greetings in the first second, until the fifth, and later
 
 
@@ -48,11 +48,11 @@
         self.lives: dict[int, int] = {}
         self.heard_at: dict[int, float] = {}
         self.earlier: set[int] = set()  # peers of which another life than the present one was known
-        self.left: set[int] = set()     # peers whose present life said that it is over
+        self.left: set[int] = set()  # peers whose present life said that it is over
         self.clean: dict[int, float] = {}  # when a peer told this life that nothing had gone between us; inf: some had
         self.flow_until: dict[int, float] = {}  # end of the last epoch in which shares went between us
-        self.known = False              # a peer knew an earlier life of this ingress
-        self.remembered = False         # its own folder knows one, of an epoch that is not over
+        self.known = False  # a peer knew an earlier life of this ingress
+        self.remembered = False  # its own folder knows one, of an epoch that is not over
         self.greeted = -math.inf
         self.addressed = addressed
         self.unmet = set[int]() if addressed else set(self.others)  # to be greeted
@@ -136,5 +136,9 @@
 
     def young(self, members: Iterable[int]) -> bool:
         """Whether this ingress and the others of a set began together, as far as anybody in it knows."""
-        return (not self.known and not self.remembered and self.origin >= self.life - JOINT_MS
-                and all(peer in self.clean for peer in members if peer != self.me))
+        return (
+            not self.known
+            and not self.remembered
+            and self.origin >= self.life - JOINT_MS
+            and all(peer in self.clean for peer in members if peer != self.me)
+        )
--- a/thistleusher/ledger/bound.py
+++ b/thistleusher/ledger/bound.py
@@ -14,9 +14,9 @@
 from thistleusher.talk.homes import CANDIDATES, MUTE_S
 from thistleusher.talk.talk import TELL_PART
 
-MISSES = 8        # misses in a row after which an ingress counts the counter as down
-TOUCH_S = 1.0     # without a peer's message, after which it is out of touch
-RARE = 1e-6       # chance of a run of lost messages that is left out
+MISSES = 8  # misses in a row after which an ingress counts the counter as down
+TOUCH_S = 1.0  # without a peer's message, after which it is out of touch
+RARE = 1e-6  # chance of a run of lost messages that is left out
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,12 +46,12 @@
 
     plan: str
     width: int
-    stale: float      # seconds after which all in touch know what one has let in
+    stale: float  # seconds after which all in touch know what one has let in
     quota_in_touch: float
     quota_cut_off: float
     quota_split: float  # cut off, with totals from a counter of its own
     ceiling: float | None
-    quota_restart: float           # more for each time that all of a set restart together while the counter is silent
+    quota_restart: float  # more for each time that all of a set restart together while the counter is silent
     ceiling_restart: float | None  # the same of the ceiling; one ingress alone that restarts gets nothing more
 
 
@@ -100,20 +100,38 @@
         # While ingresses disagree on the home, each candidate keeps an account. Whoever reaches none, nor the counter,
         # lets in one request, and then its part of the rate.
         others = CANDIDATES - 1
-        return Bound(plan.name, w, stale, others * (b + r * (MUTE_S + stale)),
-                     others * (b + r * assumed.outage) + w * u, others * (b + r * assumed.outage) + w * u, None,
-                     fresh + w * u, None)
+        return Bound(
+            plan.name,
+            w,
+            stale,
+            others * (b + r * (MUTE_S + stale)),
+            others * (b + r * assumed.outage) + w * u,
+            others * (b + r * assumed.outage) + w * u,
+            None,
+            fresh + w * u,
+            None,
+        )
     if plan.ceiling_rate <= 0:
-        return Bound(plan.name, w, stale, unseen, entering + w * u, entering + (w - 1) * r * assumed.outage, None,
-                     fresh, None)
+        return Bound(
+            plan.name, w, stale, unseen, entering + w * u, entering + (w - 1) * r * assumed.outage, None, fresh, None
+        )
     room = plan.ceiling_burst - b + max(0.0, plan.ceiling_rate - r) * assumed.outage
     # Each lets in its store and what refills until then; the ceiling refills meanwhile, and of what it has more
     # than the quota each has its share on entering.
     most = (w - 1) * b + max(0.0, w * r - plan.ceiling_rate) * (notice + stale + assumed.skew)
     ceiling = min(entering, most) + plan.ceiling_rate * assumed.skew
     noted = TOP * KEEP * plan.ceiling_burst
-    return Bound(plan.name, w, stale, min(unseen, room + ceiling), room + ceiling, room + ceiling, ceiling,
-                 min(b, noted) if assumed.folders else b, min(fresh, noted) if assumed.folders else fresh)
+    return Bound(
+        plan.name,
+        w,
+        stale,
+        min(unseen, room + ceiling),
+        room + ceiling,
+        room + ceiling,
+        ceiling,
+        min(b, noted) if assumed.folders else b,
+        min(fresh, noted) if assumed.folders else fresh,
+    )
 
 
 def fresh_room(plan: io.PlanSettings) -> float:
@@ -135,8 +153,10 @@
 
 def table(settings: io.Settings, assumed: Assumed) -> list[str]:
     """The figures of all plans, for people."""
-    out = [f"{'plan':12} {'ingresses':>9} {'beyond quota, in touch':>23} {'cut off':>9} {'and split':>10}"
-           f" {'beyond ceiling':>15}"]
+    out = [
+        f"{'plan':12} {'ingresses':>9} {'beyond quota, in touch':>23} {'cut off':>9} {'and split':>10}"
+        f" {'beyond ceiling':>15}"
+    ]
     for plan in settings.plans:
         if plan.rate <= 0:
             out.append(f"{plan.name:12} no quota")
@@ -144,8 +164,10 @@
         for w in widths(settings.instances):
             b = bound_of(settings, plan, assumed, w)
             ceiling = "-" if b.ceiling is None else f"{b.ceiling:.1f}"
-            out.append(f"{b.plan:12} {w:9} {b.quota_in_touch:23.1f} {b.quota_cut_off:9.1f}"
-                       f" {b.quota_split:10.1f} {ceiling:>15}")
+            out.append(
+                f"{b.plan:12} {w:9} {b.quota_in_touch:23.1f} {b.quota_cut_off:9.1f}"
+                f" {b.quota_split:10.1f} {ceiling:>15}"
+            )
     out += ["", "all of a set restarted together while the counter is silent: units let in at most within 0, 1 and 5 s"]
     for plan in settings.plans:
         if plan.rate > 0:
@@ -155,10 +177,14 @@
             ceiling = "" if b.ceiling_restart is None else f", its ceiling by {b.ceiling_restart:.1f}"
             out.append(f"{plan.name:12} {within}; each time passes the quota by {b.quota_restart:.1f}{ceiling} at most")
     if settings.large:
-        out.append(f"{settings.instances} ingresses: words go to the sets of their members, sets wider than a burst"
-                   f" have a home. Assumed: inboxes take in {settings.peer_in_per_s:g} messages a second,"
-                   " and sets lie evenly")
+        out.append(
+            f"{settings.instances} ingresses: words go to the sets of their members, sets wider than a burst"
+            f" have a home. Assumed: inboxes take in {settings.peer_in_per_s:g} messages a second,"
+            " and sets lie evenly"
+        )
     if assumed.folders:
-        out.append("with folders: a write-back whose note a kill loses is counted twice unless a total of its window"
-                   " tells; a member may get that much less, a burst at most, and never more")
+        out.append(
+            "with folders: a write-back whose note a kill loses is counted twice unless a total of its window"
+            " tells; a member may get that much less, a burst at most, and never more"
+        )
     return out
--- a/thistleusher/ledger/escrow.py
+++ b/thistleusher/ledger/escrow.py
@@ -38,18 +38,18 @@
 from thistleusher.ledger.beginning import HELLO_MARK, Lives
 from thistleusher.ledger.reserve import KEEP, Reserve
 
-WHOLE = 1 << 12   # parts of a share
-GRAIN = 64        # parts of a unit, in which rooms are given
-WANT_S = 0.05     # between two wants of one allowance
-IDLE_S = 0.5      # without a request for it here, after which an allowance can be given away
+WHOLE = 1 << 12  # parts of a share
+GRAIN = 64  # parts of a unit, in which rooms are given
+WANT_S = 0.05  # between two wants of one allowance
+IDLE_S = 0.5  # without a request for it here, after which an allowance can be given away
 WANT_MARK, GIVE_MARK, ASK_MARK, SETTLE_MARK = b"\x02", b"\x03", b"\x05", b"\x06"
-HEAD = 9          # bytes of a mark and of the sender's life
+HEAD = 9  # bytes of a mark and of the sender's life
 ROW = struct.Struct(">5sBHBHH")  # customer, plan; epoch; set: first, width; share, room given in it, or wanted
 SETTLED = struct.Struct(">5sBHHHHHH")  # customer, plan; epoch; share, room given in it, taken, and given just now
 MOST = 256
 ROWS, SETTLED_ROWS = (MOST - HEAD) // ROW.size, (MOST - 2 * HEAD + 1) // SETTLED.size  # a book names whose it is for
-ASKED = 4         # peers of a set that are asked at once in a large fleet
-LEAVE_ROWS = 8    # messages at most with which an ingress that ends hands its shares to one peer
+ASKED = 4  # peers of a set that are asked at once in a large fleet
+LEAVE_ROWS = 8  # messages at most with which an ingress that ends hands its shares to one peer
 
 
 class Terms(NamedTuple):
@@ -72,11 +72,38 @@
 class Allowance:
     """One ingress's part of one member's allowance. Times in seconds of the one clock, room in units."""
 
-    __slots__ = ("terms", "set", "next_set", "me", "lives", "epoch", "open", "owed", "gone", "share", "room", "at",
-                 "given", "taken", "wanted", "used", "length", "reserve", "turned")
-
-    def __init__(self, terms: Terms, members: tuple[int, ...], me: int, now: float, lives: Lives,
-                 spent: float, kept: float | None = None) -> None:
+    __slots__ = (
+        "terms",
+        "set",
+        "next_set",
+        "me",
+        "lives",
+        "epoch",
+        "open",
+        "owed",
+        "gone",
+        "share",
+        "room",
+        "at",
+        "given",
+        "taken",
+        "wanted",
+        "used",
+        "length",
+        "reserve",
+        "turned",
+    )
+
+    def __init__(
+        self,
+        terms: Terms,
+        members: tuple[int, ...],
+        me: int,
+        now: float,
+        lives: Lives,
+        spent: float,
+        kept: float | None = None,
+    ) -> None:
         """`spent`: units known to be gone of the whole allowance.
 
         `kept`: room that a note of an earlier life restores at this life's beginning; None without a note.
@@ -210,14 +237,17 @@
         taken = self.taken.get(peer, (0, 0))[0]
         # Only its own is given on, and what came from the peer goes back: were what came from others given on, their
         # books and this one could all be lost, and no share be left to make up for it.
-        out = sum(max(0, given - self.taken.get(other, (0, 0))[0])
-                  for other, (given, _) in self.given.items() if other != peer)
+        out = sum(
+            max(0, given - self.taken.get(other, (0, 0))[0])
+            for other, (given, _) in self.given.items()
+            if other != peer
+        )
         own = self.even() - self.floor() - out - (told[0] - taken)
         wish = spare if leaving else max(spare // 2, taken - told[0])
-        share = max(0, min(0xffff - told[0], wish, spare, own))
+        share = max(0, min(0xFFFF - told[0], wish, spare, own))
         loose = self.loose(now)
         room = max(0.0, min(loose if idle else loose / 2, wanted))
-        grains = min(0xffff - told[1], int(room * GRAIN))
+        grains = min(0xFFFF - told[1], int(room * GRAIN))
         if share or grains:
             self.share -= share
             self.room = min(self.room - grains / GRAIN, self.cap())
@@ -228,7 +258,7 @@
     def receive(self, now: float, peer: int, epoch: int, share: int, grains: int) -> None:
         """What `peer` has given in this epoch so far; older news and other epochs' change nothing."""
         self.turn(now)
-        if epoch != self.epoch & 0xff or peer == self.me or peer not in self.set or peer in self.open:
+        if epoch != self.epoch & 0xFF or peer == self.me or peer not in self.set or peer in self.open:
             return
         before = self.taken.get(peer, (0, 0))
         if share < before[0] or grains < before[1] or (share, grains) == before:
@@ -248,7 +278,7 @@
     def book(self, now: float, peer: int, epoch: int, row: tuple[int, ...]) -> None:
         """A peer's book of what went between it and this ingress's earlier lives, and what it has just given."""
         self.turn(now)
-        if epoch != self.epoch & 0xff or peer not in self.set or peer == self.me:
+        if epoch != self.epoch & 0xFF or peer not in self.set or peer == self.me:
             return
         share, grains, back, room_back, new, new_grains = row
         if peer not in self.open:  # told before: only what is new since then counts
@@ -282,8 +312,15 @@
 class Ledger:
     """All allowances at one ingress. Those long idle are forgotten: by then an epoch has made them even and full."""
 
-    def __init__(self, instances: int, me: int, began: float, plans: tuple[Terms | None, ...],
-                 want_every: float = WANT_S, each: float | None = None) -> None:
+    def __init__(
+        self,
+        instances: int,
+        me: int,
+        began: float,
+        plans: tuple[Terms | None, ...],
+        want_every: float = WANT_S,
+        each: float | None = None,
+    ) -> None:
         """`want_every`: seconds at least between two messages of wants; each brings two answers a peer at most.
 
         `each`: of a large fleet, in which wants go to the sets of their members only, seconds for each peer asked.
@@ -442,7 +479,7 @@
                 units, a = self.wants.pop(key), self.allowances.get(key)
                 if a is None:
                     continue
-                row = self.row(key, 0, max(0, min(0xffff, int(units * GRAIN) + 1)))
+                row = self.row(key, 0, max(0, min(0xFFFF, int(units * GRAIN) + 1)))
                 taken += 1
                 for peer in (None,) if self.each is None else self.next_asked(a):
                     rows.setdefault(peer, []).append(row)
@@ -456,7 +493,7 @@
 
     def row(self, key: tuple[int, int], share: int, grains: int) -> bytes:
         a = self.allowances[key]
-        return ROW.pack(name_of(*key), a.epoch & 0xff, a.next_set[0], len(a.next_set), share, grains)
+        return ROW.pack(name_of(*key), a.epoch & 0xFF, a.next_set[0], len(a.next_set), share, grains)
 
     def heard(self, now: float, peer: int, payload: bytes) -> list[bytes]:
         """Take in a peer's message; what it is to be answered with, if anything. Anything else is passed over."""
@@ -465,8 +502,12 @@
             answer = self.lives.heard(now, peer, payload)
             return [] if answer is None else [answer]
         form, head = (SETTLED, 2 * HEAD - 1) if mark == SETTLE_MARK else (ROW, HEAD)
-        if (mark not in (WANT_MARK, GIVE_MARK, ASK_MARK, SETTLE_MARK) or len(payload) < head
-                or (len(payload) - head) % form.size or peer == self.me):
+        if (
+            mark not in (WANT_MARK, GIVE_MARK, ASK_MARK, SETTLE_MARK)
+            or len(payload) < head
+            or (len(payload) - head) % form.size
+            or peer == self.me
+        ):
             return []
         if mark == SETTLE_MARK and int.from_bytes(payload[HEAD:head]) != self.lives.life:
             return []  # it was for an earlier life, and more may have been taken from that since
@@ -487,13 +528,13 @@
             if mark == GIVE_MARK:
                 a.receive(now, peer, epoch, share, grains)
             elif mark == ASK_MARK:
-                rows.append(SETTLED.pack(name_of(plan, customer), a.epoch & 0xff, *a.answer(now, peer, grains / GRAIN)))
+                rows.append(SETTLED.pack(name_of(plan, customer), a.epoch & 0xFF, *a.answer(now, peer, grains / GRAIN)))
             elif (told := a.give(now, peer, grains / GRAIN)) is not None:
                 rows.append(self.row((plan, customer), *told))
         most, begin = ROWS, self.head(GIVE_MARK)
         if mark == ASK_MARK:
             most, begin = SETTLED_ROWS, self.head(SETTLE_MARK) + payload[1:HEAD]
-        return [begin + b"".join(rows[n:n + most]) for n in range(0, len(rows), most)]
+        return [begin + b"".join(rows[n : n + most]) for n in range(0, len(rows), most)]
 
     def greetings(self, now: float) -> list[tuple[int, bytes]]:
         """What an ingress that has begun has to say, to whom."""
@@ -528,6 +569,6 @@
                 rows[heir].append(self.row(key, *told))
         out = []
         for peer, lines in rows.items():
-            out += [(peer, self.head(GIVE_MARK) + b"".join(lines[n:n + ROWS])) for n in range(0, len(lines), ROWS)]
+            out += [(peer, self.head(GIVE_MARK) + b"".join(lines[n : n + ROWS])) for n in range(0, len(lines), ROWS)]
             out.append((peer, self.lives.hello(now, peer, leaving=True)))
         return out
--- a/thistleusher/ledger/reserve.py
+++ b/thistleusher/ledger/reserve.py
@@ -16,9 +16,9 @@
 
 from __future__ import annotations
 
-KEEP = 0.5   # of its even share, that an ingress keeps back of what it gives
-TOP = 0.5    # of the burst that an ingress is always sure of, that is left alone at most
-PART = 0.5   # of the present room
+KEEP = 0.5  # of its even share, that an ingress keeps back of what it gives
+TOP = 0.5  # of the burst that an ingress is always sure of, that is left alone at most
+PART = 0.5  # of the present room
 
 
 class Reserve:
@@ -30,7 +30,7 @@
         """`rate`, `burst`: of what the ingress is always sure of; `ahead`: units of a large request."""
         self.rate, self.top, self.ahead = rate, TOP * burst, ahead
         self.committed: tuple[float, float] | None = None  # room, at
-        self.written: tuple[float, float] | None = None    # not known to be on disk yet
+        self.written: tuple[float, float] | None = None  # not known to be on disk yet
 
     def floor(self, now: float) -> float:
         """Room that must not be touched."""
--- a/thistleusher/log/setup.py
+++ b/thistleusher/log/setup.py
@@ -45,14 +45,23 @@
 
     def __init__(self, options: LogOptions, stream: TextIO | None = None) -> None:
         """`stream` None: standard error."""
-        shared: list[Processor] = [structlog.stdlib.add_log_level, structlog.stdlib.add_logger_name,
-                  structlog.processors.TimeStamper(fmt="iso", utc=True), structlog.processors.format_exc_info]
-        last: Processor = (structlog.processors.JSONRenderer() if options.form == "json"
-                           else structlog.dev.ConsoleRenderer(colors=False))
+        shared: list[Processor] = [
+            structlog.stdlib.add_log_level,
+            structlog.stdlib.add_logger_name,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+        ]
+        last: Processor = (
+            structlog.processors.JSONRenderer()
+            if options.form == "json"
+            else structlog.dev.ConsoleRenderer(colors=False)
+        )
         writer = logging.StreamHandler(stream or sys.stderr)
-        writer.setFormatter(structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared,
-            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, last]))
+        writer.setFormatter(
+            structlog.stdlib.ProcessorFormatter(
+                foreign_pre_chain=shared, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, last]
+            )
+        )
         self.handler = Bounded(options.queue)
         self.listener = QueueListener(self.handler.queue, writer)
         self.root = logging.getLogger()
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -68,13 +68,19 @@
         if listen is None or discovery is None:
             raise ValueError("listen and discovery are needed")
         return Config(
-            name=str(data["name"]), listen=listen, discovery=discovery, counter=address("counter"),
-            peer_listen=address("peer_listen"), peers_all=address("peers_all"),
+            name=str(data["name"]),
+            listen=listen,
+            discovery=discovery,
+            counter=address("counter"),
+            peer_listen=address("peer_listen"),
+            peers_all=address("peers_all"),
             peers=tuple(read_address(str(p)) for p in data.get("peers", ())),
             seed=int(str(data.get("seed", "0")), 16),
             sockets=int(data.get("limits", {}).get("sockets", 1024)),
             idle=float(data["settings"].get("limits", {}).get("connIdle", 15.0)),
-            known=read_listing(data["known"]) if data.get("known") else None, settings=settings,
-            load_fields=fields)
+            known=read_listing(data["known"]) if data.get("known") else None,
+            settings=settings,
+            load_fields=fields,
+        )
     except (BadSetting, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
         raise BadConfiguration(f"{path}: {' '.join(str(error).split())}") from error
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -1,6 +1,6 @@
 """The operator's file of several counters, `deploy/counters.toml` by custom: checked before anything starts.
 
-    counters = ["10.2.0.2:6400", "10.2.0.3:6400"]
+counters = ["10.2.0.2:6400", "10.2.0.3:6400"]
 """
 
 from __future__ import annotations
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -36,9 +36,14 @@
 class Daemon:
     """What `python -m thistleusher` runs. `clock` gives Unix time in seconds; it must agree at all ingresses."""
 
-    def __init__(self, config: Config, clock: Callable[[], float] = time.time,
-                 scheduler: Scheduler | None = None, placement: Placement | None = None,
-                 keeper: Keeper | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        clock: Callable[[], float] = time.time,
+        scheduler: Scheduler | None = None,
+        placement: Placement | None = None,
+        keeper: Keeper | None = None,
+    ) -> None:
         """`placement`: several counters in place of the configuration's one; `keeper`: a state folder."""
         self.config = config
         self.loop = loop = asyncio.get_running_loop()
@@ -46,8 +51,7 @@
         self.upstream = Upstream(loop, config.settings.connect_timeout or 1.0, config.idle, self.share)
         self.placement, self.keeper, self.clock = placement, keeper, clock
         gateway = self.gateway = make_gateway(config.settings, config.seed, clock(), placement)
-        self.ingress = Ingress(loop, config.settings, gateway, self.upstream, config.load_fields, clock,
-                               scheduler)
+        self.ingress = Ingress(loop, config.settings, gateway, self.upstream, config.load_fields, clock, scheduler)
         self.server = IngressServer(loop, self.ingress, self.share)
         self.discovery: Discovery | None = None
         self.version = config.known.version if config.known else 0  # of the list of backends
@@ -61,12 +65,13 @@
             self.keeper.places = self.places
             self.keeper.begin(self.gateway, self.clock, self.loop)
         if self.placement is not None:
-            driver.counter = self.counter = Counters(self.loop, self.placement, config.settings.counter_timeout,
-                                                     ingress.submit, driver.scheduler.time)
+            driver.counter = self.counter = Counters(
+                self.loop, self.placement, config.settings.counter_timeout, ingress.submit, driver.scheduler.time
+            )
         elif config.counter is not None and config.settings.counter:
             driver.counter = self.counter = Counter(
-                self.loop, config.counter, config.settings.counter_timeout, ingress.submit,
-                driver.scheduler.time)
+                self.loop, config.counter, config.settings.counter_timeout, ingress.submit, driver.scheduler.time
+            )
         if config.peer_listen is not None and config.settings.peers:
             peers = Peers(config.peers, config.peers_all, config.settings.me, ingress.submit)
             await self.loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
@@ -76,8 +81,9 @@
             ingress.listed(listing_of(kept), saved=True)
         elif config.known is not None:
             ingress.listed(config.known, saved=True)
-        self.discovery = Discovery(self.loop, config.discovery,
-                                   config.known.version if config.known else 0, self.listed)
+        self.discovery = Discovery(
+            self.loop, config.discovery, config.known.version if config.known else 0, self.listed
+        )
         await self.server.listen(*config.listen)
         log.info("%s serves on %s:%d", config.name, *config.listen)
         gc.freeze()  # what start-up made is never garbage
@@ -93,8 +99,18 @@
 
         entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in self.upstream.pools]
         return self.version, tuple(
-            Place(e.backend, e.phase.value, e.weight, e.kind, e.cell, e.born, e.zone,
-                  *self.upstream.pools[e.backend].endpoint.address) for e in entries)
+            Place(
+                e.backend,
+                e.phase.value,
+                e.weight,
+                e.kind,
+                e.cell,
+                e.born,
+                e.zone,
+                *self.upstream.pools[e.backend].endpoint.address,
+            )
+            for e in entries
+        )
 
     def reload(self, new: Config, placement: Placement | None = None) -> None:
         """Follow discovery and the counter to where the file says now; all else takes a restart."""
@@ -134,6 +150,14 @@
 
 def listing_of(kept: Listed) -> Listing:
     """A kept list of backends, as discovery would have told it."""
-    return Listing(kept.version, True, tuple(
-        (io.BackendEntry(p.name, io.Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
-         Endpoint((p.host, p.port), p.born)) for p in kept.places))
+    return Listing(
+        kept.version,
+        True,
+        tuple(
+            (
+                io.BackendEntry(p.name, io.Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
+                Endpoint((p.host, p.port), p.born),
+            )
+            for p in kept.places
+        ),
+    )
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -61,8 +61,9 @@
     phase = PHASES[status]
     # A deleted one needs no address any more.
     endpoint = None if phase is io.Phase.DELETED else Endpoint(read_address(e["address"]), born)
-    return io.BackendEntry(name, phase, weight, str(e.get("type", "")), int(e.get("group") or 0), born,
-                           str(e.get("zone", ""))), endpoint
+    return io.BackendEntry(
+        name, phase, weight, str(e.get("type", "")), int(e.get("group") or 0), born, str(e.get("zone", ""))
+    ), endpoint
 
 
 class Watch(asyncio.Protocol):
@@ -84,8 +85,9 @@
     def ask(self) -> None:
         assert self.transport is not None
         what = b"" if self.index is None else b"?stream=1&index=%d" % self.index
-        self.transport.write(b"GET /v1/servers%s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (
-            what, self.host[0].encode(), self.host[1]))
+        self.transport.write(
+            b"GET /v1/servers%s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (what, self.host[0].encode(), self.host[1])
+        )
 
     def data_received(self, data: bytes) -> None:
         if self.ended.done():
@@ -140,8 +142,13 @@
 class Source:
     """Keeps a watch on one address going, from the last version that was taken in."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, index: int | None,
-                 on_listing: Callable[[Source, Listing], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        index: int | None,
+        on_listing: Callable[[Source, Listing], None],
+    ) -> None:
         self.loop, self.address, self.index, self.on_listing = loop, address, index, on_listing
         self.task = loop.create_task(self.run())
 
@@ -186,8 +193,9 @@
     it is asked for the whole list, and takes over with it. Until then the old one stays.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, index: int,
-                 on_listing: Callable[[Listing], None]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, address: Address, index: int, on_listing: Callable[[Listing], None]
+    ) -> None:
         self.loop, self.on_listing = loop, on_listing
         self.source = self.newest = Source(loop, address, index, self.listed)
 
--- a/thistleusher/net/farewell.py
+++ b/thistleusher/net/farewell.py
@@ -9,11 +9,11 @@
 
 from __future__ import annotations
 
-QUIET_S = 0.3     # without a request, after which nobody comes any more; looks at /healthz are none
-LONGEST_S = 3.0   # that requests are given at a planned end, however long their class allows
-MORE_S = 0.7      # beyond that, before an ingress is killed
-LAST_S = 0.35     # kept of it: for last words and for a busy moment
-SHORT_S = 0.05    # under which a request cannot be served any more
+QUIET_S = 0.3  # without a request, after which nobody comes any more; looks at /healthz are none
+LONGEST_S = 3.0  # that requests are given at a planned end, however long their class allows
+MORE_S = 0.7  # beyond that, before an ingress is killed
+LAST_S = 0.35  # kept of it: for last words and for a busy moment
+SHORT_S = 0.05  # under which a request cannot be served any more
 
 
 class Farewell:
--- a/thistleusher/net/guard.py
+++ b/thistleusher/net/guard.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
-HOLD_S = 0.003   # between the rest and the last byte: the way there and back, and a busy moment
-WARY_S = 30.0    # after a connection has ended under a request, or sooner than agreed, in which requests are guarded
-EARLY = 0.1      # of the agreed idle time, before which the other side's end of a connection is a sign too
+HOLD_S = 0.003  # between the rest and the last byte: the way there and back, and a busy moment
+WARY_S = 30.0  # after a connection has ended under a request, or sooner than agreed, in which requests are guarded
+EARLY = 0.1  # of the agreed idle time, before which the other side's end of a connection is a sign too
 
 
 class Guard:
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -47,9 +47,16 @@
 class Ingress:
     """One ingress: a driver, and the backends that it reaches over HTTP."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: io.Settings, gateway: Decisions,
-                 upstream: Upstream, load_fields: tuple[str, ...] = (),
-                 unix: Callable[[], float] = time.time, scheduler: Scheduler | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: io.Settings,
+        gateway: Decisions,
+        upstream: Upstream,
+        load_fields: tuple[str, ...] = (),
+        unix: Callable[[], float] = time.time,
+        scheduler: Scheduler | None = None,
+    ) -> None:
         self.loop, self.settings, self.upstream = loop, settings, upstream
         self.load_fields = load_fields
         self.serving: set[str] = set()
@@ -106,8 +113,15 @@
         def ended(exchange: Exchange, outcome: io.Outcome, answer: Answer | None) -> None:
             self.submit(io.ProbeEnded(backend, outcome, self.loop.time() - began, self.load(answer)))
 
-        self.upstream.send(Exchange(backend, lambda: b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n",
-                                    lambda: backend in self.serving, ended), self.settings.connect_timeout)
+        self.upstream.send(
+            Exchange(
+                backend,
+                lambda: b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n",
+                lambda: backend in self.serving,
+                ended,
+            ),
+            self.settings.connect_timeout,
+        )
 
     def close_idle(self, backend: str) -> None:
         self.upstream.close_idle(backend)
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -27,10 +27,20 @@
 IDLE_S = 5.0  # between requests
 SWEEP_S = 0.25
 LINGER_S = 0.5  # for a client to close its side, once the last answer has left this program
-STOOD_S = 1.0   # by which a timer comes late if this process has stood still
+STOOD_S = 1.0  # by which a timer comes late if this process has stood still
 LINGER_BYTES = 256 * 1024  # that are read, and thrown away, meanwhile
-HOP_BY_HOP = {b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
-              b"upgrade", b"expect", b"content-length", b"x-budget"}
+HOP_BY_HOP = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"expect",
+    b"content-length",
+    b"x-budget",
+}
 
 
 AGAIN = b"Retry-After: 1\r\n"
@@ -222,8 +232,13 @@
             else:
                 self.call = item
                 self.server.take(item, functools.partial(self.reply, item))
-        if (self.paused and self.transport is not None and not self.closing and not self.deaf
-                and len(self.waiting) <= PIPELINE):
+        if (
+            self.paused
+            and self.transport is not None
+            and not self.closing
+            and not self.deaf
+            and len(self.waiting) <= PIPELINE
+        ):
             self.paused = False
             self.transport.resume_reading()
 
@@ -245,8 +260,10 @@
         close = not self.keep or self.server.leaving
         if close:
             lines += b"Connection: close\r\n"
-        self.transport.write(b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
-            status, PHRASES.get(status, b"-"), lines, len(body), body))
+        self.transport.write(
+            b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s"
+            % (status, PHRASES.get(status, b"-"), lines, len(body), body)
+        )
         if close:
             self.close()
 
@@ -332,8 +349,7 @@
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
 
     async def listen(self, host: str, port: int) -> None:
-        self.listener = await self.loop.create_server(
-            lambda: ClientConnection(self), host, port, backlog=1024)
+        self.listener = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=1024)
 
     def read(self, came: ClientConnection) -> Any:
         """The request that has come whole, to be handed to `take`, or the `Early` answer to it."""
--- a/thistleusher/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -47,6 +47,9 @@
     outcome_of: Callable[[Answer], io.Outcome] | None = None  # None: as `outcome_of` below
 
 
+DEFAULT_TERMS = Terms()
+
+
 class Exchange:
     """One request to a backend and its one outcome, told through `on_end`.
 
@@ -54,9 +57,16 @@
     begun to drain, or the client may have gone, while it was being opened.
     """
 
-    def __init__(self, backend: str, message: Callable[[], bytes], may_send: Callable[[], bool],
-                 on_end: Callable[[Exchange, io.Outcome, Answer | None], None], guarded: bool = False,
-                 mark: bytes = b"", stall: Callable[[], float] = lambda: STALL_S) -> None:
+    def __init__(
+        self,
+        backend: str,
+        message: Callable[[], bytes],
+        may_send: Callable[[], bool],
+        on_end: Callable[[Exchange, io.Outcome, Answer | None], None],
+        guarded: bool = False,
+        mark: bytes = b"",
+        stall: Callable[[], float] = lambda: STALL_S,
+    ) -> None:
         """`guarded`: where connections end at bad moments, nothing of it may run that is not known to.
 
         `mark`: what `Terms.mark` of its answer must hold; an answer with another one, or with none, belongs to no
@@ -90,8 +100,13 @@
             return
         if self.connection is not None:
             self.connection.drop()
-        self.end(outcome if self.written else io.Outcome.MOOT if outcome is io.Outcome.CANCELLED else
-                 io.Outcome.CONNECT_FAILED)
+        self.end(
+            outcome
+            if self.written
+            else io.Outcome.MOOT
+            if outcome is io.Outcome.CANCELLED
+            else io.Outcome.CONNECT_FAILED
+        )
 
 
 class Connection(asyncio.Protocol):
@@ -262,9 +277,16 @@
 class Pool:
     """The connections to one backend; the newest idle one is used first, so that the others can age out."""
 
-    def __init__(self, backend: str, endpoint: Endpoint, loop: asyncio.AbstractEventLoop,
-                 connections: set[Connection], guard: Guard, reopen: Callable[[Exchange], None],
-                 terms: Terms = Terms()) -> None:  # noqa: B008  (a tuple)
+    def __init__(
+        self,
+        backend: str,
+        endpoint: Endpoint,
+        loop: asyncio.AbstractEventLoop,
+        connections: set[Connection],
+        guard: Guard,
+        reopen: Callable[[Exchange], None],
+        terms: Terms = DEFAULT_TERMS,
+    ) -> None:
         self.terms = terms
         self.backend, self.endpoint, self.loop = backend, endpoint, loop
         self.guard, self.reopen = guard, reopen
@@ -305,8 +327,14 @@
 class Upstream:
     """All backends' pools."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, connect_timeout: float, idle: float,
-                 most: int, terms: Terms = Terms()) -> None:  # noqa: B008  (a tuple)
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        connect_timeout: float,
+        idle: float,
+        most: int,
+        terms: Terms = DEFAULT_TERMS,
+    ) -> None:
         self.terms = terms
         self.loop, self.connect_timeout, self.most = loop, connect_timeout, most
         self.idle = IDLE_SHARE * idle
@@ -326,8 +354,9 @@
             del self.pools[backend]
             pool = None
         if pool is None and endpoint is not None:
-            self.pools[backend] = Pool(backend, endpoint, self.loop, self.connections, self.guard, self.reopen,
-                                       self.terms)
+            self.pools[backend] = Pool(
+                backend, endpoint, self.loop, self.connections, self.guard, self.reopen, self.terms
+            )
 
     def send(self, exchange: Exchange, timeout: float) -> None:
         """Carry out one exchange; its outcome may come before this returns."""
--- a/thistleusher/net/wire.py
+++ b/thistleusher/net/wire.py
@@ -22,4 +22,8 @@
     def message(self, patience: float) -> bytes:
         """The request as a backend gets it; `patience` is how long this ingress will wait, in seconds."""
         return b"%sX-Budget: %dm\r\nContent-Length: %d\r\n\r\n%s" % (
-            self.start, max(1, int(patience * 1000)), len(self.body), self.body)
+            self.start,
+            max(1, int(patience * 1000)),
+            len(self.body),
+            self.body,
+        )
--- a/thistleusher/operator/document.py
+++ b/thistleusher/operator/document.py
@@ -62,8 +62,9 @@
         struct = section.load()
         words = told(struct)
         out.append(f"## [{name}]\n\n{section.about}\n\n| key | kind | default | meaning |\n| --- | --- | --- | --- |")
-        out += [f"| `{f.name}` | {kind_of(f)} | {default_of(f)} | {words[f.name]} |" for f in
-                msgspec.structs.fields(struct)]
+        out += [
+            f"| `{f.name}` | {kind_of(f)} | {default_of(f)} | {words[f.name]} |" for f in msgspec.structs.fields(struct)
+        ]
         out.append("")
     return "\n".join(out)
 
--- a/thistleusher/operator/layers.py
+++ b/thistleusher/operator/layers.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-MOST = 1 << 20      # bytes of a file
-DEEPEST = 8         # files that include one another
+MOST = 1 << 20  # bytes of a file
+DEEPEST = 8  # files that include one another
 PREFIX = "ROADSPUR_"  # of environment variables: ROADSPUR_STATE__SYNC is state.sync
 
 
@@ -58,8 +58,10 @@
             self.file(str(Path(path).parent / name), (*seen, real))
         for section, keys in data.items():
             if not isinstance(keys, dict):
-                raise BadFile(f"{Origin(path, line_of(text, '', section))}: {plain(section)}: expected a section, "
-                              f"[{plain(section)}], got a value")
+                raise BadFile(
+                    f"{Origin(path, line_of(text, '', section))}: {plain(section)}: expected a section, "
+                    f"[{plain(section)}], got a value"
+                )
             self.values.setdefault(section, {})  # also an empty one
             self.origins.setdefault(section, Origin(path, line_of(text, section)))
             for key, value in keys.items():
--- a/thistleusher/operator/reader.py
+++ b/thistleusher/operator/reader.py
@@ -48,8 +48,10 @@
     sections = {}
     for name, keys in layers.values.items():
         if name not in SECTIONS:
-            raise BadFile(f"{layers.origins.get(name) or first(layers, name)}: [{plain(name)}]: no such section"
-                          + nearest(name, SECTIONS))
+            raise BadFile(
+                f"{layers.origins.get(name) or first(layers, name)}: [{plain(name)}]: no such section"
+                + nearest(name, SECTIONS)
+            )
         sections[name] = read_section(name, keys, layers)
     return Options(layers, sections)
 
--- a/thistleusher/operator/secrets.py
+++ b/thistleusher/operator/secrets.py
@@ -1,6 +1,7 @@
 """Values that must not be seen: named in the operator's file, kept in a file of their own or in the environment.
 
-`"file:/etc/thistleusher/key"` or `"env:THISTLEUSHER_KEY"`; the value itself is never in the operator's file, and never printed.
+`"file:/etc/thistleusher/key"` or `"env:THISTLEUSHER_KEY"`; the value itself is
+never in the operator's file, and never printed.
 """
 
 from __future__ import annotations
--- a/thistleusher/operator/sections.py
+++ b/thistleusher/operator/sections.py
@@ -22,10 +22,17 @@
 
 
 SECTIONS = {
-    "state": Section("thistleusher.state.options", "StateOptions",
-                     "A folder in which members' stores, rooms, learned speeds and the list outlive the process."),
-    "counters": Section("thistleusher.services.options", "CountersOptions",
-                        "Several counters that share the names by rendezvous hashing, in place of the platform's one."),
-    "log": Section("thistleusher.log.options", "LogOptions",
-                   "How log lines look, and how many wait while nobody reads them."),
+    "state": Section(
+        "thistleusher.state.options",
+        "StateOptions",
+        "A folder in which members' stores, rooms, learned speeds and the list outlive the process.",
+    ),
+    "counters": Section(
+        "thistleusher.services.options",
+        "CountersOptions",
+        "Several counters that share the names by rendezvous hashing, in place of the platform's one.",
+    ),
+    "log": Section(
+        "thistleusher.log.options", "LogOptions", "How log lines look, and how many wait while nobody reads them."
+    ),
 }
--- a/thistleusher/operator/units.py
+++ b/thistleusher/operator/units.py
@@ -5,7 +5,7 @@
 import re
 
 DURATIONS = {"ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
-SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "KB": 10 ** 3, "MB": 10 ** 6, "GB": 10 ** 9}
+SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "KB": 10**3, "MB": 10**6, "GB": 10**9}
 NUMBER = re.compile(r"(\d{1,12}(?:\.\d{1,9})?) ?([A-Za-z]{1,3})", re.ASCII)
 
 
--- a/thistleusher/services/counter.py
+++ b/thistleusher/services/counter.py
@@ -211,9 +211,14 @@
 class Counter:
     """The counter service. All calls of one name go over one line, so that they keep their order there."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, timeout: float,
-                 on_reply: Callable[[io.CounterReply], None],
-                 time: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        timeout: float,
+        on_reply: Callable[[io.CounterReply], None],
+        time: Callable[[], float] | None = None,
+    ) -> None:
         """`timeout` in seconds; `time` measures how long calls took, and is the loop's own by default."""
         self.loop, self.address, self.timeout, self.on_reply = loop, address, timeout, on_reply
         self.time = time or loop.time
@@ -231,8 +236,10 @@
         """One call."""
         now = self.loop.time()
         life = max(1, min(60_000, round(lifetime * 1000)))
-        text = (f"POST /v2/numbers/{name}?delta={amount:.6f}&life_ms={life} HTTP/1.1\r\n"
-                f"Host: {self.address[0]}:{self.address[1]}\r\nContent-Length: 0\r\n\r\n").encode()
+        text = (
+            f"POST /v2/numbers/{name}?delta={amount:.6f}&life_ms={life} HTTP/1.1\r\n"
+            f"Host: {self.address[0]}:{self.address[1]}\r\nContent-Length: 0\r\n\r\n"
+        ).encode()
         add = Add(name, text, self.time(), now + self.timeout)
         self.calls.setdefault(name, deque()).append(add)
         self.lines[name % LINES].call(add)
--- a/thistleusher/services/counters.py
+++ b/thistleusher/services/counters.py
@@ -16,8 +16,14 @@
 class Counters:
     """Calls go to the counter that holds their name. `place` changes the set in service."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, placement: Placement, timeout: float,
-                 on_reply: Callable[[io.CounterReply], None], time: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        placement: Placement,
+        timeout: float,
+        on_reply: Callable[[io.CounterReply], None],
+        time: Callable[[], float] | None = None,
+    ) -> None:
         self.loop, self.timeout, self.on_reply, self.time = loop, timeout, on_reply, time
         self.clients: dict[str, Counter] = {}
         self.leaving: dict[Counter, asyncio.TimerHandle] = {}
@@ -29,8 +35,9 @@
         self.placement = placement
         for address in placement.addresses:
             if address not in self.clients:
-                self.clients[address] = Counter(self.loop, read_address(address), self.timeout, self.on_reply,
-                                                self.time)
+                self.clients[address] = Counter(
+                    self.loop, read_address(address), self.timeout, self.on_reply, self.time
+                )
         for address in self.clients.keys() - set(placement.addresses):
             client = self.clients.pop(address)
             self.leaving[client] = self.loop.call_later(LEAVE_S, self.drop, client)
--- a/thistleusher/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -18,8 +18,9 @@
 class Peers(asyncio.DatagramProtocol):
     """Sends to one ingress or to all, and tells who sent what came."""
 
-    def __init__(self, peers: Sequence[Address], everyone: Address | None, me: int,
-                 on_message: Callable[[io.PeerMessage], None]) -> None:
+    def __init__(
+        self, peers: Sequence[Address], everyone: Address | None, me: int, on_message: Callable[[io.PeerMessage], None]
+    ) -> None:
         self.peers, self.everyone, self.me, self.on_message = peers, everyone, me, on_message
         self.numbers = {address: n for n, address in enumerate(peers)}
         self.transport: asyncio.DatagramTransport | None = None
--- a/thistleusher/settings.py
+++ b/thistleusher/settings.py
@@ -79,8 +79,11 @@
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
-        return bool(read_choice(self.source, key, self.text(key, "false").lower(),
-                            {"true": True, "false": False, "1": True, "0": False}))
+        return bool(
+            read_choice(
+                self.source, key, self.text(key, "false").lower(), {"true": True, "false": False, "1": True, "0": False}
+            )
+        )
 
 
 def read_settings(parts: list[str], source: str = "BORN") -> tuple[io.Settings, tuple[str, ...]]:
@@ -93,39 +96,67 @@
         io.ClassSettings(
             name=p.text(c + "name"),
             effect=read_choice(source, c + "semantics", p.text(c + "semantics"), EFFECTS),
-            objective=p.number(c + "objective"), deadline=p.number(c + "hardLimit"),
-            worth=p.number(c + "credit", "1"), late_worth=p.number(c + "lateWorth", "0"),
+            objective=p.number(c + "objective"),
+            deadline=p.number(c + "hardLimit"),
+            worth=p.number(c + "credit", "1"),
+            late_worth=p.number(c + "lateWorth", "0"),
             group=read_choice(source, c + "group", p.text(c + "group", "all"), GROUPS),
-            window=p.number(c + "window", "0"))
-        for c in (f"classes.{i}." for i in range(p.whole("classes.count"))))
+            window=p.number(c + "window", "0"),
+        )
+        for c in (f"classes.{i}." for i in range(p.whole("classes.count")))
+    )
     plans = tuple(
         io.PlanSettings(
-            name=p.text(q + "name"), rate=p.number(q + "rate"), burst=p.number(q + "storeSize"),
-            price=p.number(q + "pays", "1"), over_worth=p.number(q + "beyondEarns", "0"),
-            over_cost=p.number(q + "beyondCosts", "0"), max_open=p.whole(q + "maxOut", "0"),
-            ceiling_rate=p.number(q + "capRate", "0"), ceiling_burst=p.number(q + "neverOverDepth", "0"),
-            ceiling_slack=p.number(q + "capSlack", "0"))
-        for q in (f"plans.{i}." for i in range(p.whole("plans.count"))))
+            name=p.text(q + "name"),
+            rate=p.number(q + "rate"),
+            burst=p.number(q + "storeSize"),
+            price=p.number(q + "pays", "1"),
+            over_worth=p.number(q + "beyondEarns", "0"),
+            over_cost=p.number(q + "beyondCosts", "0"),
+            max_open=p.whole(q + "maxOut", "0"),
+            ceiling_rate=p.number(q + "capRate", "0"),
+            ceiling_burst=p.number(q + "neverOverDepth", "0"),
+            ceiling_slack=p.number(q + "capSlack", "0"),
+        )
+        for q in (f"plans.{i}." for i in range(p.whole("plans.count")))
+    )
     how = p.text("loadReport.how", "silent")
     settings = io.Settings(
-        classes=classes, plans=plans, instances=p.whole("balancers"), me=p.whole("me"),
-        zone=p.text("zone", ""), step=p.number("step", "0"), counter=p.flag("extra.counter"),
+        classes=classes,
+        plans=plans,
+        instances=p.whole("balancers"),
+        me=p.whole("me"),
+        zone=p.text("zone", ""),
+        step=p.number("step", "0"),
+        counter=p.flag("extra.counter"),
         counter_timeout=p.number("extra.counterTimeout", "0.05"),
-        counter_price=p.number("extra.counterPrice", "0"), max_units=p.number("extra.maxUnits", "1"),
-        settles=p.flag("extra.truedUp"), max_attempts=p.whole("limits.maxAttempts", "1"),
-        retry_after=p.flag("limits.retryAfter"), max_retry_after=p.number("limits.maxRetryAfter", "0"),
-        may_probe=p.flag("limits.mayProbe"), may_cancel=p.flag("limits.cancel"), peers=p.flag("limits.peers"),
-        peer_in_per_s=p.number("extra.peerInPerS", "0"), second_copies=p.flag("limits.secondCopies"),
+        counter_price=p.number("extra.counterPrice", "0"),
+        max_units=p.number("extra.maxUnits", "1"),
+        settles=p.flag("extra.truedUp"),
+        max_attempts=p.whole("limits.maxAttempts", "1"),
+        retry_after=p.flag("limits.retryAfter"),
+        max_retry_after=p.number("limits.maxRetryAfter", "0"),
+        may_probe=p.flag("limits.mayProbe"),
+        may_cancel=p.flag("limits.cancel"),
+        peers=p.flag("limits.peers"),
+        peer_in_per_s=p.number("extra.peerInPerS", "0"),
+        second_copies=p.flag("limits.secondCopies"),
         own_backends=p.flag("limits.ownBackends"),
         list_on_request=p.text("discovery", "pushed") == "on_request",
-        ask_every=p.number("invariants.askEvery", "10"), load_in_answers=how == "piggyback",
-        load_in_probes=how in ("piggyback", "pull"), drain_grace=p.number("invariants.drainGrace", "0"),
+        ask_every=p.number("invariants.askEvery", "10"),
+        load_in_answers=how == "piggyback",
+        load_in_probes=how in ("piggyback", "pull"),
+        drain_grace=p.number("invariants.drainGrace", "0"),
         fall_multiple=p.number("invariants.fallMultiple", "1"),
         fall_after=p.number("invariants.tipAfter", "1"),
-        start_capacity=p.number("invariants.startCapacity", "1"), cold_time=p.number("invariants.cold", "0"),
+        start_capacity=p.number("invariants.startCapacity", "1"),
+        cold_time=p.number("invariants.cold", "0"),
         connect_timeout=p.number("limits.connectTimeout", "0"),
-        late_fail_price=p.number("prices.lateFail", "0"), waste_price=p.number("prices.waste", "0"),
-        cross_zone_price=p.number("prices.crossZone", "0"), probe_price=p.number("prices.probe", "0"))
+        late_fail_price=p.number("prices.lateFail", "0"),
+        waste_price=p.number("prices.waste", "0"),
+        cross_zone_price=p.number("prices.crossZone", "0"),
+        probe_price=p.number("prices.probe", "0"),
+    )
     fields = p.text("loadReport.fields", "")
     return settings, tuple(f for f in fields.split(",") if f and f != "-")
 
--- a/thistleusher/state/keeper.py
+++ b/thistleusher/state/keeper.py
@@ -55,8 +55,14 @@
 class Keeper:
     """The state of the ingress `name`. BadState where its folder cannot be used."""
 
-    def __init__(self, options: StateOptions, name: str, settings: io.Settings, kept: float,
-                 terms: dict[str, tuple[float, float]] | None = None) -> None:
+    def __init__(
+        self,
+        options: StateOptions,
+        name: str,
+        settings: io.Settings,
+        kept: float,
+        terms: dict[str, tuple[float, float]] | None = None,
+    ) -> None:
         """`kept`: seconds after which the decisions forget a quiet member; `terms`: rate and burst that rooms are of,
         by plan."""
         self.options, self.name, self.kept, self.terms = options, name, kept, terms or {}
@@ -86,8 +92,14 @@
         life = store.begin(self.name, now)
         if store.twin:
             log.warning("state: %s is a copy: what its original had not written back is left out", store.folder)
-        log.info("state: life %d, %d members put back, %d rooms, %d records spoilt%s", life.number, len(found.members),
-                 len(rooms), store.spoilt, "".join(f", {n} {why}" for why, n in found.left_out.items()))
+        log.info(
+            "state: life %d, %d members put back, %d rooms, %d records spoilt%s",
+            life.number,
+            len(found.members),
+            len(rooms),
+            store.spoilt,
+            "".join(f", {n} {why}" for why, n in found.left_out.items()),
+        )
         self.gateway, self.clock, self.later = gateway, clock, later
         self.writer = Writer(store, self.options.commit_every)
         self.timer = later.call_later(self.options.commit_every, self.portion)
--- a/thistleusher/state/options.py
+++ b/thistleusher/state/options.py
@@ -1,9 +1,9 @@
 """The section [state] of the operator's file, and the file of its own that `--state` names:
 
-    folder = "/var/lib/thistleusher"
-    sync = "normal"      # off, normal or full: what a loss of power may cost
-    commit_ms = 50       # what a kill may cost, 5 to 10,000
-    most_mb = 256        # bound of the folder's file, 1 to 65,536
+folder = "/var/lib/thistleusher"
+sync = "normal"      # off, normal or full: what a loss of power may cost
+commit_ms = 50       # what a kill may cost, 5 to 10,000
+most_mb = 256        # bound of the folder's file, 1 to 65,536
 """
 
 from __future__ import annotations
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -29,14 +29,14 @@
 
     key: int
     plan: str
-    rate: float   # of the plan as it was, to notice that it has changed
+    rate: float  # of the plan as it was, to notice that it has changed
     burst: float
     level: float
-    at: float     # when `level` was true
+    at: float  # when `level` was true
     window: int
-    told: float   # own units in the window's count
+    told: float  # own units in the window's count
     pending: float  # let in, and in no count yet
-    mine: int     # quarter units let in here, all in all
+    mine: int  # quarter units let in here, all in all
     theirs: dict[int, int] = {}  # the same of each peer, as last heard
     heard: float = 0.0  # what peers have told of in the window `heard_in`
     heard_in: int = -1
@@ -63,7 +63,7 @@
     customer: int
     first: int
     width: int
-    rate: float   # of the allowance as it was
+    rate: float  # of the allowance as it was
     burst: float
     room: float
     at: float
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -41,8 +41,9 @@
         self.left_out[why] = self.left_out.get(why, 0) + 1
 
 
-def recover(now: float, records: Iterable[Member], plans: Mapping[str, io.PlanSettings], kept: float,
-            twin: bool = False) -> Recovered:
+def recover(
+    now: float, records: Iterable[Member], plans: Mapping[str, io.PlanSettings], kept: float, twin: bool = False
+) -> Recovered:
     """`kept`: seconds after which a quiet member is forgotten; `twin`: the folder is a copy of another's."""
     out = Recovered()
     for m in records:
@@ -50,7 +51,8 @@
         if plan is None or plan.rate <= 0:
             out.leave_out("plan is gone")
         elif m.burst <= 0 or not all(
-                abs(x) < 1e12 for x in (m.level, m.at, m.told, m.pending, m.heard, m.excess, m.doubt)):
+            abs(x) < 1e12 for x in (m.level, m.at, m.told, m.pending, m.heard, m.excess, m.doubt)
+        ):
             out.leave_out("not a number")
         elif m.at < now - kept and m.pending <= 0:
             out.leave_out("long full")
@@ -58,10 +60,20 @@
             same = (plan.rate, plan.burst) == (m.rate, m.burst)
             level = min(plan.burst, m.level if same else plan.burst - (m.burst - m.level))
             # Other windows have other names: what is in an old one's count is in no present one's.
-            out.members.append(io.SavedMember(
-                m.key, m.plan, level, min(m.at, now), m.window if same and m.at <= now else -1, m.told if same else 0.0,
-                0.0 if twin else max(0.0, m.pending), m.mine, dict(m.theirs), *(
-                    (m.heard, m.heard_in, m.excess, m.doubt, m.doubted) if same and m.at <= now else ())))
+            out.members.append(
+                io.SavedMember(
+                    m.key,
+                    m.plan,
+                    level,
+                    min(m.at, now),
+                    m.window if same and m.at <= now else -1,
+                    m.told if same else 0.0,
+                    0.0 if twin else max(0.0, m.pending),
+                    m.mine,
+                    dict(m.theirs),
+                    *((m.heard, m.heard_in, m.excess, m.doubt, m.doubted) if same and m.at <= now else ()),
+                )
+            )
     return out
 
 
@@ -72,15 +84,25 @@
     return min(now, before.ended) if before.ended > 0 else now
 
 
-def still_there(rooms: Iterable[Room], plans: Mapping[str, io.PlanSettings], terms: Mapping[str, tuple[float, float]],
-                twin: bool = False) -> list[io.SavedRoom]:
+def still_there(
+    rooms: Iterable[Room],
+    plans: Mapping[str, io.PlanSettings],
+    terms: Mapping[str, tuple[float, float]],
+    twin: bool = False,
+) -> list[io.SavedRoom]:
     """Rooms under the same terms as before; `terms`: rate and burst of each plan's allowance now."""
     numbers = {name: n for n, name in enumerate(plans)}
     if twin:
         return []
-    return [io.SavedRoom(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at) for r in rooms
-            if r.plan in numbers and terms.get(r.plan) == (r.rate, r.burst)
-            and 0 <= r.room <= r.burst and math.isfinite(r.at) and r.width > 0]
+    return [
+        io.SavedRoom(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at)
+        for r in rooms
+        if r.plan in numbers
+        and terms.get(r.plan) == (r.rate, r.burst)
+        and 0 <= r.room <= r.burst
+        and math.isfinite(r.at)
+        and r.width > 0
+    ]
 
 
 def still_learned(now: float, learned: io.Learned | None) -> io.Learned | None:
@@ -92,10 +114,16 @@
     numbers = [x for b in learned.backends.values() for x in b[:5]] + [x for c in learned.classes.values() for x in c]
     if not all(map(math.isfinite, [learned.slots, learned.rate, *numbers])):
         return None
-    backends = {name: b._replace(
-        ratio=1 + (b.ratio - 1) * (1 - age / LEARNED_S), errors=0.0 if back else b.errors * left,
-        proof=0.0 if back else b.proof * left, resting=0.0 if back else b.resting,
-        trial=b.trial and not back and age < FAULTS_S) for name, b in learned.backends.items()}
+    backends = {
+        name: b._replace(
+            ratio=1 + (b.ratio - 1) * (1 - age / LEARNED_S),
+            errors=0.0 if back else b.errors * left,
+            proof=0.0 if back else b.proof * left,
+            resting=0.0 if back else b.resting,
+            trial=b.trial and not back and age < FAULTS_S,
+        )
+        for name, b in learned.backends.items()
+    }
     return learned._replace(rate=learned.rate * left, slots=learned.slots if age < LIST_S else 0.0, backends=backends)
 
 
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -121,8 +121,13 @@
         last = self.before
         number = (last.number if last else 0) + self.spoilt + 1
         life = Life(name, number, max(now, last.began + 0.001 if last else now), self.inode)
-        self._all_or_nothing([("INSERT OR REPLACE INTO life VALUES (?, ?)", (number, pack(life))),
-                              ("DELETE FROM life WHERE number < ?", (number - 8,)), ("DELETE FROM room", ())])
+        self._all_or_nothing(
+            [
+                ("INSERT OR REPLACE INTO life VALUES (?, ?)", (number, pack(life))),
+                ("DELETE FROM life WHERE number < ?", (number - 8,)),
+                ("DELETE FROM room", ()),
+            ]
+        )
         self.life = life
         return life
 
@@ -167,8 +172,11 @@
     def commit(self, bodies: Iterable[tuple[Slot, bytes | None]]) -> None:
         """Write records, or delete those of None, all or nothing. sqlite3.Error where the disk will not take them."""
         self._all_or_nothing(
-            (f"DELETE FROM {table} WHERE key = ?", (key,)) if body is None else
-            (f"INSERT OR REPLACE INTO {table} VALUES (?, ?)", (key, body)) for (table, key), body in bodies)
+            (f"DELETE FROM {table} WHERE key = ?", (key,))
+            if body is None
+            else (f"INSERT OR REPLACE INTO {table} VALUES (?, ?)", (key, body))
+            for (table, key), body in bodies
+        )
 
     def _all_or_nothing(self, steps: Iterable[tuple[str, tuple[object, ...]]]) -> None:
         self.db.execute("BEGIN IMMEDIATE")
--- a/thistleusher/state/writer.py
+++ b/thistleusher/state/writer.py
@@ -30,8 +30,9 @@
 class Writer:
     """`every`: seconds between commits."""
 
-    def __init__(self, store: Commits, every: float = 0.05, most: int = 200_000,
-                 clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, store: Commits, every: float = 0.05, most: int = 200_000, clock: Callable[[], float] = time.monotonic
+    ) -> None:
         self.store, self.every, self.most, self.clock = store, every, most, clock
         self.waiting: dict[Slot, bytes | None] = {}
         self.commits = self.failures = self.turned_away = 0
--- a/thistleusher/talk/homes.py
+++ b/thistleusher/talk/homes.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-OUT_MOST = 512    # questions out at once; beyond it there is none
-CANDIDATES = 3    # ingresses of a set that may be its home, in their order
-MISSES = 2        # questions in a row without an answer, after which another home is asked
-MUTE_S = 1.0      # for so long
-ANSWER_S = 0.1    # for both ways between ingresses; without an answer by then a question is put once more
+OUT_MOST = 512  # questions out at once; beyond it there is none
+CANDIDATES = 3  # ingresses of a set that may be its home, in their order
+MISSES = 2  # questions in a row without an answer, after which another home is asked
+MUTE_S = 1.0  # for so long
+ANSWER_S = 0.1  # for both ways between ingresses; without an answer by then a question is put once more
 KNOWN_S, KNOWN_MOST = 1.0, 2048  # for which a home knows what it was asked, and of how many questions
 
 
@@ -70,8 +70,8 @@
         self.first = OrderedDict[int, tuple[float, bytes]]()  # of these, put once only: until when, and the words
         self.late = OrderedDict[int, Question]()  # those whose time is up, for an answer that still comes
         self.number = 0
-        self.missed: dict[int, int] = {}   # questions in a row that a peer left without a word
-        self.mute: dict[int, float] = {}   # peers that are passed over, until when
+        self.missed: dict[int, int] = {}  # questions in a row that a peer left without a word
+        self.mute: dict[int, float] = {}  # peers that are passed over, until when
 
     def of(self, now: float, key: int, first: int, width: int) -> int | None:
         """The home of a member's account; None where none of its candidates answers."""
@@ -82,12 +82,13 @@
                 return peer
         return None
 
-    def ask(self, now: float, request: str, peer: int, customer: int, plan: int, units: float,
-            words: Callable[[int], bytes]) -> bytes | None:
+    def ask(
+        self, now: float, request: str, peer: int, customer: int, plan: int, units: float, words: Callable[[int], bytes]
+    ) -> bytes | None:
         """The words of a question to a peer, made of its number; None where too many are out."""
         if len(self.out) >= OUT_MOST:
             return None
-        self.number = number = (self.number + 1) & 0xffff
+        self.number = number = (self.number + 1) & 0xFFFF
         self.late.pop(number, None)
         self.out[number] = Question(request, peer, now + ANSWER_S + self.wait, customer, plan, units)
         self.first[number] = now + ANSWER_S, words(number)
--- a/thistleusher/talk/outbox.py
+++ b/thistleusher/talk/outbox.py
@@ -13,10 +13,10 @@
 from collections.abc import Iterable
 from itertools import islice
 
-BURST_S = 0.2     # of its messages a second, that may leave at once
-LAZY_S = 0.4      # that a change which takes nothing (a settlement) waits for company
-ALIVE_S = 0.5     # without a message, after which a peer in company is told that this ingress is there
-COMPANY_S = 5.0   # after the last common member was seen, for which two ingresses keep each other company
+BURST_S = 0.2  # of its messages a second, that may leave at once
+LAZY_S = 0.4  # that a change which takes nothing (a settlement) waits for company
+ALIVE_S = 0.5  # without a message, after which a peer in company is told that this ingress is there
+COMPANY_S = 5.0  # after the last common member was seen, for which two ingresses keep each other company
 
 
 class Outbox:
@@ -27,9 +27,9 @@
         self.per_s, self.rows, self.at = max(1.0, per_s), rows, now
         self.tokens = self.most = max(1.0, BURST_S * self.per_s)
         self.waiting: dict[int, dict[int, None]] = {}  # by peer, the members that changed; the longest waiting first
-        self.due: dict[int, float] = {}        # when that is to leave
-        self.company: dict[int, float] = {}    # peers with common members, until when
-        self.told: dict[int, float] = {}       # when each was last told anything
+        self.due: dict[int, float] = {}  # when that is to leave
+        self.company: dict[int, float] = {}  # peers with common members, until when
+        self.told: dict[int, float] = {}  # when each was last told anything
 
     def note(self, now: float, key: int, peers: Iterable[int], lazy: bool = False) -> None:
         """Something of a member is to be told to these peers."""
--- a/thistleusher/talk/talk.py
+++ b/thistleusher/talk/talk.py
@@ -23,7 +23,7 @@
 ROW = struct.Struct(">5sh")
 ROWS = (256 - 1) // ROW.size
 SETTLE_MOST = 4096  # members whose settlements wait at once; beyond it the oldest are forgotten
-TELL_PART = 0.5     # of the messages that an ingress takes in, that it sends as tellings
+TELL_PART = 0.5  # of the messages that an ingress takes in, that it sends as tellings
 
 
 class Talk:
@@ -78,9 +78,16 @@
 
     def ask(self, now: float, home: int, r: io.Request, plan: int) -> bytes | None:
         """A question for a request; None where too many are out."""
-        name, quarters = io.name_of(plan, r.customer), min(0xffff, round(4 * r.units))
-        return self.homes.ask(now, r.id, home, r.customer, plan, r.units, lambda number: (
-            ASK + QUESTION.pack(number, name, r.first, r.width, quarters)))
+        name, quarters = io.name_of(plan, r.customer), min(0xFFFF, round(4 * r.units))
+        return self.homes.ask(
+            now,
+            r.id,
+            home,
+            r.customer,
+            plan,
+            r.units,
+            lambda number: (ASK + QUESTION.pack(number, name, r.first, r.width, quarters)),
+        )
 
     def again(self, now: float) -> list[tuple[int, bytes]]:
         """Questions to be put once more, to whom."""
@@ -101,7 +108,7 @@
 
     def answer(self, peer: int, number: int, good: bool, room: float) -> bytes:
         """The answer to a peer's. Room is rounded down: who has none must not be told of enough."""
-        words = ANSWER + REPLY.pack(number, good, max(-0x8000, min(0x7fff, math.floor(4 * room))))
+        words = ANSWER + REPLY.pack(number, good, max(-0x8000, min(0x7FFF, math.floor(4 * room))))
         self.known.said(peer, number, words)
         return words
 
@@ -153,8 +160,8 @@
         """The messages of all that waits, each home's together."""
         out = []
         for home, rows in self.settling.items():
-            packed = [ROW.pack(name, max(-0x8000, min(0x7fff, round(4 * u)))) for name, u in rows.items()]
-            out += [(home, SETTLED + b"".join(packed[n:n + ROWS])) for n in range(0, len(packed), ROWS)]
+            packed = [ROW.pack(name, max(-0x8000, min(0x7FFF, round(4 * u)))) for name, u in rows.items()]
+            out += [(home, SETTLED + b"".join(packed[n : n + ROWS])) for n in range(0, len(packed), ROWS)]
         self.settling.clear()
         self.settlings = 0
         return out
--- a/thistleusher/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -20,12 +20,23 @@
     read_whole,
 )
 
-OUTCOMES = {"success": io.Outcome.OK, "failure": io.Outcome.ERROR, "overloaded": io.Outcome.FULL,
-            "timed_out": io.Outcome.TIMEOUT, "unreachable": io.Outcome.CONNECT_FAILED,
-            "broken": io.Outcome.RESET, "withdrawn": io.Outcome.CANCELLED, "void": io.Outcome.MOOT}
+OUTCOMES = {
+    "success": io.Outcome.OK,
+    "failure": io.Outcome.ERROR,
+    "overloaded": io.Outcome.FULL,
+    "timed_out": io.Outcome.TIMEOUT,
+    "unreachable": io.Outcome.CONNECT_FAILED,
+    "broken": io.Outcome.RESET,
+    "withdrawn": io.Outcome.CANCELLED,
+    "void": io.Outcome.MOOT,
+}
 PHASES = {"Running": io.Phase.RUNNING, "Stopping": io.Phase.STOPPING, "Deleted": io.Phase.DELETED}
-FORMS = {"INCREMENTAL": io.ListKind.CHANGE, "FULL": io.ListKind.WHOLE, "SAVED": io.ListKind.SAVED,
-         "FAILED": io.ListKind.FAILED}
+FORMS = {
+    "INCREMENTAL": io.ListKind.CHANGE,
+    "FULL": io.ListKind.WHOLE,
+    "SAVED": io.ListKind.SAVED,
+    "FAILED": io.ListKind.FAILED,
+}
 
 
 def _count(message: str, parts: list[str], wanted: int) -> None:
@@ -49,11 +60,14 @@
         bad("UPDATE", "rows", "a ROW line", parts[0])
     _count("ROW", parts, 8)
     return io.BackendEntry(
-        backend=parts[4], phase=read_choice("ROW", "stageState", parts[3], PHASES),
+        backend=parts[4],
+        phase=read_choice("ROW", "stageState", parts[3], PHASES),
         weight=1.0 if parts[1] == "-" else read_number("ROW", "share", parts[1], 0.0),
         kind="" if parts[2] == "-" else parts[2],
         cell=0 if parts[5] == "-" else read_whole("ROW", "unitGroup", parts[5]),
-        born=read_optional("ROW", "born", parts[6], -math.inf), zone="" if parts[7] == "-" else parts[7])
+        born=read_optional("ROW", "born", parts[6], -math.inf),
+        zone="" if parts[7] == "-" else parts[7],
+    )
 
 
 def read_event(parts: list[str], fields: tuple[str, ...], rows: Iterator[str]) -> io.Event:
@@ -63,25 +77,38 @@
         _count(m, parts, 11)
         bits = 0 if parts[10] == "-" else read_whole(m, "bits", parts[10])
         return io.Request(
-            id=parts[2], class_name=parts[3], plan=parts[4], customer=read_whole(m, "apiKey", parts[5]),
-            expires_in=read_number(m, "expiresIn", parts[6]), units=read_number(m, "units", parts[7], 0.0),
+            id=parts[2],
+            class_name=parts[3],
+            plan=parts[4],
+            customer=read_whole(m, "apiKey", parts[5]),
+            expires_in=read_number(m, "expiresIn", parts[6]),
+            units=read_number(m, "units", parts[7], 0.0),
             width=1 if parts[8] == "-" else read_whole(m, "width", parts[8]),
             first=0 if parts[9] == "-" else read_whole(m, "base", parts[9]),
-            is_repeat=bool(bits & 2), is_write=bool(bits & 4))
+            is_repeat=bool(bits & 2),
+            is_write=bool(bits & 4),
+        )
     if m == "RETURNED":
         _count(m, parts, 11)
         return io.AttemptEnded(
-            request=parts[2], attempt=read_whole(m, "n", parts[3]), backend=parts[4],
+            request=parts[2],
+            attempt=read_whole(m, "n", parts[3]),
+            backend=parts[4],
             outcome=read_choice(m, "reason", parts[5], OUTCOMES),
-            elapsed=read_optional(m, "waitTime", parts[6]), done=read_flag(m, "doneFlag", parts[7]),
+            elapsed=read_optional(m, "waitTime", parts[6]),
+            done=read_flag(m, "doneFlag", parts[7]),
             metered=0 if parts[8] == "-" else read_whole(m, "metered", parts[8]),
-            true_units=read_optional(m, "trueUnits", parts[9]), load=_load(m, parts[10], fields))
+            true_units=read_optional(m, "trueUnits", parts[9]),
+            load=_load(m, parts[10], fields),
+        )
     if m == "TALLIED":
         _count(m, parts, 6)
         return io.CounterReply(
-            elapsed=read_optional(m, "waitTime", parts[2]), name=read_whole(m, "name", parts[3]),
+            elapsed=read_optional(m, "waitTime", parts[2]),
+            name=read_whole(m, "name", parts[3]),
             outcome=read_choice(m, "reason", parts[4], OUTCOMES),
-            total=read_optional(m, "nowAt", parts[5], -math.inf))
+            total=read_optional(m, "nowAt", parts[5], -math.inf),
+        )
     if m == "FIRED":
         _count(m, parts, 3)
         return io.TimerFired(read_whole(m, "ctx", parts[2]))
@@ -101,12 +128,20 @@
         return io.ListUpdate(read_choice(m, "form", parts[2], FORMS), version, tuple(entries))
     if m == "UNDER_WAY":
         _count(m, parts, 6)
-        return io.AttemptStarted(request=parts[2], elapsed=read_optional(m, "waitTime", parts[3]),
-                                 backend=parts[4], attempt=read_whole(m, "n", parts[5]))
+        return io.AttemptStarted(
+            request=parts[2],
+            elapsed=read_optional(m, "waitTime", parts[3]),
+            backend=parts[4],
+            attempt=read_whole(m, "n", parts[5]),
+        )
     if m == "PROBE_DONE":
         _count(m, parts, 6)
-        return io.ProbeEnded(backend=parts[2], outcome=read_choice(m, "reason", parts[3], OUTCOMES),
-                             elapsed=read_optional(m, "waitTime", parts[4]), load=_load(m, parts[5], fields))
+        return io.ProbeEnded(
+            backend=parts[2],
+            outcome=read_choice(m, "reason", parts[3], OUTCOMES),
+            elapsed=read_optional(m, "waitTime", parts[4]),
+            load=_load(m, parts[5], fields),
+        )
     if m == "HEARD":
         _count(m, parts, 4)
         try:
@@ -179,7 +214,7 @@
                 if len(parts) < 3:
                     bad(m, "fields", "ingress, seed and profileData", len(parts) - 1)
                 settings, fields = read_settings(parts[3:])
-                seed = read_whole(m, "seed", parts[2], -(2 ** 63))
+                seed = read_whole(m, "seed", parts[2], -(2**63))
                 classes = {c.name: c for c in settings.classes}
                 plans = {q.name: q for q in settings.plans}
                 self.gateways[me] = (self.make(settings, seed, now), fields, classes, plans)
