--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -13,14 +13,16 @@
 import random
 import time
 
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
 from thistleusher.policy import fleet as module
 from thistleusher.policy.attempts import Flight
 from thistleusher.policy.fleet import Fleet
 from thistleusher.policy.store import Customer
 
-CLASS = io.ClassSettings("read", io.Effect.SAFE, objective=2.0, deadline=6.0)
-PLAN = io.PlanSettings("basic", 1e9, 1e9)
+CLASS = ClassSettings("read", Effect.SAFE, objective=2.0, deadline=6.0)
+PLAN = PlanSettings("basic", 1e9, 1e9)
 SIZES = (10, 24, 100, 1000, 5000)
 
 
@@ -28,13 +30,13 @@
     """Microseconds a choice; mean and 99th percentile of slowdown. `scan`: servers that are all looked at."""
     module.SCAN = scan
     rng = random.Random(servers)
-    fleet = Fleet(io.Settings(classes=(CLASS,), plans=(PLAN,)), rng, [], 0.0)
+    fleet = Fleet(Settings(classes=(CLASS,), plans=(PLAN,)), rng, [], 0.0)
     fleet.listed(
         0.0,
-        io.ListUpdate(
-            io.ListKind.WHOLE,
+        events.ListUpdate(
+            ListKind.WHOLE,
             1,
-            tuple(io.BackendEntry(f"b{n}", io.Phase.RUNNING, zone=f"z{n % 3}") for n in range(servers)),
+            tuple(BackendEntry(f"b{n}", Phase.RUNNING, zone=f"z{n % 3}") for n in range(servers)),
         ),
     )
     fleet.slots = 1e9
@@ -46,8 +48,8 @@
         now += rng.expovariate(0.7 * servers / 0.05)
         while ends and ends[0][0] <= now:
             at, _, backend, name, took = heapq.heappop(ends)
-            fleet.ended(at, io.AttemptEnded(name, 0, backend, io.Outcome.OK, took, True))
-        f = Flight(io.Request(f"r{n}", "read", "basic", 1, 6.0, 1.0), CLASS, customer, now)
+            fleet.ended(at, events.AttemptEnded(name, 0, backend, Outcome.OK, took, True))
+        f = Flight(events.Request(f"r{n}", "read", "basic", 1, 6.0, 1.0), CLASS, customer, now)
         began = time.perf_counter()
         b = fleet.choose(now, f)
         spent += time.perf_counter() - began
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from tests.ledger.world import BASIC, PLUS, CounterModel, Store, World
-from thistleusher import interface as io
+from thistleusher.core import events
 
 NARROW = 8  # ingresses of a ceilinged member's set
 CALLS_PER_S = 4.0  # of the counter, for each ingress
@@ -44,7 +44,7 @@
         self.by_plan = {"basic": [0.0, 0.0, 0.0], "plus": [0.0, 0.0, 0.0]}  # offered, got, beyond
         super().__init__(seed, instances)
 
-    def let_in(self, r: io.Request) -> None:
+    def let_in(self, r: events.Request) -> None:
         p = PLUS if r.plan == "plus" else BASIC
         store = self.judges.setdefault(r.customer, Store(p.rate, p.burst))
         self.sent_units += r.units
--- a/simnet/backends.py
+++ b/simnet/backends.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from simnet.places import PLACES, way
-from thistleusher import interface as io
 from thistleusher.core.driver import Held
+from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
         self.written = self.over = False
         self.life = proxy.life
 
-    def end(self, outcome: io.Outcome) -> None:
+    def end(self, outcome: Outcome) -> None:
         if not self.over and self.proxy.life == self.life:
             self.over = True
             self.proxy.world.when_running(self.proxy, lambda: self.on_end(Ended(outcome)))
@@ -42,21 +42,21 @@
         backend = world.backends[self.backend]
         delay = way(PLACES[self.proxy.machine][0], backend.zone)
         if self.backend not in self.proxy.serving:
-            world.clock.later(0.0, lambda: self.end(io.Outcome.MOOT))
+            world.clock.later(0.0, lambda: self.end(Outcome.MOOT))
         elif backend.dead or world.rng.random() < 0.01:
-            world.clock.later(2 * delay, lambda: self.end(io.Outcome.CONNECT_FAILED))
+            world.clock.later(2 * delay, lambda: self.end(Outcome.CONNECT_FAILED))
         else:
             self.written = True
             world.clock.later(delay, lambda: self.arrive(backend, delay))
-        world.clock.later(timeout, lambda: self.end(io.Outcome.TIMEOUT))
+        world.clock.later(timeout, lambda: self.end(Outcome.TIMEOUT))
 
     def arrive(self, backend: Backend, delay: float) -> None:
         world = self.proxy.world
         if backend.dead:
-            world.clock.later(delay, lambda: self.end(io.Outcome.RESET))
+            world.clock.later(delay, lambda: self.end(Outcome.RESET))
             return
         if world.rng.random() < 0.01:  # its queue is full: turned away, with proof
-            world.clock.later(delay, lambda: self.end(io.Outcome.FULL))
+            world.clock.later(delay, lambda: self.end(Outcome.FULL))
             return
         route, tenant = self.held.context
         world.arrived(self.proxy, self.held.request.id, route, tenant, backend)
@@ -64,12 +64,12 @@
 
         def done() -> None:
             broken = backend.dead or (backend.loses_answers and world.rng.random() < 0.3)
-            world.clock.later(delay, lambda: self.end(io.Outcome.RESET if broken else io.Outcome.OK))
+            world.clock.later(delay, lambda: self.end(Outcome.RESET if broken else Outcome.OK))
 
         world.clock.later(took, done)
 
     def expire(self) -> None:
-        self.end(io.Outcome.TIMEOUT if self.written else io.Outcome.CONNECT_FAILED)
+        self.end(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        self.end(io.Outcome.CANCELLED if self.written else io.Outcome.MOOT)
+        self.end(Outcome.CANCELLED if self.written else Outcome.MOOT)
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -9,12 +9,12 @@
 from simnet.backends import Attempt
 from simnet.disk import Disk
 from simnet.places import BOUNDS, CORES, DEADLINE_S, PLACES, ZONES
-from thistleusher import interface as io
 from thistleusher.common.configuration import Found
 from thistleusher.control.interface import Answer, Change, Outward, Send, Tell, Write
 from thistleusher.control.leases import Grantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
+from thistleusher.core import events
 from thistleusher.core.driver import Driver, Held
 from thistleusher.core.ports import Ended, Final
 from thistleusher.proxy import knowledge
@@ -269,7 +269,7 @@
         def final(final: Final) -> None:
             world.answered(name, route, final, sent)
 
-        self.driver.take(io.Request(name, route, "all", 0, DEADLINE_S, 1.0), final, (route, tenant))
+        self.driver.take(events.Request(name, route, "all", 0, DEADLINE_S, 1.0), final, (route, tenant))
 
     # The driver's port to backends.
 
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -21,9 +21,11 @@
 from standins.faults import BadScript, read_script
 from standins.fleet import Options, settings
 from standins.records import read_records
-from thistleusher import interface as io
 from thistleusher.assembly import make_gateway
-from thistleusher.interface import TOLD, TOLD_MARK, name_of
+from thistleusher.core import actions, events
+from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
+from thistleusher.core.events import Outcome, Phase
+from thistleusher.core.settings import Settings
 from thistleusher.ledger.beginning import HELLO, HELLO_MARK
 from thistleusher.ledger.escrow import ROW, SETTLED
 from thistleusher.net.config import BadConfiguration, read_config
@@ -82,7 +84,7 @@
 class _Decided:
     """An ingress that serves whatever it takes, at once."""
 
-    def __init__(self, told: io.Settings) -> None:
+    def __init__(self, told: Settings) -> None:
         self.settings, self.serving, self.driver = told, {"b"}, self
         self.scheduler = asyncio.get_running_loop()
         self.taken: list[Any] = []
@@ -174,9 +176,9 @@
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.counter = self
-        self.told: list[tuple[int, io.Outcome, float]] = []
+        self.told: list[tuple[int, Outcome, float]] = []
 
-    def tell(self, add: Add, outcome: io.Outcome, total: float = 0.0) -> None:
+    def tell(self, add: Add, outcome: Outcome, total: float = 0.0) -> None:
         self.told.append((add.name, outcome, total))
 
     def stands(self, link: Any) -> None: ...
@@ -214,7 +216,7 @@
         def on_text(text: bytes) -> int:
             listing = read_listing_text(text)
             for entry, endpoint in listing.entries:
-                if not entry.backend or (endpoint is None) is not (entry.phase is io.Phase.DELETED):
+                if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
                     raise Broken(f"taken as it cannot be meant: {entry!r}")
             seen.append(len(listing.entries))
             return listing.version
@@ -237,11 +239,11 @@
     shown = []
     for n, part in enumerate(data[i : i + 256] for i in range(0, min(len(data), 2560), 256)):
         now += 0.05
-        acts = gateway.handle(now, io.PeerMessage(1 + n % 2, part))
-        acts += gateway.handle(now, io.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
-        acts += gateway.handle(now, io.TimerFired(1))
+        acts = gateway.handle(now, events.PeerMessage(1 + n % 2, part))
+        acts += gateway.handle(now, events.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
+        acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
-            if isinstance(a, io.Tell) and len(a.payload) > 256:
+            if isinstance(a, actions.Tell) and len(a.payload) > 256:
                 raise Broken(f"a datagram of {len(a.payload)} bytes")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
     for c in gateway.sharing.customers.values():
@@ -390,8 +392,8 @@
     return str(_kept["folder"].name)
 
 
-def _told() -> io.Settings:
+def _told() -> Settings:
     if "told" not in _kept:
         _kept["told"] = nested_settings(settings(Options(), 0))[0]
-    told: io.Settings = _kept["told"]
+    told: Settings = _kept["told"]
     return told
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -6,8 +6,10 @@
 
 from tests.embed.forms import Script as Clock
 from tests.sockets import Script, settings
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.actions import Attempt, CounterAdd, Fail, Refuse, SetTimer
 from thistleusher.core.driver import Driver
+from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended, Verdict
 
 
@@ -21,11 +23,11 @@
         self.timeout, self.written = timeout, self.writes
 
     def expire(self):
-        self.on_end(Ended(io.Outcome.TIMEOUT))
+        self.on_end(Ended(Outcome.TIMEOUT))
 
     def cancel(self):
         self.cancelled += 1
-        self.on_end(Ended(io.Outcome.CANCELLED if self.written else io.Outcome.MOOT))
+        self.on_end(Ended(Outcome.CANCELLED if self.written else Outcome.MOOT))
 
 
 class Rig:
@@ -39,40 +41,40 @@
         return self.tries[-1]
 
     def take(self, name="r1", cls="read", expires=2.0):
-        return self.driver.take(io.Request(name, cls, "basic", 7, expires, 1.0), self.finals.append)
+        return self.driver.take(events.Request(name, cls, "basic", 7, expires, 1.0), self.finals.append)
 
     def verdicts(self):
         return [f.verdict for f in self.finals]
 
 
 def on_request(*actions):
-    return lambda e: list(actions) if isinstance(e, io.Request) else []
+    return lambda e: list(actions) if isinstance(e, events.Request) else []
 
 
 def test_a_second_final_answer_is_dropped_also_while_an_attempt_is_out():
-    rig = Rig(on_request(io.Attempt("r1", "b0"), io.Refuse("r1", 0.5), io.Fail("r1"), io.Refuse("r1")))
+    rig = Rig(on_request(Attempt("r1", "b0"), Refuse("r1", 0.5), Fail("r1"), Refuse("r1")))
     rig.take()
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and rig.finals[0].retry_in == 0.5
     assert list(rig.driver.held) == ["r1"]  # its attempt is still out
-    rig.tries[0].on_end(Ended(io.Outcome.OK))
+    rig.tries[0].on_end(Ended(Outcome.OK))
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.held
 
 
 def test_a_second_attempt_is_not_started_while_one_is_out():
-    rig = Rig(on_request(io.Attempt("r1", "b0"), io.Attempt("r1", "b1")))
+    rig = Rig(on_request(Attempt("r1", "b0"), Attempt("r1", "b1")))
     rig.take()
-    assert len(rig.tries) == 1 and [e.outcome for e in rig.script.ends()] == [io.Outcome.MOOT]
+    assert len(rig.tries) == 1 and [e.outcome for e in rig.script.ends()] == [Outcome.MOOT]
 
 
 def test_the_deadline_comes_a_little_before_the_clients():
-    rig = Rig(on_request(io.Attempt("r1", "b0")))
+    rig = Rig(on_request(Attempt("r1", "b0")))
     rig.take(expires=2.0)
     assert rig.tries[0].timeout == pytest.approx(1.97)
     rig.clock.step(1001.9)
     assert not rig.finals
     rig.clock.step(1002.0)
     assert rig.verdicts() == [Verdict.NO_ROOM] and not rig.driver.held
-    assert rig.script.events[-1] == io.ClientGone("r1")
+    assert rig.script.events[-1] == events.ClientGone("r1")
 
 
 @pytest.mark.parametrize(
@@ -85,7 +87,7 @@
     ],
 )
 def test_what_may_have_run_is_refused_only_where_repeats_are_harmless(cls, writes, verdict):
-    rig = Rig(on_request(io.Attempt("r1", "b0")), writes)
+    rig = Rig(on_request(Attempt("r1", "b0")), writes)
     rig.take(cls=cls)
     rig.clock.step(1003.0)
     assert rig.verdicts() == [verdict]
@@ -93,14 +95,14 @@
 
 def test_a_fault_of_the_module_ends_its_request_and_not_the_program():
     def decide(event):
-        if isinstance(event, io.Request):
+        if isinstance(event, events.Request):
             raise ZeroDivisionError
         return []
 
     rig = Rig(decide)
     rig.take()
     assert rig.verdicts() == [Verdict.FAULT] and not rig.driver.held
-    assert rig.script.events[-1] == io.ClientGone("r1")
+    assert rig.script.events[-1] == events.ClientGone("r1")
 
 
 def test_an_id_that_is_held_is_invalid_and_leaves_the_first_alone():
@@ -110,7 +112,7 @@
 
 
 def test_a_client_that_has_gone_is_told_nothing_and_an_unwritten_attempt_is_ended():
-    rig = Rig(on_request(io.Attempt("r1", "b0")), writes=False)
+    rig = Rig(on_request(Attempt("r1", "b0")), writes=False)
     rig.take()
     rig.driver.gone("r1")
     rig.driver.gone("r1")
@@ -118,7 +120,7 @@
 
 
 def test_closing_answers_everything_and_stops_the_timers():
-    rig = Rig(on_request(io.SetTimer(5.0, 1)))
+    rig = Rig(on_request(SetTimer(5.0, 1)))
     rig.take("r1")
     rig.take("r2", "once")
     rig.driver.close()
@@ -129,16 +131,16 @@
 
 
 def test_without_a_counter_every_call_is_told_not_to_have_been_added():
-    rig = Rig(lambda e: [io.CounterAdd(3, 1.0, 4.0)] if isinstance(e, io.Request) else [])
+    rig = Rig(lambda e: [CounterAdd(3, 1.0, 4.0)] if isinstance(e, events.Request) else [])
     rig.take()
-    assert rig.script.events[1] == io.CounterReply(3, io.Outcome.CONNECT_FAILED, 0.0, 0.0)
+    assert rig.script.events[1] == events.CounterReply(3, Outcome.CONNECT_FAILED, 0.0, 0.0)
 
 
 def test_true_units_over_the_most_are_left_out():
     for told, heard in ((4.0, 4.0), (4.1, 0.0)):
-        rig = Rig(on_request(io.Attempt("r1", "b0")))
+        rig = Rig(on_request(Attempt("r1", "b0")))
         rig.take()
-        rig.tries[0].on_end(Ended(io.Outcome.OK, "answer", told))
+        rig.tries[0].on_end(Ended(Outcome.OK, "answer", told))
         assert rig.finals[0].payload == "answer" and rig.script.ends()[0].true_units == heard
 
 
@@ -149,9 +151,9 @@
     """
 
     def decide(e):
-        if isinstance(e, io.Request):
-            return [io.Attempt("r1", "b0")]
-        return [io.Attempt("r1", "b1")] if isinstance(e, io.AttemptEnded) and not e.done else []
+        if isinstance(e, events.Request):
+            return [Attempt("r1", "b0")]
+        return [Attempt("r1", "b1")] if isinstance(e, events.AttemptEnded) and not e.done else []
 
     rig = Rig(decide, writes=False)
     rig.take(cls="once")
@@ -162,6 +164,6 @@
 
 
 def test_what_is_out_and_written_may_have_run():
-    rig = Rig(on_request(io.Attempt("r1", "b0")))
+    rig = Rig(on_request(Attempt("r1", "b0")))
     held = rig.take(cls="once")
     assert rig.tries[0].written and not rig.driver.may_refuse(held)
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -14,8 +14,10 @@
 from standins.records import Began, Ran, Records
 from tests.embed.host import Host, serve_lifespan
 from tests.sockets import HOST, Client, closed_port, datagram_homes
-from thistleusher import interface as io
 from thistleusher.assembly import make_gateway
+from thistleusher.core import events
+from thistleusher.core.actions import Action, CounterAdd, Tell
+from thistleusher.core.events import Event
 from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
 from thistleusher.ledger.beginning import HELLO_MARK
 from thistleusher.net.config import read_config
@@ -105,22 +107,20 @@
     def __init__(self, gateway: Any, there: list[Recorder]) -> None:
         """`there`: the recorders of all instances that datagrams reach, this one among them."""
         self.gateway, self.there = gateway, there
-        self.log: list[tuple[float, io.Event, list[io.Action]]] = []
+        self.log: list[tuple[float, Event, list[Action]]] = []
         self.calls = self.replies = self.told = self.heard = 0
 
-    def handle(self, now: float, event: io.Event) -> list[io.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         actions = self.gateway.handle(now, event)
         # Greetings cross in any order; nothing is decided on them here.
-        greeting = isinstance(event, io.PeerMessage) and event.payload[:1] == HELLO_MARK
-        if not isinstance(event, io.ListUpdate) and not greeting:
+        greeting = isinstance(event, events.PeerMessage) and event.payload[:1] == HELLO_MARK
+        if not isinstance(event, events.ListUpdate) and not greeting:
             self.log.append((round(now, 6), event, list(actions)))
-        self.replies += isinstance(event, io.CounterReply)
-        self.heard += isinstance(event, io.PeerMessage)
-        self.calls += sum(isinstance(a, io.CounterAdd) for a in actions)
+        self.replies += isinstance(event, events.CounterReply)
+        self.heard += isinstance(event, events.PeerMessage)
+        self.calls += sum(isinstance(a, CounterAdd) for a in actions)
         self.told += sum(
-            len(self.there) - 1 if a.peer is None else a.peer < len(self.there)
-            for a in actions
-            if isinstance(a, io.Tell)
+            len(self.there) - 1 if a.peer is None else a.peer < len(self.there) for a in actions if isinstance(a, Tell)
         )
         return actions
 
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -16,9 +16,9 @@
 
 def crash_settings(me: int) -> Settings:
     """Quotas whose refill no test's length could matter to."""
-    from thistleusher import interface as io
+    from thistleusher.core.settings import PlanSettings
 
-    plan = io.PlanSettings("basic", rate=0.001, burst=8.0)
+    plan = PlanSettings("basic", rate=0.001, burst=8.0)
     return Settings(
         classes=(SAFE, KEYED, UNSAFE),
         plans=(plan,),
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -20,7 +20,9 @@
 from standins.records import Added
 from tests.embed.forms import FORMS, HOST, INSTANCES, Script
 from tests.sockets import call
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.actions import Action, Fail, Refuse, Tell
+from thistleusher.core.events import Event, Outcome
 
 STEPS = 2400
 START = 1_700_000_000.0
@@ -77,7 +79,7 @@
 
 class Played(NamedTuple):
     answers: list[tuple[int, str, bytes]]
-    logs: list[list[tuple[float, io.Event, list[io.Action]]]]
+    logs: list[list[tuple[float, Event, list[Action]]]]
     added: list[tuple[str, float, float]]
     totals: dict[str, float]
 
@@ -111,8 +113,8 @@
 def own_error(entry):
     """A daemon's log entry as the middleware has it where the application itself has answered 500."""
     now, event, actions = entry
-    if isinstance(event, io.AttemptEnded) and event.outcome is io.Outcome.ERROR and not event.done:
-        assert [type(a) for a in actions] in ([io.Refuse], [io.Fail])
+    if isinstance(event, events.AttemptEnded) and event.outcome is Outcome.ERROR and not event.done:
+        assert [type(a) for a in actions] in ([Refuse], [Fail])
         return now, replace(event, done=True), []
     return entry
 
@@ -138,8 +140,8 @@
     statuses = [a[0] for a in middleware.answers]
     assert len(statuses) == STEPS and all(statuses.count(s) > n for s, n in ((200, 500), (429, 300), (400, 20)))
     assert statuses.count(404) > 10 and statuses.count(500) > 5
-    told = sum(isinstance(a, io.Tell) and a.peer is None for log in daemon.logs for _, _, acts in log for a in acts)
-    heard = sum(isinstance(e, io.PeerMessage) for log in daemon.logs for _, e, _ in log)
+    told = sum(isinstance(a, Tell) and a.peer is None for log in daemon.logs for _, _, acts in log for a in acts)
+    heard = sum(isinstance(e, events.PeerMessage) for log in daemon.logs for _, e, _ in log)
     assert told > 500 and heard >= told * (INSTANCES - 1)
 
 
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -10,15 +10,17 @@
 from standins.counter import Counter
 from tests.helpers import CEILED, KEYED, SAFE, UNSAFE
 from tests.sockets import datagram_homes, run, until
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.events import Outcome
+from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.embed import BadRequest, Call, EmbeddedIngress, MemoryCounter, NotServed, PeerAddresses, Verdict
 
-PLAN = io.PlanSettings("basic", rate=0.001, burst=8.0)  # no refill that a test's length could matter to
+PLAN = PlanSettings("basic", rate=0.001, burst=8.0)  # no refill that a test's length could matter to
 CALL = Call(7, "basic", "read", 2.0)
 
 
 def settings(**more):
-    return io.Settings(
+    return Settings(
         **{
             **dict(
                 classes=(SAFE, KEYED, UNSAFE),
@@ -199,7 +201,7 @@
                 task = asyncio.create_task(work())
                 await until(lambda: asked.names)
                 steps = [
-                    lambda: ingress.driver.submit(io.CounterReply(asked.names.pop(), io.Outcome.OK, 0.0, 2.0)),
+                    lambda: ingress.driver.submit(events.CounterReply(asked.names.pop(), Outcome.OK, 0.0, 2.0)),
                     task.cancel,
                 ]
                 for step in reversed(steps) if cancel_first else steps:  # both before the task comes to run
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,15 +4,18 @@
 
 from typing import Any
 
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.actions import Action, Attempt, CounterAdd
+from thistleusher.core.events import BackendEntry, Event, ListKind, Outcome, Phase
+from thistleusher.core.settings import ClassSettings, Effect, Group, PlanSettings, Settings
 from thistleusher.policy import Gateway
 
-SAFE = io.ClassSettings("read", io.Effect.SAFE, objective=2.0, deadline=6.0)
-KEYED = io.ClassSettings("pay", io.Effect.KEYED, objective=2.0, deadline=6.0, worth=5, window=1.0)
-ZONED = io.ClassSettings("zoned", io.Effect.KEYED, 2.0, 6.0, group=io.Group.ZONE, window=1.0)
-UNSAFE = io.ClassSettings("once", io.Effect.UNSAFE, objective=2.0, deadline=6.0, worth=3)
-PLAN = io.PlanSettings("basic", rate=2.0, burst=8.0)
-CEILED = io.PlanSettings("plus", rate=10.0, burst=20.0, ceiling_rate=16.0, ceiling_burst=32.0)
+SAFE = ClassSettings("read", Effect.SAFE, objective=2.0, deadline=6.0)
+KEYED = ClassSettings("pay", Effect.KEYED, objective=2.0, deadline=6.0, worth=5, window=1.0)
+ZONED = ClassSettings("zoned", Effect.KEYED, 2.0, 6.0, group=Group.ZONE, window=1.0)
+UNSAFE = ClassSettings("once", Effect.UNSAFE, objective=2.0, deadline=6.0, worth=3)
+PLAN = PlanSettings("basic", rate=2.0, burst=8.0)
+CEILED = PlanSettings("plus", rate=10.0, burst=20.0, ceiling_rate=16.0, ceiling_burst=32.0)
 
 
 class Ingress:
@@ -38,40 +41,39 @@
         )
         args.update(more)
         self.now, self.n = now, 0
-        self.gw = Gateway(io.Settings(**args), seed, now)
+        self.gw = Gateway(Settings(**args), seed, now)
         self.counts: dict[int, float] = {}
-        self.log: list[io.Action] = []
+        self.log: list[Action] = []
         self.counter = "up"
         self.give(
-            io.ListUpdate(
-                io.ListKind.SAVED,
+            events.ListUpdate(
+                ListKind.SAVED,
                 1,
                 tuple(
-                    io.BackendEntry(f"b{i}", io.Phase.RUNNING, born=born, zone=f"z{i % 2}", cell=i)
-                    for i in range(backends)
+                    BackendEntry(f"b{i}", Phase.RUNNING, born=born, zone=f"z{i % 2}", cell=i) for i in range(backends)
                 ),
             )
         )
 
-    def give(self, event: io.Event) -> list[io.Action]:
+    def give(self, event: Event) -> list[Action]:
         """Hand in one event and what the counter answers to it; returns all actions."""
         todo, seen = [event], []
         while todo:
             for a in self.gw.handle(self.now, todo.pop(0)):
                 seen.append(a)
-                if isinstance(a, io.CounterAdd) and self.counter != "silent":
+                if isinstance(a, CounterAdd) and self.counter != "silent":
                     todo.append(self.count(a))
         self.log += seen
         return seen
 
-    def count(self, a: io.CounterAdd) -> io.CounterReply:
+    def count(self, a: CounterAdd) -> events.CounterReply:
         """What the counter says to one add."""
         if self.counter == "refusing":
-            return io.CounterReply(a.name, io.Outcome.CONNECT_FAILED, 0.001, 0.0)
+            return events.CounterReply(a.name, Outcome.CONNECT_FAILED, 0.001, 0.0)
         if self.counter == "timeout":
-            return io.CounterReply(a.name, io.Outcome.TIMEOUT, 0.08, 0.0)
+            return events.CounterReply(a.name, Outcome.TIMEOUT, 0.08, 0.0)
         self.counts[a.name] = self.counts.get(a.name, 0.0) + a.amount
-        return io.CounterReply(a.name, io.Outcome.OK, 0.001, self.counts[a.name])
+        return events.CounterReply(a.name, Outcome.OK, 0.001, self.counts[a.name])
 
     def ask(
         self,
@@ -81,41 +83,43 @@
         plan: str = "basic",
         expires: float = 6.0,
         width: int = 2,
-    ) -> list[io.Action]:
+    ) -> list[Action]:
         """One request; its id is r1, r2, ..."""
         self.n += 1
-        return self.give(io.Request(f"r{self.n}", cls, plan, customer, expires, units, width))
+        return self.give(events.Request(f"r{self.n}", cls, plan, customer, expires, units, width))
 
     def end(
         self,
-        attempt: io.Attempt,
-        outcome: io.Outcome = io.Outcome.OK,
+        attempt: Attempt,
+        outcome: Outcome = Outcome.OK,
         n: int = 0,
         elapsed: float = 0.1,
         true: float = 0.0,
         done: bool | None = None,
-    ) -> list[io.Action]:
+    ) -> list[Action]:
         """The outcome of an attempt."""
-        ok = outcome is io.Outcome.OK if done is None else done
-        return self.give(io.AttemptEnded(attempt.request, n, attempt.backend, outcome, elapsed, ok, true_units=true))
+        ok = outcome is Outcome.OK if done is None else done
+        return self.give(
+            events.AttemptEnded(attempt.request, n, attempt.backend, outcome, elapsed, ok, true_units=true)
+        )
 
-    def beat(self, seconds: float) -> list[io.Action]:
+    def beat(self, seconds: float) -> list[Action]:
         """Let time pass in beats of the gateway's timer."""
-        out: list[io.Action] = []
+        out: list[Action] = []
         stop = self.now + seconds
         while self.now < stop - 1e-9:
             self.now += 0.05
-            out += self.give(io.TimerFired(0))
+            out += self.give(events.TimerFired(0))
         return out
 
 
-def only(actions: list[io.Action], kind: type) -> Any:
+def only(actions: list[Action], kind: type) -> Any:
     """The one action of a kind."""
     found = [a for a in actions if isinstance(a, kind)]
     assert len(found) == 1, actions
     return found[0]
 
 
-def some(actions: list[io.Action], kind: type) -> list[Any]:
+def some(actions: list[Action], kind: type) -> list[Any]:
     """All actions of a kind."""
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/ledger/test_beginning.py
+++ b/tests/ledger/test_beginning.py
@@ -11,7 +11,7 @@
 from tests.ledger.test_escrow import PLUS as TERMS
 from tests.ledger.test_escrow import START, Set
 from tests.ledger.world import BASIC, PLUS, TIMEOUT, World, settings
-from thistleusher import interface as io
+from thistleusher.core import actions
 from thistleusher.ledger.beginning import FORGET_S, HELLO, HELLO_MARK, JOINT_MS, Lives
 from thistleusher.ledger.bound import Assumed, bound_of
 from thistleusher.ledger.escrow import GIVE_MARK, HEAD, epoch_length
@@ -200,12 +200,12 @@
     share = w.gateways[1].sharing.escrow.allowances[1, 0].share
     w.counters[0].silent = False
     w.leave(1)
-    added = [a.amount for a in told if isinstance(a, io.CounterAdd)]
+    added = [a.amount for a in told if isinstance(a, actions.CounterAdd)]
     assert pending > 10.0 and added == [pytest.approx(pending)]
     w.run(0.1)
     book = {g.sharing.escrow.me: g.sharing.escrow.allowances.get((1, 0)) for g in w.gateways if g is not None}
     gained = sum(a.taken.get(1, (0, 0))[0] for a in book.values() if a is not None)
-    assert 0 < gained < share and [a for a in told if isinstance(a, io.Tell) and a.payload[:1] == GIVE_MARK]
+    assert 0 < gained < share and [a for a in told if isinstance(a, actions.Tell) and a.payload[:1] == GIVE_MARK]
 
 
 @pytest.mark.parametrize("part", range(4))
--- a/tests/ledger/test_escrow.py
+++ b/tests/ledger/test_escrow.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from thistleusher.interface import name_of
+from thistleusher.core.datagrams import name_of
 from thistleusher.ledger.escrow import (
     GIVE_MARK,
     GRAIN,
--- a/tests/ledger/test_failures.py
+++ b/tests/ledger/test_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.ledger.world import BASIC, PLUS, TIMEOUT, CounterModel, World, settings
-from thistleusher import interface as io
+from thistleusher.core import actions, events
 from thistleusher.ledger import bound
 from thistleusher.ledger.bound import Assumed, bound_of
 from thistleusher.policy import health, sharing
@@ -213,7 +213,7 @@
     w.join(CounterModel())
     logs = []
     act = w.act
-    w.act = lambda n, a: logs.append(a.text) if isinstance(a, io.Log) else act(n, a)
+    w.act = lambda n, a: logs.append(a.text) if isinstance(a, actions.Log) else act(n, a)
     w.traffic(0.5, 30.0, lambda at: 1)
     assert [t for t in logs if "forgets" in t] and lost > 0
     assert len([t for t in logs if "forgets" in t]) == 1  # said once
@@ -283,7 +283,7 @@
     assert gateway.sharing.in_touch(w.now, gateway.sharing.customers[0], strict=True)
     told = []
     act = w.act
-    w.act = lambda n, a: told.append(n) if isinstance(a, io.Tell) else act(n, a)
+    w.act = lambda n, a: told.append(n) if isinstance(a, actions.Tell) else act(n, a)
     w.run(5.0)
     assert len(told) <= 6  # and fall silent when nobody tells them of anything
 
@@ -355,7 +355,7 @@
     give = w.give
 
     def counting(n, event, life=None):
-        heard[n] += isinstance(event, io.PeerMessage)
+        heard[n] += isinstance(event, events.PeerMessage)
         give(n, event, life)
 
     w.give = counting
--- a/tests/ledger/test_reserve.py
+++ b/tests/ledger/test_reserve.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.ledger.test_escrow import EXAMPLES, PLUS, SEED, STEP, Set
-from thistleusher import interface as io
+from thistleusher.core.snapshots import SavedRoom
 from thistleusher.ledger import Ledger
 from thistleusher.ledger.escrow import epoch_length
 from thistleusher.ledger.reserve import KEEP, PART, TOP, Reserve
@@ -223,7 +223,7 @@
     assert not ledger.take(1000.0 + 4 * EPOCH, 0, 7, 0, 3, room, 0.0)
     ledger.allowances.clear()
     gone = [n for n in ledger.saved(1000.0 + 4 * EPOCH, 10) if n.customer == 7]
-    assert gone == [io.SavedRoom(0, 7, 0, 1, 0.0, -math.inf)]
+    assert gone == [SavedRoom(0, 7, 0, 1, 0.0, -math.inf)]
     ledger.landed([(0, 7)])
     assert not ledger.forgotten
 
@@ -235,7 +235,7 @@
         ledger.take(1000.0, 0, 7, 0, 3, 0.0, 0.0)
         return ledger.allowances[0, 7].room
 
-    good = io.SavedRoom(0, 7, 0, 3, 2.0, 999.9)
+    good = SavedRoom(0, 7, 0, 3, 2.0, 999.9)
     assert 2.0 < room(good, 1000.0) < 2.5
     assert room(good._replace(first=1, width=2), 1000.0) == 0.0
     assert room(good, 1000.0 - EPOCH - 0.1) == 0.0  # it waits for its peers like anybody who begins
--- a/tests/ledger/world.py
+++ b/tests/ledger/world.py
@@ -13,17 +13,20 @@
 from typing import Any
 
 from tests.helpers import KEYED, SAFE, UNSAFE
-from thistleusher import interface as io
 from thistleusher.assembly import make_gateway
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.events import BackendEntry, Event, ListKind, Outcome, Phase
+from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.ledger import Placement
 
-PLUS = io.PlanSettings("plus", rate=16.0, burst=36.0, ceiling_rate=29.0, ceiling_burst=65.0)
-BASIC = io.PlanSettings("basic", rate=2.4, burst=10.0)
+PLUS = PlanSettings("plus", rate=16.0, burst=36.0, ceiling_rate=29.0, ceiling_burst=65.0)
+BASIC = PlanSettings("basic", rate=2.4, burst=10.0)
 TIMEOUT = 0.08
 
 
-def settings(me: int, instances: int = 3) -> io.Settings:
-    return io.Settings(
+def settings(me: int, instances: int = 3) -> Settings:
+    return Settings(
         classes=(SAFE, KEYED, UNSAFE),
         plans=(BASIC, PLUS),
         counter=True,
@@ -127,7 +130,7 @@
         self.asked = self.served = self.fair = self.fair_served = 0
         self.ideal: dict[tuple[str, int], Store] = {}
         self.let = 0.0  # units that came to the servers
-        self.requests: dict[str, io.Request] = {}
+        self.requests: dict[str, events.Request] = {}
         self.began: dict[str, float] = {}  # of requests not decided on yet
         self.room_for: set[str] = set()  # requests that came with half of the quota unused, until they are sent on
         self.slowest = 0.0  # from a request to its first attempt or its refusal
@@ -166,7 +169,7 @@
 
     def leave(self, n: int) -> None:
         """An ingress ends in order."""
-        self.give(n, io.Leaving())
+        self.give(n, events.Leaving())
         self.kill(n)
 
     def restart(self, n: int) -> None:
@@ -177,39 +180,39 @@
         )
         self.remind(n)
         self.give(
-            n, io.ListUpdate(io.ListKind.SAVED, 1, tuple(io.BackendEntry(f"b{i}", io.Phase.RUNNING) for i in range(10)))
+            n, events.ListUpdate(ListKind.SAVED, 1, tuple(BackendEntry(f"b{i}", Phase.RUNNING) for i in range(10)))
         )
 
     def remind(self, n: int) -> None:
         """An ingress has been made, and nothing has happened to it yet: what it is to know of an earlier life."""
 
-    def give(self, n: int, event: io.Event, life: int | None = None) -> None:
+    def give(self, n: int, event: Event, life: int | None = None) -> None:
         if self.gateways[n] is None or (life is not None and life != self.life[n]):
             return
         for a in self.gateways[n].handle(self.now + self.skews[n], event):
             self.act(n, a)
 
-    def act(self, n: int, a: io.Action) -> None:
+    def act(self, n: int, a: Action) -> None:
         life = self.life[n]
-        if isinstance(a, io.Attempt | io.Refuse | io.Fail) and a.request in self.began:
+        if isinstance(a, actions.Attempt | actions.Refuse | actions.Fail) and a.request in self.began:
             self.slowest = max(self.slowest, self.now - self.began.pop(a.request))
-        if isinstance(a, io.Attempt):
+        if isinstance(a, actions.Attempt):
             r = self.requests[a.request]
             self.let_in(r)
-            ended = io.AttemptEnded(a.request, 0, a.backend, io.Outcome.OK, 0.02, True)
+            ended = events.AttemptEnded(a.request, 0, a.backend, Outcome.OK, 0.02, True)
             self.at(0.02, lambda: self.give(n, ended, life))
-        elif isinstance(a, io.CounterAdd):
+        elif isinstance(a, actions.CounterAdd):
             self.call(n, a, life)
-        elif isinstance(a, io.SetTimer):
-            self.at(a.delay, lambda: self.give(n, io.TimerFired(a.token), life))
-        elif isinstance(a, io.Tell):
+        elif isinstance(a, actions.SetTimer):
+            self.at(a.delay, lambda: self.give(n, events.TimerFired(a.token), life))
+        elif isinstance(a, actions.Tell):
             for target in range(self.instances) if a.peer is None else (a.peer,):
                 if target == n:
                     continue
                 self.told, self.told_bytes = self.told + 1, self.told_bytes + len(a.payload)
                 if not self.cut & {n, target} and self.rng.random() >= self.loss and self.takes_in(target):
                     late = self.delay * (0.5 + 0.5 * self.rng.random())
-                    self.at(late, lambda t=target: self.give(t, io.PeerMessage(n, a.payload)))  # type: ignore[misc]
+                    self.at(late, lambda t=target: self.give(t, events.PeerMessage(n, a.payload)))  # type: ignore[misc]
 
     def takes_in(self, target: int) -> bool:
         """Whether an ingress's inbox has room for one more message."""
@@ -220,30 +223,30 @@
         self.spilt += not good
         return good
 
-    def call(self, n: int, a: io.CounterAdd, life: int) -> None:
+    def call(self, n: int, a: actions.CounterAdd, life: int) -> None:
         counter = self.counters[n]
         if self.placement is not None:
             counter = self.parts[self.placement.addresses[self.placement.of(a.name)]]
 
-        def reply(outcome: io.Outcome, elapsed: float, total: float = 0.0) -> None:
-            self.at(elapsed, lambda: self.give(n, io.CounterReply(a.name, outcome, elapsed, total), life))
+        def reply(outcome: Outcome, elapsed: float, total: float = 0.0) -> None:
+            self.at(elapsed, lambda: self.give(n, events.CounterReply(a.name, outcome, elapsed, total), life))
 
         def late() -> None:
             counter.add(self.now, a.name, a.amount, a.lifetime)
 
         if counter.silent:
-            reply(io.Outcome.TIMEOUT, TIMEOUT)
+            reply(Outcome.TIMEOUT, TIMEOUT)
         elif counter.full(self.now):
-            reply(io.Outcome.FULL, counter.delay)
+            reply(Outcome.FULL, counter.delay)
         elif counter.delay > TIMEOUT:
             self.at(counter.delay, late)
-            reply(io.Outcome.TIMEOUT, TIMEOUT)
+            reply(Outcome.TIMEOUT, TIMEOUT)
         else:
             total = counter.add(self.now, a.name, a.amount, a.lifetime)
             if self.rng.random() < counter.lose:
-                reply(io.Outcome.TIMEOUT, TIMEOUT)
+                reply(Outcome.TIMEOUT, TIMEOUT)
             else:
-                reply(io.Outcome.OK, counter.delay, total)
+                reply(Outcome.OK, counter.delay, total)
 
     # Members.
 
@@ -253,7 +256,7 @@
         """One request; `fair` are those that one store with the quota would have let in. Its set is all by default."""
         p = PLUS if plan == "plus" else BASIC
         name = f"r{next(self.numbers)}"
-        r = self.requests[name] = io.Request(name, "read", plan, member, 6.0, units, width or self.instances, first)
+        r = self.requests[name] = events.Request(name, "read", plan, member, 6.0, units, width or self.instances, first)
         self.asked += 1
         self.began[name] = self.now
         ideal = self.ideal.setdefault((plan, member), Store(p.rate, p.burst))
@@ -264,7 +267,7 @@
             self.fair += 1
         self.give(n, r)
 
-    def let_in(self, r: io.Request) -> None:
+    def let_in(self, r: events.Request) -> None:
         p = PLUS if r.plan == "plus" else BASIC
         self.served += 1
         self.let += r.units
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -14,7 +14,10 @@
 
 from standins.http import read_message
 from tests.helpers import CEILED, KEYED, PLAN, SAFE, UNSAFE
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.events import Event
+from thistleusher.core.settings import Settings
 from thistleusher.net.discovery import Listing, read_listing
 from thistleusher.net.ingress import Ingress
 from thistleusher.net.server import IngressServer
@@ -35,7 +38,7 @@
         await asyncio.sleep(0.002)
 
 
-def settings(**more: Any) -> io.Settings:
+def settings(**more: Any) -> Settings:
     args: dict[str, Any] = dict(
         classes=(SAFE, KEYED, UNSAFE),
         plans=(PLAN, CEILED),
@@ -49,7 +52,7 @@
         connect_timeout=2.0,
         max_retry_after=1.0,
     )
-    return io.Settings(**{**args, **more})
+    return Settings(**{**args, **more})
 
 
 def closed_port() -> int:
@@ -206,13 +209,13 @@
 class Script:
     """Stands in for the decision module: keeps what it is told and does what the test's function says."""
 
-    def __init__(self, decide: Callable[[io.Event], list[io.Action]]) -> None:
+    def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
-        self.events: list[io.Event] = []
+        self.events: list[Event] = []
         self.times: list[float] = []
         self.inside = False
 
-    def handle(self, now: float, event: io.Event) -> list[io.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         assert not self.inside, "called back while deciding"
         self.inside = True
         try:
@@ -222,20 +225,20 @@
         finally:
             self.inside = False
 
-    def ends(self) -> list[io.AttemptEnded]:
-        return [e for e in self.events if isinstance(e, io.AttemptEnded)]
+    def ends(self) -> list[events.AttemptEnded]:
+        return [e for e in self.events if isinstance(e, events.AttemptEnded)]
 
 
-def in_turn(*backends: str) -> Callable[[io.Event], list[io.Action]]:
+def in_turn(*backends: str) -> Callable[[Event], list[Action]]:
     """Try these backends one after another, then refuse."""
 
-    def decide(event: io.Event) -> list[io.Action]:
-        if isinstance(event, io.Request):
-            return [io.Attempt(event.id, backends[0])]
-        if isinstance(event, io.AttemptEnded) and not event.done:
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, events.Request):
+            return [actions.Attempt(event.id, backends[0])]
+        if isinstance(event, events.AttemptEnded) and not event.done:
             if event.attempt + 1 < len(backends):
-                return [io.Attempt(event.request, backends[event.attempt + 1])]
-            return [io.Refuse(event.request)]
+                return [actions.Attempt(event.request, backends[event.attempt + 1])]
+            return [actions.Refuse(event.request)]
         return []
 
     return decide
@@ -244,7 +247,7 @@
 class Rig:
     """An ingress with its client side, in this process."""
 
-    def __init__(self, decide: Callable[[io.Event], list[io.Action]], idle: float = 15.0, **more: Any) -> None:
+    def __init__(self, decide: Callable[[Event], list[Action]], idle: float = 15.0, **more: Any) -> None:
         loop = asyncio.get_running_loop()
         self.script = Script(decide)
         self.settings = settings(**more)
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -14,7 +14,7 @@
 from standins.relay import Relay
 from tests.sockets import HOST, call, run, until
 from tests.sockets import Client as Caller
-from thistleusher import interface as io
+from thistleusher.core.events import Outcome, Phase
 from thistleusher.net.discovery import Discovery as Follower
 from thistleusher.services.counter import Counter as Client
 
@@ -70,22 +70,22 @@
             client.add(7, 1.0, 60.0)
             return await replies.get()
 
-        assert (await once())[1::2] == (io.Outcome.OK, 1.0)
+        assert (await once())[1::2] == (Outcome.OK, 1.0)
         counter.lose_share = 1.0
-        assert (await once()).outcome is io.Outcome.TIMEOUT and counter.totals() == {"7": 2.0}
+        assert (await once()).outcome is Outcome.TIMEOUT and counter.totals() == {"7": 2.0}
         counter.lose_share, counter.spoil_share = 0.0, 1.0
-        assert (await once()).outcome is io.Outcome.ERROR and counter.totals() == {"7": 3.0}
+        assert (await once()).outcome is Outcome.ERROR and counter.totals() == {"7": 3.0}
         counter.spoil_share, counter.repeat_old = 0.0, True
-        assert (await once())[1::2] == (io.Outcome.OK, 3.0) and counter.totals() == {"7": 4.0}
+        assert (await once())[1::2] == (Outcome.OK, 3.0) and counter.totals() == {"7": 4.0}
         counter.repeat_old, counter.refusing = False, True
-        assert (await once()).outcome is io.Outcome.FULL and counter.totals() == {"7": 4.0}
+        assert (await once()).outcome is Outcome.FULL and counter.totals() == {"7": 4.0}
         counter.refusing = False
         counter.silence(True)
-        assert (await once()).outcome is io.Outcome.TIMEOUT and counter.totals() == {"7": 4.0}
+        assert (await once()).outcome is Outcome.TIMEOUT and counter.totals() == {"7": 4.0}
         counter.silence(False)
         await until(lambda: counter.totals() == {"7": 5.0})  # it had been written: it counts later
         await restart()
-        assert (await once())[1::2] == (io.Outcome.OK, 1.0)
+        assert (await once())[1::2] == (Outcome.OK, 1.0)
         counter.life_cut = 0.0
         await restart()
         assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # it answers and forgets
@@ -188,7 +188,7 @@
         await until(lambda: len(heard) == 2)
         discovery.put("s0", "127.0.0.1:1", "DELETED")
         await until(lambda: len(heard) == 3)
-        assert [e.phase for h in heard for e, _ in h.entries] == [io.Phase.RUNNING, io.Phase.STOPPING, io.Phase.DELETED]
+        assert [e.phase for h in heard for e, _ in h.entries] == [Phase.RUNNING, Phase.STOPPING, Phase.DELETED]
         assert [t.status for t in discovery.records.of(Told)] == ["SERVING", "DRAINING", "DELETED"]
         follower.close()
         await discovery.stop()
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -18,8 +18,10 @@
 from tests.helpers import Ingress, only
 from tests.ledger.world import BASIC, PLUS, World
 from tests.ledger.world import settings as told
-from thistleusher import interface as io
 from thistleusher.assembly import room_terms
+from thistleusher.core import actions, events
+from thistleusher.core.events import BackendEntry, ListKind, Phase
+from thistleusher.core.snapshots import SavedRoom
 from thistleusher.net.daemon import listing_of
 from thistleusher.operator.units import Seconds
 from thistleusher.policy import Gateway
@@ -521,7 +523,7 @@
     ],
 )
 def test_a_room_is_worth_nothing_under_other_terms_or_in_a_copy(more, twin):
-    assert still_there([ROOM], PLANS, TERMS) == [io.SavedRoom(1, 7, 0, 3, 2.5, 100.0)]
+    assert still_there([ROOM], PLANS, TERMS) == [SavedRoom(1, 7, 0, 3, 2.5, 100.0)]
     assert still_there([msgspec.structs.replace(ROOM, **more)], PLANS, TERMS, twin) == []
 
 
@@ -554,7 +556,7 @@
     """A fleet that has learned: answers take a quarter of what is assumed, b1 is ejected."""
     i = Ingress(now=now, born=1.0)
     for _ in range(60):
-        i.end(only(i.ask(), io.Attempt), elapsed=0.08)
+        i.end(only(i.ask(), actions.Attempt), elapsed=0.08)
         i.now += 1.0
     b1 = i.gw.fleet.backends["b1"]
     b1.proof = 9.0
@@ -567,9 +569,7 @@
     other.gw = Gateway(other.gw.s, 2, now)
     other.gw.restore(now, [], still_learned(now, read_learned(pack(i.gw.fleet.learned(i.now)))))
     other.give(
-        io.ListUpdate(
-            io.ListKind.SAVED, 2, tuple(io.BackendEntry(f"b{n}", io.Phase.RUNNING, born=born) for n in range(4))
-        )
+        events.ListUpdate(ListKind.SAVED, 2, tuple(BackendEntry(f"b{n}", Phase.RUNNING, born=born) for n in range(4)))
     )
     return other.gw.fleet
 
@@ -599,7 +599,7 @@
     assert still_listed(160.1, listed) is None is still_listed(99.0, listed) and still_listed(1.0, None) is None
     listing = listing_of(listed)
     assert listing.version == 7 and listing.whole and listing.entries[0][1].address == ("127.0.0.1", 80)
-    assert listing.entries[0][0] == io.BackendEntry("b0", io.Phase.RUNNING, 1.0, "std", 3, 1.5, "z0")
+    assert listing.entries[0][0] == BackendEntry("b0", Phase.RUNNING, 1.0, "std", 3, 1.5, "z0")
 
 
 def at_a_disk(tmp_path, w, disk, most=200_000):
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -15,11 +15,12 @@
 
 import pytest
 
-from thistleusher import interface as io
 from thistleusher.common.boot import Bounds
 from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.tables import record
+from thistleusher.core import actions
+from thistleusher.core.events import AttemptEnded, TimerFired
 from thistleusher.net.server import ClientConnection
 from thistleusher.net.upstream import Connection, Endpoint, Pool, Terms, Upstream
 from thistleusher.proxy.decisions import Decisions
@@ -662,7 +663,7 @@
         wire = next(w for w in world.wires if w is not client.wire)
         wire.unread += [b"HTTP/1.1 200 X\r\n"] * unread  # that nobody has got round to reading
         world.server.stopping = leaving
-        world.ingress.cancel(io.CancelAttempt("p1", 0))
+        world.ingress.cancel(actions.CancelAttempt("p1", 0))
         await asyncio.sleep(0.5)
         assert len(world.runs[b"p1"]) == runs
 
@@ -676,8 +677,8 @@
         client.ask(b"e1", b"e")
         while not world.runs:
             await asyncio.sleep(0.001)
-        world.decisions.acts.append(io.Refuse("e1", 0.2))
-        world.ingress.submit(io.TimerFired(0))
+        world.decisions.acts.append(actions.Refuse("e1", 0.2))
+        world.ingress.submit(TimerFired(0))
         ((status, _, _),) = client.answers()
         assert status == 502
 
@@ -692,7 +693,7 @@
         client.ask(b"p2", b"p")
         await asyncio.sleep(0.5)
         world.follow("effectful", routes=False)
-        world.decisions.take.pop(io.AttemptEnded)  # the second is held until its time is up
+        world.decisions.take.pop(AttemptEnded)  # the second is held until its time is up
         world.ingress.serving.clear()
         await asyncio.sleep(4.0)
         assert len(client.answers()) == 2
--- a/tests/system/test_decisions.py
+++ b/tests/system/test_decisions.py
@@ -4,11 +4,12 @@
 
 import pytest
 
-from thistleusher import interface as io
 from thistleusher.common.boot import Bounds
 from thistleusher.common.configuration import Configuration, Found
 from thistleusher.common.shares import ALONE_S, OK, OVER, PROMPT_S
 from thistleusher.common.tables import record
+from thistleusher.core import actions, events
+from thistleusher.core.events import Outcome
 from thistleusher.proxy.budgets import Colds, Tries
 from thistleusher.proxy.decisions import Asked, Charge, Counted, Decisions
 from thistleusher.proxy.directory import addresses
@@ -82,31 +83,31 @@
         self.count += 1
         name = f"r{self.count}"
         self.d.expect(name, Asked(Found(route, CONFIG.routes[route]), tenant))
-        return name, self.do(io.Request(name, route, "all", 0, 2.9, 1.0))
+        return name, self.do(events.Request(name, route, "all", 0, 2.9, 1.0))
 
     def end(self, name, acts, outcome, done=False):
         sent = attempt(acts)
-        return self.do(io.AttemptEnded(name, 0, sent.backend, outcome, 0.1, done), 0.1)
+        return self.do(events.AttemptEnded(name, 0, sent.backend, outcome, 0.1, done), 0.1)
 
 
 def attempt(acts):
-    return next((a for a in acts if isinstance(a, io.Attempt)), None)
+    return next((a for a in acts if isinstance(a, actions.Attempt)), None)
 
 
 def kinds(acts):
-    return [type(a) for a in acts if not isinstance(a, io.SetTimer | io.Log)]
+    return [type(a) for a in acts if not isinstance(a, actions.SetTimer | actions.Log)]
 
 
 def test_a_request_is_charged_before_it_is_sent():
     rig = Rig()
     name, acts = rig.ask(tenant="t")
-    assert [a for a in acts if not isinstance(a, io.SetTimer)] == [Charge(name, "t", 1)]
-    assert kinds(rig.do(Counted(name, OK, 0.5, 3))) == [io.Attempt]
+    assert [a for a in acts if not isinstance(a, actions.SetTimer)] == [Charge(name, "t", 1)]
+    assert kinds(rig.do(Counted(name, OK, 0.5, 3))) == [actions.Attempt]
 
 
 def test_one_that_no_region_may_serve_is_refused_at_once_and_not_charged():
     rig = Rig()
-    assert kinds(rig.ask("homed", tenant="nowhere")[1]) == [io.Refuse]
+    assert kinds(rig.ask("homed", tenant="nowhere")[1]) == [actions.Refuse]
 
 
 def test_of_two_that_are_as_good_the_one_of_this_zone_is_taken_and_a_busier_one_is_not():
@@ -122,18 +123,18 @@
     rig = Rig()
     rig.d.quota.born, rig.d.quota.slack = rig.now, 0.0  # nothing of its own is left
     name, _ = rig.ask(tenant="t")
-    back, refused = [a for a in rig.do(Counted(name, OVER, 0.5, 3)) if not isinstance(a, io.SetTimer)]
+    back, refused = [a for a in rig.do(Counted(name, OVER, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
     assert back == Charge(name, "t", -1, 3)
-    assert isinstance(refused, io.Refuse) and 0.5 <= refused.retry_in <= 1.0
+    assert isinstance(refused, actions.Refuse) and 0.5 <= refused.retry_in <= 1.0
 
 
 def test_no_verdict_never_opens_and_a_late_one_changes_nothing():
     rig = Rig()
     rig.d.quota.born, rig.d.quota.slack = rig.now, 0.0  # a standing share that has had no time to fill
     name, _ = rig.ask(tenant="t")
-    assert kinds(rig.do(io.TimerFired(1), PROMPT_S + 0.01)) == []  # no answer, no share: it waits
-    acts = rig.do(io.TimerFired(1), ALONE_S)
-    assert kinds(acts) == [Charge, io.Refuse] and acts[1].retry_in == 0.0  # and is refused, not let in
+    assert kinds(rig.do(events.TimerFired(1), PROMPT_S + 0.01)) == []  # no answer, no share: it waits
+    acts = rig.do(events.TimerFired(1), ALONE_S)
+    assert kinds(acts) == [Charge, actions.Refuse] and acts[1].retry_in == 0.0  # and is refused, not let in
     assert kinds(rig.do(Counted(name, OK, 0.5))) == []
 
 
@@ -142,24 +143,24 @@
     rig.now += 10.0
     rig.d.quota.echoed(rig.now, "c", rig.now - 0.1, 5.0, 0.5)
     name, _ = rig.ask(tenant="t")
-    acts = rig.do(io.TimerFired(1), PROMPT_S + 0.01)
-    assert kinds(acts) == [Charge, io.Attempt] and acts[0] == Charge(name, "t", -1)  # it needs its charge no more
+    acts = rig.do(events.TimerFired(1), PROMPT_S + 0.01)
+    assert kinds(acts) == [Charge, actions.Attempt] and acts[0] == Charge(name, "t", -1)  # it needs its charge no more
     assert kinds(rig.do(Counted(name, OVER, 0.5))) == []
 
 
 @pytest.mark.parametrize(
     "route, outcome, then",
     [
-        ("pure", io.Outcome.CONNECT_FAILED, io.Attempt),  # before anything was sent
-        ("effect", io.Outcome.CONNECT_FAILED, io.Attempt),
-        ("pure", io.Outcome.RESET, io.Attempt),  # after its last byte
-        ("effect", io.Outcome.RESET, io.Fail),
-        ("pure", io.Outcome.FULL, io.Attempt),  # proof that it has not run
-        ("effect", io.Outcome.FULL, io.Attempt),
-        ("pure", io.Outcome.ERROR, io.Attempt),
-        ("effect", io.Outcome.ERROR, io.Fail),
-        ("pure", io.Outcome.TIMEOUT, io.Attempt),
-        ("effect", io.Outcome.TIMEOUT, io.Fail),
+        ("pure", Outcome.CONNECT_FAILED, actions.Attempt),  # before anything was sent
+        ("effect", Outcome.CONNECT_FAILED, actions.Attempt),
+        ("pure", Outcome.RESET, actions.Attempt),  # after its last byte
+        ("effect", Outcome.RESET, actions.Fail),
+        ("pure", Outcome.FULL, actions.Attempt),  # proof that it has not run
+        ("effect", Outcome.FULL, actions.Attempt),
+        ("pure", Outcome.ERROR, actions.Attempt),
+        ("effect", Outcome.ERROR, actions.Fail),
+        ("pure", Outcome.TIMEOUT, actions.Attempt),
+        ("effect", Outcome.TIMEOUT, actions.Fail),
     ],
 )
 def test_what_follows_an_attempt_goes_by_variant(route, outcome, then):
@@ -168,16 +169,16 @@
     first = attempt(acts).backend
     acts = rig.end(name, acts, outcome)
     assert then in kinds(acts)
-    if then is io.Attempt:
+    if then is actions.Attempt:
         assert attempt(acts).backend != first
 
 
 def test_tries_bound_the_backends_that_one_request_reaches():
     rig = Rig()
     name, acts = rig.ask("effect")
-    acts = rig.end(name, acts, io.Outcome.FULL)
-    acts = rig.end(name, acts, io.Outcome.FULL)
-    assert kinds(acts) == [io.Refuse]  # it surely has not run
+    acts = rig.end(name, acts, Outcome.FULL)
+    acts = rig.end(name, acts, Outcome.FULL)
+    assert kinds(acts) == [actions.Refuse]  # it surely has not run
 
 
 def test_near_first_and_home_always():
@@ -185,7 +186,7 @@
     assert all(attempt(rig.ask()[1]).backend.startswith("n") for _ in range(20))
     assert all(attempt(rig.ask("homed")[1]).backend.startswith("f") for _ in range(20))
     name, acts = rig.ask("homed", "nowhere")  # route and tenant have no region in common
-    assert kinds(acts) == [io.Refuse]
+    assert kinds(acts) == [actions.Refuse]
     assert homes_of((), ()) is None and homes_of(("a", "b"), ("b",)) == {"b"}
 
 
@@ -218,7 +219,7 @@
     rig = Rig()
     name, acts = rig.ask()
     rig.d.configured(rig.now, CONFIG._replace(routes={}))
-    assert io.Attempt in kinds(rig.end(name, acts, io.Outcome.RESET))
+    assert actions.Attempt in kinds(rig.end(name, acts, Outcome.RESET))
 
 
 def test_a_silent_backend_loses_what_may_be_repeated():
@@ -227,15 +228,15 @@
     for _ in range(6):
         name, acts = rig.ask()
         names[name] = attempt(acts).backend
-    asked = [a for n in range(60) for a in rig.do(io.TimerFired(1), 0.05) if isinstance(a, io.CancelAttempt)]
+    asked = [a for n in range(60) for a in rig.do(events.TimerFired(1), 0.05) if isinstance(a, actions.CancelAttempt)]
     assert {a.request for a in asked} <= names.keys() and asked
 
 
 def test_a_silent_backend_keeps_its_request_where_no_other_would_take_it():
     rig = Rig(near=1, far=0)
     rig.ask()
-    acts = [a for n in range(60) for a in rig.do(io.TimerFired(1), 0.05)]
-    assert not any(isinstance(a, io.CancelAttempt) for a in acts)
+    acts = [a for n in range(60) for a in rig.do(events.TimerFired(1), 0.05)]
+    assert not any(isinstance(a, actions.CancelAttempt) for a in acts)
 
 
 def test_all_proxies_together_stay_within_the_budget_of_further_tries():
--- a/tests/talk/test_talk.py
+++ b/tests/talk/test_talk.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.decision_ports import Asked
 from thistleusher.talk import Homes, Outbox, Talk
 from thistleusher.talk.held import MOST, Held
 from thistleusher.talk.homes import ANSWER_S, CANDIDATES, KNOWN_MOST, KNOWN_S, MISSES, MUTE_S, OUT_MOST
@@ -14,8 +15,8 @@
 from thistleusher.talk.talk import ANSWER, ASK, SETTLE_MOST, SETTLED
 
 
-def request(name: str = "r1", first: int = 190, width: int = 120, units: float = 2.0) -> io.Request:
-    return io.Request(name, "read", "basic", (1 << 33) - 1, 6.0, units, width, first)
+def request(name: str = "r1", first: int = 190, width: int = 120, units: float = 2.0) -> events.Request:
+    return events.Request(name, "read", "basic", (1 << 33) - 1, 6.0, units, width, first)
 
 
 def talk(me: int = 3, instances: int = 200) -> Talk:
@@ -130,7 +131,7 @@
     r = request(units=2.25)
     message = asker.ask(0.0, 9, r, 1)
     assert message == ASK + bytes.fromhex("0001" "ffffffff81" "00be" "0078" "0009")
-    assert home.asked(0.0, 3, message) == io.Asked(1, r.customer, 1, 190, 120, 2.25)
+    assert home.asked(0.0, 3, message) == Asked(1, r.customer, 1, 190, 120, 2.25)
     answer = home.answer(3, 1, True, 7.9)
     assert answer == ANSWER + bytes.fromhex("0001" "01" "001f")
     assert asker.answered(8, answer) is None  # it was not asked
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,14 +5,18 @@
 import pytest
 
 from tests.helpers import CEILED, PLAN, SAFE, Ingress, only, some
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.actions import Action, Attempt, CounterAdd, Log, Refuse, Tell
+from thistleusher.core.datagrams import TOLD, TOLD_MARK, TOLD_MOST
+from thistleusher.core.events import Outcome
+from thistleusher.core.settings import ClassSettings, PlanSettings, Settings
 from thistleusher.policy import gateway, sharing
 from thistleusher.policy.health import ALONE, ASK_S, CounterHealth
 from thistleusher.policy.store import Customer
 
 
-def serve(g: Ingress, actions: list[io.Action]) -> bool:
-    sent = some(actions, io.Attempt)
+def serve(g: Ingress, actions: list[Action]) -> bool:
+    sent = some(actions, Attempt)
     for a in sent:
         g.end(a)
     return bool(sent)
@@ -29,34 +33,34 @@
 def test_one_add_of_the_told_units_then_sent():
     g = Ingress()
     acts = g.ask(units=3.0)
-    assert only(acts, io.CounterAdd).amount == 3.0
-    only(acts, io.Attempt)
+    assert only(acts, CounterAdd).amount == 3.0
+    only(acts, Attempt)
 
 
 def test_at_the_allowance_admitted_over_it_refused_and_added_back():
     g = full()
     first = g.ask(units=8.0)
-    name = only(first, io.CounterAdd).name
-    only(first, io.Attempt)
+    name = only(first, CounterAdd).name
+    only(first, Attempt)
     g.gw.counters.each[0].asked = 0.0  # no refusal without a call
     acts = g.ask(units=1.0)
-    assert [a.amount for a in some(acts, io.CounterAdd)] == [1.0, -1.0]
-    only(acts, io.Refuse)
-    assert not some(acts, io.Attempt)
+    assert [a.amount for a in some(acts, CounterAdd)] == [1.0, -1.0]
+    only(acts, Refuse)
+    assert not some(acts, Attempt)
     assert g.counts[name] == 8.0
 
 
 def test_use_by_another_ingress_counts():
     g = Ingress()
-    name = only(g.ask(units=1.0), io.CounterAdd).name
+    name = only(g.ask(units=1.0), CounterAdd).name
     g.counts[name] += 7.0
-    only(g.ask(units=1.0), io.Refuse)
+    only(g.ask(units=1.0), Refuse)
 
 
 def test_sure_refusal_needs_no_call_but_most_requests_ask():
     g = full()
     serve(g, g.ask(units=8.0))
-    calls = sum(len(some(g.ask(units=4.0), io.CounterAdd)) > 0 for _ in range(100))
+    calls = sum(len(some(g.ask(units=4.0), CounterAdd)) > 0 for _ in range(100))
     assert 30 <= calls < 100  # two calls for each that asks: add and add back
 
 
@@ -71,8 +75,8 @@
 
 def test_true_units_are_settled_with_the_next_call():
     g = Ingress()
-    g.end(only(g.ask(units=1.0), io.Attempt), true=3.0)
-    assert only(g.ask(units=1.0), io.CounterAdd).amount == pytest.approx(3.0)
+    g.end(only(g.ask(units=1.0), Attempt), true=3.0)
+    assert only(g.ask(units=1.0), CounterAdd).amount == pytest.approx(3.0)
 
 
 def test_windows_of_customers_turn_at_different_times():
@@ -89,7 +93,7 @@
     serve(g, g.ask(units=4.0))
     g.counts.clear()
     g.gw.counters.each[0].asked = 0.0
-    only(g.ask(units=2.0), io.Refuse)
+    only(g.ask(units=2.0), Refuse)
 
 
 @pytest.mark.parametrize("trouble", ["refusing", "timeout"])
@@ -100,7 +104,7 @@
         serve(g, g.ask(customer=100 + k))
     sent = sum(serve(g, g.ask(units=1.0, width=2)) for _ in range(30))
     assert 1 <= sent <= PLAN.burst  # its share of one burst, never stalled, never all
-    assert some(g.log, io.Log)
+    assert some(g.log, Log)
     g.counter = "up"
     for _ in range(40):  # one request in five still calls
         g.now += 0.1
@@ -126,17 +130,17 @@
 def test_silent_counter_holds_a_request_only_until_its_call_ends():
     g = Ingress()
     g.counter = "silent"
-    call = only(g.ask(), io.CounterAdd)
-    assert not some(g.log, io.Attempt)
+    call = only(g.ask(), CounterAdd)
+    assert not some(g.log, Attempt)
     g.counter = "up"
-    only(g.give(io.CounterReply(call.name, io.Outcome.TIMEOUT, 0.08, 0.0)), io.Attempt)
+    only(g.give(events.CounterReply(call.name, Outcome.TIMEOUT, 0.08, 0.0)), Attempt)
 
 
 def test_a_hurried_request_does_not_wait_for_the_counter():
     g = Ingress()
     g.counter = "silent"
     g.gw.fleet.latency["read"] = g.gw.fleet.base["read"] = 0.02
-    only(g.ask(expires=0.1), io.Attempt)
+    only(g.ask(expires=0.1), Attempt)
 
 
 def test_ceiling_holds_in_an_outage_even_if_every_peer_admits_all_it_may():
@@ -158,12 +162,12 @@
     g = Ingress()
     g.counter = "timeout"
     acts = g.ask(units=1.0, plan="plus", width=2)
-    assert some(acts, io.Attempt)
+    assert some(acts, Attempt)
     assert g.gw.sharing.customers[7].pending == pytest.approx(1.0)  # told again, as it may not have counted
     # Between the quota and the ceiling each of two may use 0.3 of what the store holds, alone 0.8 of it.
     for alone, units in ((False, 6.0), (True, 16.0)):
         g.gw.counters.each[0].misses = ALONE if alone else 0
-        for more, kind in ((0.1, io.Refuse), (-0.1, io.Attempt)):
+        for more, kind in ((0.1, Refuse), (-0.1, Attempt)):
             g.now += 100.0  # full again
             g.gw.sharing.customers[7].pending, g.gw.sharing.customers[7].part = 0.0, 1.0
             g.gw.counters.each[0].ask = 0.0
@@ -191,28 +195,28 @@
     args = dict(classes=(SAFE,), plans=(PLAN,))
     args.update(change)
     with pytest.raises(ValueError, match=field):
-        io.Settings(**args)
+        Settings(**args)
 
 
 def test_negative_rate_and_unknown_effect_are_named():
     with pytest.raises(ValueError, match="plans.rate"):
-        io.PlanSettings("p", rate=-1.0, burst=1.0)
+        PlanSettings("p", rate=-1.0, burst=1.0)
     with pytest.raises(ValueError, match="classes.effect"):
-        io.ClassSettings("c", "sometimes", 1.0, 1.0)  # type: ignore[arg-type]
+        ClassSettings("c", "sometimes", 1.0, 1.0)  # type: ignore[arg-type]
 
 
 def test_stray_counter_reply_changes_nothing():
     g = Ingress()
-    assert g.give(io.CounterReply(12345, io.Outcome.OK, 0.001, 4.0)) == []
+    assert g.give(events.CounterReply(12345, Outcome.OK, 0.001, 4.0)) == []
 
 
 def test_count_answered_after_the_client_left():
     g = Ingress()
     g.counter = "silent"
-    call = only(g.ask(), io.CounterAdd)
-    g.give(io.ClientGone("r1"))
-    acts = g.give(io.CounterReply(call.name, io.Outcome.OK, 0.001, 1.0))
-    assert not some(acts, io.Attempt) and not some(acts, io.Refuse)
+    call = only(g.ask(), CounterAdd)
+    g.give(events.ClientGone("r1"))
+    acts = g.give(events.CounterReply(call.name, Outcome.OK, 0.001, 1.0))
+    assert not some(acts, Attempt) and not some(acts, Refuse)
 
 
 def test_without_history_most_of_a_burst_is_carried_over_but_not_all():
@@ -269,11 +273,11 @@
     g = Ingress(instances=300)
     health = g.gw.counters.each[0]
     health.ask = 0.0
-    assert some(g.ask(width=300), io.CounterAdd)
+    assert some(g.ask(width=300), CounterAdd)
     health.ask = 0.0
-    assert not some(g.ask(width=300), io.CounterAdd)
+    assert not some(g.ask(width=300), CounterAdd)
     g.now += ASK_S
-    assert some(g.ask(width=300), io.CounterAdd)
+    assert some(g.ask(width=300), CounterAdd)
 
 
 def test_share_under_one_request_admits_whole_ones_by_chance():
@@ -296,33 +300,33 @@
     amounts = set()
     for k in range(40):
         g.gw.counters.each[0].ask = 0.5
-        amounts |= {a.amount for a in some(g.ask(customer=k, width=300), io.CounterAdd)}
+        amounts |= {a.amount for a in some(g.ask(customer=k, width=300), CounterAdd)}
     assert amounts == {2.0}
 
 
 def test_a_used_up_window_is_told_to_peers_who_refuse_without_a_call():
     g = Ingress(instances=300, peers=True)
     g.gw.counters.each[0].ask = 1.0
-    name = only(g.ask(units=1.0, width=300), io.CounterAdd).name
+    name = only(g.ask(units=1.0, width=300), CounterAdd).name
     g.counts[name] = 20.0
-    told = only(g.ask(units=1.0, width=300), io.Tell)
+    told = only(g.ask(units=1.0, width=300), Tell)
     assert told.peer is None and len(told.payload) == 5
     other = Ingress(instances=300, peers=True)
     other.gw.counters.each[0].ask = 0.9
-    other.give(io.PeerMessage(3, told.payload))
+    other.give(events.PeerMessage(3, told.payload))
     acts = other.ask(units=1.0, width=300)
-    only(acts, io.Refuse)
-    assert not some(acts, io.CounterAdd)
+    only(acts, Refuse)
+    assert not some(acts, CounterAdd)
     other.now += 8 * PLAN.burst / PLAN.rate  # another window
-    assert not some(other.ask(units=1.0, width=300), io.Refuse)
+    assert not some(other.ask(units=1.0, width=300), Refuse)
 
 
 def test_news_of_peers_is_forgotten():
     g = Ingress(peers=True)
     for k in range(100):
         g.now += 1.0
-        g.give(io.PeerMessage(1, k.to_bytes(5)))
-    g.give(io.PeerMessage(1, b""))
+        g.give(events.PeerMessage(1, k.to_bytes(5)))
+    g.give(events.PeerMessage(1, b""))
     assert len(g.gw.sharing.spent) < 70
 
 
@@ -341,8 +345,8 @@
     g.gw.fleet.slots, g.gw.fleet.latency["read"] = 1.0, 5.0
     g.ask(customer=1)
     acts = g.ask(customer=2)
-    only(acts, io.Refuse)
-    assert not some(acts, io.CounterAdd)
+    only(acts, Refuse)
+    assert not some(acts, CounterAdd)
 
 
 def test_who_comes_again_soon_unseen_is_let_in_less():
@@ -355,7 +359,7 @@
 
 def test_a_plan_without_a_rate_is_never_refused_by_chance():
     # Its burst of nothing made every share look under one request, and each one let in lowered the chance.
-    g = Ingress(plans=(io.PlanSettings("open", rate=0.0, burst=0.0),))
+    g = Ingress(plans=(PlanSettings("open", rate=0.0, burst=0.0),))
     assert sum(serve(g, g.ask(plan="open", width=3)) for _ in range(100)) == 100
 
 
@@ -384,8 +388,8 @@
     i = Ingress(peers=True)
     for n in range(1000):
         i.now += i.gw.sharing.kept / 10
-        i.give(io.PeerMessage(1, b"again"))
-        i.give(io.PeerMessage(1, b"w%d" % n))
+        i.give(events.PeerMessage(1, b"again"))
+        i.give(events.PeerMessage(1, b"w%d" % n))
     assert len(i.gw.sharing.spent) <= 13
 
 
@@ -393,17 +397,17 @@
     """Told again, a spoilt reply would charge the customer twice for one request."""
     g = Ingress()
     g.counter = "silent"
-    name = only(g.ask(units=3.0), io.CounterAdd).name
-    only(g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0)), io.Attempt)
-    assert only(g.ask(units=1.0), io.CounterAdd).amount == 1.0
-    only(g.give(io.CounterReply(name, io.Outcome.OK, 0.001, 4.0)), io.Attempt)
-    only(g.ask(units=4.0), io.CounterAdd)
-    only(g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0)), io.Attempt)
+    name = only(g.ask(units=3.0), CounterAdd).name
+    only(g.give(events.CounterReply(name, Outcome.ERROR, 0.001, 0.0)), Attempt)
+    assert only(g.ask(units=1.0), CounterAdd).amount == 1.0
+    only(g.give(events.CounterReply(name, Outcome.OK, 0.001, 4.0)), Attempt)
+    only(g.ask(units=4.0), CounterAdd)
+    only(g.give(events.CounterReply(name, Outcome.ERROR, 0.001, 0.0)), Attempt)
     g.gw.counters.each[0].asked = 0.0  # no refusal without a call
-    only(g.ask(units=2.0), io.CounterAdd)
-    acts = g.give(io.CounterReply(name, io.Outcome.ERROR, 0.001, 0.0))  # 10 of 8: refused and added back
-    only(acts, io.Refuse)
-    assert only(acts, io.CounterAdd).amount == -2.0 and g.gw.counters.each[0].misses == 0
+    only(g.ask(units=2.0), CounterAdd)
+    acts = g.give(events.CounterReply(name, Outcome.ERROR, 0.001, 0.0))  # 10 of 8: refused and added back
+    only(acts, Refuse)
+    assert only(acts, CounterAdd).amount == -2.0 and g.gw.counters.each[0].misses == 0
 
 
 class Set:
@@ -420,11 +424,11 @@
     def tell(self, lost: int = -1) -> None:
         """The time to tell comes at all; what `lost` says is lost."""
         for node in self.nodes:
-            told = some(node.give(io.TimerFired(gateway.TELL)), io.Tell)
+            told = some(node.give(events.TimerFired(gateway.TELL)), Tell)
             for other in self.nodes:
                 for t in told:
                     if other is not node and node.gw.s.me != lost:
-                        other.give(io.PeerMessage(node.gw.s.me, t.payload))
+                        other.give(events.PeerMessage(node.gw.s.me, t.payload))
 
     def later(self, seconds: float) -> None:
         for node in self.nodes:
@@ -440,7 +444,7 @@
     s.tell()
     assert s.levels() == [pytest.approx(5.0)] * 3
     assert not s.nodes[0].gw.sharing.untold
-    assert max(len(a.payload) for a in some(s.nodes[0].log, io.Tell)) <= 256
+    assert max(len(a.payload) for a in some(s.nodes[0].log, Tell)) <= 256
 
 
 def test_more_than_one_message_holds_is_told_the_longest_untold_first():
@@ -449,7 +453,7 @@
     for customer in range(50):
         serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3, customer=customer))
     s.tell()
-    assert list(s.nodes[1].gw.sharing.customers) == list(range(io.TOLD_MOST))
+    assert list(s.nodes[1].gw.sharing.customers) == list(range(TOLD_MOST))
     s.tell()
     assert list(s.nodes[1].gw.sharing.customers) == list(range(50))
 
@@ -492,18 +496,18 @@
         serve(node, node.ask(units=1.0, width=3))
         s.tell()
     s.later(5.0)
-    name = only(s.nodes[0].ask(units=1.0, width=3), io.CounterAdd).name
+    name = only(s.nodes[0].ask(units=1.0, width=3), CounterAdd).name
     s.nodes[0].counts[name] += 7.0  # somewhere else, to be refused
     s.tell()
-    only(s.nodes[1].ask(units=1.0, width=3), io.Refuse)
+    only(s.nodes[1].ask(units=1.0, width=3), Refuse)
     s.nodes[0].counts[name] -= 7.0
     s.later(sharing.EXCESS_S + 0.01)
     s.nodes[1].counter = "silent"
     s.tell()
     for n in (0, 2):
-        s.nodes[1].give(io.PeerMessage(n, io.TOLD_MARK))
+        s.nodes[1].give(events.PeerMessage(n, TOLD_MARK))
     s.nodes[1].gw.counters.each[0].ask = 0.0
-    only(s.nodes[1].ask(units=1.0, width=3), io.Attempt)
+    only(s.nodes[1].ask(units=1.0, width=3), Attempt)
 
 
 def test_while_the_counter_is_down_the_quota_holds_over_all_that_tell_one_another():
@@ -519,9 +523,9 @@
         node = s.nodes[n % 2]  # the third gets none of it
         sent += serve(node, node.ask(units=1.0, width=3))
         s.tell()
-        s.nodes[2].give(io.TimerFired(gateway.TELL))
+        s.nodes[2].give(events.TimerFired(gateway.TELL))
         for other in s.nodes[:2]:
-            other.give(io.PeerMessage(2, io.TOLD_MARK))
+            other.give(events.PeerMessage(2, TOLD_MARK))
         s.later(0.1)
     assert 8 + 2 * 6 - 2 <= sent <= 8 + 2 * 6
 
@@ -561,38 +565,36 @@
 
 def test_what_was_charged_and_never_sent_on_is_given_back():
     g = Ingress(backends=0)
-    only(g.ask(units=3.0), io.CounterAdd)
+    only(g.ask(units=3.0), CounterAdd)
     g.beat(3.0)
-    only(g.log, io.Refuse)
+    only(g.log, Refuse)
     assert g.gw.sharing.customers[7].pending == pytest.approx(-3.0)
 
 
-@pytest.mark.parametrize(
-    "payload", [b"", io.TOLD_MARK, io.TOLD_MARK + bytes(7), io.TOLD_MARK + b"\xff" * 9, b"\x01" * 250]
-)
+@pytest.mark.parametrize("payload", [b"", TOLD_MARK, TOLD_MARK + bytes(7), TOLD_MARK + b"\xff" * 9, b"\x01" * 250])
 def test_what_a_peer_cannot_mean_changes_nothing(payload):
     g = Ingress(peers=True, instances=3, peer_in_per_s=100.0)
     serve(g, g.ask(units=1.0))
     before = g.gw.sharing.customers[7].room(g.now)
-    g.give(io.PeerMessage(1, payload))
+    g.give(events.PeerMessage(1, payload))
     assert g.gw.sharing.customers[7].room(g.now) == before
 
 
 def test_the_first_total_of_a_window_does_not_undo_what_a_peer_has_told():
     g = Ingress(instances=2, peers=True, peer_in_per_s=100.0)
-    told = io.TOLD.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units let in, a quarter of the burst left
-    g.give(io.PeerMessage(1, io.TOLD_MARK + told))
+    told = TOLD.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units let in, a quarter of the burst left
+    g.give(events.PeerMessage(1, TOLD_MARK + told))
     c = g.gw.sharing.customers[7]
     assert c.room(g.now) == pytest.approx(2.0)
     g.counts[c.name(g.now)] = 6.0
-    assert some(g.ask(), io.Attempt)  # the total is 7 now
+    assert some(g.ask(), Attempt)  # the total is 7 now
     assert c.room(g.now) == pytest.approx(1.0)
-    assert some(g.ask(units=2.0), io.Refuse)
+    assert some(g.ask(units=2.0), Refuse)
 
 
 # What is taken of a window that nothing was seen of.
 
-SLOW = io.PlanSettings("slow", rate=0.001, burst=8.0)  # windows of more than two hours
+SLOW = PlanSettings("slow", rate=0.001, burst=8.0)  # windows of more than two hours
 
 
 @pytest.mark.parametrize("moment", range(200))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -7,59 +7,62 @@
 import pytest
 
 from tests.helpers import SAFE, UNSAFE, Ingress, only, some
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.actions import Attempt, CancelAttempt, CounterAdd, Fail, Log, Refuse, SetTimer
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.settings import ClassSettings, Effect, Group, PlanSettings
 from thistleusher.policy import fleet as fleet_module
 from thistleusher.policy.fleet import PROOF
 
-RAN = [io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.TIMEOUT]
-NOT_RUN = [io.Outcome.FULL, io.Outcome.CONNECT_FAILED]
+RAN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT]
+NOT_RUN = [Outcome.FULL, Outcome.CONNECT_FAILED]
 
 
 def finals(actions):
-    return [a for a in actions if isinstance(a, io.Refuse | io.Fail)]
+    return [a for a in actions if isinstance(a, Refuse | Fail)]
 
 
 @pytest.mark.parametrize("outcome", RAN)
 def test_unsafe_that_may_have_run_is_failed_never_resent_or_refused(outcome):
     g = Ingress()
-    acts = g.end(only(g.ask("once"), io.Attempt), outcome)
-    assert isinstance(finals(acts)[0], io.Fail) and not some(acts, io.Attempt)
+    acts = g.end(only(g.ask("once"), Attempt), outcome)
+    assert isinstance(finals(acts)[0], Fail) and not some(acts, Attempt)
 
 
 @pytest.mark.parametrize("outcome", NOT_RUN)
 @pytest.mark.parametrize("cls", ["once", "pay", "read", "zoned"])
 def test_proof_that_it_never_ran_allows_another_backend(outcome, cls):
     g = Ingress()
-    first = only(g.ask(cls), io.Attempt)
-    again = only(g.end(first, outcome), io.Attempt)
+    first = only(g.ask(cls), Attempt)
+    again = only(g.end(first, outcome), Attempt)
     assert again.backend != first.backend
 
 
 def test_keyed_is_resent_within_its_window_and_not_after():
     g = Ingress()
-    first = only(g.ask("pay"), io.Attempt)
+    first = only(g.ask("pay"), Attempt)
     g.now += 0.3
-    only(g.end(first, io.Outcome.ERROR), io.Attempt)
-    late = only(g.ask("pay"), io.Attempt)
+    only(g.end(first, Outcome.ERROR), Attempt)
+    late = only(g.ask("pay"), Attempt)
     g.now += 1.01
-    acts = g.end(late, io.Outcome.ERROR)
-    assert not some(acts, io.Attempt) and len(finals(acts)) == 1
+    acts = g.end(late, Outcome.ERROR)
+    assert not some(acts, Attempt) and len(finals(acts)) == 1
 
 
 def test_keyed_stays_in_its_group_and_is_failed_not_refused():
     g = Ingress(backends=4)
-    first = only(g.ask("zoned"), io.Attempt)
-    second = only(g.end(first, io.Outcome.ERROR), io.Attempt)
+    first = only(g.ask("zoned"), Attempt)
+    second = only(g.end(first, Outcome.ERROR), Attempt)
     assert int(second.backend[1]) % 2 == int(first.backend[1]) % 2
-    acts = g.end(second, io.Outcome.ERROR, n=1) + g.beat(3)
-    assert isinstance(finals(acts)[0], io.Fail) and not some(acts, io.Attempt)
+    acts = g.end(second, Outcome.ERROR, n=1) + g.beat(3)
+    assert isinstance(finals(acts)[0], Fail) and not some(acts, Attempt)
 
 
 def test_one_final_answer_and_nothing_after_it():
     g = Ingress()
-    first = only(g.ask("once"), io.Attempt)
-    acts = g.end(first, io.Outcome.TIMEOUT, elapsed=6.0)
-    g.give(io.ClientGone("r1"))
+    first = only(g.ask("once"), Attempt)
+    acts = g.end(first, Outcome.TIMEOUT, elapsed=6.0)
+    g.give(events.ClientGone("r1"))
     assert len(finals(acts)) == 1
     assert not finals(g.beat(2.0))
 
@@ -67,44 +70,44 @@
 def test_a_short_try_is_not_sent_again_once_its_client_is_gone():
     # A time-out at the client's limit, before the class's aim, was followed by sends to nobody.
     g = Ingress()
-    first = only(g.ask(expires=0.6), io.Attempt)
+    first = only(g.ask(expires=0.6), Attempt)
     g.now += 0.6
-    acts = g.end(first, io.Outcome.TIMEOUT, elapsed=0.6)
-    assert not some(acts, io.Attempt) and len(finals(acts)) == 1
+    acts = g.end(first, Outcome.TIMEOUT, elapsed=0.6)
+    assert not some(acts, Attempt) and len(finals(acts)) == 1
 
 
 def test_attempts_stop_at_the_limit():
     g = Ingress(backends=9, max_attempts=3)
     acts = g.ask()
     n = 0
-    while some(acts, io.Attempt):
-        acts = g.end(only(acts, io.Attempt), io.Outcome.CONNECT_FAILED, n=n)
+    while some(acts, Attempt):
+        acts = g.end(only(acts, Attempt), Outcome.CONNECT_FAILED, n=n)
         n += 1
     assert n == 3 and len(finals(acts)) == 1
 
 
-@pytest.mark.parametrize("phase", [io.Phase.STOPPING, io.Phase.DELETED])
+@pytest.mark.parametrize("phase", [Phase.STOPPING, Phase.DELETED])
 def test_nothing_new_to_a_backend_that_drains_or_is_gone(phase):
     g = Ingress(backends=2)
-    g.give(io.ListUpdate(io.ListKind.CHANGE, 2, (io.BackendEntry("b0", phase, zone="z0"),)))
+    g.give(events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("b0", phase, zone="z0"),)))
     for k in range(4):
-        a = only(g.ask(customer=k), io.Attempt)
+        a = only(g.ask(customer=k), Attempt)
         assert a.backend == "b1"
         g.end(a)
 
 
 def test_absent_from_a_whole_list_is_gone_and_a_failed_list_changes_nothing():
     g = Ingress(backends=2)
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 2, (io.BackendEntry("b1", io.Phase.RUNNING),)))
-    g.give(io.ListUpdate(io.ListKind.FAILED, 2))
-    assert only(g.ask(), io.Attempt).backend == "b1"
+    g.give(events.ListUpdate(ListKind.WHOLE, 2, (BackendEntry("b1", Phase.RUNNING),)))
+    g.give(events.ListUpdate(ListKind.FAILED, 2))
+    assert only(g.ask(), Attempt).backend == "b1"
 
 
 def test_no_backend_still_gives_the_one_answer_in_time():
     g = Ingress(backends=2)
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 2, ()))
+    g.give(events.ListUpdate(ListKind.WHOLE, 2, ()))
     acts = g.ask("once") + g.beat(2.0)
-    assert isinstance(finals(acts)[0], io.Refuse) and len(finals(acts)) == 1
+    assert isinstance(finals(acts)[0], Refuse) and len(finals(acts)) == 1
 
 
 def test_held_requests_behind_a_blocked_one_are_answered_too():
@@ -115,26 +118,26 @@
     for k in range(6):
         acts += g.ask(["pay", "read"][k % 2], customer=k)
     acts += g.beat(2.0)
-    assert len(some(acts, io.Attempt)) == 1
+    assert len(some(acts, Attempt)) == 1
     assert len(finals(acts)) == 5
 
 
 def test_dearest_goes_first_when_a_slot_comes_free():
     g = Ingress(backends=1)
     g.gw.fleet.slots = 1.0
-    first = only(g.ask(customer=1), io.Attempt)
+    first = only(g.ask(customer=1), Attempt)
     g.ask("read", customer=2)
     g.ask("pay", customer=3)
     g.gw.fleet.slots = 1.0
-    assert some(g.end(first), io.Attempt)[0].request == "r3"
+    assert some(g.end(first), Attempt)[0].request == "r3"
 
 
 def test_cold_backend_gets_a_trickle_from_its_start():
     g = Ingress(backends=4)
-    g.give(io.ListUpdate(io.ListKind.CHANGE, 2, (io.BackendEntry("new", io.Phase.RUNNING, born=100.0),)))
+    g.give(events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING, born=100.0),)))
     got, out = {}, []
     for k in range(200):  # 4 s
-        for a in some(g.ask(customer=k), io.Attempt):
+        for a in some(g.ask(customer=k), Attempt):
             got[a.backend] = got.get(a.backend, 0) + 1
             out.append(a)
         while len(out) > 20:
@@ -148,10 +151,10 @@
     bad, out = 0, []
     for k in range(200):
         acts = g.ask("once", customer=k)
-        for a in some(acts, io.Attempt):
+        for a in some(acts, Attempt):
             if a.backend == "b2":
                 bad += 1
-                g.end(a, io.Outcome.ERROR, elapsed=0.001)
+                g.end(a, Outcome.ERROR, elapsed=0.001)
             else:
                 out.append(a)
         while len(out) > 4:
@@ -164,12 +167,12 @@
     g = Ingress(backends=3)
     stuck, moved = None, []
     for k in range(60):
-        for a in some(g.ask(customer=k), io.Attempt):
+        for a in some(g.ask(customer=k), Attempt):
             if stuck is None:
                 stuck = a
             elif a.backend != stuck.backend:
                 g.end(a)
-        moved += some(g.beat(0.1), io.CancelAttempt)
+        moved += some(g.beat(0.1), CancelAttempt)
     assert stuck is not None and stuck.request in {c.request for c in moved}
     assert g.gw.fleet.backends[stuck.backend].trial
 
@@ -179,7 +182,7 @@
     b = g.gw.fleet.backends["b0"]
     b.trial, b.resting = True, 0.0
     for k in range(5):
-        a = only(g.ask("once", customer=k), io.Attempt)
+        a = only(g.ask("once", customer=k), Attempt)
         assert a.backend == "b1"
         g.end(a)
 
@@ -196,7 +199,7 @@
     b = g.gw.fleet.backends["b0"]
     b.trial, b.resting = True, g.now + 1.0
     g.now += 1.1
-    g.end(only(g.ask(), io.Attempt))
+    g.end(only(g.ask(), Attempt))
     assert not b.trial
 
 
@@ -205,7 +208,7 @@
     g = Ingress(backends=4)
     before = g.gw.fleet.slots
     for k in range(120):
-        for a in some(g.ask(customer=k), io.Attempt):
+        for a in some(g.ask(customer=k), Attempt):
             g.end(a, elapsed=1.8)
     assert g.gw.fleet.base["read"] <= 0.5 and g.gw.fleet.slots < before
 
@@ -216,30 +219,30 @@
     g.gw.fleet.latency["read"] = 30.0
     g.gw.fleet.press = 10.0
     for k in range(300):
-        for a in some(g.ask(customer=k), io.Attempt):
+        for a in some(g.ask(customer=k), Attempt):
             g.end(a, elapsed=0.1)
         g.beat(0.05)
     assert g.gw.fleet.press < 2.0
-    assert some(g.ask(customer=999), io.Attempt)
+    assert some(g.ask(customer=999), Attempt)
 
 
 def test_late_answer_of_a_client_that_left_teaches():
     g = Ingress(backends=1)
-    a = only(g.ask(), io.Attempt)
-    g.give(io.ClientGone("r1"))
-    g.end(a, io.Outcome.TIMEOUT, elapsed=5.0, done=True)
+    a = only(g.ask(), Attempt)
+    g.give(events.ClientGone("r1"))
+    g.end(a, Outcome.TIMEOUT, elapsed=5.0, done=True)
     assert g.gw.fleet.press > 1.0 and g.gw.fleet.out == 0
 
 
 def test_stray_events_raise_nothing():
     g = Ingress()
     for e in (
-        io.TimerFired(99),
-        io.ClientGone("nobody"),
-        io.PeerMessage(1, b"x"),
-        io.AttemptStarted("nobody", 0, "b0", 0.1),
-        io.ProbeEnded("b0", io.Outcome.OK, 0.1),
-        io.AttemptEnded("nobody", 0, "nowhere", io.Outcome.OK, 0.1, True),
+        events.TimerFired(99),
+        events.ClientGone("nobody"),
+        events.PeerMessage(1, b"x"),
+        events.AttemptStarted("nobody", 0, "b0", 0.1),
+        events.ProbeEnded("b0", Outcome.OK, 0.1),
+        events.AttemptEnded("nobody", 0, "nowhere", Outcome.OK, 0.1, True),
     ):
         assert not finals(g.give(e))
 
@@ -248,7 +251,7 @@
     def play():
         g = Ingress()
         for k in range(50):
-            for a in some(g.ask(["read", "pay", "once"][k % 3], customer=k), io.Attempt):
+            for a in some(g.ask(["read", "pay", "once"][k % 3], customer=k), Attempt):
                 g.end(a)
         return g.log
 
@@ -260,58 +263,58 @@
     g = Ingress(backends=4)
     before, out = g.gw.fleet.slots, []
     for k in range(400):
-        out += some(g.ask(customer=k), io.Attempt)
+        out += some(g.ask(customer=k), Attempt)
         while len(out) > 3:
             g.end(out.pop(0), elapsed=6.0 if k % 20 == 0 else 0.2)
     assert g.gw.fleet.slots >= before
-    assert not some(g.log, io.Log)
+    assert not some(g.log, Log)
 
 
 def test_a_clients_time_out_is_neither_a_fault_nor_a_sign_of_life():
     g = Ingress(backends=2)
-    a = only(g.ask("once"), io.Attempt)
+    a = only(g.ask("once"), Attempt)
     b = g.gw.fleet.backends[a.backend]
     g.now += 6.0
-    g.end(a, io.Outcome.TIMEOUT, elapsed=6.0)
+    g.end(a, Outcome.TIMEOUT, elapsed=6.0)
     assert b.errors == 0.0 and b.answered == 100.0
 
 
 def test_keyed_by_cell_has_nowhere_else_to_go_once_it_may_have_run():
-    celled = io.ClassSettings("celled", io.Effect.KEYED, 2.0, 6.0, group=io.Group.CELL, window=1.0)
+    celled = ClassSettings("celled", Effect.KEYED, 2.0, 6.0, group=Group.CELL, window=1.0)
     g = Ingress(backends=4, classes=(celled,))  # each backend is a cell of its own
-    acts = g.end(only(g.ask("celled"), io.Attempt), io.Outcome.ERROR) + g.beat(3)
-    assert isinstance(finals(acts)[0], io.Fail) and not some(acts, io.Attempt) and len(finals(acts)) == 1
+    acts = g.end(only(g.ask("celled"), Attempt), Outcome.ERROR) + g.beat(3)
+    assert isinstance(finals(acts)[0], Fail) and not some(acts, Attempt) and len(finals(acts)) == 1
 
 
 def test_nothing_breaks_without_a_counter_or_load_reports_or_cancel():
     g = Ingress(counter=False, may_cancel=False)
     for k in range(5):
         acts = g.ask(customer=k)
-        assert not some(acts, io.CounterAdd)
-        g.end(only(acts, io.Attempt))
-    stuck = only(g.ask(customer=9), io.Attempt)
-    assert not some(g.beat(5.0), io.CancelAttempt)
-    g.end(stuck, io.Outcome.TIMEOUT, elapsed=6.0)
+        assert not some(acts, CounterAdd)
+        g.end(only(acts, Attempt))
+    stuck = only(g.ask(customer=9), Attempt)
+    assert not some(g.beat(5.0), CancelAttempt)
+    g.end(stuck, Outcome.TIMEOUT, elapsed=6.0)
     assert g.gw.fleet.out == 0
 
 
 def test_an_idle_ingress_sets_no_timer():
     # A beat over every backend of hundreds of idle ingresses cost more than the requests.
     g = Ingress()
-    assert not some(g.log, io.SetTimer)
-    a = only(g.ask(), io.Attempt)
-    assert some(g.log, io.SetTimer)
+    assert not some(g.log, SetTimer)
+    a = only(g.ask(), Attempt)
+    assert some(g.log, SetTimer)
     g.end(a)
     g.beat(0.05)
-    assert not some(g.give(io.TimerFired(0)), io.SetTimer)
+    assert not some(g.give(events.TimerFired(0)), SetTimer)
 
 
 def test_a_limit_below_one_slot_rests_between_attempts():
     # One attempt out at each of hundreds of ingresses is many at each backend, and nothing could go below it.
     g = Ingress(backends=4, instances=40)
     g.gw.fleet.press, g.gw.fleet.slots = 4.0, 0.5
-    g.end(only(g.ask("once"), io.Attempt), elapsed=1.0)
-    assert not some(g.ask("once", customer=8), io.Attempt)
+    g.end(only(g.ask("once"), Attempt), elapsed=1.0)
+    assert not some(g.ask("once", customer=8), Attempt)
     assert g.gw.fleet.slots < 0.5 and g.gw.fleet.paused > g.now
 
 
@@ -319,7 +322,7 @@
     g = Ingress(backends=4, instances=40)
     g.gw.fleet.slots = before = 8.0
     for k in range(6):  # 3 s of late answers, two a second
-        a = only(g.ask(customer=k), io.Attempt)
+        a = only(g.ask(customer=k), Attempt)
         g.now += 0.5
         g.end(a, elapsed=1.9)
     assert g.gw.fleet.slots < before / 1.5
@@ -332,8 +335,8 @@
     tries = []
     for k in range(30):
         acts, n = g.ask("once", customer=k), 0
-        while sent := some(acts, io.Attempt):
-            out = io.Outcome.FULL if sent[0].backend in ("b0", "b1") else io.Outcome.OK
+        while sent := some(acts, Attempt):
+            out = Outcome.FULL if sent[0].backend in ("b0", "b1") else Outcome.OK
             acts, n = g.end(sent[0], out, n=n), n + 1
         tries.append(n)
     assert sum(tries[-10:]) <= 12 and g.gw.fleet.slots >= before
@@ -343,8 +346,8 @@
     # In a jam each 'full' went on to the next full backend, five attempts a request, and the jam stayed.
     g = Ingress(backends=4)
     g.gw.fleet.press = 4.0
-    acts = g.end(only(g.ask(), io.Attempt), io.Outcome.FULL)
-    assert not some(acts, io.Attempt) and len(finals(acts)) == 1
+    acts = g.end(only(g.ask(), Attempt), Outcome.FULL)
+    assert not some(acts, Attempt) and len(finals(acts)) == 1
 
 
 def test_requests_turned_away_do_not_raise_what_a_cold_backend_may_take():
@@ -352,18 +355,18 @@
     g = Ingress(backends=4)
     for k in range(20):
         acts, n = g.ask(customer=k), 0
-        while sent := some(acts, io.Attempt):
-            acts, n = g.end(sent[0], io.Outcome.FULL, n=n), n + 1
+        while sent := some(acts, Attempt):
+            acts, n = g.end(sent[0], Outcome.FULL, n=n), n + 1
     assert g.gw.fleet.rate == 0.0
 
 
 def test_a_first_fast_answer_makes_no_backend_silent():
     # The first answer set the usual latency; one of 5 ms ejected whoever took longer than 40 ms.
     g = Ingress(backends=4)
-    g.end(only(g.ask(), io.Attempt), elapsed=0.005)
-    only(g.ask(customer=8), io.Attempt)
+    g.end(only(g.ask(), Attempt), elapsed=0.005)
+    only(g.ask(customer=8), Attempt)
     g.beat(0.5)
-    assert not some(g.log, io.Log)
+    assert not some(g.log, Log)
 
 
 def test_many_ingresses_together_fill_the_budget_of_a_cold_backend():
@@ -373,28 +376,28 @@
         g = Ingress(backends=4, seed=seed)
         g.gw.fleet.rate, g.gw.fleet.rate_at = 0.01, g.now
         g.give(
-            io.ListUpdate(
-                io.ListKind.CHANGE, 2, tuple(io.BackendEntry(f"b{i}", io.Phase.RUNNING, born=g.now) for i in range(4))
+            events.ListUpdate(
+                ListKind.CHANGE, 2, tuple(BackendEntry(f"b{i}", Phase.RUNNING, born=g.now) for i in range(4))
             )
         )
         g.now += 5.0
-        first += bool(some(g.ask(), io.Attempt))
+        first += bool(some(g.ask(), Attempt))
     # 4 backends x 0.01 a second x 2.5 x 0.5 x mean ramp 0.6 x 5 s (judged at the ramp's present height)
     assert 15 <= first <= 70
 
 
 def test_a_backend_that_is_gone_is_forgotten_once_nothing_is_out_there():
     i = Ingress(backends=2)
-    a = only(i.ask(), io.Attempt)
+    a = only(i.ask(), Attempt)
     other = "b1" if a.backend == "b0" else "b0"
-    gone = tuple(io.BackendEntry(b, io.Phase.DELETED) for b in ("b0", "b1", "never-seen"))
-    i.give(io.ListUpdate(io.ListKind.CHANGE, 2, gone))
+    gone = tuple(BackendEntry(b, Phase.DELETED) for b in ("b0", "b1", "never-seen"))
+    i.give(events.ListUpdate(ListKind.CHANGE, 2, gone))
     assert set(i.gw.fleet.backends) == {a.backend} and other not in i.gw.fleet.backends
     i.end(a)
     assert i.gw.fleet.out == 0
-    i.give(io.ListUpdate(io.ListKind.CHANGE, 3))
+    i.give(events.ListUpdate(ListKind.CHANGE, 3))
     assert not i.gw.fleet.backends
-    i.give(io.ListUpdate(io.ListKind.WHOLE, 3, (io.BackendEntry("b9", io.Phase.RUNNING),)))
+    i.give(events.ListUpdate(ListKind.WHOLE, 3, (BackendEntry("b9", Phase.RUNNING),)))
     assert set(i.gw.fleet.backends) == {"b9"}
 
 
@@ -402,41 +405,41 @@
     "entries",
     [
         (),
-        (io.BackendEntry("b0", io.Phase.RUNNING, born=105.0, zone="z0"),),
-        (io.BackendEntry("b0", io.Phase.STOPPING, zone="z0"),),
+        (BackendEntry("b0", Phase.RUNNING, born=105.0, zone="z0"),),
+        (BackendEntry("b0", Phase.STOPPING, zone="z0"),),
     ],
 )
 def test_attempts_out_are_counted_down_whatever_becomes_of_their_backend(entries):
     """A count that stays up for ever would use up the limit on attempts out."""
     g = Ingress(backends=1)
-    attempt = only(g.ask(), io.Attempt)
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 2, entries))
-    g.give(io.ListUpdate(io.ListKind.WHOLE, 3, ()))
+    attempt = only(g.ask(), Attempt)
+    g.give(events.ListUpdate(ListKind.WHOLE, 2, entries))
+    g.give(events.ListUpdate(ListKind.WHOLE, 3, ()))
     assert g.gw.fleet.out == 1
-    g.end(attempt, io.Outcome.RESET)
+    g.end(attempt, Outcome.RESET)
     assert g.gw.fleet.out == 0
 
 
 def ejections(g, why):
-    return [a.text for a in g.log if isinstance(a, io.Log) and why in a.text]
+    return [a.text for a in g.log if isinstance(a, Log) and why in a.text]
 
 
 def play(g, faulty, share, rounds):
     """Requests one after another; a backend of `faulty` fails the first attempts of its rounds of ten."""
     turns = {}
     for _ in range(rounds):
-        todo = some(g.ask("read"), io.Attempt)
+        todo = some(g.ask("read"), Attempt)
         n = 0
         while todo:
             a = todo.pop()
             turns[a.backend] = turn = turns.get(a.backend, 0) + 1
             bad = a.backend in faulty and (7 * turn) % 10 < 10 * share  # spread, not in a row
-            todo += some(g.end(a, io.Outcome.RESET if bad else io.Outcome.OK, n=n), io.Attempt)
+            todo += some(g.end(a, Outcome.RESET if bad else Outcome.OK, n=n), Attempt)
             n += 1
         g.now += 0.02
 
 
-ROOMY = (io.PlanSettings("basic", rate=1e6, burst=1e6),)
+ROOMY = (PlanSettings("basic", rate=1e6, burst=1e6),)
 
 
 def test_faults_that_all_backends_have_alike_eject_none():
@@ -461,13 +464,13 @@
     bad = g.gw.fleet.backends["b0"]
     bad.trial = True
     g.gw.fleet.weigh(bad, False)
-    while (a := only(g.ask("read"), io.Attempt)).backend != "b0":
+    while (a := only(g.ask("read"), Attempt)).backend != "b0":
         pass
     g.end(a)  # the trial
     assert not bad.trial and 0 < bad.proof < PROOF
-    while (a := only(g.ask("read"), io.Attempt)).backend != "b0":
+    while (a := only(g.ask("read"), Attempt)).backend != "b0":
         g.end(a)
-    g.end(a, io.Outcome.ERROR)
+    g.end(a, Outcome.ERROR)
     assert ejections(g, "failing")
 
 
@@ -475,8 +478,8 @@
     """An unsafe request cannot be moved: it is out there until its time is up."""
     g = Ingress(backends=4, plans=ROOMY)
     for _ in range(40):
-        g.end(only(g.ask("once"), io.Attempt))
-    stuck = [only(g.ask("once"), io.Attempt) for _ in range(6)]
+        g.end(only(g.ask("once"), Attempt))
+    stuck = [only(g.ask("once"), Attempt) for _ in range(6)]
     silent = {a.backend for a in stuck[:1]}
     for a in stuck:
         if a.backend not in silent:
@@ -488,16 +491,16 @@
     press = g.gw.fleet.press
     for a in stuck:
         if a.backend in silent:
-            g.end(a, io.Outcome.TIMEOUT, elapsed=6.0)
+            g.end(a, Outcome.TIMEOUT, elapsed=6.0)
     assert g.gw.fleet.load == 0.0 and g.gw.fleet.out == 0 and g.gw.fleet.press == press
 
 
 def test_what_is_out_counts_again_once_a_silent_backend_answers():
     g = Ingress(backends=1, plans=ROOMY)
     for _ in range(40):
-        g.end(only(g.ask("once"), io.Attempt))
+        g.end(only(g.ask("once"), Attempt))
     g.gw.fleet.usable = 4  # others there, so that one may be ejected
-    first, second = (only(g.ask("once"), io.Attempt) for _ in range(2))
+    first, second = (only(g.ask("once"), Attempt) for _ in range(2))
     g.beat(3.0)
     assert ejections(g, "silent") and g.gw.fleet.load == 0.0
     g.end(first)
@@ -507,7 +510,7 @@
 
 
 def test_of_many_backends_a_few_are_looked_at_and_those_that_may_not_be_sent_to_are_never_taken(monkeypatch):
-    g = Ingress(backends=200, plans=(io.PlanSettings("basic", rate=1e6, burst=1e6),))
+    g = Ingress(backends=200, plans=(PlanSettings("basic", rate=1e6, burst=1e6),))
     fleet = g.gw.fleet
     fleet.slots = 1e6
     resting = {f"b{n}" for n in range(150)}
@@ -517,16 +520,16 @@
     monkeypatch.setattr(
         fleet, "least", lambda now, f, among, least=fleet.least: (looked.append(len(among)), least(now, f, among))[1]
     )
-    sent = Counter(only(g.ask(), io.Attempt).backend for _ in range(500))
+    sent = Counter(only(g.ask(), Attempt).backend for _ in range(500))
     assert not resting & set(sent) and len(sent) == 50 and max(sent.values()) <= 14  # 10 each
     assert sum(looked) / 500 < 2 * fleet_module.DRAWN and max(looked) in (fleet_module.DRAWN, 200)
     for name in set(fleet.backends) - {"b7"}:
         fleet.backends[name].resting = g.now + 100.0
     fleet.backends["b7"].resting = 0.0
-    assert only(g.ask(), io.Attempt).backend == "b7"  # however few are left
+    assert only(g.ask(), Attempt).backend == "b7"  # however few are left
 
 
 def test_in_a_small_fleet_the_choice_is_a_look_at_each():
     g = Ingress(backends=fleet_module.SCAN)
     g.gw.fleet.rng.sample = None  # nothing is drawn
-    assert only(g.ask(), io.Attempt)
+    assert only(g.ask(), Attempt)
--- a/tests/test_farewell.py
+++ b/tests/test_farewell.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.sockets import Client, Peer, Rig, call, in_turn, ok, run, until
-from thistleusher import interface as io
+from thistleusher.core import actions, events
 from thistleusher.net.farewell import LAST_S, LONGEST_S, MORE_S, QUIET_S, SHORT_S, Farewell
 
 WHOLE = LONGEST_S + MORE_S  # after which an ingress may be killed
@@ -39,7 +39,7 @@
 
     async def main():
         backend = await Peer.start(ok())
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0")] if isinstance(e, io.Request) else [])
+        rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("r0")))[0] == 200
         bye = Farewell(asyncio.get_running_loop().time(), 7.5)
@@ -61,17 +61,17 @@
 def test_a_request_gets_the_time_that_is_left_and_then_is_turned_away():
     async def main():
         backend = await Peer.start(ok())
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0")] if isinstance(e, io.Request) else [])
+        rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         loop = asyncio.get_running_loop()
         rig.server.farewell = Farewell(loop.time() - WHOLE + LAST_S + 1.0, 7.5)
         assert (await client.ask(call("r1", budget="6000m")))[0] == 200
-        asked = [e for e in rig.script.events if isinstance(e, io.Request)]
+        asked = [e for e in rig.script.events if isinstance(e, events.Request)]
         assert 0.5 < asked[0].expires_in <= 1.0
         rig.server.farewell = Farewell(loop.time() - WHOLE, 7.5)
         status, headers, _ = await client.ask(call("r2"))
         assert status == 503 and float(headers["retry-after"]) > 0
-        assert len([e for e in rig.script.events if isinstance(e, io.Request)]) == 1
+        assert len([e for e in rig.script.events if isinstance(e, events.Request)]) == 1
 
     run(main())
 
@@ -105,7 +105,7 @@
 def test_looks_at_its_health_neither_keep_it_nor_push_out_those_that_it_serves():
     async def main():
         backend = await Peer.start(ok())
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0")] if isinstance(e, io.Request) else [])
+        rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         rig.server.most = 3
         assert (await client.ask(call("r0")))[0] == 200
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,7 +8,7 @@
 
 from standins.http import read_message
 from tests.sockets import HOST, Peer, Rig, call, in_turn, ok, run, until
-from thistleusher import interface as io
+from thistleusher.core.events import Outcome
 from thistleusher.net.guard import EARLY, WARY_S, Guard
 
 IDLE = 15.0
@@ -84,7 +84,7 @@
         wary(rig)
         assert (await client.ask(call("r2", cls="once")))[2] == b"run 2"
         assert backend.connections == 2 and backend.whole == 2
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.OK, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.OK, Outcome.OK]
 
     run(main())
 
@@ -97,7 +97,7 @@
         await client.ask(call("r1", cls="once"))
         assert not rig.upstream.guard.wary(rig.upstream.loop.time())
         assert (await client.ask(call("r2", cls="once")))[0] != 200
-        assert rig.script.ends()[-1].outcome is io.Outcome.RESET
+        assert rig.script.ends()[-1].outcome is Outcome.RESET
         assert rig.upstream.guard.wary(rig.upstream.loop.time())
 
     run(main())
@@ -116,7 +116,7 @@
         client = await rig.start(b0=backend.port, b1=good.port)
         wary(rig)
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.CONNECT_FAILED, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.CONNECT_FAILED, Outcome.OK]
         assert backend.connections == 1
 
     run(main())
@@ -134,7 +134,7 @@
         client = await rig.start(b0=backend.port)
         wary(rig)
         assert (await client.ask(call("r1", cls="once")))[0] != 200
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.RESET]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.RESET]
         assert backend.connections == backend.whole == 1
 
     run(main())
@@ -152,7 +152,7 @@
         client = await rig.start(b0=backend.port, b1=good.port)
         wary(rig)
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
-        assert rig.script.ends()[0].outcome is io.Outcome.CONNECT_FAILED
+        assert rig.script.ends()[0].outcome is Outcome.CONNECT_FAILED
 
     run(main())
 
@@ -170,7 +170,7 @@
         wary(rig)
         rig.upstream.guard.hold = lambda: 0.05
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
-        assert rig.script.ends()[0].outcome is io.Outcome.MOOT and backend.whole == 0
+        assert rig.script.ends()[0].outcome is Outcome.MOOT and backend.whole == 0
 
     run(main())
 
@@ -189,6 +189,6 @@
         await until(lambda: backend.connections and rig.ingress.held)
         client.writer.close()
         await until(lambda: not rig.ingress.held)
-        assert backend.whole == 0 and rig.script.ends()[-1].outcome is io.Outcome.MOOT
+        assert backend.whole == 0 and rig.script.ends()[-1].outcome is Outcome.MOOT
 
     run(main())
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -7,7 +7,8 @@
 import pytest
 
 from tests.sockets import Client, Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, unix, until
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.events import Outcome
 
 
 def test_a_request_is_served_byte_for_byte_and_goes_on_unchanged():
@@ -24,7 +25,7 @@
         assert seen.line == "POST /api/v1/00000001ffffffff?q=1 HTTP/1.1" and seen.body == b"\x00\xffbody"
         assert seen.headers["x-call-id"] == "r1" and seen.headers["idempotency-key"] == "k1"
         assert 0 < int(seen.headers["x-budget"].removesuffix("m")) < 6000
-        request = next(e for e in rig.script.events if isinstance(e, io.Request))
+        request = next(e for e in rig.script.events if isinstance(e, events.Request))
         assert request[:4] == ("r1", "pay", "basic", 0x1FFFFFFFF) and request[5:9] == (2.0, 2, 1, True)
         assert 5 < request.expires_in < 6
         assert rig.script.ends()[0].true_units == 3.0 and rig.script.ends()[0].done
@@ -55,7 +56,7 @@
         rig = Rig(in_turn("unknown", "b0"))  # Script.handle fails when it is entered twice
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call()))[0] == 200
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.MOOT, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.MOOT, Outcome.OK]
 
     run(main())
 
@@ -68,7 +69,7 @@
         status, headers, _ = await client.ask(call(budget="300m"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert asyncio.get_running_loop().time() - began < 5
-        assert rig.script.events[-1] == io.ClientGone("r1") and not rig.ingress.held
+        assert rig.script.events[-1] == events.ClientGone("r1") and not rig.ingress.held
 
     run(main())
 
@@ -76,11 +77,11 @@
 def test_an_attempt_ends_with_the_clients_time_and_an_unsafe_one_is_not_refused():
     async def main():
         backend = await Peer.start(None)
-        rig = Rig(lambda e: [io.Attempt(e.id, "b0")] if isinstance(e, io.Request) else [])
+        rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         status, headers, _ = await client.ask(call(cls="once", budget="250000u"))
         assert status == 502 and "retry-after" not in headers
-        assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.TIMEOUT, False)]
+        assert [(e.outcome, e.done) for e in rig.script.ends()] == [(Outcome.TIMEOUT, False)]
         await until(backend.seen[0].ended)
         assert (await client.ask(call("r2", cls="pay", budget="250000u")))[0] == 503
 
@@ -90,14 +91,14 @@
 def test_nothing_goes_out_for_a_client_that_has_gone():
     async def main():
         backend = await Peer.start()
-        rig = Rig(lambda e: [io.Attempt("r1", "b0")] if isinstance(e, io.TimerFired) else [])
+        rig = Rig(lambda e: [actions.Attempt("r1", "b0")] if isinstance(e, events.TimerFired) else [])
         client = await rig.start(b0=backend.port)
         client.writer.write(call())
         await until(lambda: rig.ingress.held)
         client.writer.close()
-        await until(lambda: io.ClientGone("r1") in rig.script.events)
-        rig.ingress.submit(io.TimerFired(1))
-        assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.MOOT, True)]
+        await until(lambda: events.ClientGone("r1") in rig.script.events)
+        rig.ingress.submit(events.TimerFired(1))
+        assert [(e.outcome, e.done) for e in rig.script.ends()] == [(Outcome.MOOT, True)]
         assert not backend.seen and not rig.ingress.held
 
     run(main())
@@ -117,10 +118,10 @@
         client.writer.write(call())
         await until(lambda: backend.seen)
         client.writer.close()
-        await until(lambda: io.ClientGone("r1") in rig.script.events)
+        await until(lambda: events.ClientGone("r1") in rig.script.events)
         go.set()
         await until(rig.script.ends)
-        assert [(e.outcome, e.done) for e in rig.script.ends()] == [(io.Outcome.OK, True)]
+        assert [(e.outcome, e.done) for e in rig.script.ends()] == [(Outcome.OK, True)]
         assert not rig.ingress.held
 
     run(main())
@@ -129,7 +130,7 @@
 def test_a_refusal_says_when_to_come_back():
     async def main():
         waits = [0.25, 0.0]
-        rig = Rig(lambda e: [io.Refuse(e.id, waits.pop(0))] if isinstance(e, io.Request) else [])
+        rig = Rig(lambda e: [actions.Refuse(e.id, waits.pop(0))] if isinstance(e, events.Request) else [])
         client = await rig.start()
         status, headers, _ = await client.ask(call("r1"))
         assert status == 429 and float(headers["retry-after"]) == 0.25
@@ -144,14 +145,14 @@
         backend = await Peer.start()
 
         def decide(event):
-            if isinstance(event, io.Request) and event.id == "bad":
+            if isinstance(event, events.Request) and event.id == "bad":
                 raise ZeroDivisionError("a fault of the module")
             return in_turn("b0")(event)
 
         rig = Rig(decide)
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("bad")))[0] == 500
-        assert rig.script.events[-1] == io.ClientGone("bad")  # nothing of it stays in the module
+        assert rig.script.events[-1] == events.ClientGone("bad")  # nothing of it stays in the module
         assert (await client.ask(call("good")))[0] == 200
         assert "a fault of the module" in caplog.text
 
@@ -187,7 +188,7 @@
 
         rig.upstream.open = open_late
         assert (await client.ask(call()))[0] == 200
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.MOOT, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.MOOT, Outcome.OK]
         assert not draining.seen and len(other.seen) == 1
 
     run(main())
@@ -203,7 +204,7 @@
         gone = listing(entry("b0", backend.port, state), snapshot=False) if state else listing(index=2)
         rig.ingress.listed(gone)
         assert (await client.ask(call("r2")))[0] == 503
-        assert len(backend.seen) == 1 and rig.script.ends()[-1].outcome is io.Outcome.MOOT
+        assert len(backend.seen) == 1 and rig.script.ends()[-1].outcome is Outcome.MOOT
 
     run(main())
 
@@ -237,17 +238,18 @@
         report = b"TEXT latency_ms=14.5, inflight=7, util=1"
         backend = await Peer.start(b"HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n%s" % (len(report), report))
         rig = Rig(
-            lambda e: [io.Probe("b0"), io.Probe("b1")] if isinstance(e, io.TimerFired) else [], connect_timeout=5.0
+            lambda e: [actions.Probe("b0"), actions.Probe("b1")] if isinstance(e, events.TimerFired) else [],
+            connect_timeout=5.0,
         )
         await rig.start(b0=backend.port, b1=closed_port())
-        rig.ingress.submit(io.TimerFired(1))
+        rig.ingress.submit(events.TimerFired(1))
 
         def found():
-            return {e.backend: e for e in rig.script.events if isinstance(e, io.ProbeEnded)}
+            return {e.backend: e for e in rig.script.events if isinstance(e, events.ProbeEnded)}
 
         await until(lambda: len(found()) == 2)
         assert found()["b0"].load == {"latency_ms": 14.5, "inflight": 7.0}
-        assert found()["b1"].outcome is io.Outcome.CONNECT_FAILED
+        assert found()["b1"].outcome is Outcome.CONNECT_FAILED
         assert backend.seen[0].line == "GET /load HTTP/1.1"
 
     run(main())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,21 +8,21 @@
 import pytest
 
 from tests.helpers import PLAN, SAFE, Ingress, some
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.events import BackendEntry, ListKind, Phase
+from thistleusher.core.settings import Settings
 from thistleusher.policy.fleet import NEAR, SCAN, Fleet
 
 
 def part(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
-    settings = io.Settings(classes=(SAFE,), plans=(PLAN,), instances=instances, me=me)
+    settings = Settings(classes=(SAFE,), plans=(PLAN,), instances=instances, me=me)
     fleet = Fleet(settings, random.Random(me), [], 100.0)
     fleet.listed(
         100.0,
-        io.ListUpdate(
-            io.ListKind.WHOLE,
+        events.ListUpdate(
+            ListKind.WHOLE,
             1,
-            tuple(
-                io.BackendEntry(f"b{n}", io.Phase.RUNNING) for n in random.Random(me).sample(range(backends), backends)
-            ),
+            tuple(BackendEntry(f"b{n}", Phase.RUNNING) for n in random.Random(me).sample(range(backends), backends)),
         ),
     )
     fleet.rate = rate
@@ -60,7 +60,7 @@
     g = Ingress(backends=100, instances=200, me=7, peers=False)
     sent: set[str] = set()
     for n in range(60):
-        for a in some(g.ask(customer=n), io.Attempt):
+        for a in some(g.ask(customer=n), actions.Attempt):
             sent.add(a.backend)
             g.end(a, elapsed=0.32)  # as long as usual
         g.now += 0.01
@@ -68,14 +68,14 @@
     assert sent <= own and len(sent) > NEAR / 2
     for name in own:
         g.gw.fleet.backends[name].resting = g.now + 9.0
-    [a] = some(g.ask(customer=99), io.Attempt)
+    [a] = some(g.ask(customer=99), actions.Attempt)
     assert a.backend not in own
 
 
 def test_a_new_list_changes_a_part_by_few():
     fleet = part(3)
     before = set(names(fleet))
-    fleet.listed(101.0, io.ListUpdate(io.ListKind.CHANGE, 2, (io.BackendEntry("new", io.Phase.RUNNING),)))
+    fleet.listed(101.0, events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING),)))
     fleet.draw_near(101.0)
     assert len(before - set(names(fleet))) <= 2
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -8,7 +8,8 @@
 import pytest
 
 from tests.sockets import HOST, Peer, closed_port, entry, ok, run, until
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.events import Outcome, Phase
 from thistleusher.net import discovery as discovery_module
 from thistleusher.net.discovery import Discovery, read_listing
 from thistleusher.services import counter as counter_module
@@ -22,10 +23,10 @@
     """A counter with all its replies."""
 
     def __init__(self, port: int, timeout: float = LONG) -> None:
-        self.replies: list[io.CounterReply] = []
+        self.replies: list[events.CounterReply] = []
         self.counter = Counter(asyncio.get_running_loop(), (HOST, port), timeout, self.replies.append)
 
-    async def some(self, number: int) -> list[io.CounterReply]:
+    async def some(self, number: int) -> list[events.CounterReply]:
         await until(lambda: len(self.replies) >= number)
         return self.replies
 
@@ -44,7 +45,7 @@
         for amount in (1.0, 2.5, -0.5):
             w.counter.add(8, amount, 3.0)
         assert [r.total for r in await w.some(3)] == [1.0, 3.5, 3.0]
-        assert all(r.name == 8 and r.outcome is io.Outcome.OK for r in w.replies)
+        assert all(r.name == 8 and r.outcome is Outcome.OK for r in w.replies)
         assert len({s.writer for s in service.seen}) == 1
         assert service.seen[0].line == "POST /v2/numbers/8?delta=1.000000&life_ms=3000 HTTP/1.1"
 
@@ -64,11 +65,11 @@
         service = await Peer(act).listen()
         w = Watching(service.port, 0.05)
         w.counter.add(2, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is io.Outcome.TIMEOUT
+        assert (await w.some(1))[0].outcome is Outcome.TIMEOUT
         w.counter.timeout = LONG
         w.counter.add(2, 5.0, 3.0)
         go.set()
-        assert [(r.outcome, r.total) for r in (await w.some(2))[1:]] == [(io.Outcome.OK, 222.0)]
+        assert [(r.outcome, r.total) for r in (await w.some(2))[1:]] == [(Outcome.OK, 222.0)]
         assert service.connections == counter_module.LINES  # the connection was kept
 
     run(main())
@@ -77,16 +78,16 @@
 @pytest.mark.parametrize(
     "answer,outcome",
     [
-        (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
-        (b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.CONNECT_FAILED),
-        (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.CONNECT_FAILED),
-        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", io.Outcome.TIMEOUT),
+        (b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", Outcome.FULL),
+        (b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n", Outcome.CONNECT_FAILED),
+        (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", Outcome.CONNECT_FAILED),
+        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", Outcome.TIMEOUT),
         # Spoilt: added, and the connection is of no further use.
-        *((ok(total), io.Outcome.ERROR) for total in (b"many", b"--3", b"nan", b"inf", b"", b"1e999", b"7 8")),
-        (b"rubbish\r\n\r\n", io.Outcome.ERROR),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n", io.Outcome.ERROR),
-        (b"HTTP/1.1 200 OK\r\nContent-Len", io.Outcome.ERROR),
-        (b"", io.Outcome.TIMEOUT),
+        *((ok(total), Outcome.ERROR) for total in (b"many", b"--3", b"nan", b"inf", b"", b"1e999", b"7 8")),
+        (b"rubbish\r\n\r\n", Outcome.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n", Outcome.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Len", Outcome.ERROR),
+        (b"", Outcome.TIMEOUT),
     ],
 )
 def test_only_what_surely_was_not_added_is_reported_so(answer, outcome):
@@ -107,7 +108,7 @@
     async def main():
         w = Watching(closed_port(), 0.05)
         w.counter.add(4, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is io.Outcome.CONNECT_FAILED
+        assert (await w.some(1))[0].outcome is Outcome.CONNECT_FAILED
         assert not w.counter.lines[0].unsent
 
     run(main())
@@ -122,7 +123,7 @@
         w = Watching(service.port, 0.1)
         await until(lambda: w.counter.lines[0].link)
         w.counter.add(4, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is io.Outcome.TIMEOUT
+        assert (await w.some(1))[0].outcome is Outcome.TIMEOUT
         await until(lambda: service.connections > counter_module.LINES)
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
         w.counter.timeout = LONG
@@ -139,7 +140,7 @@
         await until(lambda: w.counter.lines[0].link)
         w.counter.add(4, 1.0, 3.0)
         w.counter.add(8, 1.0, 3.0)
-        assert [r.outcome for r in await w.some(2)] == [io.Outcome.ERROR, io.Outcome.TIMEOUT]
+        assert [r.outcome for r in await w.some(2)] == [Outcome.ERROR, Outcome.TIMEOUT]
 
     run(main())
 
@@ -239,7 +240,7 @@
         assert [r.split(" ")[1] for r in agent.requests] == [f"/v1/servers?stream=1&index={i}" for i in (41, 42, 44)]
         assert (got[0].whole, got[1].whole) == (True, False)
         backend, endpoint = got[1].entries[0]
-        assert (backend.backend, backend.phase, backend.born) == ("b1", io.Phase.STOPPING, 1.5)
+        assert (backend.backend, backend.phase, backend.born) == ("b1", Phase.STOPPING, 1.5)
         assert endpoint.address == (HOST, 81)
 
     run(main())
@@ -367,8 +368,8 @@
         stranger.tell(0, b"from nowhere")
         nodes[2].tell(0, b"last")
         await until(lambda: len(got[0]) == 2 and len(got[2]) == 2)
-        assert sorted(got[0]) == [io.PeerMessage(1, b"all"), io.PeerMessage(2, b"last")]
-        assert sorted(got[2]) == [io.PeerMessage(0, b"one"), io.PeerMessage(1, b"all")]
+        assert sorted(got[0]) == [events.PeerMessage(1, b"all"), events.PeerMessage(2, b"last")]
+        assert sorted(got[2]) == [events.PeerMessage(0, b"one"), events.PeerMessage(1, b"all")]
         assert not got[1]
         nodes[2].everyone = addresses[1]
         nodes[2].tell(None, b"by one address")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,7 +8,8 @@
 import pytest
 
 from tests.sockets import Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, until
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.events import Outcome
 from thistleusher.net import upstream as upstream_module
 
 BIG = b"x" * (64 * 1024 + 1)
@@ -17,17 +18,17 @@
 @pytest.mark.parametrize(
     "answer,outcome",
     [
-        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
-        (b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
-        (b"HTTP/1.1 504 Late\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", io.Outcome.FULL),
-        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
-        (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", io.Outcome.ERROR),
-        (b"", io.Outcome.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort", io.Outcome.RESET),
-        (b"HTTP/1.1 200 OK\r\n\r\nno length at all", io.Outcome.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n", io.Outcome.RESET),
-        (b"no HTTP at all\r\n\r\n", io.Outcome.RESET),
-        (ok(BIG), io.Outcome.RESET),
+        (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+        (b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome.FULL),
+        (b"HTTP/1.1 504 Late\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome.FULL),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+        (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+        (b"", Outcome.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort", Outcome.RESET),
+        (b"HTTP/1.1 200 OK\r\n\r\nno length at all", Outcome.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n", Outcome.RESET),
+        (b"no HTTP at all\r\n\r\n", Outcome.RESET),
+        (ok(BIG), Outcome.RESET),
     ],
 )
 def test_only_a_whole_200_is_served(answer, outcome):
@@ -41,7 +42,7 @@
         client = await rig.start(b0=backend.port, b1=good.port)
         status, _, body = await client.ask(call())
         assert (status, body) == (200, b"whole")
-        assert [e.outcome for e in rig.script.ends()] == [outcome, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [outcome, Outcome.OK]
         assert len(backend.seen) == 1  # nothing sends again by itself
 
     run(main())
@@ -78,7 +79,7 @@
         client = await rig.start(b0=backend.port, b1=good.port)
         status, _, body = await client.ask(call(budget="60000m"))
         assert (status, body) == (200, b"whole")
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.RESET, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.RESET, Outcome.OK]
         await until(backend.seen[0].ended)
 
     run(main())
@@ -96,7 +97,7 @@
         assert (await client.ask(call("r1")))[2] == b"first"
         assert (await client.ask(call("r2")))[2] == b"second"
         assert backend.connections == 3
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.FULL, io.Outcome.OK, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.FULL, Outcome.OK, Outcome.OK]
 
     run(main())
 
@@ -106,8 +107,8 @@
         gate = asyncio.Event()
         backend = await Peer.start()
         rig = Rig(
-            lambda e: [io.Attempt(e.id, "b0", 0.0 if e.id == "r1" else None)]
-            if isinstance(e, io.Request)
+            lambda e: [actions.Attempt(e.id, "b0", 0.0 if e.id == "r1" else None)]
+            if isinstance(e, events.Request)
             else in_turn("b0")(e)
         )
         client = await rig.start(b0=backend.port)
@@ -161,7 +162,7 @@
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=closed_port())
         assert (await client.ask(call(cls="once")))[0] == 503
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.CONNECT_FAILED]
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.CONNECT_FAILED]
 
     run(main())
 
@@ -177,12 +178,12 @@
 
         fast = await Peer(act).listen()
         rig = Rig(
-            lambda e: [io.Attempt(e.id, "b0")]
-            if isinstance(e, io.Request)
-            else [io.CancelAttempt("r2", 0)]
-            if isinstance(e, io.TimerFired)
-            else [io.Attempt(e.request, "b1")]
-            if isinstance(e, io.AttemptEnded) and not e.done
+            lambda e: [actions.Attempt(e.id, "b0")]
+            if isinstance(e, events.Request)
+            else [actions.CancelAttempt("r2", 0)]
+            if isinstance(e, events.TimerFired)
+            else [actions.Attempt(e.request, "b1")]
+            if isinstance(e, events.AttemptEnded) and not e.done
             else []
         )
         client = await rig.start(b0=slow.port, b1=fast.port)
@@ -191,11 +192,11 @@
         rig.script.decide = decide
         client.writer.write(call("r2"))
         await until(lambda: slow.seen)
-        rig.ingress.submit(io.TimerFired(1))
+        rig.ingress.submit(events.TimerFired(1))
         slow.seen[0].writer.transport.pause_reading()  # its end stays in the kernel, to be looked at
         assert (await client.answer())[0] == 200
         assert ended[-1] is True
-        assert [e.outcome for e in rig.script.ends()][1:] == [io.Outcome.CANCELLED, io.Outcome.OK]
+        assert [e.outcome for e in rig.script.ends()][1:] == [Outcome.CANCELLED, Outcome.OK]
 
     run(main())
 
@@ -204,15 +205,15 @@
     async def main():
         slow, fast = await Peer.start(None), await Peer.start()
         rig = Rig(
-            lambda e: [io.Attempt(e.id, "b0", 0.05)]
-            if isinstance(e, io.Request)
-            else [io.Attempt(e.request, "b1")]
-            if isinstance(e, io.AttemptEnded) and not e.done
+            lambda e: [actions.Attempt(e.id, "b0", 0.05)]
+            if isinstance(e, events.Request)
+            else [actions.Attempt(e.request, "b1")]
+            if isinstance(e, events.AttemptEnded) and not e.done
             else []
         )
         client = await rig.start(b0=slow.port, b1=fast.port)
         assert (await client.ask(call()))[0] == 200
-        assert [(e.attempt, e.outcome) for e in rig.script.ends()] == [(0, io.Outcome.TIMEOUT), (1, io.Outcome.OK)]
+        assert [(e.attempt, e.outcome) for e in rig.script.ends()] == [(0, Outcome.TIMEOUT), (1, Outcome.OK)]
 
     run(main())
 
@@ -227,10 +228,10 @@
 
         slow, fast = await Peer(act).listen(), await Peer.start(ok(b"in time"))
         rig = Rig(
-            lambda e: [io.Attempt(e.id, "b0", 0.05)]
-            if isinstance(e, io.Request)
-            else [io.Attempt(e.request, "b1")]
-            if isinstance(e, io.AttemptEnded) and not e.done
+            lambda e: [actions.Attempt(e.id, "b0", 0.05)]
+            if isinstance(e, events.Request)
+            else [actions.Attempt(e.request, "b1")]
+            if isinstance(e, events.AttemptEnded) and not e.done
             else []
         )
         client = await rig.start(b0=slow.port, b1=fast.port)
@@ -269,7 +270,7 @@
             with seen.socket() as s:
                 s.shutdown(socket.SHUT_WR)  # the ingress's loop has not heard of it yet
         assert (await one.ask(call("d")))[0] == 200
-        assert [e.outcome for e in rig.script.ends()] == [io.Outcome.OK] * 4 and backend.connections == 3
+        assert [e.outcome for e in rig.script.ends()] == [Outcome.OK] * 4 and backend.connections == 3
 
     run(main())
 
@@ -328,8 +329,8 @@
 
         backend = await Peer(act).listen()
         rig = Rig(
-            lambda e: [io.Attempt(e.id, "b0", 0.05 if e.id == "c" else None)]
-            if isinstance(e, io.Request)
+            lambda e: [actions.Attempt(e.id, "b0", 0.05 if e.id == "c" else None)]
+            if isinstance(e, events.Request)
             else in_turn("b0")(e)
         )
         one = await rig.start(b0=backend.port)
@@ -351,10 +352,10 @@
     async def main():
         backends = [await Peer.start() for _ in range(3)]
         rig = Rig(
-            lambda e: [io.Attempt(e.id, e.id)]
-            if isinstance(e, io.Request)
-            else [io.Refuse(e.request)]
-            if isinstance(e, io.AttemptEnded) and not e.done
+            lambda e: [actions.Attempt(e.id, e.id)]
+            if isinstance(e, events.Request)
+            else [actions.Refuse(e.request)]
+            if isinstance(e, events.AttemptEnded) and not e.done
             else []
         )
         rig.upstream.most = 2
@@ -367,6 +368,6 @@
         for pool in rig.upstream.pools.values():
             pool.close_idle()
         assert (await client.ask(call("b1")))[0] == 503
-        assert rig.script.ends()[-1].outcome is io.Outcome.CONNECT_FAILED
+        assert rig.script.ends()[-1].outcome is Outcome.CONNECT_FAILED
 
     run(main())
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -8,8 +8,10 @@
 
 import pytest
 
-from thistleusher import interface as io
 from thistleusher import wirehost
+from thistleusher.core import actions, events
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.settings import Effect
 from thistleusher.settings import BadSetting
 
 BORN = (
@@ -48,29 +50,29 @@
     [
         (
             ["UPDATE 3 SAVED 4 1", ROW],
-            io.ListUpdate(
-                io.ListKind.SAVED, 4, (io.BackendEntry("10.0.0.1:80", io.Phase.RUNNING, 1.0, "std", 0, 0.0, "z0"),)
+            events.ListUpdate(
+                ListKind.SAVED, 4, (BackendEntry("10.0.0.1:80", Phase.RUNNING, 1.0, "std", 0, 0.0, "z0"),)
             ),
         ),
-        (["UPDATE 3 FAILED 4 0"], io.ListUpdate(io.ListKind.FAILED, 4, ())),
+        (["UPDATE 3 FAILED 4 0"], events.ListUpdate(ListKind.FAILED, 4, ())),
         (
             ["WORK_ITEM 3 abc read basic 99 0.24 2 3 1 6"],
-            io.Request("abc", "read", "basic", 99, 0.24, 2.0, 3, 1, True, True),
+            events.Request("abc", "read", "basic", 99, 0.24, 2.0, 3, 1, True, True),
         ),
-        (["WORK_ITEM 3 abc read basic 99 0.24 2 - - -"], io.Request("abc", "read", "basic", 99, 0.24, 2.0)),
+        (["WORK_ITEM 3 abc read basic 99 0.24 2 - - -"], events.Request("abc", "read", "basic", 99, 0.24, 2.0)),
         (
             ["RETURNED 3 abc 0 b:1 success 0.02 1 86 3 14.5,0.62"],
-            io.AttemptEnded("abc", 0, "b:1", io.Outcome.OK, 0.02, True, 86, 3.0, {"latency_ms": 14.5, "util": 0.62}),
+            events.AttemptEnded("abc", 0, "b:1", Outcome.OK, 0.02, True, 86, 3.0, {"latency_ms": 14.5, "util": 0.62}),
         ),
-        (["RETURNED 3 abc 1 b:1 void 0 0 - - -"], io.AttemptEnded("abc", 1, "b:1", io.Outcome.MOOT, 0.0, False)),
-        (["TALLIED 3 0.002 77 success 38"], io.CounterReply(77, io.Outcome.OK, 0.002, 38.0)),
-        (["TALLIED 3 0.08 77 timed_out -"], io.CounterReply(77, io.Outcome.TIMEOUT, 0.08, 0.0)),
-        (["FIRED 3 9"], io.TimerFired(9)),
-        (["EXPIRED 3 abc"], io.ClientGone("abc")),
-        (["UNDER_WAY 3 abc 0.1 b:1 0"], io.AttemptStarted("abc", 0, "b:1", 0.1)),
-        (["PROBE_DONE 3 b:1 success 0.1 -"], io.ProbeEnded("b:1", io.Outcome.OK, 0.1)),
-        (["HEARD 3 2 68692037"], io.PeerMessage(2, b"hi 7")),
-        (["HEARD 3 2 -"], io.PeerMessage(2, b"")),
+        (["RETURNED 3 abc 1 b:1 void 0 0 - - -"], events.AttemptEnded("abc", 1, "b:1", Outcome.MOOT, 0.0, False)),
+        (["TALLIED 3 0.002 77 success 38"], events.CounterReply(77, Outcome.OK, 0.002, 38.0)),
+        (["TALLIED 3 0.08 77 timed_out -"], events.CounterReply(77, Outcome.TIMEOUT, 0.08, 0.0)),
+        (["FIRED 3 9"], events.TimerFired(9)),
+        (["EXPIRED 3 abc"], events.ClientGone("abc")),
+        (["UNDER_WAY 3 abc 0.1 b:1 0"], events.AttemptStarted("abc", 0, "b:1", 0.1)),
+        (["PROBE_DONE 3 b:1 success 0.1 -"], events.ProbeEnded("b:1", Outcome.OK, 0.1)),
+        (["HEARD 3 2 68692037"], events.PeerMessage(2, b"hi 7")),
+        (["HEARD 3 2 -"], events.PeerMessage(2, b"")),
     ],
 )
 def test_every_event(lines, event):
@@ -89,21 +91,21 @@
 @pytest.mark.parametrize(
     "action,line",
     [
-        (io.Attempt("abc", "b:1", 0.08), "SUBMIT_TO 3 abc b:1 0.080000"),
-        (io.Attempt("abc", "b:1"), "SUBMIT_TO 3 abc b:1 0"),
-        (io.CounterAdd(77, -4.0, 3.0), "COUNT 3 3.000000 77 -4"),
-        (io.CounterAdd(77, 0.5, 3.0), "COUNT 3 3.000000 77 0.500000"),
-        (io.Refuse("abc", 0.25), "DECLINE 3 abc 0.250000"),
-        (io.Fail("abc"), "FINISH_ERROR 3 abc"),
-        (io.SetTimer(0.5, 7), "DEFER 3 0.500000 7"),
-        (io.CancelAttempt("abc", 1), "DROP_ATTEMPT 3 abc 1"),
-        (io.Probe("b:1"), "TOUCH 3 b:1"),
-        (io.CloseIdle("b:1"), "CLOSE_IDLE 3 b:1"),
-        (io.Tell(None, b"hi 7"), "MEMO_TO 3 * 68692037"),
-        (io.Tell(2, b"a"), "MEMO_TO 3 2 61"),
-        (io.Subscribe(True), "FOLLOW 3 1"),
-        (io.FetchList(), "GET_LIST 3"),
-        (io.Log("two\nlines"), "EMIT 3 two lines"),
+        (actions.Attempt("abc", "b:1", 0.08), "SUBMIT_TO 3 abc b:1 0.080000"),
+        (actions.Attempt("abc", "b:1"), "SUBMIT_TO 3 abc b:1 0"),
+        (actions.CounterAdd(77, -4.0, 3.0), "COUNT 3 3.000000 77 -4"),
+        (actions.CounterAdd(77, 0.5, 3.0), "COUNT 3 3.000000 77 0.500000"),
+        (actions.Refuse("abc", 0.25), "DECLINE 3 abc 0.250000"),
+        (actions.Fail("abc"), "FINISH_ERROR 3 abc"),
+        (actions.SetTimer(0.5, 7), "DEFER 3 0.500000 7"),
+        (actions.CancelAttempt("abc", 1), "DROP_ATTEMPT 3 abc 1"),
+        (actions.Probe("b:1"), "TOUCH 3 b:1"),
+        (actions.CloseIdle("b:1"), "CLOSE_IDLE 3 b:1"),
+        (actions.Tell(None, b"hi 7"), "MEMO_TO 3 * 68692037"),
+        (actions.Tell(2, b"a"), "MEMO_TO 3 2 61"),
+        (actions.Subscribe(True), "FOLLOW 3 1"),
+        (actions.FetchList(), "GET_LIST 3"),
+        (actions.Log("two\nlines"), "EMIT 3 two lines"),
     ],
 )
 def test_every_action(action, line):
@@ -115,7 +117,7 @@
     _, rec = host()
     s = rec.settings
     assert (s.instances, s.me, s.counter, s.max_attempts, s.load_in_answers) == (2, 1, True, 3, True)
-    assert s.classes[0].effect is io.Effect.SAFE
+    assert s.classes[0].effect is Effect.SAFE
     assert s.plans[0].burst == 8.0 and s.plans[0].ceiling_rate == 0.0
     assert rec.seed == 17
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -7,7 +7,9 @@
 import pytest
 
 from tests.helpers import Ingress, only, some
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.settings import PlanSettings
 from thistleusher.policy.work import FIRST, LEAST, MOST, WorkOfClass
 
 
@@ -52,34 +54,34 @@
 
 def trained(backends=2, **more):
     """An ingress that has seen answers in proportion to units."""
-    g = Ingress(backends=backends, plans=(io.PlanSettings("basic", rate=1e6, burst=1e6),), **more)
+    g = Ingress(backends=backends, plans=(PlanSettings("basic", rate=1e6, burst=1e6),), **more)
     for n in range(4 * FIRST):
         units = 1.0 + 5 * (n % 2)
-        g.end(only(g.ask("read", units=units), io.Attempt), elapsed=0.05 * units)
+        g.end(only(g.ask("read", units=units), actions.Attempt), elapsed=0.05 * units)
     return g
 
 
 def test_a_backend_with_one_large_request_is_passed_over_for_one_with_two_small_ones():
     g = trained()
-    large = only(g.ask("read", units=6.0), io.Attempt)
-    small = [only(g.ask("read", units=1.0), io.Attempt) for _ in range(3)]
+    large = only(g.ask("read", units=6.0), actions.Attempt)
+    small = [only(g.ask("read", units=1.0), actions.Attempt) for _ in range(3)]
     assert all(a.backend != large.backend for a in small)
 
 
 def test_a_large_request_does_not_make_its_backend_count_as_silent():
     g = trained()
-    large = only(g.ask("read", units=6.0), io.Attempt)
+    large = only(g.ask("read", units=6.0), actions.Attempt)
     g.beat(8 * 0.05 * 3.5 - 0.2)  # longer than eight answers to a small request
-    assert not [a for a in g.log if isinstance(a, io.Log) and "silent" in a.text]
+    assert not [a for a in g.log if isinstance(a, actions.Log) and "silent" in a.text]
     g.beat(4.0)
-    assert [a for a in g.log if isinstance(a, io.Log) and f"{large.backend}: silent" in a.text]
+    assert [a for a in g.log if isinstance(a, actions.Log) and f"{large.backend}: silent" in a.text]
 
 
 def test_work_out_goes_back_to_nothing_whatever_the_ends():
     g = trained(backends=3)
-    outs = [only(g.ask("once", units=1.0 + n % 6), io.Attempt) for n in range(5)]
-    for a, outcome in zip(outs, io.Outcome, strict=False):
-        for again in some(g.end(a, outcome, done=outcome is not io.Outcome.FULL), io.Attempt):
+    outs = [only(g.ask("once", units=1.0 + n % 6), actions.Attempt) for n in range(5)]
+    for a, outcome in zip(outs, Outcome, strict=False):
+        for again in some(g.end(a, outcome, done=outcome is not Outcome.FULL), actions.Attempt):
             g.end(again, n=1)
     assert g.gw.fleet.out == 0 and g.gw.fleet.load == 0.0
     assert all(b.work == 0.0 and not b.out for b in g.gw.fleet.backends.values())
@@ -90,15 +92,15 @@
     """Its budget is in units of mean work: one large request uses it up, two small ones do not."""
     g = trained(backends=3, start_capacity=0.2, cold_time=1e6)
     g.give(
-        io.ListUpdate(
-            io.ListKind.CHANGE,
+        events.ListUpdate(
+            ListKind.CHANGE,
             2,
             (
-                io.BackendEntry("b2", io.Phase.RUNNING, born=g.now, zone="z0", cell=2),
-                *(io.BackendEntry(name, io.Phase.STOPPING) for name in ("b0", "b1")),
+                BackendEntry("b2", Phase.RUNNING, born=g.now, zone="z0", cell=2),
+                *(BackendEntry(name, Phase.STOPPING) for name in ("b0", "b1")),
             ),
         )
     )
     g.gw.fleet.backends["b2"].tokens = 1.5
-    sent = [a for _ in range(2) for a in some(g.ask("read", units=units), io.Attempt)]
+    sent = [a for _ in range(2) for a in some(g.ask("read", units=units), actions.Attempt)]
     assert [a.backend for a in sent] == ["b2"] * at_once
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from thistleusher import interface as io
-from thistleusher.interface import TOLD_MOST
+from thistleusher.core.datagrams import TOLD_MOST
+from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.ledger import Ledger, Placement
 from thistleusher.ledger.bound import fresh_room
 from thistleusher.ledger.escrow import WANT_S, Terms
@@ -11,19 +11,19 @@
 from thistleusher.talk import Talk
 
 
-def make_gateway(settings: io.Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
+def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
     """One ingress's decisions. `now` is Unix time in seconds, at which it begins; `placement` of several counters."""
     return Gateway(settings, seed, now, make_ledger(settings, now), placement, make_talk(settings, now))
 
 
-def make_talk(settings: io.Settings, now: float) -> Talk | None:
+def make_talk(settings: Settings, now: float) -> Talk | None:
     """A large fleet's talk; None where all is told to all."""
     if not settings.large:
         return None
     return Talk(settings.instances, settings.me, settings.peer_in_per_s, TOLD_MOST, settings.counter_timeout, now)
 
 
-def terms_of(plan: io.PlanSettings, most: float) -> Terms | None:
+def terms_of(plan: PlanSettings, most: float) -> Terms | None:
     """What shares are held of; `most`: units of a request. None where a plan has neither ceiling nor quota."""
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(plan.ceiling_rate, plan.ceiling_burst, fresh=fresh_room(plan), ahead=most)
@@ -32,13 +32,13 @@
     return Terms(plan.rate, plan.burst, most, fresh_room(plan), strict=False, ahead=most)
 
 
-def room_terms(settings: io.Settings) -> dict[str, tuple[float, float]]:
+def room_terms(settings: Settings) -> dict[str, tuple[float, float]]:
     """Rate and burst of what rooms are noted of, by plan: under others a note says nothing."""
     found = {p.name: terms_of(p, settings.max_units) for p in settings.plans}
     return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
 
 
-def make_ledger(settings: io.Settings, now: float) -> Ledger | None:
+def make_ledger(settings: Settings, now: float) -> Ledger | None:
     """Escrowed shares of ceilings, and of quotas where there is none; None where ingresses cannot tell each other.
 
     Wants and their answers take at most half of the messages that an ingress takes in. A fleet that begins together
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -6,13 +6,13 @@
 import sys
 from collections.abc import Sequence
 
-from thistleusher import interface as io
+from thistleusher.core.settings import Settings
 from thistleusher.ledger.bound import Assumed, table
 from thistleusher.net.config import BadConfiguration, read_data
 from thistleusher.settings import BadSetting, nested_settings
 
 
-def read(path: str) -> io.Settings:
+def read(path: str) -> Settings:
     """The settings of a configuration file; BadConfiguration names the file and what is wrong in it."""
     data = read_data(path)
     try:
--- a/thistleusher/core/answers.py
+++ b/thistleusher/core/answers.py
@@ -11,8 +11,8 @@
 import json
 import math
 
-from thistleusher import interface as io
 from thistleusher.core.ports import Final, Verdict
+from thistleusher.core.settings import PlanSettings
 
 STATUS = {
     Verdict.SERVED: 200,
@@ -65,7 +65,7 @@
     return json.dumps(body).encode()
 
 
-def ratelimit_headers(plan: io.PlanSettings, room: float) -> tuple[tuple[bytes, bytes], ...]:
+def ratelimit_headers(plan: PlanSettings, room: float) -> tuple[tuple[bytes, bytes], ...]:
     """What is left of a quota: `q` units a window of `w` s; `r` left now, full again in `t` s, whole numbers.
 
     `room` in units. Empty where the plan has no quota.
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -19,7 +19,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.events import Event, Outcome
 from thistleusher.core.ports import (
     AttemptPort,
     BackendPort,
@@ -32,6 +33,7 @@
     Timer,
     Verdict,
 )
+from thistleusher.core.settings import Effect, Group, Settings
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +57,9 @@
         "over",
     )
 
-    def __init__(self, request: io.Request, on_final: Callable[[Final], None], context: Any, deadline: float) -> None:
+    def __init__(
+        self, request: events.Request, on_final: Callable[[Final], None], context: Any, deadline: float
+    ) -> None:
         self.request, self.on_final, self.context, self.deadline = request, on_final, context, deadline
         self.timer: Timer | None = None
         self.attempts = 0
@@ -69,7 +73,7 @@
 
     def __init__(
         self,
-        settings: io.Settings,
+        settings: Settings,
         gateway: Decisions,
         backends: BackendPort,
         scheduler: Scheduler,
@@ -81,21 +85,21 @@
         self.counter: CounterPort | None = None
         self.peers: PeerPort | None = None
         self.held: dict[str, Held] = {}
-        self.events: deque[io.Event] = deque()
+        self.events: deque[Event] = deque()
         self.busy = self.closed = False
         self.clock = 0.0
         self.timers: set[Timer] = set()
         self.carry: dict[type, Callable[[Any], None]] = {
-            io.Attempt: self._attempt,
-            io.CounterAdd: self._count,
-            io.SetTimer: self._set_timer,
-            io.Refuse: self._refuse,
-            io.Fail: self._fail,
-            io.CancelAttempt: self._cancel,
-            io.Tell: self._tell,
-            io.Probe: lambda a: self.backends.probe(a.backend),
-            io.CloseIdle: lambda a: self.backends.close_idle(a.backend),
-            io.Log: lambda a: log.info("%s", a.text),
+            actions.Attempt: self._attempt,
+            actions.CounterAdd: self._count,
+            actions.SetTimer: self._set_timer,
+            actions.Refuse: self._refuse,
+            actions.Fail: self._fail,
+            actions.CancelAttempt: self._cancel,
+            actions.Tell: self._tell,
+            actions.Probe: lambda a: self.backends.probe(a.backend),
+            actions.CloseIdle: lambda a: self.backends.close_idle(a.backend),
+            actions.Log: lambda a: log.info("%s", a.text),
         }  # the list of servers is always followed
 
     # Events.
@@ -105,7 +109,7 @@
         self.clock = max(self.clock, self.unix())
         return self.clock
 
-    def submit(self, event: io.Event) -> None:
+    def submit(self, event: Event) -> None:
         """Hand an event to the module. One that comes about while another is handled waits for its turn."""
         self.events.append(event)
         if self.busy:
@@ -117,7 +121,7 @@
         finally:
             self.busy = False
 
-    def _decide(self, event: io.Event) -> None:
+    def _decide(self, event: Event) -> None:
         """A fault of the module or of an action ends the request that it is about, not the program."""
         try:
             for action in self.gateway.handle(self.now(), event):
@@ -126,29 +130,29 @@
                     carry(action)
         except Exception:
             log.exception("deciding on %r", event)
-            name = event.id if isinstance(event, io.Request) else getattr(event, "request", None)
+            name = event.id if isinstance(event, events.Request) else getattr(event, "request", None)
             held = self.held.get(name) if isinstance(name, str) else None
             if held is not None:
                 self.answer(held, Final(Verdict.FAULT))
-                self.events.append(io.ClientGone(held.request.id))  # the module may hold it still
+                self.events.append(events.ClientGone(held.request.id))  # the module may hold it still
 
-    def _count(self, a: io.CounterAdd) -> None:
+    def _count(self, a: actions.CounterAdd) -> None:
         if self.counter is not None:
             self.counter.add(a.name, a.amount, a.lifetime)
         else:
-            self.submit(io.CounterReply(a.name, io.Outcome.CONNECT_FAILED, 0.0, 0.0))
+            self.submit(events.CounterReply(a.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
 
-    def _tell(self, a: io.Tell) -> None:
+    def _tell(self, a: actions.Tell) -> None:
         if self.peers is not None:
             self.peers.tell(a.peer, a.payload)
 
-    def _set_timer(self, a: io.SetTimer) -> None:
+    def _set_timer(self, a: actions.SetTimer) -> None:
         if self.closed:
             return
 
         def fire() -> None:
             self.timers.discard(timer)
-            self.submit(io.TimerFired(a.token))
+            self.submit(events.TimerFired(a.token))
 
         timer = self.scheduler.call_later(a.delay, fire)
         self.timers.add(timer)
@@ -156,7 +160,7 @@
     # Requests.
 
     def take(
-        self, request: io.Request, on_final: Callable[[Final], None], context: Any = None, came: float | None = None
+        self, request: events.Request, on_final: Callable[[Final], None], context: Any = None, came: float | None = None
     ) -> Held | None:
         """A request is owed one answer from here on. `came`: when its client's time began, on the scheduler.
 
@@ -182,7 +186,7 @@
         if held is None or held.answered:
             return
         held.answered = True
-        self.submit(io.ClientGone(name))
+        self.submit(events.ClientGone(name))
         if held.attempt is not None and not held.attempt.written:
             held.attempt.cancel()
         self._forget(held)
@@ -212,7 +216,7 @@
         if not held.answered:
             log.info("request %s: answered by the watchdog", held.request.id)
             self._give_up(held)
-            self.submit(io.ClientGone(held.request.id))
+            self.submit(events.ClientGone(held.request.id))
         self._forget(held)
 
     def _give_up(self, held: Held) -> None:
@@ -223,7 +227,7 @@
         """A refusal says that trying again is harmless: so it is where nothing ran, or where repeats are."""
         cls = self.classes[held.request.class_name]
         ran = held.may_have_run or (held.attempt is not None and held.attempt.written)
-        return not ran or cls.effect is io.Effect.SAFE or (cls.effect is io.Effect.KEYED and cls.group is io.Group.ALL)
+        return not ran or cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
 
     def _refusal(self, wait: float) -> Final:
         """Beyond a quota the module tells when there is room again."""
@@ -231,12 +235,12 @@
             Verdict.OVER_QUOTA if wait > 0 else Verdict.NO_ROOM, wait if wait > 0 else self.settings.max_retry_after
         )
 
-    def _refuse(self, a: io.Refuse) -> None:
+    def _refuse(self, a: actions.Refuse) -> None:
         held = self.held.get(a.request)
         if held is not None:
             self.answer(held, self._refusal(a.retry_in))
 
-    def _fail(self, a: io.Fail) -> None:
+    def _fail(self, a: actions.Fail) -> None:
         held = self.held.get(a.request)
         if held is not None:
             self.answer(held, Final(Verdict.FAILED))
@@ -250,7 +254,7 @@
 
     # Attempts.
 
-    def _attempt(self, a: io.Attempt) -> None:
+    def _attempt(self, a: actions.Attempt) -> None:
         """Send a request to a backend."""
         held = self.held.get(a.request)
         now = self.scheduler.time()
@@ -262,7 +266,7 @@
             )
             number = held.attempts if held is not None else 0
             done = held is None or held.answered or held.over
-            self.submit(io.AttemptEnded(a.request, number, a.backend, io.Outcome.MOOT, 0.0, done))
+            self.submit(events.AttemptEnded(a.request, number, a.backend, Outcome.MOOT, 0.0, done))
             return
         number, held.attempts = held.attempts, held.attempts + 1
         attempt = held.attempt = self.backends.prepare(
@@ -271,7 +275,7 @@
         left = held.deadline - now
         attempt.start(left if a.timeout is None else min(left, a.timeout))
 
-    def _cancel(self, a: io.CancelAttempt) -> None:
+    def _cancel(self, a: actions.CancelAttempt) -> None:
         held = self.held.get(a.request)
         if held is not None and held.attempt is not None and held.attempts == a.attempt + 1:
             held.attempt.cancel()
@@ -279,15 +283,15 @@
     def _ended(self, held: Held, number: int, attempt: AttemptPort, backend: str, ended: Ended, sent: float) -> None:
         """An attempt has its outcome: a good one is the answer, anything else is the module's to decide."""
         held.attempt = None
-        held.may_have_run |= attempt.written and ended.outcome is not io.Outcome.FULL
+        held.may_have_run |= attempt.written and ended.outcome is not Outcome.FULL
         units = 0.0
-        if ended.outcome is io.Outcome.OK:
+        if ended.outcome is Outcome.OK:
             # No request counts more than the most units: such a number cannot be meant.
             units = ended.true_units if ended.true_units <= self.settings.max_units else 0.0
             self.answer(held, Final(Verdict.SERVED, 0.0, ended.payload))
         elapsed = self.scheduler.time() - sent if ended.elapsed is None else ended.elapsed
         self.submit(
-            io.AttemptEnded(
+            events.AttemptEnded(
                 held.request.id,
                 number,
                 backend,
@@ -302,7 +306,7 @@
 
     def leave(self) -> None:
         """This ingress ends in order: what only it knows is handed on. Before `close`, with nothing held any more."""
-        self.submit(io.Leaving())
+        self.submit(events.Leaving())
 
     def close(self) -> None:
         """No timer rings any more, and what is still held gets its answer: failed or refused."""
--- a/thistleusher/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -7,7 +7,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from thistleusher import interface as io
+from thistleusher.core.actions import Action
+from thistleusher.core.events import Event, Outcome
 
 
 class Timer(Protocol):
@@ -29,7 +30,7 @@
 class Decisions(Protocol):
     """The decision module. `now` is Unix time in seconds and never goes back."""
 
-    def handle(self, now: float, event: io.Event) -> list[io.Action]: ...
+    def handle(self, now: float, event: Event) -> list[Action]: ...
 
 
 class CounterPort(Protocol):
@@ -80,7 +81,7 @@
 class Ended:
     """How an attempt ended. `elapsed` None: since the attempt was started, by the driver's clock."""
 
-    outcome: io.Outcome
+    outcome: Outcome
     payload: Any = None
     true_units: float = 0.0
     load: Mapping[str, float] = field(default_factory=dict)
--- a/thistleusher/core/request.py
+++ b/thistleusher/core/request.py
@@ -5,7 +5,8 @@
 import re
 from collections.abc import Iterable
 
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.settings import Effect, Settings
 
 CALL_ID = re.compile(rb"[!-~]{1,64}")
 BUDGET = re.compile(rb"([0-9]{1,10})([mu])")
@@ -37,12 +38,12 @@
 class RequestReader:
     """Reads requests under one ingress's settings; its cost does not grow with classes or plans."""
 
-    def __init__(self, settings: io.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.classes = {c.name.encode("latin-1", "replace"): c for c in settings.classes}
         self.plans = {p.name.encode("latin-1", "replace"): p.name for p in settings.plans}
 
-    def read(self, customer: bytes, method: bytes, headers: Iterable[tuple[bytes, bytes]]) -> io.Request:
+    def read(self, customer: bytes, method: bytes, headers: Iterable[tuple[bytes, bytes]]) -> events.Request:
         """The module's request out of the headers; BadRequest says what is wrong with them.
 
         `customer` is the 16 hex digits of the path. Times come out in seconds.
@@ -65,9 +66,9 @@
             raise BadRequest("x-call-class: no such class")
         if plan is None:
             raise BadRequest("x-tier: no such plan")
-        if (method == b"GET") != (cls.effect is io.Effect.SAFE) or method not in (b"GET", b"POST"):
+        if (method == b"GET") != (cls.effect is Effect.SAFE) or method not in (b"GET", b"POST"):
             raise BadRequest("the method does not fit the class")
-        if cls.effect is io.Effect.KEYED and not values.get(b"idempotency-key"):
+        if cls.effect is Effect.KEYED and not values.get(b"idempotency-key"):
             raise BadRequest("idempotency-key: missing")
         expires_in = int(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget else 0.0
         if not 0 < expires_in <= MAX_BUDGET_S:
@@ -75,7 +76,7 @@
         if cls.deadline > 0:  # a silent backend must not hold a request for longer than any client waits
             expires_in = min(expires_in, cls.deadline)
         units, spread, first = self.terms(values.get(b"x-call-terms", b""))
-        return io.Request(
+        return events.Request(
             call_id.decode(), cls.name, plan, number, expires_in, units, spread, first, values.get(b"x-again") == b"1"
         )
 
--- a/thistleusher/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -12,8 +12,9 @@
 from collections.abc import Awaitable, Callable, MutableMapping
 from typing import Any, Union
 
-from thistleusher import interface as io
+from thistleusher.core import events
 from thistleusher.core.answers import STATUS, headers_of, problem_of, ratelimit_headers
+from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
 from thistleusher.embed.call import PASS, Call, Passed
@@ -24,7 +25,7 @@
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
-Mapped = Union[Call, io.Request, Passed]
+Mapped = Union[Call, events.Request, Passed]
 Identify = Callable[[Scope], Union[Mapped, Awaitable[Mapped]]]
 
 SCOPE_KEY = "thistleusher.admission"
@@ -85,7 +86,7 @@
         else:
             await _Passage(self, self.ingress.admission(request), scope, receive, send).run()
 
-    async def map(self, scope: Scope) -> io.Request | None:
+    async def map(self, scope: Scope) -> events.Request | None:
         """The request that the scope stands for, None for one to pass; BadRequest is counted by the ingress."""
         try:
             mapped = self.identify(scope)
@@ -96,9 +97,9 @@
             raise
         if mapped is PASS:
             return None
-        return mapped if isinstance(mapped, io.Request) else self.ingress.request(mapped)
+        return mapped if isinstance(mapped, events.Request) else self.ingress.request(mapped)
 
-    def fields(self, request: io.Request) -> tuple[tuple[bytes, bytes], ...]:
+    def fields(self, request: events.Request) -> tuple[tuple[bytes, bytes], ...]:
         """The RateLimit fields for a member, where they are asked for."""
         if not self.ratelimit_fields:
             return ()
@@ -152,13 +153,13 @@
         if self.answer is None and not admission.begun and not admission.left and final is not None:
             await self.say(final)  # the application gave no answer
 
-    def outcome(self) -> io.Outcome:
+    def outcome(self) -> Outcome:
         """What the application's answer says of the attempt; one that is cut short is a failure."""
         if not self.complete:
-            return io.Outcome.ERROR
+            return Outcome.ERROR
         if self.status >= 500:
-            return io.Outcome.FULL if self.dropped and self.status in (503, 504) else io.Outcome.ERROR
-        return io.Outcome.OK
+            return Outcome.FULL if self.dropped and self.status in (503, 504) else Outcome.ERROR
+        return Outcome.OK
 
     async def say(self, final: Final) -> None:
         lines, body = headers_of(final, not self.middleware.decimal_retry_after), b""
--- a/thistleusher/embed/call.py
+++ b/thistleusher/embed/call.py
@@ -5,8 +5,9 @@
 from enum import Enum
 from typing import Final, Literal, NamedTuple
 
-from thistleusher import interface as io
+from thistleusher.core import events
 from thistleusher.core.request import MAX_BUDGET_S, MAX_CUSTOMER, BadRequest
+from thistleusher.core.settings import ClassSettings, PlanSettings, Settings
 
 
 class _Pass(Enum):
@@ -36,12 +37,12 @@
 
 
 def checked(
-    settings: io.Settings,
-    classes: dict[str, io.ClassSettings],
-    plans: dict[str, io.PlanSettings],
+    settings: Settings,
+    classes: dict[str, ClassSettings],
+    plans: dict[str, PlanSettings],
     call: Call,
     name: str,
-) -> io.Request:
+) -> events.Request:
     """The module's request; BadRequest says which part cannot be used. Nothing is charged then."""
     if not isinstance(call, Call):
         raise BadRequest(f"call: expected a Call, got {call!r}")
@@ -62,7 +63,7 @@
     spread = call.spread or settings.instances
     if not 1 <= spread <= settings.instances or not 0 <= call.first < settings.instances:
         raise BadRequest(f"spread, first: no such ingresses: {call.spread!r}, {call.first!r}")
-    return io.Request(
+    return events.Request(
         call.id or name,
         call.class_name,
         call.plan,
--- a/thistleusher/embed/counter.py
+++ b/thistleusher/embed/counter.py
@@ -6,7 +6,8 @@
 import time
 from collections.abc import Callable
 
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.events import Outcome
 
 
 class MemoryCounter:
@@ -44,11 +45,11 @@
 class MemoryPort:
     """One ingress's way to a memory counter."""
 
-    def __init__(self, counter: MemoryCounter, on_reply: Callable[[io.CounterReply], None]) -> None:
+    def __init__(self, counter: MemoryCounter, on_reply: Callable[[events.CounterReply], None]) -> None:
         self.counter, self.on_reply = counter, on_reply
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        self.on_reply(io.CounterReply(name, io.Outcome.OK, 0.0, self.counter.add(name, amount, lifetime)))
+        self.on_reply(events.CounterReply(name, Outcome.OK, 0.0, self.counter.add(name, amount, lifetime)))
 
     def close(self) -> None:
         """Nothing to close."""
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -21,11 +21,13 @@
 from types import TracebackType
 from typing import Any, NamedTuple, Protocol, Self
 
-from thistleusher import interface as io
 from thistleusher.assembly import make_gateway
+from thistleusher.core import events
 from thistleusher.core.driver import Driver, Held
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.ports import CounterPort, Ended, Final, Scheduler
 from thistleusher.core.request import BadRequest
+from thistleusher.core.settings import Settings
 from thistleusher.embed.call import Call, checked
 from thistleusher.embed.counter import MemoryCounter, MemoryPort
 from thistleusher.policy import Gateway
@@ -63,7 +65,7 @@
     Raises `NotServed` on entering where it is refused, and on leaving where its time was up first.
     """
 
-    def __init__(self, ingress: EmbeddedIngress, request: io.Request) -> None:
+    def __init__(self, ingress: EmbeddedIngress, request: events.Request) -> None:
         self.driver, self.request = ingress.driver, request
         self.check_loop, self.max_units = ingress.check_loop, ingress.settings.max_units
         self.final: Final | None = None
@@ -129,7 +131,7 @@
             await self._timeout.__aenter__()
         except asyncio.CancelledError:  # the host's own time-out, say: nothing was run
             self.leave()
-            self._end(Ended(io.Outcome.MOOT))
+            self._end(Ended(Outcome.MOOT))
             raise
 
     async def release(
@@ -137,18 +139,18 @@
         kind: type[BaseException] | None,
         error: BaseException | None,
         trace: TracebackType | None,
-        outcome: io.Outcome | None = None,
+        outcome: Outcome | None = None,
     ) -> None:
         """The host's code has ended; `outcome` where it says more than its exception does."""
         if self._timeout is None:
             return
         if kind is not None and issubclass(kind, asyncio.CancelledError) and not self.interrupted:
             self.leave()
-            self._end(Ended(io.Outcome.CANCELLED))
+            self._end(Ended(Outcome.CANCELLED))
         elif kind is not None:
-            self._end(Ended(outcome or io.Outcome.ERROR))
+            self._end(Ended(outcome or Outcome.ERROR))
         else:
-            self._end(Ended(outcome or io.Outcome.OK, None, self._units))
+            self._end(Ended(outcome or Outcome.OK, None, self._units))
         try:
             await self._timeout.__aexit__(kind, error, trace)
         except TimeoutError:
@@ -185,7 +187,7 @@
     def start(self, timeout: float) -> None:
         assert self._verdict is not None
         if self._verdict.done():  # its task was cancelled, and has not come round to saying so
-            self._end(Ended(io.Outcome.MOOT))
+            self._end(Ended(Outcome.MOOT))
             return
         self.written, self._started = True, self.driver.scheduler.time()
         self._verdict.set_result(None)
@@ -193,13 +195,13 @@
     def expire(self) -> None:
         """The request's time is up: an answer that has begun goes on, anything else is ended."""
         if not self.begun:
-            self._interrupt(io.Outcome.TIMEOUT)
+            self._interrupt(Outcome.TIMEOUT)
 
     def cancel(self) -> None:
         if not self.begun:
-            self._interrupt(io.Outcome.CANCELLED)
+            self._interrupt(Outcome.CANCELLED)
 
-    def _interrupt(self, outcome: io.Outcome) -> None:
+    def _interrupt(self, outcome: Outcome) -> None:
         if self.over:
             return
         self.interrupted = True
@@ -218,7 +220,7 @@
 
     def __init__(
         self,
-        settings: io.Settings,
+        settings: Settings,
         *,
         counter: str | MemoryCounter | None = None,
         peers: PeerAddresses | None = None,
@@ -290,8 +292,8 @@
             port.close()
             self._closed = True
             raise
-        entry = io.BackendEntry(APP, io.Phase.RUNNING)
-        driver.submit(io.ListUpdate(io.ListKind.SAVED, 1, (entry,)))
+        entry = BackendEntry(APP, Phase.RUNNING)
+        driver.submit(events.ListUpdate(ListKind.SAVED, 1, (entry,)))
         self._driver = driver
 
     async def close(self) -> None:
@@ -331,7 +333,7 @@
         """An admission to enter with `async with`. BadRequest where the call cannot be used."""
         return self.admission(self.request(call))
 
-    def request(self, call: Call) -> io.Request:
+    def request(self, call: Call) -> events.Request:
         """The checked request; BadRequest, counted in `invalid`, says what cannot be used."""
         try:
             return checked(self.settings, self.classes, self.plans, call, f"embedded-{next(self._numbers)}")
@@ -339,7 +341,7 @@
             self.invalid += 1
             raise
 
-    def admission(self, request: io.Request) -> Admission:
+    def admission(self, request: events.Request) -> Admission:
         """The same for a request that was checked."""
         self.check_loop()
         return Admission(self, request)
--- a/thistleusher/ledger/bound.py
+++ b/thistleusher/ledger/bound.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from thistleusher import interface as io
+from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.ledger.reserve import KEEP, TOP
 from thistleusher.talk.homes import CANDIDATES, MUTE_S
 from thistleusher.talk.talk import TELL_PART
@@ -61,7 +61,7 @@
     return tries * max(a.tell_every, every) + a.delay
 
 
-def paced(settings: io.Settings, width: int) -> float:
+def paced(settings: Settings, width: int) -> float:
     """Seconds between two tellings to one peer in a large fleet: a set's member shares sets with this many others.
 
     Assumed of the inbox: it takes in `peer_in_per_s`, and sets lie evenly, so that others send what is sent to them.
@@ -71,12 +71,12 @@
     return min(settings.instances - 1, 2 * (width - 1)) / (TELL_PART * settings.peer_in_per_s)
 
 
-def housed(settings: io.Settings, plan: io.PlanSettings, width: int) -> bool:
+def housed(settings: Settings, plan: PlanSettings, width: int) -> bool:
     """Whether members of such a set have a home that keeps their account."""
     return settings.large and plan.wide(width) and plan.ceiling_rate <= 0
 
 
-def bound_of(settings: io.Settings, plan: io.PlanSettings, assumed: Assumed, width: int = 0) -> Bound:
+def bound_of(settings: Settings, plan: PlanSettings, assumed: Assumed, width: int = 0) -> Bound:
     """The most that a member whose requests come through `width` ingresses (0: all) can get too much.
 
     In touch, an ingress does not know what the others have let in for `stale` seconds: each of them its burst and
@@ -134,12 +134,12 @@
     )
 
 
-def fresh_room(plan: io.PlanSettings) -> float:
+def fresh_room(plan: PlanSettings) -> float:
     """Units that a set which begins together may let in at once: one quota's burst, as a full store has it."""
     return min(plan.burst, plan.ceiling_burst) if plan.ceiling_rate > 0 else plan.burst
 
 
-def after_restart(plan: io.PlanSettings, b: Bound, seconds: float) -> tuple[float, float]:
+def after_restart(plan: PlanSettings, b: Bound, seconds: float) -> tuple[float, float]:
     """Units that a set which restarted together in an outage has let in at most by then, and what a full quota has."""
     rate = plan.ceiling_rate if plan.ceiling_rate > 0 else plan.rate
     at_once = b.quota_restart if b.ceiling_restart is None else b.ceiling_restart
@@ -151,7 +151,7 @@
     return sorted({*range(1, min(instances, 8) + 1), *(1 << n for n in range(4, instances.bit_length())), instances})
 
 
-def table(settings: io.Settings, assumed: Assumed) -> list[str]:
+def table(settings: Settings, assumed: Assumed) -> list[str]:
     """The figures of all plans, for people."""
     out = [
         f"{'plan':12} {'ingresses':>9} {'beyond quota, in touch':>23} {'cut off':>9} {'and split':>10}"
--- a/thistleusher/ledger/escrow.py
+++ b/thistleusher/ledger/escrow.py
@@ -33,8 +33,8 @@
 from itertools import islice
 from typing import NamedTuple
 
-from thistleusher import interface as io
-from thistleusher.interface import name_of, plan_of
+from thistleusher.core.datagrams import name_of, plan_of
+from thistleusher.core.snapshots import SavedRoom
 from thistleusher.ledger.beginning import HELLO_MARK, Lives
 from thistleusher.ledger.reserve import KEEP, Reserve
 
@@ -333,10 +333,10 @@
         self.kept = 3 * longest
         self.wants: dict[tuple[int, int], float] = {}
         self.changed: dict[tuple[int, int], None] | None = None  # since they were last noted; None: nothing is kept
-        self.notes: dict[tuple[int, int], io.SavedRoom] = {}  # of the earlier life, not asked for yet
+        self.notes: dict[tuple[int, int], SavedRoom] = {}  # of the earlier life, not asked for yet
         self.forgotten: dict[tuple[int, int], Reserve] = {}  # whose notes may still be on disk
 
-    def keep(self, notes: Iterable[io.SavedRoom], active: float | None) -> None:
+    def keep(self, notes: Iterable[SavedRoom], active: float | None) -> None:
         """Keep rooms from now on, and begin with those of an earlier life. Before anything is asked.
 
         `active`: until when that life may have been at work, None where there was none.
@@ -366,20 +366,20 @@
         if self.changed is not None:
             self.changed[key] = None
 
-    def saved(self, now: float, most: int) -> list[io.SavedRoom]:
+    def saved(self, now: float, most: int) -> list[SavedRoom]:
         """Notes of allowances that have changed, `most` at once, each one at a time: until `landed`, no other."""
-        out: list[io.SavedRoom] = []
+        out: list[SavedRoom] = []
         waiting: list[tuple[int, int]] = []
         changed = self.changed if self.changed is not None else {}
         for key in list(islice(changed, most)):
             del changed[key]
             a = self.allowances.get(key)
             if a is None:
-                out.append(io.SavedRoom(*key, 0, 1, 0.0, -math.inf))
+                out.append(SavedRoom(*key, 0, 1, 0.0, -math.inf))
             elif a.reserve is not None and a.reserve.written is not None:
                 waiting.append(key)
             else:
-                out.append(io.SavedRoom(*key, a.next_set[0], len(a.next_set), a.note(now), a.at))
+                out.append(SavedRoom(*key, a.next_set[0], len(a.next_set), a.note(now), a.at))
         for key in waiting:
             self.touched(key)
         return out
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from thistleusher import interface as io
+from thistleusher.core.settings import Settings
 from thistleusher.net.discovery import Listing, read_listing
 from thistleusher.net.wire import Address, read_address
 from thistleusher.settings import BadSetting, nested_settings
@@ -32,7 +32,7 @@
     sockets: int
     idle: float
     known: Listing | None
-    settings: io.Settings
+    settings: Settings
     load_fields: tuple[str, ...]
 
 
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -9,8 +9,8 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
 
-from thistleusher import interface as io
 from thistleusher.assembly import make_gateway
+from thistleusher.core.events import BackendEntry, Phase
 from thistleusher.core.ports import Scheduler
 from thistleusher.ledger.placement import Placement
 from thistleusher.net.config import Config
@@ -155,7 +155,7 @@
         True,
         tuple(
             (
-                io.BackendEntry(p.name, io.Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
+                BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
                 Endpoint((p.host, p.port), p.born),
             )
             for p in kept.places
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from thistleusher import interface as io
+from thistleusher.core.events import BackendEntry, Phase
 from thistleusher.net.upstream import Endpoint
 from thistleusher.net.wire import Address, read_address
 
@@ -21,7 +21,7 @@
 RETRY_S = 0.2
 CONNECT_S = 1.0
 MAX_LINE = 8 * 1024 * 1024
-PHASES = {"SERVING": io.Phase.RUNNING, "DRAINING": io.Phase.STOPPING, "DELETED": io.Phase.DELETED}
+PHASES = {"SERVING": Phase.RUNNING, "DRAINING": Phase.STOPPING, "DELETED": Phase.DELETED}
 
 
 class Listing(NamedTuple):
@@ -29,7 +29,7 @@
 
     version: int
     whole: bool
-    entries: tuple[tuple[io.BackendEntry, Endpoint | None], ...]
+    entries: tuple[tuple[BackendEntry, Endpoint | None], ...]
 
 
 def read_listing(message: Any) -> Listing:
@@ -51,7 +51,7 @@
         raise ValueError("not a list of backends: nested too deeply") from error
 
 
-def _entry(e: Any) -> tuple[io.BackendEntry, Endpoint | None]:
+def _entry(e: Any) -> tuple[BackendEntry, Endpoint | None]:
     name, status, born = e["name"], e["status"], float(e.get("since_ms") or 0) / 1000
     weight = float(e.get("weight", 1.0))
     if not isinstance(name, str) or not name or not math.isfinite(born) or not math.isfinite(weight):
@@ -60,8 +60,8 @@
         raise ValueError(f"status: {status!r}")
     phase = PHASES[status]
     # A deleted one needs no address any more.
-    endpoint = None if phase is io.Phase.DELETED else Endpoint(read_address(e["address"]), born)
-    return io.BackendEntry(
+    endpoint = None if phase is Phase.DELETED else Endpoint(read_address(e["address"]), born)
+    return BackendEntry(
         name, phase, weight, str(e.get("type", "")), int(e.get("group") or 0), born, str(e.get("zone", ""))
     ), endpoint
 
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -6,10 +6,12 @@
 import time
 from collections.abc import Callable
 
-from thistleusher import interface as io
+from thistleusher.core import events
 from thistleusher.core.answers import STATUS, headers_of
 from thistleusher.core.driver import Driver, Held
+from thistleusher.core.events import ListKind, Outcome, Phase
 from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
+from thistleusher.core.settings import Settings
 from thistleusher.net.discovery import Listing
 from thistleusher.net.upstream import Exchange, Upstream
 from thistleusher.net.wire import Answer, Call
@@ -50,7 +52,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: io.Settings,
+        settings: Settings,
         gateway: Decisions,
         upstream: Upstream,
         load_fields: tuple[str, ...] = (),
@@ -98,9 +100,9 @@
         def may_send() -> bool:
             return not held.answered and backend in self.serving
 
-        def ended(_: Exchange, outcome: io.Outcome, answer: Answer | None) -> None:
+        def ended(_: Exchange, outcome: Outcome, answer: Answer | None) -> None:
             units = 0.0
-            if answer is not None and outcome is io.Outcome.OK:
+            if answer is not None and outcome is Outcome.OK:
                 units = read_number(answer.headers.get(b"x-cost-units", b""))
             on_end(Ended(outcome, answer, units, self.load(answer) if self.settings.load_in_answers else {}))
 
@@ -110,8 +112,8 @@
         """Ask a backend for its load; the answer may be a 503."""
         began = self.loop.time()
 
-        def ended(exchange: Exchange, outcome: io.Outcome, answer: Answer | None) -> None:
-            self.submit(io.ProbeEnded(backend, outcome, self.loop.time() - began, self.load(answer)))
+        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
+            self.submit(events.ProbeEnded(backend, outcome, self.loop.time() - began, self.load(answer)))
 
         self.upstream.send(
             Exchange(
@@ -144,13 +146,13 @@
             self.serving.clear()
         for entry, endpoint in listing.entries:
             self.upstream.update(entry.backend, endpoint)
-            if entry.phase is io.Phase.RUNNING:
+            if entry.phase is Phase.RUNNING:
                 self.serving.add(entry.backend)
             else:
                 self.serving.discard(entry.backend)
                 self.upstream.close_idle(entry.backend)
-        kind = io.ListKind.SAVED if saved else io.ListKind.WHOLE if listing.whole else io.ListKind.CHANGE
-        self.submit(io.ListUpdate(kind, listing.version, tuple(e for e, _ in listing.entries)))
+        kind = ListKind.SAVED if saved else ListKind.WHOLE if listing.whole else ListKind.CHANGE
+        self.submit(events.ListUpdate(kind, listing.version, tuple(e for e, _ in listing.entries)))
 
 
 def read_number(text: bytes) -> float:
--- a/thistleusher/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
-from thistleusher import interface as io
+from thistleusher.core.events import Outcome
 from thistleusher.net.guard import Guard
 from thistleusher.net.wire import MAX_BODY, Address, Answer, AnswerReader
 
@@ -18,7 +18,7 @@
 SWEEP_S = 1.0
 STALL_S = 0.25  # in the middle of an answer, after which the rest is not waited for
 REFUSED_STATUS = (503, 504)
-UNSURE = (io.Outcome.TIMEOUT, io.Outcome.CANCELLED)
+UNSURE = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 def watch(sock: socket.socket, silent_s: float) -> None:
@@ -44,7 +44,7 @@
     most_body: int = MAX_BODY  # bytes
     mark: bytes = b""  # header in which an answer names its request, where it does
     silent_s: float = 0.0  # without an acknowledgement, after which a connection ends; 0: the kernel's own time
-    outcome_of: Callable[[Answer], io.Outcome] | None = None  # None: as `outcome_of` below
+    outcome_of: Callable[[Answer], Outcome] | None = None  # None: as `outcome_of` below
 
 
 DEFAULT_TERMS = Terms()
@@ -62,7 +62,7 @@
         backend: str,
         message: Callable[[], bytes],
         may_send: Callable[[], bool],
-        on_end: Callable[[Exchange, io.Outcome, Answer | None], None],
+        on_end: Callable[[Exchange, Outcome, Answer | None], None],
         guarded: bool = False,
         mark: bytes = b"",
         stall: Callable[[], float] = lambda: STALL_S,
@@ -85,7 +85,7 @@
         self.ended = False
         self.heard = 0  # what the pool had heard at the start
 
-    def end(self, outcome: io.Outcome, answer: Answer | None = None) -> None:
+    def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
         """Tell the outcome, the first time only."""
         if self.ended:
             return
@@ -94,19 +94,13 @@
             self.timer.cancel()
         self.on_end(self, outcome, answer)
 
-    def give_up(self, outcome: io.Outcome) -> None:
+    def give_up(self, outcome: Outcome) -> None:
         """Stop waiting. The connection is ended first, so that what is sent next is no second copy."""
         if self.ended:
             return
         if self.connection is not None:
             self.connection.drop()
-        self.end(
-            outcome
-            if self.written
-            else io.Outcome.MOOT
-            if outcome is io.Outcome.CANCELLED
-            else io.Outcome.CONNECT_FAILED
-        )
+        self.end(outcome if self.written else Outcome.MOOT if outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
 
 
 class Connection(asyncio.Protocol):
@@ -164,7 +158,7 @@
             self.spoilt("it ended before the request's last byte")
         elif not exchange.may_send():
             self.drop()
-            exchange.end(io.Outcome.MOOT)
+            exchange.end(Outcome.MOOT)
         else:
             exchange.written = True
             self.transport.write(last)
@@ -227,12 +221,12 @@
         log.debug("backend %s: %s", self.pool.backend, why)
         self.pool.guard.broke(self.pool.loop.time())
         if exchange.written:
-            exchange.end(io.Outcome.RESET)
+            exchange.end(Outcome.RESET)
         elif used:  # never whole: no attempt yet; a new connection follows, for which this does not hold again
             exchange.connection = None
             self.pool.reopen(exchange)
         else:
-            exchange.end(io.Outcome.CONNECT_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
 
     def drop(self) -> None:
         """End it at once: the kernel has its end before anything else is written anywhere."""
@@ -265,13 +259,13 @@
     return float("inf")
 
 
-def outcome_of(answer: Answer) -> io.Outcome:
+def outcome_of(answer: Answer) -> Outcome:
     """What an answer says of the attempt; only a whole 200 is served."""
     if answer.status == 200:
-        return io.Outcome.OK
+        return Outcome.OK
     if answer.status in REFUSED_STATUS and answer.headers.get(b"x-rejected") == b"1":
-        return io.Outcome.FULL
-    return io.Outcome.ERROR
+        return Outcome.FULL
+    return Outcome.ERROR
 
 
 class Pool:
@@ -362,7 +356,7 @@
         """Carry out one exchange; its outcome may come before this returns."""
         pool = self.pools.get(exchange.backend)
         if pool is None or not exchange.may_send():
-            exchange.end(io.Outcome.MOOT)
+            exchange.end(Outcome.MOOT)
             return
         exchange.heard = pool.heard
         exchange.guarded = exchange.guarded and self.guard.wary(self.loop.time())
@@ -377,7 +371,7 @@
         """A kept connection ended before the request's last byte: it goes out on a new one."""
         pool = self.pools.get(exchange.backend)
         if pool is None or not exchange.may_send():
-            exchange.end(io.Outcome.MOOT)
+            exchange.end(Outcome.MOOT)
         else:
             self.start(pool, exchange)
 
@@ -385,7 +379,7 @@
         """Open a connection for an exchange, if there is a socket for it."""
         if not self.room():
             log.warning("no socket is left for backend %s", exchange.backend)
-            exchange.end(io.Outcome.CONNECT_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
         else:
             task = self.loop.create_task(self.open(pool, exchange))
             self.tasks.add(task)
@@ -393,13 +387,13 @@
 
     def expire(self, exchange: Exchange) -> None:
         """No answer in time."""
-        self.give_up(exchange, io.Outcome.TIMEOUT)
+        self.give_up(exchange, Outcome.TIMEOUT)
 
     def cancel(self, exchange: Exchange) -> None:
         """Stop waiting for an attempt."""
-        self.give_up(exchange, io.Outcome.CANCELLED)
+        self.give_up(exchange, Outcome.CANCELLED)
 
-    def give_up(self, exchange: Exchange, outcome: io.Outcome) -> None:
+    def give_up(self, exchange: Exchange, outcome: Outcome) -> None:
         """If nothing at all has come from the backend since the start, its idle connections are dead too."""
         pool = self.pools.get(exchange.backend)
         if pool is not None and exchange.written and pool.heard == exchange.heard:
@@ -417,18 +411,18 @@
             connection = await self.connect(pool)
         except (OSError, TimeoutError) as error:
             log.debug("backend %s: connect: %r", pool.backend, error)
-            exchange.end(io.Outcome.CONNECT_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
             return
         finally:
             self.opening -= 1
         if connection.closed:
-            exchange.end(io.Outcome.CONNECT_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
         elif exchange.ended:
             pool.keep(connection)
         elif pool.retired or not exchange.may_send():
             # It began to drain, moved, or its client left meanwhile: not one byte goes out.
             connection.drop()
-            exchange.end(io.Outcome.MOOT)
+            exchange.end(Outcome.MOOT)
         else:
             connection.send(exchange)
 
--- a/thistleusher/net/wire.py
+++ b/thistleusher/net/wire.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from thistleusher import interface as io
+from thistleusher.core import events
 from thistleusher.services.wire import MAX_BODY, MAX_HEAD, Address, Answer, AnswerReader, read_address
 
 __all__ = ["MAX_BODY", "MAX_HEAD", "Address", "Answer", "AnswerReader", "Call", "read_address"]
@@ -14,7 +14,7 @@
 class Call:
     """A client's request once it has come whole and has been found sound."""
 
-    request: io.Request
+    request: events.Request
     start: bytes  # request line and the headers that go on unchanged
     body: bytes
     came: float  # loop time of its last byte
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -6,8 +6,11 @@
 import random
 from collections import deque
 
-from thistleusher import interface as io
-from thistleusher.interface import GIFTS, HOME_MARKS
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.datagrams import GIFTS, HOME_MARKS
+from thistleusher.core.events import Outcome
+from thistleusher.core.settings import Settings
 from thistleusher.policy.attempts import Attempts, Charge, Flight
 from thistleusher.policy.fleet import Fleet
 from thistleusher.policy.health import ALONE, ASK_DOWN, ASK_S
@@ -26,8 +29,8 @@
 class Admission:
     """Charges requests to their customers' counts and lets them in, or refuses them at once."""
 
-    def __init__(self, settings: io.Settings, rng: random.Random, sharing: Sharing, fleet: Fleet,
-                 attempts: Attempts, acts: list[io.Action]) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, sharing: Sharing, fleet: Fleet,
+                 attempts: Attempts, acts: list[Action]) -> None:
         self.s, self.rng, self.acts = settings, rng, acts
         self.sharing, self.fleet, self.attempts = sharing, fleet, attempts
         self.classes = {c.name: c for c in settings.classes}
@@ -37,7 +40,7 @@
         # Admitted of late, by plan and whether the request is a repeat.
         self.chance = {(p, again): 1.0 for p in self.plans for again in (False, True)}
 
-    def request(self, now: float, r: io.Request) -> None:
+    def request(self, now: float, r: events.Request) -> None:
         """Charge the told units to the customer's count; sure refusals may need no call."""
         cls, plan = self.classes[r.class_name], self.plans[r.plan]
         c = self.sharing.meet(now, r.customer, plan)
@@ -64,10 +67,10 @@
         talk, number = self.sharing.talk, self.sharing.plan_numbers[f.req.plan]
         message = talk.ask(now, home, f.req, number) if talk is not None else None
         if message is not None:
-            self.acts.append(io.Tell(home, message))
+            self.acts.append(actions.Tell(home, message))
         return message is not None
 
-    def told(self, now: float, e: io.PeerMessage) -> None:
+    def told(self, now: float, e: events.PeerMessage) -> None:
         """A question to this ingress as home, an answer to one of its own, or what is to be settled here."""
         talk, mark = self.sharing.talk, e.payload[:1]
         if talk is None or mark not in HOME_MARKS:
@@ -81,9 +84,9 @@
         if mark == HOME_MARKS[0] and (a := talk.asked(now, e.sender, e.payload)) is not None:
             c = self.sharing.housed(now, a.plan, a.customer, a.first, a.width)
             if a.answer:  # it has been charged already
-                self.acts.append(io.Tell(e.sender, a.answer))
+                self.acts.append(actions.Tell(e.sender, a.answer))
             elif c is not None:
-                r = io.Request("", "", c.plan.name, a.customer, math.inf, a.units, a.width, a.first)
+                r = events.Request("", "", c.plan.name, a.customer, math.inf, a.units, a.width, a.first)
                 self.charge(now, Charge(r, c, e.sender, a.number))
         elif mark == HOME_MARKS[1] and (answer := talk.answered(e.sender, e.payload)) is not None:
             name, good, room = answer
@@ -102,7 +105,7 @@
     def overdue(self, now: float) -> None:
         """Homes that have not answered in time: the ingress goes by what it knows, and asks the counter itself."""
         if (talk := self.sharing.talk) is not None:
-            self.acts += [io.Tell(peer, message) for peer, message in talk.again(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in talk.again(now)]
             for f in filter(None, map(self.attempts.flights.get, talk.overdue(now))):
                 self.local(now, f) if f.due else self.charge(now, f)
 
@@ -118,7 +121,7 @@
         """The home's word to the ingress that asked."""
         if self.sharing.talk is not None and f.peer is not None:
             room = f.customer.room(now) - f.customer.flying
-            self.acts.append(io.Tell(f.peer, self.sharing.talk.answer(f.peer, f.number, good, room)))
+            self.acts.append(actions.Tell(f.peer, self.sharing.talk.answer(f.peer, f.number, good, room)))
 
     def charge(self, now: float, f: Charge) -> None:
         """Charge it to the count, or decide by what is known where the counter cannot take so many calls."""
@@ -150,9 +153,9 @@
         health = self.sharing.counters.of(name)
         health.asked += ASK_OVER
         health.called = now
-        self.acts.append(io.CounterAdd(name, units, min(60.0, 3 * c.length)))
+        self.acts.append(actions.CounterAdd(name, units, min(60.0, 3 * c.length)))
 
-    def counted(self, now: float, e: io.CounterReply) -> None:
+    def counted(self, now: float, e: events.CounterReply) -> None:
         """A total came, or did not: admit, refuse and add back, or fall back on the local share."""
         queue = self.calls.get(e.name)
         if not queue:
@@ -165,20 +168,20 @@
         self.sharing.touched(c)
         health = self.sharing.counters.of(e.name)
         f = f if f is not None and (f.peer is not None or f.req.id in self.attempts.flights) else None
-        if e.outcome not in (io.Outcome.OK, io.Outcome.ERROR):
+        if e.outcome not in (Outcome.OK, Outcome.ERROR):
             health.missed(now)
             if health.misses == ALONE:
-                self.acts.append(io.Log("counter gives no answer: admitting by local shares"))
+                self.acts.append(actions.Log("counter gives no answer: admitting by local shares"))
             c.pending += units - (f.charge if f else 0.0)  # told again, unless a total shows that it counted
-            if e.outcome is io.Outcome.TIMEOUT:
+            if e.outcome is Outcome.TIMEOUT:
                 c.doubt = units + (c.doubt if c.doubted == window else 0.0)
                 c.doubted = window
             return self.local(now, f) if f else None
         if health.down():
-            self.acts.append(io.Log(f"counter answers again after {health.misses} misses"))
+            self.acts.append(actions.Log(f"counter answers again after {health.misses} misses"))
         health.answered(now, e.elapsed / self.s.counter_timeout)
         # Added, but the total cannot be read: it is at least what was known and this.
-        total = e.total if e.outcome is io.Outcome.OK else units + (c.total if c.window == window else 0.0)
+        total = e.total if e.outcome is Outcome.OK else units + (c.total if c.window == window else 0.0)
         self.learn(now, c, window, units, total, f.charge if f else 0.0)
         if f is None:
             return
@@ -197,8 +200,8 @@
             self.add(now, c, -f.charge, None)  # refused: the charge is added back
         if (self.s.peers and self.sharing.talk is None and not c.known and c.level < 1
                 and c.short(now) not in self.sharing.spent):
-            self.acts.append(io.Tell(None, c.short(now)))  # nothing more fits: peers need not ask
-            self.sharing.heard(now, io.PeerMessage(self.s.me, c.short(now)))
+            self.acts.append(actions.Tell(None, c.short(now)))  # nothing more fits: peers need not ask
+            self.sharing.heard(now, events.PeerMessage(self.s.me, c.short(now)))
         self.turn_away(now, f, (f.req.units - c.room(now)) / c.plan.rate)
 
     def guess(self, now: float, f: Charge) -> float:
@@ -243,7 +246,7 @@
         Its totals say nothing of what came before: the store goes on by what was let in here and what peers told.
         """
         if now - self.forgot > FORGOT_S:
-            self.acts.append(io.Log(f"counter forgets: {c.told:.1f} units of a name are gone; they are told anew"))
+            self.acts.append(actions.Log(f"counter forgets: {c.told:.1f} units of a name are gone; they are told anew"))
         self.forgot = now
         c.pending += c.told
         c.told, c.doubt, c.excess = 0.0, 0.0, 0.0
