--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -8,20 +8,23 @@
 
 import bisect
 
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.events import BackendEntry, Outcome
+from thistleusher.core.settings import ClassSettings, Effect, Group, Settings
 from thistleusher.policy.fleet import PRESSED, Fleet
 from thistleusher.policy.sharing import Sharing
 from thistleusher.policy.store import Customer
 
 SILENT_X = 8.0    # usual latencies of owed answers after which a backend counts as silent
 BEAT_S = 0.05     # between looks at silent backends and at what is held
-NEVER_RAN = (io.Outcome.FULL, io.Outcome.CONNECT_FAILED, io.Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class Charge:
     """Units that are asked for of a customer's quota: by a request here (`Flight`), or by a peer for one of its own."""
 
-    def __init__(self, req: io.Request, customer: Customer, peer: int | None = None, number: int = 0) -> None:
+    def __init__(self, req: events.Request, customer: Customer, peer: int | None = None, number: int = 0) -> None:
         """`peer`: who asks, by a question of this `number`."""
         self.req, self.customer, self.charge, self.peer, self.number = req, customer, req.units, peer, number
         self.thin = req.units * customer.width > customer.plan.burst  # an even share is under one request
@@ -34,27 +37,27 @@
 class Flight(Charge):
     """A request that is owed one final answer."""
 
-    def __init__(self, req: io.Request, cls: io.ClassSettings, customer: Customer, now: float,
+    def __init__(self, req: events.Request, cls: ClassSettings, customer: Customer, now: float,
                  work: float = 1.0) -> None:
         super().__init__(req, customer)
         self.cls, self.work = cls, work
         self.aim = now + min(cls.objective, req.expires_in)  # nothing is sent once its client is gone
         self.attempts, self.sent = 0, 0.0
         self.ran_at: float | None = None  # send time of the earliest attempt that may have run, and where
-        self.ran_on: io.BackendEntry | None = None
+        self.ran_on: BackendEntry | None = None
         self.bad, self.value = set[str](), cls.worth * customer.plan.price  # worth a unit; units go with work
 
 
 class Attempts:
     """Requests that are owed an answer."""
 
-    def __init__(self, settings: io.Settings, fleet: Fleet, sharing: Sharing, acts: list[io.Action]) -> None:
+    def __init__(self, settings: Settings, fleet: Fleet, sharing: Sharing, acts: list[Action]) -> None:
         self.s, self.fleet, self.sharing, self.acts = settings, fleet, sharing, acts
         self.flights: dict[str, Flight] = {}
         self.queue = list[Flight]()  # dearest first, then in the order in which they came
         self.armed = False  # a beat is set
 
-    def gone(self, e: io.ClientGone) -> None:
+    def gone(self, e: events.ClientGone) -> None:
         """Nothing more is owed."""
         self.flights.pop(e.request, None)
 
@@ -63,11 +66,11 @@
         del self.flights[f.req.id]
         if f.took > 0 and f.attempts == 0:  # what was never sent on uses nothing up
             self.sharing.settle(now, f, -f.took)
-        keyed = f.cls.effect is io.Effect.KEYED and f.cls.group is io.Group.ALL
-        if f.ran_at is not None and f.cls.effect is not io.Effect.SAFE and not keyed:
-            self.acts.append(io.Fail(f.req.id))
+        keyed = f.cls.effect is Effect.KEYED and f.cls.group is Group.ALL
+        if f.ran_at is not None and f.cls.effect is not Effect.SAFE and not keyed:
+            self.acts.append(actions.Fail(f.req.id))
         else:
-            self.acts.append(io.Refuse(f.req.id, min(max(wait, 0.0), self.s.max_retry_after)))
+            self.acts.append(actions.Refuse(f.req.id, min(max(wait, 0.0), self.s.max_retry_after)))
 
     def late(self, now: float, f: Flight) -> bool:
         """Whether a request that has to be held cannot make its aim."""
@@ -85,7 +88,7 @@
         f.attempts += 1
         f.sent = now
         self.fleet.sent(now, best, f)
-        self.acts.append(io.Attempt(f.req.id, best.entry.backend))
+        self.acts.append(actions.Attempt(f.req.id, best.entry.backend))
 
     def dispatch(self, now: float) -> None:
         """Send what is held as slots come free; it is looked through in full at each beat only."""
@@ -111,17 +114,17 @@
                 f = self.flights.get(name)
                 old = f is not None and now - f.sent > 2 * self.fleet.latency[f.cls.name] * f.work
                 if f is not None and old and self.s.may_cancel and self.may_send(now, f, f.ran_at or f.sent):
-                    self.acts.append(io.CancelAttempt(name, f.attempts - 1))
+                    self.acts.append(actions.CancelAttempt(name, f.attempts - 1))
         self.review(now)
 
     def may_send(self, now: float, f: Flight, ran_at: float | None) -> bool:
         """Whether one more attempt is allowed; if one may have run, by class and window too."""
         if f.attempts >= self.s.max_attempts or now + self.fleet.base[f.cls.name] * f.work > f.aim:
             return False
-        return ran_at is None or f.cls.effect is io.Effect.SAFE or (
-            f.cls.effect is io.Effect.KEYED and now < ran_at + f.cls.window - BEAT_S)
+        return ran_at is None or f.cls.effect is Effect.SAFE or (
+            f.cls.effect is Effect.KEYED and now < ran_at + f.cls.window - BEAT_S)
 
-    def ended(self, now: float, e: io.AttemptEnded) -> None:
+    def ended(self, now: float, e: events.AttemptEnded) -> None:
         """An attempt ended: learn from it, then serve, try again or give the final answer."""
         b, f = self.fleet.backends.get(e.backend), self.flights.get(e.request)
         self.fleet.ended(now, e)
@@ -133,11 +136,11 @@
             del self.flights[e.request]
             if self.queue:
                 self.dispatch(now)
-            if e.outcome is io.Outcome.OK and e.true_units > 0 and self.s.settles:
+            if e.outcome is Outcome.OK and e.true_units > 0 and self.s.settles:
                 self.sharing.settle(now, f, e.true_units - f.req.units)  # with the next call
             return
         f.bad.add(e.backend)
-        jammed = e.outcome is io.Outcome.FULL and self.fleet.press > PRESSED  # elsewhere it is full too
+        jammed = e.outcome is Outcome.FULL and self.fleet.press > PRESSED  # elsewhere it is full too
         if not jammed and self.may_send(now, f, f.ran_at):
             self.send(now, f)
         else:
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -13,7 +13,12 @@
 from itertools import islice
 from typing import NamedTuple
 
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.decision_ports import Routed
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.settings import ClassSettings, Effect, Group, Settings
+from thistleusher.core.snapshots import Learned, LearnedBackend, LearnedClass
 from thistleusher.policy.work import WorkOfClass
 
 BAD_SHARE = 0.5   # share of faults of a backend that is out of order
@@ -33,8 +38,8 @@
 COVER = 4  # parts at least that a backend is in
 SCAN, DRAWN, DRAWS = 24, 8, 4  # backends that are all looked at; of more, looked at in a draw, and draws
 TIE, RATE_S = 0.02, 5.0  # chance that breaks ties, span of the rate of answers
-FAULTS = (io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.CONNECT_FAILED)
-ANSWERS = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.RESET, io.Outcome.FULL)
+FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
+ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.FULL)
 
 
 class Out(NamedTuple):
@@ -50,7 +55,7 @@
 class Backend:
     """A server as seen from the ingress's own traffic."""
 
-    def __init__(self, entry: io.BackendEntry, now: float, phase: float) -> None:
+    def __init__(self, entry: BackendEntry, now: float, phase: float) -> None:
         self.entry, self.usable = entry, False
         self.out: dict[str, Out] = {}  # own attempts out
         self.work = 0.0  # of those, all together
@@ -71,7 +76,7 @@
     At all of them only where several such draws hold none that may be sent to.
     """
 
-    def __init__(self, settings: io.Settings, rng: random.Random, acts: list[io.Action], now: float) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, acts: list[Action], now: float) -> None:
         self.s, self.rng, self.acts = settings, rng, acts
         self.classes = {c.name: c for c in settings.classes}
         self.backends: dict[str, Backend] = {}
@@ -90,9 +95,9 @@
         self.sharers = 1 if settings.own_backends else settings.instances  # who send to these backends
         self.usable, self.rate, self.rate_at = 0, 0.0, now  # attempts a second to one warm backend
         self.each = SLOTS / self.sharers  # slots a backend to begin with
-        self.past: dict[str, io.LearnedBackend] = {}  # of an earlier life, for backends that the list has yet to name
+        self.past: dict[str, LearnedBackend] = {}  # of an earlier life, for backends that the list has yet to name
 
-    def meet(self, cls: io.ClassSettings) -> None:
+    def meet(self, cls: ClassSettings) -> None:
         """A class that the settings do not name."""
         if cls.name not in self.classes:
             self.latency[cls.name] = self.base[cls.name] = cls.objective * AIM_PART
@@ -108,7 +113,7 @@
         grown = (now - b.entry.born) / self.s.cold_time if b.entry.born > 0 and self.s.cold_time > 0 else 1.0
         return min(1.0, self.s.start_capacity + (1 - self.s.start_capacity) * max(0.0, grown))
 
-    def choose(self, now: float, f: io.Routed) -> Backend | None:
+    def choose(self, now: float, f: Routed) -> Backend | None:
         """Least own outstanding work over learned speed, among those that are healthy and allowed."""
         if not self.free(now):
             return None
@@ -129,20 +134,20 @@
         self.near = list(islice((b for b in ring if now >= b.resting), part))
         self.near_at = now
 
-    def least(self, now: float, f: io.Routed, among: list[Backend]) -> Backend | None:
+    def least(self, now: float, f: Routed, among: list[Backend]) -> Backend | None:
         """The one of least cost; None where none of them may be sent to now."""
         best: Backend | None = None
         least = 0.0
-        keyed = f.ran_on if f.cls.effect is io.Effect.KEYED else None
+        keyed = f.ran_on if f.cls.effect is Effect.KEYED else None
         keys = [(key, 1 + SHY * self.shy[key]) for key in (f.cls.name, f.req.plan)]
         for b in among:
             e = b.entry
             if e.backend in f.bad or now < b.resting:
                 continue
-            if b.trial and (b.out or f.cls.effect is io.Effect.UNSAFE):
+            if b.trial and (b.out or f.cls.effect is Effect.UNSAFE):
                 continue
-            if keyed is not None and ((f.cls.group is io.Group.ZONE and e.zone != keyed.zone) or (
-                    f.cls.group is io.Group.CELL and e.cell != keyed.cell)):
+            if keyed is not None and ((f.cls.group is Group.ZONE and e.zone != keyed.zone) or (
+                    f.cls.group is Group.CELL and e.cell != keyed.cell)):
                 continue
             if e.born > 0 and (ramp := self.cold(now, b)) < 1.0:
                 gain = self.rate * self.apart() * ramp * min(COLD_SAFETY * self.s.fall_multiple, COLD_MOST)
@@ -165,7 +170,7 @@
         """Times as often as a backend of all that one of this ingress's part is gone to; by as many ingresses fewer."""
         return len(self.ready) / len(self.near) if len(self.ready) > SCAN and self.near else 1.0
 
-    def sent(self, now: float, b: Backend, f: io.Routed) -> None:
+    def sent(self, now: float, b: Backend, f: Routed) -> None:
         """An attempt goes out."""
         b.out[f.req.id] = Out(now, f.cls.name, f.req.plan, f.req.units, f.work)
         b.work += f.work
@@ -175,7 +180,7 @@
         if self.cold(now, b) < 1.0:
             b.tokens -= f.work
 
-    def ended(self, now: float, e: io.AttemptEnded) -> None:
+    def ended(self, now: float, e: events.AttemptEnded) -> None:
         """An attempt has its outcome."""
         b = self.backends.get(e.backend)
         out = b.out.pop(e.request, None) if b is not None else None
@@ -189,12 +194,12 @@
                 self.load += b.work
             self.judge(now, b, e, out)
 
-    def judge(self, now: float, b: Backend, e: io.AttemptEnded, out: Out) -> None:
+    def judge(self, now: float, b: Backend, e: events.AttemptEnded, out: Out) -> None:
         """Latency, errors and concurrency limit of one backend; times as of a request of its class's mean work."""
         name, plan, took = out.cls, out.plan, e.elapsed / out.work
         b.answered = now if e.outcome in ANSWERS else b.answered  # a time-out is no sign of life, nor a fault
-        slow = e.outcome is io.Outcome.TIMEOUT and took > self.latency[name] and not b.aside
-        if e.outcome is io.Outcome.OK or slow:
+        slow = e.outcome is Outcome.TIMEOUT and took > self.latency[name] and not b.aside
+        if e.outcome is Outcome.OK or slow:
             times = min(took / self.base[name], TAIL)  # a few very costly requests are no jam
             b.ratio += 0.1 * (times - b.ratio)
             step = min(EASE_S, max(EASE, EASE_S * (now - self.judged)))  # few answers: each says more
@@ -206,11 +211,11 @@
                 self.slots += min(self.slots, 1 / self.slots)
             if self.slots < 1:  # less than one attempt out on average: a rest after each
                 self.paused = now + min(1.0, e.elapsed) * (1 / self.slots - 1)
-        if e.outcome in (io.Outcome.OK, io.Outcome.FULL):
+        if e.outcome in (Outcome.OK, Outcome.FULL):
             for key in (name, plan):  # some turn one class or plan away: told from a full fleet by who it is
-                b.shy[key] = (float(e.outcome is io.Outcome.FULL), now)
+                b.shy[key] = (float(e.outcome is Outcome.FULL), now)
                 self.shy[key] += 0.1 * (b.shy[key][0] - self.shy[key])
-        if e.outcome is io.Outcome.OK:
+        if e.outcome is Outcome.OK:
             # Served, not sent: requests turned away made warm servers look able to take more, cold ones too.
             self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + 1 / RATE_S / max(1, self.usable)
             self.rate_at = now
@@ -257,14 +262,14 @@
         if why == "silent" and not b.aside:
             b.aside = True
             self.load = max(0.0, self.load - b.work)
-        self.acts.append(io.Log(f"ejected {b.entry.backend}: {why}"))
+        self.acts.append(actions.Log(f"ejected {b.entry.backend}: {why}"))
 
-    def listed(self, now: float, e: io.ListUpdate) -> None:
+    def listed(self, now: float, e: events.ListUpdate) -> None:
         """Follow the list of servers: nothing new to what drains or is gone, slow start for what is new."""
-        if e.kind is io.ListKind.FAILED:
+        if e.kind is ListKind.FAILED:
             return
         for b in self.backends.values():
-            b.usable = b.usable and e.kind is io.ListKind.CHANGE
+            b.usable = b.usable and e.kind is ListKind.CHANGE
         for entry in e.entries:
             known = self.backends.get(entry.backend)
             if known is None or entry.born != known.entry.born:  # new, or its process is
@@ -275,12 +280,12 @@
                 if past is not None and past.born == entry.born:
                     new.ratio, new.errors, new.proof, new.resting, new.trial = past[1:]
                 known = new
-            known.entry, known.usable = entry, entry.phase is io.Phase.RUNNING
-        if e.kind is not io.ListKind.CHANGE:
+            known.entry, known.usable = entry, entry.phase is Phase.RUNNING
+        if e.kind is not ListKind.CHANGE:
             for name in self.backends.keys() - {entry.backend for entry in e.entries}:
-                self.backends[name].entry = self.backends[name].entry._replace(phase=io.Phase.DELETED)
+                self.backends[name].entry = self.backends[name].entry._replace(phase=Phase.DELETED)
         self.backends = {n: b for n, b in self.backends.items()  # gone, and nothing of ours out there
-                         if b.out or b.entry.phase is not io.Phase.DELETED}
+                         if b.out or b.entry.phase is not Phase.DELETED}
         self.ready = [b for b in self.backends.values() if b.usable]
         if len(self.ready) > SCAN:
             self.ready.sort(key=lambda b: zlib.crc32(b.entry.backend.encode()))
@@ -288,15 +293,15 @@
         self.usable = len(self.ready)
         self.slots = self.slots or max(2.0, self.each * self.usable)
 
-    def learned(self, now: float) -> io.Learned:
+    def learned(self, now: float) -> Learned:
         """What another life of this ingress can go on from. Costs a look at each backend."""
-        classes = {n: io.LearnedClass(self.latency[n], self.base[n], w.seen, w.units, w.time, w.spread, w.both)
+        classes = {n: LearnedClass(self.latency[n], self.base[n], w.seen, w.units, w.time, w.spread, w.both)
                    for n, w in self.work.items()}
-        return io.Learned(now, self.slots, self.usable, self.rate, classes, {
-            n: io.LearnedBackend(b.entry.born, b.ratio, b.errors, b.proof, b.resting, b.trial)
+        return Learned(now, self.slots, self.usable, self.rate, classes, {
+            n: LearnedBackend(b.entry.born, b.ratio, b.errors, b.proof, b.resting, b.trial)
             for n, b in self.backends.items() if b.usable})
 
-    def relearn(self, now: float, past: io.Learned) -> None:
+    def relearn(self, now: float, past: Learned) -> None:
         """Go on from there. Before any list."""
         for name, c in past.classes.items():
             if name in self.work:
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -1,4 +1,4 @@
-"""All decisions of a quota gateway; its settings, events and actions are in thistleusher/interface.py.
+"""All decisions of a quota gateway; its settings, events and actions are in thistleusher/core/.
 
 `Gateway` ties the concerns together. From the bottom up: `store` (one customer's bucket), `sharing` (stores
 in step with peers), `fleet` (backends), `attempts` (what is sent and tried again), `admission` (the counter).
@@ -11,7 +11,12 @@
 from itertools import islice
 from typing import Any
 
-from thistleusher import interface as io
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.decision_ports import CounterOf, Escrow, Talk
+from thistleusher.core.events import Event
+from thistleusher.core.settings import Settings
+from thistleusher.core.snapshots import Learned, SavedMember
 from thistleusher.policy.admission import Admission
 from thistleusher.policy.attempts import BEAT_S, Attempts
 from thistleusher.policy.fleet import Fleet
@@ -28,14 +33,14 @@
     `now` is Unix time in seconds, the same at all ingresses, and never goes back.
     """
 
-    def __init__(self, settings: io.Settings, seed: int, now: float, escrow: io.Escrow | None = None,
-                 placement: io.CounterOf | None = None, talk: io.Talk | None = None) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float, escrow: Escrow | None = None,
+                 placement: CounterOf | None = None, talk: Talk | None = None) -> None:
         """`escrow` holds members to shares while no total can be trusted; without it even shares do.
 
         `placement` tells which of several counters holds a name; `talk`, of a large fleet, who is told what.
         """
         self.s, rng = settings, random.Random(seed)
-        self.acts: list[io.Action] = []
+        self.acts: list[Action] = []
         self.counters = Counters(placement)
         self.sharing = Sharing(settings, self.counters, self.acts, now, escrow, talk)
         self.fleet = Fleet(settings, rng, self.acts, now)
@@ -44,12 +49,12 @@
         self.begun, self.escrow = False, self.sharing.escrow
         self.talk, self.asking, self.greeting = talk, False, False  # and whether those timers are set
         self.on: dict[type, Callable[[float, Any], Any]] = {
-            io.Request: self.admission.request, io.CounterReply: self.admission.counted,
-            io.AttemptEnded: self.attempts.ended, io.ListUpdate: self.fleet.listed,
-            io.TimerFired: self.timer, io.PeerMessage: self.admission.told,
-            io.ClientGone: lambda _, e: self.attempts.gone(e), io.Leaving: lambda now, _: self.leave(now)}
+            events.Request: self.admission.request, events.CounterReply: self.admission.counted,
+            events.AttemptEnded: self.attempts.ended, events.ListUpdate: self.fleet.listed,
+            events.TimerFired: self.timer, events.PeerMessage: self.admission.told,
+            events.ClientGone: lambda _, e: self.attempts.gone(e), events.Leaving: lambda now, _: self.leave(now)}
 
-    def handle(self, now: float, event: io.Event) -> list[io.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """Decide on one event."""
         acts = self.acts
         acts.clear()
@@ -61,16 +66,16 @@
         if not self.attempts.armed and (self.fleet.out or self.attempts.queue):
             # An idle ingress costs nothing.
             self.attempts.armed = True
-            acts.append(io.SetTimer(BEAT_S, BEAT))
+            acts.append(actions.SetTimer(BEAT_S, BEAT))
         if not self.sharing.telling and self.sharing.due():
             self.sharing.telling = True
-            acts.append(io.SetTimer(self.sharing.tell_every, TELL))
+            acts.append(actions.SetTimer(self.sharing.tell_every, TELL))
         if self.talk is not None and not self.asking and (wait := self.talk.wait_for(now)) is not None:
             self.asking = True
-            acts.append(io.SetTimer(wait, HOME))
+            acts.append(actions.SetTimer(wait, HOME))
         if self.escrow is not None and not self.greeting and (wait := self.escrow.greet_in(now)) is not None:
             self.greeting = True
-            acts.append(io.SetTimer(wait, GREET))
+            acts.append(actions.SetTimer(wait, GREET))
         return acts.copy()
 
     def room(self, now: float, customer: int, plan: str) -> float:
@@ -86,7 +91,7 @@
             return min(c.room(now), c.carried(now)) - c.flying  # as the next total will find it
         return c.room(now) - c.flying
 
-    def restore(self, now: float, members: Iterable[io.SavedMember], learned: io.Learned | None = None) -> None:
+    def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None = None) -> None:
         """Put back what an earlier life knew, and follow what changes from now on. Before any event."""
         self.sharing.changed = {}
         if learned is not None:
@@ -94,14 +99,14 @@
         for m in members:
             self.sharing.meet(now, m.key, self.sharing.plans[m.plan]).restore(m)
 
-    def saved(self, most: int) -> list[io.SavedMember]:
+    def saved(self, most: int) -> list[SavedMember]:
         """Members that have changed since they were last asked for, `most` at once. Costs in proportion to them."""
         changed = self.sharing.changed
         if not changed:
             return []
         return [changed.pop(key).saved() for key in list(islice(changed, most))]
 
-    def timer(self, now: float, e: io.TimerFired) -> None:
+    def timer(self, now: float, e: events.TimerFired) -> None:
         """A beat, or the time to tell peers."""
         if e.token == TELL:
             self.sharing.tell(now)
--- a/thistleusher/policy/health.py
+++ b/thistleusher/policy/health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistleusher import interface as io
+from thistleusher.core.decision_ports import CounterOf
 
 ALONE = 8         # misses in a row after which the counter counts as down for all, not just crowded
 WAIT = 0.3        # mean wait for the counter, of its time-out, that the share of requests that call aims at
@@ -16,11 +16,11 @@
 class Counters:
     """The health of each counter; a lost one costs its own names only. One counter, unless they are placed."""
 
-    def __init__(self, placement: io.CounterOf | None = None) -> None:
+    def __init__(self, placement: CounterOf | None = None) -> None:
         self.placement = placement
         self.each: dict[int, CounterHealth] = {0: CounterHealth()}
 
-    def follow(self, placement: io.CounterOf) -> None:
+    def follow(self, placement: CounterOf) -> None:
         """Other counters from now on: what was known of each goes by its number, so all begin anew."""
         self.placement = placement
         self.each = {0: CounterHealth()}
--- a/thistleusher/policy/sharing.py
+++ b/thistleusher/policy/sharing.py
@@ -10,8 +10,11 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from thistleusher import interface as io
-from thistleusher.interface import ESCROW_MARKS, LEVELS, TOLD, TOLD_MARK, TOLD_MOST
+from thistleusher.core import actions, datagrams, events
+from thistleusher.core.actions import Action
+from thistleusher.core.datagrams import ESCROW_MARKS, LEVELS, TOLD, TOLD_MARK, TOLD_MOST, name_of
+from thistleusher.core.decision_ports import Escrow, Talk
+from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.policy.health import CounterHealth, Counters
 from thistleusher.policy.store import Customer
 
@@ -19,14 +22,15 @@
     from thistleusher.policy.attempts import Charge
 
 KEPT_LENGTHS = 6.0  # windows after which a quiet customer is forgotten: its store has long been full
-TELL_S, TELL_PART, TELL_MOST_S = io.TELL_S, io.TELL_PART, 0.25  # between tellings at most, where all are told all
+TELL_S, TELL_PART = datagrams.TELL_S, datagrams.TELL_PART
+TELL_MOST_S = 0.25  # between updates at most, where all are told all
 BEACON_S = 0.4    # without a telling, after which an ingress answers peers that it is there
 TOUCH_S = 1.0     # without a message, after which a peer counts as out of touch while the counter is down;
 AWAY_S = 60.0     # while totals come they tell of it, and it is likely to be restarting
 EXCESS_S = 0.3    # after which what a total held and no peer has told was a charge that was added back
 
 
-def kept_for(settings: io.Settings) -> float:
+def kept_for(settings: Settings) -> float:
     """Seconds after which a quiet customer is forgotten."""
     return KEPT_LENGTHS * max((p.burst / p.rate for p in settings.plans if p.rate > 0), default=1.0)
 
@@ -34,8 +38,8 @@
 class Sharing:
     """Customers' stores at one ingress, kept in step with the other ingresses'."""
 
-    def __init__(self, settings: io.Settings, counters: Counters, acts: list[io.Action],
-                 now: float, escrow: io.Escrow | None = None, talk: io.Talk | None = None) -> None:
+    def __init__(self, settings: Settings, counters: Counters, acts: list[Action],
+                 now: float, escrow: Escrow | None = None, talk: Talk | None = None) -> None:
         """`talk`: where the fleet is too large for everything to be told to everybody."""
         self.s, self.counters, self.acts = settings, counters, acts
         self.talk = talk
@@ -62,7 +66,7 @@
         """Of the counter that holds the customer's present name."""
         return self.counters.of(c.name(now)) if self.counters.placement is not None else self.counters.each[0]
 
-    def meet(self, now: float, key: int, plan: io.PlanSettings) -> Customer:
+    def meet(self, now: float, key: int, plan: PlanSettings) -> Customer:
         """A customer, known or new. Those long quiet are forgotten: many come once and never again."""
         c = self.customers.get(key)
         if c is None:
@@ -133,16 +137,16 @@
         self.last_told = now
         self.want(now)
         if self.talk is not None:
-            self.acts += [io.Tell(peer, TOLD_MARK + b"".join(
+            self.acts += [actions.Tell(peer, TOLD_MARK + b"".join(
                 self.told(now, c, peer) for c in map(self.customers.get, keys) if c is not None))
                 for peer, keys in self.talk.tellings(now)]
-            self.acts += [io.Tell(peer, message) for peer, message in self.talk.settlements()]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.talk.settlements()]
             return
         if not self.untold:  # only that this ingress is there
-            self.acts.append(io.Tell(None, TOLD_MARK))
+            self.acts.append(actions.Tell(None, TOLD_MARK))
         waiting = list(islice(self.untold.values(), max(1, self.tell_most) * TOLD_MOST))
         for n in range(0, len(waiting), TOLD_MOST):
-            self.acts.append(io.Tell(None, TOLD_MARK + b"".join(
+            self.acts.append(actions.Tell(None, TOLD_MARK + b"".join(
                 self.told(now, c) for c in waiting[n:n + TOLD_MOST])))
 
     def told(self, now: float, c: Customer, peer: int | None = None) -> bytes:
@@ -153,11 +157,11 @@
             del self.untold[c.key]
             new, c.mine_told = c.mine - c.mine_told, c.mine
         new = max(-128, min(127, new))
-        name = io.name_of(self.plan_numbers[c.plan.name], c.key)
+        name = name_of(self.plan_numbers[c.plan.name], c.key)
         level = max(-LEVELS, min(LEVELS, LEVELS * c.room(now) / c.plan.burst))
         return TOLD.pack(name, c.mine & 0xffff, new, round(level))
 
-    def heard(self, now: float, e: io.PeerMessage) -> None:
+    def heard(self, now: float, e: events.PeerMessage) -> None:
         """What a peer has let in, or a window that is used up; what is long over is forgotten."""
         self.touch[e.sender] = now
         if self.talk is not None:
@@ -168,7 +172,7 @@
                 self.hear(now, e.sender, int.from_bytes(name), total, new, level / LEVELS)
             return
         if self.escrow is not None and e.payload[:1] in ESCROW_MARKS:
-            self.acts += [io.Tell(e.sender, answer) for answer in self.escrow.heard(now, e.sender, e.payload)]
+            self.acts += [actions.Tell(e.sender, answer) for answer in self.escrow.heard(now, e.sender, e.payload)]
             return
         self.spent[e.payload] = now + self.kept
         self.spent.move_to_end(e.payload)
@@ -216,7 +220,7 @@
     def greet(self, now: float) -> None:
         """Say that this ingress has begun to peers that have not answered."""
         if self.escrow is not None:
-            self.acts += [io.Tell(peer, message) for peer, message in self.escrow.greetings(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.greetings(now)]
 
     def leave(self, now: float) -> None:
         """Tell peers all that they have not been told, and hand them this ingress's shares."""
@@ -225,12 +229,12 @@
         if self.talk is not None:
             self.tell(now)
         if self.escrow is not None:
-            self.acts += [io.Tell(peer, message) for peer, message in self.escrow.leaving(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.leaving(now)]
 
     def want(self, now: float) -> None:
         """Ask peers for their shares, as often as messages may be sent."""
         if self.escrow is not None:
-            self.acts += [io.Tell(peer, message) for peer, message in self.escrow.wanting(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.wanting(now)]
 
     def due(self) -> bool:
         """Whether peers are to be told anything with the next tick."""
--- a/thistleusher/policy/store.py
+++ b/thistleusher/policy/store.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from thistleusher import interface as io
+from thistleusher.core.datagrams import mix
+from thistleusher.core.settings import PlanSettings
+from thistleusher.core.snapshots import SavedMember
 
 UNKNOWN = 0.8   # of the burst that counts as left at the end of a window that nothing was seen of
 GUESS_S = 2.0   # after which that is no longer held against a customer, however slowly its store refills
@@ -16,10 +18,10 @@
                  "vouched", "seen", "named", "hashed",
                  "doubt", "doubted", "pending", "flying", "owing", "part", "known", "chance", "housed", "told_to")
 
-    def __init__(self, key: int, plan: io.PlanSettings, now: float) -> None:
+    def __init__(self, key: int, plan: PlanSettings, now: float) -> None:
         self.key, self.plan, self.width = key, plan, 1
         self.length = plan.burst / plan.rate if plan.rate > 0 else 1.0
-        self.phase = io.mix(key, 0) / (1 << 63) * self.length  # windows of customers turn at different times
+        self.phase = mix(key, 0) / (1 << 63) * self.length  # windows of customers turn at different times
         self.window, self.total = -1, 0.0
         self.named, self.hashed = -1, 0
         self.doubt, self.doubted = 0.0, -1  # of calls without an answer in this window: added, or not
@@ -46,7 +48,7 @@
         """The name of the count of the window; hashed once a window."""
         turn = self.turn(now)
         if turn != self.named:
-            self.named, self.hashed = turn, io.mix(self.key, turn + 1)
+            self.named, self.hashed = turn, mix(self.key, turn + 1)
         return self.hashed
 
     def short(self, now: float) -> bytes:
@@ -65,15 +67,15 @@
         refill = max(self.plan.rate, (1 - UNKNOWN) * self.plan.burst / GUESS_S)
         return min(self.plan.burst, UNKNOWN * self.plan.burst + refill * since)
 
-    def saved(self) -> io.SavedMember:
+    def saved(self) -> SavedMember:
         """What of it can be put back in another life; what is on its way to the count may not have come."""
         window = self.window if self.known else -1
         doubt = (self.doubt if self.doubted == self.named else 0.0) + self.owing
-        return io.SavedMember(self.key, self.plan.name, self.level, self.at, window, self.told,
+        return SavedMember(self.key, self.plan.name, self.level, self.at, window, self.told,
                               self.pending + self.owing, self.mine, dict(self.theirs), self.heard, self.heard_in,
                               self.excess, doubt, self.named)
 
-    def restore(self, s: io.SavedMember) -> None:
+    def restore(self, s: SavedMember) -> None:
         """Put back what another life knew: a peer's level does not stand in for it any more."""
         self.level, self.at, self.window, self.told, self.pending = s.level, s.at, s.window, s.told, s.pending
         self.mine = self.mine_told = s.mine
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -17,10 +17,12 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from thistleusher import interface as io
 from thistleusher.common.boot import Bounds
 from thistleusher.common.configuration import Configuration, Found
 from thistleusher.common.shares import ALONE, OVER, PROMPT_S
+from thistleusher.core import actions, events
+from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
 from thistleusher.policy.fleet import Backend, Fleet
 from thistleusher.proxy.budgets import UNKNOWN, Colds, Tries
 from thistleusher.proxy.placement import Ground, Place, homes_of, tiers
@@ -30,7 +32,7 @@
 SWEEP_S = 0.05
 SILENT_X = 8.0  # usual times of owed answers, after which a backend counts as silent
 MOST_SENDS = 5  # sends of one request, whether they came anywhere or not
-NEVER_RAN = (io.Outcome.FULL, io.Outcome.CONNECT_FAILED, io.Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 PLAN = "all"
 AGAIN_S = 0.05  # added to the time until a tenant's next window
 NEARER_X = 1.25  # times the usual time of the best, that one of this zone may take
@@ -94,15 +96,15 @@
 
     def __init__(
         self,
-        req: io.Request,
+        req: events.Request,
         asked: Asked,
-        cls: io.ClassSettings,
+        cls: ClassSettings,
         now: float,
         service: str,
         homes: frozenset[str] | None,
     ) -> None:
         self.req, self.cls, self.work, self.bad = req, cls, 1.0, set[str]()
-        self.ran_on: io.BackendEntry | None = None
+        self.ran_on: BackendEntry | None = None
         self.found, self.tenant, self.service, self.homes = asked.found, asked.tenant, service, homes
         self.sends = self.arrived = 0
         self.ran = self.charged = self.counted = False
@@ -111,12 +113,12 @@
         self.backend = ""
 
 
-def class_of(found: Found) -> io.ClassSettings:
+def class_of(found: Found) -> ClassSettings:
     """A route as a class of the decision module."""
     route = found.route
-    return io.ClassSettings(
+    return ClassSettings(
         found.name,
-        io.Effect.SAFE if route.repeatable else io.Effect.UNSAFE,
+        Effect.SAFE if route.repeatable else Effect.UNSAFE,
         max(0.05, route.target_ms / 1000),
         route.deadline_ms / 1000,
     )
@@ -149,24 +151,24 @@
         self.counting: dict[str, float] = {}  # requests without a verdict, and since when
         self.waiting: list[str] = []  # requests that no backend could take just then
         self.config: Configuration | None = None
-        self.classes: dict[str, io.ClassSettings] = {}  # of the routes of the configuration in force
+        self.classes: dict[str, ClassSettings] = {}  # of the routes of the configuration in force
         self.ingresses: list[str] = []
         self.acts: list[Any] = []
         self.armed = False
-        self.settings = io.Settings(
-            (io.ClassSettings("-", io.Effect.UNSAFE, 1.0, 30.0),),
-            (io.PlanSettings(PLAN, 0.0, 0.0),),
+        self.settings = Settings(
+            (ClassSettings("-", Effect.UNSAFE, 1.0, 30.0),),
+            (PlanSettings(PLAN, 0.0, 0.0),),
             max_retry_after=0.25,
             instances=1,
             may_cancel=True,
             own_backends=True,
         )
         self.take: dict[type, Callable[[float, Any], None]] = {
-            io.Request: self._asked,
+            events.Request: self._asked,
             Counted: self._counted,
-            io.AttemptEnded: self._ended,
-            io.ClientGone: self._gone,
-            io.TimerFired: self._sweep,
+            events.AttemptEnded: self._ended,
+            events.ClientGone: self._gone,
+            events.TimerFired: self._sweep,
         }
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -176,7 +178,7 @@
             take(now, event)
         if not self.armed and (self.flights or self.counting):
             self.armed = True
-            self.acts.append(io.SetTimer(SWEEP_S, SWEEP))
+            self.acts.append(actions.SetTimer(SWEEP_S, SWEEP))
         acts = self.acts.copy()
         self.acts.clear()  # the fleets hold this very list
         return acts
@@ -198,15 +200,15 @@
         self._listed(now)
 
     def _listed(self, now: float) -> None:
-        by_service: dict[str, list[io.BackendEntry]] = {}
+        by_service: dict[str, list[BackendEntry]] = {}
         for place in self.places.values():
-            phase = io.Phase.STOPPING if place.draining else io.Phase.RUNNING
+            phase = Phase.STOPPING if place.draining else Phase.RUNNING
             by_service.setdefault(place.service, []).append(
-                io.BackendEntry(place.name, phase, float(place.slots), zone=place.zone)
+                BackendEntry(place.name, phase, float(place.slots), zone=place.zone)
             )
         for service in by_service.keys() | self.fleets.keys():
             fleet = self._fleet(now, service)
-            fleet.listed(now, io.ListUpdate(io.ListKind.WHOLE, 0, tuple(by_service.get(service, ()))))
+            fleet.listed(now, events.ListUpdate(ListKind.WHOLE, 0, tuple(by_service.get(service, ()))))
 
     def _fleet(self, now: float, service: str) -> Fleet:
         fleet = self.fleets.get(service)
@@ -236,7 +238,7 @@
         """The request of this id comes next, by this route and tenant."""
         self.expected[name] = asked
 
-    def _asked(self, now: float, request: io.Request) -> None:
+    def _asked(self, now: float, request: events.Request) -> None:
         e = self.expected.pop(request.id)
         route, config = e.found.route, self.config
         assert config is not None
@@ -365,9 +367,9 @@
         if now < self.places[name].cold_until:
             self.colds.spend(now, name)
         fleet.sent(now, best, flight)
-        self.acts.append(io.Attempt(flight.req.id, name))
+        self.acts.append(actions.Attempt(flight.req.id, name))
 
-    def _ended(self, now: float, e: io.AttemptEnded) -> None:
+    def _ended(self, now: float, e: events.AttemptEnded) -> None:
         flight = self.flights.get(e.request)
         for fleet in self.fleets.values():
             if e.backend in fleet.backends:
@@ -378,7 +380,7 @@
             del self.flights[e.request]
             return
         flight.bad.add(e.backend)
-        if e.outcome not in (io.Outcome.CONNECT_FAILED, io.Outcome.MOOT):
+        if e.outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT):
             flight.arrived += 1
         if e.outcome not in NEVER_RAN:
             flight.ran = True
@@ -400,21 +402,21 @@
         """A final answer at once: refused where it surely has not run, failed elsewhere."""
         if flight.ran:
             self.flights.pop(flight.req.id, None)
-            self.acts.append(io.Fail(flight.req.id))
+            self.acts.append(actions.Fail(flight.req.id))
         else:
             self._refuse(flight, 0.0)
 
     def _refuse(self, flight: Flight, wait: float) -> None:
         self.flights.pop(flight.req.id, None)
         self._give_back(flight)
-        self.acts.append(io.Refuse(flight.req.id, wait))
+        self.acts.append(actions.Refuse(flight.req.id, wait))
 
     def _give_back(self, flight: Flight) -> None:
         if flight.charged and flight.tenant is not None and not flight.arrived:
             flight.charged = False
             self.acts.append(Charge(flight.req.id, flight.tenant, -1, flight.window))
 
-    def _gone(self, now: float, e: io.ClientGone) -> None:
+    def _gone(self, now: float, e: events.ClientGone) -> None:
         flight = self.flights.pop(e.request, None)
         self.counting.pop(e.request, None)
         if flight is not None and not flight.sends:
@@ -422,7 +424,7 @@
 
     # Time.
 
-    def _sweep(self, now: float, e: io.TimerFired) -> None:
+    def _sweep(self, now: float, e: events.TimerFired) -> None:
         self.armed = False
         alone = self.quota.alone(now)
         for name, since in list(self.counting.items()):
@@ -451,7 +453,7 @@
                         continue
                     late = now - flight.sent > 2 * fleet.latency[flight.cls.name]
                     if late and self._again(now, flight) and self._other(now, fleet, flight):
-                        self.acts.append(io.CancelAttempt(name, flight.sends - 1))
+                        self.acts.append(actions.CancelAttempt(name, flight.sends - 1))
 
     def _other(self, now: float, fleet: Fleet, flight: Flight) -> bool:
         """Whether another backend would take a request whose backend is silent: silence alone ends no attempt."""
--- a/thistleusher/proxy/front.py
+++ b/thistleusher/proxy/front.py
@@ -8,10 +8,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from thistleusher import interface as io
 from thistleusher.common.configuration import Index
 from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
+from thistleusher.core import actions, events
 from thistleusher.core.driver import Held
+from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended, Final, Verdict
 from thistleusher.net.farewell import Farewell
 from thistleusher.net.ingress import Ingress, Reply, Sent
@@ -57,7 +58,7 @@
 class Call:
     """A client's request that has come whole and is to be served."""
 
-    request: io.Request
+    request: events.Request
     asked: Asked
     start: bytes  # request line and the headers that go on unchanged
     body: bytes
@@ -85,13 +86,13 @@
         )
 
 
-def outcome_of(answer: Answer) -> io.Outcome:
+def outcome_of(answer: Answer) -> Outcome:
     """What an answer says of the attempt. A success lacks its seal only where it is none of the backend's."""
     if NOT_RUN in answer.headers or answer.status == 421:
-        return io.Outcome.FULL
+        return Outcome.FULL
     if 200 <= answer.status < 300:
-        return io.Outcome.OK if SEAL in answer.headers else io.Outcome.ERROR
-    return io.Outcome.OK if answer.status < 500 and answer.status not in PROMISED else io.Outcome.ERROR
+        return Outcome.OK if SEAL in answer.headers else Outcome.ERROR
+    return Outcome.OK if answer.status < 500 and answer.status not in PROMISED else Outcome.ERROR
 
 
 def lines_of(answer: Answer) -> bytes:
@@ -127,8 +128,8 @@
         super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
         self.decisions = decisions
         self.driver.carry[Charge] = charge
-        self.break_off = self.driver.carry[io.CancelAttempt]
-        self.driver.carry[io.CancelAttempt] = self.cancel
+        self.break_off = self.driver.carry[actions.CancelAttempt]
+        self.driver.carry[actions.CancelAttempt] = self.cancel
         self.leaving: Callable[[], bool] = lambda: False  # whether this process's planned end has begun
 
     def routes(self, index: Index) -> None:
@@ -146,7 +147,7 @@
         self.driver.classes.setdefault(call.request.class_name, class_of(call.asked.found))
         self.driver.take(call.request, lambda final: self.final(final, call, reply), call, call.came)
 
-    def cancel(self, action: io.CancelAttempt) -> None:
+    def cancel(self, action: actions.CancelAttempt) -> None:
         """Break off an attempt at a silent backend, so that another may follow.
 
         At a planned end it is left alone, as it may be the last that can be had. So is one whose answer has come: where
@@ -192,14 +193,14 @@
         def stall() -> float:
             return STALL_S if repeatable and not self.leaving() else 0.0
 
-        def ended(exchange: Exchange, outcome: io.Outcome, answer: Answer | None) -> None:
+        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
             call.sent = None
-            call.ran |= exchange.written and outcome is not io.Outcome.FULL
+            call.ran |= exchange.written and outcome is not Outcome.FULL
             if answer is not None and answer.status == 421:
                 self.decisions.stranger(backend)
             if (
                 answer is not None
-                and outcome is io.Outcome.ERROR
+                and outcome is Outcome.ERROR
                 and not (answer.status < 500 or answer.status in PROMISED)
             ):
                 call.last = answer
@@ -284,7 +285,7 @@
         if left <= 0:
             return refusal(Failure(Kind.NO_ROOM))
         method = came.parser.get_method()
-        request = io.Request(call_id, found.name, PLAN, 0, left, 1.0)
+        request = events.Request(call_id, found.name, PLAN, 0, left, 1.0)
         framed = bool(came.body) or method not in BARE or b"content-length" in values
         start = b"%s %s HTTP/1.1\r\n%s" % (method, came.url, b"".join(line for _, line in passed))
         return Call(request, Asked(found, tenant), start, bytes(came.body), now, framed=framed)
--- a/thistleusher/services/counter.py
+++ b/thistleusher/services/counter.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from thistleusher import interface as io
+from thistleusher.core import events
+from thistleusher.core.events import Outcome
 from thistleusher.services.wire import Address, Answer, AnswerReader
 
 log = logging.getLogger(__name__)
@@ -30,7 +31,7 @@
 
     def __init__(self, name: int, text: bytes, began: float, due: float) -> None:
         self.name, self.text, self.began, self.due = name, text, began, due
-        self.reply: io.CounterReply | None = None
+        self.reply: events.CounterReply | None = None
 
 
 class Link(asyncio.Protocol):
@@ -82,13 +83,13 @@
         add = self.owed.popleft()
         self.served = True
         if answer.status == 200:
-            self.line.counter.tell(add, io.Outcome.OK, float(answer.body))
+            self.line.counter.tell(add, Outcome.OK, float(answer.body))
         elif answer.status == 503:
-            self.line.counter.tell(add, io.Outcome.FULL)
+            self.line.counter.tell(add, Outcome.FULL)
         else:
             nothing_added = answer.status in (400, 404)
             log.warning("counter: status %d", answer.status)
-            self.line.counter.tell(add, io.Outcome.CONNECT_FAILED if nothing_added else io.Outcome.TIMEOUT)
+            self.line.counter.tell(add, Outcome.CONNECT_FAILED if nothing_added else Outcome.TIMEOUT)
         if not answer.keep or (self.retired and not self.owed):
             self.end("done")
 
@@ -118,7 +119,7 @@
             self.transport.abort()
         self.line.lost(self)
         for n, add in enumerate(self.owed):
-            self.line.counter.tell(add, io.Outcome.ERROR if spoilt and n == 0 else io.Outcome.TIMEOUT)
+            self.line.counter.tell(add, Outcome.ERROR if spoilt and n == 0 else Outcome.TIMEOUT)
         self.owed.clear()
 
 
@@ -199,7 +200,7 @@
             log.warning("counter: no answer for %.1f s: opening a new connection", now - link.heard)
             link.end("stuck")
         for add in late:
-            self.counter.tell(add, io.Outcome.CONNECT_FAILED if add in unsent else io.Outcome.TIMEOUT)
+            self.counter.tell(add, Outcome.CONNECT_FAILED if add in unsent else Outcome.TIMEOUT)
         self.arm()
 
     def close(self) -> None:
@@ -216,7 +217,7 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         timeout: float,
-        on_reply: Callable[[io.CounterReply], None],
+        on_reply: Callable[[events.CounterReply], None],
         time: Callable[[], float] | None = None,
     ) -> None:
         """`timeout` in seconds; `time` measures how long calls took, and is the loop's own by default."""
@@ -244,7 +245,7 @@
         self.calls.setdefault(name, deque()).append(add)
         self.lines[name % LINES].call(add)
 
-    def tell(self, add: Add, outcome: io.Outcome, total: float = 0.0) -> None:
+    def tell(self, add: Add, outcome: Outcome, total: float = 0.0) -> None:
         """The verdict on a call, the first one only.
 
         Verdicts on one name are handed on in the order of the calls, also where an old connection and a new
@@ -252,7 +253,7 @@
         """
         if add.reply is not None:
             return
-        add.reply = io.CounterReply(add.name, outcome, self.time() - add.began, total)
+        add.reply = events.CounterReply(add.name, outcome, self.time() - add.began, total)
         calls = self.calls[add.name]
         while calls and (reply := calls[0].reply) is not None:
             calls.popleft()
--- a/thistleusher/services/counters.py
+++ b/thistleusher/services/counters.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from thistleusher import interface as io
+from thistleusher.core import events
 from thistleusher.ledger.placement import Placement
 from thistleusher.services.counter import Counter
 from thistleusher.services.wire import read_address
@@ -21,7 +21,7 @@
         loop: asyncio.AbstractEventLoop,
         placement: Placement,
         timeout: float,
-        on_reply: Callable[[io.CounterReply], None],
+        on_reply: Callable[[events.CounterReply], None],
         time: Callable[[], float] | None = None,
     ) -> None:
         self.loop, self.timeout, self.on_reply, self.time = loop, timeout, on_reply, time
--- a/thistleusher/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-from thistleusher import interface as io
+from thistleusher.core import events
 from thistleusher.services.wire import Address
 
 log = logging.getLogger(__name__)
@@ -19,7 +19,11 @@
     """Sends to one ingress or to all, and tells who sent what came."""
 
     def __init__(
-        self, peers: Sequence[Address], everyone: Address | None, me: int, on_message: Callable[[io.PeerMessage], None]
+        self,
+        peers: Sequence[Address],
+        everyone: Address | None,
+        me: int,
+        on_message: Callable[[events.PeerMessage], None],
     ) -> None:
         self.peers, self.everyone, self.me, self.on_message = peers, everyone, me, on_message
         self.numbers = {address: n for n, address in enumerate(peers)}
@@ -31,7 +35,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         sender = self.numbers.get((addr[0], addr[1]))
         if sender is not None and sender != self.me and len(data) <= MAX_MESSAGE:
-            self.on_message(io.PeerMessage(sender, data))
+            self.on_message(events.PeerMessage(sender, data))
 
     def error_received(self, exc: Exception) -> None:
         log.debug("peers: %s", exc)
--- a/thistleusher/settings.py
+++ b/thistleusher/settings.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NoReturn
 
-from thistleusher import interface as io
+from thistleusher.core.settings import ClassSettings, Effect, Group, PlanSettings, Settings
 
-GROUPS = {"all": io.Group.ALL, "zone": io.Group.ZONE, "cell": io.Group.CELL}
-EFFECTS = {"retryable": io.Effect.SAFE, "dedup": io.Effect.KEYED, "fragile": io.Effect.UNSAFE}
+GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
 
 
 class BadSetting(Exception):
@@ -86,14 +86,14 @@
         )
 
 
-def read_settings(parts: list[str], source: str = "BORN") -> tuple[io.Settings, tuple[str, ...]]:
+def read_settings(parts: list[str], source: str = "BORN") -> tuple[Settings, tuple[str, ...]]:
     """The settings out of path=value pairs, and the names of the values of a load report.
 
     `source` is named in errors; BadSetting and ValueError say what is wrong. Times are in seconds.
     """
     p = _Values(parts, source)
     classes = tuple(
-        io.ClassSettings(
+        ClassSettings(
             name=p.text(c + "name"),
             effect=read_choice(source, c + "semantics", p.text(c + "semantics"), EFFECTS),
             objective=p.number(c + "objective"),
@@ -106,7 +106,7 @@
         for c in (f"classes.{i}." for i in range(p.whole("classes.count")))
     )
     plans = tuple(
-        io.PlanSettings(
+        PlanSettings(
             name=p.text(q + "name"),
             rate=p.number(q + "rate"),
             burst=p.number(q + "storeSize"),
@@ -121,7 +121,7 @@
         for q in (f"plans.{i}." for i in range(p.whole("plans.count")))
     )
     how = p.text("loadReport.how", "silent")
-    settings = io.Settings(
+    settings = Settings(
         classes=classes,
         plans=plans,
         instances=p.whole("balancers"),
@@ -176,6 +176,6 @@
         yield f"{path}={str(value).lower() if isinstance(value, bool) else value}"
 
 
-def nested_settings(value: Mapping[str, Any]) -> tuple[io.Settings, tuple[str, ...]]:
+def nested_settings(value: Mapping[str, Any]) -> tuple[Settings, tuple[str, ...]]:
     """Nested settings, as a configuration holds them; BadSetting or ValueError where they cannot be used."""
     return read_settings(list(flatten(dict(value), "")), "settings")
--- a/thistleusher/state/keeper.py
+++ b/thistleusher/state/keeper.py
@@ -8,7 +8,9 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from thistleusher import interface as io
+from thistleusher.core.decision_ports import Escrow
+from thistleusher.core.settings import Settings
+from thistleusher.core.snapshots import Learned, SavedMember
 from thistleusher.state.options import StateOptions
 from thistleusher.state.records import Life, Listed, Member, Place, Room, pack
 from thistleusher.state.recovery import Recovered, active_until, recover, still_learned, still_listed, still_there
@@ -35,21 +37,21 @@
 class Known(Protocol):
     """What the keeper asks of the decisions on backends."""
 
-    def learned(self, now: float) -> io.Learned: ...
+    def learned(self, now: float) -> Learned: ...
 
 
 class Decisions(Protocol):
     """What the keeper asks of the decision module."""
 
     @property
-    def escrow(self) -> io.Escrow | None: ...
+    def escrow(self) -> Escrow | None: ...
 
     @property
     def fleet(self) -> Known: ...
 
-    def restore(self, now: float, members: Iterable[io.SavedMember], learned: io.Learned | None) -> None: ...
+    def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None) -> None: ...
 
-    def saved(self, most: int) -> list[io.SavedMember]: ...
+    def saved(self, most: int) -> list[SavedMember]: ...
 
 
 class Keeper:
@@ -59,7 +61,7 @@
         self,
         options: StateOptions,
         name: str,
-        settings: io.Settings,
+        settings: Settings,
         kept: float,
         terms: dict[str, tuple[float, float]] | None = None,
     ) -> None:
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from thistleusher import interface as io
+from thistleusher.core.snapshots import Learned
 
 FORMAT = 1
 T = TypeVar("T")
@@ -25,7 +25,7 @@
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """One ingress's knowledge of a member's count; behind the plan's, the fields of `io.SavedMember` in order."""
+    """One ingress's knowledge of a member's count; behind the plan's, the fields of `SavedMember` in order."""
 
     key: int
     plan: str
@@ -96,10 +96,10 @@
 _life: Callable[[bytes], Life] = msgspec.msgpack.Decoder(Life).decode
 _room: Callable[[bytes], Room] = msgspec.msgpack.Decoder(Room).decode
 _listed: Callable[[bytes], Listed] = msgspec.msgpack.Decoder(Listed).decode
-_learned: Callable[[bytes], io.Learned] = msgspec.msgpack.Decoder(io.Learned).decode
+_learned: Callable[[bytes], Learned] = msgspec.msgpack.Decoder(Learned).decode
 
 
-def pack(record: Member | Life | Room | Listed | io.Learned) -> bytes:
+def pack(record: Member | Life | Room | Listed | Learned) -> bytes:
     """A record with its checksum."""
     body = _encode(record)
     return zlib.crc32(body).to_bytes(CHECK) + body
@@ -138,6 +138,6 @@
     return _read("a list", _listed, data)
 
 
-def read_learned(data: bytes) -> io.Learned:
+def read_learned(data: bytes) -> Learned:
     """BadRecord where it cannot be one."""
     return _read("what was learned", _learned, data)
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -24,7 +24,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from thistleusher import interface as io
+from thistleusher.core.settings import PlanSettings
+from thistleusher.core.snapshots import Learned, SavedMember, SavedRoom
 from thistleusher.state.records import Life, Listed, Member, Room
 
 LEARNED_S, FAULTS_S, LIST_S = 600.0, 10.0, 60.0  # for which speeds, faults and a list say something
@@ -34,7 +35,7 @@
 class Recovered:
     """What goes into the decisions; `left_out` by reason."""
 
-    members: list[io.SavedMember] = field(default_factory=list)
+    members: list[SavedMember] = field(default_factory=list)
     left_out: dict[str, int] = field(default_factory=dict)
 
     def leave_out(self, why: str) -> None:
@@ -42,7 +43,7 @@
 
 
 def recover(
-    now: float, records: Iterable[Member], plans: Mapping[str, io.PlanSettings], kept: float, twin: bool = False
+    now: float, records: Iterable[Member], plans: Mapping[str, PlanSettings], kept: float, twin: bool = False
 ) -> Recovered:
     """`kept`: seconds after which a quiet member is forgotten; `twin`: the folder is a copy of another's."""
     out = Recovered()
@@ -61,7 +62,7 @@
             level = min(plan.burst, m.level if same else plan.burst - (m.burst - m.level))
             # Other windows have other names: what is in an old one's count is in no present one's.
             out.members.append(
-                io.SavedMember(
+                SavedMember(
                     m.key,
                     m.plan,
                     level,
@@ -86,16 +87,16 @@
 
 def still_there(
     rooms: Iterable[Room],
-    plans: Mapping[str, io.PlanSettings],
+    plans: Mapping[str, PlanSettings],
     terms: Mapping[str, tuple[float, float]],
     twin: bool = False,
-) -> list[io.SavedRoom]:
+) -> list[SavedRoom]:
     """Rooms under the same terms as before; `terms`: rate and burst of each plan's allowance now."""
     numbers = {name: n for n, name in enumerate(plans)}
     if twin:
         return []
     return [
-        io.SavedRoom(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at)
+        SavedRoom(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at)
         for r in rooms
         if r.plan in numbers
         and terms.get(r.plan) == (r.rate, r.burst)
@@ -105,7 +106,7 @@
     ]
 
 
-def still_learned(now: float, learned: io.Learned | None) -> io.Learned | None:
+def still_learned(now: float, learned: Learned | None) -> Learned | None:
     """What is left of it by now; None where it says nothing any more."""
     if learned is None or learned.at < now - LEARNED_S or not math.isfinite(learned.at):
         return None
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Literal, TypeVar
 
-from thistleusher import interface as io
+from thistleusher.core.snapshots import Learned
 from thistleusher.state.records import (
     FORMAT,
     BadRecord,
@@ -153,7 +153,7 @@
         """All that can be read; the rest is counted in `spoilt`. Before `begin`."""
         return self._readable("room", read_room)
 
-    def learned(self) -> io.Learned | None:
+    def learned(self) -> Learned | None:
         """What an earlier life had learned; None where there is nothing to be read."""
         return next(self._readable(f"fact WHERE key = {LEARNED[1]}", read_learned), None)
 
--- a/thistleusher/talk/talk.py
+++ b/thistleusher/talk/talk.py
@@ -12,7 +12,8 @@
 import math
 import struct
 
-from thistleusher import interface as io
+from thistleusher.core import decision_ports, events
+from thistleusher.core.datagrams import name_of, plan_of
 from thistleusher.talk.held import Held
 from thistleusher.talk.homes import ANSWER_S, Asked, Homes
 from thistleusher.talk.outbox import Outbox
@@ -76,9 +77,9 @@
         """The ingress that keeps a member's account; None where none of its candidates answers."""
         return self.homes.of(now, customer, first, width)
 
-    def ask(self, now: float, home: int, r: io.Request, plan: int) -> bytes | None:
+    def ask(self, now: float, home: int, r: events.Request, plan: int) -> bytes | None:
         """A question for a request; None where too many are out."""
-        name, quarters = io.name_of(plan, r.customer), min(0xFFFF, round(4 * r.units))
+        name, quarters = name_of(plan, r.customer), min(0xFFFF, round(4 * r.units))
         return self.homes.ask(
             now,
             r.id,
@@ -93,7 +94,7 @@
         """Questions to be put once more, to whom."""
         return self.homes.again(now)
 
-    def asked(self, now: float, peer: int, payload: bytes) -> io.Asked | None:
+    def asked(self, now: float, peer: int, payload: bytes) -> decision_ports.Asked | None:
         """A question of a peer's; None where it cannot be one, or is one that is being decided on."""
         if len(payload) != 1 + QUESTION.size:
             return None
@@ -103,8 +104,8 @@
         known = self.known.again(now, peer, number, payload)
         if known == b"":
             return None
-        plan, customer = io.plan_of(name)
-        return io.Asked(number, customer, plan, first, width, quarters / 4, known or b"")
+        plan, customer = plan_of(name)
+        return decision_ports.Asked(number, customer, plan, first, width, quarters / 4, known or b"")
 
     def answer(self, peer: int, number: int, good: bool, room: float) -> bytes:
         """The answer to a peer's. Room is rounded down: who has none must not be told of enough."""
@@ -148,7 +149,7 @@
 
     def settle(self, home: int, customer: int, plan: int, units: float) -> None:
         """Units more (or less) than a home was asked for; they go with the next tick, merged."""
-        name = io.name_of(plan, customer)
+        name = name_of(plan, customer)
         if name not in self.settling.get(home, ()):
             if self.settlings >= SETTLE_MOST:
                 self.settlings -= len(self.settling.pop(next(iter(self.settling))))
@@ -171,5 +172,5 @@
         """Members, their plans' numbers, and units, of a peer's settlements."""
         if (len(payload) - 1) % ROW.size:
             return []
-        rows = ((io.plan_of(name), quarters) for name, quarters in ROW.iter_unpack(payload[1:]))
+        rows = ((plan_of(name), quarters) for name, quarters in ROW.iter_unpack(payload[1:]))
         return [(customer, plan, quarters / 4) for (plan, customer), quarters in rows]
--- a/thistleusher/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -7,8 +7,11 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from thistleusher import interface as io
 from thistleusher.assembly import make_gateway
+from thistleusher.core import actions, events
+from thistleusher.core.actions import Action
+from thistleusher.core.events import BackendEntry, Event, ListKind, Outcome, Phase
+from thistleusher.core.settings import Settings
 from thistleusher.settings import (
     BadSetting,
     bad,
@@ -21,21 +24,21 @@
 )
 
 OUTCOMES = {
-    "success": io.Outcome.OK,
-    "failure": io.Outcome.ERROR,
-    "overloaded": io.Outcome.FULL,
-    "timed_out": io.Outcome.TIMEOUT,
-    "unreachable": io.Outcome.CONNECT_FAILED,
-    "broken": io.Outcome.RESET,
-    "withdrawn": io.Outcome.CANCELLED,
-    "void": io.Outcome.MOOT,
+    "success": Outcome.OK,
+    "failure": Outcome.ERROR,
+    "overloaded": Outcome.FULL,
+    "timed_out": Outcome.TIMEOUT,
+    "unreachable": Outcome.CONNECT_FAILED,
+    "broken": Outcome.RESET,
+    "withdrawn": Outcome.CANCELLED,
+    "void": Outcome.MOOT,
 }
-PHASES = {"Running": io.Phase.RUNNING, "Stopping": io.Phase.STOPPING, "Deleted": io.Phase.DELETED}
+PHASES = {"Running": Phase.RUNNING, "Stopping": Phase.STOPPING, "Deleted": Phase.DELETED}
 FORMS = {
-    "INCREMENTAL": io.ListKind.CHANGE,
-    "FULL": io.ListKind.WHOLE,
-    "SAVED": io.ListKind.SAVED,
-    "FAILED": io.ListKind.FAILED,
+    "INCREMENTAL": ListKind.CHANGE,
+    "FULL": ListKind.WHOLE,
+    "SAVED": ListKind.SAVED,
+    "FAILED": ListKind.FAILED,
 }
 
 
@@ -53,13 +56,13 @@
     return {f: read_number(message, f"gauge.{f}", v) for f, v in zip(fields, values, strict=True) if v != "-"}
 
 
-def read_row(line: str) -> io.BackendEntry:
+def read_row(line: str) -> BackendEntry:
     """One line of the list of servers."""
     parts = line.split(" ")
     if parts[0] != "ROW":
         bad("UPDATE", "rows", "a ROW line", parts[0])
     _count("ROW", parts, 8)
-    return io.BackendEntry(
+    return BackendEntry(
         backend=parts[4],
         phase=read_choice("ROW", "stageState", parts[3], PHASES),
         weight=1.0 if parts[1] == "-" else read_number("ROW", "share", parts[1], 0.0),
@@ -70,13 +73,13 @@
     )
 
 
-def read_event(parts: list[str], fields: tuple[str, ...], rows: Iterator[str]) -> io.Event:
+def read_event(parts: list[str], fields: tuple[str, ...], rows: Iterator[str]) -> Event:
     """One event of a running instance; the rows of a list are taken from `rows`."""
     m = parts[0]
     if m == "WORK_ITEM":
         _count(m, parts, 11)
         bits = 0 if parts[10] == "-" else read_whole(m, "bits", parts[10])
-        return io.Request(
+        return events.Request(
             id=parts[2],
             class_name=parts[3],
             plan=parts[4],
@@ -90,7 +93,7 @@
         )
     if m == "RETURNED":
         _count(m, parts, 11)
-        return io.AttemptEnded(
+        return events.AttemptEnded(
             request=parts[2],
             attempt=read_whole(m, "n", parts[3]),
             backend=parts[4],
@@ -103,7 +106,7 @@
         )
     if m == "TALLIED":
         _count(m, parts, 6)
-        return io.CounterReply(
+        return events.CounterReply(
             elapsed=read_optional(m, "waitTime", parts[2]),
             name=read_whole(m, "name", parts[3]),
             outcome=read_choice(m, "reason", parts[4], OUTCOMES),
@@ -111,24 +114,24 @@
         )
     if m == "FIRED":
         _count(m, parts, 3)
-        return io.TimerFired(read_whole(m, "ctx", parts[2]))
+        return events.TimerFired(read_whole(m, "ctx", parts[2]))
     if m == "EXPIRED":
         _count(m, parts, 3)
-        return io.ClientGone(parts[2])
+        return events.ClientGone(parts[2])
     if m == "UPDATE":
         _count(m, parts, 5)
         n = read_whole(m, "rows", parts[4])
-        entries: list[io.BackendEntry] = []
+        entries: list[BackendEntry] = []
         for _ in range(n):
             line = next(rows, None)
             if line is None:
                 bad(m, "rows", f"{n} ROW lines", len(entries))
             entries.append(read_row(line))
         version = 0 if parts[3] == "-" else read_whole(m, "stamp", parts[3])
-        return io.ListUpdate(read_choice(m, "form", parts[2], FORMS), version, tuple(entries))
+        return events.ListUpdate(read_choice(m, "form", parts[2], FORMS), version, tuple(entries))
     if m == "UNDER_WAY":
         _count(m, parts, 6)
-        return io.AttemptStarted(
+        return events.AttemptStarted(
             request=parts[2],
             elapsed=read_optional(m, "waitTime", parts[3]),
             backend=parts[4],
@@ -136,7 +139,7 @@
         )
     if m == "PROBE_DONE":
         _count(m, parts, 6)
-        return io.ProbeEnded(
+        return events.ProbeEnded(
             backend=parts[2],
             outcome=read_choice(m, "reason", parts[3], OUTCOMES),
             elapsed=read_optional(m, "waitTime", parts[4]),
@@ -148,7 +151,7 @@
             payload = b"" if parts[3] == "-" else bytes.fromhex(parts[3])
         except ValueError:
             bad(m, "msg", "hex digits", parts[3])
-        return io.PeerMessage(read_whole(m, "originPeer", parts[2]), payload)
+        return events.PeerMessage(read_whole(m, "originPeer", parts[2]), payload)
     bad("batch", "message", "a known message", m)
 
 
@@ -156,30 +159,30 @@
     return str(int(value)) if value == int(value) else f"{value:.6f}"
 
 
-def write_action(me: int, a: io.Action) -> str:
+def write_action(me: int, a: Action) -> str:
     """The wire's line for one action."""
-    if isinstance(a, io.Attempt):
+    if isinstance(a, actions.Attempt):
         patience = "" if a.timeout is None else f" {a.timeout:.6f}"
         return f"SUBMIT_TO {me} {a.request} {a.backend}{patience or ' 0'}"
-    if isinstance(a, io.CounterAdd):
+    if isinstance(a, actions.CounterAdd):
         return f"COUNT {me} {a.lifetime:.6f} {a.name} {_num(a.amount)}"
-    if isinstance(a, io.Refuse):
+    if isinstance(a, actions.Refuse):
         return f"DECLINE {me} {a.request} {_num(a.retry_in)}"
-    if isinstance(a, io.Fail):
+    if isinstance(a, actions.Fail):
         return f"FINISH_ERROR {me} {a.request}"
-    if isinstance(a, io.SetTimer):
+    if isinstance(a, actions.SetTimer):
         return f"DEFER {me} {a.delay:.6f} {a.token}"
-    if isinstance(a, io.CancelAttempt):
+    if isinstance(a, actions.CancelAttempt):
         return f"DROP_ATTEMPT {me} {a.request} {a.attempt}"
-    if isinstance(a, io.Probe):
+    if isinstance(a, actions.Probe):
         return f"TOUCH {me} {a.backend}"
-    if isinstance(a, io.CloseIdle):
+    if isinstance(a, actions.CloseIdle):
         return f"CLOSE_IDLE {me} {a.backend}"
-    if isinstance(a, io.Tell):
+    if isinstance(a, actions.Tell):
         return f"MEMO_TO {me} {'*' if a.peer is None else a.peer} {a.payload.hex() or '-'}"
-    if isinstance(a, io.Subscribe):
+    if isinstance(a, actions.Subscribe):
         return f"FOLLOW {me} {int(a.on)}"
-    if isinstance(a, io.FetchList):
+    if isinstance(a, actions.FetchList):
         return f"GET_LIST {me}"
     return f"EMIT {me} {' '.join(a.text.split())}"
 
@@ -187,7 +190,7 @@
 class Host:
     """All instances of one process; they share nothing but this dispatch."""
 
-    def __init__(self, make: Callable[[io.Settings, int, float], Any] = make_gateway) -> None:
+    def __init__(self, make: Callable[[Settings, int, float], Any] = make_gateway) -> None:
         self.make = make
         self.gateways: dict[int, tuple[Any, tuple[str, ...], dict[str, Any], dict[str, Any]]] = {}
 
@@ -223,7 +226,7 @@
             event = read_event(parts, known[1] if known else (), rest)
             if known is None:
                 bad(m, "ingress", "an instance that is running", me)
-            if isinstance(event, io.Request):
+            if isinstance(event, events.Request):
                 read_choice(m, "service", event.class_name, known[2])
                 read_choice(m, "plan", event.plan, known[3])
             try:
