--- a/benchmarks/beginning.py
+++ b/benchmarks/beginning.py
@@ -11,9 +11,9 @@
 import argparse
 import math
 
-from tests.ledger.test_beginning import AT_ONCE, begun, refused
-from tests.ledger.world import BASIC, PLUS
-from thistleusher.ledger.escrow import Terms, epoch_length
+from tests.quota.test_beginning import AT_ONCE, begun, refused
+from tests.quota.world import BASIC, PLUS
+from thistleusher.quota.escrow import Terms, epoch_length
 
 STARTS = {
     "3 within 50 ms": AT_ONCE,
--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -19,7 +19,7 @@
 
 from thistleusher.common.config_items import ConfigurationFollower, assemble, changes, difference
 from thistleusher.control import orders
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 REPEATS = 5
 SIZES = ((100, 1_000), (1_000, 10_000), (16_000, 160_000))  # routes, tenants
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -11,7 +11,7 @@
 import argparse
 import sys
 
-from tests.ledger import test_failures as failures
+from tests.quota import test_failures as failures
 
 
 def main() -> int:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -11,7 +11,7 @@
 import argparse
 import time
 
-from tests.ledger.world import CounterModel, World
+from tests.quota.world import CounterModel, World
 
 NARROW = 5
 
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tests.ledger.world import BASIC, PLUS, CounterModel, Store, World
+from tests.quota.world import BASIC, PLUS, CounterModel, Store, World
 from thistleusher.core import events
 
 NARROW = 8  # ingresses of a ceilinged member's set
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -21,10 +21,10 @@
 from absl import logging
 
 from benchmarks.scale.inputs import address_of, settings, zone_of
-from thistleusher.common.boot import CONTROL, PROXY, REGISTRY, RING
+from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import TICK_S, Settings
+from thistleusher.proxy.cluster_view import InForce, Output, Verdict
 from thistleusher.proxy.decisions import Charge
-from thistleusher.proxy.knowledge import InForce, Output, Verdict
 from thistleusher.proxy.program import Heartbeats, ProxyProgram
 from thistleusher.transport import links
 
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -14,7 +14,7 @@
 
 from benchmarks.scale.inputs import PAGE, backends, changed, configuration, settings
 from thistleusher.common import config_items
-from thistleusher.common.boot import read_boot
+from thistleusher.common.node_settings import read_node_settings
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.placement import Place
 from thistleusher.registry.charges import REMEMBERED, ChargeLedger
@@ -22,8 +22,8 @@
 from thistleusher.registry.instances import Survey
 from thistleusher.services.wire import read_address
 from thistleusher.transport.codec import decode, encode
-from thistleusher.transport.messages import Charge, News
-from thistleusher.transport.news import Follower, Publisher, State
+from thistleusher.transport.messages import Charge, StateUpdate
+from thistleusher.transport.state_updates import Publisher, State, Subscriber
 
 ROUTES, SERVICES, TENANTS, BACKENDS = 16_000, 360, 160_000, 10_000
 PARTS = (16, 4, 1)  # of the target
@@ -50,7 +50,7 @@
 
 def decisions() -> Decisions:
     """A proxy's."""
-    boot = read_boot(settings("proxy-0", "proxy", "127.0.0.1", "z-0", Path("/")))
+    boot = read_node_settings(settings("proxy-0", "proxy", "127.0.0.1", "z-0", Path("/")))
     return Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(1), 0.0)
 
 
@@ -58,14 +58,14 @@
     """What a proxy does with news of the control state, without connections."""
 
     def __init__(self) -> None:
-        self.follower = Follower("proxy-0")
+        self.follower = Subscriber("proxy-0")
         self.configuration = config_items.ConfigurationFollower()
         self.decisions = decisions()
 
     def take(self, data: bytes) -> None:
         """News as they come from a connection."""
         news = decode(data)
-        assert isinstance(news, News)
+        assert isinstance(news, StateUpdate)
         changed, _ = self.follower.heard(news)
         assert changed is not None
         self.configuration.update(self.follower.state, changed)
@@ -92,7 +92,9 @@
     whole_s = timed(lambda: proxy.take(whole))
     proxy_mb = resident_mb() - before
     change_s = timed(lambda: proxy.take(change))
-    from thistleusher.common.checks import read_configuration  # after the proxy's figures, as a proxy does not load it
+    from thistleusher.common.validation import (
+        read_configuration,  # after the proxy's figures, as a proxy does not load it
+    )
 
     return {
         "document MB": len(body) / MB,
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -13,10 +13,10 @@
 import time
 from pathlib import Path
 
-from tests.ledger.world import World
-from tests.ledger.world import settings as told
-from thistleusher.state.keeper import PORTION, Keeper
+from tests.quota.world import World
+from tests.quota.world import settings as told
 from thistleusher.state.options import StateOptions
+from thistleusher.state.snapshotter import PORTION, Snapshotter
 from thistleusher.state.store import SYNCS
 
 
@@ -38,7 +38,7 @@
         for sync in SYNCS:
             with tempfile.TemporaryDirectory(prefix="state-") as folder:
                 w = World(1, 2)
-                keeper = Keeper(StateOptions(folder, sync), "n0", told(0), 1e9)
+                keeper = Snapshotter(StateOptions(folder, sync), "n0", told(0), 1e9)
                 gateway = w.gateways[0]
                 keeper.begin(gateway, lambda: 5000.0, Never())
                 for m in range(members):
@@ -57,7 +57,7 @@
                 keeper.close()
                 pauses.sort()
                 at = time.perf_counter()
-                again = Keeper(StateOptions(folder, sync), "n0", told(0), 1e9)
+                again = Snapshotter(StateOptions(folder, sync), "n0", told(0), 1e9)
                 _, found = again.begin(World(2, 2).gateways[0], lambda: 5000.0, Never())
                 ready = time.perf_counter() - at
                 assert len(found.members) == members
--- a/simnet/backends.py
+++ b/simnet/backends.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from simnet.places import PLACES, way
-from thistleusher.core.driver import Held
+from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended
 
@@ -27,7 +27,9 @@
 class Attempt:
     """One attempt: a connection, the request, an answer; each may fail."""
 
-    def __init__(self, proxy: ProxyProcess, held: Held, backend: str, on_end: Callable[[Ended], None]) -> None:
+    def __init__(
+        self, proxy: ProxyProcess, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]
+    ) -> None:
         self.proxy, self.held, self.backend, self.on_end = proxy, held, backend, on_end
         self.written = self.over = False
         self.life = proxy.life
--- a/simnet/clients.py
+++ b/simnet/clients.py
@@ -14,8 +14,8 @@
 from simnet.rules import Broken, held_order
 from thistleusher.control.leases import Holder
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.messages import AnyMessage, CoreInfo, LeaseGranted, LeaseTaken, Message, News
-from thistleusher.transport.news import Follower
+from thistleusher.transport.messages import AnyMessage, CoreInfo, LeaseGranted, LeaseRejected, Message, StateUpdate
+from thistleusher.transport.state_updates import Subscriber
 
 if TYPE_CHECKING:
     from simnet.cluster import Cluster
@@ -41,7 +41,7 @@
     def begin(self, now: float) -> None:
         """A new life."""
         self.life += 1
-        self.follower = Follower(self.name)
+        self.follower = Subscriber(self.name)
         self.members = CoreMembers()
         self.holder = Holder(DUTY, f"{self.name}/{self.life}", self.clock.time(now), random.Random(self.rng.random()))
         self.running = True
@@ -112,7 +112,7 @@
         client = self.clients[name]
         if not client.running:
             return
-        if isinstance(message, News):
+        if isinstance(message, StateUpdate):
             before = client.follower.state.number
             heard = client.follower.heard(message)
             self._check_news(client, before)
@@ -120,7 +120,7 @@
         elif isinstance(message, CoreInfo):
             if client.members.learn(message):
                 client.holder.voters(message.voters)
-        elif isinstance(message, LeaseGranted | LeaseTaken):
+        elif isinstance(message, LeaseGranted | LeaseRejected):
             client.holder.heard(sender, message)
 
     # Rules.
--- a/simnet/cluster.py
+++ b/simnet/cluster.py
@@ -20,7 +20,7 @@
 from thistleusher.control.leases import Grantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
-from thistleusher.transport.messages import AnyMessage, News, VoteRequest
+from thistleusher.transport.messages import AnyMessage, StateUpdate, VoteRequest
 
 TICK_S = 0.06
 RESTART_S = 0.3  # after the end of a process, until it is started again
@@ -329,7 +329,7 @@
 
     def _tell(self, machine: Machine, tell: Tell) -> None:
         """A message to a client; news leave only a leader whose lease stands, in contact with a majority."""
-        if isinstance(tell.message, News) and not (machine.holds(self.clock.now) and self.in_contact(machine)):
+        if isinstance(tell.message, StateUpdate) and not (machine.holds(self.clock.now) and self.in_contact(machine)):
             raise Broken(f"{machine.address} tells news without a lease or without contact with a majority")
         self.wires.send(machine.address, tell.name, tell.message)
 
--- a/simnet/machine.py
+++ b/simnet/machine.py
@@ -9,7 +9,7 @@
 
 from simnet.disk import Disk
 from thistleusher.control.interface import Outward
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 if TYPE_CHECKING:
     from thistleusher.control.node import ControlNode
--- a/simnet/operators.py
+++ b/simnet/operators.py
@@ -18,7 +18,7 @@
 from simnet.rules import CONFIG, Broken, Ledger, Order, held_order
 from thistleusher.common.failures import ANSWERS, Failure, Kind
 from thistleusher.control.interface import Answer, Change, Read, Unread
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 PATIENCE_S = 1.0  # with one machine
 ORDER_S = 8.0  # for which an order is sent again
--- a/simnet/places.py
+++ b/simnet/places.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from thistleusher.common.boot import Bounds
+from thistleusher.common.node_settings import Bounds
 
 RATE = BURST = 40.0  # of the one limited tenant
 BOUNDS = Bounds()
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -9,22 +9,22 @@
 from simnet.backends import Attempt
 from simnet.disk import Disk
 from simnet.places import BOUNDS, CORES, DEADLINE_S, PLACES, ZONES
-from thistleusher.common.configuration import Found
+from thistleusher.common.configuration import RouteMatch
 from thistleusher.control.interface import Answer, Change, Outward, Send, Tell, Write
 from thistleusher.control.leases import Grantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, Held
+from thistleusher.core.driver import Driver, InFlightRequest
 from thistleusher.core.ports import Ended, Final
-from thistleusher.proxy import knowledge
+from thistleusher.proxy import cluster_view as knowledge
+from thistleusher.proxy.cluster_view import ClusterView, InForce, Serving, ToPeer, ToRegistry, ToRing
 from thistleusher.proxy.decisions import Asked, Charge, Decisions
-from thistleusher.proxy.knowledge import InForce, Knowledge, Serving, ToPeer, ToRegistry, ToRing
 from thistleusher.registry.registry import Call as PlatformCall
 from thistleusher.registry.registry import Output as RegistryOutput
 from thistleusher.registry.registry import Registry, ToControl
 from thistleusher.registry.registry import Tell as RegistryTell
-from thistleusher.transport.messages import AnyMessage, HandOver, Hello, RingBeat
+from thistleusher.transport.messages import AnyMessage, HandOver, Hello, RingHeartbeat
 
 if TYPE_CHECKING:
     from simnet.system import World
@@ -193,7 +193,7 @@
         zone, region = PLACES[self.machine]
         now = self.now()
         self.decisions = Decisions(self.machine, zone, region, BOUNDS, random.Random(self.world.rng.random()), now, now)
-        self.knowledge = Knowledge(
+        self.knowledge = ClusterView(
             self.machine,
             f"{self.machine}/{self.life}",
             region,
@@ -246,7 +246,7 @@
 
     def datagram(self, sender: str, message: AnyMessage) -> None:
         """A beat of the ring, or a copy of the news."""
-        if isinstance(message, RingBeat):
+        if isinstance(message, RingHeartbeat):
             self.carry(self.knowledge.beat(self.now(), message, sender))
         elif isinstance(message, HandOver):
             self.carry(self.knowledge.handed(self.now(), message))
@@ -262,7 +262,7 @@
             return  # 503 before anything else
         index = self.knowledge.index
         assert index is not None
-        self.decisions.expect(name, Asked(Found(route, index.config.routes[route]), tenant))
+        self.decisions.expect(name, Asked(RouteMatch(route, index.config.routes[route]), tenant))
         life, sent = self.life, world.clock.now
         world.open[name] = (self, life, sent + DEADLINE_S)
 
@@ -273,7 +273,7 @@
 
     # The driver's port to backends.
 
-    def prepare(self, held: Held, backend: str, on_end: Callable[[Ended], None]) -> Attempt:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Attempt:
         return Attempt(self, held, backend, on_end)
 
     def probe(self, backend: str) -> None:
--- a/simnet/rules.py
+++ b/simnet/rules.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 CONFIG = "config"  # the item that holds the configuration: {"v": number, "z": contents}
 
--- a/simnet/search.py
+++ b/simnet/search.py
@@ -28,7 +28,7 @@
 from thistleusher.control.interface import Answer, Change, Output, Send, Stored, Write
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import AnyMessage, Position, RecordView, ViewRecord, VoteRequest
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 VOTERS = {"1": "a", "2": "b", "3": "a"}
 LEARNER, LEARNER_ZONE = "4", "b"
@@ -397,7 +397,7 @@
 }
 
 
-class Found(NamedTuple):
+class FounderAnnouncement(NamedTuple):
     """A search's end: states met, the depth that was whole, and the steps to a broken rule, if any."""
 
     states: int
@@ -418,7 +418,7 @@
     budget: Budget | None = None,
     beginning: str = "calm",
     go_on: Callable[[], bool] = lambda: True,
-) -> Found:
+) -> FounderAnnouncement:
     """All states within `depth` steps after a beginning, nearest first; `go_on` is asked before each."""
     budget = budget or Budget()
     first = BEGINNINGS[beginning]()
@@ -430,16 +430,16 @@
         following: list[Reached] = []
         for reached in level:
             if not go_on():
-                return Found(len(met), at, None, "")
+                return FounderAnnouncement(len(met), at, None, "")
             for choice in list(reached.world.choices(budget)):
                 world, steps = copy.deepcopy(reached.world), (*reached.steps, choice)
                 try:
                     world.step(choice)
                 except Broken as broken:
-                    return Found(len(met), at, steps, str(broken))
+                    return FounderAnnouncement(len(met), at, steps, str(broken))
                 mark = world.mark()
                 if mark not in met:
                     met.add(mark)
                     following.append(Reached(world, steps))
         level = following
-    return Found(len(met), depth, None, "")
+    return FounderAnnouncement(len(met), depth, None, "")
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -1,6 +1,6 @@
 """Random fault scripts on real fleets of processes, judged by the auditor and by what the processes say of themselves.
 
-The bound on quotas and ceilings is that of `thistleusher.ledger.bound` for what the script does: loss, delay, restarts.
+The bound on quotas and ceilings is that of `thistleusher.quota.bound` for what the script does: loss, delay, restarts.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from standins.fleet import HALLS, Fleet, Options, settings
 from standins.match import Shape
 from standins.records import Answered, Records
-from thistleusher.ledger.bound import Assumed, bound_of
+from thistleusher.quota.bound import Assumed, bound_of
 from thistleusher.settings import nested_settings
 
 LATE_S = 0.15  # that a busy machine may add to a datagram's way
--- a/soak/moments.py
+++ b/soak/moments.py
@@ -18,9 +18,9 @@
 MOVED = Path(__file__).parent / "moved"
 # Those whose counts and seeds the kind `suite` plays with are left to it; they take all time by hand.
 ELSEWHERE = {
-    "tests/ledger/test_escrow.py",
-    "tests/ledger/test_failures.py",
-    "tests/ledger/test_beginning.py",
+    "tests/quota/test_escrow.py",
+    "tests/quota/test_failures.py",
+    "tests/quota/test_beginning.py",
     "tests/soak/test_soak.py",
 }
 
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -26,12 +26,12 @@
 from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
 from thistleusher.core.events import Outcome, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.ledger.beginning import HELLO, HELLO_MARK
-from thistleusher.ledger.escrow import ROW, SETTLED
-from thistleusher.net.config import BadConfiguration, read_config
+from thistleusher.net.config import InvalidConfiguration, read_config
 from thistleusher.net.counters_file import read_counters
 from thistleusher.net.discovery import Watch, read_listing_text
 from thistleusher.net.server import ClientConnection, IngressServer
+from thistleusher.quota.escrow import ROW, SETTLED
+from thistleusher.quota.incarnations import HELLO, HELLO_MARK
 from thistleusher.services.counter import Add, Link
 from thistleusher.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
 from thistleusher.settings import nested_settings
@@ -368,8 +368,8 @@
             HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
         ),
     ),
-    "config": (_file(_config, BadConfiguration), (_config_bytes(),)),
-    "counters": (_file(read_counters, BadConfiguration), (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',)),
+    "config": (_file(_config, InvalidConfiguration), (_config_bytes(),)),
+    "counters": (_file(read_counters, InvalidConfiguration), (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',)),
     "script": (_file(_script, BadScript), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
     "records": (records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
     "case": (_file(read_case, BadCase), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -19,9 +19,9 @@
 from thistleusher.core.actions import Action, CounterAdd, Tell
 from thistleusher.core.events import Event
 from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
-from thistleusher.ledger.beginning import HELLO_MARK
 from thistleusher.net.config import read_config
 from thistleusher.net.daemon import Daemon
+from thistleusher.quota.incarnations import HELLO_MARK
 from thistleusher.settings import nested_settings
 
 INSTANCES = 3
--- a/tests/talk/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from tests.ledger.world import BASIC, CounterModel, World, settings
+from tests.quota.world import BASIC, CounterModel, World, settings
 from thistleusher.core import events
 from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
-from thistleusher.ledger.bound import Assumed, bound_of, table
+from thistleusher.quota.bound import Assumed, bound_of, table
 
 FLEET, WIDE, NARROW = 60, 50, 5
 MEMBERS = 240
--- a/tests/talk/test_talk.py
+++ b/tests/gossip/test_talk.py
@@ -8,22 +8,22 @@
 
 from thistleusher.core import events
 from thistleusher.core.decision_ports import Asked
-from thistleusher.talk import Homes, Outbox, Talk
-from thistleusher.talk.held import MOST, Held
-from thistleusher.talk.homes import ANSWER_S, CANDIDATES, KNOWN_MOST, KNOWN_S, MISSES, MUTE_S, OUT_MOST
-from thistleusher.talk.outbox import ALIVE_S, BURST_S, COMPANY_S, LAZY_S
-from thistleusher.talk.talk import ANSWER, ASK, SETTLE_MOST, SETTLED
+from thistleusher.gossip import Gossip, Outbox, Owners
+from thistleusher.gossip.outbox import ALIVE_S, BURST_S, COMPANY_S, LAZY_S
+from thistleusher.gossip.owners import ANSWER_S, CANDIDATES, KNOWN_MOST, KNOWN_S, MISSES, MUTE_S, OUT_MOST
+from thistleusher.gossip.pending import MOST, PendingRequests
+from thistleusher.gossip.updates import ANSWER, ASK, SETTLE_MOST, SETTLED
 
 
 def request(name: str = "r1", first: int = 190, width: int = 120, units: float = 2.0) -> events.Request:
     return events.Request(name, "read", "basic", (1 << 33) - 1, 6.0, units, width, first)
 
 
-def talk(me: int = 3, instances: int = 200) -> Talk:
-    return Talk(instances, me, 100.0, 28, 0.08, 0.0)
+def talk(me: int = 3, instances: int = 200) -> Gossip:
+    return Gossip(instances, me, 100.0, 28, 0.08, 0.0)
 
 
-def ask(homes: Homes, now: float, request: str = "r", home: int = 1) -> bytes | None:
+def ask(homes: Owners, now: float, request: str = "r", home: int = 1) -> bytes | None:
     return homes.ask(now, request, home, 7, 0, 1.0, lambda number: b"%d" % number)
 
 
@@ -79,17 +79,17 @@
 def test_all_of_a_set_agree_on_its_home_also_where_it_wraps_round(first, width):
     members = {(first + n) % 200 for n in range(width)}
     for key in range(200):
-        homes = {Homes(200, me, 0.18).of(0.0, key, first, width) for me in members}
+        homes = {Owners(200, me, 0.18).of(0.0, key, first, width) for me in members}
         assert len(homes) == 1 and homes <= members
 
 
 def test_homes_lie_evenly():
-    found = [Homes(200, 0, 0.18).of(0.0, key, 0, 200) for key in range(20_000)]
+    found = [Owners(200, 0, 0.18).of(0.0, key, 0, 200) for key in range(20_000)]
     assert max(found.count(n) for n in range(200)) < 150
 
 
 def test_a_home_that_says_nothing_is_passed_over_for_a_while():
-    homes = Homes(200, 3, 0.18)
+    homes = Owners(200, 3, 0.18)
     home = homes.of(0.0, 7, 0, 100)
     for n in range(MISSES):
         assert homes.of(0.0, 7, 0, 100) == home
@@ -106,7 +106,7 @@
 
 
 def test_one_lost_message_does_not_move_a_home():
-    homes = Homes(200, 3, 0.18)
+    homes = Owners(200, 3, 0.18)
     home = homes.of(0.0, 7, 0, 100)
     for n in range(10):
         ask(homes, float(n), "lost", home)
@@ -116,7 +116,7 @@
 
 
 def test_questions_out_are_bounded():
-    homes = Homes(200, 3, 0.18)
+    homes = Owners(200, 3, 0.18)
     assert all(ask(homes, 0.0) is not None for _ in range(OUT_MOST))
     assert ask(homes, 0.0) is None
     assert len(homes.overdue(1.0)) == OUT_MOST and ask(homes, 1.0) is not None
@@ -166,7 +166,7 @@
 
 
 def test_requests_wait_for_gifts_in_their_order_for_so_long_and_so_many():
-    held = Held()
+    held = PendingRequests()
     assert held.due() is None and held.hold("a", 0.3) and held.hold("b", 0.2) and held.due() == 0.2
     assert held.overdue(0.2) == ["b"] and held.take() == ["a"] and held.take() == []
     assert all(held.hold(str(n), 1.0) for n in range(MOST)) and not held.hold("more", 1.0)
--- a/tests/ledger/test_beginning.py
+++ b/tests/quota/test_beginning.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from tests.ledger.test_escrow import PLUS as TERMS
-from tests.ledger.test_escrow import START, Set
-from tests.ledger.world import BASIC, PLUS, TIMEOUT, World, settings
+from tests.quota.test_escrow import PLUS as TERMS
+from tests.quota.test_escrow import START, Set
+from tests.quota.world import BASIC, PLUS, TIMEOUT, World, settings
 from thistleusher.core import actions
-from thistleusher.ledger.beginning import FORGET_S, HELLO, HELLO_MARK, JOINT_MS, Lives
-from thistleusher.ledger.bound import Assumed, bound_of
-from thistleusher.ledger.escrow import GIVE_MARK, HEAD, epoch_length
+from thistleusher.quota.bound import Assumed, bound_of
+from thistleusher.quota.escrow import GIVE_MARK, HEAD, epoch_length
+from thistleusher.quota.incarnations import FORGET_S, HELLO, HELLO_MARK, JOINT_MS, Incarnations
 
 FIRST = 6 * int(os.environ.get("SOAK_SEED", "0"))
 SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))
@@ -273,7 +273,7 @@
 
 
 def lives_of(count, began):
-    return [Lives(count, n, at, 6.0) for n, at in enumerate(began)]
+    return [Incarnations(count, n, at, 6.0) for n, at in enumerate(began)]
 
 
 def greet(lives, now, lost=()):
@@ -310,22 +310,22 @@
 def test_a_life_that_a_peer_has_followed_is_not_young_again():
     lives = lives_of(3, [100.0] * 3)
     greet(lives, 100.0)
-    lives[1] = Lives(3, 1, 101.0, 6.0)
+    lives[1] = Incarnations(3, 1, 101.0, 6.0)
     greet(lives, 101.0)
     assert lives[1].known and not lives[1].young((0, 1, 2)) and lives[0].young((0, 1, 2))
     for n in (0, 2):  # through the whole fleet, one overlapping the other
-        lives[n] = Lives(3, n, 102.0 + n, 6.0)
+        lives[n] = Incarnations(3, n, 102.0 + n, 6.0)
         greet(lives, 102.0 + n)
         assert not lives[n].young((0, 1, 2))
     lives = lives_of(3, [200.0, 200.0, 200.0 + 2 * JOINT_MS / 1000])  # the last begins long after the others
-    greet(lives[:2] + [Lives(3, 2, 0.0, 6.0)], 200.0, lost=(2,))
+    greet(lives[:2] + [Incarnations(3, 2, 0.0, 6.0)], 200.0, lost=(2,))
     greet(lives, 215.0)
     assert not lives[2].young((0, 1, 2)) and lives[0].young((0, 1, 2))
 
 
 def test_an_earlier_name_is_listened_to_once_the_later_one_has_long_been_silent():
-    a = Lives(2, 0, 100.0, 6.0)
-    late, early = Lives(2, 1, 100.0, 6.0), Lives(2, 1, 40.0, 6.0)  # its clock was put back
+    a = Incarnations(2, 0, 100.0, 6.0)
+    late, early = Incarnations(2, 1, 100.0, 6.0), Incarnations(2, 1, 40.0, 6.0)  # its clock was put back
     assert a.heard(100.0, 1, late.hello(100.0, 0)) is not None
     assert a.heard(101.0, 1, early.hello(101.0, 0)) is None and a.lives[1] == late.life
     assert a.heard(101.0 + FORGET_S, 1, early.hello(111.0, 0)) is not None and a.lives[1] == early.life
--- a/tests/ledger/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from thistleusher.core.datagrams import name_of
-from thistleusher.ledger.escrow import (
+from thistleusher.quota.escrow import (
     GIVE_MARK,
     GRAIN,
     HEAD,
@@ -19,7 +19,7 @@
     ROW,
     WANT_MARK,
     WHOLE,
-    Ledger,
+    EscrowTable,
     Terms,
     epoch_length,
 )
@@ -51,14 +51,14 @@
 
     def __init__(self, terms: Terms, count: int = 3, began: float = 0.0) -> None:
         self.terms, self.count, self.now = terms, count, START
-        self.nodes = [Ledger(count, n, began, (terms,)) for n in range(count)]
+        self.nodes = [EscrowTable(count, n, began, (terms,)) for n in range(count)]
         self.store = Store(terms, count)
         self.wire: list[tuple[int, int, bytes]] = []
         self.served = self.asked = 0
 
     def restart(self, node: int) -> None:
         """A new life, with nothing of the old one's; what that one sent is still on its way."""
-        self.nodes[node] = Ledger(self.count, node, self.now, (self.terms,))
+        self.nodes[node] = EscrowTable(self.count, node, self.now, (self.terms,))
         self.greet(node)
 
     def greet(self, node: int) -> None:
@@ -274,7 +274,7 @@
 
 
 def test_what_others_let_in_lowers_the_room_when_it_is_asked_anew():
-    node = Ledger(3, 0, 0.0, (PLUS,))
+    node = EscrowTable(3, 0, 0.0, (PLUS,))
     assert not node.take(START, 0, 7, 0, 3, 4.0, spent=20.0)  # a third of the 10 that are left
     assert node.take(START, 0, 7, 0, 3, 3.0, spent=20.0)
     node.spend(START, 0, 7, 100.0)
@@ -294,7 +294,7 @@
 
 
 def test_plans_without_terms_are_let_through_and_idle_allowances_forgotten():
-    node = Ledger(3, 0, 0.0, (None, PLUS))
+    node = EscrowTable(3, 0, 0.0, (None, PLUS))
     assert node.take(START, 0, 7, 0, 3, 4.0, 0.0) and not node.allowances
     for member in range(100):
         node.take(START + member * 0.001, 1, member, 0, 3, 4.0, 0.0)
@@ -319,7 +319,7 @@
     ],
 )
 def test_messages_that_cannot_be_used_change_nothing(payload):
-    node = Ledger(3, 0, 0.0, (PLUS,))
+    node = EscrowTable(3, 0, 0.0, (PLUS,))
     node.take(START, 0, 7, 0, 3, 1.0, 0.0)
     a = node.allowances[0, 7]
     before = a.share, a.room
@@ -329,7 +329,7 @@
 
 
 def test_many_wants_are_told_in_messages_of_256_bytes_each_once():
-    node = Ledger(3, 0, 0.0, (PLUS,))
+    node = EscrowTable(3, 0, 0.0, (PLUS,))
     for member in range(100):
         while node.take(START, 0, member, 0, 3, 4.0, 0.0):
             pass
@@ -341,5 +341,5 @@
         now += 2 * node.want_every
     assert max(map(len, messages)) <= 256 and sum((len(m) - HEAD) // ROW.size for m in messages) == 100
     assert not node.wants
-    answer = Ledger(3, 1, 0.0, (PLUS,)).heard(START, 0, messages[0])
+    answer = EscrowTable(3, 1, 0.0, (PLUS,)).heard(START, 0, messages[0])
     assert answer and max(map(len, answer)) <= 256
--- a/tests/ledger/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from tests.ledger.world import BASIC, PLUS, TIMEOUT, CounterModel, World, settings
+from tests.quota.world import BASIC, PLUS, TIMEOUT, CounterModel, World, settings
 from thistleusher.core import actions, events
-from thistleusher.ledger import bound
-from thistleusher.ledger.bound import Assumed, bound_of
 from thistleusher.policy import health, sharing
+from thistleusher.quota import bound
+from thistleusher.quota.bound import Assumed, bound_of
 
 LENGTH = 30.0
 
--- a/tests/ledger/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -10,14 +10,14 @@
 import pytest
 
 from standins.counter import Counter
-from tests.ledger.test_failures import spread
-from tests.ledger.world import BASIC, PLUS, World, settings
+from tests.quota.test_failures import spread
+from tests.quota.world import BASIC, PLUS, World, settings
 from tests.sockets import Peer, call, ok, run, until
 from tests.test_program import FEW, Program, known
-from thistleusher.ledger import Placement, bound_of
-from thistleusher.ledger.bound import Assumed
-from thistleusher.net.config import BadConfiguration
+from thistleusher.net.config import InvalidConfiguration
 from thistleusher.net.counters_file import read_counters
+from thistleusher.quota import Placement, bound_of
+from thistleusher.quota.bound import Assumed
 from thistleusher.services.counters import Counters
 
 ADDRESSES = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
@@ -85,9 +85,9 @@
 def test_a_file_of_counters_that_cannot_be_used_is_named_with_its_key(tmp_path, text, error):
     path = tmp_path / "c.toml"
     path.write_text(text)
-    with pytest.raises(BadConfiguration, match=error):
+    with pytest.raises(InvalidConfiguration, match=error):
         read_counters(str(path))
-    with pytest.raises(BadConfiguration, match="none"):
+    with pytest.raises(InvalidConfiguration, match="none"):
         read_counters(str(tmp_path / "none"))
 
 
--- a/tests/ledger/test_reserve.py
+++ b/tests/quota/test_reserve.py
@@ -9,11 +9,11 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from tests.ledger.test_escrow import EXAMPLES, PLUS, SEED, STEP, Set
+from tests.quota.test_escrow import EXAMPLES, PLUS, SEED, STEP, Set
 from thistleusher.core.snapshots import SavedRoom
-from thistleusher.ledger import Ledger
-from thistleusher.ledger.escrow import epoch_length
-from thistleusher.ledger.reserve import KEEP, PART, TOP, Reserve
+from thistleusher.quota import EscrowTable
+from thistleusher.quota.escrow import epoch_length
+from thistleusher.quota.reserve import KEEP, PART, TOP, Reserve
 
 FRESH = PLUS._replace(fresh=PLUS.burst)  # what a joint start may have at once, where nothing is remembered
 EPOCH = epoch_length(PLUS)
@@ -207,7 +207,7 @@
 
 
 def test_notes_wait_for_the_one_before_and_outlive_an_allowance_until_they_are_gone():
-    ledger = Ledger(3, 0, 0.0, (PLUS,))
+    ledger = EscrowTable(3, 0, 0.0, (PLUS,))
     ledger.keep((), None)
     assert ledger.take(1000.0, 0, 7, 0, 3, 1.0, 0.0)
     first = ledger.saved(1000.0, 10)
@@ -230,7 +230,7 @@
 
 def test_a_note_of_another_set_or_of_an_epoch_that_is_over_adds_nothing():
     def room(note, active):
-        ledger = Ledger(3, 0, 1000.0, (FRESH,))
+        ledger = EscrowTable(3, 0, 1000.0, (FRESH,))
         ledger.keep([note], active)
         ledger.take(1000.0, 0, 7, 0, 3, 0.0, 0.0)
         return ledger.allowances[0, 7].room
--- a/tests/ledger/world.py
+++ b/tests/quota/world.py
@@ -18,7 +18,7 @@
 from thistleusher.core.actions import Action
 from thistleusher.core.events import BackendEntry, Event, ListKind, Outcome, Phase
 from thistleusher.core.settings import PlanSettings, Settings
-from thistleusher.ledger import Placement
+from thistleusher.quota import Placement
 
 PLUS = PlanSettings("plus", rate=16.0, burst=36.0, ceiling_rate=29.0, ceiling_burst=65.0)
 BASIC = PlanSettings("basic", rate=2.4, burst=10.0)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -159,7 +159,7 @@
 def test_suites_run_with_their_seed(monkeypatch):
     case = suites.draw(3, 2.0)
     assert case.size["examples"] == 2400 and suites.smaller(case)[0].size["schedules"] == 120
-    good = Case("suite", 5, {"test": "tests/ledger/test_placement.py", "examples": 10, "schedules": 8})
+    good = Case("suite", 5, {"test": "tests/quota/test_placement.py", "examples": 10, "schedules": 8})
     assert suites.run(good) == Outcome(count=8)
     assert suites.run(good.but(test="tests/no_such_test.py")).why
 
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -15,7 +15,7 @@
 from tests.sockets import HOST, call, run, until
 from tests.sockets import Client as Caller
 from thistleusher.core.events import Outcome, Phase
-from thistleusher.net.discovery import Discovery as Follower
+from thistleusher.net.discovery import Discovery as Subscriber
 from thistleusher.services.counter import Counter as Client
 
 
@@ -179,7 +179,7 @@
         discovery = Discovery(clock=Clock())
         await discovery.start()
         discovery.put("s0", "127.0.0.1:1")
-        follower = Follower(asyncio.get_running_loop(), (HOST, discovery.port), 0, heard.append)
+        follower = Subscriber(asyncio.get_running_loop(), (HOST, discovery.port), 0, heard.append)
         await until(lambda: heard)
         discovery.silence(True)
         discovery.put("s0", "127.0.0.1:1", "DRAINING")
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.ledger.world import BASIC, World
+from tests.quota.world import BASIC, World
 
 UNITS = 4.0  # of the largest request
 
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 
 from tests.helpers import Ingress, only
-from tests.ledger.world import BASIC, PLUS, World
-from tests.ledger.world import settings as told
+from tests.quota.world import BASIC, PLUS, World
+from tests.quota.world import settings as told
 from thistleusher.assembly import room_terms
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
@@ -25,7 +25,6 @@
 from thistleusher.net.daemon import listing_of
 from thistleusher.operator.units import Seconds
 from thistleusher.policy import Gateway
-from thistleusher.state.keeper import Keeper
 from thistleusher.state.options import StateOptions, read_options
 from thistleusher.state.records import (
     BadRecord,
@@ -41,6 +40,7 @@
     read_member,
 )
 from thistleusher.state.recovery import active_until, recover, still_learned, still_listed, still_there
+from thistleusher.state.snapshotter import Snapshotter
 from thistleusher.state.store import FILE, BadState, Store
 from thistleusher.state.writer import Writer
 
@@ -434,7 +434,7 @@
 
 def test_a_keeper_keeps_and_puts_back(tmp_path):
     def keeper(name="n0"):
-        return Keeper(StateOptions(str(tmp_path / "a"), commit_every=Seconds(0.005)), name, told(0), 60.0)
+        return Snapshotter(StateOptions(str(tmp_path / "a"), commit_every=Seconds(0.005)), name, told(0), 60.0)
 
     w, later = World(5, 2), Later()
     one = keeper()
@@ -463,7 +463,7 @@
 
     def kept(n, life):
         options = StateOptions(str(tmp_path / f"{seed}-{n}"), "off", Seconds(0.005))
-        keepers[n] = Keeper(options, f"n{n}", told(n), 60.0, TERMS)
+        keepers[n] = Snapshotter(options, f"n{n}", told(n), 60.0, TERMS)
         return keepers[n].begin(w.gateways[n], lambda: w.now, Later())
 
     def go(seconds):
@@ -604,7 +604,7 @@
 
 def at_a_disk(tmp_path, w, disk, most=200_000):
     """A keeper of ingress 0 whose writer goes to a disk of the test's."""
-    keeper = Keeper(StateOptions(str(tmp_path / "a")), "n0", told(0), 60.0, TERMS)
+    keeper = Snapshotter(StateOptions(str(tmp_path / "a")), "n0", told(0), 60.0, TERMS)
     keeper.begin(w.gateways[0], lambda: w.now, Later())
     keeper.writer.close()
     keeper.writer = Writer(disk, every=0.0, most=most)
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -15,18 +15,18 @@
 
 import pytest
 
-from thistleusher.common.boot import Bounds
 from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.failures import Failure, Kind
-from thistleusher.common.tables import record
+from thistleusher.common.node_settings import Bounds
+from thistleusher.common.record_reader import record
 from thistleusher.core import actions
 from thistleusher.core.events import AttemptEnded, TimerFired
 from thistleusher.net.server import ClientConnection
 from thistleusher.net.upstream import Connection, Endpoint, Pool, Terms, Upstream
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.front import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.proxy.placement import Place
-from thistleusher.transport.api import CallServer, Handler, Readiness
+from thistleusher.transport.call_server import CallServer, Handler, Readiness
 
 NOT_READY = Failure(Kind.STARTING)
 SEEDS = 120
--- a/tests/system/test_charges.py
+++ b/tests/system/test_charges.py
@@ -5,16 +5,16 @@
 
 import pytest
 
-from thistleusher.common.boot import Bounds
-from thistleusher.common.shares import ALONE_S, COUNTED, LOST_S, OK, OVER
+from thistleusher.common.node_settings import Bounds
+from thistleusher.common.quota_timing import ALONE_S, COUNTED, LOST_S, OK, OVER
 from thistleusher.proxy import decisions as decided
+from thistleusher.proxy.cluster_view import VERDICT_S, ClusterView, ToRegistry, Verdict
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.knowledge import VERDICT_S, Knowledge, ToRegistry, Verdict
 from thistleusher.registry import charges
 from thistleusher.registry.charges import ChargeLedger
 from thistleusher.registry.counts import Counts
 from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.messages import Charge, ChargeResult, Echo, Presence, PresenceReport
+from thistleusher.transport.messages import Charge, ChargeResult, HeartbeatEcho, ProxyHeartbeat, ProxyStatusReport
 
 RATE = BURST = 10.0
 LIMITS = {"t": (RATE, BURST)}
@@ -23,7 +23,7 @@
 
 def proxy_of(name, life, now):
     decisions = Decisions(name, "z", "r", Bounds(), random.Random(1), now)
-    return Knowledge(name, life, "r", lambda zone: "r", {}, decisions, now)
+    return ClusterView(name, life, "r", lambda zone: "r", {}, decisions, now)
 
 
 def counter_of(now, shares=()):
@@ -94,7 +94,7 @@
 
     def beat(self, name):
         proxy = self.proxies[name]
-        self.to_counter.append((name, Presence(proxy.life, self.now, None)))
+        self.to_counter.append((name, ProxyHeartbeat(proxy.life, self.now, None)))
 
     def arrive(self, bag):
         """One of the messages under way arrives, or is lost; now and then it comes again."""
@@ -106,7 +106,7 @@
         return None if fate > 0.93 else message
 
     def at_counter(self, name, message):
-        if isinstance(message, Presence):
+        if isinstance(message, ProxyHeartbeat):
             if self.ledger.counts.here(self.now, name, message.life, self.now):
                 self.ledger.counts.ingresses[name].since = float("-inf")
             return
@@ -158,7 +158,7 @@
     for seed in range(first, first + 10):
         fleet = Fleet(seed)
         for name in fleet.names:
-            fleet.at_counter(name, Presence(fleet.proxies[name].life, fleet.now, None))
+            fleet.at_counter(name, ProxyHeartbeat(fleet.proxies[name].life, fleet.now, None))
         for _ in range(1500):
             fleet.step()
             fleet.check()
@@ -243,9 +243,9 @@
 def test_an_echo_that_lay_in_a_socket_does_not_name_the_counter():
     proxy = proxy_of("p", "x", 5.0)
     report = [out.message for out in proxy.tick(5.0, True) if isinstance(out, ToRegistry)]
-    assert [type(message) for message in report] == [PresenceReport]
-    proxy.from_registry(5.2, "new", Echo("new/1", 5.0, 1.0, 0.1))
-    proxy.from_registry(5.2, "old", Echo("old/1", 4.9, 1.0, 0.2))
+    assert [type(message) for message in report] == [ProxyStatusReport]
+    proxy.from_registry(5.2, "new", HeartbeatEcho("new/1", 5.0, 1.0, 0.1))
+    proxy.from_registry(5.2, "old", HeartbeatEcho("old/1", 4.9, 1.0, 0.2))
     assert proxy.counter == "new" and proxy.decisions.quota.share == 0.1
-    proxy.from_registry(9.0, "old", Echo("old/1", 5.1, 1.0, 0.2))
+    proxy.from_registry(9.0, "old", HeartbeatEcho("old/1", 5.1, 1.0, 0.2))
     assert proxy.counter == "new" and proxy.decisions.quota.echo == ("new/1", 1.0)
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -7,8 +7,6 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from thistleusher.common.boot import read_boot
-from thistleusher.common.checks import read_configuration
 from thistleusher.common.config_items import (
     ConfigurationFollower,
     Identity,
@@ -20,8 +18,10 @@
 )
 from thistleusher.common.configuration import Index, kept_configuration
 from thistleusher.common.failures import ANSWERS, PROMISES, Kind
-from thistleusher.common.tables import BadTable
-from thistleusher.transport.news import Follower, State
+from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.record_reader import InvalidTable
+from thistleusher.common.validation import read_configuration
+from thistleusher.transport.state_updates import State, Subscriber
 
 SOUND = {
     "version": "00000007",
@@ -237,7 +237,7 @@
 
 
 def test_a_settings_file_is_read_with_unknown_fields_ignored():
-    boot = read_boot(BOOT)
+    boot = read_node_settings(BOOT)
     assert boot.bootstrap and boot.bounds.drain_ms == 3000 and boot.region_of("z-1.a") == "r"
     assert boot.core_ips == ["10.1.0.15", "10.4.0.31"] and boot.port(3) == 7563
 
@@ -255,7 +255,7 @@
 )
 def test_what_is_wrong_with_settings_is_told_in_one_line(old, new, told):
     with pytest.raises(ExceptionGroup) as caught:
-        read_boot(BOOT.replace(old, new))
+        read_node_settings(BOOT.replace(old, new))
     lines = [str(e) for e in caught.value.exceptions]
     assert any(told in line for line in lines) and all("\n" not in line for line in lines)
 
@@ -305,7 +305,7 @@
 @given(strategies.data())
 def test_an_index_that_follows_changes_is_the_one_built_whole(data):
     """Also where news are missed, the first state is of release 0.1, or a core is founded anew with a low number."""
-    kept, follower, config = State(), Follower(), ConfigurationFollower()
+    kept, follower, config = State(), Subscriber(), ConfigurationFollower()
     number = data.draw(strategies.integers(0, 3))
     for step in range(data.draw(strategies.integers(1, 8))):
         sent = json.dumps({"version": f"{number:08x}", **data.draw(documents())}).encode()
@@ -341,7 +341,7 @@
         return config.update(kept, changed)
 
     assert follow(7, body())
-    with pytest.raises(BadTable):
+    with pytest.raises(InvalidTable):
         unreadable = {"t1": {"api_keys": 5}}
         follow(8, body(lambda t: t.update(version="00000008", limits={"max_body_bytes": 5}, tenants=unreadable)))
     assert config.index.config == kept_configuration(body()) and config.index.tenant_of("Token k3") == "t2"
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -21,14 +21,14 @@
     Append,
     Deposed,
     Install,
-    InstallRefused,
+    InstallRejected,
     LeaseGranted,
+    LeaseRejected,
     LeaseRequest,
-    LeaseTaken,
     Position,
     ViewRecord,
     Vote,
-    VoteRefused,
+    VoteRejected,
     VoteRequest,
 )
 
@@ -539,7 +539,7 @@
     assert control.message(1.01, "10.0.0.1", ask) == []  # not on disk yet: no answer, and no refusal
     assert said(control.written(1.02, write.token, True)) == [Vote]
     assert said(control.message(1.3, "10.0.0.1", ask)) == [Vote]
-    assert said(control.message(1.3, "10.0.0.2", ask)) == [VoteRefused]
+    assert said(control.message(1.3, "10.0.0.2", ask)) == [VoteRejected]
 
 
 def test_seeds_are_kept_by_one_that_has_heard_of_nobody():
@@ -551,7 +551,7 @@
 def test_one_that_lost_its_vote_moves_no_promise_though_nobody_leads():
     control = node("10.0.0.3", msgspec.structs.replace(VIEW, epoch=2, voters={**VIEW.voters, "10.0.0.4": "b"}))
     asked = control.message(9.0, "10.0.0.9", VoteRequest(7, VIEW))
-    assert said(asked) == [VoteRefused] and control.promised == 2
+    assert said(asked) == [VoteRejected] and control.promised == 2
 
 
 def test_a_replica_takes_changes_of_its_leader_after_their_base_only():
@@ -561,14 +561,14 @@
     other = Position(position.epoch, position.number, position.written_in + 1)
     assert control.message(1.0, "10.0.0.1", Append(2, position, Position(2, 1, 2), items)) == []
     assert control.message(1.0, "10.0.0.3", Append(1, position, Position(1, 1, 1), items)) == []
-    assert said(control.message(1.0, "10.0.0.1", Append(1, other, Position(1, 1, 1), items))) == [InstallRefused]
+    assert said(control.message(1.0, "10.0.0.1", Append(1, other, Position(1, 1, 1), items))) == [InstallRejected]
     assert control.position == position
 
 
 def test_changes_are_not_installed_on_a_copy_that_lacks_what_they_go_on_from():
     control = node("10.0.0.2")
     changes = Install(1, Position(1, 5, 1), Position(1, 6, 1), 0, {"config": (6, {"v": 6, "z": ""})})
-    assert said(control.message(1.0, "10.0.0.1", changes)) == [InstallRefused]
+    assert said(control.message(1.0, "10.0.0.1", changes)) == [InstallRejected]
     assert control.position.number == 0 and control.state.value("config") is None
 
 
@@ -581,7 +581,7 @@
     disk.end()
     assert said(control.written(1.01, write.token, True)) == [Vote]
     later = ControlNode("10.0.0.3", "a", ["10.0.0.1"], False, disk.stored(), 2.0, random.Random(1))
-    assert said(later.message(3.0, "10.0.0.2", VoteRequest(2, VIEW))) == [VoteRefused]
+    assert said(later.message(3.0, "10.0.0.2", VoteRequest(2, VIEW))) == [VoteRejected]
 
 
 # Membership.
@@ -837,7 +837,7 @@
     new = core.add()
     wait(core, lambda: new.node.votes and new.node.in_contact(core.time(new)))
     [told] = new.service.heard(core.time(new), "f9", REQUEST)
-    assert isinstance(told.message, LeaseTaken)
+    assert isinstance(told.message, LeaseRejected)
     run_for(core, 1.1)
     [write] = new.service.heard(core.time(new), "f9", REQUEST)
     assert isinstance(write, Write)
--- a/tests/system/test_copies.py
+++ b/tests/system/test_copies.py
@@ -11,7 +11,7 @@
     Appended,
     Install,
     Installed,
-    InstallRefused,
+    InstallRejected,
     Position,
     RecordView,
     ViewRecord,
@@ -45,7 +45,7 @@
 def test_a_change_made_after_another_position_is_refused(base):
     control = node("2", ("1",))
     change = Append(3, base, Position(3, base.number + 1, 3), {"new": (base.number + 1, "y")})
-    assert drive(control, 1.0, control.message(1.0, "2", change)) == [InstallRefused(3, HELD)]
+    assert drive(control, 1.0, control.message(1.0, "2", change)) == [InstallRejected(3, HELD)]
     assert control.position == HELD and control.state.items == ITEMS
     change = Append(3, HELD, Position(3, 6, 3), {"new": (6, "y")})
     assert drive(control, 1.0, control.message(1.0, "2", change)) == [Appended(3, 6)]
@@ -55,7 +55,7 @@
 def test_what_a_copy_lacks_is_installed_onto_that_copy_only(base):
     control = node("2", ("1",))
     install = Install(4, base, Position(4, 9, 3), 0, {"new": (9, "y")})
-    assert drive(control, 1.0, control.message(1.0, "2", install)) == [InstallRefused(4, HELD)]
+    assert drive(control, 1.0, control.message(1.0, "2", install)) == [InstallRejected(4, HELD)]
     assert control.position == HELD and control.state.items == ITEMS
     whole = Install(4, None, Position(4, 9, 3), 0, {"new": (9, "y")})
     assert drive(control, 1.0, control.message(1.0, "2", whole)) == [Installed(4, Position(4, 9, 3))]
--- a/tests/system/test_decisions.py
+++ b/tests/system/test_decisions.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from thistleusher.common.boot import Bounds
-from thistleusher.common.configuration import Configuration, Found
-from thistleusher.common.shares import ALONE_S, OK, OVER, PROMPT_S
-from thistleusher.common.tables import record
+from thistleusher.common.configuration import Configuration, RouteMatch
+from thistleusher.common.node_settings import Bounds
+from thistleusher.common.quota_timing import ALONE_S, OK, OVER, PROMPT_S
+from thistleusher.common.record_reader import record
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
 from thistleusher.proxy.budgets import Colds, Tries
@@ -82,7 +82,7 @@
     def ask(self, route="pure", tenant="free"):
         self.count += 1
         name = f"r{self.count}"
-        self.d.expect(name, Asked(Found(route, CONFIG.routes[route]), tenant))
+        self.d.expect(name, Asked(RouteMatch(route, CONFIG.routes[route]), tenant))
         return name, self.do(events.Request(name, route, "all", 0, 2.9, 1.0))
 
     def end(self, name, acts, outcome, done=False):
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -7,12 +7,12 @@
 import pytest
 
 from standins.http import read_message
-from thistleusher.common.boot import Bounds
 from thistleusher.common.configuration import Configuration, Index
-from thistleusher.common.tables import record
+from thistleusher.common.node_settings import Bounds
+from thistleusher.common.record_reader import record
 from thistleusher.net.upstream import Endpoint, Terms, Upstream
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.front import ATTEMPT, ProxyFarewell, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.proxy.placement import Place
 
 ROUTE = {"hostname": "h.example", "deadline_ms": 2000, "target_ms": 500, "target": "s", "tries": 3}
@@ -325,7 +325,7 @@
         client = await rig.client()
         assert (await client.ask("/p/")).status == 200
         told = loop.time()
-        leaving = asyncio.ensure_future(rig.server.leave(asyncio.sleep(0), ProxyFarewell(told, 6.0)))
+        leaving = asyncio.ensure_future(rig.server.leave(asyncio.sleep(0), ProxyGracefulShutdown(told, 6.0)))
         assert (await client.ask("/p/")).status == 200  # somebody still comes
         await leaving
         assert loop.time() - told < 3.5
@@ -336,7 +336,7 @@
 
 
 def test_the_door_closes_early_enough_for_what_came_last():
-    bye = ProxyFarewell(100.0, 6.0)
+    bye = ProxyGracefulShutdown(100.0, 6.0)
     now = 100.0
     while bye.open(now):
         bye.came(now)
--- a/tests/system/test_guards.py
+++ b/tests/system/test_guards.py
@@ -18,7 +18,7 @@
     ViewRecord,
     ViewRecorded,
     Vote,
-    VoteRefused,
+    VoteRejected,
     VoteRequest,
 )
 
@@ -97,7 +97,7 @@
     driven = Driven("2", ("3",))
     driven.hear(5.0, "2", Heartbeat(driven.node.view, 5.0, True))
     [refused] = driven.hear(5.5, "3", VoteRequest(4, driven.node.view))
-    assert isinstance(refused, VoteRefused) and driven.node.promised == 3
+    assert isinstance(refused, VoteRejected) and driven.node.promised == 3
     assert any(isinstance(m, Vote) for m in driven.hear(6.0, "3", VoteRequest(4, driven.node.view)))
 
 
--- a/tests/system/test_knowledge.py
+++ b/tests/system/test_knowledge.py
@@ -5,18 +5,26 @@
 import pytest
 
 from tests.system.test_registry import PRESENCE, on_duty
-from thistleusher.common.boot import Bounds
+from thistleusher.common.node_settings import Bounds
 from thistleusher.proxy import program as proxy_program
+from thistleusher.proxy.cluster_view import ClusterView, Core, ToPeer, ToRing
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.knowledge import Core, Knowledge, ToPeer, ToRing
 from thistleusher.proxy.program import Heartbeats, ProxyProgram
 from thistleusher.registry import program as registry_program
 from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
 from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.messages import Beat, CoreInfo, Echo, HandOver, Hello, News, RingBeat
-from thistleusher.transport.news import State
-from thistleusher.transport.ring import LACKS_S
+from thistleusher.transport.heartbeat_ring import LACKS_S
+from thistleusher.transport.messages import (
+    CoreInfo,
+    HandOver,
+    HeartbeatEcho,
+    Hello,
+    KeepAlive,
+    RingHeartbeat,
+    StateUpdate,
+)
+from thistleusher.transport.state_updates import State
 
 
 def entry(phase):
@@ -29,7 +37,7 @@
 
 def proxy():
     decisions = Decisions("p", "z", "r", Bounds(), random.Random(1), 1.0)
-    return Knowledge("p", "x", "r", lambda zone: "r", {}, decisions, 1.0)
+    return ClusterView("p", "x", "r", lambda zone: "r", {}, decisions, 1.0)
 
 
 def states(number, phase, on):
@@ -41,7 +49,7 @@
 
 
 def whole(state):
-    return News(state.number, None, state.items)
+    return StateUpdate(state.number, None, state.items)
 
 
 def test_an_old_copy_from_a_watcher_that_stood_still_takes_nothing_back():
@@ -64,11 +72,11 @@
     watcher.from_registry(1.0, "c", whole(registry))
     handed = []
     for at in (2.0, 2.1 + LACKS_S):
-        handed += [out for out in watcher.beat(at, RingBeat("q", 0, 0), "ip-q") if isinstance(out, ToPeer)]
+        handed += [out for out in watcher.beat(at, RingHeartbeat("q", 0, 0), "ip-q") if isinstance(out, ToPeer)]
     fresh.handed(3.0, handed[0].message)
     assert fresh.known and fresh.decisions.places["i"].draining
-    answers = proxy().beat(3.0, RingBeat("q", 9, 9), "ip-q")
-    assert answers == [ToRing("ip-q", RingBeat("p", 0, 0))]  # it answers all, as it does not know its watchers
+    answers = proxy().beat(3.0, RingHeartbeat("q", 9, 9), "ip-q")
+    assert answers == [ToRing("ip-q", RingHeartbeat("p", 0, 0))]  # it answers all, as it does not know its watchers
 
 
 def test_an_older_epoch_does_not_bring_its_voters_back():
@@ -80,14 +88,23 @@
 
 def test_a_message_that_a_proxy_does_not_take_is_refused_and_a_datagram_dropped():
     knowledge = proxy()
-    for take in (lambda: knowledge.from_control(1.0, Beat()), lambda: knowledge.from_registry(1.0, "c", Beat())):
+    for take in (
+        lambda: knowledge.from_control(1.0, KeepAlive()),
+        lambda: knowledge.from_registry(1.0, "c", KeepAlive()),
+    ):
         with pytest.raises(UnexpectedMessage):
             take()
     heard = []
     beats = Heartbeats(lambda beat, ip: heard.append((beat, ip)))
-    for data in (b"", b"\xff", encode(Hello("x")), encode(RingBeat("q", 1, 2))[:-1], encode(RingBeat("q", 1, 2))):
+    for data in (
+        b"",
+        b"\xff",
+        encode(Hello("x")),
+        encode(RingHeartbeat("q", 1, 2))[:-1],
+        encode(RingHeartbeat("q", 1, 2)),
+    ):
         beats.datagram_received(data, ("ip-q", 7))
-    assert heard == [(RingBeat("q", 1, 2), "ip-q")]
+    assert heard == [(RingHeartbeat("q", 1, 2), "ip-q")]
 
 
 class StoppedLoop:
@@ -115,7 +132,7 @@
     clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
     monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
     program._from_follower(link, PRESENCE)
-    assert [type(message) for message in link.messages] == [Echo]
+    assert [type(message) for message in link.messages] == [HeartbeatEcho]
     program._from_follower(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
     program._from_follower(link, PRESENCE)
     assert len(link.messages) == 1 and not program.registry.on_duty
@@ -132,5 +149,5 @@
     program, knowledge = ProxyProgram.__new__(ProxyProgram), proxy()
     program.loop, program.knowledge = StoppedLoop(), knowledge
     monkeypatch.setattr(proxy_program.time, "monotonic", lambda: 12.0)
-    program._from_registry(Sent(), Echo("c/1", 10.0, 5.0, 0.1))  # lay in the socket while it stood still
+    program._from_registry(Sent(), HeartbeatEcho("c/1", 10.0, 5.0, 0.1))  # lay in the socket while it stood still
     assert knowledge.counter == "" and knowledge.decisions.quota.alone(12.0)
--- a/tests/system/test_leases.py
+++ b/tests/system/test_leases.py
@@ -6,7 +6,7 @@
 
 from simnet.clock import Clock
 from thistleusher.control.leases import GRANT_S, Grantor, Holder
-from thistleusher.transport.messages import LeaseGranted, LeaseReleased, LeaseRequest, LeaseTaken
+from thistleusher.transport.messages import LeaseGranted, LeaseRejected, LeaseReleased, LeaseRequest
 
 IPS = ("a", "b", "c")
 
@@ -77,7 +77,7 @@
 def test_a_grantor_that_has_started_anew_grants_nothing_for_a_while():
     grantor = Grantor(10.0)
     wish = LeaseRequest("d", "x", 5 << 20, 1.0)
-    assert isinstance(grantor.wanted(10.0 + GRANT_S / 2, wish, 1).answer, LeaseTaken)
+    assert isinstance(grantor.wanted(10.0 + GRANT_S / 2, wish, 1).answer, LeaseRejected)
     assert isinstance(grantor.wanted(10.0 + GRANT_S, wish, 1).answer, LeaseGranted)
 
 
@@ -88,7 +88,7 @@
     assert isinstance(answer, LeaseGranted) and changed
     assert first.wanted(GRANT_S, LeaseRequest("d", "x/1", term, 1.1), 1)[1] is False
     again = Grantor(10.0, first.kept())
-    assert isinstance(again.wanted(10.1, LeaseRequest("d", "y/1", term + 1, 1.0), 1).answer, LeaseTaken)
+    assert isinstance(again.wanted(10.1, LeaseRequest("d", "y/1", term + 1, 1.0), 1).answer, LeaseRejected)
     assert again.wanted(10.1, LeaseRequest("d", "x/2", term, 1.0), 1).answer.free
     assert isinstance(again.wanted(10.1, LeaseRequest("d", "x/2", term + 1, 1.0), 1).answer, LeaseGranted)
 
@@ -99,7 +99,7 @@
     assert isinstance(grantor.wanted(GRANT_S, wish, 1).answer, LeaseGranted)
     assert isinstance(grantor.wanted(GRANT_S + 0.2, wish, 2).answer, LeaseGranted)
     other = LeaseRequest("d", "y", (1 << 20) + 4, 1.0)
-    assert isinstance(grantor.wanted(3 * GRANT_S, other, 2).answer, LeaseTaken)  # a term of an epoch that is over
+    assert isinstance(grantor.wanted(3 * GRANT_S, other, 2).answer, LeaseRejected)  # a term of an epoch that is over
 
 
 def test_one_that_knows_no_term_has_a_free_duty_within_two_ticks():
@@ -120,7 +120,7 @@
     grantor = Grantor(0.0)
     grantor.pause(10.0)
     wish = LeaseRequest("d", "x", 5 << 20, 1.0)
-    assert isinstance(grantor.wanted(10.0 + GRANT_S / 2, wish, 1).answer, LeaseTaken)
+    assert isinstance(grantor.wanted(10.0 + GRANT_S / 2, wish, 1).answer, LeaseRejected)
     assert isinstance(grantor.wanted(10.0 + GRANT_S, wish, 1).answer, LeaseGranted)
     grantor.pause(30.0)
-    assert isinstance(grantor.wanted(30.1, LeaseRequest("d", "y", 6 << 20, 1.0), 1).answer, LeaseTaken)
+    assert isinstance(grantor.wanted(30.1, LeaseRequest("d", "y", 6 << 20, 1.0), 1).answer, LeaseRejected)
--- a/tests/system/test_links.py
+++ b/tests/system/test_links.py
@@ -12,7 +12,7 @@
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.links import Dial, Listener
-from thistleusher.transport.messages import Beat, CoreInfo, Hello, Message, News, NewsAck
+from thistleusher.transport.messages import CoreInfo, Hello, KeepAlive, Message, StateUpdate, StateUpdateAck
 
 
 def test_a_dial_that_waits_is_tried_at_once_when_the_other_side_shows(monkeypatch):
@@ -52,7 +52,7 @@
     loop = asyncio.new_event_loop()
     link = links.Link(loop, lambda link: None, lambda link, message: None, lambda link, why: ended.append(why))
     link.transport, link.open = Closed(), True
-    link.send(Beat())
+    link.send(KeepAlive())
     assert ended == ["closed"] and not link.open
     loop.close()
 
@@ -63,7 +63,7 @@
         struct.pack(">I", 3) + b"\xff\xff\xff",  # no message
         struct.pack(">I", 1 << 31),  # longer than any
         struct.pack(">I", 8) + msgspec.msgpack.encode(["hello", 5]),  # a field of another type
-        frame(NewsAck(1)),  # well formed, and not taken here
+        frame(StateUpdateAck(1)),  # well formed, and not taken here
     ],
     ids=["no message", "too long", "wrong type", "not taken"],
 )
@@ -103,13 +103,13 @@
 
 
 def test_a_large_message_goes_compressed_and_comes_whole_in_any_pieces():
-    news = News(7, None, {f"route:{n}": (n, "x" * 50) for n in range(400)})
-    data = frame(news) + frame(Beat()) + frame(news)
+    news = StateUpdate(7, None, {f"route:{n}": (n, "x" * 50) for n in range(400)})
+    data = frame(news) + frame(KeepAlive()) + frame(news)
     assert len(data) < 400 * 50
     for step in (1, 3, 1000, len(data)):
         deframer = Deframer()
         came = [each for at in range(0, len(data), step) for each in deframer.feed(data[at : at + step])]
-        assert came == [news, Beat(), news]
+        assert came == [news, KeepAlive(), news]
 
 
 @pytest.mark.parametrize("body", [b"no such stream", zlib.compress(b"x" * 2000)[:-5], zlib.compress(b"x" * 2000)])
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleusher.common import checks
+from thistleusher.common import validation as checks
 from thistleusher.common.config_items import NONE, REMEMBERED, assemble, changes, number_of
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.control import orders
 from thistleusher.control.orders import Standing
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 
 def document(number: int, contents: str = "a") -> bytes:
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -6,7 +6,7 @@
 import pytest
 
 from simnet.clock import Clock
-from thistleusher.common.shares import ALONE, ALONE_S, HERE_S, LOST_S, OVER, PROMPT_S
+from thistleusher.common.quota_timing import ALONE, ALONE_S, HERE_S, LOST_S, OVER, PROMPT_S
 from thistleusher.proxy.quota import Quota
 from thistleusher.registry.counts import Counts
 
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -9,19 +9,19 @@
 from thistleusher.registry.members import ALONE_S, SILENT_S, Members
 from thistleusher.registry.registry import Call, Registry, Tell, ToControl
 from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.heartbeat_ring import LACKS_S, HeartbeatRing
+from thistleusher.transport.heartbeat_ring import SILENT_S as RING_S
 from thistleusher.transport.messages import (
-    Beat,
     Charge,
     CoreInfo,
-    Echo,
-    Follow,
+    HeartbeatEcho,
+    KeepAlive,
     LeaseGranted,
     LeaseRequest,
-    News,
-    Presence,
+    ProxyHeartbeat,
+    StateUpdate,
+    SubscribeRequest,
 )
-from thistleusher.transport.ring import LACKS_S, Ring
-from thistleusher.transport.ring import SILENT_S as RING_S
 
 
 def entry(n, phase="ready", cold=0):
@@ -159,7 +159,7 @@
 
 def test_each_ingress_is_watched_by_a_few_that_its_place_names():
     names = [f"n{k}" for k in range(9)]
-    rings = {name: Ring(name, 0.0) for name in names}
+    rings = {name: HeartbeatRing(name, 0.0) for name in names}
     for ring in rings.values():
         ring.members(0.0, names)
     for name, ring in rings.items():
@@ -196,14 +196,14 @@
     """A registry that holds the duty by three grants, with control state, and the follower `d`."""
     registry = Registry("m/1", "1", now, random.Random(1), 50.0, True)
     registry.from_control(now, "1", CoreInfo(("1", "2", "3"), 1, "2"))
-    registry.from_control(now, "1", News(1, 0, {"share:d": (1, 0.1)}))
+    registry.from_control(now, "1", StateUpdate(1, 0, {"share:d": (1, 0.1)}))
     grant(registry, now)
     assert registry.on_duty
-    registry.from_follower(now + 0.02, "d", Follow("d", 0))
+    registry.from_follower(now + 0.02, "d", SubscribeRequest("d", 0))
     return registry
 
 
-PRESENCE = Presence("x", 1.0, None)
+PRESENCE = ProxyHeartbeat("x", 1.0, None)
 CHARGE = Charge("x", 1, "t", 1, -1)
 
 
@@ -213,7 +213,7 @@
 
 def test_a_registry_that_was_stopped_beyond_its_lease_counts_and_echoes_nothing_before_its_next_tick():
     registry = on_duty()
-    assert told(registry.from_follower(10.1, "d", PRESENCE)) == [Echo]
+    assert told(registry.from_follower(10.1, "d", PRESENCE)) == [HeartbeatEcho]
     assert len(told(registry.from_follower(10.1, "d", CHARGE))) == 1
     assert told(registry.from_follower(12.0, "d", CHARGE)) == told(registry.from_follower(12.0, "d", PRESENCE)) == []
     assert not registry.on_duty
@@ -223,12 +223,16 @@
     registry = on_duty()
     registry.tick(10.05)
     registry.answered(10.06, 200, page(entry(1)))
-    assert told(registry.from_follower(10.1, "e", Follow("e", 0))) == [News]
-    assert told(registry.from_follower(12.0, "f", Follow("f", 0))) == []  # on the clock of that very input
+    assert told(registry.from_follower(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
+    assert told(registry.from_follower(12.0, "f", SubscribeRequest("f", 0))) == []  # on the clock of that very input
     now = grant(registry, 12.5)  # the duty is held anew: those who came meanwhile are told
     assert registry.on_duty
     outputs = registry.tick(now + 0.1)
-    assert {out.name for out in outputs if isinstance(out, Tell) and isinstance(out.message, News)} == {"d", "e", "f"}
+    assert {out.name for out in outputs if isinstance(out, Tell) and isinstance(out.message, StateUpdate)} == {
+        "d",
+        "e",
+        "f",
+    }
 
 
 def test_an_answer_that_was_decided_within_the_lease_does_not_leave_after_it():
@@ -247,7 +251,7 @@
         lambda m: registry.from_peer(10.1, m),
     ):
         with pytest.raises(UnexpectedMessage):
-            take(Beat())
+            take(KeepAlive())
 
 
 def test_an_older_epoch_does_not_replace_the_electorate_of_the_lease():
--- a/tests/system/test_scale.py
+++ b/tests/system/test_scale.py
@@ -6,8 +6,8 @@
 
 from benchmarks.scale.fit import fit, quantile, table
 from benchmarks.scale.inputs import CHANGED_ROUTES, address_of, changed, configuration, settings
-from thistleusher.common.boot import read_boot
-from thistleusher.common.checks import read_configuration
+from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.validation import read_configuration
 
 
 def test_a_line_is_found_again_and_errors_around_it_cancel():
@@ -42,7 +42,7 @@
 
 def test_a_thousand_proxies_have_addresses_of_their_own_and_sound_settings(tmp_path):
     assert len({address_of(n) for n in range(1000)}) == 1000
-    boot = read_boot(settings("proxy-999", "proxy", address_of(999), "z-12", tmp_path))
+    boot = read_node_settings(settings("proxy-999", "proxy", address_of(999), "z-12", tmp_path))
     assert boot.region == "r-2" and len(boot.core_ips) == 3 and len(boot.zones) == 21
 
 
--- a/tests/system/test_search.py
+++ b/tests/system/test_search.py
@@ -3,7 +3,7 @@
 import pytest
 
 from simnet.search import BEGINNINGS, LEARNER, search
-from thistleusher.control.leading import Leading
+from thistleusher.control.leader import Leading
 
 
 def test_the_searches_begin_where_they_say():
--- a/tests/system/test_service.py
+++ b/tests/system/test_service.py
@@ -9,8 +9,8 @@
 from thistleusher.transport.messages import (
     Heartbeat,
     LeaseGranted,
+    LeaseRejected,
     LeaseRequest,
-    LeaseTaken,
     Position,
     RecordView,
     Status,
@@ -62,7 +62,7 @@
     finish(control, 5.0, control.heard(5.0, "2", RecordView(view)))
     in_contact(control, 5.0, view)
     assert control.node.in_contact(5.05)
-    assert [type(message) for message in told(control.heard(5.1, "x", WISH))] == [LeaseTaken]
+    assert [type(message) for message in told(control.heard(5.1, "x", WISH))] == [LeaseRejected]
     late = 5.1 + GRANT_S
     in_contact(control, late, view)
     assert any(isinstance(out, Write) for out in control.heard(late, "x", WISH))
--- a/tests/test_farewell.py
+++ b/tests/test_farewell.py
@@ -8,14 +8,14 @@
 
 from tests.sockets import Client, Peer, Rig, call, in_turn, ok, run, until
 from thistleusher.core import actions, events
-from thistleusher.net.farewell import LAST_S, LONGEST_S, MORE_S, QUIET_S, SHORT_S, Farewell
+from thistleusher.net.shutdown import LAST_S, LONGEST_S, MORE_S, QUIET_S, SHORT_S, GracefulShutdown
 
 WHOLE = LONGEST_S + MORE_S  # after which an ingress may be killed
 
 
 @pytest.mark.parametrize("longest,end", [(1.0, 1.0 + MORE_S - LAST_S), (7.5, WHOLE - LAST_S)])
 def test_it_ends_before_it_may_be_killed(longest, end):
-    bye, now = Farewell(100.0, longest), 100.0
+    bye, now = GracefulShutdown(100.0, longest), 100.0
     while bye.open(now):
         bye.came(now)
         now += 0.01
@@ -23,13 +23,13 @@
 
 
 def test_it_ends_as_soon_as_nobody_comes():
-    bye = Farewell(100.0, 7.5)
+    bye = GracefulShutdown(100.0, 7.5)
     bye.came(100.4)
     assert bye.open(100.4 + QUIET_S - 0.01) and not bye.open(100.4 + QUIET_S + 0.01)
 
 
 def test_what_is_left_for_a_request_shrinks_to_nothing():
-    bye = Farewell(100.0, 7.5)
+    bye = GracefulShutdown(100.0, 7.5)
     assert bye.left(100.0) == pytest.approx(WHOLE - LAST_S)
     assert bye.left(bye.end - SHORT_S - 0.01) > 0 == bye.left(bye.end - SHORT_S)
 
@@ -42,7 +42,7 @@
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("r0")))[0] == 200
-        bye = Farewell(asyncio.get_running_loop().time(), 7.5)
+        bye = GracefulShutdown(asyncio.get_running_loop().time(), 7.5)
         leaving = asyncio.create_task(rig.server.leave(asyncio.sleep(0.0), bye))
         await until(lambda: rig.server.stopping)
         late = await Client.connect(rig.port)
@@ -64,11 +64,11 @@
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         loop = asyncio.get_running_loop()
-        rig.server.farewell = Farewell(loop.time() - WHOLE + LAST_S + 1.0, 7.5)
+        rig.server.farewell = GracefulShutdown(loop.time() - WHOLE + LAST_S + 1.0, 7.5)
         assert (await client.ask(call("r1", budget="6000m")))[0] == 200
         asked = [e for e in rig.script.events if isinstance(e, events.Request)]
         assert 0.5 < asked[0].expires_in <= 1.0
-        rig.server.farewell = Farewell(loop.time() - WHOLE, 7.5)
+        rig.server.farewell = GracefulShutdown(loop.time() - WHOLE, 7.5)
         status, headers, _ = await client.ask(call("r2"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert len([e for e in rig.script.events if isinstance(e, events.Request)]) == 1
@@ -90,7 +90,7 @@
         client.writer.write(call("r1", budget="6000m"))
         await until(lambda: backend.seen)
         leaving = asyncio.create_task(
-            rig.server.leave(asyncio.sleep(0.0), Farewell(asyncio.get_running_loop().time() - WHOLE, 7.5))
+            rig.server.leave(asyncio.sleep(0.0), GracefulShutdown(asyncio.get_running_loop().time() - WHOLE, 7.5))
         )
         await until(lambda: rig.server.leaving)
         assert not leaving.done()
@@ -109,7 +109,7 @@
         client = await rig.start(b0=backend.port)
         rig.server.most = 3
         assert (await client.ask(call("r0")))[0] == 200
-        bye = Farewell(asyncio.get_running_loop().time(), 7.5)
+        bye = GracefulShutdown(asyncio.get_running_loop().time(), 7.5)
         leaving = asyncio.create_task(rig.server.leave(asyncio.sleep(0.0), bye))
         await until(lambda: rig.server.stopping)
         for _ in range(8):
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -9,13 +9,13 @@
 from standins.http import read_message
 from tests.sockets import HOST, Peer, Rig, call, in_turn, ok, run, until
 from thistleusher.core.events import Outcome
-from thistleusher.net.guard import EARLY, WARY_S, Guard
+from thistleusher.net.last_byte_guard import EARLY, WARY_S, LastByteGuard
 
 IDLE = 15.0
 
 
 def test_it_is_wary_for_a_while_after_a_connection_broke():
-    guard = Guard(IDLE)
+    guard = LastByteGuard(IDLE)
     assert not guard.wary(0.0)
     guard.broke(100.0)
     assert guard.wary(100.0) and guard.wary(100.0 + WARY_S - 0.1) and not guard.wary(100.0 + WARY_S)
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("idle,wary", [(0.0, True), (EARLY * IDLE * 0.9, True), (EARLY * IDLE * 1.1, False)])
 def test_an_idle_connection_that_was_closed_sooner_than_agreed_is_a_sign(idle, wary):
-    guard = Guard(IDLE)
+    guard = LastByteGuard(IDLE)
     guard.found_closed(100.0 + idle, 100.0)
     assert guard.wary(100.0 + idle) is wary
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -12,7 +12,7 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import Effect
-from thistleusher.settings import BadSetting
+from thistleusher.settings import InvalidSetting
 
 BORN = (
     "BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("key", ["balancers", "classes.0.semantics", "plans.0.rate", "plans.count"])
 def test_a_missing_required_setting_is_named(key):
     born = " ".join(p for p in BORN.split(" ") if not p.startswith(key + "="))
-    with pytest.raises(BadSetting, match=key):
+    with pytest.raises(InvalidSetting, match=key):
         wirehost.Host(Recorder()).batch(["CLOCK 1", born])
 
 
--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -12,14 +12,14 @@
 
 import uvloop
 
-from thistleusher.net.config import BadConfiguration, Config, read_config
+from thistleusher.net.config import Config, InvalidConfiguration, read_config
 from thistleusher.net.counters_file import read_counters
 from thistleusher.net.daemon import Daemon
 
 if TYPE_CHECKING:
-    from thistleusher.ledger import Placement
-    from thistleusher.state.keeper import Keeper
+    from thistleusher.quota import Placement
     from thistleusher.state.options import StateOptions
+    from thistleusher.state.snapshotter import Snapshotter
 
 log = logging.getLogger("thistleusher")
 
@@ -59,17 +59,19 @@
     state: StateOptions | None = None
 
 
-def keeper_of(config: Config, options: StateOptions) -> Keeper:
+def keeper_of(config: Config, options: StateOptions) -> Snapshotter:
     """The state folder; BadConfiguration says what keeps it from being used."""
     from thistleusher.assembly import room_terms
     from thistleusher.policy.sharing import kept_for
-    from thistleusher.state.keeper import Keeper
+    from thistleusher.state.snapshotter import Snapshotter
     from thistleusher.state.store import BadState
 
     try:
-        return Keeper(options, config.name, config.settings, kept_for(config.settings), room_terms(config.settings))
+        return Snapshotter(
+            options, config.name, config.settings, kept_for(config.settings), room_terms(config.settings)
+        )
     except BadState as error:
-        raise BadConfiguration(str(error)) from error
+        raise InvalidConfiguration(str(error)) from error
 
 
 def state_options(path: str) -> StateOptions:
@@ -77,11 +79,11 @@
     try:
         from thistleusher.state.options import read_options
     except ImportError as error:
-        raise BadConfiguration(f"--state needs the extra 'operator': {error}") from error
+        raise InvalidConfiguration(f"--state needs the extra 'operator': {error}") from error
     try:
         return read_options(path)
     except ValueError as error:
-        raise BadConfiguration(str(error)) from error
+        raise InvalidConfiguration(str(error)) from error
 
 
 async def serve(config: Config, extras: Extras) -> None:
@@ -95,7 +97,7 @@
         try:
             new = read_config(extras.environ)
             again = extras.counters() if extras.counters else None
-        except BadConfiguration as error:
+        except InvalidConfiguration as error:
             log.error("the configuration stays as it was: %s", error)
             return
         daemon.reload(new, again)
@@ -116,7 +118,7 @@
         )
     try:
         uvloop.run(serve(read_config(extras.environ), extras))
-    except (BadConfiguration, OSError) as error:
+    except (InvalidConfiguration, OSError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
@@ -135,7 +137,7 @@
     counters = files.get("--counters")
     try:
         state = state_options(files["--state"]) if "--state" in files else None
-    except BadConfiguration as error:
+    except InvalidConfiguration as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     return run(Extras(os.environ, (lambda: read_counters(counters)) if counters else None, state))
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -4,23 +4,23 @@
 
 from thistleusher.core.datagrams import TOLD_MOST
 from thistleusher.core.settings import PlanSettings, Settings
-from thistleusher.ledger import Ledger, Placement
-from thistleusher.ledger.bound import fresh_room
-from thistleusher.ledger.escrow import WANT_S, Terms
+from thistleusher.gossip import Gossip
 from thistleusher.policy import Gateway
-from thistleusher.talk import Talk
+from thistleusher.quota import EscrowTable, Placement
+from thistleusher.quota.bound import fresh_room
+from thistleusher.quota.escrow import WANT_S, Terms
 
 
 def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
     """One ingress's decisions. `now` is Unix time in seconds, at which it begins; `placement` of several counters."""
-    return Gateway(settings, seed, now, make_ledger(settings, now), placement, make_talk(settings, now))
+    return Gateway(settings, seed, now, make_escrow(settings, now), placement, make_talk(settings, now))
 
 
-def make_talk(settings: Settings, now: float) -> Talk | None:
+def make_talk(settings: Settings, now: float) -> Gossip | None:
     """A large fleet's talk; None where all is told to all."""
     if not settings.large:
         return None
-    return Talk(settings.instances, settings.me, settings.peer_in_per_s, TOLD_MOST, settings.counter_timeout, now)
+    return Gossip(settings.instances, settings.me, settings.peer_in_per_s, TOLD_MOST, settings.counter_timeout, now)
 
 
 def terms_of(plan: PlanSettings, most: float) -> Terms | None:
@@ -38,7 +38,7 @@
     return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
 
 
-def make_ledger(settings: Settings, now: float) -> Ledger | None:
+def make_escrow(settings: Settings, now: float) -> EscrowTable | None:
     """Escrowed shares of ceilings, and of quotas where there is none; None where ingresses cannot tell each other.
 
     Wants and their answers take at most half of the messages that an ingress takes in. A fleet that begins together
@@ -49,5 +49,5 @@
     terms = tuple(terms_of(p, settings.max_units) for p in settings.plans)
     each = 4 / settings.peer_in_per_s
     if settings.large:
-        return Ledger(settings.instances, settings.me, now, terms, WANT_S, each)
-    return Ledger(settings.instances, settings.me, now, terms, max(WANT_S, each * (settings.instances - 1)))
+        return EscrowTable(settings.instances, settings.me, now, terms, WANT_S, each)
+    return EscrowTable(settings.instances, settings.me, now, terms, max(WANT_S, each * (settings.instances - 1)))
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 
 from thistleusher.core.settings import Settings
-from thistleusher.ledger.bound import Assumed, table
-from thistleusher.net.config import BadConfiguration, read_data
-from thistleusher.settings import BadSetting, nested_settings
+from thistleusher.net.config import InvalidConfiguration, read_data
+from thistleusher.quota.bound import Assumed, table
+from thistleusher.settings import InvalidSetting, nested_settings
 
 
 def read(path: str) -> Settings:
@@ -17,8 +17,8 @@
     data = read_data(path)
     try:
         return nested_settings(data["settings"])[0]
-    except (BadSetting, ValueError, TypeError) as error:
-        raise BadConfiguration(f"{path}: {error}") from error
+    except (InvalidSetting, ValueError, TypeError) as error:
+        raise InvalidConfiguration(f"{path}: {error}") from error
 
 
 def main(argv: Sequence[str]) -> int:
@@ -36,7 +36,7 @@
         lines = table(
             settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
         )
-    except (BadConfiguration, ValueError) as error:
+    except (InvalidConfiguration, ValueError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     print(f"units, for a failure of {args.outage:g} s; {100 * args.loss:g}% of datagrams lost, {args.delay:g} s late")
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -11,7 +11,7 @@
 from thistleusher.operator.reader import Options
 
 if TYPE_CHECKING:
-    from thistleusher.ledger import Placement
+    from thistleusher.quota import Placement
     from thistleusher.services.options import CountersOptions
 
 
@@ -44,9 +44,9 @@
 
 def read_again(path: str | None, words: tuple[str, ...]) -> Options:
     """The same layers as at the start; BadConfiguration where they cannot be used any more."""
-    from thistleusher.net.config import BadConfiguration
+    from thistleusher.net.config import InvalidConfiguration
 
     try:
         return read(path, words)
     except click.ClickException as error:
-        raise BadConfiguration(error.format_message()) from error
+        raise InvalidConfiguration(error.format_message()) from error
--- a/thistleusher/common/commands.py
+++ b/thistleusher/common/commands.py
@@ -12,11 +12,11 @@
 
 import cappa
 
-from thistleusher.common.boot import read_boot
-from thistleusher.common.checks import read_configuration
 from thistleusher.common.configuration import brief
 from thistleusher.common.events import page
-from thistleusher.common.start import start
+from thistleusher.common.launcher import start
+from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.validation import read_configuration
 
 
 @dataclass
@@ -65,7 +65,7 @@
     def __call__(self) -> int:
         try:
             if self.kind == "settings":
-                boot = read_boot(self.file.read_text())
+                boot = read_node_settings(self.file.read_text())
                 print(f"{self.file}: sound: {boot.node_name}, {boot.machine_class or 'no class'}, zone {boot.zone}")
             else:
                 figures = brief(read_configuration(self.file.read_bytes()))
--- a/thistleusher/common/config_items.py
+++ b/thistleusher/common/config_items.py
@@ -32,8 +32,8 @@
 import msgspec
 
 from thistleusher.common.configuration import Configuration, Index, Limits, Route, Service, Tenant
-from thistleusher.common.tables import record
-from thistleusher.transport.news import State
+from thistleusher.common.record_reader import record
+from thistleusher.transport.state_updates import State
 
 NONE = -1  # the number of no configuration
 REMEMBERED = 64  # configurations whose digests are kept
--- a/thistleusher/common/configuration.py
+++ b/thistleusher/common/configuration.py
@@ -1,7 +1,7 @@
 """The operator's configuration: its records, and the index in which a proxy looks up routes and tenants.
 
-What is valid is stated in `thistleusher.common.checks`, for the control node that acknowledges and for the command that
-checks offline. Who has a configuration from a control node reads it without checks. Unknown fields are ignored.
+What is valid is stated in `thistleusher.common.validation`, for the control node that acknowledges and for the command
+that checks offline. Who has a configuration from a control node reads it without checks. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple, TypeVar
 
-from thistleusher.common.tables import record
+from thistleusher.common.record_reader import record
 
 REPEATABLE = ("pure", "download")
 
@@ -110,7 +110,7 @@
             table[name] = entry
 
 
-class Found(NamedTuple):
+class RouteMatch(NamedTuple):
     """The route that a request's host and path lead to, and its name."""
 
     name: str
@@ -128,7 +128,7 @@
         self.config = config._replace(
             routes=dict(config.routes), services=dict(config.services), tenants=dict(config.tenants)
         )
-        self.hosts: dict[str, dict[str, Found]] = {}
+        self.hosts: dict[str, dict[str, RouteMatch]] = {}
         self.keys: dict[str, str] = {}
         for name, route in config.routes.items():
             self._add_route(name, route)
@@ -163,7 +163,7 @@
         self.config = self.config._replace(version=version, limits=limits)
 
     def _add_route(self, name: str, route: Route) -> None:
-        self.hosts.setdefault(route.hostname.lower(), {})[route.path_prefix] = Found(name, route)
+        self.hosts.setdefault(route.hostname.lower(), {})[route.path_prefix] = RouteMatch(name, route)
 
     def _remove_route(self, route: Route) -> None:
         host = route.hostname.lower()
@@ -180,7 +180,7 @@
         for key in tenant.api_keys:
             self.keys.pop(key, None)
 
-    def find(self, host: str, path: str) -> Found | None:
+    def find(self, host: str, path: str) -> RouteMatch | None:
         """The route with the longest prefix that begins the path."""
         prefixes = self.hosts.get(host) or self.hosts.get(host.rpartition(":")[0].lower() or host.lower())
         if prefixes is None:
--- a/thistleusher/common/boot.py
+++ b/thistleusher/common/node_settings.py
@@ -2,7 +2,7 @@
 
 Unknown fields are ignored, as the users' page asks. What is wrong is told all at once: an exception group with one
 `BadSetting` a fault, each of them one line. A file that can be used is read without the library that explains what
-is wrong with one that cannot (`thistleusher.common.checks`).
+is wrong with one that cannot (`thistleusher.common.validation`).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from thistleusher.common.tables import BadTable, record
+from thistleusher.common.record_reader import InvalidTable, record
 from thistleusher.services.wire import read_address
 
 VARIABLE = "THISTLEUSHER_NODE_FILE"
@@ -21,7 +21,7 @@
 CONTROL, REGISTRY, PROXY, RING = range(4)  # ports by their place in the range: what is handed over, beats by UDP
 
 
-class BadSetting(ValueError):
+class InvalidSetting(ValueError):
     """One field of a settings file that cannot be used: which, what was found, what was expected."""
 
 
@@ -84,7 +84,7 @@
     ttl_max_s: float = 5.0
 
 
-class Boot(NamedTuple):
+class NodeSettings(NamedTuple):
     """All that a process is told at its start."""
 
     node_name: str
@@ -129,7 +129,7 @@
             continue
         name, sep, value = line.partition("=")
         if not sep:
-            raise BadSetting(f"line {number}: expected name=value, found {line[:60]!r}")
+            raise InvalidSetting(f"line {number}: expected name=value, found {line[:60]!r}")
         name = name.strip()
         if name in LISTS:
             parts = [part.strip() for part in value.split(",") if part.strip()]
@@ -141,7 +141,7 @@
         for step in path:
             inner = table.setdefault(step, {})
             if not isinstance(inner, dict):
-                raise BadSetting(f"line {number}: {step} is both a value and a table")
+                raise InvalidSetting(f"line {number}: {step} is both a value and a table")
             table = inner
         table[last] = read
     return tables
@@ -158,7 +158,7 @@
 }
 
 
-def faults_of(boot: Boot) -> Iterable[str]:
+def faults_of(boot: NodeSettings) -> Iterable[str]:
     """What is wrong with settings that have all fields and types: one line each."""
 
     def value(name: str) -> Any:
@@ -186,22 +186,24 @@
         yield f"port_range: expected {RING + 1} ports at least, found {low},{high}"
 
 
-def read_boot(text: str) -> Boot:
+def read_node_settings(text: str) -> NodeSettings:
     """A settings file's text as a record. ExceptionGroup of `BadSetting` with all that is wrong."""
     try:
-        boot = record(Boot, nested(text))
-    except BadSetting as error:
+        boot = record(NodeSettings, nested(text))
+    except InvalidSetting as error:
         raise ExceptionGroup("settings", [error]) from None
-    except BadTable:
-        from thistleusher.common.checks import explain_boot  # takes a while to load, and is not needed otherwise
+    except InvalidTable:
+        from thistleusher.common.validation import (
+            explain_node_settings,  # takes a while to load, and is not needed otherwise
+        )
 
-        raise ExceptionGroup("settings", explain_boot(nested(text))) from None
-    wrong = [BadSetting(text) for text in faults_of(boot)]
+        raise ExceptionGroup("settings", explain_node_settings(nested(text))) from None
+    wrong = [InvalidSetting(text) for text in faults_of(boot)]
     if wrong:
         raise ExceptionGroup("settings", wrong)
     return boot
 
 
-def boot_path() -> Path:
+def node_settings_path() -> Path:
     """Where the settings file is."""
     return Path(os.environ.get(VARIABLE, USUAL))
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -10,8 +10,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from thistleusher.common.boot import boot_path, read_boot
 from thistleusher.common.events import Event, say
+from thistleusher.common.node_settings import node_settings_path, read_node_settings
 
 TICK_S = 0.06
 LOOK_S = 1.0  # between looks at the settings file, which may change without a signal
@@ -22,9 +22,9 @@
 
     def __init__(self, path: Path | None = None) -> None:
         """ExceptionGroup where the file cannot be used; OSError where there is none."""
-        self.path = path or boot_path()
+        self.path = path or node_settings_path()
         self.text = self.path.read_text()
-        self.boot = read_boot(self.text)
+        self.boot = read_node_settings(self.text)
 
     def look(self) -> bool:
         """Whether the file has changed to something that can be used, which is taken."""
@@ -33,7 +33,7 @@
             if text == self.text:
                 return False
             self.text = text
-            self.boot = read_boot(text)
+            self.boot = read_node_settings(text)
         except OSError as error:
             say(Event.BAD_SETTINGS, error)
             return False
--- a/thistleusher/common/tables.py
+++ b/thistleusher/common/record_reader.py
@@ -1,7 +1,7 @@
 """Records out of tables that were read: the fields that a record has, as the types that it names, nothing else.
 
 This is how a process that starts while clients wait reads its settings, and how a proxy reads what a control node has
-checked. The library of `thistleusher.common.checks` takes 0.13 s of a front machine to load. For every table that
+checked. The library of `thistleusher.common.validation` takes 0.13 s of a front machine to load. For every table that
 passes its checks, both give the same record (`tests/system/test_configuration.py`).
 
 Pure. Cost: one step a field.
@@ -19,7 +19,7 @@
 FALSE = ("false", "0", "no", "off", "f", "n")
 
 
-class BadTable(ValueError):
+class InvalidTable(ValueError):
     """A field that is missing or cannot be read as what its record names: where, and what was found."""
 
 
@@ -93,11 +93,11 @@
     def guarded(found: Any, where: str) -> Any:
         try:
             return read(found, where)
-        except BadTable:
+        except InvalidTable:
             raise
         except (ValueError, TypeError, AttributeError, OverflowError):
             expected = getattr(kind, "__name__", kind)
-            raise BadTable(f"{where}: expected {expected}, found {str(found)[:60]!r}") from None
+            raise InvalidTable(f"{where}: expected {expected}, found {str(found)[:60]!r}") from None
 
     return guarded
 
@@ -163,7 +163,7 @@
 def _refuse_lacking(kind: Any, values: Mapping[str, Any], where: str) -> None:
     lacking = [name for name in kind._fields if name not in values and name not in kind._field_defaults]
     if lacking:
-        raise BadTable(f"{where or 'table'}: {', '.join(lacking)} missing")
+        raise InvalidTable(f"{where or 'table'}: {', '.join(lacking)} missing")
 
 
 def _listed(found: Any) -> Any:
--- a/thistleusher/common/checks.py
+++ b/thistleusher/common/validation.py
@@ -17,29 +17,29 @@
 
 from pydantic import ConfigDict, TypeAdapter, ValidationError
 
-from thistleusher.common.boot import BadSetting, Boot
 from thistleusher.common.config_items import canonical
 from thistleusher.common.configuration import Configuration, Route, Service, Tenant
-from thistleusher.common.tables import known
+from thistleusher.common.node_settings import InvalidSetting, NodeSettings
+from thistleusher.common.record_reader import known
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
 TARGET_EXCESS_MS = 60_000.0  # by which a route's target_ms may not exceed its deadline_ms
 MOST_NESTING = 64  # well under what a reader's stack bears
 MOST_NAME_BYTES = 400  # of a route, service or tenant: names are keys on the disk, which bounds them at 511
-BOOT: TypeAdapter[Boot] = TypeAdapter(Boot)
+BOOT: TypeAdapter[NodeSettings] = TypeAdapter(NodeSettings)
 CONFIGURATION: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
 
 
-class BadConfiguration(ValueError):
+class InvalidConfiguration(ValueError):
     """One fault of a configuration: where, what was found, what was expected."""
 
 
-def explain_boot(table: dict[str, Any]) -> list[BadSetting]:
+def explain_node_settings(table: dict[str, Any]) -> list[InvalidSetting]:
     """What is wrong with the table of a settings file, by field."""
     try:
-        BOOT.validate_python(known(Boot, table))
+        BOOT.validate_python(known(NodeSettings, table))
     except ValidationError as error:
-        return [BadSetting(line) for line in _lines(error, "file")]
+        return [InvalidSetting(line) for line in _lines(error, "file")]
     return []
 
 
@@ -80,7 +80,7 @@
     try:
         value = json.loads(body, object_pairs_hook=table, parse_float=number, parse_constant=number)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("configuration", [BadConfiguration(f"body: no JSON: {error}")]) from None
+        raise ExceptionGroup("configuration", [InvalidConfiguration(f"body: no JSON: {error}")]) from None
     return ReadJson(value, faults)
 
 
@@ -104,8 +104,8 @@
     return config
 
 
-def _refusal(faults: Iterable[str]) -> ExceptionGroup[BadConfiguration]:
-    return ExceptionGroup("configuration", [BadConfiguration(text) for text in faults])
+def _refusal(faults: Iterable[str]) -> ExceptionGroup[InvalidConfiguration]:
+    return ExceptionGroup("configuration", [InvalidConfiguration(text) for text in faults])
 
 
 def _not_writable(value: Any) -> Iterable[str]:
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -30,15 +30,15 @@
     SHUN_S,
 )
 from thistleusher.transport.messages import (
-    Found,
+    FounderAnnouncement,
     Install,
     Installed,
-    InstallRefused,
+    InstallRejected,
     RecordView,
     ViewRecord,
     ViewRecorded,
     Vote,
-    VoteRefused,
+    VoteRejected,
     VoteRequest,
 )
 
@@ -70,7 +70,7 @@
 
     def _all_have_come(self) -> bool:
         joining, context = self._joining, self._context
-        joining.on_found(context.me, Found(context.zone))
+        joining.on_found(context.me, FounderAnnouncement(context.zone))
         newest = max(founder.since for founder in joining.founders.values())
         whole = context.seeds <= joining.founders.keys()
         return whole and context.now - context.started > FOUND_S and context.now - newest > FOUND_S / 2
@@ -128,7 +128,7 @@
             if voter not in candidacy.votes:
                 self._context.send(voter, VoteRequest(candidacy.epoch, candidacy.view))
 
-    def on_vote_refused(self, sender: str, message: VoteRefused) -> None:
+    def on_vote_rejected(self, sender: str, message: VoteRejected) -> None:
         """A voter has promised more, or helps another."""
         candidacy, durable = self._role.candidacy, self._durable
         if candidacy is None or candidacy.epoch != message.epoch:
@@ -235,7 +235,7 @@
             candidacy.installed.add(sender)
             self._record_if_installed()
 
-    def on_install_refused(self, sender: str, message: InstallRefused) -> None:
+    def on_install_rejected(self, sender: str, message: InstallRejected) -> None:
         """A replica's copy is elsewhere than was thought."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage != "install":
--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -11,7 +11,7 @@
 
 from thistleusher.common.events import Event
 from thistleusher.transport.messages import AnyMessage, Items, Position, ViewRecord
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 
 class Send(NamedTuple):
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -16,7 +16,7 @@
 from thistleusher.control.interface import Records
 from thistleusher.control.role import Role
 from thistleusher.control.timing import LEARNER_GONE_S, LEARNER_S, RETRY_S
-from thistleusher.transport.messages import Found, Position, Status, StatusRequest, ViewRecord
+from thistleusher.transport.messages import FounderAnnouncement, Position, Status, StatusRequest, ViewRecord
 
 
 class Founder(NamedTuple):
@@ -109,9 +109,9 @@
             return
         self._ask_at = self._context.now + RETRY_S
         for seed in sorted(self._context.seeds - {self._context.me}):
-            self._context.send(seed, Found(self._context.zone))
+            self._context.send(seed, FounderAnnouncement(self._context.zone))
 
-    def on_found(self, sender: str, message: Found) -> None:
+    def on_found(self, sender: str, message: FounderAnnouncement) -> None:
         """Another machine founds."""
         if self.founding:
             self.founders.setdefault(sender, Founder(message.zone, self._context.now))
--- a/thistleusher/control/leading.py
+++ b/thistleusher/control/leader.py
@@ -41,7 +41,7 @@
     Heartbeat,
     HeartbeatAck,
     Installed,
-    InstallRefused,
+    InstallRejected,
     Leaving,
     Position,
     StepDown,
@@ -331,7 +331,7 @@
             self._commit()
             self.serve()
 
-    def on_install_refused(self, sender: str, message: InstallRefused) -> None:
+    def on_install_rejected(self, sender: str, message: InstallRejected) -> None:
         """What was sent does not go on from the copy there."""
         leadership, replica = self._role.leadership, self._durable.replica
         if leadership is None or message.epoch != leadership.view.epoch:
--- a/thistleusher/control/leases.py
+++ b/thistleusher/control/leases.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from thistleusher.transport.messages import LeaseGranted, LeaseReleased, LeaseRequest, LeaseTaken, Message
+from thistleusher.transport.messages import LeaseGranted, LeaseRejected, LeaseReleased, LeaseRequest, Message
 
 GRANT_S = 1.0
 MARGIN_S = 0.2
@@ -40,7 +40,7 @@
 class Decision(NamedTuple):
     """A grantor's answer; `changed`: it is to be on disk before the answer leaves."""
 
-    answer: LeaseGranted | LeaseTaken
+    answer: LeaseGranted | LeaseRejected
     changed: bool
 
 
@@ -70,7 +70,7 @@
         if renewed or (free and request.term > highest):
             grant.holder, grant.term, grant.until = request.holder, request.term, now + GRANT_S
             return Decision(LeaseGranted(request.duty, request.term, request.sent), not renewed)
-        return Decision(LeaseTaken(request.duty, highest, free), False)
+        return Decision(LeaseRejected(request.duty, highest, free), False)
 
     def pause(self, now: float) -> None:
         """This machine has just got a vote: it grants nothing new for `GRANT_S`."""
@@ -150,7 +150,7 @@
         self.begun, self.granted, self.had = None, {}, False
         self.highest = max(self.highest, self.term)
 
-    def heard(self, sender: str, message: LeaseGranted | LeaseTaken) -> None:
+    def heard(self, sender: str, message: LeaseGranted | LeaseRejected) -> None:
         """A grantor's answer."""
         if isinstance(message, LeaseGranted):
             if message.term == self.term and self.begun is not None:
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -39,7 +39,7 @@
 from thistleusher.control.durable import Durable
 from thistleusher.control.interface import Call, Output, Stored
 from thistleusher.control.joining import Joining
-from thistleusher.control.leading import Leading
+from thistleusher.control.leader import Leading
 from thistleusher.control.role import Leadership, Role
 from thistleusher.control.timing import GUARD_S, RETRY_S, STOPPING_TURN_S, TURN_S
 from thistleusher.control.voting import Voting
@@ -48,12 +48,12 @@
     Append,
     Appended,
     Deposed,
-    Found,
+    FounderAnnouncement,
     Heartbeat,
     HeartbeatAck,
     Install,
     Installed,
-    InstallRefused,
+    InstallRejected,
     Leaving,
     Position,
     RecordView,
@@ -63,10 +63,10 @@
     ViewRecord,
     ViewRecorded,
     Vote,
-    VoteRefused,
+    VoteRejected,
     VoteRequest,
 )
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 Handle = Callable[[str, Any], None]
 
@@ -101,7 +101,7 @@
         """Who takes which message."""
         voting, joining, elections, leading = self._voting, self._joining, self._elections, self._leading
         return {
-            Found: joining.on_found,
+            FounderAnnouncement: joining.on_found,
             StatusRequest: joining.on_status_request,
             Status: joining.on_status,
             VoteRequest: voting.on_vote_request,
@@ -110,10 +110,10 @@
             Append: voting.on_append,
             Heartbeat: voting.on_heartbeat,
             Vote: elections.on_vote,
-            VoteRefused: elections.on_vote_refused,
+            VoteRejected: elections.on_vote_rejected,
             ViewRecorded: elections.on_view_recorded,
             Installed: self._on_installed,
-            InstallRefused: self._on_install_refused,
+            InstallRejected: self._on_install_refused,
             HeartbeatAck: leading.on_heartbeat_ack,
             Deposed: leading.on_deposed,
             Appended: leading.on_appended,
@@ -300,6 +300,6 @@
         self._elections.on_installed(sender, message)
         self._leading.on_installed(sender, message)
 
-    def _on_install_refused(self, sender: str, message: InstallRefused) -> None:
-        self._elections.on_install_refused(sender, message)
-        self._leading.on_install_refused(sender, message)
+    def _on_install_refused(self, sender: str, message: InstallRejected) -> None:
+        self._elections.on_install_rejected(sender, message)
+        self._leading.on_install_rejected(sender, message)
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -39,7 +39,7 @@
 )
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.control.interface import Change, Read, Unread
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 MOST_ZONE_BYTES = 400  # zones' names are keys on the disk, which bounds them at 511
 DIGEST_SHOWN = 12  # digits of a digest in the log
@@ -64,7 +64,7 @@
 
 def checks() -> ModuleType:
     """The module that checks configurations: loaded late, as a start must not wait for it."""
-    return importlib.import_module("thistleusher.common.checks")
+    return importlib.import_module("thistleusher.common.validation")
 
 
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from thistleusher.common.boot import CONTROL
 from thistleusher.common.events import say
 from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.node_settings import CONTROL
 from thistleusher.common.process import Settings, serve
 from thistleusher.control import orders
 from thistleusher.control.interface import Answer, Call, Note, Outward, Send, Tell, Write
@@ -25,7 +25,7 @@
 from thistleusher.control.storage import Storage
 from thistleusher.net.server import Bounds
 from thistleusher.services.wire import read_address
-from thistleusher.transport.api import (
+from thistleusher.transport.call_server import (
     BeginEvacuation,
     CallServer,
     Document,
--- a/thistleusher/control/replica.py
+++ b/thistleusher/control/replica.py
@@ -14,7 +14,7 @@
 
 from thistleusher.control.interface import Stored
 from thistleusher.transport.messages import Install, Items, Position
-from thistleusher.transport.news import State
+from thistleusher.transport.state_updates import State
 
 HISTORY_MOST = 1024  # changes back, from which a replica is brought on by changes alone
 NO_EPOCH = -1
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -28,15 +28,15 @@
 from thistleusher.transport.messages import (
     AnyMessage,
     CoreInfo,
-    Follow,
-    ItemsKept,
-    KeepItems,
+    ItemsPersisted,
     LeaseReleased,
     LeaseRequest,
-    News,
-    NewsAck,
+    PersistItems,
+    StateUpdate,
+    StateUpdateAck,
+    SubscribeRequest,
 )
-from thistleusher.transport.news import Publisher, State
+from thistleusher.transport.state_updates import Publisher, State
 
 NO_EPOCH = -1
 
@@ -88,11 +88,11 @@
             return self._grant(now, name, message)
         if isinstance(message, LeaseReleased):
             self.grantor.released(message)
-        elif isinstance(message, Follow):
+        elif isinstance(message, SubscribeRequest):
             return self._follow(now, name, message.number)
-        elif isinstance(message, NewsAck):
+        elif isinstance(message, StateUpdateAck):
             self.publisher.ack(name, message.number)
-        elif isinstance(message, KeepItems):
+        elif isinstance(message, PersistItems):
             return self._keep(now, name, message)
         elif name:
             return self._carry(now, self.node.message(now, name, message))
@@ -100,7 +100,7 @@
 
     def takes(self, message: AnyMessage) -> bool:
         """Whether a message is one for this process."""
-        own = (LeaseRequest, LeaseReleased, Follow, NewsAck, KeepItems)
+        own = (LeaseRequest, LeaseReleased, SubscribeRequest, StateUpdateAck, PersistItems)
         return isinstance(message, own) or self.node.takes(message)
 
     def gone(self, name: str) -> None:
@@ -140,9 +140,9 @@
         self.publisher.sent[name] = self.publisher.acked[name] = number
         return [Tell(name, self._core())]
 
-    def _keep(self, now: float, name: str, message: KeepItems) -> list[Outward]:
+    def _keep(self, now: float, name: str, message: PersistItems) -> list[Outward]:
         items = message.items
-        self._keeping[self.calls + 1] = Tell(name, ItemsKept(message.request, True))
+        self._keeping[self.calls + 1] = Tell(name, ItemsPersisted(message.request, True))
 
         def kept(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
@@ -169,7 +169,7 @@
             told += self._news(self.publisher.tell())
         return told
 
-    def _news(self, messages: Iterable[tuple[str, News]]) -> list[Outward]:
+    def _news(self, messages: Iterable[tuple[str, StateUpdate]]) -> list[Outward]:
         return [Tell(name, message) for name, message in messages if name in self.followers]
 
     # Outputs.
@@ -185,7 +185,7 @@
             elif isinstance(each, Answer) and each.call in self._keeping:
                 tell = self._keeping.pop(each.call)
                 kept = not isinstance(each.answer, Failure)
-                out.append(Tell(tell.name, ItemsKept(_request_of(tell), kept)))
+                out.append(Tell(tell.name, ItemsPersisted(_request_of(tell), kept)))
             else:
                 out.append(each)
         return out
@@ -199,5 +199,5 @@
 
 
 def _request_of(tell: Tell) -> str:
-    assert isinstance(tell.message, ItemsKept)
+    assert isinstance(tell.message, ItemsPersisted)
     return tell.message.request
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -23,13 +23,13 @@
     HeartbeatAck,
     Install,
     Installed,
-    InstallRefused,
+    InstallRejected,
     Position,
     RecordView,
     ViewRecord,
     ViewRecorded,
     Vote,
-    VoteRefused,
+    VoteRejected,
     VoteRequest,
 )
 
@@ -85,7 +85,7 @@
         self._context.send(sender, Vote(epoch, view, self._durable.replica.position))
 
     def _refuse(self, sender: str, message: VoteRequest, view: ViewRecord) -> None:
-        self._context.send(sender, VoteRefused(message.epoch, self._durable.promised, view))
+        self._context.send(sender, VoteRejected(message.epoch, self._durable.promised, view))
 
     # Views.
 
@@ -141,7 +141,7 @@
         elif replica.position == message.base:
             replica.apply(message.position, message.items)
         elif replica.position != message.position:
-            self._context.send(sender, InstallRefused(message.epoch, replica.position))
+            self._context.send(sender, InstallRejected(message.epoch, replica.position))
             return
         self._keep_installed(sender, message)
 
@@ -209,7 +209,7 @@
         if position == message.position:
             durable.write(Records(), partial(self._appended, sender, message))
         elif position != message.base:
-            self._context.send(sender, InstallRefused(message.epoch, position))
+            self._context.send(sender, InstallRejected(message.epoch, position))
         else:
             durable.replica.apply(message.position, message.items)
             durable.keep_replica(message.items, False, partial(self._appended, sender, message))
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -21,7 +21,7 @@
 
 
 class Escrow(Protocol):
-    """What holds members to an ingress's own share of their allowance; `thistleusher.ledger` is one.
+    """What holds members to an ingress's own share of their allowance; `thistleusher.quota` is one.
 
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
@@ -81,8 +81,8 @@
     answer: bytes = b""
 
 
-class Talk(Protocol):
-    """Who is told and asked what in a large fleet; `thistleusher.talk` is one. Times in seconds."""
+class Gossip(Protocol):
+    """Who is told and asked what in a large fleet; `thistleusher.gossip` is one. Times in seconds."""
 
     def note(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
         """Something of a member has changed; `lazy`: it may wait for company."""
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -41,7 +41,7 @@
 MARGIN_SHARE = 0.2  # of a short time
 
 
-class Held:
+class InFlightRequest:
     """A request that is owed one final answer. `context` is the front's own."""
 
     __slots__ = (
@@ -84,7 +84,7 @@
         self.classes = {c.name: c for c in settings.classes}  # a front may name further ones as they come
         self.counter: CounterPort | None = None
         self.peers: PeerPort | None = None
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, InFlightRequest] = {}
         self.events: deque[Event] = deque()
         self.busy = self.closed = False
         self.clock = 0.0
@@ -161,7 +161,7 @@
 
     def take(
         self, request: events.Request, on_final: Callable[[Final], None], context: Any = None, came: float | None = None
-    ) -> Held | None:
+    ) -> InFlightRequest | None:
         """A request is owed one answer from here on. `came`: when its client's time began, on the scheduler.
 
         None, and INVALID to `on_final`, where its id is that of a request still held.
@@ -172,7 +172,7 @@
         now = self.scheduler.time()
         left = (now if came is None else came) + request.expires_in - now
         left -= min(MARGIN_S, MARGIN_SHARE * request.expires_in)
-        held = self.held[request.id] = Held(request, on_final, context, now + left)
+        held = self.held[request.id] = InFlightRequest(request, on_final, context, now + left)
         held.timer = self.scheduler.call_at(held.deadline, self._overdue, held)
         self.submit(request._replace(expires_in=max(0.0, left)))
         return held
@@ -191,14 +191,14 @@
             held.attempt.cancel()
         self._forget(held)
 
-    def answering(self, held: Held) -> bool:
+    def answering(self, held: InFlightRequest) -> bool:
         """The backend's answer has begun to go out: it is the final one. False if there is one already."""
         if held.answered:
             return False
         held.answered = True
         return True
 
-    def answer(self, held: Held, final: Final) -> None:
+    def answer(self, held: InFlightRequest, final: Final) -> None:
         """The one final answer; any further one is dropped."""
         if held.answered:
             return
@@ -208,7 +208,7 @@
             held.attempt.cancel()
         self._forget(held)
 
-    def _overdue(self, held: Held) -> None:
+    def _overdue(self, held: InFlightRequest) -> None:
         """The client's time is as good as up: end the attempt, and answer what the module does not."""
         held.over = True
         if held.attempt is not None:
@@ -219,11 +219,11 @@
             self.submit(events.ClientGone(held.request.id))
         self._forget(held)
 
-    def _give_up(self, held: Held) -> None:
+    def _give_up(self, held: InFlightRequest) -> None:
         """Refused where trying again is harmless, failed elsewhere."""
         self.answer(held, self._refusal(0.0) if self.may_refuse(held) else Final(Verdict.FAILED))
 
-    def may_refuse(self, held: Held) -> bool:
+    def may_refuse(self, held: InFlightRequest) -> bool:
         """A refusal says that trying again is harmless: so it is where nothing ran, or where repeats are."""
         cls = self.classes[held.request.class_name]
         ran = held.may_have_run or (held.attempt is not None and held.attempt.written)
@@ -245,7 +245,7 @@
         if held is not None:
             self.answer(held, Final(Verdict.FAILED))
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, held: InFlightRequest) -> None:
         """Answered, and nothing out any more."""
         if held.answered and held.attempt is None:
             if held.timer is not None:
@@ -280,7 +280,9 @@
         if held is not None and held.attempt is not None and held.attempts == a.attempt + 1:
             held.attempt.cancel()
 
-    def _ended(self, held: Held, number: int, attempt: AttemptPort, backend: str, ended: Ended, sent: float) -> None:
+    def _ended(
+        self, held: InFlightRequest, number: int, attempt: AttemptPort, backend: str, ended: Ended, sent: float
+    ) -> None:
         """An attempt has its outcome: a good one is the answer, anything else is the module's to decide."""
         held.attempt = None
         held.may_have_run |= attempt.written and ended.outcome is not Outcome.FULL
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -23,7 +23,7 @@
 
 from thistleusher.assembly import make_gateway
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, Held
+from thistleusher.core.driver import Driver, InFlightRequest
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.ports import CounterPort, Ended, Final, Scheduler
 from thistleusher.core.request import BadRequest
@@ -74,7 +74,7 @@
         self.interrupted = False  # ended by the ingress, while the host's code ran
         self._verdict: asyncio.Future[Final | None] | None = None  # None: admitted
         self._on_end: Callable[[Ended], None] | None = None
-        self._held: Held | None = None
+        self._held: InFlightRequest | None = None
         self._timeout: asyncio.Timeout | None = None
         self._first_byte: float | None = None
         self._started = 0.0
@@ -358,7 +358,7 @@
 
     # For the driver: the one backend.
 
-    def prepare(self, held: Held, backend: str, on_end: Callable[[Ended], None]) -> Admission:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
         admission: Admission = held.context
         admission._on_end = on_end
         return admission
--- a/thistleusher/talk/__init__.py
+++ b/thistleusher/gossip/__init__.py
@@ -4,8 +4,8 @@
 merged, never queued without end; and a member whose set is too wide for tellings has one account, at its home.
 """
 
-from thistleusher.talk.homes import Homes
-from thistleusher.talk.outbox import Outbox
-from thistleusher.talk.talk import Talk
+from thistleusher.gossip.outbox import Outbox
+from thistleusher.gossip.owners import Owners
+from thistleusher.gossip.updates import Gossip
 
-__all__ = ["Homes", "Outbox", "Talk"]
+__all__ = ["Gossip", "Outbox", "Owners"]
--- a/thistleusher/talk/homes.py
+++ b/thistleusher/gossip/owners.py
@@ -60,7 +60,7 @@
             self.book[peer, number] = *known[:2], answer
 
 
-class Homes:
+class Owners:
     """Homes as seen from one ingress of the fleet. Times in seconds of one clock."""
 
     def __init__(self, instances: int, me: int, wait: float) -> None:
--- a/thistleusher/talk/held.py
+++ b/thistleusher/gossip/pending.py
@@ -13,7 +13,7 @@
 MOST = 64  # requests that wait at once; beyond it none does
 
 
-class Held:
+class PendingRequests:
     """Names of requests and until when each waits, in seconds of one clock; who came first is first."""
 
     def __init__(self) -> None:
--- a/thistleusher/talk/talk.py
+++ b/thistleusher/gossip/updates.py
@@ -14,9 +14,9 @@
 
 from thistleusher.core import decision_ports, events
 from thistleusher.core.datagrams import name_of, plan_of
-from thistleusher.talk.held import Held
-from thistleusher.talk.homes import ANSWER_S, Asked, Homes
-from thistleusher.talk.outbox import Outbox
+from thistleusher.gossip.outbox import Outbox
+from thistleusher.gossip.owners import ANSWER_S, Asked, Owners
+from thistleusher.gossip.pending import PendingRequests
 
 ASK, ANSWER, SETTLED = b"\x07", b"\x08", b"\x09"
 QUESTION = struct.Struct(">H5sHHH")
@@ -27,16 +27,16 @@
 TELL_PART = 0.5  # of the messages that an ingress takes in, that it sends as tellings
 
 
-class Talk:
+class Gossip:
     """What one ingress of a large fleet says: tellings to sets, questions to homes, settlements."""
 
     def __init__(self, instances: int, me: int, per_s: float, rows: int, counter_timeout: float, now: float) -> None:
         """`per_s`: messages a second that an ingress takes in; `rows`: members that a telling holds."""
         self.instances, self.me = instances, me
         self.outbox = Outbox(TELL_PART * per_s, rows, now)
-        self.homes = Homes(instances, me, ANSWER_S + counter_timeout)
+        self.homes = Owners(instances, me, ANSWER_S + counter_timeout)
         self.known = Asked()
-        self.waiting = Held()
+        self.waiting = PendingRequests()
         self.settling: dict[int, dict[bytes, float]] = {}  # by home, units by member and plan
         self.settlings = 0  # rows of all homes
 
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from thistleusher.core.settings import Settings
+from thistleusher.net.client_call import Address, read_address
 from thistleusher.net.discovery import Listing, read_listing
-from thistleusher.net.wire import Address, read_address
-from thistleusher.settings import BadSetting, nested_settings
+from thistleusher.settings import InvalidSetting, nested_settings
 
 
-class BadConfiguration(Exception):
+class InvalidConfiguration(Exception):
     """What is wrong with the configuration, in one line."""
 
 
@@ -42,11 +42,11 @@
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
     except (OSError, ValueError) as error:
-        raise BadConfiguration(f"{path}: {error}") from error
+        raise InvalidConfiguration(f"{path}: {error}") from error
     except RecursionError as error:
-        raise BadConfiguration(f"{path}: nested too deeply") from error
+        raise InvalidConfiguration(f"{path}: nested too deeply") from error
     if not isinstance(data, dict) or not isinstance(data.get("settings"), dict):
-        raise BadConfiguration(f"{path}: settings: missing")
+        raise InvalidConfiguration(f"{path}: settings: missing")
     return data
 
 
@@ -54,7 +54,7 @@
     """The configuration file, whose name and addresses the environment also tells."""
     path = environ.get("PROXY_CONFIG")
     if not path:
-        raise BadConfiguration("PROXY_CONFIG is not set")
+        raise InvalidConfiguration("PROXY_CONFIG is not set")
     data = read_data(path)
     for key in ("name", "listen", "discovery"):
         data.setdefault(key, environ.get(f"PROXY_{key.upper()}"))
@@ -82,5 +82,5 @@
             settings=settings,
             load_fields=fields,
         )
-    except (BadSetting, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
-        raise BadConfiguration(f"{path}: {' '.join(str(error).split())}") from error
+    except (InvalidSetting, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
+        raise InvalidConfiguration(f"{path}: {' '.join(str(error).split())}") from error
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -7,9 +7,9 @@
 
 import tomllib
 
-from thistleusher.ledger.placement import Placement
-from thistleusher.net.config import BadConfiguration
+from thistleusher.net.config import InvalidConfiguration
 from thistleusher.operator.layers import plain
+from thistleusher.quota.placement import Placement
 from thistleusher.services.wire import read_address
 
 
@@ -19,18 +19,18 @@
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except (OSError, ValueError) as error:
-        raise BadConfiguration(f"{path}: {error}") from error
+        raise InvalidConfiguration(f"{path}: {error}") from error
     except RecursionError as error:
-        raise BadConfiguration(f"{path}: nested too deeply") from error
+        raise InvalidConfiguration(f"{path}: nested too deeply") from error
     unknown = data.keys() - {"counters"}
     if unknown:
-        raise BadConfiguration(f"{path}: {plain(min(unknown))}: no such key")
+        raise InvalidConfiguration(f"{path}: {plain(min(unknown))}: no such key")
     counters = data.get("counters")
     if not isinstance(counters, list) or not all(isinstance(c, str) for c in counters):
-        raise BadConfiguration(f"{path}: counters: expected a list of host:port, got {counters!r}")
+        raise InvalidConfiguration(f"{path}: counters: expected a list of host:port, got {counters!r}")
     try:
         for address in counters:
             read_address(address)
         return Placement(counters)
     except ValueError as error:
-        raise BadConfiguration(f"{path}: counters: {error}") from error
+        raise InvalidConfiguration(f"{path}: counters: {error}") from error
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -12,20 +12,20 @@
 from thistleusher.assembly import make_gateway
 from thistleusher.core.events import BackendEntry, Phase
 from thistleusher.core.ports import Scheduler
-from thistleusher.ledger.placement import Placement
 from thistleusher.net.config import Config
 from thistleusher.net.discovery import Discovery, Listing
-from thistleusher.net.farewell import Farewell
 from thistleusher.net.ingress import Ingress
 from thistleusher.net.server import IngressServer
+from thistleusher.net.shutdown import GracefulShutdown
 from thistleusher.net.upstream import Endpoint, Upstream
+from thistleusher.quota.placement import Placement
 from thistleusher.services.counter import Counter
 from thistleusher.services.counters import Counters
 from thistleusher.services.peers import Peers
 
 if TYPE_CHECKING:  # imported only where a state folder is given
-    from thistleusher.state.keeper import Keeper
     from thistleusher.state.records import Listed, Place
+    from thistleusher.state.snapshotter import Snapshotter
 
 log = logging.getLogger("thistleusher")
 
@@ -42,7 +42,7 @@
         clock: Callable[[], float] = time.time,
         scheduler: Scheduler | None = None,
         placement: Placement | None = None,
-        keeper: Keeper | None = None,
+        keeper: Snapshotter | None = None,
     ) -> None:
         """`placement`: several counters in place of the configuration's one; `keeper`: a state folder."""
         self.config = config
@@ -127,7 +127,7 @@
         """Go on until `notice` is over and nobody comes any more, finish what is held, then close everything."""
         log.info("%s stops: %d requests held", self.config.name, len(self.ingress.held))
         longest = max(c.deadline for c in self.config.settings.classes)
-        await self.server.leave(notice, Farewell(self.loop.time(), longest))
+        await self.server.leave(notice, GracefulShutdown(self.loop.time(), longest))
         self.ingress.driver.leave()
         await asyncio.sleep(min(LAST_WORDS_S, self.config.settings.counter_timeout / 2))
         self.ingress.driver.leave()  # again: a datagram may be lost, or overtaken by this one
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -12,8 +12,8 @@
 import httptools
 
 from thistleusher.core.events import BackendEntry, Phase
+from thistleusher.net.client_call import Address, read_address
 from thistleusher.net.upstream import Endpoint
-from thistleusher.net.wire import Address, read_address
 
 log = logging.getLogger(__name__)
 
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -8,13 +8,13 @@
 
 from thistleusher.core import events
 from thistleusher.core.answers import STATUS, headers_of
-from thistleusher.core.driver import Driver, Held
+from thistleusher.core.driver import Driver, InFlightRequest
 from thistleusher.core.events import ListKind, Outcome, Phase
 from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
 from thistleusher.core.settings import Settings
+from thistleusher.net.client_call import Answer, Call
 from thistleusher.net.discovery import Listing
 from thistleusher.net.upstream import Exchange, Upstream
-from thistleusher.net.wire import Answer, Call
 
 Reply = Callable[[int, bytes, bytes], None]  # status, further header lines, body
 
@@ -90,7 +90,7 @@
 
     # Backends.
 
-    def prepare(self, held: Held, backend: str, on_end: Callable[[Ended], None]) -> Sent:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
         """One attempt. It is not sent if its client has gone or its backend drains by then."""
         call: Call = held.context
 
--- a/thistleusher/net/guard.py
+++ b/thistleusher/net/last_byte_guard.py
@@ -14,7 +14,7 @@
 EARLY = 0.1  # of the agreed idle time, before which the other side's end of a connection is a sign too
 
 
-class Guard:
+class LastByteGuard:
     """Whether connections to backends have ended at bad moments of late; costs a comparison a request."""
 
     def __init__(self, idle: float) -> None:
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -18,9 +18,9 @@
 import httptools
 
 from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
-from thistleusher.net.farewell import Farewell
+from thistleusher.net.client_call import MAX_BODY, MAX_HEAD, Call
 from thistleusher.net.ingress import Ingress, Reply
-from thistleusher.net.wire import MAX_BODY, MAX_HEAD, Call
+from thistleusher.net.shutdown import GracefulShutdown
 
 PIPELINE = 16  # requests read ahead on one connection
 SLOW_S = 2.0  # for a first byte, for the rest of a request, and for a client to read its answers
@@ -343,7 +343,7 @@
         self.connections: set[ClientConnection] = set()
         self.order = itertools.count()  # who was heard last; the loop's clock is too coarse to tell
         self.stopping = self.leaving = False
-        self.farewell: Farewell | None = None
+        self.farewell: GracefulShutdown | None = None
         self.listener: asyncio.Server | None = None
         self.sweep_due = loop.time() + SWEEP_S
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
@@ -385,7 +385,7 @@
         self.sweep_due = now + SWEEP_S
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
 
-    async def leave(self, notice: Awaitable[object], farewell: Farewell | None = None) -> None:
+    async def leave(self, notice: Awaitable[object], farewell: GracefulShutdown | None = None) -> None:
         """Go on as ever until the notice is over and `farewell` closes the door; then take nothing new and wait for
         what is held.
 
--- a/thistleusher/net/farewell.py
+++ b/thistleusher/net/shutdown.py
@@ -16,7 +16,7 @@
 SHORT_S = 0.05  # under which a request cannot be served any more
 
 
-class Farewell:
+class GracefulShutdown:
     """One planned end, from the moment at which it was told."""
 
     def __init__(self, told: float, longest: float) -> None:
--- a/thistleusher/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple, cast
 
 from thistleusher.core.events import Outcome
-from thistleusher.net.guard import Guard
-from thistleusher.net.wire import MAX_BODY, Address, Answer, AnswerReader
+from thistleusher.net.client_call import MAX_BODY, Address, Answer, AnswerReader
+from thistleusher.net.last_byte_guard import LastByteGuard
 
 log = logging.getLogger(__name__)
 
@@ -277,7 +277,7 @@
         endpoint: Endpoint,
         loop: asyncio.AbstractEventLoop,
         connections: set[Connection],
-        guard: Guard,
+        guard: LastByteGuard,
         reopen: Callable[[Exchange], None],
         terms: Terms = DEFAULT_TERMS,
     ) -> None:
@@ -332,7 +332,7 @@
         self.terms = terms
         self.loop, self.connect_timeout, self.most = loop, connect_timeout, most
         self.idle = IDLE_SHARE * idle
-        self.guard = Guard(idle)
+        self.guard = LastByteGuard(idle)
         self.pools: dict[str, Pool] = {}
         self.connections: set[Connection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -13,7 +13,7 @@
 
 from thistleusher.core import actions, events
 from thistleusher.core.actions import Action
-from thistleusher.core.decision_ports import CounterOf, Escrow, Talk
+from thistleusher.core.decision_ports import CounterOf, Escrow, Gossip
 from thistleusher.core.events import Event
 from thistleusher.core.settings import Settings
 from thistleusher.core.snapshots import Learned, SavedMember
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, settings: Settings, seed: int, now: float, escrow: Escrow | None = None,
-                 placement: CounterOf | None = None, talk: Talk | None = None) -> None:
+                 placement: CounterOf | None = None, talk: Gossip | None = None) -> None:
         """`escrow` holds members to shares while no total can be trusted; without it even shares do.
 
         `placement` tells which of several counters holds a name; `talk`, of a large fleet, who is told what.
--- a/thistleusher/policy/sharing.py
+++ b/thistleusher/policy/sharing.py
@@ -13,7 +13,7 @@
 from thistleusher.core import actions, datagrams, events
 from thistleusher.core.actions import Action
 from thistleusher.core.datagrams import ESCROW_MARKS, LEVELS, TOLD, TOLD_MARK, TOLD_MOST, name_of
-from thistleusher.core.decision_ports import Escrow, Talk
+from thistleusher.core.decision_ports import Escrow, Gossip
 from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.policy.health import CounterHealth, Counters
 from thistleusher.policy.store import Customer
@@ -39,7 +39,7 @@
     """Customers' stores at one ingress, kept in step with the other ingresses'."""
 
     def __init__(self, settings: Settings, counters: Counters, acts: list[Action],
-                 now: float, escrow: Escrow | None = None, talk: Talk | None = None) -> None:
+                 now: float, escrow: Escrow | None = None, talk: Gossip | None = None) -> None:
         """`talk`: where the fleet is too large for everything to be told to everybody."""
         self.s, self.counters, self.acts = settings, counters, acts
         self.talk = talk
--- a/thistleusher/proxy/knowledge.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -16,29 +16,29 @@
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
-from thistleusher.common.shares import ALONE_S, OVER
+from thistleusher.common.quota_timing import ALONE_S, OVER
 from thistleusher.proxy import decisions as decided
 from thistleusher.proxy.decisions import Counted, Decisions
 from thistleusher.proxy.placement import Place
 from thistleusher.services.wire import Address, read_address
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.heartbeat_ring import HeartbeatRing
 from thistleusher.transport.messages import (
     AnyMessage,
     Charge,
     ChargeResult,
     CoreInfo,
-    Echo,
-    Follow,
     HandOver,
-    News,
-    NewsAck,
-    Presence,
-    PresenceReport,
-    RingBeat,
+    HeartbeatEcho,
+    ProxyHeartbeat,
+    ProxyStatusReport,
+    RingHeartbeat,
+    StateUpdate,
+    StateUpdateAck,
+    SubscribeRequest,
 )
-from thistleusher.transport.news import Follower
-from thistleusher.transport.ring import Ring
+from thistleusher.transport.state_updates import Subscriber
 
 MOST_CHARGES = 20_000  # that are remembered; one that is forgotten gets no answer and is not given back
 VERDICT_S = ALONE_S  # after a charge was sent, from which its verdict is too old to be used
@@ -55,7 +55,7 @@
     """A datagram to the ring's port of a machine."""
 
     ip: str
-    message: RingBeat
+    message: RingHeartbeat
 
 
 class ToPeer(NamedTuple):
@@ -103,6 +103,7 @@
     fields: tuple[object, ...]
 
 
+Reply = StateUpdateAck | SubscribeRequest
 Output = ToRegistry | ToRing | ToPeer | Core | InForce | Backends | Serving | Verdict | Note
 
 
@@ -113,7 +114,7 @@
     sent: float
 
 
-class Knowledge:
+class ClusterView:
     """One proxy's."""
 
     def __init__(
@@ -130,10 +131,10 @@
         self.me, self.life, self.region, self.region_of, self.about = me, life, region, region_of, about
         self.decisions = decisions
         self.core = CoreMembers()
-        self.control = Follower(me)
+        self.control = Subscriber(me)
         self.configuration = ConfigurationFollower()
-        self.list = Follower(me)
-        self.ring = Ring(me, now)
+        self.list = Subscriber(me)
+        self.ring = HeartbeatRing(me, now)
         self.known = False  # whether there is a list of backends
         self.serving: set[str] = set()
         self.counter = ""  # the machine whose registry has echoed last
@@ -153,11 +154,11 @@
 
     # Whom it tells.
 
-    def follow_control(self) -> Follow:
+    def follow_control(self) -> SubscribeRequest:
         """The first message to a control process."""
         return self.control.follow()
 
-    def follow_list(self) -> Follow:
+    def follow_list(self) -> SubscribeRequest:
         """The first message to a registry."""
         return self.list.follow()
 
@@ -181,17 +182,17 @@
         echo = self.decisions.quota.echo
         if full:
             silent = tuple(sorted(self.ring.silent(now)))
-            self.out.append(ToRegistry("", PresenceReport(self.life, now, echo, ready, silent, self.about)))
+            self.out.append(ToRegistry("", ProxyStatusReport(self.life, now, echo, ready, silent, self.about)))
         elif self.counter:
-            self.out.append(ToRegistry(self.counter, Presence(self.life, now, echo)))
+            self.out.append(ToRegistry(self.counter, ProxyHeartbeat(self.life, now, echo)))
 
     # The ring.
 
-    def _ring_beat(self) -> RingBeat:
+    def _ring_beat(self) -> RingHeartbeat:
         """With the numbers of the news that this proxy has."""
-        return RingBeat(self.me, self.control.state.number, self.list.state.number)
+        return RingHeartbeat(self.me, self.control.state.number, self.list.state.number)
 
-    def beat(self, now: float, beat: RingBeat, ip: str) -> list[Output]:
+    def beat(self, now: float, beat: RingHeartbeat, ip: str) -> list[Output]:
         """Another proxy's heartbeat."""
         self.ring.beat(now, beat.name)
         theirs, mine = (beat.control, beat.registry), (self.control.state.number, self.list.state.number)
@@ -211,10 +212,10 @@
 
     # The control state.
 
-    def from_control(self, now: float, message: AnyMessage) -> tuple[list[Output], NewsAck | Follow | None]:
+    def from_control(self, now: float, message: AnyMessage) -> tuple[list[Output], Reply | None]:
         """A control process's message: what follows, and the acknowledgement, of what is in force here only."""
-        reply: NewsAck | Follow | None = None
-        if isinstance(message, News):
+        reply: Reply | None = None
+        if isinstance(message, StateUpdate):
             reply = self._control_news(now, message)
         elif isinstance(message, CoreInfo):
             if self.core.learn(message):
@@ -223,7 +224,7 @@
             raise UnexpectedMessage(message)
         return self._flush(), reply
 
-    def _control_news(self, now: float, news: News) -> NewsAck | Follow:
+    def _control_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
         changed, reply = self.control.heard(news)
         if not changed:
             return reply
@@ -244,15 +245,15 @@
 
     # The registry.
 
-    def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Output], NewsAck | Follow | None]:
+    def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Output], Reply | None]:
         """An echo, a verdict, or news: what follows, and the acknowledgement."""
-        reply: NewsAck | Follow | None = None
+        reply: Reply | None = None
         if isinstance(message, ChargeResult):
             self._verdict(now, message)
-        elif isinstance(message, Echo):
+        elif isinstance(message, HeartbeatEcho):
             if self.decisions.quota.echoed(now, message.by, message.sent, message.now, message.share):
                 self.counter = ip
-        elif isinstance(message, News):
+        elif isinstance(message, StateUpdate):
             reply = self._list_news(now, message)
         else:
             raise UnexpectedMessage(message)
@@ -295,7 +296,7 @@
             counted = Counted(charge.request, result.verdict, result.left, result.window)
         self.out.append(Verdict(counted))
 
-    def _list_news(self, now: float, news: News) -> NewsAck | Follow:
+    def _list_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
         changed, reply = self.list.heard(news)
         if not changed:
             return reply
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -17,9 +17,9 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from thistleusher.common.boot import Bounds
-from thistleusher.common.configuration import Configuration, Found
-from thistleusher.common.shares import ALONE, OVER, PROMPT_S
+from thistleusher.common.configuration import Configuration, RouteMatch
+from thistleusher.common.node_settings import Bounds
+from thistleusher.common.quota_timing import ALONE, OVER, PROMPT_S
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
@@ -65,7 +65,7 @@
 class Asked(NamedTuple):
     """The route and tenant that a request came by; told before the request itself."""
 
-    found: Found
+    found: RouteMatch
     tenant: str | None
 
 
@@ -113,7 +113,7 @@
         self.backend = ""
 
 
-def class_of(found: Found) -> ClassSettings:
+def class_of(found: RouteMatch) -> ClassSettings:
     """A route as a class of the decision module."""
     route = found.route
     return ClassSettings(
@@ -188,7 +188,7 @@
     def configured(self, now: float, config: Configuration) -> None:
         """A configuration is in force."""
         self.config = config
-        self.classes = {name: class_of(Found(name, route)) for name, route in config.routes.items()}
+        self.classes = {name: class_of(RouteMatch(name, route)) for name, route in config.routes.items()}
         self.quota.follow({name: (t.rate_per_s, t.burst) for name, t in config.tenants.items()})
         self._listed(now)
 
@@ -258,7 +258,7 @@
             self.counting[request.id] = now
             self.acts.append(Charge(request.id, e.tenant, 1))
 
-    def _service(self, found: Found) -> str:
+    def _service(self, found: RouteMatch) -> str:
         shares = found.route.shares
         if len(shares) == 1:
             return shares[0].target
--- a/thistleusher/proxy/front.py
+++ b/thistleusher/proxy/listener.py
@@ -11,16 +11,16 @@
 from thistleusher.common.configuration import Index
 from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
 from thistleusher.core import actions, events
-from thistleusher.core.driver import Held
+from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended, Final, Verdict
-from thistleusher.net.farewell import Farewell
+from thistleusher.net.client_call import Answer
 from thistleusher.net.ingress import Ingress, Reply, Sent
 from thistleusher.net.server import Bounds, ClientConnection, Server
+from thistleusher.net.shutdown import GracefulShutdown
 from thistleusher.net.upstream import Exchange, Upstream
-from thistleusher.net.wire import Answer
 from thistleusher.proxy.decisions import PLAN, Asked, Charge, Decisions, class_of
-from thistleusher.transport.api import refusal
+from thistleusher.transport.call_server import refusal
 
 SEAL, NOT_RUN, ATTEMPT = b"x-server-seal", b"x-not-run", b"x-attempt-id"
 OWN = {
@@ -103,7 +103,7 @@
     )
 
 
-class ProxyFarewell(Farewell):
+class ProxyGracefulShutdown(GracefulShutdown):
     """A planned end within `grace_s`: the door closes early enough for what came last."""
 
     def __init__(self, told: float, grace_s: float) -> None:
@@ -177,7 +177,7 @@
         kind = KINDS[verdict]
         reply(ANSWERS[kind].status, header_of(kind, final.retry_in or None), b"")
 
-    def prepare(self, held: Held, backend: str, on_end: Callable[[Ended], None]) -> Sent:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
         """One attempt. It is not sent if its client has gone, its time is up, or its backend may not be sent to any
         more by then."""
         call: Call = held.context
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -12,21 +12,18 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from thistleusher.common.birth import BORN
-from thistleusher.common.boot import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.events import Event, say
 from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process_start import BORN
 from thistleusher.net.server import Bounds
 from thistleusher.net.upstream import Endpoint, Terms, Upstream
-from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.directory import TTL_S, addresses
-from thistleusher.proxy.front import ATTEMPT, ProxyFarewell, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.proxy.knowledge import (
+from thistleusher.proxy.cluster_view import (
     Backends,
+    ClusterView,
     Core,
     InForce,
-    Knowledge,
     Output,
     Serving,
     ToPeer,
@@ -34,13 +31,16 @@
     ToRing,
     Verdict,
 )
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.directory import TTL_S, addresses
+from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.services.wire import read_address
-from thistleusher.transport.api import Addresses, CallServer, Handler, Readiness, Ready, Resolve
+from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
 from thistleusher.transport.codec import MalformedMessage, decode, encode
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.links import Dial, Link, Listener
-from thistleusher.transport.messages import AnyMessage, HandOver, HandOverTaken, RingBeat
+from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
 CONNECT_S = 0.6  # to a backend of another region
 NEAR_S = 0.25  # to one of this region
@@ -57,7 +57,7 @@
 class Heartbeats(asyncio.DatagramProtocol):
     """Datagrams of the ring."""
 
-    def __init__(self, heard: Callable[[RingBeat, str], None]) -> None:
+    def __init__(self, heard: Callable[[RingHeartbeat, str], None]) -> None:
         self.heard = heard
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -70,10 +70,10 @@
             message = decode(data)
         except MalformedMessage:
             return
-        if isinstance(message, RingBeat):
+        if isinstance(message, RingHeartbeat):
             self.heard(message, addr[0])
 
-    def send(self, beat: RingBeat, address: tuple[str, int]) -> None:
+    def send(self, beat: RingHeartbeat, address: tuple[str, int]) -> None:
         """Send one; it may be lost."""
         if self.transport is not None:
             self.transport.sendto(encode(beat), address)
@@ -103,7 +103,7 @@
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], DOOR)
         self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], DOOR)
         about = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
-        self.knowledge = Knowledge(
+        self.knowledge = ClusterView(
             boot.node_name, life(), boot.region, lambda zone: self.boot.region_of(zone), about, self.decisions, now
         )
         self.beats = Heartbeats(self._beat)
@@ -137,7 +137,7 @@
         self.server.stopping = True
         self._carry(self.knowledge.here(time.monotonic(), self.is_ready()))
         grace = self.boot.bounds.grace_s
-        farewell = ProxyFarewell(self.loop.time(), grace)
+        farewell = ProxyGracefulShutdown(self.loop.time(), grace)
         try:
             async with asyncio.timeout(grace - 0.3):
                 await self.server.leave(asyncio.sleep(NOTICE_S), farewell)
@@ -218,7 +218,7 @@
 
     # The ring.
 
-    def _beat(self, beat: RingBeat, ip: str) -> None:
+    def _beat(self, beat: RingHeartbeat, ip: str) -> None:
         self._carry(self.knowledge.beat(time.monotonic(), beat, ip))
 
     async def _hand_over(self, peer: ToPeer) -> None:
@@ -232,7 +232,7 @@
         link = Link(
             self.loop,
             lambda link: link.send(peer.message),
-            lambda link, message: end(isinstance(message, HandOverTaken)),
+            lambda link, message: end(isinstance(message, HandOverAccepted)),
             lambda link, why: end(False),
         )
         try:
@@ -251,7 +251,7 @@
         if not isinstance(message, HandOver):
             raise UnexpectedMessage(message)
         self._carry(self.knowledge.handed(time.monotonic(), message))
-        link.send(HandOverTaken())
+        link.send(HandOverAccepted())
 
     # Doors.
 
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from thistleusher.common.shares import ALONE_S, BEGIN, COUNTED, HERE_S, MISSED_S, SHARE_S, STANDING, TOLD_S
+from thistleusher.common.quota_timing import ALONE_S, BEGIN, COUNTED, HERE_S, MISSED_S, SHARE_S, STANDING, TOLD_S
 
 
 @dataclass(slots=True)
--- a/thistleusher/ledger/__init__.py
+++ b/thistleusher/quota/__init__.py
@@ -4,8 +4,8 @@
 ingresses of a member's set have more than the whole allowance between them.
 """
 
-from thistleusher.ledger.bound import Bound, bound_of
-from thistleusher.ledger.escrow import Ledger
-from thistleusher.ledger.placement import Placement
+from thistleusher.quota.bound import Bound, bound_of
+from thistleusher.quota.escrow import EscrowTable
+from thistleusher.quota.placement import Placement
 
-__all__ = ["Bound", "Ledger", "Placement", "bound_of"]
+__all__ = ["Bound", "EscrowTable", "Placement", "bound_of"]
--- a/thistleusher/ledger/bound.py
+++ b/thistleusher/quota/bound.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from thistleusher.core.settings import PlanSettings, Settings
-from thistleusher.ledger.reserve import KEEP, TOP
-from thistleusher.talk.homes import CANDIDATES, MUTE_S
-from thistleusher.talk.talk import TELL_PART
+from thistleusher.gossip.owners import CANDIDATES, MUTE_S
+from thistleusher.gossip.updates import TELL_PART
+from thistleusher.quota.reserve import KEEP, TOP
 
 MISSES = 8  # misses in a row after which an ingress counts the counter as down
 TOUCH_S = 1.0  # without a peer's message, after which it is out of touch
--- a/thistleusher/ledger/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -35,8 +35,8 @@
 
 from thistleusher.core.datagrams import name_of, plan_of
 from thistleusher.core.snapshots import SavedRoom
-from thistleusher.ledger.beginning import HELLO_MARK, Lives
-from thistleusher.ledger.reserve import KEEP, Reserve
+from thistleusher.quota.incarnations import HELLO_MARK, Incarnations
+from thistleusher.quota.reserve import KEEP, Reserve
 
 WHOLE = 1 << 12  # parts of a share
 GRAIN = 64  # parts of a unit, in which rooms are given
@@ -100,7 +100,7 @@
         members: tuple[int, ...],
         me: int,
         now: float,
-        lives: Lives,
+        lives: Incarnations,
         spent: float,
         kept: float | None = None,
     ) -> None:
@@ -309,7 +309,7 @@
     return max(0.5, 2 * terms.burst / terms.rate)
 
 
-class Ledger:
+class EscrowTable:
     """All allowances at one ingress. Those long idle are forgotten: by then an epoch has made them even and full."""
 
     def __init__(
@@ -328,7 +328,7 @@
         self.want_every, self.each, self.told = want_every, each, -math.inf
         self.instances, self.me, self.plans = instances, me, plans
         longest = max((epoch_length(t) for t in plans if t is not None), default=1.0)
-        self.lives = Lives(instances, me, began, longest, each is not None)
+        self.lives = Incarnations(instances, me, began, longest, each is not None)
         self.allowances = OrderedDict[tuple[int, int], Allowance]()
         self.kept = 3 * longest
         self.wants: dict[tuple[int, int], float] = {}
--- a/thistleusher/ledger/beginning.py
+++ b/thistleusher/quota/incarnations.py
@@ -34,7 +34,7 @@
 GREET_S = (0.05, 0.25, 1.0)  # between greetings in the first second, until the fifth, and later
 
 
-class Lives:
+class Incarnations:
     """The lives of all ingresses as known to one of them. Times in seconds of the one clock."""
 
     def __init__(self, instances: int, me: int, began: float, epoch: float, addressed: bool = False) -> None:
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -12,7 +12,7 @@
 
 import math
 
-from thistleusher.common.shares import ALONE
+from thistleusher.common.quota_timing import ALONE
 from thistleusher.registry.counts import NO_WINDOW, Count, Counts
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.messages import Charge, ChargeResult
--- a/thistleusher/registry/counts.py
+++ b/thistleusher/registry/counts.py
@@ -1,7 +1,7 @@
 """The counter service: one global count a tenant, a window of burst over rate seconds, one burst a window.
 
 Guaranteed, over all ingresses and lives: in one window about a burst is let in, by the count and by shares together
-(`COUNTED` and `STANDING` of one, `thistleusher.common.shares`). How: an ingress has a share that the store of
+(`COUNTED` and `STANDING` of one, `thistleusher.common.quota_timing`). How: an ingress has a share that the store of
 configuration keeps before it is handed out. While an ingress is not known to hear the counter, its share is taken off
 the allowance, so that it may decide alone. It counts here again from the first window that begins after it is back. A
 counter that begins anew begins no window for as long as one lasts: the one before it may have spent the present one.
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from thistleusher.common.shares import ALONE, COUNTED, FORGET_S, GATHER_S, GIVEN, LOST_S, OK, OVER, ROOM
+from thistleusher.common.quota_timing import ALONE, COUNTED, FORGET_S, GATHER_S, GIVEN, LOST_S, OK, OVER, ROOM
 
 LONGEST_S = 60.0  # a window lasts at most
 FORMER_LIVES = 4  # of each ingress that are remembered, so that a late message of one does not bring it back
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -10,8 +10,8 @@
 import random
 import time
 
-from thistleusher.common.boot import CONTROL, REGISTRY
 from thistleusher.common.events import say
+from thistleusher.common.node_settings import CONTROL, REGISTRY
 from thistleusher.common.process import Settings, life, serve
 from thistleusher.registry.platform import Platform
 from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
@@ -19,7 +19,7 @@
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.links import Dial, Link, Listener
-from thistleusher.transport.messages import AnyMessage, Follow
+from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
 LEAVE_S = 0.1
 
@@ -119,7 +119,7 @@
     def _from_follower(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
             raise UnexpectedMessage(message)  # it has not said who it is
-        if isinstance(message, Follow):
+        if isinstance(message, SubscribeRequest):
             self.followers[link.name] = link
             for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
                 links.poke(link.peer)
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -27,19 +27,19 @@
     AnyMessage,
     Charge,
     CoreInfo,
-    Echo,
-    Follow,
-    ItemsKept,
-    KeepItems,
+    HeartbeatEcho,
+    ItemsPersisted,
     LeaseGranted,
-    LeaseTaken,
+    LeaseRejected,
     Message,
-    News,
-    NewsAck,
-    Presence,
-    PresenceReport,
+    PersistItems,
+    ProxyHeartbeat,
+    ProxyStatusReport,
+    StateUpdate,
+    StateUpdateAck,
+    SubscribeRequest,
 )
-from thistleusher.transport.news import Follower, Publisher
+from thistleusher.transport.state_updates import Publisher, Subscriber
 
 DUTY = "registrar"
 TERM_BITS = 24  # of a number, below the holder's term
@@ -91,9 +91,9 @@
         self.me, self.address, self.rate_per_s, self.polls = me, address, rate_per_s, polls
         self.core = CoreMembers()
         self.holder = Holder(DUTY, me, now, rng)
-        self.control = Follower(me)  # of the control state
+        self.control = Subscriber(me)  # of the control state
         self.configuration = ConfigurationFollower()
-        self.list = Follower(me)  # of the registry that holds the duty, or its own
+        self.list = Subscriber(me)  # of the registry that holds the duty, or its own
         self.publisher = Publisher(self.list.state)
         self.members = Members()
         self.counts: Counts | None = None
@@ -125,24 +125,24 @@
         """A message from the control process on a machine: what follows, and the reply to it."""
         self._check_lease(now)
         reply: AnyMessage | None = None
-        if isinstance(message, LeaseGranted | LeaseTaken):
+        if isinstance(message, LeaseGranted | LeaseRejected):
             self.holder.heard(address, message)
             self._mind_duty(now)
         elif isinstance(message, CoreInfo):
             self._core(message)
-        elif isinstance(message, News):
+        elif isinstance(message, StateUpdate):
             changed, reply = self.control.heard(message)
             if changed:
                 self.configuration.update(self.control.state, changed)
                 self._limits()
-        elif not isinstance(message, ItemsKept):  # the state itself shows what is kept
+        elif not isinstance(message, ItemsPersisted):  # the state itself shows what is kept
             raise UnexpectedMessage(message)
         return self._flush(), reply
 
     def from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
         """A message from another registry: news, which one off duty keeps; the reply to it."""
         self._check_lease(now)
-        if not isinstance(message, News):
+        if not isinstance(message, StateUpdate):
             raise UnexpectedMessage(message)
         reply = None if self.on_duty else self.list.heard(message).answer
         return self._flush(), reply
@@ -152,11 +152,11 @@
         self._check_lease(now)
         if isinstance(message, Charge):
             self._charge(now, name, message)
-        elif isinstance(message, Presence | PresenceReport):
+        elif isinstance(message, ProxyHeartbeat | ProxyStatusReport):
             self._here(now, name, message)
-        elif isinstance(message, Follow):
+        elif isinstance(message, SubscribeRequest):
             self._follow(name, message.number)
-        elif isinstance(message, NewsAck):
+        elif isinstance(message, StateUpdateAck):
             self.publisher.ack(name, message.number)
         else:
             raise UnexpectedMessage(message)
@@ -262,7 +262,7 @@
             self.out.append(Call(target))
         if now >= self.next_keep and (wanted := self.counts.wanted(now)):
             self.next_keep = now + KEEP_S
-            self._to_control("", KeepItems(self.me, {f"share:{name}": share for name, share in wanted.items()}))
+            self._to_control("", PersistItems(self.me, {f"share:{name}": share for name, share in wanted.items()}))
         old, new = self.list.state.values("m:"), self.members.listed(now)
         changed: dict[str, Any] = {f"m:{name}": about for name, about in new.items() if old.get(name) != about}
         changed.update({f"m:{name}": None for name in old.keys() - new.keys()})
@@ -310,8 +310,8 @@
         if result is not None:
             self._tell(name, result)
 
-    def _here(self, now: float, name: str, beat: Presence | PresenceReport) -> None:
-        if isinstance(beat, PresenceReport):
+    def _here(self, now: float, name: str, beat: ProxyHeartbeat | ProxyStatusReport) -> None:
+        if isinstance(beat, ProxyStatusReport):
             self.members.here(now, name, beat.about, beat.life, beat.ready, list(beat.silent))
         else:
             self.members.beat(now, name, beat.life)
@@ -319,4 +319,4 @@
             return
         echoed = beat.echo[1] if beat.echo is not None and beat.echo[0] == self.me else None
         if self.counts.here(now, name, beat.life, echoed):
-            self._tell(name, Echo(self.me, beat.sent, now, self.counts.ingresses[name].share))
+            self._tell(name, HeartbeatEcho(self.me, beat.sent, now, self.counts.ingresses[name].share))
--- a/thistleusher/services/counters.py
+++ b/thistleusher/services/counters.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from thistleusher.core import events
-from thistleusher.ledger.placement import Placement
+from thistleusher.quota.placement import Placement
 from thistleusher.services.counter import Counter
 from thistleusher.services.wire import read_address
 
--- a/thistleusher/services/options.py
+++ b/thistleusher/services/options.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from thistleusher.ledger.placement import Placement
+from thistleusher.quota.placement import Placement
 from thistleusher.services.wire import read_address
 
 
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -57,7 +57,7 @@
 
 
 class Room(msgspec.Struct, array_like=True, frozen=True):
-    """What an earlier life left alone of a member's allowance; see `thistleusher.ledger.reserve`."""
+    """What an earlier life left alone of a member's allowance; see `thistleusher.quota.reserve`."""
 
     plan: str
     customer: int
--- a/thistleusher/state/keeper.py
+++ b/thistleusher/state/snapshotter.py
@@ -54,7 +54,7 @@
     def saved(self, most: int) -> list[SavedMember]: ...
 
 
-class Keeper:
+class Snapshotter:
     """The state of the ingress `name`. BadState where its folder cannot be used."""
 
     def __init__(
--- a/thistleusher/system.py
+++ b/thistleusher/system.py
@@ -12,7 +12,7 @@
 import gc  # noqa: E402
 import sys  # noqa: E402
 
-from thistleusher.common import birth  # noqa: E402, F401
+from thistleusher.common import process_start  # noqa: E402, F401  (first: notes the start)
 
 PROGRAMS = ("proxy", "control", "registry")
 
@@ -21,7 +21,7 @@
     """A bare program's name starts it; anything else is the command line's."""
     if len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
         gc.disable()  # imports make no cycles worth looking for; it is on again once all is loaded
-        from thistleusher.common.start import start
+        from thistleusher.common.launcher import start
 
         sys.exit(start(sys.argv[1]))
     from thistleusher.common.commands import invoke
--- a/thistleusher/transport/ring.py
+++ b/thistleusher/transport/heartbeat_ring.py
@@ -27,7 +27,7 @@
     return zlib.crc32(name.encode())
 
 
-class Ring:
+class HeartbeatRing:
     """One ingress's part: whom it tells, whom it watches, who is silent."""
 
     def __init__(self, me: str, now: float) -> None:
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -22,7 +22,7 @@
 from thistleusher.net.upstream import watch
 from thistleusher.transport.codec import Deframer, MalformedMessage, frame
 from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.messages import AnyMessage, Beat, Follow, HandOver, Hello, Message
+from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
 
 BEAT_S = 0.4
 SILENT_S = 1.5
@@ -30,7 +30,7 @@
 PATIENT = 4  # each so many attempts one gets `SILENT_S`, as the way may be that slow
 REDIAL_S = 0.1
 UNSENT_BYTES = 16 * 1024 * 1024  # waiting to be sent, beyond which a peer that does not read is given up
-BEAT = frame(Beat())
+BEAT = frame(KeepAlive())
 
 
 class Link(asyncio.Protocol):
@@ -68,7 +68,7 @@
             for message in self.deframer.feed(data):
                 if not self.open:
                     return
-                if not isinstance(message, Beat):
+                if not isinstance(message, KeepAlive):
                     self.on_message(self, message)
         except (MalformedMessage, UnexpectedMessage) as error:
             say(Event.REFUSED_MESSAGE, self.name or self.peer, error)
@@ -262,7 +262,7 @@
             link.close("too many connections")
 
     def _message(self, link: Link, message: AnyMessage) -> None:
-        if not link.name and isinstance(message, Hello | Follow | HandOver):
+        if not link.name and isinstance(message, Hello | SubscribeRequest | HandOver):
             link.name = message.me
         self.on_message(link, message)
 
--- a/thistleusher/transport/messages.py
+++ b/thistleusher/transport/messages.py
@@ -87,14 +87,14 @@
     me: str
 
 
-class Beat(Message, tag="beat", frozen=True):
+class KeepAlive(Message, tag="beat", frozen=True):
     """Nothing to say, and still there."""
 
 
 # Control process to control process: bootstrap and recovery.
 
 
-class Found(Message, tag="found", frozen=True):
+class FounderAnnouncement(Message, tag="found", frozen=True):
     """A founder tells the first seed that it is there."""
 
     zone: str
@@ -138,7 +138,7 @@
     position: Position
 
 
-class VoteRefused(Message, tag="vote-refused", frozen=True):
+class VoteRejected(Message, tag="vote-refused", frozen=True):
     """No promise: a live leader, or a higher promise."""
 
     epoch: int
@@ -181,7 +181,7 @@
     position: Position
 
 
-class InstallRefused(Message, tag="install-refused", frozen=True):
+class InstallRejected(Message, tag="install-refused", frozen=True):
     """The copy here is at `position`, which what was sent does not go on from."""
 
     epoch: int
@@ -247,14 +247,14 @@
 # Followers (proxies, registries) and the control process.
 
 
-class Follow(Message, tag="follow", frozen=True):
+class SubscribeRequest(Message, tag="follow", frozen=True):
     """The first message of a follower: who it is, and the number that it has (0: nothing)."""
 
     me: str
     number: int
 
 
-class News(Message, tag="news", frozen=True):
+class StateUpdate(Message, tag="news", frozen=True):
     """Numbered changes: items that changed after `previous` (None: the whole state)."""
 
     number: int
@@ -262,7 +262,7 @@
     items: Items
 
 
-class NewsAck(Message, tag="news-ack", frozen=True):
+class StateUpdateAck(Message, tag="news-ack", frozen=True):
     """A follower has taken a number in."""
 
     number: int
@@ -293,7 +293,7 @@
     sent: float
 
 
-class LeaseTaken(Message, tag="lease-taken", frozen=True):
+class LeaseRejected(Message, tag="lease-taken", frozen=True):
     """Not granted: the highest term seen, and whether the duty is free under a higher one."""
 
     duty: str
@@ -309,14 +309,14 @@
     term: int
 
 
-class KeepItems(Message, tag="keep", frozen=True):
+class PersistItems(Message, tag="keep", frozen=True):
     """The registry asks that items be kept; `request` names the call."""
 
     request: str
     items: dict[str, Any]
 
 
-class ItemsKept(Message, tag="kept", frozen=True):
+class ItemsPersisted(Message, tag="kept", frozen=True):
     """Whether they are."""
 
     request: str
@@ -326,7 +326,7 @@
 # Proxies and the registry.
 
 
-class Presence(Message, tag="presence", frozen=True):
+class ProxyHeartbeat(Message, tag="presence", frozen=True):
     """A proxy's short beat: its life, when it was sent, and the newest echo that it has had (who, its time)."""
 
     life: str
@@ -334,7 +334,7 @@
     echo: tuple[str, float] | None
 
 
-class PresenceReport(Message, tag="presence-report", frozen=True):
+class ProxyStatusReport(Message, tag="presence-report", frozen=True):
     """The full beat: also whether it is ready, whom it watches in vain, and what others are told of it."""
 
     life: str
@@ -345,7 +345,7 @@
     about: dict[str, str]
 
 
-class Echo(Message, tag="echo", frozen=True):
+class HeartbeatEcho(Message, tag="echo", frozen=True):
     """The counter's answer to a beat: who, the beat's own time, the counter's time, the proxy's share."""
 
     by: str
@@ -381,7 +381,7 @@
 # Proxy to proxy.
 
 
-class RingBeat(Message, tag="ring-beat", frozen=True):
+class RingHeartbeat(Message, tag="ring-beat", frozen=True):
     """A datagram of the ring: who, and the numbers of the news that it has."""
 
     name: str
@@ -393,28 +393,28 @@
     """A watcher's copy of the news, for a proxy that has lacked it."""
 
     me: str
-    control: News
-    registry: News
+    control: StateUpdate
+    registry: StateUpdate
 
 
-class HandOverTaken(Message, tag="hand-over-taken", frozen=True):
+class HandOverAccepted(Message, tag="hand-over-taken", frozen=True):
     """It was taken in."""
 
 
 AnyMessage = Union[
     Hello,
-    Beat,
-    Found,
+    KeepAlive,
+    FounderAnnouncement,
     StatusRequest,
     Status,
     VoteRequest,
     Vote,
-    VoteRefused,
+    VoteRejected,
     RecordView,
     ViewRecorded,
     Install,
     Installed,
-    InstallRefused,
+    InstallRejected,
     Append,
     Appended,
     Heartbeat,
@@ -422,22 +422,22 @@
     Deposed,
     StepDown,
     Leaving,
-    Follow,
-    News,
-    NewsAck,
+    SubscribeRequest,
+    StateUpdate,
+    StateUpdateAck,
     CoreInfo,
     LeaseRequest,
     LeaseGranted,
-    LeaseTaken,
+    LeaseRejected,
     LeaseReleased,
-    KeepItems,
-    ItemsKept,
-    Presence,
-    PresenceReport,
-    Echo,
+    PersistItems,
+    ItemsPersisted,
+    ProxyHeartbeat,
+    ProxyStatusReport,
+    HeartbeatEcho,
     Charge,
     ChargeResult,
-    RingBeat,
+    RingHeartbeat,
     HandOver,
-    HandOverTaken,
+    HandOverAccepted,
 ]
--- a/thistleusher/transport/news.py
+++ b/thistleusher/transport/state_updates.py
@@ -14,7 +14,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from thistleusher.transport.messages import Follow, Items, News, NewsAck
+from thistleusher.transport.messages import Items, StateUpdate, StateUpdateAck, SubscribeRequest
 
 REMOVED_MOST = 2000  # removed items that are remembered, so that a follower further behind gets the whole state
 
@@ -70,11 +70,11 @@
         """Items that changed after a number."""
         return {name: item for name, item in self.items.items() if item[0] > number}
 
-    def since(self, number: int) -> News:
+    def since(self, number: int) -> StateUpdate:
         """What a follower at `number` lacks."""
         if number < self.floor or number > self.number:
-            return News(self.number, None, {n: item for n, item in self.items.items() if item[1] is not None})
-        return News(self.number, number, self.after(number))
+            return StateUpdate(self.number, None, {n: item for n, item in self.items.items() if item[1] is not None})
+        return StateUpdate(self.number, number, self.after(number))
 
 
 class Publisher:
@@ -85,7 +85,7 @@
         self.sent: dict[str, int] = {}
         self.acked: dict[str, int] = {}
 
-    def follow(self, follower: str, number: int) -> list[tuple[str, News]]:
+    def follow(self, follower: str, number: int) -> list[tuple[str, StateUpdate]]:
         """A follower has come, or asks anew, and has `number` (0: nothing)."""
         self.acked[follower] = min(number, self.state.number)
         if number == self.state.number:
@@ -93,7 +93,7 @@
             return []
         return self._send(follower, number)
 
-    def _send(self, follower: str, number: int) -> list[tuple[str, News]]:
+    def _send(self, follower: str, number: int) -> list[tuple[str, StateUpdate]]:
         self.sent[follower] = self.state.number
         return [(follower, self.state.since(number))]
 
@@ -102,10 +102,10 @@
         self.sent.pop(follower, None)
         self.acked.pop(follower, None)
 
-    def tell(self) -> list[tuple[str, News]]:
+    def tell(self) -> list[tuple[str, StateUpdate]]:
         """Messages to all who have not been sent the present number; those at one number share theirs."""
-        out: list[tuple[str, News]] = []
-        shared: dict[int, News] = {}
+        out: list[tuple[str, StateUpdate]] = []
+        shared: dict[int, StateUpdate] = {}
         for follower, number in list(self.sent.items()):
             if number != self.state.number:
                 if number not in shared:
@@ -128,10 +128,10 @@
     """What a message of news led to: the items that it changed, and the answer to send."""
 
     changed: dict[str, Any] | None
-    answer: NewsAck | Follow
+    answer: StateUpdateAck | SubscribeRequest
 
 
-class Follower:
+class Subscriber:
     """Who follows a state; `state.number` never falls."""
 
     def __init__(self, me: str = "", state: State | None = None) -> None:
@@ -139,14 +139,14 @@
         self.me = me
         self.state = state or State()
 
-    def follow(self) -> Follow:
+    def follow(self) -> SubscribeRequest:
         """The first message to a publisher, and the answer to a gap."""
-        return Follow(self.me, self.state.number)
+        return SubscribeRequest(self.me, self.state.number)
 
-    def heard(self, news: News) -> Heard:
+    def heard(self, news: StateUpdate) -> Heard:
         """A message of news."""
         if news.number <= self.state.number:
-            return Heard(None, NewsAck(self.state.number))
+            return Heard(None, StateUpdateAck(self.state.number))
         if news.previous is None:
             changed = self._replaced(news)
         elif news.previous > self.state.number:
@@ -155,9 +155,9 @@
             newer = {name: item for name, item in news.items.items() if item[0] > self.state.number}
             changed = {name: item[1] for name, item in newer.items()}
             self.state.merge(news.number, newer)
-        return Heard(changed, NewsAck(news.number))
+        return Heard(changed, StateUpdateAck(news.number))
 
-    def _replaced(self, news: News) -> dict[str, Any]:
+    def _replaced(self, news: StateUpdate) -> dict[str, Any]:
         """Take a whole state in; what it changed."""
         old = self.state
         changed = {name: item[1] for name, item in news.items.items() if old.value(name) != item[1]}
--- a/thistleusher/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -13,7 +13,7 @@
 from thistleusher.core.events import BackendEntry, Event, ListKind, Outcome, Phase
 from thistleusher.core.settings import Settings
 from thistleusher.settings import (
-    BadSetting,
+    InvalidSetting,
     bad,
     read_choice,
     read_flag,
@@ -261,7 +261,7 @@
     """Serve standard input; a bad line ends in one plain line and a non-zero exit."""
     try:
         serve(sys.stdin, sys.stdout)
-    except (BadSetting, ValueError) as error:
+    except (InvalidSetting, ValueError) as error:
         print(f"wirehost: {error}", file=sys.stderr)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
