--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -19,8 +19,8 @@
 from standins.fleet import HALLS, Fleet, Options, settings
 from standins.match import Shape
 from standins.records import Answered, Records
+from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumed, bound_of
-from thistleusher.settings import nested_settings
 
 LATE_S = 0.15  # that a busy machine may add to a datagram's way
 JOINT_S = 2.0  # restarts of ingresses within it may be of all at once
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -23,9 +23,10 @@
 from standins.records import read_records
 from thistleusher.assembly import make_gateway
 from thistleusher.core import actions, events
-from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
+from thistleusher.core.datagrams import USAGE_ENTRY, USAGE_MARK, encode_customer
 from thistleusher.core.events import Outcome, Phase
 from thistleusher.core.settings import Settings
+from thistleusher.core.settings_parser import nested_settings
 from thistleusher.net.config import InvalidConfiguration, read_config
 from thistleusher.net.counters_file import read_counters
 from thistleusher.net.discovery import Watch, read_listing_text
@@ -34,7 +35,6 @@
 from thistleusher.quota.incarnations import HELLO, HELLO_MARK
 from thistleusher.services.counter import Add, Link
 from thistleusher.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
-from thistleusher.settings import nested_settings
 
 Check = Callable[[bytes, random.Random], Hashable]
 
@@ -243,7 +243,7 @@
         acts += gateway.handle(now, events.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
         acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
-            if isinstance(a, actions.Tell) and len(a.payload) > 256:
+            if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
                 raise Broken(f"a datagram of {len(a.payload)} bytes")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
     for c in gateway.sharing.customers.values():
@@ -305,7 +305,7 @@
     b'"group":3,"status":"SERVING","weight":1.0,"since_ms":0},{"name":"t","address":"10.1.0.18:8080","status":"DELETED"}]}\n'
 )
 _LIFE = (5000_000).to_bytes(8)
-_ROW = ROW.pack(name_of(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
+_ROW = ROW.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
 _SCRIPT = b'[[fault]]\nat = 2.0\ndo = "match.slow"\ntarget = 3\nfor = 1.5\nvalue = 0.2\n'
 
 
@@ -357,12 +357,12 @@
     "datagram": (
         datagram,
         (
-            TOLD_MARK + TOLD.pack(name_of(1, 7), 8, 8, 50),
+            USAGE_MARK + USAGE_ENTRY.pack(encode_customer(1, 7), 8, 8, 50),
             b"\x02" + _LIFE + _ROW,
             b"\x03" + _LIFE + _ROW,
             b"\x05" + _LIFE + _ROW,
-            b"\x06" + _LIFE + SETTLED.pack(name_of(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
-            TOLD_MARK,
+            b"\x06" + _LIFE + SETTLED.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
+            USAGE_MARK,
             b"12345",
             HELLO_MARK + HELLO.pack(5000_000, 5000_000, 5000_000, 0),
             HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -16,13 +16,13 @@
 from tests.sockets import HOST, Client, closed_port, datagram_homes
 from thistleusher.assembly import make_gateway
 from thistleusher.core import events
-from thistleusher.core.actions import Action, CounterAdd, Tell
+from thistleusher.core.actions import Action, CounterAdd, SendToPeer
 from thistleusher.core.events import Event
+from thistleusher.core.settings_parser import nested_settings
 from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
 from thistleusher.net.config import read_config
 from thistleusher.net.daemon import Daemon
 from thistleusher.quota.incarnations import HELLO_MARK
-from thistleusher.settings import nested_settings
 
 INSTANCES = 3
 
@@ -120,7 +120,9 @@
         self.heard += isinstance(event, events.PeerMessage)
         self.calls += sum(isinstance(a, CounterAdd) for a in actions)
         self.told += sum(
-            len(self.there) - 1 if a.peer is None else a.peer < len(self.there) for a in actions if isinstance(a, Tell)
+            len(self.there) - 1 if a.peer is None else a.peer < len(self.there)
+            for a in actions
+            if isinstance(a, SendToPeer)
         )
         return actions
 
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -21,7 +21,7 @@
 from tests.embed.forms import FORMS, HOST, INSTANCES, Script
 from tests.sockets import call
 from thistleusher.core import events
-from thistleusher.core.actions import Action, Fail, Refuse, Tell
+from thistleusher.core.actions import Action, Fail, Refuse, SendToPeer
 from thistleusher.core.events import Event, Outcome
 
 STEPS = 2400
@@ -140,7 +140,7 @@
     statuses = [a[0] for a in middleware.answers]
     assert len(statuses) == STEPS and all(statuses.count(s) > n for s, n in ((200, 500), (429, 300), (400, 20)))
     assert statuses.count(404) > 10 and statuses.count(500) > 5
-    told = sum(isinstance(a, Tell) and a.peer is None for log in daemon.logs for _, _, acts in log for a in acts)
+    told = sum(isinstance(a, SendToPeer) and a.peer is None for log in daemon.logs for _, _, acts in log for a in acts)
     heard = sum(isinstance(e, events.PeerMessage) for log in daemon.logs for _, e, _ in log)
     assert told > 500 and heard >= told * (INSTANCES - 1)
 
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -8,7 +8,7 @@
 
 from tests.quota.world import BASIC, CounterModel, World, settings
 from thistleusher.core import events
-from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
+from thistleusher.core.datagrams import USAGE_ENTRY, USAGE_MARK, encode_customer
 from thistleusher.quota.bound import Assumed, bound_of, table
 
 FLEET, WIDE, NARROW = 60, 50, 5
@@ -247,7 +247,7 @@
     store = w.gateways[0].sharing.customers[1000]
 
     def telling(total: int, new: int) -> None:
-        w.give(0, events.PeerMessage(1, TOLD_MARK + TOLD.pack(name_of(1, 1000), total, new, 100)))
+        w.give(0, events.PeerMessage(1, USAGE_MARK + USAGE_ENTRY.pack(encode_customer(1, 1000), total, new, 100)))
 
     telling(4 * 2, 4 * 2)
     w.run(2.0)
--- a/tests/quota/test_beginning.py
+++ b/tests/quota/test_beginning.py
@@ -205,7 +205,7 @@
     w.run(0.1)
     book = {g.sharing.escrow.me: g.sharing.escrow.allowances.get((1, 0)) for g in w.gateways if g is not None}
     gained = sum(a.taken.get(1, (0, 0))[0] for a in book.values() if a is not None)
-    assert 0 < gained < share and [a for a in told if isinstance(a, actions.Tell) and a.payload[:1] == GIVE_MARK]
+    assert 0 < gained < share and [a for a in told if isinstance(a, actions.SendToPeer) and a.payload[:1] == GIVE_MARK]
 
 
 @pytest.mark.parametrize("part", range(4))
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from thistleusher.core.datagrams import name_of
+from thistleusher.core.datagrams import encode_customer
 from thistleusher.quota.escrow import (
     GIVE_MARK,
     GRAIN,
@@ -312,10 +312,10 @@
         GIVE_MARK + b"123",
         GIVE_MARK + LIFE + b"123",
         b"\x09" + LIFE + bytes(ROW.size),
-        WANT_MARK + LIFE + ROW.pack(name_of(99, 7), 0, 0, 3, 0, 9),
-        WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 0, 0, 9),
-        WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 9, 0, 9),
-        GIVE_MARK + LIFE + ROW.pack(name_of(0, 7), 77, 0, 3, 4096, 0xFFFF),
+        WANT_MARK + LIFE + ROW.pack(encode_customer(99, 7), 0, 0, 3, 0, 9),
+        WANT_MARK + LIFE + ROW.pack(encode_customer(0, 7), 0, 0, 0, 0, 9),
+        WANT_MARK + LIFE + ROW.pack(encode_customer(0, 7), 0, 0, 9, 0, 9),
+        GIVE_MARK + LIFE + ROW.pack(encode_customer(0, 7), 77, 0, 3, 4096, 0xFFFF),
     ],
 )
 def test_messages_that_cannot_be_used_change_nothing(payload):
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -283,7 +283,7 @@
     assert gateway.sharing.in_touch(w.now, gateway.sharing.customers[0], strict=True)
     told = []
     act = w.act
-    w.act = lambda n, a: told.append(n) if isinstance(a, actions.Tell) else act(n, a)
+    w.act = lambda n, a: told.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
     w.run(5.0)
     assert len(told) <= 6  # and fall silent when nobody tells them of anything
 
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -15,8 +15,8 @@
 from standins.fleet import Options, run_fleet, settings
 from standins.match import Shape
 from standins.records import Added, Records
+from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumed, bound_of
-from thistleusher.settings import nested_settings
 
 SECONDS = 6.0
 AWAY = 3.5
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -205,7 +205,7 @@
             self.call(n, a, life)
         elif isinstance(a, actions.SetTimer):
             self.at(a.delay, lambda: self.give(n, events.TimerFired(a.token), life))
-        elif isinstance(a, actions.Tell):
+        elif isinstance(a, actions.SendToPeer):
             for target in range(self.instances) if a.peer is None else (a.peer,):
                 if target == n:
                     continue
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -13,7 +13,7 @@
 from standins.fleet import Options, run_fleet, settings
 from standins.match import Shape
 from standins.records import Answered, Asked, Records
-from thistleusher.settings import nested_settings
+from thistleusher.core.settings_parser import nested_settings
 
 SHAPE = Shape(cores=8, work=0.005, cold=0.22, cold_s=2.0)
 
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -18,7 +18,7 @@
 from tests.helpers import Ingress, only
 from tests.quota.world import BASIC, PLUS, World
 from tests.quota.world import settings as told
-from thistleusher.assembly import room_terms
+from thistleusher.assembly import allowance_terms
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.snapshots import SavedRoom
@@ -45,7 +45,7 @@
 from thistleusher.state.writer import Writer
 
 PLANS = {p.name: p for p in (BASIC, PLUS)}
-TERMS = room_terms(told(0))
+TERMS = allowance_terms(told(0))
 NUMBER = st.floats(-1e6, 1e6)
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,8 +6,8 @@
 
 from tests.helpers import CEILED, PLAN, SAFE, Ingress, only, some
 from thistleusher.core import events
-from thistleusher.core.actions import Action, Attempt, CounterAdd, Log, Refuse, Tell
-from thistleusher.core.datagrams import TOLD, TOLD_MARK, TOLD_MOST
+from thistleusher.core.actions import Action, Attempt, CounterAdd, Log, Refuse, SendToPeer
+from thistleusher.core.datagrams import USAGE_ENTRIES_MAX, USAGE_ENTRY, USAGE_MARK
 from thistleusher.core.events import Outcome
 from thistleusher.core.settings import ClassSettings, PlanSettings, Settings
 from thistleusher.policy import gateway, sharing
@@ -309,7 +309,7 @@
     g.gw.counters.each[0].ask = 1.0
     name = only(g.ask(units=1.0, width=300), CounterAdd).name
     g.counts[name] = 20.0
-    told = only(g.ask(units=1.0, width=300), Tell)
+    told = only(g.ask(units=1.0, width=300), SendToPeer)
     assert told.peer is None and len(told.payload) == 5
     other = Ingress(instances=300, peers=True)
     other.gw.counters.each[0].ask = 0.9
@@ -424,7 +424,7 @@
     def tell(self, lost: int = -1) -> None:
         """The time to tell comes at all; what `lost` says is lost."""
         for node in self.nodes:
-            told = some(node.give(events.TimerFired(gateway.TELL)), Tell)
+            told = some(node.give(events.TimerFired(gateway.TELL)), SendToPeer)
             for other in self.nodes:
                 for t in told:
                     if other is not node and node.gw.s.me != lost:
@@ -444,7 +444,7 @@
     s.tell()
     assert s.levels() == [pytest.approx(5.0)] * 3
     assert not s.nodes[0].gw.sharing.untold
-    assert max(len(a.payload) for a in some(s.nodes[0].log, Tell)) <= 256
+    assert max(len(a.payload) for a in some(s.nodes[0].log, SendToPeer)) <= 256
 
 
 def test_more_than_one_message_holds_is_told_the_longest_untold_first():
@@ -453,7 +453,7 @@
     for customer in range(50):
         serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3, customer=customer))
     s.tell()
-    assert list(s.nodes[1].gw.sharing.customers) == list(range(TOLD_MOST))
+    assert list(s.nodes[1].gw.sharing.customers) == list(range(USAGE_ENTRIES_MAX))
     s.tell()
     assert list(s.nodes[1].gw.sharing.customers) == list(range(50))
 
@@ -505,7 +505,7 @@
     s.nodes[1].counter = "silent"
     s.tell()
     for n in (0, 2):
-        s.nodes[1].give(events.PeerMessage(n, TOLD_MARK))
+        s.nodes[1].give(events.PeerMessage(n, USAGE_MARK))
     s.nodes[1].gw.counters.each[0].ask = 0.0
     only(s.nodes[1].ask(units=1.0, width=3), Attempt)
 
@@ -525,7 +525,7 @@
         s.tell()
         s.nodes[2].give(events.TimerFired(gateway.TELL))
         for other in s.nodes[:2]:
-            other.give(events.PeerMessage(2, TOLD_MARK))
+            other.give(events.PeerMessage(2, USAGE_MARK))
         s.later(0.1)
     assert 8 + 2 * 6 - 2 <= sent <= 8 + 2 * 6
 
@@ -571,7 +571,7 @@
     assert g.gw.sharing.customers[7].pending == pytest.approx(-3.0)
 
 
-@pytest.mark.parametrize("payload", [b"", TOLD_MARK, TOLD_MARK + bytes(7), TOLD_MARK + b"\xff" * 9, b"\x01" * 250])
+@pytest.mark.parametrize("payload", [b"", USAGE_MARK, USAGE_MARK + bytes(7), USAGE_MARK + b"\xff" * 9, b"\x01" * 250])
 def test_what_a_peer_cannot_mean_changes_nothing(payload):
     g = Ingress(peers=True, instances=3, peer_in_per_s=100.0)
     serve(g, g.ask(units=1.0))
@@ -582,8 +582,8 @@
 
 def test_the_first_total_of_a_window_does_not_undo_what_a_peer_has_told():
     g = Ingress(instances=2, peers=True, peer_in_per_s=100.0)
-    told = TOLD.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units let in, a quarter of the burst left
-    g.give(events.PeerMessage(1, TOLD_MARK + told))
+    told = USAGE_ENTRY.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units let in, a quarter of the burst left
+    g.give(events.PeerMessage(1, USAGE_MARK + told))
     c = g.gw.sharing.customers[7]
     assert c.room(g.now) == pytest.approx(2.0)
     g.counts[c.name(g.now)] = 6.0
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -12,7 +12,7 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import Effect
-from thistleusher.settings import InvalidSetting
+from thistleusher.core.settings_parser import InvalidSettingError
 
 BORN = (
     "BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
@@ -101,8 +101,8 @@
         (actions.CancelAttempt("abc", 1), "DROP_ATTEMPT 3 abc 1"),
         (actions.Probe("b:1"), "TOUCH 3 b:1"),
         (actions.CloseIdle("b:1"), "CLOSE_IDLE 3 b:1"),
-        (actions.Tell(None, b"hi 7"), "MEMO_TO 3 * 68692037"),
-        (actions.Tell(2, b"a"), "MEMO_TO 3 2 61"),
+        (actions.SendToPeer(None, b"hi 7"), "MEMO_TO 3 * 68692037"),
+        (actions.SendToPeer(2, b"a"), "MEMO_TO 3 2 61"),
         (actions.Subscribe(True), "FOLLOW 3 1"),
         (actions.FetchList(), "GET_LIST 3"),
         (actions.Log("two\nlines"), "EMIT 3 two lines"),
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("key", ["balancers", "classes.0.semantics", "plans.0.rate", "plans.count"])
 def test_a_missing_required_setting_is_named(key):
     born = " ".join(p for p in BORN.split(" ") if not p.startswith(key + "="))
-    with pytest.raises(InvalidSetting, match=key):
+    with pytest.raises(InvalidSettingError, match=key):
         wirehost.Host(Recorder()).batch(["CLOCK 1", born])
 
 
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistleusher.core.datagrams import TOLD_MOST
+from thistleusher.core.datagrams import USAGE_ENTRIES_MAX
 from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.gossip import Gossip
 from thistleusher.policy import Gateway
@@ -13,17 +13,19 @@
 
 def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
     """One ingress's decisions. `now` is Unix time in seconds, at which it begins; `placement` of several counters."""
-    return Gateway(settings, seed, now, make_escrow(settings, now), placement, make_talk(settings, now))
+    return Gateway(settings, seed, now, make_escrow(settings, now), placement, make_gossip(settings, now))
 
 
-def make_talk(settings: Settings, now: float) -> Gossip | None:
+def make_gossip(settings: Settings, now: float) -> Gossip | None:
     """A large fleet's talk; None where all is told to all."""
     if not settings.large:
         return None
-    return Gossip(settings.instances, settings.me, settings.peer_in_per_s, TOLD_MOST, settings.counter_timeout, now)
+    return Gossip(
+        settings.instances, settings.me, settings.peer_in_per_s, USAGE_ENTRIES_MAX, settings.counter_timeout, now
+    )
 
 
-def terms_of(plan: PlanSettings, most: float) -> Terms | None:
+def quota_terms(plan: PlanSettings, most: float) -> Terms | None:
     """What shares are held of; `most`: units of a request. None where a plan has neither ceiling nor quota."""
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(plan.ceiling_rate, plan.ceiling_burst, fresh=fresh_room(plan), ahead=most)
@@ -32,9 +34,9 @@
     return Terms(plan.rate, plan.burst, most, fresh_room(plan), strict=False, ahead=most)
 
 
-def room_terms(settings: Settings) -> dict[str, tuple[float, float]]:
+def allowance_terms(settings: Settings) -> dict[str, tuple[float, float]]:
     """Rate and burst of what rooms are noted of, by plan: under others a note says nothing."""
-    found = {p.name: terms_of(p, settings.max_units) for p in settings.plans}
+    found = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
     return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
 
 
@@ -46,7 +48,7 @@
     """
     if not settings.peers or not 2 <= settings.instances <= 255 or settings.peer_in_per_s <= 0:
         return None
-    terms = tuple(terms_of(p, settings.max_units) for p in settings.plans)
+    terms = tuple(quota_terms(p, settings.max_units) for p in settings.plans)
     each = 4 / settings.peer_in_per_s
     if settings.large:
         return EscrowTable(settings.instances, settings.me, now, terms, WANT_S, each)
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 
 from thistleusher.core.settings import Settings
+from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
 from thistleusher.net.config import InvalidConfiguration, read_data
 from thistleusher.quota.bound import Assumed, table
-from thistleusher.settings import InvalidSetting, nested_settings
 
 
 def read(path: str) -> Settings:
@@ -17,7 +17,7 @@
     data = read_data(path)
     try:
         return nested_settings(data["settings"])[0]
-    except (InvalidSetting, ValueError, TypeError) as error:
+    except (InvalidSettingError, ValueError, TypeError) as error:
         raise InvalidConfiguration(f"{path}: {error}") from error
 
 
--- a/thistleusher/core/actions.py
+++ b/thistleusher/core/actions.py
@@ -52,7 +52,7 @@
     backend: str
 
 
-class Tell(NamedTuple):
+class SendToPeer(NamedTuple):
     """Send bytes to a peer, or to all (None)."""
 
     peer: int | None
@@ -84,5 +84,5 @@
 
 
 Action = Union[
-    Attempt, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, Tell, CounterAdd, Subscribe, FetchList, Log
+    Attempt, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, SendToPeer, CounterAdd, Subscribe, FetchList, Log
 ]
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -96,7 +96,7 @@
             actions.Refuse: self._refuse,
             actions.Fail: self._fail,
             actions.CancelAttempt: self._cancel,
-            actions.Tell: self._tell,
+            actions.SendToPeer: self._tell,
             actions.Probe: lambda a: self.backends.probe(a.backend),
             actions.CloseIdle: lambda a: self.backends.close_idle(a.backend),
             actions.Log: lambda a: log.info("%s", a.text),
@@ -142,7 +142,7 @@
         else:
             self.submit(events.CounterReply(a.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
 
-    def _tell(self, a: actions.Tell) -> None:
+    def _tell(self, a: actions.SendToPeer) -> None:
         if self.peers is not None:
             self.peers.tell(a.peer, a.payload)
 
--- a/thistleusher/core/request.py
+++ b/thistleusher/core/request.py
@@ -23,7 +23,7 @@
     """A request that cannot be what the protocol describes."""
 
 
-class NoSuchPath(BadRequest):
+class NoSuchPathError(BadRequest):
     """A path that names no customer."""
 
 
@@ -31,7 +31,7 @@
     """The 16 hex digits at a path's end; NoSuchPath for any other."""
     match = CUSTOMER.fullmatch(url)
     if match is None:
-        raise NoSuchPath("no such path")
+        raise NoSuchPathError("no such path")
     return match[1]
 
 
--- a/thistleusher/core/settings.py
+++ b/thistleusher/core/settings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from thistleusher.core.datagrams import TELL_PART, TELL_S
+from thistleusher.core.datagrams import NOTIFY_INTERVAL_S, NOTIFY_SHARE
 
 
 class Effect(Enum):
@@ -161,4 +161,8 @@
     @property
     def large(self) -> bool:
         """Whether not everything can be told to everybody within a tick, so that words go to sets and homes."""
-        return self.peers and self.counter and 0 < TELL_S * TELL_PART * self.peer_in_per_s < self.instances - 1
+        return (
+            self.peers
+            and self.counter
+            and 0 < NOTIFY_INTERVAL_S * NOTIFY_SHARE * self.peer_in_per_s < self.instances - 1
+        )
--- a/thistleusher/settings.py
+++ b/thistleusher/core/settings_parser.py
@@ -12,12 +12,12 @@
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
 
 
-class InvalidSetting(Exception):
+class InvalidSettingError(Exception):
     """A value that cannot be used: where it stands, which field, what was expected."""
 
 
 def bad(message: str, field: str, expected: str, got: object) -> NoReturn:
-    raise InvalidSetting(f"{message}: {field}: expected {expected}, got {got!r}")
+    raise InvalidSettingError(f"{message}: {field}: expected {expected}, got {got!r}")
 
 
 def read_number(message: str, field: str, text: str, low: float = -math.inf) -> float:
--- a/thistleusher/embed/__init__.py
+++ b/thistleusher/embed/__init__.py
@@ -7,11 +7,11 @@
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import ClassSettings, Effect, Group, PlanSettings, Settings
+from thistleusher.core.settings_parser import nested_settings
 from thistleusher.embed.asgi import QuotaMiddleware, from_headers
 from thistleusher.embed.call import PASS, Call
 from thistleusher.embed.counter import MemoryCounter
 from thistleusher.embed.ingress import Admission, EmbeddedIngress, NotServed, PeerAddresses
-from thistleusher.settings import nested_settings
 
 __all__ = [
     "PASS",
--- a/thistleusher/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -16,7 +16,7 @@
 from thistleusher.core.answers import STATUS, headers_of, problem_of, ratelimit_headers
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Final, Verdict
-from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
+from thistleusher.core.request import BadRequest, NoSuchPathError, RequestReader, customer_of
 from thistleusher.embed.call import PASS, Call, Passed
 from thistleusher.embed.ingress import Admission, EmbeddedIngress, NotServed
 
@@ -79,7 +79,7 @@
         try:
             request = await self.map(scope)
         except BadRequest as error:
-            await respond(send, 404 if isinstance(error, NoSuchPath) else 400, (), str(error).encode())
+            await respond(send, 404 if isinstance(error, NoSuchPathError) else 400, (), str(error).encode())
             return
         if request is None:
             await self.app(scope, receive, send)
--- a/thistleusher/gossip/updates.py
+++ b/thistleusher/gossip/updates.py
@@ -13,7 +13,7 @@
 import struct
 
 from thistleusher.core import decision_ports, events
-from thistleusher.core.datagrams import name_of, plan_of
+from thistleusher.core.datagrams import decode_customer, encode_customer
 from thistleusher.gossip.outbox import Outbox
 from thistleusher.gossip.owners import ANSWER_S, Asked, Owners
 from thistleusher.gossip.pending import PendingRequests
@@ -79,7 +79,7 @@
 
     def ask(self, now: float, home: int, r: events.Request, plan: int) -> bytes | None:
         """A question for a request; None where too many are out."""
-        name, quarters = name_of(plan, r.customer), min(0xFFFF, round(4 * r.units))
+        name, quarters = encode_customer(plan, r.customer), min(0xFFFF, round(4 * r.units))
         return self.homes.ask(
             now,
             r.id,
@@ -104,7 +104,7 @@
         known = self.known.again(now, peer, number, payload)
         if known == b"":
             return None
-        plan, customer = plan_of(name)
+        plan, customer = decode_customer(name)
         return decision_ports.Asked(number, customer, plan, first, width, quarters / 4, known or b"")
 
     def answer(self, peer: int, number: int, good: bool, room: float) -> bytes:
@@ -149,7 +149,7 @@
 
     def settle(self, home: int, customer: int, plan: int, units: float) -> None:
         """Units more (or less) than a home was asked for; they go with the next tick, merged."""
-        name = name_of(plan, customer)
+        name = encode_customer(plan, customer)
         if name not in self.settling.get(home, ()):
             if self.settlings >= SETTLE_MOST:
                 self.settlings -= len(self.settling.pop(next(iter(self.settling))))
@@ -172,5 +172,5 @@
         """Members, their plans' numbers, and units, of a peer's settlements."""
         if (len(payload) - 1) % ROW.size:
             return []
-        rows = ((plan_of(name), quarters) for name, quarters in ROW.iter_unpack(payload[1:]))
+        rows = ((decode_customer(name), quarters) for name, quarters in ROW.iter_unpack(payload[1:]))
         return [(customer, plan, quarters / 4) for (plan, customer), quarters in rows]
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from thistleusher.core.settings import Settings
+from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
 from thistleusher.net.client_call import Address, read_address
 from thistleusher.net.discovery import Listing, read_listing
-from thistleusher.settings import InvalidSetting, nested_settings
 
 
 class InvalidConfiguration(Exception):
@@ -82,5 +82,5 @@
             settings=settings,
             load_fields=fields,
         )
-    except (InvalidSetting, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
+    except (InvalidSettingError, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
         raise InvalidConfiguration(f"{path}: {' '.join(str(error).split())}") from error
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -17,7 +17,7 @@
 
 import httptools
 
-from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
+from thistleusher.core.request import BadRequest, NoSuchPathError, RequestReader, customer_of
 from thistleusher.net.client_call import MAX_BODY, MAX_HEAD, Call
 from thistleusher.net.ingress import Ingress, Reply
 from thistleusher.net.shutdown import GracefulShutdown
@@ -436,7 +436,7 @@
             return Early(503, "too many connections", AGAIN)
         try:
             request = self.reader.read(customer_of(came.url), came.parser.get_method(), came.headers)
-        except NoSuchPath as error:
+        except NoSuchPathError as error:
             return Early(404, str(error), ends=True)
         except BadRequest as error:
             return Early(400, str(error), ends=True)
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -8,7 +8,7 @@
 
 from thistleusher.core import actions, events
 from thistleusher.core.actions import Action
-from thistleusher.core.datagrams import GIFTS, HOME_MARKS
+from thistleusher.core.datagrams import GRANT_MARKS, OWNER_MARKS
 from thistleusher.core.events import Outcome
 from thistleusher.core.settings import Settings
 from thistleusher.policy.attempts import Attempts, Charge, Flight
@@ -67,35 +67,35 @@
         talk, number = self.sharing.talk, self.sharing.plan_numbers[f.req.plan]
         message = talk.ask(now, home, f.req, number) if talk is not None else None
         if message is not None:
-            self.acts.append(actions.Tell(home, message))
+            self.acts.append(actions.SendToPeer(home, message))
         return message is not None
 
     def told(self, now: float, e: events.PeerMessage) -> None:
         """A question to this ingress as home, an answer to one of its own, or what is to be settled here."""
         talk, mark = self.sharing.talk, e.payload[:1]
-        if talk is None or mark not in HOME_MARKS:
+        if talk is None or mark not in OWNER_MARKS:
             self.sharing.heard(now, e)
-            if talk is not None and mark in GIFTS:
+            if talk is not None and mark in GRANT_MARKS:
                 for held in filter(None, map(self.attempts.flights.get, talk.held())):
                     self.local(now, held)
             return None
         self.sharing.touch[e.sender] = now
         talk.heard(now, e.sender, False)
-        if mark == HOME_MARKS[0] and (a := talk.asked(now, e.sender, e.payload)) is not None:
+        if mark == OWNER_MARKS[0] and (a := talk.asked(now, e.sender, e.payload)) is not None:
             c = self.sharing.housed(now, a.plan, a.customer, a.first, a.width)
             if a.answer:  # it has been charged already
-                self.acts.append(actions.Tell(e.sender, a.answer))
+                self.acts.append(actions.SendToPeer(e.sender, a.answer))
             elif c is not None:
                 r = events.Request("", "", c.plan.name, a.customer, math.inf, a.units, a.width, a.first)
                 self.charge(now, Charge(r, c, e.sender, a.number))
-        elif mark == HOME_MARKS[1] and (answer := talk.answered(e.sender, e.payload)) is not None:
+        elif mark == OWNER_MARKS[1] and (answer := talk.answered(e.sender, e.payload)) is not None:
             name, good, room = answer
             f = self.attempts.flights.get(name)
             if f is None:  # its client has gone
                 return None
             f.home, f.took = e.sender, f.req.units if good else 0.0
             self.pass_on(now, f) if good else self.attempts.refuse(now, f, (f.req.units - room) / f.customer.plan.rate)
-        elif mark == HOME_MARKS[2]:
+        elif mark == OWNER_MARKS[2]:
             for key, number, units in talk.settled(e.payload):
                 if (c := self.sharing.housed(now, number, key)) is not None:
                     c.pending += units
@@ -105,7 +105,7 @@
     def overdue(self, now: float) -> None:
         """Homes that have not answered in time: the ingress goes by what it knows, and asks the counter itself."""
         if (talk := self.sharing.talk) is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in talk.again(now)]
+            self.acts += [actions.SendToPeer(peer, message) for peer, message in talk.again(now)]
             for f in filter(None, map(self.attempts.flights.get, talk.overdue(now))):
                 self.local(now, f) if f.due else self.charge(now, f)
 
@@ -121,7 +121,7 @@
         """The home's word to the ingress that asked."""
         if self.sharing.talk is not None and f.peer is not None:
             room = f.customer.room(now) - f.customer.flying
-            self.acts.append(actions.Tell(f.peer, self.sharing.talk.answer(f.peer, f.number, good, room)))
+            self.acts.append(actions.SendToPeer(f.peer, self.sharing.talk.answer(f.peer, f.number, good, room)))
 
     def charge(self, now: float, f: Charge) -> None:
         """Charge it to the count, or decide by what is known where the counter cannot take so many calls."""
@@ -200,7 +200,7 @@
             self.add(now, c, -f.charge, None)  # refused: the charge is added back
         if (self.s.peers and self.sharing.talk is None and not c.known and c.level < 1
                 and c.short(now) not in self.sharing.spent):
-            self.acts.append(actions.Tell(None, c.short(now)))  # nothing more fits: peers need not ask
+            self.acts.append(actions.SendToPeer(None, c.short(now)))  # nothing more fits: peers need not ask
             self.sharing.heard(now, events.PeerMessage(self.s.me, c.short(now)))
         self.turn_away(now, f, (f.req.units - c.room(now)) / c.plan.rate)
 
--- a/thistleusher/policy/sharing.py
+++ b/thistleusher/policy/sharing.py
@@ -12,7 +12,14 @@
 
 from thistleusher.core import actions, datagrams, events
 from thistleusher.core.actions import Action
-from thistleusher.core.datagrams import ESCROW_MARKS, LEVELS, TOLD, TOLD_MARK, TOLD_MOST, name_of
+from thistleusher.core.datagrams import (
+    ESCROW_MARKS,
+    LEVEL_STEPS,
+    USAGE_ENTRIES_MAX,
+    USAGE_ENTRY,
+    USAGE_MARK,
+    encode_customer,
+)
 from thistleusher.core.decision_ports import Escrow, Gossip
 from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.policy.health import CounterHealth, Counters
@@ -22,7 +29,7 @@
     from thistleusher.policy.attempts import Charge
 
 KEPT_LENGTHS = 6.0  # windows after which a quiet customer is forgotten: its store has long been full
-TELL_S, TELL_PART = datagrams.TELL_S, datagrams.TELL_PART
+NOTIFY_INTERVAL_S, NOTIFY_SHARE = datagrams.NOTIFY_INTERVAL_S, datagrams.NOTIFY_SHARE
 TELL_MOST_S = 0.25  # between updates at most, where all are told all
 BEACON_S = 0.4    # without a telling, after which an ingress answers peers that it is there
 TOUCH_S = 1.0     # without a message, after which a peer counts as out of touch while the counter is down;
@@ -48,13 +55,13 @@
         self.customers = OrderedDict[int, Customer]()  # the longest quiet first
         self.kept = kept_for(settings)
         self.spent = OrderedDict[bytes, float]()  # windows known to be used up, until when it matters
-        taken_in = TELL_PART * settings.peer_in_per_s
-        self.tell_every = max(TELL_S, (settings.instances - 1) / max(1e-9, taken_in))
+        taken_in = NOTIFY_SHARE * settings.peer_in_per_s
+        self.tell_every = max(NOTIFY_INTERVAL_S, (settings.instances - 1) / max(1e-9, taken_in))
         self.tell_most = int(taken_in * self.tell_every / max(1, settings.instances - 1))  # messages at once
         self.tells = settings.peers and settings.instances > 1 and (
             self.tell_every <= TELL_MOST_S or talk is not None)
         if talk is not None:
-            self.tell_every = TELL_S
+            self.tell_every = NOTIFY_INTERVAL_S
         self.untold: dict[int, Customer] = {}  # whose use is to be told to peers
         self.changed: dict[int, Customer] | None = None  # since they were last kept; None where nothing is
         self.telling, self.began = False, now
@@ -137,17 +144,17 @@
         self.last_told = now
         self.want(now)
         if self.talk is not None:
-            self.acts += [actions.Tell(peer, TOLD_MARK + b"".join(
+            self.acts += [actions.SendToPeer(peer, USAGE_MARK + b"".join(
                 self.told(now, c, peer) for c in map(self.customers.get, keys) if c is not None))
                 for peer, keys in self.talk.tellings(now)]
-            self.acts += [actions.Tell(peer, message) for peer, message in self.talk.settlements()]
+            self.acts += [actions.SendToPeer(peer, message) for peer, message in self.talk.settlements()]
             return
         if not self.untold:  # only that this ingress is there
-            self.acts.append(actions.Tell(None, TOLD_MARK))
-        waiting = list(islice(self.untold.values(), max(1, self.tell_most) * TOLD_MOST))
-        for n in range(0, len(waiting), TOLD_MOST):
-            self.acts.append(actions.Tell(None, TOLD_MARK + b"".join(
-                self.told(now, c) for c in waiting[n:n + TOLD_MOST])))
+            self.acts.append(actions.SendToPeer(None, USAGE_MARK))
+        waiting = list(islice(self.untold.values(), max(1, self.tell_most) * USAGE_ENTRIES_MAX))
+        for n in range(0, len(waiting), USAGE_ENTRIES_MAX):
+            self.acts.append(actions.SendToPeer(None, USAGE_MARK + b"".join(
+                self.told(now, c) for c in waiting[n:n + USAGE_ENTRIES_MAX])))
 
     def told(self, now: float, c: Customer, peer: int | None = None) -> bytes:
         """What a message, to one peer or to all, says of one customer."""
@@ -157,22 +164,22 @@
             del self.untold[c.key]
             new, c.mine_told = c.mine - c.mine_told, c.mine
         new = max(-128, min(127, new))
-        name = name_of(self.plan_numbers[c.plan.name], c.key)
-        level = max(-LEVELS, min(LEVELS, LEVELS * c.room(now) / c.plan.burst))
-        return TOLD.pack(name, c.mine & 0xffff, new, round(level))
+        name = encode_customer(self.plan_numbers[c.plan.name], c.key)
+        level = max(-LEVEL_STEPS, min(LEVEL_STEPS, LEVEL_STEPS * c.room(now) / c.plan.burst))
+        return USAGE_ENTRY.pack(name, c.mine & 0xffff, new, round(level))
 
     def heard(self, now: float, e: events.PeerMessage) -> None:
         """What a peer has let in, or a window that is used up; what is long over is forgotten."""
         self.touch[e.sender] = now
         if self.talk is not None:
-            self.talk.heard(now, e.sender, len(e.payload) > 1 and e.payload[:1] == TOLD_MARK)
-        if e.payload[:1] == TOLD_MARK and len(e.payload) % TOLD.size == 1 and self.tells:
+            self.talk.heard(now, e.sender, len(e.payload) > 1 and e.payload[:1] == USAGE_MARK)
+        if e.payload[:1] == USAGE_MARK and len(e.payload) % USAGE_ENTRY.size == 1 and self.tells:
             self.owed |= self.talk is None and len(e.payload) > 1 and now - self.last_told > BEACON_S
-            for name, total, new, level in TOLD.iter_unpack(e.payload[1:]):
-                self.hear(now, e.sender, int.from_bytes(name), total, new, level / LEVELS)
+            for name, total, new, level in USAGE_ENTRY.iter_unpack(e.payload[1:]):
+                self.hear(now, e.sender, int.from_bytes(name), total, new, level / LEVEL_STEPS)
             return
         if self.escrow is not None and e.payload[:1] in ESCROW_MARKS:
-            self.acts += [actions.Tell(e.sender, answer) for answer in self.escrow.heard(now, e.sender, e.payload)]
+            self.acts += [actions.SendToPeer(e.sender, answer) for answer in self.escrow.heard(now, e.sender, e.payload)]
             return
         self.spent[e.payload] = now + self.kept
         self.spent.move_to_end(e.payload)
@@ -220,7 +227,7 @@
     def greet(self, now: float) -> None:
         """Say that this ingress has begun to peers that have not answered."""
         if self.escrow is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.greetings(now)]
+            self.acts += [actions.SendToPeer(peer, message) for peer, message in self.escrow.greetings(now)]
 
     def leave(self, now: float) -> None:
         """Tell peers all that they have not been told, and hand them this ingress's shares."""
@@ -229,12 +236,12 @@
         if self.talk is not None:
             self.tell(now)
         if self.escrow is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.leaving(now)]
+            self.acts += [actions.SendToPeer(peer, message) for peer, message in self.escrow.leaving(now)]
 
     def want(self, now: float) -> None:
         """Ask peers for their shares, as often as messages may be sent."""
         if self.escrow is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.wanting(now)]
+            self.acts += [actions.SendToPeer(peer, message) for peer, message in self.escrow.wanting(now)]
 
     def due(self) -> bool:
         """Whether peers are to be told anything with the next tick."""
--- a/thistleusher/policy/store.py
+++ b/thistleusher/policy/store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thistleusher.core.datagrams import mix
+from thistleusher.core.datagrams import hash63
 from thistleusher.core.settings import PlanSettings
 from thistleusher.core.snapshots import SavedMember
 
@@ -21,7 +21,7 @@
     def __init__(self, key: int, plan: PlanSettings, now: float) -> None:
         self.key, self.plan, self.width = key, plan, 1
         self.length = plan.burst / plan.rate if plan.rate > 0 else 1.0
-        self.phase = mix(key, 0) / (1 << 63) * self.length  # windows of customers turn at different times
+        self.phase = hash63(key, 0) / (1 << 63) * self.length  # windows of customers turn at different times
         self.window, self.total = -1, 0.0
         self.named, self.hashed = -1, 0
         self.doubt, self.doubted = 0.0, -1  # of calls without an answer in this window: added, or not
@@ -48,7 +48,7 @@
         """The name of the count of the window; hashed once a window."""
         turn = self.turn(now)
         if turn != self.named:
-            self.named, self.hashed = turn, mix(self.key, turn + 1)
+            self.named, self.hashed = turn, hash63(self.key, turn + 1)
         return self.hashed
 
     def short(self, now: float) -> bytes:
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -33,7 +33,7 @@
 from itertools import islice
 from typing import NamedTuple
 
-from thistleusher.core.datagrams import name_of, plan_of
+from thistleusher.core.datagrams import decode_customer, encode_customer
 from thistleusher.core.snapshots import SavedRoom
 from thistleusher.quota.incarnations import HELLO_MARK, Incarnations
 from thistleusher.quota.reserve import KEEP, Reserve
@@ -493,7 +493,7 @@
 
     def row(self, key: tuple[int, int], share: int, grains: int) -> bytes:
         a = self.allowances[key]
-        return ROW.pack(name_of(*key), a.epoch & 0xFF, a.next_set[0], len(a.next_set), share, grains)
+        return ROW.pack(encode_customer(*key), a.epoch & 0xFF, a.next_set[0], len(a.next_set), share, grains)
 
     def heard(self, now: float, peer: int, payload: bytes) -> list[bytes]:
         """Take in a peer's message; what it is to be answered with, if anything. Anything else is passed over."""
@@ -515,7 +515,7 @@
             return []
         rows: list[bytes] = []
         for values in form.iter_unpack(payload[head:]):
-            plan, customer = plan_of(values[0])
+            plan, customer = decode_customer(values[0])
             if mark == SETTLE_MARK:
                 known = self.allowances.get((plan, customer))
                 if known is not None:
@@ -528,7 +528,9 @@
             if mark == GIVE_MARK:
                 a.receive(now, peer, epoch, share, grains)
             elif mark == ASK_MARK:
-                rows.append(SETTLED.pack(name_of(plan, customer), a.epoch & 0xFF, *a.answer(now, peer, grains / GRAIN)))
+                rows.append(
+                    SETTLED.pack(encode_customer(plan, customer), a.epoch & 0xFF, *a.answer(now, peer, grains / GRAIN))
+                )
             elif (told := a.give(now, peer, grains / GRAIN)) is not None:
                 rows.append(self.row((plan, customer), *told))
         most, begin = ROWS, self.head(GIVE_MARK)
--- a/thistleusher/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -12,8 +12,8 @@
 from thistleusher.core.actions import Action
 from thistleusher.core.events import BackendEntry, Event, ListKind, Outcome, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.settings import (
-    InvalidSetting,
+from thistleusher.core.settings_parser import (
+    InvalidSettingError,
     bad,
     read_choice,
     read_flag,
@@ -178,7 +178,7 @@
         return f"TOUCH {me} {a.backend}"
     if isinstance(a, actions.CloseIdle):
         return f"CLOSE_IDLE {me} {a.backend}"
-    if isinstance(a, actions.Tell):
+    if isinstance(a, actions.SendToPeer):
         return f"MEMO_TO {me} {'*' if a.peer is None else a.peer} {a.payload.hex() or '-'}"
     if isinstance(a, actions.Subscribe):
         return f"FOLLOW {me} {int(a.on)}"
@@ -261,7 +261,7 @@
     """Serve standard input; a bad line ends in one plain line and a non-zero exit."""
     try:
         serve(sys.stdin, sys.stdout)
-    except (InvalidSetting, ValueError) as error:
+    except (InvalidSettingError, ValueError) as error:
         print(f"wirehost: {error}", file=sys.stderr)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
