--- a/tests/gossip/test_talk.py
+++ b/tests/gossip/test_talk.py
@@ -7,7 +7,7 @@
 import pytest
 
 from thistleusher.core import events
-from thistleusher.core.decision_ports import Asked
+from thistleusher.core.decision_ports import OwnerQuery
 from thistleusher.gossip import Gossip, Outbox, Owners
 from thistleusher.gossip.outbox import ALIVE_S, BURST_S, COMPANY_S, LAZY_S
 from thistleusher.gossip.owners import ANSWER_S, CANDIDATES, KNOWN_MOST, KNOWN_S, MISSES, MUTE_S, OUT_MOST
@@ -129,40 +129,40 @@
 def test_question_and_answer_byte_by_byte():
     asker, home = talk(3), talk(9)
     r = request(units=2.25)
-    message = asker.ask(0.0, 9, r, 1)
+    message = asker.create_query(0.0, 9, r, 1)
     assert message == ASK + bytes.fromhex("0001" "ffffffff81" "00be" "0078" "0009")
-    assert home.asked(0.0, 3, message) == Asked(1, r.customer, 1, 190, 120, 2.25)
-    answer = home.answer(3, 1, True, 7.9)
+    assert home.receive_query(0.0, 3, message) == OwnerQuery(1, r.customer, 1, 190, 120, 2.25)
+    answer = home.create_reply(3, 1, True, 7.9)
     assert answer == ANSWER + bytes.fromhex("0001" "01" "001f")
-    assert asker.answered(8, answer) is None  # it was not asked
-    assert asker.answered(9, answer) == ("r1", True, 7.75)
-    assert asker.answered(9, answer) is None  # a copy
-    assert home.answered(3, home.answer(3, 5, False, -1e9)) is None
+    assert asker.receive_reply(8, answer) is None  # it was not asked
+    assert asker.receive_reply(9, answer) == ("r1", True, 7.75)
+    assert asker.receive_reply(9, answer) is None  # a copy
+    assert home.receive_reply(3, home.create_reply(3, 5, False, -1e9)) is None
 
 
 @pytest.mark.parametrize("spoilt", [b"", ASK, ASK + bytes(5), ASK + bytes(13), ASK + bytes(14), ASK + b"\xff" * 13])
 def test_what_cannot_be_a_question_is_none(spoilt):
-    assert talk().asked(0.0, 3, spoilt) is None  # also sets of none, and of more than there are
+    assert talk().receive_query(0.0, 3, spoilt) is None  # also sets of none, and of more than there are
 
 
 def test_a_question_is_put_once_more_and_its_home_says_again_what_it_has_said():
     """A lost answer would otherwise charge twice: at the home, and by the ingress that then decides for itself."""
     asker, home = talk(3), talk(9)
-    message = asker.ask(0.0, 9, request(), 1)
-    assert asker.wait_for(0.0) == ANSWER_S and asker.again(0.09) == []
-    assert asker.again(ANSWER_S) == [(9, message)] and asker.again(0.2) == []  # once
-    assert home.asked(0.01, 3, message).answer == b""
-    assert home.asked(0.12, 3, message) is None  # it is being decided on
-    answer = home.answer(3, 1, True, 1.0)
-    assert home.asked(0.13, 3, message).answer == answer
-    assert home.asked(0.13, 4, message).answer == b""  # another's of the same number
+    message = asker.create_query(0.0, 9, request(), 1)
+    assert asker.timer_delay(0.0) == ANSWER_S and asker.due_retransmissions(0.09) == []
+    assert asker.due_retransmissions(ANSWER_S) == [(9, message)] and asker.due_retransmissions(0.2) == []  # once
+    assert home.receive_query(0.01, 3, message).answer == b""
+    assert home.receive_query(0.12, 3, message) is None  # it is being decided on
+    answer = home.create_reply(3, 1, True, 1.0)
+    assert home.receive_query(0.13, 3, message).answer == answer
+    assert home.receive_query(0.13, 4, message).answer == b""  # another's of the same number
     other = ASK + message[1:-1] + b"\x05"
-    assert home.asked(0.14, 3, other).answer == b""  # another life's: it asks for something else
-    assert asker.answered(9, answer) is not None and asker.overdue(9.0) == []
+    assert home.receive_query(0.14, 3, other).answer == b""  # another life's: it asks for something else
+    assert asker.receive_reply(9, answer) is not None and asker.expired_requests(9.0) == []
     for n in range(2 * KNOWN_MOST):
-        home.asked(0.2, n, message)
+        home.receive_query(0.2, n, message)
     assert len(home.known.book) <= KNOWN_MOST + 1
-    assert home.asked(0.2 + KNOWN_S + 0.1, 3, message).answer == b"" and len(home.known.book) == 1
+    assert home.receive_query(0.2 + KNOWN_S + 0.1, 3, message).answer == b"" and len(home.known.book) == 1
 
 
 def test_requests_wait_for_gifts_in_their_order_for_so_long_and_so_many():
@@ -175,21 +175,21 @@
 
 def test_a_late_yes_is_given_back():
     asker = talk(3)
-    message = asker.ask(0.0, 9, request(), 0)
-    assert message is not None and asker.overdue(0.28) == ["r1"] and asker.wait_for(0.3) is None
-    assert asker.answered(9, asker.answer(3, 1, True, 0.0)) is None
-    [(peer, settled)] = asker.settlements()
-    assert peer == 9 and talk(9).settled(settled) == [(request().customer, 0, -2.0)]
+    message = asker.create_query(0.0, 9, request(), 0)
+    assert message is not None and asker.expired_requests(0.28) == ["r1"] and asker.timer_delay(0.3) is None
+    assert asker.receive_reply(9, asker.create_reply(3, 1, True, 0.0)) is None
+    [(peer, settled)] = asker.due_reconciliations()
+    assert peer == 9 and talk(9).parse_reconciliations(settled) == [(request().customer, 0, -2.0)]
 
 
 def test_settlements_are_merged_and_bounded():
     t = talk()
     for n in range(SETTLE_MOST + 10):
-        t.settle(n % 7, n, 0, 0.5)
-        t.settle(n % 7, n, 0, 0.25)
+        t.reconcile(n % 7, n, 0, 0.5)
+        t.reconcile(n % 7, n, 0, 0.25)
     assert sum(map(len, t.settling.values())) <= SETTLE_MOST
-    messages = t.settlements()
-    assert max(len(m) for _, m in messages) <= 256 and not t.busy() and t.settlements() == []
-    rows = [row for _, m in messages for row in t.settled(m)]
+    messages = t.due_reconciliations()
+    assert max(len(m) for _, m in messages) <= 256 and not t.has_work() and t.due_reconciliations() == []
+    rows = [row for _, m in messages for row in t.parse_reconciliations(m)]
     assert len(rows) > SETTLE_MOST / 2 and {units for _, _, units in rows} == {0.75}
-    assert t.settled(SETTLED + bytes(6)) == []
+    assert t.parse_reconciliations(SETTLED + bytes(6)) == []
--- a/tests/quota/test_beginning.py
+++ b/tests/quota/test_beginning.py
@@ -177,11 +177,11 @@
         for g in others:  # one that has ended in order is not out of touch
             c = g.sharing.customers[0]
             assert g.sharing.in_touch(w.now + 1.5, c, strict=True) or g.sharing.touch[(n + 1) % 3] < w.now + 0.5
-            assert g.sharing.escrow.over(n)
+            assert g.sharing.escrow.has_shut_down(n)
         ask_for(w, 2.0, members=4, rate=40.0)
         w.restart(n)
         w.run(0.1)
-        assert not any(g.sharing.escrow.over(n) for g in others)
+        assert not any(g.sharing.escrow.has_shut_down(n) for g in others)
         ask_for(w, 2.0, members=4, rate=40.0)
     assert refused(w) < 0.03
     within(w)
@@ -344,5 +344,5 @@
 )
 def test_greetings_that_cannot_be_used_change_nothing(payload):
     node = Set(TERMS).nodes[0]
-    assert node.heard(START, 1, payload) == [] and not node.lives.clean and node.lives.origin == node.lives.life
-    assert node.heard(START, 0, HELLO_MARK + HELLO.pack(5, 0, 5, 0)) == []  # its own
+    assert node.receive(START, 1, payload) == [] and not node.lives.clean and node.lives.origin == node.lives.life
+    assert node.receive(START, 0, HELLO_MARK + HELLO.pack(5, 0, 5, 0)) == []  # its own
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -62,21 +62,21 @@
         self.greet(node)
 
     def greet(self, node: int) -> None:
-        self.wire += [(node, peer, m) for peer, m in self.nodes[node].greetings(self.now)]
+        self.wire += [(node, peer, m) for peer, m in self.nodes[node].handshakes(self.now)]
 
     def ask(self, node: int, units: float, width: int = 0, first: int = 0) -> bool:
         self.asked += 1
-        good = self.nodes[node].take(self.now, 0, 7, first, width or self.count, units, 0.0)
+        good = self.nodes[node].admit(self.now, 0, 7, first, width or self.count, units, 0.0)
         if good:
             self.served += 1
             self.store.pour(self.now, units)
-        for _, message in self.nodes[node].wanting(self.now):  # to all
+        for _, message in self.nodes[node].demands(self.now):  # to all
             self.wire += [(node, other, message) for other in range(self.count) if other != node]
         return good
 
     def deliver(self, index: int, keep: bool = False) -> None:
         sender, target, message = self.wire[index] if keep else self.wire.pop(index)
-        self.wire += [(target, sender, a) for a in self.nodes[target].heard(self.now, sender, message)]
+        self.wire += [(target, sender, a) for a in self.nodes[target].receive(self.now, sender, message)]
         self.check()
 
     def check(self) -> None:
@@ -275,11 +275,11 @@
 
 def test_what_others_let_in_lowers_the_room_when_it_is_asked_anew():
     node = EscrowTable(3, 0, 0.0, (PLUS,))
-    assert not node.take(START, 0, 7, 0, 3, 4.0, spent=20.0)  # a third of the 10 that are left
-    assert node.take(START, 0, 7, 0, 3, 3.0, spent=20.0)
+    assert not node.admit(START, 0, 7, 0, 3, 4.0, spent=20.0)  # a third of the 10 that are left
+    assert node.admit(START, 0, 7, 0, 3, 3.0, spent=20.0)
     node.spend(START, 0, 7, 100.0)
     assert node.allowances[0, 7].room == -PLUS.burst  # not without end
-    assert not node.take(START + 5.0, 0, 7, 0, 3, 1.0, spent=0.0)
+    assert not node.admit(START + 5.0, 0, 7, 0, 3, 1.0, spent=0.0)
 
 
 def test_a_set_that_changes_counts_from_the_next_epoch():
@@ -295,11 +295,11 @@
 
 def test_plans_without_terms_are_let_through_and_idle_allowances_forgotten():
     node = EscrowTable(3, 0, 0.0, (None, PLUS))
-    assert node.take(START, 0, 7, 0, 3, 4.0, 0.0) and not node.allowances
+    assert node.admit(START, 0, 7, 0, 3, 4.0, 0.0) and not node.allowances
     for member in range(100):
-        node.take(START + member * 0.001, 1, member, 0, 3, 4.0, 0.0)
+        node.admit(START + member * 0.001, 1, member, 0, 3, 4.0, 0.0)
     assert len(node.allowances) == 100
-    node.take(START + node.kept + 1, 1, 999, 0, 3, 4.0, 0.0)
+    node.admit(START + node.kept + 1, 1, 999, 0, 3, 4.0, 0.0)
     assert list(node.allowances) == [(1, 999)]
 
 
@@ -320,10 +320,10 @@
 )
 def test_messages_that_cannot_be_used_change_nothing(payload):
     node = EscrowTable(3, 0, 0.0, (PLUS,))
-    node.take(START, 0, 7, 0, 3, 1.0, 0.0)
+    node.admit(START, 0, 7, 0, 3, 1.0, 0.0)
     a = node.allowances[0, 7]
     before = a.share, a.room
-    answer = node.heard(START, 1, payload)
+    answer = node.receive(START, 1, payload)
     assert (a.share, a.room) == before and not answer
     assert GRAIN > 0
 
@@ -331,15 +331,15 @@
 def test_many_wants_are_told_in_messages_of_256_bytes_each_once():
     node = EscrowTable(3, 0, 0.0, (PLUS,))
     for member in range(100):
-        while node.take(START, 0, member, 0, 3, 4.0, 0.0):
+        while node.admit(START, 0, member, 0, 3, 4.0, 0.0):
             pass
     messages, now = [], START
-    while wanted := node.wanting(now):
+    while wanted := node.demands(now):
         [(_, message)] = wanted
-        assert not node.wanting(now)  # no more than one at a time, however many want
+        assert not node.demands(now)  # no more than one at a time, however many want
         messages.append(message)
         now += 2 * node.want_every
     assert max(map(len, messages)) <= 256 and sum((len(m) - HEAD) // ROW.size for m in messages) == 100
     assert not node.wants
-    answer = EscrowTable(3, 1, 0.0, (PLUS,)).heard(START, 0, messages[0])
+    answer = EscrowTable(3, 1, 0.0, (PLUS,)).receive(START, 0, messages[0])
     assert answer and max(map(len, answer)) <= 256
--- a/tests/quota/test_reserve.py
+++ b/tests/quota/test_reserve.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.quota.test_escrow import EXAMPLES, PLUS, SEED, STEP, Set
-from thistleusher.core.snapshots import SavedRoom
+from thistleusher.core.snapshots import SavedReservation
 from thistleusher.quota import EscrowTable
 from thistleusher.quota.escrow import epoch_length
 from thistleusher.quota.reserve import KEEP, PART, TOP, Reserve
@@ -27,10 +27,10 @@
         self.disks = [{} for _ in self.nodes]
         self.flying = [[] for _ in self.nodes]
         for node in self.nodes:
-            node.keep((), None)
+            node.restore((), None)
 
     def note(self, n):
-        notes = self.nodes[n].saved(self.now, 100)
+        notes = self.nodes[n].changed_reservations(self.now, 100)
         if notes:
             self.flying[n].append(notes)
 
@@ -41,13 +41,13 @@
             for note in notes:
                 self.disks[n][note.plan, note.customer] = note
             if known:
-                self.nodes[n].landed((note.plan, note.customer) for note in notes)
+                self.nodes[n].reservations_committed((note.plan, note.customer) for note in notes)
 
     def restart(self, n):
         notes = [note for note in self.disks[n].values() if note.at > -math.inf]
         self.disks[n], self.flying[n] = {}, []
         super().restart(n)
-        self.nodes[n].keep(notes, self.now)
+        self.nodes[n].restore(notes, self.now)
 
 
 def crash(kept, landed, *which):
@@ -208,34 +208,34 @@
 
 def test_notes_wait_for_the_one_before_and_outlive_an_allowance_until_they_are_gone():
     ledger = EscrowTable(3, 0, 0.0, (PLUS,))
-    ledger.keep((), None)
-    assert ledger.take(1000.0, 0, 7, 0, 3, 1.0, 0.0)
-    first = ledger.saved(1000.0, 10)
+    ledger.restore((), None)
+    assert ledger.admit(1000.0, 0, 7, 0, 3, 1.0, 0.0)
+    first = ledger.changed_reservations(1000.0, 10)
     assert [(n.plan, n.customer, n.first, n.width) for n in first] == [(0, 7, 0, 3)] and first[0].room > 0
-    ledger.take(1000.1, 0, 7, 0, 3, 1.0, 0.0)
-    assert ledger.saved(1000.1, 10) == []  # one at a time
-    ledger.landed([(0, 7)])
-    assert len(ledger.saved(1000.2, 10)) == 1
-    ledger.landed([(0, 7)])
-    ledger.take(1000.0 + 4 * EPOCH, 0, 8, 0, 3, 1.0, 0.0)  # the first is forgotten; its note stands
-    assert ledger.take(1000.0 + 4 * EPOCH, 0, 7, 0, 3, 0.5, 0.0)
+    ledger.admit(1000.1, 0, 7, 0, 3, 1.0, 0.0)
+    assert ledger.changed_reservations(1000.1, 10) == []  # one at a time
+    ledger.reservations_committed([(0, 7)])
+    assert len(ledger.changed_reservations(1000.2, 10)) == 1
+    ledger.reservations_committed([(0, 7)])
+    ledger.admit(1000.0 + 4 * EPOCH, 0, 8, 0, 3, 1.0, 0.0)  # the first is forgotten; its note stands
+    assert ledger.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, 0.5, 0.0)
     room = ledger.allowances[0, 7].room
-    assert not ledger.take(1000.0 + 4 * EPOCH, 0, 7, 0, 3, room, 0.0)
+    assert not ledger.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, room, 0.0)
     ledger.allowances.clear()
-    gone = [n for n in ledger.saved(1000.0 + 4 * EPOCH, 10) if n.customer == 7]
-    assert gone == [SavedRoom(0, 7, 0, 1, 0.0, -math.inf)]
-    ledger.landed([(0, 7)])
+    gone = [n for n in ledger.changed_reservations(1000.0 + 4 * EPOCH, 10) if n.customer == 7]
+    assert gone == [SavedReservation(0, 7, 0, 1, 0.0, -math.inf)]
+    ledger.reservations_committed([(0, 7)])
     assert not ledger.forgotten
 
 
 def test_a_note_of_another_set_or_of_an_epoch_that_is_over_adds_nothing():
     def room(note, active):
         ledger = EscrowTable(3, 0, 1000.0, (FRESH,))
-        ledger.keep([note], active)
-        ledger.take(1000.0, 0, 7, 0, 3, 0.0, 0.0)
+        ledger.restore([note], active)
+        ledger.admit(1000.0, 0, 7, 0, 3, 0.0, 0.0)
         return ledger.allowances[0, 7].room
 
-    good = SavedRoom(0, 7, 0, 3, 2.0, 999.9)
+    good = SavedReservation(0, 7, 0, 3, 2.0, 999.9)
     assert 2.0 < room(good, 1000.0) < 2.5
     assert room(good._replace(first=1, width=2), 1000.0) == 0.0
     assert room(good, 1000.0 - EPOCH - 0.1) == 0.0  # it waits for its peers like anybody who begins
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -21,7 +21,7 @@
 from thistleusher.assembly import room_terms
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
-from thistleusher.core.snapshots import SavedRoom
+from thistleusher.core.snapshots import SavedReservation
 from thistleusher.net.daemon import listing_of
 from thistleusher.operator.units import Seconds
 from thistleusher.policy import Gateway
@@ -523,7 +523,7 @@
     ],
 )
 def test_a_room_is_worth_nothing_under_other_terms_or_in_a_copy(more, twin):
-    assert still_there([ROOM], PLANS, TERMS) == [SavedRoom(1, 7, 0, 3, 2.5, 100.0)]
+    assert still_there([ROOM], PLANS, TERMS) == [SavedReservation(1, 7, 0, 3, 2.5, 100.0)]
     assert still_there([msgspec.structs.replace(ROOM, **more)], PLANS, TERMS, twin) == []
 
 
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -58,7 +58,7 @@
     backends: dict[str, LearnedBackend]
 
 
-class SavedRoom(NamedTuple):
+class SavedReservation(NamedTuple):
     """What one ingress leaves alone of a member's allowance for its next life (`ledger.reserve`).
 
     `plan`: its number in the settings; `room` in units at Unix time `at`, -inf where it was forgotten.
--- a/thistleusher/gossip/updates.py
+++ b/thistleusher/gossip/updates.py
@@ -46,38 +46,38 @@
 
     # Tellings.
 
-    def note(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
+    def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
         """Something of a member has changed; `lazy`: it may wait for company."""
         peers = self.peers(first, width)
         self.outbox.note(now, key, peers, lazy)
         self.outbox.meet(now, peers)
 
-    def heard(self, now: float, peer: int, telling: bool) -> None:
+    def record_message(self, now: float, peer: int, telling: bool) -> None:
         """A peer has sent a message; `telling`: of use by members that are common to both."""
         self.homes.heard(peer)
         if telling:
             self.outbox.owe(now, peer)
             self.outbox.meet(now, (peer,))
 
-    def meet(self, now: float, first: int, width: int) -> None:
+    def member_seen(self, now: float, first: int, width: int) -> None:
         """A member of this set was seen."""
         self.outbox.meet(now, self.peers(first, width))
 
-    def busy(self) -> bool:
+    def has_work(self) -> bool:
         """Whether the next tick has anything to say."""
         return self.outbox.busy() or bool(self.settling)
 
-    def tellings(self, now: float) -> list[tuple[int, list[int]]]:
+    def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
         """The tellings that leave now: to whom, of which members."""
         return self.outbox.take(now)
 
     # Questions and their answers.
 
-    def home(self, now: float, customer: int, first: int, width: int) -> int | None:
+    def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
         """The ingress that keeps a member's account; None where none of its candidates answers."""
         return self.homes.of(now, customer, first, width)
 
-    def ask(self, now: float, home: int, r: events.Request, plan: int) -> bytes | None:
+    def create_query(self, now: float, home: int, r: events.Request, plan: int) -> bytes | None:
         """A question for a request; None where too many are out."""
         name, quarters = name_of(plan, r.customer), min(0xFFFF, round(4 * r.units))
         return self.homes.ask(
@@ -90,11 +90,11 @@
             lambda number: (ASK + QUESTION.pack(number, name, r.first, r.width, quarters)),
         )
 
-    def again(self, now: float) -> list[tuple[int, bytes]]:
+    def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
         """Questions to be put once more, to whom."""
         return self.homes.again(now)
 
-    def asked(self, now: float, peer: int, payload: bytes) -> decision_ports.Asked | None:
+    def receive_query(self, now: float, peer: int, payload: bytes) -> decision_ports.OwnerQuery | None:
         """A question of a peer's; None where it cannot be one, or is one that is being decided on."""
         if len(payload) != 1 + QUESTION.size:
             return None
@@ -105,15 +105,15 @@
         if known == b"":
             return None
         plan, customer = plan_of(name)
-        return decision_ports.Asked(number, customer, plan, first, width, quarters / 4, known or b"")
+        return decision_ports.OwnerQuery(number, customer, plan, first, width, quarters / 4, known or b"")
 
-    def answer(self, peer: int, number: int, good: bool, room: float) -> bytes:
+    def create_reply(self, peer: int, number: int, good: bool, room: float) -> bytes:
         """The answer to a peer's. Room is rounded down: who has none must not be told of enough."""
         words = ANSWER + REPLY.pack(number, good, max(-0x8000, min(0x7FFF, math.floor(4 * room))))
         self.known.said(peer, number, words)
         return words
 
-    def answered(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
+    def receive_reply(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
         """Whose request a home has decided on, how, and the room that it told; None where nobody waits for it."""
         if len(payload) != 1 + REPLY.size:
             return None
@@ -124,30 +124,30 @@
         question, in_time = found
         if not in_time:
             if good:  # it went another way meanwhile
-                self.settle(peer, question.customer, question.plan, -question.units)
+                self.reconcile(peer, question.customer, question.plan, -question.units)
             return None
         return question.request, bool(good), quarters / 4
 
-    def hold(self, request: str, due: float) -> bool:
+    def add_pending(self, request: str, due: float) -> bool:
         """Keep a request until then, or until a peer has given anything; whether there is room for it."""
         return self.waiting.hold(request, due)
 
-    def held(self) -> list[str]:
+    def take_pending(self) -> list[str]:
         """All that are kept; they are kept no longer."""
         return self.waiting.take()
 
-    def overdue(self, now: float) -> list[str]:
+    def expired_requests(self, now: float) -> list[str]:
         """Requests whose home has not answered in time, or that were held until now."""
         return self.homes.overdue(now) + self.waiting.overdue(now)
 
-    def wait_for(self, now: float) -> float | None:
+    def timer_delay(self, now: float) -> float | None:
         """Seconds until a question is to be put again, or a request has waited long enough; None where none does."""
         dues = [due for due in (self.homes.due(), self.waiting.due()) if due is not None]
         return max(0.001, min(dues) - now) if dues else None
 
     # Settlements.
 
-    def settle(self, home: int, customer: int, plan: int, units: float) -> None:
+    def reconcile(self, home: int, customer: int, plan: int, units: float) -> None:
         """Units more (or less) than a home was asked for; they go with the next tick, merged."""
         name = name_of(plan, customer)
         if name not in self.settling.get(home, ()):
@@ -157,7 +157,7 @@
         rows = self.settling.setdefault(home, {})
         rows[name] = rows.get(name, 0.0) + units
 
-    def settlements(self) -> list[tuple[int, bytes]]:
+    def due_reconciliations(self) -> list[tuple[int, bytes]]:
         """The messages of all that waits, each home's together."""
         out = []
         for home, rows in self.settling.items():
@@ -168,7 +168,7 @@
         return out
 
     @staticmethod
-    def settled(payload: bytes) -> list[tuple[int, int, float]]:
+    def parse_reconciliations(payload: bytes) -> list[tuple[int, int, float]]:
         """Members, their plans' numbers, and units, of a peer's settlements."""
         if (len(payload) - 1) % ROW.size:
             return []
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -51,7 +51,7 @@
         if plan.rate <= 0 or not self.s.counter:
             return self.local(now, f)
         if self.sharing.talk is not None and not c.wide():
-            self.sharing.talk.meet(now, c.first, c.width)
+            self.sharing.talk.member_seen(now, c.first, c.width)
         home = self.sharing.home(now, c) if r.expires_in > HOME_WAITS * self.s.counter_timeout else None
         if home is not None and home != self.s.me and self.ask(now, f, home):
             return None
@@ -65,7 +65,7 @@
             self.attempts.refuse(now, f, 0.0)  # a charge for what is not sent would use the quota up
             return True
         talk, number = self.sharing.talk, self.sharing.plan_numbers[f.req.plan]
-        message = talk.ask(now, home, f.req, number) if talk is not None else None
+        message = talk.create_query(now, home, f.req, number) if talk is not None else None
         if message is not None:
             self.acts.append(actions.Tell(home, message))
         return message is not None
@@ -76,19 +76,19 @@
         if talk is None or mark not in HOME_MARKS:
             self.sharing.heard(now, e)
             if talk is not None and mark in GIFTS:
-                for held in filter(None, map(self.attempts.flights.get, talk.held())):
+                for held in filter(None, map(self.attempts.flights.get, talk.take_pending())):
                     self.local(now, held)
             return None
         self.sharing.touch[e.sender] = now
-        talk.heard(now, e.sender, False)
-        if mark == HOME_MARKS[0] and (a := talk.asked(now, e.sender, e.payload)) is not None:
+        talk.record_message(now, e.sender, False)
+        if mark == HOME_MARKS[0] and (a := talk.receive_query(now, e.sender, e.payload)) is not None:
             c = self.sharing.housed(now, a.plan, a.customer, a.first, a.width)
             if a.answer:  # it has been charged already
                 self.acts.append(actions.Tell(e.sender, a.answer))
             elif c is not None:
                 r = events.Request("", "", c.plan.name, a.customer, math.inf, a.units, a.width, a.first)
                 self.charge(now, Charge(r, c, e.sender, a.number))
-        elif mark == HOME_MARKS[1] and (answer := talk.answered(e.sender, e.payload)) is not None:
+        elif mark == HOME_MARKS[1] and (answer := talk.receive_reply(e.sender, e.payload)) is not None:
             name, good, room = answer
             f = self.attempts.flights.get(name)
             if f is None:  # its client has gone
@@ -96,7 +96,7 @@
             f.home, f.took = e.sender, f.req.units if good else 0.0
             self.pass_on(now, f) if good else self.attempts.refuse(now, f, (f.req.units - room) / f.customer.plan.rate)
         elif mark == HOME_MARKS[2]:
-            for key, number, units in talk.settled(e.payload):
+            for key, number, units in talk.parse_reconciliations(e.payload):
                 if (c := self.sharing.housed(now, number, key)) is not None:
                     c.pending += units
                     c.use(now, units)
@@ -105,8 +105,8 @@
     def overdue(self, now: float) -> None:
         """Homes that have not answered in time: the ingress goes by what it knows, and asks the counter itself."""
         if (talk := self.sharing.talk) is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in talk.again(now)]
-            for f in filter(None, map(self.attempts.flights.get, talk.overdue(now))):
+            self.acts += [actions.Tell(peer, message) for peer, message in talk.due_retransmissions(now)]
+            for f in filter(None, map(self.attempts.flights.get, talk.expired_requests(now))):
                 self.local(now, f) if f.due else self.charge(now, f)
 
     def pass_on(self, now: float, f: Charge) -> None:
@@ -121,7 +121,7 @@
         """The home's word to the ingress that asked."""
         if self.sharing.talk is not None and f.peer is not None:
             room = f.customer.room(now) - f.customer.flying
-            self.acts.append(actions.Tell(f.peer, self.sharing.talk.answer(f.peer, f.number, good, room)))
+            self.acts.append(actions.Tell(f.peer, self.sharing.talk.create_reply(f.peer, f.number, good, room)))
 
     def charge(self, now: float, f: Charge) -> None:
         """Charge it to the count, or decide by what is known where the counter cannot take so many calls."""
@@ -262,7 +262,7 @@
         """Have a request wait for what peers are asked to give, once and for a round trip; whether it does."""
         f.due = f.due or now + HOLD_S
         talk = self.sharing.talk
-        return talk is not None and isinstance(f, Flight) and now < f.due and talk.hold(f.req.id, f.due)
+        return talk is not None and isinstance(f, Flight) and now < f.due and talk.add_pending(f.req.id, f.due)
 
     def local(self, now: float, f: Charge) -> None:
         """Admit against this ingress's share of the store; the use is reported with the next call."""
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -70,10 +70,10 @@
         if not self.sharing.telling and self.sharing.due():
             self.sharing.telling = True
             acts.append(actions.SetTimer(self.sharing.tell_every, TELL))
-        if self.talk is not None and not self.asking and (wait := self.talk.wait_for(now)) is not None:
+        if self.talk is not None and not self.asking and (wait := self.talk.timer_delay(now)) is not None:
             self.asking = True
             acts.append(actions.SetTimer(wait, HOME))
-        if self.escrow is not None and not self.greeting and (wait := self.escrow.greet_in(now)) is not None:
+        if self.escrow is not None and not self.greeting and (wait := self.escrow.handshake_delay(now)) is not None:
             self.greeting = True
             acts.append(actions.SetTimer(wait, GREET))
         return acts.copy()
--- a/thistleusher/policy/sharing.py
+++ b/thistleusher/policy/sharing.py
@@ -99,7 +99,7 @@
         if self.tells and not c.wide():
             c.mine += round(4 * units)
             if self.talk is not None:
-                self.talk.note(now, c.key, c.first, c.width, f is None)
+                self.talk.mark_changed(now, c.key, c.first, c.width, f is None)
             else:
                 self.untold[c.key] = c
 
@@ -107,7 +107,7 @@
         """Put right what a request was charged, where its member's account is kept."""
         c = f.customer
         if f.home is not None and self.talk is not None:
-            return self.talk.settle(f.home, c.key, self.plan_numbers[c.plan.name], units)
+            return self.talk.reconcile(f.home, c.key, self.plan_numbers[c.plan.name], units)
         c.pending += units
         self.admit(now, c, units)
 
@@ -118,7 +118,7 @@
         """
         if self.talk is None or not c.wide() or c.plan.ceiling_rate > 0:
             return None
-        return self.talk.home(now, c.key, c.first, c.width)
+        return self.talk.owner(now, c.key, c.first, c.width)
 
     def housed(self, now: float, number: int, key: int, first: int = 0, width: int = 0) -> Customer | None:
         """A member whose account is kept here, as a peer says; None where it has no such plan."""
@@ -139,8 +139,8 @@
         if self.talk is not None:
             self.acts += [actions.Tell(peer, TOLD_MARK + b"".join(
                 self.told(now, c, peer) for c in map(self.customers.get, keys) if c is not None))
-                for peer, keys in self.talk.tellings(now)]
-            self.acts += [actions.Tell(peer, message) for peer, message in self.talk.settlements()]
+                for peer, keys in self.talk.due_updates(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.talk.due_reconciliations()]
             return
         if not self.untold:  # only that this ingress is there
             self.acts.append(actions.Tell(None, TOLD_MARK))
@@ -165,14 +165,14 @@
         """What a peer has let in, or a window that is used up; what is long over is forgotten."""
         self.touch[e.sender] = now
         if self.talk is not None:
-            self.talk.heard(now, e.sender, len(e.payload) > 1 and e.payload[:1] == TOLD_MARK)
+            self.talk.record_message(now, e.sender, len(e.payload) > 1 and e.payload[:1] == TOLD_MARK)
         if e.payload[:1] == TOLD_MARK and len(e.payload) % TOLD.size == 1 and self.tells:
             self.owed |= self.talk is None and len(e.payload) > 1 and now - self.last_told > BEACON_S
             for name, total, new, level in TOLD.iter_unpack(e.payload[1:]):
                 self.hear(now, e.sender, int.from_bytes(name), total, new, level / LEVELS)
             return
         if self.escrow is not None and e.payload[:1] in ESCROW_MARKS:
-            self.acts += [actions.Tell(e.sender, answer) for answer in self.escrow.heard(now, e.sender, e.payload)]
+            self.acts += [actions.Tell(e.sender, answer) for answer in self.escrow.receive(now, e.sender, e.payload)]
             return
         self.spent[e.payload] = now + self.kept
         self.spent.move_to_end(e.payload)
@@ -211,7 +211,7 @@
         if self.escrow is None:
             return True
         spent = max(0.0, c.plan.burst - c.room(now))  # of a ceiling no more: it refills faster
-        good = self.escrow.take(now, self.plan_numbers[c.plan.name], c.key, c.first, c.width, units, spent)
+        good = self.escrow.admit(now, self.plan_numbers[c.plan.name], c.key, c.first, c.width, units, spent)
         if not good:
             self.want(now)
             self.owed = True  # what is not told now is told with the next telling
@@ -220,7 +220,7 @@
     def greet(self, now: float) -> None:
         """Say that this ingress has begun to peers that have not answered."""
         if self.escrow is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.greetings(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.handshakes(now)]
 
     def leave(self, now: float) -> None:
         """Tell peers all that they have not been told, and hand them this ingress's shares."""
@@ -229,16 +229,16 @@
         if self.talk is not None:
             self.tell(now)
         if self.escrow is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.leaving(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.shutdown_messages(now)]
 
     def want(self, now: float) -> None:
         """Ask peers for their shares, as often as messages may be sent."""
         if self.escrow is not None:
-            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.wanting(now)]
+            self.acts += [actions.Tell(peer, message) for peer, message in self.escrow.demands(now)]
 
     def due(self) -> bool:
         """Whether peers are to be told anything with the next tick."""
-        return bool(self.untold) or self.owed or (self.talk is not None and self.talk.busy())
+        return bool(self.untold) or self.owed or (self.talk is not None and self.talk.has_work())
 
     def in_touch(self, now: float, c: Customer, strict: bool = False) -> bool:
         """Whether all ingresses of the customer's set are heard of: the store is known without calls.
@@ -253,13 +253,13 @@
             return True
         since = now - (TOUCH_S if short else AWAY_S)
         return self.tells and not c.wide() and all(
-            i == self.s.me or self.touch[i] > since or (self.escrow is not None and self.escrow.over(i))
+            i == self.s.me or self.touch[i] > since or (self.escrow is not None and self.escrow.has_shut_down(i))
             for i in peers)
 
     def guessed(self, now: float, c: Customer) -> bool:
         """Whether a store counts as full here only because an earlier life's knowledge of it is gone."""
         return (self.escrow is not None and not c.vouched and now - self.began < c.length
-                and self.escrow.returned())
+                and self.escrow.has_restarted())
 
     def followed(self, now: float, c: Customer) -> bool:
         """Whether all that the present window's total holds must have been heard of too."""
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -34,7 +34,7 @@
 from typing import NamedTuple
 
 from thistleusher.core.datagrams import name_of, plan_of
-from thistleusher.core.snapshots import SavedRoom
+from thistleusher.core.snapshots import SavedReservation
 from thistleusher.quota.incarnations import HELLO_MARK, Incarnations
 from thistleusher.quota.reserve import KEEP, Reserve
 
@@ -333,10 +333,10 @@
         self.kept = 3 * longest
         self.wants: dict[tuple[int, int], float] = {}
         self.changed: dict[tuple[int, int], None] | None = None  # since they were last noted; None: nothing is kept
-        self.notes: dict[tuple[int, int], SavedRoom] = {}  # of the earlier life, not asked for yet
+        self.notes: dict[tuple[int, int], SavedReservation] = {}  # of the earlier life, not asked for yet
         self.forgotten: dict[tuple[int, int], Reserve] = {}  # whose notes may still be on disk
 
-    def keep(self, notes: Iterable[SavedRoom], active: float | None) -> None:
+    def restore(self, notes: Iterable[SavedReservation], active: float | None) -> None:
         """Keep rooms from now on, and begin with those of an earlier life. Before anything is asked.
 
         `active`: until when that life may have been at work, None where there was none.
@@ -366,32 +366,32 @@
         if self.changed is not None:
             self.changed[key] = None
 
-    def saved(self, now: float, most: int) -> list[SavedRoom]:
+    def changed_reservations(self, now: float, most: int) -> list[SavedReservation]:
         """Notes of allowances that have changed, `most` at once, each one at a time: until `landed`, no other."""
-        out: list[SavedRoom] = []
+        out: list[SavedReservation] = []
         waiting: list[tuple[int, int]] = []
         changed = self.changed if self.changed is not None else {}
         for key in list(islice(changed, most)):
             del changed[key]
             a = self.allowances.get(key)
             if a is None:
-                out.append(SavedRoom(*key, 0, 1, 0.0, -math.inf))
+                out.append(SavedReservation(*key, 0, 1, 0.0, -math.inf))
             elif a.reserve is not None and a.reserve.written is not None:
                 waiting.append(key)
             else:
-                out.append(SavedRoom(*key, a.next_set[0], len(a.next_set), a.note(now), a.at))
+                out.append(SavedReservation(*key, a.next_set[0], len(a.next_set), a.note(now), a.at))
         for key in waiting:
             self.touched(key)
         return out
 
-    def lost(self, key: tuple[int, int]) -> None:
+    def reservation_dropped(self, key: tuple[int, int]) -> None:
         """The note that was last given of it could not be handed over; another one will be due."""
         a = self.allowances.get(key)
         if a is not None and a.reserve is not None:
             a.reserve.lost()
         self.touched(key)
 
-    def landed(self, keys: Iterable[tuple[int, int]]) -> None:
+    def reservations_committed(self, keys: Iterable[tuple[int, int]]) -> None:
         """The notes that were last given of these are on disk."""
         for key in keys:
             a = self.allowances.get(key)
@@ -423,7 +423,7 @@
         self.touched((plan, customer))
         return found
 
-    def take(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
+    def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
         """Whether a request may be let in on this ingress's own share; if not, more is wanted from peers."""
         a = self.of(now, plan, customer, first, width, spent)
         if a is None:
@@ -465,7 +465,7 @@
     def head(self, mark: bytes) -> bytes:
         return mark + self.lives.life.to_bytes(HEAD - 1)
 
-    def wanting(self, now: float) -> list[tuple[int | None, bytes]]:
+    def demands(self, now: float) -> list[tuple[int | None, bytes]]:
         """Messages with what is wanted, each want once, to all peers or to those of its set; the rest waits."""
         if not self.wants or now - self.told < self.want_every:
             return []
@@ -495,7 +495,7 @@
         a = self.allowances[key]
         return ROW.pack(name_of(*key), a.epoch & 0xFF, a.next_set[0], len(a.next_set), share, grains)
 
-    def heard(self, now: float, peer: int, payload: bytes) -> list[bytes]:
+    def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
         """Take in a peer's message; what it is to be answered with, if anything. Anything else is passed over."""
         mark = payload[:1]
         if mark == HELLO_MARK:
@@ -536,26 +536,26 @@
             most, begin = SETTLED_ROWS, self.head(SETTLE_MARK) + payload[1:HEAD]
         return [begin + b"".join(rows[n : n + most]) for n in range(0, len(rows), most)]
 
-    def greetings(self, now: float) -> list[tuple[int, bytes]]:
+    def handshakes(self, now: float) -> list[tuple[int, bytes]]:
         """What an ingress that has begun has to say, to whom."""
         return self.lives.greetings(now)
 
-    def greet_in(self, now: float) -> float | None:
+    def handshake_delay(self, now: float) -> float | None:
         """Seconds until more of that is due; None where nothing is any more."""
         return self.lives.greet_in(now)
 
-    def over(self, peer: int) -> bool:
+    def has_shut_down(self, peer: int) -> bool:
         """Whether a peer has said that it has ended, and has not begun again."""
         return peer in self.lives.left
 
-    def returned(self) -> bool:
+    def has_restarted(self) -> bool:
         """Whether a peer has known an earlier life of this ingress."""
         return self.lives.known
 
-    def leaving(self, now: float) -> list[tuple[int, bytes]]:
+    def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
         """The last words of an ingress that ends in order: shares of members that were here of late, to a peer of
         their set each; those used last go first, what does not fit is lost until the epoch ends."""
-        rows: dict[int, list[bytes]] = {peer: [] for peer in self.lives.known_peers() if not self.over(peer)}
+        rows: dict[int, list[bytes]] = {peer: [] for peer in self.lives.known_peers() if not self.has_shut_down(peer)}
         for key, a in reversed(self.allowances.items()):
             if now - a.at > a.length:
                 break
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, field
 
 from thistleusher.core.settings import PlanSettings
-from thistleusher.core.snapshots import Learned, SavedMember, SavedRoom
+from thistleusher.core.snapshots import Learned, SavedMember, SavedReservation
 from thistleusher.state.records import Life, Listed, Member, Room
 
 LEARNED_S, FAULTS_S, LIST_S = 600.0, 10.0, 60.0  # for which speeds, faults and a list say something
@@ -90,13 +90,13 @@
     plans: Mapping[str, PlanSettings],
     terms: Mapping[str, tuple[float, float]],
     twin: bool = False,
-) -> list[SavedRoom]:
+) -> list[SavedReservation]:
     """Rooms under the same terms as before; `terms`: rate and burst of each plan's allowance now."""
     numbers = {name: n for n, name in enumerate(plans)}
     if twin:
         return []
     return [
-        SavedRoom(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at)
+        SavedReservation(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at)
         for r in rooms
         if r.plan in numbers
         and terms.get(r.plan) == (r.rate, r.burst)
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -89,7 +89,7 @@
         gateway.restore(now, found.members, still_learned(now, store.learned()))
         rooms = still_there(store.rooms(), self.plans, self.terms, store.twin)
         if gateway.escrow is not None:
-            gateway.escrow.keep(rooms, active_until(now, store.before))
+            gateway.escrow.restore(rooms, active_until(now, store.before))
         self.list = still_listed(now, store.listed())
         life = store.begin(self.name, now)
         if store.twin:
@@ -138,16 +138,16 @@
         if escrow is None:
             return 0
         while self.notes and self.notes[0][0] <= writer.committed:
-            escrow.landed(self.notes.popleft()[1])
+            escrow.reservations_committed(self.notes.popleft()[1])
         keys: list[tuple[int, int]] = []
-        for r in escrow.saved(self.clock(), most):
+        for r in escrow.changed_reservations(self.clock(), most):
             name = self.names[r.plan]
             rate, burst = self.terms.get(name, (0.0, 0.0))
             body = pack(Room(name, r.customer, r.first, r.width, rate, burst, r.room, r.at)) if r.at > 0 else None
             if writer.put(("room", r.customer << 7 | r.plan), body):
                 keys.append((r.plan, r.customer))
             else:
-                escrow.lost((r.plan, r.customer))
+                escrow.reservation_dropped((r.plan, r.customer))
         if keys:
             self.notes.append((writer.handed, keys))
         return len(keys)
