--- a/tests/system/test_world.py
+++ b/tests/system/test_world.py
@@ -96,7 +96,7 @@
     [
         ((Route, "repeatable", property(lambda self: True)), [(6.0, "answers lost", 6.0)], [], "TWICE"),
         (
-            (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.io.Outcome.RESET)),
+            (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.Outcome.RESET)),
             [(6.0, "answers lost", 6.0)],
             [],
             "(TWICE|REFUSED)",
