--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -27,7 +27,7 @@
 RECORDED = "if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):"
 VOTE_REFUSED = "elif message.epoch <= durable.promised or self._helps_another(sender, view):"
 ELIGIBLE = "return view is not None and self._context.me in view.holders and replica.epoch >= view.epoch"
-MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.until()"
+MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.expires_at()"
 
 NOT_APPENDED = (
     '        if not ok:\n            durable.replica.damaged()\n            durable.failed("a change")\n        elif'
@@ -43,7 +43,7 @@
     Wrong(
         0,
         "acknowledged without the lease",
-        "if not everywhere or self._context.now >= leadership.until():",
+        "if not everywhere or self._context.now >= leadership.expires_at():",
         "if not everywhere:",
     ),
     Wrong(
@@ -55,8 +55,8 @@
     Wrong(
         0,
         "a machine that has forgotten votes",
-        "self.forgotten = durable.view is None and not self.founding",
-        "self.forgotten = False\n        if durable.view is None and not self.founding:\n"
+        "self.state_lost = durable.view is None and not self.founding",
+        "self.state_lost = False\n        if durable.view is None and not self.founding:\n"
         "            durable.view = ViewRecord(1, min(context.seeds), (), dict.fromkeys(context.seeds, ''))",
     ),
     Wrong(
@@ -119,14 +119,14 @@
     Wrong(
         1,
         "news are told without the lease",
-        "                if self.node.holds(now):\n                    out +=",
+        "                if self.node.holds_lease(now):\n                    out +=",
         "                if True:\n                    out +=",
     ),
     Wrong(
         1,
         "one that comes to follow is told without the lease",
-        "        if self.node.holds(now):\n            return [Tell",
-        "        if True:\n            return [Tell",
+        "        if self.node.holds_lease(now):\n            return [SendToClient",
+        "        if True:\n            return [SendToClient",
     ),
     Wrong(
         1,
@@ -143,7 +143,7 @@
     Wrong(
         1,
         "a duty is granted without contact",
-        "return self.holds(now) or now - self.contact_at < CONTACT_S",
+        "return self.holds_lease(now) or now - self.contact_at < CONTACT_S",
         "return True",
     ),
     Wrong(
@@ -171,7 +171,7 @@
         "        if leadership.pending is not None:\n            self._calls.put_back(leadership.pending.change)\n"
         "        self.tell_step_down",
         "        if leadership.pending is not None:\n"
-        "            self._context.answer(leadership.pending.change.call, None)\n        self.tell_step_down",
+        "            self._context.answer(leadership.pending.change.call_id, None)\n        self.tell_step_down",
     ),
     Wrong(
         2,
@@ -307,14 +307,14 @@
     Wrong(
         5,
         "a call that waited too long is answered twice",
-        "            self._waiting = deque(call for call in self._waiting if self._context.now <= call.until)\n",
+        "            self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)\n",
         "            pass\n",
     ),
     Wrong(
         5,
         "an answer bears the number of another call",
-        "self._carry(now, self.node.call(now, make(self.calls)))",
-        "self._carry(now, self.node.call(now, make(max(1, self.calls - 1))))",
+        "self._carry(now, self.node.submit(now, make(self.calls)))",
+        "self._carry(now, self.node.submit(now, make(max(1, self.calls - 1))))",
     ),
     Wrong(5, "a grant is told before it is on disk", "        if not changed:\n", "        if True:\n"),
     Wrong(
@@ -348,7 +348,7 @@
     Wrong(
         0,
         "acknowledged without the lease, by replicas that promised more",
-        "if not everywhere or self._context.now >= leadership.until():",
+        "if not everywhere or self._context.now >= leadership.expires_at():",
         "if not everywhere:",
         (
             (TAKES_CHANGES, TAKES_CHANGES.removesuffix(" == durable.promised")),
--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -24,14 +24,14 @@
 PARTS = ("thistleusher", "simnet", "tests", "benchmarks", "docs")
 SEARCH_DEPTH = 4
 NAMED = (
-    "test_control.py",
-    "test_orders.py",
-    "test_leases.py",
-    "test_news.py",
-    "test_search.py",
-    "test_service.py",
-    "test_copies.py",
-    "test_guards.py",
+    "control/test_control.py",
+    "control/test_orders.py",
+    "control/test_leases.py",
+    "system/test_news.py",
+    "system/test_search.py",
+    "control/test_service.py",
+    "control/test_copies.py",
+    "control/test_guards.py",
 )
 
 
@@ -83,7 +83,7 @@
 
 def by_tests(folder: Path) -> str:
     """What the named tests say."""
-    done = run(folder, "pytest", "-q", "-x", "--tb=no", *(f"tests/system/{name}" for name in NAMED))
+    done = run(folder, "pytest", "-q", "-x", "--tb=no", *(f"tests/{name}" for name in NAMED))
     failed = [line for line in done.stdout.splitlines() if line.startswith(("FAILED", "ERROR"))]
     return f"test {failed[0].split('::')[-1].split(' ')[0]}" if failed else ""
 
--- a/simnet/clients.py
+++ b/simnet/clients.py
@@ -12,7 +12,7 @@
 
 from simnet.machine import SteadyClock
 from simnet.rules import Broken, held_order
-from thistleusher.control.leases import Holder
+from thistleusher.control.leases import LeaseHolder
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.messages import AnyMessage, CoreInfo, LeaseGranted, LeaseRejected, Message, StateUpdate
 from thistleusher.transport.state_updates import Subscriber
@@ -43,7 +43,9 @@
         self.life += 1
         self.follower = Subscriber(self.name)
         self.members = CoreMembers()
-        self.holder = Holder(DUTY, f"{self.name}/{self.life}", self.clock.time(now), random.Random(self.rng.random()))
+        self.holder = LeaseHolder(
+            DUTY, f"{self.name}/{self.life}", self.clock.time(now), random.Random(self.rng.random())
+        )
         self.running = True
 
 
@@ -77,7 +79,7 @@
             return
         self.cluster.wires.reset(client.name, machine.address)
         self.cluster.wires.reset(machine.address, client.name)
-        machine.service.gone(client.name)
+        machine.service.disconnected(client.name)
         self._send(client, machine.address, client.follower.follow())
 
     def _send(self, client: Client, address: str, message: Message) -> None:
@@ -90,7 +92,7 @@
         self.cluster.wires.lives[client.name] = client.life + 1
         for machine in self.cluster.running():
             if machine.service is not None:
-                machine.service.gone(client.name)
+                machine.service.disconnected(client.name)
 
         def again() -> None:
             client.begin(self.cluster.clock.now)
@@ -119,9 +121,9 @@
             self._send(client, sender, heard.answer)
         elif isinstance(message, CoreInfo):
             if client.members.learn(message):
-                client.holder.voters(message.voters)
+                client.holder.set_grantors(message.voters)
         elif isinstance(message, LeaseGranted | LeaseRejected):
-            client.holder.heard(sender, message)
+            client.holder.receive(sender, message)
 
     # Rules.
 
@@ -136,7 +138,7 @@
     def check(self) -> None:
         """After every step."""
         now = self.cluster.clock.now
-        holding = [c.name for c in self.clients.values() if c.running and c.holder.holds(c.clock.time(now))]
+        holding = [c.name for c in self.clients.values() if c.running and c.holder.holds_lease(c.clock.time(now))]
         if len(holding) > 1:
             raise Broken(f"two hold the duty: {holding}")
 
@@ -154,5 +156,5 @@
             held = held_order(client.follower.state).number
             if held < self._due:
                 raise Broken(f"CONFIG: {client.name} has {held}, {self._due} was acknowledged {TOLD_S} s ago")
-        if not any(c.holder.holds(c.clock.time(now)) for c in self.clients.values()):
+        if not any(c.holder.holds_lease(c.clock.time(now)) for c in self.clients.values()):
             raise Broken("nobody holds the duty in calm")
--- a/simnet/cluster.py
+++ b/simnet/cluster.py
@@ -16,8 +16,8 @@
 from simnet.operators import Make, Operators
 from simnet.rules import CONFIG, Broken, Ledger, held_order
 from simnet.wires import Wires
-from thistleusher.control.interface import Answer, Note, Outward, Send, Tell, Write
-from thistleusher.control.leases import Grantor
+from thistleusher.control.interface import Answer, LogEvent, Send, SendToClient, ServiceOutput, Write
+from thistleusher.control.leases import LeaseGrantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.transport.messages import AnyMessage, StateUpdate, VoteRequest
@@ -119,7 +119,7 @@
         node = ControlNode(
             machine.address, machine.zone, self.seeds, bootstrap, stored, now, rng, tolerance=self.tolerance
         )
-        machine.service = ControlService(node, Grantor(now, stored.leases))
+        machine.service = ControlService(node, LeaseGrantor(now, stored.leases))
         self.clients.connect_all(machine)
         self._tick(machine, machine.life)
         for other in self.machines.values():
@@ -138,7 +138,7 @@
 
         def linked() -> None:
             if self.wires.open(machine.address, other.address) and self.wires.open(other.address, machine.address):
-                self.give(machine, lambda service, now: service.linked(now, other.address))
+                self.give(machine, lambda service, now: service.connected(now, other.address))
 
         if other.node is not None:
             self.clock.later(2 * self._delay(machine.address, other.address), linked)
@@ -175,7 +175,7 @@
         def look() -> None:
             if machine.life != life or machine.node is None:
                 return
-            if machine.node.may_end and not machine.inbox:
+            if machine.node.can_stop and not machine.inbox:
                 self.clock.later(LAST_WORDS_S, end)
             else:
                 self.clock.later(LAST_WORDS_S, look)
@@ -209,8 +209,8 @@
         """SIGHUP: a process reads its settings again."""
         seeds = list(self.seeds)
 
-        def reseed(service: ControlService, now: float) -> list[Outward]:
-            service.node.reseed(seeds)
+        def reseed(service: ControlService, now: float) -> list[ServiceOutput]:
+            service.node.add_seeds(seeds)
             return []
 
         self.give(machine, reseed)
@@ -220,9 +220,9 @@
     def call(self, machine: Machine, make: Make, taken: Callable[[int], None]) -> None:
         """An operator's call reaches a machine's sockets; `taken` is told its number once the process takes it."""
 
-        def feed(service: ControlService, now: float) -> list[Outward]:
+        def feed(service: ControlService, now: float) -> list[ServiceOutput]:
             taken(service.calls + 1)
-            return service.call(now, make)[1]
+            return service.submit(now, make)[1]
 
         self.give(machine, feed)
 
@@ -279,21 +279,21 @@
             return
         machine, sent_at = self.machines[to], self.wires.sent_at
 
-        def feed(service: ControlService, now: float) -> list[Outward]:
+        def feed(service: ControlService, now: float) -> list[ServiceOutput]:
             machine.heard[sender] = max(machine.heard.get(sender, 0.0), sent_at)
             if isinstance(message, VoteRequest):
                 return self._vote(machine, service, now, sender, message)
-            return service.heard(now, sender, message)
+            return service.receive(now, sender, message)
 
         self.give(machine, feed)
 
     def _vote(
         self, machine: Machine, service: ControlService, now: float, sender: str, message: VoteRequest
-    ) -> list[Outward]:
+    ) -> list[ServiceOutput]:
         """A machine without a vote moves no epoch."""
         node = service.node
         promised, view = node.promised, node.view
-        outputs = service.heard(now, sender, message)
+        outputs = service.receive(now, sender, message)
         stranger = view is not None and sender not in view.voters and node.view == view
         if stranger and node.promised > promised:
             raise Broken(f"{machine.address} promised epoch {node.promised} to {sender}, which has no vote")
@@ -301,7 +301,7 @@
 
     # Outputs.
 
-    def _carry(self, machine: Machine, outputs: Iterable[Outward]) -> None:
+    def _carry(self, machine: Machine, outputs: Iterable[ServiceOutput]) -> None:
         self._check_published(machine)
         for out in outputs:
             if isinstance(out, Send):
@@ -311,9 +311,9 @@
                 self._write(machine, out)
             elif isinstance(out, Answer):
                 self.operators.answered(machine, out)
-            elif isinstance(out, Tell):
+            elif isinstance(out, SendToClient):
                 self._tell(machine, out)
-            elif isinstance(out, Note):
+            elif isinstance(out, LogEvent):
                 self.note(f"{machine.address} " + out.event.value.text % out.fields)
 
     def _write(self, machine: Machine, write: Write) -> None:
@@ -323,11 +323,11 @@
         def end() -> None:
             if machine.life == life:
                 ok = machine.disk.end()
-                self.give(machine, lambda service, now: service.written(now, write.token, ok))
+                self.give(machine, lambda service, now: service.write_completed(now, write.token, ok))
 
         self.clock.at(ends, end)
 
-    def _tell(self, machine: Machine, tell: Tell) -> None:
+    def _tell(self, machine: Machine, tell: SendToClient) -> None:
         """A message to a client; news leave only a leader whose lease stands, in contact with a majority."""
         if isinstance(tell.message, StateUpdate) and not (machine.holds(self.clock.now) and self.in_contact(machine)):
             raise Broken(f"{machine.address} tells news without a lease or without contact with a majority")
--- a/simnet/disk.py
+++ b/simnet/disk.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from thistleusher.control.interface import Records, Stored
+from thistleusher.control.interface import Records, StoredState
 from thistleusher.transport.messages import Position, ViewRecord
 
 SYNC_S = 0.001
@@ -49,7 +49,7 @@
 
     def wipe(self) -> None:
         """All that was on it is lost."""
-        empty = Stored()
+        empty = StoredState()
         self.promised = empty.promised
         self.view: ViewRecord | None = empty.view
         self.position: Position = empty.position
@@ -58,10 +58,10 @@
         self.leases: dict[str, tuple[str, int]] = {}
         self.pending.clear()
 
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """What a process reads at its start."""
         items = {name: _decode_item.decode(data) for name, data in self.items.items()}
-        return Stored(self.promised, self.view, self.position, self.floor, items, dict(self.leases))
+        return StoredState(self.promised, self.view, self.position, self.floor, items, dict(self.leases))
 
     def item(self, name: str) -> Any:
         """One item's value as it is on disk."""
@@ -105,7 +105,7 @@
             self.furthest = max(self.furthest, records.position.number)
             self.floor = records.floor
         if write.items is not None:
-            self.items = dict(write.items) if records.whole else {**self.items, **write.items}
+            self.items = dict(write.items) if records.complete else {**self.items, **write.items}
         if records.leases is not None:
             self.leases = dict(records.leases)
 
--- a/simnet/machine.py
+++ b/simnet/machine.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from simnet.disk import Disk
-from thistleusher.control.interface import Outward
+from thistleusher.control.interface import ServiceOutput
 from thistleusher.transport.state_updates import State
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 CLOCK_DRIFT = 0.01  # by which a steady clock runs fast or slow at most
 SLOW_INPUT_S = 0.012  # that a slowed machine takes for one input
 
-Feed = Callable[["ControlService", float], list[Outward]]
+Feed = Callable[["ControlService", float], list[ServiceOutput]]
 
 
 class SteadyClock:
@@ -73,4 +73,4 @@
 
     def holds(self, now: float) -> bool:
         """Whether it is the leader and its lease stands, frozen or not."""
-        return self.node is not None and self.node.leadership is not None and self.node.holds(self.time(now))
+        return self.node is not None and self.node.leadership is not None and self.node.holds_lease(self.time(now))
--- a/simnet/operators.py
+++ b/simnet/operators.py
@@ -17,7 +17,7 @@
 from simnet.machine import Machine
 from simnet.rules import CONFIG, Broken, Ledger, Order, held_order
 from thistleusher.common.failures import ANSWERS, Failure, Kind
-from thistleusher.control.interface import Answer, Change, Read, Unread
+from thistleusher.control.interface import Answer, Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
 PATIENCE_S = 1.0  # with one machine
@@ -30,7 +30,7 @@
 FINAL_STATUSES = frozenset({400, 404, 409, 412, 413, 422})  # after which an operator sends no more
 LOST_ACKS = 0.7  # the share, while acknowledgements are lost
 
-Make = Callable[[int], Change | Read | Unread]
+Make = Callable[[int], Change | Read | DeferredChange]
 
 
 class Core(Protocol):
@@ -208,14 +208,14 @@
 
     def answered(self, machine: Machine, answer: Answer) -> None:
         """A machine gives the answer to a call."""
-        number = self._calls.pop((machine.address, machine.life, answer.call), None)
+        number = self._calls.pop((machine.address, machine.life, answer.call_id), None)
         this = self.tries.pop(number, None) if number is not None else None
         if this is None:
-            raise Broken(f"call {answer.call} was answered twice, or never asked")
+            raise Broken(f"call {answer.call_id} was answered twice, or never asked")
         if isinstance(answer.answer, Failure):
             self._failed(this, answer.answer)
         elif not self.core.in_contact(machine):
-            raise Broken(f"{machine.address} answered call {answer.call} without contact with a majority")
+            raise Broken(f"{machine.address} answered call {answer.call_id} without contact with a majority")
         elif this.request.conflicting():
             self._failed(this, Failure(Kind.INVALID))
         else:
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -10,8 +10,8 @@
 from simnet.disk import Disk
 from simnet.places import BOUNDS, CORES, DEADLINE_S, PLACES, ZONES
 from thistleusher.common.configuration import RouteMatch
-from thistleusher.control.interface import Answer, Change, Outward, Send, Tell, Write
-from thistleusher.control.leases import Grantor
+from thistleusher.control.interface import Answer, Change, Send, SendToClient, ServiceOutput, Write
+from thistleusher.control.leases import LeaseGrantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.core import events
@@ -80,38 +80,38 @@
         now, rng = self.now(), random.Random(self.world.rng.random())
         zone, bootstrap = PLACES[self.machine][0], self.life == 1
         node = ControlNode(self.machine, zone, sorted(CORES), bootstrap, stored, now, rng, TOLERANCE)
-        self.service, self.waiting = ControlService(node, Grantor(now, stored.leases)), {}
+        self.service, self.waiting = ControlService(node, LeaseGrantor(now, stored.leases)), {}
 
     def tick(self) -> None:
         self.carry(self.service.tick(self.now()))
 
     def opened(self, to: str) -> None:
-        self.carry(self.service.linked(self.now(), to.partition("@")[2]))
+        self.carry(self.service.connected(self.now(), to.partition("@")[2]))
 
     def heard(self, sender: str, who: str, message: AnyMessage) -> None:
         if not isinstance(message, Hello):
-            self.carry(self.service.heard(self.now(), who, message))
+            self.carry(self.service.receive(self.now(), who, message))
 
     def lost(self, who: str) -> None:
-        self.service.gone(who)
+        self.service.disconnected(who)
 
     def call(self, make: Callable[[int], Change], done: Callable[[Any], None]) -> None:
         """An operator's call."""
-        number, outputs = self.service.call(self.now(), make)
+        number, outputs = self.service.submit(self.now(), make)
         self.waiting[number] = done
         self.carry(outputs)
 
-    def carry(self, outputs: Sequence[Outward]) -> None:
+    def carry(self, outputs: Sequence[ServiceOutput]) -> None:
         """Do what follows from an input."""
         for out in outputs:
             if isinstance(out, Send):
                 self.world.send(self, f"control@{out.to}", out.message)
-            elif isinstance(out, Tell):
+            elif isinstance(out, SendToClient):
                 self.world.reply(self, out.name, out.message)
             elif isinstance(out, Write):
                 self._write(out)
-            elif isinstance(out, Answer) and out.call in self.waiting:
-                self.waiting.pop(out.call)(out.answer)
+            elif isinstance(out, Answer) and out.call_id in self.waiting:
+                self.waiting.pop(out.call_id)(out.answer)
 
     def _write(self, write: Write) -> None:
         clock, life = self.world.clock, self.life
@@ -119,10 +119,15 @@
         def end() -> None:
             if self.life == life and self.up:
                 ok = self.disk.end()
-                self.world.when_running(self, lambda: self.carry(self.service.written(self.now(), write.token, ok)))
+                self.world.when_running(
+                    self, lambda: self.carry(self.service.write_completed(self.now(), write.token, ok))
+                )
 
         clock.at(self.disk.begin(clock.now, write.records), end)
 
+    def _write_completed(self, token: int, ok: bool) -> None:
+        self.carry(self.service.write_completed(self.now(), token, ok))
+
 
 class RegistryProcess(Process):
     """registry."""
@@ -162,7 +167,7 @@
         """Do what follows from an input."""
         for out in outputs:
             if isinstance(out, RegistryTell):
-                if not self.registry.holder.holds(self.now()):
+                if not self.registry.holder.holds_lease(self.now()):
                     self.world.broke(f"LEASE: {self.name} tells {out.name} {type(out.message).__name__} without one")
                 self.world.reply(self, out.name, out.message)
             elif isinstance(out, ToControl):
--- a/simnet/search.py
+++ b/simnet/search.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from simnet.rules import CONFIG, Broken, held_order
-from thistleusher.control.interface import Answer, Change, Output, Send, Stored, Write
+from thistleusher.control.interface import Answer, Change, Output, Send, StoredState, Write
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import AnyMessage, Position, RecordView, ViewRecord, VoteRequest
 from thistleusher.transport.state_updates import State
@@ -71,7 +71,7 @@
 
     def __init__(self) -> None:
         self.now = BEGIN
-        self.disks = {ip: Stored(promised=1, view=VIEW) for ip in VOTERS}
+        self.disks = {ip: StoredState(promised=1, view=VIEW) for ip in VOTERS}
         for ip in VIEW.holders:
             disk = self.disks[ip]
             disk.items, disk.position = {CONFIG: (1, {"v": 0, "z": ""})}, Position(1, 1, 1)
@@ -90,7 +90,7 @@
 
     def add(self, ip: str, zone: str) -> None:
         """A machine with an empty disk."""
-        self.disks[ip] = Stored()
+        self.disks[ip] = StoredState()
         self.writes[ip] = deque()
         self.nodes[ip] = self._started(ip, zone)
 
@@ -105,7 +105,7 @@
     def leader(self) -> str | None:
         """Who holds the lease."""
         return next(
-            (ip for ip, node in self.nodes.items() if node.leadership is not None and node.holds(self.now)), None
+            (ip for ip, node in self.nodes.items() if node.leadership is not None and node.holds_lease(self.now)), None
         )
 
     # What can happen.
@@ -161,30 +161,30 @@
 
     def _arrive(self, sender: str, to: str) -> None:
         message = self.wires[sender, to].popleft()
-        self._carry(to, self.nodes[to].message(self.now, sender, message))
+        self._carry(to, self.nodes[to].receive(self.now, sender, message))
 
     def _written(self, ip: str) -> None:
         write = self.writes[ip].popleft()
         store(self.disks[ip], write)
-        self._carry(ip, self.nodes[ip].written(self.now, write.token, True))
+        self._carry(ip, self.nodes[ip].write_completed(self.now, write.token, True))
 
     def _change(self, ip: str) -> None:
         number = self.used["change"]
         change = Change(number, AtLeast(number), Configuration(number), "")
-        self._carry(ip, self.nodes[ip].call(self.now, change))
+        self._carry(ip, self.nodes[ip].submit(self.now, change))
 
     def _end(self, ip: str, wipe: bool) -> None:
         """A process ends and is back at once; power goes with its disk, and writes that have not ended are lost."""
         self.writes[ip].clear()
         if wipe:
-            self.disks[ip] = Stored()
+            self.disks[ip] = StoredState()
         for pair, waiting in self.wires.items():
             if ip in pair:
                 waiting.clear()
         self.nodes[ip] = self._started(ip, {**VOTERS, LEARNER: LEARNER_ZONE}[ip])
         for other, node in self.nodes.items():
             if other != ip:
-                self._carry(other, node.linked(self.now, ip))
+                self._carry(other, node.connected(self.now, ip))
 
     def _carry(self, ip: str, outputs: Iterable[Output]) -> None:
         for out in outputs:
@@ -193,7 +193,7 @@
             elif isinstance(out, Write):
                 self.writes[ip].append(copy.deepcopy(out))
             elif isinstance(out, Answer) and out.answer is None:
-                self.acknowledged = max(self.acknowledged, out.call)
+                self.acknowledged = max(self.acknowledged, out.call_id)
             elif isinstance(out, Answer) and isinstance(out.answer, State):
                 if held_order(out.answer).number < self.acknowledged:
                     raise Broken(f"LOST: {ip} answers a read without what was acknowledged")
@@ -211,7 +211,7 @@
                 raise Broken(f"epoch {view.epoch} has two leaders")
             if len(view.voters) != len(VOTERS):
                 raise Broken(f"epoch {view.epoch} has {len(view.voters)} voters")
-            if node.holds(self.now):
+            if node.holds_lease(self.now):
                 holding.append(ip)
                 self._check_read(ip, node)
         if len(holding) > 1:
@@ -230,7 +230,7 @@
         if not any(d.position.epoch >= newest.epoch and self._stored_number(d) >= self.acknowledged for d in holders):
             raise Broken("LOST: no holder of the newest view has what was acknowledged on its disk")
 
-    def _stored_number(self, disk: Stored) -> int:
+    def _stored_number(self, disk: StoredState) -> int:
         return held_order(State(0, disk.items)).number
 
     def mark(self) -> int:
@@ -262,7 +262,7 @@
         return {CONFIG: {"v": self.number, "z": ""}}
 
 
-def store(disk: Stored, write: Write) -> None:
+def store(disk: StoredState, write: Write) -> None:
     """A write is on disk, all of it."""
     records = write.records
     if records.promised is not None:
@@ -272,7 +272,7 @@
     if records.position is not None:
         disk.position, disk.floor = records.position, records.floor
     if records.items is not None:
-        disk.items = {**({} if records.whole else disk.items), **records.items}
+        disk.items = {**({} if records.complete else disk.items), **records.items}
 
 
 class Walk:
--- a/tests/system/test_control.py
+++ b/tests/control/test_control.py
@@ -14,8 +14,8 @@
 from simnet.rules import Broken
 from thistleusher.control.context import Context
 from thistleusher.control.durable import Durable
-from thistleusher.control.interface import Send, Stored, Write
-from thistleusher.control.leases import Holder
+from thistleusher.control.interface import Send, StoredState, Write
+from thistleusher.control.leases import LeaseHolder
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import (
     Append,
@@ -141,7 +141,7 @@
     core.end(replica)  # stays away
     core.end(witness, wipe=True, back_s=0.5)
     run_for(core, 4.0)
-    assert witness.node.forgotten and core.holder() is None  # one voter is no majority
+    assert witness.node.state_lost and core.holder() is None  # one voter is no majority
     core.start(replica)
     core.trouble(core.clock.now)
     end(core)
@@ -196,7 +196,7 @@
     assert "10.0.0.5" not in core.seeds
     core.end(core.machines["10.0.0.3"], wipe=True, power=True, back_s=0.5)
     run_for(core, 2.0)
-    assert not core.machines["10.0.0.3"].node.forgotten
+    assert not core.machines["10.0.0.3"].node.state_lost
     end(core)
 
 
@@ -241,7 +241,7 @@
 
 
 def test_what_waits_behind_a_write_that_failed_is_not_written():
-    durable = Durable(Context("1", "a", (), 0.0, random.Random(1), 1), Stored())
+    durable = Durable(Context("1", "a", (), 0.0, random.Random(1), 1), StoredState())
     ended = []
     durable.replica.apply(Position(1, 1, 1), {"config": (1, 1)})
     durable.keep_replica({"config": (1, 1)}, False, lambda ok: ended.append(("first", ok)))
@@ -393,7 +393,7 @@
     core = calm()
     first, _, witness = by_role(core)
     later = msgspec.structs.replace(first.node.view, epoch=5, leader=witness.address)
-    first.service.heard(core.time(first), witness.address, Deposed(1, 5, later))
+    first.service.receive(core.time(first), witness.address, Deposed(1, 5, later))
     assert first.node.leadership is None
 
 
@@ -505,7 +505,7 @@
 
 def node(me: str, view: ViewRecord = VIEW) -> ControlNode:
     """A process that starts with the record of a view on its disk."""
-    stored = Stored(promised=view.epoch, view=view)
+    stored = StoredState(promised=view.epoch, view=view)
     if me in view.holders:
         stored.position = Position(view.epoch, 0, 0)
     return ControlNode(me, view.voters[me], ["10.0.0.1", "10.0.0.2"], False, stored, 0.0, random.Random(1))
@@ -517,16 +517,16 @@
 
 def test_new_seeds_are_added_to_those_that_were_known():
     control = node("10.0.0.1")
-    control.reseed(["10.0.9.9"])
-    assert {"10.0.0.2", "10.0.0.3", "10.0.9.9"} <= set(control.others())
+    control.add_seeds(["10.0.9.9"])
+    assert {"10.0.0.2", "10.0.0.3", "10.0.9.9"} <= set(control.known_peers())
 
 
 def test_one_that_has_promised_its_vote_does_not_ask_at_once_itself():
     core = calm()
     _, replica, _ = by_role(core)
     control, now = replica.node, core.time(replica) + 5.0  # its leader has been silent for long
-    [write] = control.message(now, control.view.leader, VoteRequest(9, control.view))
-    control.written(now, write.token, True)
+    [write] = control.receive(now, control.view.leader, VoteRequest(9, control.view))
+    control.write_completed(now, write.token, True)
     assert VoteRequest not in said(control.tick(now + 0.06)) and control.promised == 9
     control.tick(now + 1.0)
     assert control.promised == 10  # but it does once that one has had its time
@@ -535,22 +535,22 @@
 def test_a_promise_whose_answer_was_lost_is_told_again_to_its_asker_only():
     control = node("10.0.0.3")
     ask = VoteRequest(2, VIEW)
-    [write] = control.message(1.0, "10.0.0.1", ask)
-    assert control.message(1.01, "10.0.0.1", ask) == []  # not on disk yet: no answer, and no refusal
-    assert said(control.written(1.02, write.token, True)) == [Vote]
-    assert said(control.message(1.3, "10.0.0.1", ask)) == [Vote]
-    assert said(control.message(1.3, "10.0.0.2", ask)) == [VoteRejected]
+    [write] = control.receive(1.0, "10.0.0.1", ask)
+    assert control.receive(1.01, "10.0.0.1", ask) == []  # not on disk yet: no answer, and no refusal
+    assert said(control.write_completed(1.02, write.token, True)) == [Vote]
+    assert said(control.receive(1.3, "10.0.0.1", ask)) == [Vote]
+    assert said(control.receive(1.3, "10.0.0.2", ask)) == [VoteRejected]
 
 
 def test_seeds_are_kept_by_one_that_has_heard_of_nobody():
-    control = ControlNode("10.0.9.1", "a", ["10.0.0.1", "10.0.0.2"], False, Stored(), 0.0, random.Random(1))
-    control.reseed(["10.0.9.9"])
-    assert control.others() == ["10.0.0.1", "10.0.0.2", "10.0.9.9"]
+    control = ControlNode("10.0.9.1", "a", ["10.0.0.1", "10.0.0.2"], False, StoredState(), 0.0, random.Random(1))
+    control.add_seeds(["10.0.9.9"])
+    assert control.known_peers() == ["10.0.0.1", "10.0.0.2", "10.0.9.9"]
 
 
 def test_one_that_lost_its_vote_moves_no_promise_though_nobody_leads():
     control = node("10.0.0.3", msgspec.structs.replace(VIEW, epoch=2, voters={**VIEW.voters, "10.0.0.4": "b"}))
-    asked = control.message(9.0, "10.0.0.9", VoteRequest(7, VIEW))
+    asked = control.receive(9.0, "10.0.0.9", VoteRequest(7, VIEW))
     assert said(asked) == [VoteRejected] and control.promised == 2
 
 
@@ -559,16 +559,16 @@
     position = control.position
     items = {"config": (1, {"v": 1, "z": ""})}
     other = Position(position.epoch, position.number, position.written_in + 1)
-    assert control.message(1.0, "10.0.0.1", Append(2, position, Position(2, 1, 2), items)) == []
-    assert control.message(1.0, "10.0.0.3", Append(1, position, Position(1, 1, 1), items)) == []
-    assert said(control.message(1.0, "10.0.0.1", Append(1, other, Position(1, 1, 1), items))) == [InstallRejected]
+    assert control.receive(1.0, "10.0.0.1", Append(2, position, Position(2, 1, 2), items)) == []
+    assert control.receive(1.0, "10.0.0.3", Append(1, position, Position(1, 1, 1), items)) == []
+    assert said(control.receive(1.0, "10.0.0.1", Append(1, other, Position(1, 1, 1), items))) == [InstallRejected]
     assert control.position == position
 
 
 def test_changes_are_not_installed_on_a_copy_that_lacks_what_they_go_on_from():
     control = node("10.0.0.2")
     changes = Install(1, Position(1, 5, 1), Position(1, 6, 1), 0, {"config": (6, {"v": 6, "z": ""})})
-    assert said(control.message(1.0, "10.0.0.1", changes)) == [InstallRejected]
+    assert said(control.receive(1.0, "10.0.0.1", changes)) == [InstallRejected]
     assert control.position.number == 0 and control.state.value("config") is None
 
 
@@ -576,12 +576,12 @@
     disk = Disk(random.Random(1))
     disk.promised, disk.view = VIEW.epoch, VIEW
     control = ControlNode("10.0.0.3", "a", ["10.0.0.1"], False, disk.stored(), 0.0, random.Random(1))
-    [write] = control.message(1.0, "10.0.0.1", VoteRequest(2, VIEW))
+    [write] = control.receive(1.0, "10.0.0.1", VoteRequest(2, VIEW))
     disk.begin(1.0, write.records)
     disk.end()
-    assert said(control.written(1.01, write.token, True)) == [Vote]
+    assert said(control.write_completed(1.01, write.token, True)) == [Vote]
     later = ControlNode("10.0.0.3", "a", ["10.0.0.1"], False, disk.stored(), 2.0, random.Random(1))
-    assert said(later.message(3.0, "10.0.0.2", VoteRequest(2, VIEW))) == [VoteRejected]
+    assert said(later.receive(3.0, "10.0.0.2", VoteRequest(2, VIEW))) == [VoteRejected]
 
 
 # Membership.
@@ -812,12 +812,12 @@
 def test_a_voter_without_contact_grants_no_duty(direction):
     core = calm()
     _, _, witness = by_role(core)
-    assert witness.service.heard(core.time(witness), "f9", REQUEST) != []
+    assert witness.service.receive(core.time(witness), "f9", REQUEST) != []
     for other in core.machines.values():
         core.wires.cut(witness.address, other.address, 5.0, both=direction == "both")
     core.trouble(core.clock.now + 5.0)
     run_for(core, 2.5)
-    assert witness.service.heard(core.time(witness), "f9", REQUEST) == []
+    assert witness.service.receive(core.time(witness), "f9", REQUEST) == []
     end(core)
 
 
@@ -825,9 +825,9 @@
     core = calm()
     _, _, witness = by_role(core)
     now = core.time(witness)
-    [write] = witness.service.heard(now, "f9", REQUEST)
+    [write] = witness.service.receive(now, "f9", REQUEST)
     assert isinstance(write, Write) and write.records.leases["work"] == ("f9", REQUEST.term)
-    [told] = witness.service.written(now, write.token, True)
+    [told] = witness.service.write_completed(now, write.token, True)
     assert told.message == LeaseGranted("work", REQUEST.term, REQUEST.sent)
 
 
@@ -835,21 +835,21 @@
     core = calm()
     core.remove(by_role(core)[2])
     new = core.add()
-    wait(core, lambda: new.node.votes and new.node.in_contact(core.time(new)))
-    [told] = new.service.heard(core.time(new), "f9", REQUEST)
+    wait(core, lambda: new.node.is_voter and new.node.in_contact(core.time(new)))
+    [told] = new.service.receive(core.time(new), "f9", REQUEST)
     assert isinstance(told.message, LeaseRejected)
     run_for(core, 1.1)
-    [write] = new.service.heard(core.time(new), "f9", REQUEST)
+    [write] = new.service.receive(core.time(new), "f9", REQUEST)
     assert isinstance(write, Write)
 
 
 def test_a_grant_of_an_earlier_term_does_not_count():
-    holder = Holder("work", "f9/1", 0.0, random.Random(1))
-    holder.voters(["1", "2", "3"])
+    holder = LeaseHolder("work", "f9/1", 0.0, random.Random(1))
+    holder.set_grantors(["1", "2", "3"])
     holder.tick(0.0, lambda address, message: None)
     for grantor in "123":
-        holder.heard(grantor, LeaseGranted("work", holder.term - 1, 0.0))
-    assert not holder.holds(0.1)
+        holder.receive(grantor, LeaseGranted("work", holder.term - 1, 0.0))
+    assert not holder.holds_lease(0.1)
 
 
 # Replication.
@@ -987,7 +987,7 @@
 
     def naive(self, me, zone, seeds, bootstrap, stored, *rest, **more):
         if stored.view is None and not bootstrap:
-            stored = Stored(promised=1, view=ViewRecord(1, "10.0.0.1", ("10.0.0.2",), dict(VIEW.voters)))
+            stored = StoredState(promised=1, view=ViewRecord(1, "10.0.0.1", ("10.0.0.2",), dict(VIEW.voters)))
             stored.position = Position(1, 0, 0)
         real(self, me, zone, seeds, bootstrap, stored, *rest, **more)
 
--- a/tests/system/test_guards.py
+++ b/tests/control/test_guards.py
@@ -2,7 +2,7 @@
 
 import random
 
-from thistleusher.control.interface import Answer, Change, Send, Stored, Write
+from thistleusher.control.interface import Answer, Change, Send, StoredState, Write
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import (
     Append,
@@ -30,7 +30,7 @@
     """One node whose writes end as they come."""
 
     def __init__(self, leader: str, replicas: tuple[str, ...], epoch: int = 3) -> None:
-        stored = Stored(epoch, ViewRecord(epoch, leader, replicas, VOTERS), HELD, 0, {"old": (5, "x")})
+        stored = StoredState(epoch, ViewRecord(epoch, leader, replicas, VOTERS), HELD, 0, {"old": (5, "x")})
         self.node = ControlNode("1", "a", ["1", "2", "3"], False, stored, 0.0, random.Random(1))
         self.answers: list = []
 
@@ -40,7 +40,7 @@
         while waiting:
             out = waiting.pop(0)
             if isinstance(out, Write):
-                waiting += self.node.written(now, out.token, True)
+                waiting += self.node.write_completed(now, out.token, True)
             elif isinstance(out, Send):
                 sent.append(out.message)
             elif isinstance(out, Answer):
@@ -48,7 +48,7 @@
         return sent
 
     def hear(self, now: float, sender: str, message) -> list:
-        return self.take(now, self.node.message(now, sender, message))
+        return self.take(now, self.node.receive(now, sender, message))
 
     def installed(self, now: float) -> int:
         """Have it stand and its replica take the copy; the epoch."""
@@ -81,8 +81,8 @@
     driven = Driven("1", ("2",))
     epoch = driven.lead(1.0)
     change = Change(1, lambda state: False, lambda state: {"new": "y"}, "a change")
-    [append] = [m for m in driven.take(1.1, driven.node.call(1.1, change)) if isinstance(m, Append)]
-    late = driven.node.leadership.until() + 0.01
+    [append] = [m for m in driven.take(1.1, driven.node.submit(1.1, change)) if isinstance(m, Append)]
+    late = driven.node.leadership.expires_at() + 0.01
     driven.hear(late, "2", Appended(epoch, append.position.number))
     assert driven.answers == []
 
@@ -105,7 +105,7 @@
     driven = Driven("1", ("2",))
     epoch = driven.lead(1.0)
     driven.hear(1.2, "3", Deposed(epoch, epoch + 1, ViewRecord(epoch + 1, "2", ("3",), VOTERS)))
-    assert driven.node.leadership is None and not driven.node.holds(1.2)
+    assert driven.node.leadership is None and not driven.node.holds_lease(1.2)
 
 
 def test_a_replica_takes_changes_of_its_leader_and_epoch_only():
--- a/tests/system/test_leases.py
+++ b/tests/control/test_leases.py
@@ -5,7 +5,7 @@
 import pytest
 
 from simnet.clock import Clock
-from thistleusher.control.leases import GRANT_S, Grantor, Holder
+from thistleusher.control.leases import GRANT_S, LeaseGrantor, LeaseHolder
 from thistleusher.transport.messages import LeaseGranted, LeaseRejected, LeaseReleased, LeaseRequest
 
 IPS = ("a", "b", "c")
@@ -18,13 +18,13 @@
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.clock.after_each = self.check
-        self.grantors = {ip: Grantor(0.0) for ip in IPS}
-        self.holders = {ip: Holder("d", f"{ip}/1", 0.0, random.Random(seed + n)) for n, ip in enumerate(IPS)}
+        self.grantors = {ip: LeaseGrantor(0.0) for ip in IPS}
+        self.holders = {ip: LeaseHolder("d", f"{ip}/1", 0.0, random.Random(seed + n)) for n, ip in enumerate(IPS)}
         self.cut: set[tuple[str, str]] = set()
         self.terms: dict[int, str] = {}
         self.served = 0
         for holder in self.holders.values():
-            holder.voters(IPS)
+            holder.set_grantors(IPS)
         for ip in IPS:
             self.tick(ip)
 
@@ -40,17 +40,17 @@
         def there() -> None:
             grantor = self.grantors[to]
             if isinstance(message, LeaseReleased):
-                grantor.released(message)
+                grantor.release(message)
                 return
-            answer, _ = grantor.wanted(self.clock.now, message, 1)
+            answer, _ = grantor.decide(self.clock.now, message, 1)
             if (to, ip) not in self.cut:
-                self.clock.later(0.002 * self.rng.random(), lambda: holder.heard(to, answer))
+                self.clock.later(0.002 * self.rng.random(), lambda: holder.receive(to, answer))
 
         self.clock.later(0.002 * self.rng.random(), there)
 
     def check(self) -> None:
         now = self.clock.now
-        holding = [(ip, h) for ip, h in self.holders.items() if h.holds(now)]
+        holding = [(ip, h) for ip, h in self.holders.items() if h.holds_lease(now)]
         assert len(holding) <= 1, f"two hold the duty at {now}: {[ip for ip, _ in holding]}"
         for _, holder in holding:
             self.served += 1
@@ -63,64 +63,64 @@
     duty = Duty(seed)
     duty.clock.run(4.0)
     now = duty.clock.now
-    held = [ip for ip, h in duty.holders.items() if h.holds(now)]
+    held = [ip for ip, h in duty.holders.items() if h.holds_lease(now)]
     assert len(held) == 1  # also where all three began at once: none keeps a minority's grants for ever
     gone = held[0]
     if seed % 2:
         duty.cut = {(gone, ip) for ip in IPS}
     else:
-        duty.holders[gone] = Holder("d", f"{gone}/2", now, random.Random(seed))  # a new life that knows nothing
+        duty.holders[gone] = LeaseHolder("d", f"{gone}/2", now, random.Random(seed))  # a new life that knows nothing
     duty.clock.run(now + 3.5)
-    assert any(h.holds(duty.clock.now) for h in duty.holders.values())
+    assert any(h.holds_lease(duty.clock.now) for h in duty.holders.values())
 
 
 def test_a_grantor_that_has_started_anew_grants_nothing_for_a_while():
-    grantor = Grantor(10.0)
+    grantor = LeaseGrantor(10.0)
     wish = LeaseRequest("d", "x", 5 << 20, 1.0)
-    assert isinstance(grantor.wanted(10.0 + GRANT_S / 2, wish, 1).answer, LeaseRejected)
-    assert isinstance(grantor.wanted(10.0 + GRANT_S, wish, 1).answer, LeaseGranted)
+    assert isinstance(grantor.decide(10.0 + GRANT_S / 2, wish, 1).answer, LeaseRejected)
+    assert isinstance(grantor.decide(10.0 + GRANT_S, wish, 1).answer, LeaseGranted)
 
 
 def test_a_grantor_that_remembers_grants_at_once_to_the_holders_machine_alone():
-    first = Grantor(0.0)
+    first = LeaseGrantor(0.0)
     term = 5 << 20
-    answer, changed = first.wanted(GRANT_S, LeaseRequest("d", "x/1", term, 1.0), 1)
+    answer, changed = first.decide(GRANT_S, LeaseRequest("d", "x/1", term, 1.0), 1)
     assert isinstance(answer, LeaseGranted) and changed
-    assert first.wanted(GRANT_S, LeaseRequest("d", "x/1", term, 1.1), 1)[1] is False
-    again = Grantor(10.0, first.kept())
-    assert isinstance(again.wanted(10.1, LeaseRequest("d", "y/1", term + 1, 1.0), 1).answer, LeaseRejected)
-    assert again.wanted(10.1, LeaseRequest("d", "x/2", term, 1.0), 1).answer.free
-    assert isinstance(again.wanted(10.1, LeaseRequest("d", "x/2", term + 1, 1.0), 1).answer, LeaseGranted)
+    assert first.decide(GRANT_S, LeaseRequest("d", "x/1", term, 1.1), 1)[1] is False
+    again = LeaseGrantor(10.0, first.to_records())
+    assert isinstance(again.decide(10.1, LeaseRequest("d", "y/1", term + 1, 1.0), 1).answer, LeaseRejected)
+    assert again.decide(10.1, LeaseRequest("d", "x/2", term, 1.0), 1).answer.free
+    assert isinstance(again.decide(10.1, LeaseRequest("d", "x/2", term + 1, 1.0), 1).answer, LeaseGranted)
 
 
 def test_a_new_epoch_does_not_end_a_lease():
-    grantor = Grantor(0.0)
+    grantor = LeaseGrantor(0.0)
     wish = LeaseRequest("d", "x", (1 << 20) + 3, 1.0)
-    assert isinstance(grantor.wanted(GRANT_S, wish, 1).answer, LeaseGranted)
-    assert isinstance(grantor.wanted(GRANT_S + 0.2, wish, 2).answer, LeaseGranted)
+    assert isinstance(grantor.decide(GRANT_S, wish, 1).answer, LeaseGranted)
+    assert isinstance(grantor.decide(GRANT_S + 0.2, wish, 2).answer, LeaseGranted)
     other = LeaseRequest("d", "y", (1 << 20) + 4, 1.0)
-    assert isinstance(grantor.wanted(3 * GRANT_S, other, 2).answer, LeaseRejected)  # a term of an epoch that is over
+    assert isinstance(grantor.decide(3 * GRANT_S, other, 2).answer, LeaseRejected)  # a term of an epoch that is over
 
 
 def test_one_that_knows_no_term_has_a_free_duty_within_two_ticks():
     duty = Duty(1)
     duty.clock.run(3.0)
-    duty.grantors = {ip: Grantor(0.0, {"d": ("a", 9 << 20)}) for ip in IPS}  # of an earlier life, and long over
+    duty.grantors = {ip: LeaseGrantor(0.0, {"d": ("a", 9 << 20)}) for ip in IPS}  # of an earlier life, and long over
     duty.rng = random.Random(5)
     for n, ip in enumerate(IPS):
-        duty.holders[ip] = Holder("d", f"{ip}/2", duty.clock.now, random.Random(n))
+        duty.holders[ip] = LeaseHolder("d", f"{ip}/2", duty.clock.now, random.Random(n))
     duty.terms.clear()
-    duty.holders["a"].voters(IPS)
+    duty.holders["a"].set_grantors(IPS)
     duty.clock.run(duty.clock.now + 0.13)
-    assert duty.holders["a"].holds(duty.clock.now) and duty.holders["a"].term > 9 << 20
+    assert duty.holders["a"].holds_lease(duty.clock.now) and duty.holders["a"].term > 9 << 20
 
 
 def test_a_machine_that_has_just_got_a_vote_grants_nothing_new_for_a_leases_time():
     """Else grants of the voters before an exchange and of those after it would make two majorities."""
-    grantor = Grantor(0.0)
+    grantor = LeaseGrantor(0.0)
     grantor.pause(10.0)
     wish = LeaseRequest("d", "x", 5 << 20, 1.0)
-    assert isinstance(grantor.wanted(10.0 + GRANT_S / 2, wish, 1).answer, LeaseRejected)
-    assert isinstance(grantor.wanted(10.0 + GRANT_S, wish, 1).answer, LeaseGranted)
+    assert isinstance(grantor.decide(10.0 + GRANT_S / 2, wish, 1).answer, LeaseRejected)
+    assert isinstance(grantor.decide(10.0 + GRANT_S, wish, 1).answer, LeaseGranted)
     grantor.pause(30.0)
-    assert isinstance(grantor.wanted(30.1, LeaseRequest("d", "y", 6 << 20, 1.0), 1).answer, LeaseRejected)
+    assert isinstance(grantor.decide(30.1, LeaseRequest("d", "y", 6 << 20, 1.0), 1).answer, LeaseRejected)
--- a/tests/system/test_orders.py
+++ b/tests/control/test_orders.py
@@ -52,8 +52,8 @@
     def step(self) -> None:
         while self.waiting and self.being_kept is None:
             change = self.waiting.pop(0)
-            if change.settled(self.state):
-                self.acked.append(change.call)
+            if change.is_redundant(self.state):
+                self.acked.append(change.call_id)
             else:
                 self.being_kept = (change, change.items(self.state))
 
@@ -61,7 +61,7 @@
         change, items = self.being_kept
         self.state.set(self.state.number + 1, items)
         self.being_kept = None
-        self.acked.append(change.call)
+        self.acked.append(change.call_id)
         self.step()
 
     def successor(self, has_last: bool) -> "Leader":
@@ -143,7 +143,7 @@
     assert in_force(successor) == json.loads(document(8, "b"))
     late = orders.parse(document(8, "a"), successor.state)
     assert orders.standing(successor.state, late) is Standing.OTHER_CONTENTS
-    assert orders.replace(1, late).settled(successor.state)
+    assert orders.replace(1, late).is_redundant(successor.state)
 
 
 def stricter(monkeypatch):
@@ -227,11 +227,11 @@
 def order_evacuation(leader: Leader, begin: bool, zone: str = "z") -> bool:
     """Whether it was acknowledged without a change; else it is kept."""
     call = leader.call(lambda number: orders.evacuate(number, zone, begin))
-    settled = call in leader.acked
-    if not settled:
+    acknowledged = call in leader.acked
+    if not acknowledged:
         leader.kept()
     assert call in leader.acked and evacuated(leader, zone) == begin
-    return settled
+    return acknowledged
 
 
 def test_an_evacuation_sent_again_is_a_repeat_only_while_the_zone_is_as_it_asks():
--- a/tests/system/test_service.py
+++ b/tests/control/test_service.py
@@ -2,8 +2,8 @@
 
 import random
 
-from thistleusher.control.interface import Stored, Tell, Write
-from thistleusher.control.leases import GRANT_S, Grantor, Holder
+from thistleusher.control.interface import SendToClient, StoredState, Write
+from thistleusher.control.leases import GRANT_S, LeaseGrantor, LeaseHolder
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.transport.messages import (
@@ -22,59 +22,59 @@
 WISH = LeaseRequest("d", "x/1", 9 << 20, 1.0)
 
 
-def service(stored: Stored) -> ControlService:
+def service(stored: StoredState) -> ControlService:
     node = ControlNode("1", "a", ["1", "2", "3"], False, stored, 0.0, random.Random(1))
-    return ControlService(node, Grantor(0.0))
+    return ControlService(node, LeaseGrantor(0.0))
 
 
 def finish(control: ControlService, now: float, outputs, ok: bool = True) -> list:
     """End the writes that some outputs ask for; what follows from them."""
-    return [out for each in outputs if isinstance(each, Write) for out in control.written(now, each.token, ok)]
+    return [out for each in outputs if isinstance(each, Write) for out in control.write_completed(now, each.token, ok)]
 
 
 def told(outputs) -> list:
-    return [out.message for out in outputs if isinstance(out, Tell)]
+    return [out.message for out in outputs if isinstance(out, SendToClient)]
 
 
 def in_contact(control: ControlService, now: float, view: ViewRecord) -> None:
-    finish(control, now, control.heard(now, view.leader, Heartbeat(view, now, True)))
+    finish(control, now, control.receive(now, view.leader, Heartbeat(view, now, True)))
 
 
 def test_a_grant_is_told_only_once_it_is_on_disk():
-    control = service(Stored(3, VIEW, Position(2, 1, 1)))
+    control = service(StoredState(3, VIEW, Position(2, 1, 1)))
     in_contact(control, 5.0, VIEW)
-    asked = control.heard(5.1, "x", WISH)
+    asked = control.receive(5.1, "x", WISH)
     assert told(asked) == [] and any(isinstance(out, Write) for out in asked)
     assert finish(control, 5.2, asked, ok=False) == []
-    control = service(Stored(3, VIEW, Position(2, 1, 1)))
+    control = service(StoredState(3, VIEW, Position(2, 1, 1)))
     in_contact(control, 5.0, VIEW)
-    asked = control.heard(5.1, "x", WISH)
+    asked = control.receive(5.1, "x", WISH)
     assert [type(message) for message in told(finish(control, 5.2, asked))] == [LeaseGranted]
 
 
 def test_one_that_has_just_got_its_vote_grants_nothing_for_a_leases_time():
     before = ViewRecord(3, "2", ("3",), {"2": "b", "3": "a", "4": "a"})
-    control = service(Stored(0, None, Position(-1, 0, 0)))
+    control = service(StoredState(0, None, Position(-1, 0, 0)))
     for other in ("2", "3"):
-        control.heard(4.0, other, Status(before, 3, True))
+        control.receive(4.0, other, Status(before, 3, True))
     control.tick(4.5)
     view = ViewRecord(4, "2", ("3",), VOTERS)
-    finish(control, 5.0, control.heard(5.0, "2", RecordView(view)))
+    finish(control, 5.0, control.receive(5.0, "2", RecordView(view)))
     in_contact(control, 5.0, view)
     assert control.node.in_contact(5.05)
-    assert [type(message) for message in told(control.heard(5.1, "x", WISH))] == [LeaseRejected]
+    assert [type(message) for message in told(control.receive(5.1, "x", WISH))] == [LeaseRejected]
     late = 5.1 + GRANT_S
     in_contact(control, late, view)
-    assert any(isinstance(out, Write) for out in control.heard(late, "x", WISH))
+    assert any(isinstance(out, Write) for out in control.receive(late, "x", WISH))
 
 
 def test_a_grant_of_an_earlier_term_counts_for_nothing():
-    holder = Holder("d", "x/1", 0.0, random.Random(1))
-    holder.voters(VOTERS)
+    holder = LeaseHolder("d", "x/1", 0.0, random.Random(1))
+    holder.set_grantors(VOTERS)
     holder.tick(0.0, lambda ip, message: None)
     for voter in VOTERS:
-        holder.heard(voter, LeaseGranted("d", holder.term - 1, 0.0))
-    assert not holder.holds(0.1)
+        holder.receive(voter, LeaseGranted("d", holder.term - 1, 0.0))
+    assert not holder.holds_lease(0.1)
     for voter in VOTERS:
-        holder.heard(voter, LeaseGranted("d", holder.term, 0.0))
-    assert holder.holds(0.1)
+        holder.receive(voter, LeaseGranted("d", holder.term, 0.0))
+    assert holder.holds_lease(0.1)
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -259,7 +259,7 @@
     registry.from_control(10.1, "4", CoreInfo(("1", "2", "4"), 3, "4"))
     registry.from_control(10.1, "1", CoreInfo(("1", "2", "3"), 2, "1"))
     asked = {out.address for out in registry.tick(10.5) if isinstance(out, ToControl)}
-    assert asked >= {"4"} and "3" not in asked and registry.holder.patience == 0.0
+    assert asked >= {"4"} and "3" not in asked and registry.holder.attempt_delay_s == 0.0
 
 
 def test_a_page_that_an_earlier_duty_asked_for_is_no_list_of_the_next():
--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -22,11 +22,11 @@
 
     def add(self, call: Call) -> None:
         """A call has come."""
-        self._waiting.append(call._replace(until=self._context.now + HOLD_S))
+        self._waiting.append(call._replace(deadline=self._context.now + HOLD_S))
 
     def put_back(self, change: Change) -> None:
         """A change was begun under a leadership that is over: it may be in force later or not."""
-        self._waiting.appendleft(change._replace(until=self._context.now + 2 * HOLD_S))
+        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * HOLD_S))
 
     def take(self) -> Call:
         """The next call."""
@@ -42,12 +42,12 @@
 
     def expire(self) -> None:
         """Those that have waited too long are refused."""
-        late = [call for call in self._waiting if self._context.now > call.until]
+        late = [call for call in self._waiting if self._context.now > call.deadline]
         if late:
-            self._waiting = deque(call for call in self._waiting if self._context.now <= call.until)
+            self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
         for call in late:
-            self._context.answer(call.call, Failure(Kind.NO_LEADER))
+            self._context.answer(call.call_id, Failure(Kind.NO_LEADER))
 
     def _answer_all(self, failure: Failure) -> None:
         while self._waiting:
-            self._context.answer(self._waiting.popleft().call, failure)
+            self._context.answer(self._waiting.popleft().call_id, failure)
--- a/thistleusher/control/context.py
+++ b/thistleusher/control/context.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from thistleusher.common.events import Event
-from thistleusher.control.interface import Answer, Note, Output, Send
+from thistleusher.control.interface import Answer, LogEvent, Output, Send
 from thistleusher.transport.messages import AnyMessage
 
 
@@ -42,7 +42,7 @@
 
     def note(self, event: Event, *fields: object) -> None:
         """An event for the log."""
-        self.emit(Note(event, fields))
+        self.emit(LogEvent(event, fields))
 
     def flush(self) -> list[Output]:
         """What has gone out since the last flush."""
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -12,7 +12,7 @@
 
 from thistleusher.common.events import Event
 from thistleusher.control.context import Context
-from thistleusher.control.interface import Records, Stored, Write
+from thistleusher.control.interface import Records, StoredState, Write
 from thistleusher.control.replica import Replica
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
@@ -28,7 +28,7 @@
 
 def joined(parts: list[Records]) -> Records:
     """Several writes as one: of what stands in several, the last."""
-    whole, items = False, None
+    complete, items = False, None
     merged = Records()
     for part in parts:
         given = {name: value for name, value in part._asdict().items() if value is not None}
@@ -37,13 +37,13 @@
         merged = merged._replace(**given)
         if part.items is not None:
             items = _joined_items(items, part)
-            whole = whole or part.whole
-    return merged._replace(items=items, whole=whole)
+            complete = complete or part.complete
+    return merged._replace(items=items, complete=complete)
 
 
 def _joined_items(items: Items | None, part: Records) -> Items:
     assert part.items is not None
-    if part.whole or items is None:
+    if part.complete or items is None:
         return dict(part.items)
     return {**items, **part.items}
 
@@ -55,7 +55,7 @@
 class Durable:
     """One node's."""
 
-    def __init__(self, context: Context, stored: Stored) -> None:
+    def __init__(self, context: Context, stored: StoredState) -> None:
         self._context = context
         self.promised = stored.promised
         self.view = stored.view  # the newest that is known
@@ -96,10 +96,10 @@
         if self._waiting and not self._in_flight:
             self._start()
 
-    def keep_replica(self, items: Items | None, whole: bool, after: After) -> None:
+    def keep_replica(self, items: Items | None, complete: bool, after: After) -> None:
         """Have the replica's position on disk, with what was changed by it."""
         replica = self.replica
-        self.write(Records(position=replica.position, floor=replica.state.floor, items=items, whole=whole), after)
+        self.write(Records(position=replica.position, floor=replica.state.floor, items=items, complete=complete), after)
 
     def adopt(self, view: ViewRecord) -> None:
         """A view was recorded somewhere: this machine knows it, and may hold or vote for nothing any more."""
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -84,7 +84,7 @@
         self._role.candidacy = candidacy
         position = self._durable.replica.enter(FIRST_EPOCH)
         context.note(Event.CANDIDATE, FIRST_EPOCH, "founding")
-        records = Records(position=position, items={}, whole=True)
+        records = Records(position=position, items={}, complete=True)
         self._role.promise(FIRST_EPOCH, records, self._install)
 
     # Standing.
@@ -107,7 +107,7 @@
         learners = self._joining.learners.present()
         return max((learners[name].promised for name in voters if name in learners), default=0)
 
-    def linked(self, other: str) -> None:
+    def connected(self, other: str) -> None:
         """A connection to another machine stands anew: what was said to it before may be lost."""
         candidacy = self._role.candidacy
         if candidacy is not None and candidacy.stage == "vote" and other not in candidacy.votes:
--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -21,7 +21,7 @@
     message: AnyMessage
 
 
-class Tell(NamedTuple):
+class SendToClient(NamedTuple):
     """A message to a follower that is connected, by its name."""
 
     name: str
@@ -40,7 +40,7 @@
     position: Position | None = None
     floor: int = 0
     items: Items | None = None
-    whole: bool = False
+    complete: bool = False
     leases: Mapping[str, tuple[str, int]] | None = None  # duty -> machine, term (`leases.Grantor`)
 
 
@@ -54,7 +54,7 @@
 class Answer(NamedTuple):
     """The one answer to a call: None for kept, a document, or a Failure."""
 
-    call: int
+    call_id: int
     answer: Any
 
 
@@ -71,15 +71,15 @@
     items: Items
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """An event for the log."""
 
     event: Event
     fields: tuple[object, ...]
 
 
-Output = Send | Write | Answer | Publish | PublishChange | Note
-Outward = Output | Tell
+Output = Send | Write | Answer | Publish | PublishChange | LogEvent
+ServiceOutput = Output | SendToClient
 
 
 class Change(NamedTuple):
@@ -89,37 +89,37 @@
     removes).
     """
 
-    call: int
-    settled: Callable[[State], bool]
+    call_id: int
+    is_redundant: Callable[[State], bool]
     items: Callable[[State], dict[str, Any]]
-    what: str
-    until: float = 0.0
+    description: str
+    deadline: float = 0.0
 
 
-class Unread(NamedTuple):
+class DeferredChange(NamedTuple):
     """An order that only a leader reads: whoever does not lead refuses nothing for good.
 
     `change` makes it a change of the state in force, or raises the Failure that it is refused by.
     """
 
-    call: int
+    call_id: int
     change: Callable[[State], Change]
-    until: float = 0.0
+    deadline: float = 0.0
 
 
 class Read(NamedTuple):
     """A call that is answered from the state, by a leader whose lease stands."""
 
-    call: int
+    call_id: int
     answer: Callable[[State], Any]
-    until: float = 0.0
+    deadline: float = 0.0
 
 
-Call = Change | Unread | Read
+Call = Change | DeferredChange | Read
 
 
 @dataclass(slots=True)
-class Stored:
+class StoredState:
     """All that a disk holds, as read at the start of a process; an empty disk gives the defaults."""
 
     promised: int = 0
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -76,7 +76,7 @@
         """`bootstrap`: the system starts for the first time."""
         self._context, self._durable, self._role = context, durable, role
         self.founding = bootstrap and durable.view is None and durable.promised == 0
-        self.forgotten = durable.view is None and not self.founding
+        self.state_lost = durable.view is None and not self.founding
         self.ready = False  # without a vote, and knows by a majority what is promised: it may be given one
         self.founders: dict[str, Founder] = {}
         self.learners = Learners(context)
@@ -84,12 +84,12 @@
         self._ask_at = context.now
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this machine has a vote by the newest view that it knows."""
         view = self._durable.view
-        return not self.founding and not self.forgotten and view is not None and self._context.me in view.voters
+        return not self.founding and not self.state_lost and view is not None and self._context.me in view.voters
 
-    def others(self) -> list[str]:
+    def known_peers(self) -> list[str]:
         """All machines of the core that are known, but this one."""
         view = self._durable.view
         voters = view.voters if view is not None else {}
@@ -99,7 +99,7 @@
         """A view was recorded, by which this machine votes or does not."""
         self.founding = False
         if votes:
-            self.forgotten, self.ready = False, False
+            self.state_lost, self.ready = False, False
 
     # Founding.
 
@@ -126,20 +126,20 @@
             return
         self._ask_at = self._context.now + RETRY_S
         position = self._durable.position
-        for other in self.others():
+        for other in self.known_peers():
             self._context.send(other, StatusRequest(self._context.zone, self.ready, position, self._durable.promised))
 
     def on_status(self, sender: str, message: Status) -> None:
         """What another machine knows."""
         if self.founding and self._durable.promised == 0:
-            self.founding, self.forgotten = False, True  # founded without this one's knowing, or without this one
+            self.founding, self.state_lost = False, True  # founded without this one's knowing, or without this one
         if message.leader_heard:
             self._role.leader_seen_at = self._context.now
             if sender == message.view.leader:
                 self._role.confirmed = max(self._role.confirmed, message.view.epoch)
-        if not self.forgotten:
+        if not self.state_lost:
             self._durable.adopt(message.view)
-            if self.votes:
+            if self.is_voter:
                 return
         self._context.known.update(message.view.voters)
         self._told[sender] = message
@@ -176,7 +176,7 @@
     def _remembered(self, newest: ViewRecord, ok: bool) -> None:
         if not ok:
             return
-        self.forgotten = False
+        self.state_lost = False
         self._durable.recorded = max(self._durable.recorded, newest.epoch)
         holders, voters = ", ".join(newest.replicas), ", ".join(sorted(newest.voters))
         self._context.note(Event.VIEW, newest.epoch, newest.leader, holders, voters)
@@ -186,7 +186,7 @@
     def on_status_request(self, sender: str, message: StatusRequest) -> None:
         """A machine without a vote asks what is known here."""
         view = self._durable.view
-        if view is None or self.forgotten or self.founding:
+        if view is None or self.state_lost or self.founding:
             return
         self.tell_status(sender)
         if sender in view.voters:
@@ -199,5 +199,5 @@
         view = self._durable.view
         if view is None:
             return
-        heard = self._role.holds(self._context.now) or self._role.leader_seen()
+        heard = self._role.holds_lease(self._context.now) or self._role.leader_seen()
         self._context.send(to, Status(view, self._durable.promised, heard))
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -16,7 +16,7 @@
 from thistleusher.control.context import Context
 from thistleusher.control.durable import Durable
 from thistleusher.control.elections import Elections
-from thistleusher.control.interface import Call, Change, Publish, PublishChange, Read, Unread
+from thistleusher.control.interface import Call, Change, DeferredChange, Publish, PublishChange, Read
 from thistleusher.control.joining import Joining, Learner
 from thistleusher.control.role import Candidacy, Leadership, Pending, Role
 from thistleusher.control.timing import (
@@ -96,11 +96,11 @@
         now = self._context.now
         if now >= self._heartbeat_at:
             self._send_heartbeats(leadership)
-        if now > leadership.until() + LEASE_S:
+        if now > leadership.expires_at() + LEASE_S:
             self._role.step_down("no majority")
         elif leadership.disk_since is not None and now - leadership.disk_since > DISK_S:
             self._role.step_down("the disk is slow")
-        elif now < leadership.until():
+        elif now < leadership.expires_at():
             self._repeat_pending(leadership)
             self._reconsider(leadership)
             if self._role.leadership is leadership and self._role.stopping:
@@ -114,14 +114,14 @@
         now = self._context.now
         self._heartbeat_at = now + HEARTBEAT_S
         leadership.acked[self._context.me] = leadership.heard[self._context.me] = now
-        holds = now < leadership.until()
+        holds = now < leadership.expires_at()
         for voter in leadership.view.voters:
             if voter != self._context.me:
                 hears = now - leadership.heard.get(voter, NEVER) < LEASE_S
                 self._context.send(voter, Heartbeat(leadership.view, now, holds and hears))
         if now >= self._status_at:  # machines without a vote must know whom to ask for one
             self._status_at = now + 2 * RETRY_S
-            for other in self._joining.others():
+            for other in self._joining.known_peers():
                 if other not in leadership.view.voters:
                     self._joining.tell_status(other)
 
@@ -218,7 +218,7 @@
     def on_leaving(self, sender: str, message: Leaving) -> None:
         """A voter's process is about to end."""
         self._role.leaving[sender] = self._context.now
-        if self._role.holds(self._context.now):
+        if self._role.holds_lease(self._context.now):
             self.lead()
 
     def on_step_down(self, sender: str, message: StepDown) -> None:
@@ -300,7 +300,7 @@
         elif message.epoch == leadership.view.epoch:
             # The others go on with it until it may begin anew above that promise.
             calm = leadership.pending is None and now - leadership.since > STEADY_S
-            if now > leadership.until() or calm:
+            if now > leadership.expires_at() or calm:
                 self._durable.promised = max(self._durable.promised, message.promised)
                 self.elections.stand("a voter has promised more")
 
@@ -353,23 +353,23 @@
 
     def _may_serve(self, leadership: Leadership) -> bool:
         current = self._role.leadership is leadership and not self._role.stopping
-        return current and leadership.pending is None and self._context.now < leadership.until()
+        return current and leadership.pending is None and self._context.now < leadership.expires_at()
 
     def _serve_one(self, leadership: Leadership, call: Call) -> None:
         state = self._durable.replica.state
         try:
             if isinstance(call, Read):
-                self._context.answer(call.call, call.answer(state))
+                self._context.answer(call.call_id, call.answer(state))
             else:
-                self._serve_change(leadership, call.change(state) if isinstance(call, Unread) else call)
+                self._serve_change(leadership, call.change(state) if isinstance(call, DeferredChange) else call)
         except Failure as failure:
-            self._context.answer(call.call, failure)
+            self._context.answer(call.call_id, failure)
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Keep a change, or acknowledge one that the state in force makes needless."""
-        if change.settled(self._durable.replica.state):
-            self._context.note(Event.UNALTERED, change.what)
-            self._context.answer(change.call, None)
+        if change.is_redundant(self._durable.replica.state):
+            self._context.note(Event.UNALTERED, change.description)
+            self._context.answer(change.call_id, None)
         else:
             self._begin_change(leadership, change)
 
@@ -424,9 +424,9 @@
             return
         pending = leadership.pending
         everywhere = pending.here and pending.there >= set(leadership.view.replicas)
-        if not everywhere or self._context.now >= leadership.until():
+        if not everywhere or self._context.now >= leadership.expires_at():
             return
         leadership.pending = None
-        self._context.note(Event.KEPT, pending.position.number, pending.change.what)
-        self._context.answer(pending.change.call, None)
+        self._context.note(Event.KEPT, pending.position.number, pending.change.description)
+        self._context.answer(pending.change.call_id, None)
         self._context.emit(PublishChange(pending.position.number, pending.items))
--- a/thistleusher/control/leases.py
+++ b/thistleusher/control/leases.py
@@ -49,7 +49,7 @@
     return holder.partition("/")[0]
 
 
-class Grantor:
+class LeaseGrantor:
     """One machine's grants."""
 
     def __init__(self, now: float, kept: Mapping[str, tuple[str, int]] | None = None) -> None:
@@ -59,7 +59,7 @@
             duty: Grant(f"{machine}/", term, now + GRANT_S) for duty, (machine, term) in (kept or {}).items()
         }
 
-    def wanted(self, now: float, request: LeaseRequest, epoch: int) -> Decision:
+    def decide(self, now: float, request: LeaseRequest, epoch: int) -> Decision:
         """A wish for a duty; `epoch` is that of the control state."""
         grant = self.grants.setdefault(request.duty, Grant("/", 0, self.begun + GRANT_S))
         same_machine = machine_of(request.holder) == machine_of(grant.holder)
@@ -78,18 +78,18 @@
         for grant in self.grants.values():
             grant.until = max(grant.until, now + GRANT_S)
 
-    def kept(self) -> dict[str, tuple[str, int]]:
+    def to_records(self) -> dict[str, tuple[str, int]]:
         """What the next life must know."""
         return {duty: (machine_of(grant.holder), grant.term) for duty, grant in self.grants.items()}
 
-    def released(self, message: LeaseReleased) -> None:
+    def release(self, message: LeaseReleased) -> None:
         """A holder ends in order, or has not got a majority and asks no more."""
         grant = self.grants.get(message.duty)
         if grant is not None and grant.holder == message.holder and grant.term == message.term:
             grant.until = float("-inf")
 
 
-class Holder:
+class LeaseHolder:
     """One that would do a duty. `me` names its machine and this life, parted by a slash.
 
     An attempt is one term: asked of all, and given back after `ROUND_S` without a majority. Each minority would else
@@ -106,13 +106,13 @@
         self.had = False  # it has had a majority's grant under it
         self.next = now
         self.hinted = False  # a grantor is free, and has only seen a higher term
-        self.patience = 0.0  # waited for before an attempt, by one that had better not hold the duty
+        self.attempt_delay_s = 0.0  # waited for before an attempt, by one that had better not hold the duty
 
-    def voters(self, grantors: Iterable[str]) -> None:
+    def set_grantors(self, grantors: Iterable[str]) -> None:
         """The grantors that count."""
         self.grantors = frozenset(grantors)
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """When the lease is over; in the past where there is none."""
         majority = len(self.grantors) // 2 + 1
         asked = sorted((at for ip, at in self.granted.items() if ip in self.grantors), reverse=True)
@@ -120,19 +120,19 @@
             return float("-inf")
         return asked[majority - 1] + GRANT_S - MARGIN_S
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether this one does the duty now."""
-        return now < self.until()
+        return now < self.expires_at()
 
     def tick(self, now: float, send: Callable[[str, Message], object]) -> None:
         """Ask all grantors when it is time."""
         if now < self.next or not self.grantors:
             return
-        holds = self.holds(now)
+        holds = self.holds_lease(now)
         self.had = self.had or holds
         if self.begun is not None and not holds and (self.had or self.hinted or now - self.begun > ROUND_S):
-            self.give_back(send)
-            self.next = now if self.hinted else now + self.patience + self.rng.random() * ROUND_S
+            self.release(send)
+            self.next = now if self.hinted else now + self.attempt_delay_s + self.rng.random() * ROUND_S
             self.hinted = False
             return
         if self.begun is None:
@@ -141,7 +141,7 @@
         for ip in sorted(self.grantors):
             send(ip, LeaseRequest(self.duty, self.me, self.term, now))
 
-    def give_back(self, send: Callable[[str, Message], object]) -> None:
+    def release(self, send: Callable[[str, Message], object]) -> None:
         """Ask no more under this term."""
         if self.begun is None:
             return
@@ -150,7 +150,7 @@
         self.begun, self.granted, self.had = None, {}, False
         self.highest = max(self.highest, self.term)
 
-    def heard(self, sender: str, message: LeaseGranted | LeaseRejected) -> None:
+    def receive(self, sender: str, message: LeaseGranted | LeaseRejected) -> None:
         """A grantor's answer."""
         if isinstance(message, LeaseGranted):
             if message.term == self.term and self.begun is not None:
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -37,7 +37,7 @@
 from thistleusher.control.calls import Calls
 from thistleusher.control.context import Context
 from thistleusher.control.durable import Durable
-from thistleusher.control.interface import Call, Output, Stored
+from thistleusher.control.interface import Call, Output, StoredState
 from thistleusher.control.joining import Joining
 from thistleusher.control.leader import Leading
 from thistleusher.control.role import Leadership, Role
@@ -80,7 +80,7 @@
         zone: str,
         seeds: Iterable[str],
         bootstrap: bool,
-        stored: Stored,
+        stored: StoredState,
         now: float,
         rng: random.Random,
         tolerance: int = 1,
@@ -128,7 +128,7 @@
         self._context.advance(now)
         if self._joining.founding:
             self._elections.found()
-        elif self._joining.votes:
+        elif self._joining.is_voter:
             self._take_part()
         elif not self._role.stopping:
             self._joining.ask()
@@ -138,7 +138,7 @@
         self._calls.expire()
         return self._context.flush()
 
-    def message(self, now: float, sender: str, message: AnyMessage) -> list[Output]:
+    def receive(self, now: float, sender: str, message: AnyMessage) -> list[Output]:
         """A message from another machine of the core. One that a node does not take changes nothing."""
         self._context.advance(now)
         self._context.known.add(sender)
@@ -151,23 +151,23 @@
         """Whether a message is one for a control node."""
         return type(message) in self._handlers
 
-    def linked(self, now: float, other: str) -> list[Output]:
+    def connected(self, now: float, other: str) -> list[Output]:
         """A connection to a machine of the core stands anew: what was said to it before may be lost."""
         self._context.advance(now)
-        self._elections.linked(other)
+        self._elections.connected(other)
         return self._context.flush()
 
-    def written(self, now: float, token: int, ok: bool) -> list[Output]:
+    def write_completed(self, now: float, token: int, ok: bool) -> list[Output]:
         """A write has ended; `ok`: it is on disk."""
         self._context.advance(now)
         self._durable.written(token, ok)
         return self._context.flush()
 
-    def call(self, now: float, call: Call) -> list[Output]:
+    def submit(self, now: float, call: Call) -> list[Output]:
         """A call from outside; its `Answer` comes now, or within about `HOLD_S` where nobody leads."""
         self._context.advance(now)
         if self._role.stopping:
-            self._context.answer(call.call, Failure(Kind.ENDING))
+            self._context.answer(call.call_id, Failure(Kind.ENDING))
         else:
             self._calls.add(call)
             self._leading.serve()
@@ -183,7 +183,7 @@
         self._leave()
         return self._context.flush()
 
-    def reseed(self, seeds: Iterable[str]) -> None:
+    def add_seeds(self, seeds: Iterable[str]) -> None:
         """The settings name other seeds; what was ever learned is kept."""
         self._context.seeds |= set(seeds)
 
@@ -215,41 +215,41 @@
         return self._role.leadership
 
     @property
-    def forgotten(self) -> bool:
+    def state_lost(self) -> bool:
         """Whether the disk was empty, and not enough of the others have told yet."""
-        return self._joining.forgotten
+        return self._joining.state_lost
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this machine has a vote by the newest view that it knows."""
-        return self._joining.votes
+        return self._joining.is_voter
 
     @property
     def founding(self) -> bool:
         """Whether the system starts for the first time."""
         return self._joining.founding
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether this machine leads, and its lease stands at that time."""
-        return self._role.holds(now)
+        return self._role.holds_lease(now)
 
     def in_contact(self, now: float) -> bool:
         """Whether this machine votes, and has been in contact with a majority's leader of late."""
-        return self._joining.votes and self._role.in_contact(now)
+        return self._joining.is_voter and self._role.in_contact(now)
 
-    def others(self) -> list[str]:
+    def known_peers(self) -> list[str]:
         """All machines of the core that are known, but this one."""
-        return self._joining.others()
+        return self._joining.known_peers()
 
     @property
-    def may_end(self) -> bool:
+    def can_stop(self) -> bool:
         """Whether others hold what this process held: after `stop` it may end."""
         view, me = self._durable.view, self._context.me
         if view is None:
             return True
         if me in view.before:  # as a voter before it, it may be asked what follows
             return False
-        if not self._joining.votes:  # a copy of a later epoch: that is to give it a vote
+        if not self._joining.is_voter:  # a copy of a later epoch: that is to give it a vote
             return self._durable.replica.epoch <= view.epoch
         if self._role.confirmed < view.epoch:  # known, but its leader has not been heard: it may not have begun
             return False
@@ -280,7 +280,7 @@
     def _leave(self) -> None:
         """Tell whoever must know that this process is about to end, again and again."""
         view, now = self._durable.view, self._context.now
-        if view is None or now < self._leave_at or self.may_end:
+        if view is None or now < self._leave_at or self.can_stop:
             return
         self._leave_at = now + RETRY_S
         if view.leader == self._context.me:
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -38,7 +38,7 @@
     was_taken,
 )
 from thistleusher.common.failures import Failure, Kind
-from thistleusher.control.interface import Change, Read, Unread
+from thistleusher.control.interface import Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
 MOST_ZONE_BYTES = 400  # zones' names are keys on the disk, which bounds them at 511
@@ -106,17 +106,17 @@
     """The change that a configuration asks for."""
     number, digest = order.identity
 
-    def settled(state: State) -> bool:
+    def is_redundant(state: State) -> bool:
         return number_of(state) >= number
 
     def items(state: State) -> dict[str, Any]:
         assert order.parts is not None, "a repeat is settled wherever it was taken"
         return difference(state, order.parts)
 
-    return Change(call, settled, items, f"configuration {number:08x}, contents {digest[:DIGEST_SHOWN]}")
+    return Change(call, is_redundant, items, f"configuration {number:08x}, contents {digest[:DIGEST_SHOWN]}")
 
 
-def replace_unread(call: int, document: bytes) -> Unread:
+def replace_unread(call: int, document: bytes) -> DeferredChange:
     """The same of a document that is read by whoever leads then. Failure(INVALID) with all faults in one line."""
 
     def change(state: State) -> Change:
@@ -126,14 +126,14 @@
             faults = "; ".join(str(error) for error in group.exceptions)
             raise Failure(Kind.INVALID, faults[:MOST_REASON]) from None
         made = replace(call, order)
-        return made._replace(what=f"{made.what}, {standing(state, order).value}")
+        return made._replace(description=f"{made.description}, {standing(state, order).value}")
 
-    return Unread(call, change)
+    return DeferredChange(call, change)
 
 
-def evacuate_unread(call: int, zone: str, begin: bool) -> Unread:
+def evacuate_unread(call: int, zone: str, begin: bool) -> DeferredChange:
     """The same of an evacuation's begin or end."""
-    return Unread(call, lambda state: evacuate(call, zone, begin))
+    return DeferredChange(call, lambda state: evacuate(call, zone, begin))
 
 
 def evacuate(call: int, zone: str, begin: bool) -> Change:
@@ -145,7 +145,7 @@
         raise Failure(Kind.INVALID, f"no such zone: {zone[:60]!r}")
     name = f"evac:{zone}"
 
-    def settled(state: State) -> bool:
+    def is_redundant(state: State) -> bool:
         held = state.value(name)
         return (held is not None and bool(held["on"])) == begin
 
@@ -153,7 +153,7 @@
         held = state.value(name)
         return {name: {"on": begin, "n": (held["n"] if held else 0) + 1}}
 
-    return Change(call, settled, items, f"evacuation of {zone}: {'begin' if begin else 'finish'}")
+    return Change(call, is_redundant, items, f"evacuation of {zone}: {'begin' if begin else 'finish'}")
 
 
 def read(call: int) -> Read:
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -18,8 +18,8 @@
 from thistleusher.common.node_settings import CONTROL
 from thistleusher.common.process import Settings, serve
 from thistleusher.control import orders
-from thistleusher.control.interface import Answer, Call, Note, Outward, Send, Tell, Write
-from thistleusher.control.leases import Grantor
+from thistleusher.control.interface import Answer, Call, LogEvent, Send, SendToClient, ServiceOutput, Write
+from thistleusher.control.leases import LeaseGrantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.control.storage import Storage
@@ -60,7 +60,7 @@
         node = ControlNode(
             boot.ip, boot.zone, boot.core_ips, boot.bootstrap, stored, now, random.Random(), boot.tolerance.machines
         )
-        self.service = ControlService(node, Grantor(now, stored.leases))
+        self.service = ControlService(node, LeaseGrantor(now, stored.leases))
         self.dials: dict[str, Dial] = {}
         self.links: dict[str, Link] = {}  # those that came, by name
         self.listener = Listener(self.loop, self._heard, self._gone)
@@ -91,7 +91,7 @@
         self.api.stopping = self.api.leaving = True
         self._carry(self.service.stop(time.monotonic()))
         until = time.monotonic() + self.boot.bounds.grace_s - GRACE_LEFT_S
-        while not self.service.node.may_end and time.monotonic() < until:
+        while not self.service.node.can_stop and time.monotonic() < until:
             await asyncio.sleep(HAND_OVER_S)
         await asyncio.sleep(LAST_WORDS_S)
         self.api.close()
@@ -102,11 +102,11 @@
 
     def _changed(self) -> None:
         self.boot = self.settings.boot
-        self.service.node.reseed(self.boot.core_ips)
+        self.service.node.add_seeds(self.boot.core_ips)
 
     def tick(self) -> None:
         """A tick of the service; connections to all of the core that is known."""
-        for ip in self.service.node.others():
+        for ip in self.service.node.known_peers():
             if ip not in self.dials:
                 self.dials[ip] = self._dial(ip)
         self._carry(self.service.tick(time.monotonic()))
@@ -115,7 +115,7 @@
         return Dial(self.loop, ip, self.boot.port(CONTROL), lambda: self._hello(ip), self._from_dial)
 
     def _hello(self, ip: str) -> Hello:
-        self.loop.call_soon(lambda: self._carry(self.service.linked(time.monotonic(), ip)))
+        self.loop.call_soon(lambda: self._carry(self.service.connected(time.monotonic(), ip)))
         return Hello(self.boot.ip)
 
     # Messages.
@@ -130,38 +130,38 @@
             return
         if link.name:
             self.links[link.name] = link
-            self._carry(self.service.heard(time.monotonic(), link.name, message))
+            self._carry(self.service.receive(time.monotonic(), link.name, message))
 
     def _gone(self, link: Link) -> None:
         if self.links.get(link.name) is link:
             del self.links[link.name]
-            self.service.gone(link.name)
+            self.service.disconnected(link.name)
 
     def _written(self, token: int, ok: bool) -> None:
         self.loop.call_soon_threadsafe(self._ended, token, ok)
 
     def _ended(self, token: int, ok: bool) -> None:
-        self._carry(self.service.written(time.monotonic(), token, ok))
+        self._carry(self.service.write_completed(time.monotonic(), token, ok))
 
     # Outputs.
 
-    def _carry(self, outputs: Iterable[Outward]) -> None:
+    def _carry(self, outputs: Iterable[ServiceOutput]) -> None:
         for out in outputs:
             if isinstance(out, Send):
                 dial = self.dials.get(out.to)
                 if dial is not None:
                     dial.send(out.message)
-            elif isinstance(out, Tell):
+            elif isinstance(out, SendToClient):
                 link = self.links.get(out.name)
                 if link is not None:
                     link.send(out.message)
             elif isinstance(out, Write):
                 self.storage.write(out.token, out.records)
             elif isinstance(out, Answer):
-                done = self.waiting.pop(out.call, None)
+                done = self.waiting.pop(out.call_id, None)
                 if done is not None:
                     done(out.answer)
-            elif isinstance(out, Note):
+            elif isinstance(out, LogEvent):
                 say(out.event, *out.fields)
 
     # Calls.
@@ -169,7 +169,7 @@
     def _call(self, make: Callable[[int], Call], done: Done) -> None:
         number = self.service.calls + 1
         self.waiting[number] = self._answered(done)
-        _, outputs = self.service.call(time.monotonic(), make)
+        _, outputs = self.service.submit(time.monotonic(), make)
         self._carry(outputs)
 
     def _answered(self, done: Done) -> Done:
@@ -178,7 +178,7 @@
         def tell(answer: Any) -> None:
             if isinstance(answer, Failure) and answer.kind is Kind.ELSEWHERE:
                 answer = Failure(Kind.ELSEWHERE, where=f"{answer.where}:{self.control_port}")
-            elif self._rests_on_lease(answer) and not self.service.node.holds(time.monotonic()):
+            elif self._rests_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
                 answer = Failure(Kind.NO_LEADER)
             done(Kept() if answer is None else answer)
 
--- a/thistleusher/control/replica.py
+++ b/thistleusher/control/replica.py
@@ -12,7 +12,7 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-from thistleusher.control.interface import Stored
+from thistleusher.control.interface import StoredState
 from thistleusher.transport.messages import Install, Items, Position
 from thistleusher.transport.state_updates import State
 
@@ -30,7 +30,7 @@
 class Replica:
     """A copy of the control state."""
 
-    def __init__(self, stored: Stored) -> None:
+    def __init__(self, stored: StoredState) -> None:
         self.position = stored.position
         self.state = State(stored.position.number, stored.items, stored.floor)
         self._history: OrderedDict[int, int] = OrderedDict({stored.position.number: stored.position.written_in})
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -57,7 +57,7 @@
     disk_since: float | None = None  # since when the leader's own disk has been writing a change
     behind: dict[str, tuple[Position, float]] = field(default_factory=dict)  # replicas: where their copy is, since when
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """To when the lease stands."""
         acked = sorted((self.acked.get(voter, NEVER) for voter in self.view.voters), reverse=True)
         return acked[self.view.majority - 1] + LEASE_S
@@ -109,16 +109,16 @@
             # The leader was an earlier life of this very process: nobody guards that from its own machine.
             self.leader_heard_at, self.stand_at = NEVER, context.now + RETURN_S
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether this machine leads, and its lease stands at that time."""
-        return self.leadership is not None and now < self.leadership.until()
+        return self.leadership is not None and now < self.leadership.expires_at()
 
     def in_contact(self, now: float) -> bool:
         """Whether this machine votes and was in contact with a leader that has a majority, or is that leader."""
         view = self._durable.view
         if view is None or self._context.me not in view.voters:
             return False
-        return self.holds(now) or now - self.contact_at < CONTACT_S
+        return self.holds_lease(now) or now - self.contact_at < CONTACT_S
 
     def leader_seen(self) -> bool:
         """Whether callers may be sent to the leader."""
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from thistleusher.common.events import Event, say
-from thistleusher.control.interface import Records, Stored
+from thistleusher.control.interface import Records, StoredState
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
 MAP_MB = 96
@@ -44,7 +44,7 @@
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
 
-    def read(self) -> Stored:
+    def read(self) -> StoredState:
         """What an earlier life kept. What cannot be read counts as forgotten: nothing, rather than half."""
         with self._environment.begin() as transaction:
             raw = {bytes(key): bytes(value) for key, value in transaction.cursor()}
@@ -52,7 +52,7 @@
             return _stored(raw)
         except UNREADABLE as error:
             say(Event.DISK, f"not readable, counts as lost: {error!r}")
-            return Stored()
+            return StoredState()
 
     def write(self, token: int, records: Records) -> None:
         """Have records written together."""
@@ -85,7 +85,7 @@
     if records.position is not None:
         transaction.put(POSITION, msgpack.packb([msgspec.to_builtins(records.position), records.floor]))
     if records.items is not None:
-        _put_items(transaction, records.items, records.whole)
+        _put_items(transaction, records.items, records.complete)
 
 
 def _put_items(transaction: Any, items: Items, whole: bool) -> None:
@@ -98,8 +98,8 @@
         transaction.put(ITEM + name.encode(), msgpack.packb(item))
 
 
-def _stored(raw: Raw) -> Stored:
-    stored = Stored()
+def _stored(raw: Raw) -> StoredState:
+    stored = StoredState()
     if PROMISE in raw:
         promise = msgpack.unpackb(raw[PROMISE])
         stored.promised = promise["e"] if isinstance(promise, dict) else promise
@@ -128,7 +128,7 @@
     return msgspec.convert(table, ViewRecord)
 
 
-def _read_old_copy(raw: bytes, stored: Stored) -> None:
+def _read_old_copy(raw: bytes, stored: StoredState) -> None:
     """The whole state under one key, as releases before 0.2 wrote it."""
     table = msgpack.unpackb(raw, strict_map_key=False)
     state = table["s"]
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -50,7 +50,7 @@
     def on_vote_request(self, sender: str, message: VoteRequest) -> None:
         """A candidate asks for an epoch."""
         durable, role = self._durable, self._role
-        if durable.view is None or self._joining.forgotten:
+        if durable.view is None or self._joining.state_lost:
             return
         durable.adopt(message.view)
         view = durable.view
@@ -66,7 +66,7 @@
 
     def _helps_another(self, sender: str, view: ViewRecord) -> bool:
         guarded = self._role.guarded() and sender != view.leader
-        return guarded or self._role.holds(self._context.now)
+        return guarded or self._role.holds_lease(self._context.now)
 
     def _promise(self, sender: str, epoch: int, view: ViewRecord) -> None:
         role = self._role
@@ -123,7 +123,7 @@
 
     def _may_record(self, view: ViewRecord) -> bool:
         """A voter may, also one that is taken out; one without a vote if it is named and knows what was promised."""
-        if self._joining.forgotten:
+        if self._joining.state_lost:
             return self._joining.ready and self._context.me in view.voters
         known = self._durable.view
         was_voter = known is not None and self._context.me in known.deciders
@@ -151,7 +151,7 @@
         promised_more = message.epoch < self._durable.promised
         if joining.founding:
             return sender in self._context.seeds and not promised_more
-        if view is None or (joining.forgotten and not joining.ready):
+        if view is None or (joining.state_lost and not joining.ready):
             return False
         if me not in view.voters:
             return joining.ready and (
@@ -176,7 +176,7 @@
             position=position,
             floor=durable.replica.state.floor,
             items=message.items,
-            whole=message.base is None,
+            complete=message.base is None,
         )
         if durable.view is None or message.epoch > durable.view.epoch:
             self._role.candidacy = None
@@ -234,7 +234,7 @@
     def on_heartbeat(self, sender: str, message: Heartbeat) -> None:
         """The leader of an epoch is there."""
         durable, role, view = self._durable, self._role, message.view
-        if self._joining.forgotten and not self._joining.ready:
+        if self._joining.state_lost and not self._joining.ready:
             return
         if view.epoch < durable.promised:
             self._depose(sender, view)
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -16,7 +16,7 @@
 
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.events import Event
-from thistleusher.control.leases import Holder
+from thistleusher.control.leases import LeaseHolder
 from thistleusher.registry.charges import ChargeLedger
 from thistleusher.registry.counts import Counts
 from thistleusher.registry.instances import Garbage, Survey
@@ -90,7 +90,7 @@
         """`me` names the machine and this life; `polls`: there is a platform, whose bound on calls is `rate_per_s`."""
         self.me, self.address, self.rate_per_s, self.polls = me, address, rate_per_s, polls
         self.core = CoreMembers()
-        self.holder = Holder(DUTY, me, now, rng)
+        self.holder = LeaseHolder(DUTY, me, now, rng)
         self.control = Subscriber(me)  # of the control state
         self.configuration = ConfigurationFollower()
         self.list = Subscriber(me)  # of the registry that holds the duty, or its own
@@ -117,7 +117,7 @@
     def stop(self) -> list[Output]:
         """This process ends in order: the duty is given back."""
         if self.on_duty:
-            self.holder.give_back(self._to_control)
+            self.holder.release(self._to_control)
         self._end_duty("this process ends")
         return self._flush()
 
@@ -126,7 +126,7 @@
         self._check_lease(now)
         reply: AnyMessage | None = None
         if isinstance(message, LeaseGranted | LeaseRejected):
-            self.holder.heard(address, message)
+            self.holder.receive(address, message)
             self._mind_duty(now)
         elif isinstance(message, CoreInfo):
             self._core(message)
@@ -215,21 +215,21 @@
     def _core(self, info: CoreInfo) -> None:
         if not self.core.learn(info):
             return
-        self.holder.voters(info.voters)
+        self.holder.set_grantors(info.voters)
         # The leader's machine has another role to lose at the same time.
-        self.holder.patience = AWAY_S if info.leader == self.address else 0.0
+        self.holder.attempt_delay_s = AWAY_S if info.leader == self.address else 0.0
         self.out.append(Core(info.voters))
 
     def _check_lease(self, now: float) -> None:
         """End the duty if its lease is over on the clock of this input, whatever the last tick knew."""
-        if self.on_duty and not self.holder.holds(now):
+        if self.on_duty and not self.holder.holds_lease(now):
             self._end_duty("the lease has ended")
 
     def _mind_duty(self, now: float) -> None:
         """Ask for the duty when it is time; begin it as soon as it is held, end it as soon as it is not."""
         self.holder.tick(now, self._to_control)
         self._check_lease(now)
-        if self.holder.holds(now) and not self.on_duty and self.control.state.number > 0:
+        if self.holder.holds_lease(now) and not self.on_duty and self.control.state.number > 0:
             self._begin_duty(now)
 
     def _begin_duty(self, now: float) -> None:
