--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -23,9 +23,10 @@
 from benchmarks.scale.inputs import address_of, settings, zone_of
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import TICK_S, Settings
-from thistleusher.proxy.cluster_view import InForce, Output, Verdict
-from thistleusher.proxy.decisions import Charge
-from thistleusher.proxy.program import Heartbeats, ProxyProgram
+from thistleusher.proxy.commands import ApplyConfiguration, Command, DeliverChargeAnswer
+from thistleusher.proxy.program import ProxyProgram
+from thistleusher.proxy.requests import ChargeTenant
+from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.transport import links
 
 MOST_TIMES = 200_000  # of verdicts that are remembered
@@ -70,7 +71,7 @@
         super().write(data)
 
 
-class MeasuredHeartbeats(Heartbeats):
+class MeasuredHeartbeats(RingSocket):
     """Heartbeats of the ring, counted."""
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
@@ -83,7 +84,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings)
-        self.beats = MeasuredHeartbeats(self._beat)
+        self.ring_socket = MeasuredHeartbeats(self._on_heartbeat)
         self.random = random.Random(seed)
         self.rate = 0.0
         self.asked: dict[str, float] = {}
@@ -96,18 +97,20 @@
 
     async def open(self) -> None:
         """The ports by which other proxies reach it."""
-        await self.loop.create_datagram_endpoint(lambda: self.beats, local_addr=(self.boot.ip, self.boot.port(RING)))
-        await self.handing.listen(self.boot.ip, self.boot.port(PROXY))
+        await self.loop.create_datagram_endpoint(
+            lambda: self.ring_socket, local_addr=(self.boot.ip, self.boot.port(RING))
+        )
+        await self.hand_over_listener.listen(self.boot.ip, self.boot.port(PROXY))
 
     def begin(self) -> None:
         """Connect to the core; ticks begin at a drawn moment."""
-        self._meet(self.boot.core_ips)
+        self._connect_to_core(self.boot.core_ips)
         self.loop.call_later(TICK_S * self.random.random(), self._turn)
         self.loop.call_later(self.random.random(), self._spend)
 
     def close(self) -> None:
         """End all connections: a task that opens one outlives its loop otherwise."""
-        self.handing.close()
+        self.hand_over_listener.close()
         self.control.close()
         self.registries.close()
 
@@ -122,25 +125,25 @@
         self.number += 1
         request = f"{self.boot.node_name}/{self.number}"
         self.asked[request] = time.monotonic()
-        charge = Charge(request, self.random.choice(self.tenants), 1)
-        self._carry(self.knowledge.charge(time.monotonic(), charge))
+        charge = ChargeTenant(request, self.random.choice(self.tenants), 1)
+        self._execute(self.cluster_view.charge(time.monotonic(), charge))
         self.loop.call_later(self.random.expovariate(self.rate), self._spend)
 
-    def _carry(self, outputs: list[Output]) -> None:
+    def _execute(self, outputs: list[Command]) -> None:
         now = time.monotonic()
         for out in outputs:
-            if isinstance(out, Verdict):
-                sent = self.asked.pop(out.counted.request, None)
+            if isinstance(out, DeliverChargeAnswer):
+                sent = self.asked.pop(out.answer.request, None)
                 if sent is not None and len(self.verdict_times) < MOST_TIMES:
                     self.verdict_times.append(now - sent)
-        super()._carry(outputs)
+        super()._execute(outputs)
         for out in outputs:
-            if isinstance(out, InForce):
-                self.in_force[out.lookup.config.version] = time.monotonic()
-                self.tenants = list(out.lookup.config.tenants)
-        if self.knowledge.counter and (not self.counters or self.counters[-1][1] != self.knowledge.counter):
-            self.counters.append((now, self.knowledge.counter))
-        if self.complete is None and self.knowledge.counter and self.is_ready():
+            if isinstance(out, ApplyConfiguration):
+                self.in_force[out.configuration.config.version] = time.monotonic()
+                self.tenants = list(out.configuration.config.tenants)
+        if self.cluster_view.counter and (not self.counters or self.counters[-1][1] != self.cluster_view.counter):
+            self.counters.append((now, self.cluster_view.counter))
+        if self.complete is None and self.cluster_view.counter and self.is_ready():
             self.complete = now
 
 
@@ -191,7 +194,7 @@
             "traffic": Measured.traffic.counts,
             "complete": [proxy.complete for proxy in self.proxies],
             "counters": [proxy.counters[-1] if proxy.counters else None for proxy in self.proxies],
-            "list_numbers": [proxy.knowledge.list.state.number for proxy in self.proxies],
+            "list_numbers": [proxy.cluster_view.registry.state.number for proxy in self.proxies],
             "in_force": [proxy.in_force for proxy in self.proxies],
             "verdicts": [seconds for proxy in self.proxies for seconds in proxy.verdict_times[-400:]],
             "unanswered": sum(len(proxy.asked) for proxy in self.proxies),
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -16,7 +16,7 @@
 from thistleusher.common import config_items
 from thistleusher.common.node_settings import read_node_settings
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.placement import Place
+from thistleusher.proxy.placement import ListedBackend
 from thistleusher.registry.charges import REMEMBERED, ChargeLedger
 from thistleusher.registry.counts import Counts
 from thistleusher.registry.instances import Survey
@@ -70,7 +70,7 @@
         assert changed is not None
         self.configuration.update(self.follower.state, changed)
         assert self.configuration.index is not None
-        self.decisions.configured(0.0, self.configuration.index.config)
+        self.decisions.apply_configuration(0.0, self.configuration.index.config)
 
 
 def configuration_state(part: int) -> Figures:
@@ -140,7 +140,7 @@
     deciding = decisions()
     before = resident_mb()
     places = {
-        name: Place(name, entry["s"], read_address(entry["a"]), entry["z"], "r-0", entry["c"], False, 0.0)
+        name: ListedBackend(name, entry["s"], read_address(entry["a"]), entry["z"], "r-0", entry["c"], False, 0.0)
         for name, entry in changes.items()
         if entry is not None
     }
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -17,9 +17,18 @@
 from thistleusher.core import events
 from thistleusher.core.driver import Driver, InFlightRequest
 from thistleusher.core.ports import Ended, Final
-from thistleusher.proxy import cluster_view as knowledge
-from thistleusher.proxy.cluster_view import ClusterView, InForce, Serving, ToPeer, ToRegistry, ToRing
-from thistleusher.proxy.decisions import Asked, Charge, Decisions
+from thistleusher.proxy.cluster_view import ClusterView
+from thistleusher.proxy.commands import (
+    ApplyConfiguration,
+    Command,
+    DeliverChargeAnswer,
+    SendHandOver,
+    SendHeartbeat,
+    SendToRegistry,
+    SetServing,
+)
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.requests import ChargeTenant, RequestContext
 from thistleusher.registry.registry import Call as PlatformCall
 from thistleusher.registry.registry import Output as RegistryOutput
 from thistleusher.registry.registry import Registry, ToControl
@@ -208,18 +217,22 @@
             now,
         )
         self.driver = Driver(self.decisions.settings, self.decisions, self, Scheduler(self), self.now)
-        self.driver.carry[Charge] = lambda action: self.carry(self.knowledge.charge(self.now(), action))
+        self.driver.carry[ChargeTenant] = lambda action: self.carry(self.knowledge.charge(self.now(), action))
         self.serving: set[str] = set()
         self.version = -1
 
     def ready(self) -> bool:
-        return self.knowledge.index is not None and self.knowledge.known and bool(self.serving)
+        return self.knowledge.index is not None and self.knowledge.has_list and bool(self.serving)
 
     def tick(self) -> None:
         self.carry(self.knowledge.tick(self.now(), self.ready()))
 
     def opened(self, to: str) -> None:
-        hello = self.knowledge.follow_control() if to.startswith("control") else self.knowledge.follow_list()
+        hello = (
+            self.knowledge.subscribe_to_control()
+            if to.startswith("control")
+            else self.knowledge.subscribe_to_registry()
+        )
         self.world.send(self, to, hello)
 
     def replied(self, sender: str, message: AnyMessage) -> None:
@@ -231,30 +244,30 @@
         if reply is not None:
             self.world.send(self, sender, reply)
 
-    def carry(self, outputs: Sequence[knowledge.Output]) -> None:
+    def carry(self, outputs: Sequence[Command]) -> None:
         """Do what follows from an input."""
         for out in outputs:
-            if isinstance(out, ToRegistry):
+            if isinstance(out, SendToRegistry):
                 for address in CORES:
                     if out.ip in ("", address):
                         self.world.send(self, f"registry@{address}", out.message)
-            elif isinstance(out, ToRing | ToPeer):
+            elif isinstance(out, SendHeartbeat | SendHandOver):
                 self.world.datagram(self, out.ip, out.message)
-            elif isinstance(out, InForce):
-                self.world.in_force(self, out.lookup.config)
+            elif isinstance(out, ApplyConfiguration):
+                self.world.in_force(self, out.configuration.config)
                 self.driver.classes |= self.decisions.classes
-            elif isinstance(out, Serving):
+            elif isinstance(out, SetServing):
                 self.serving = out.names
-            elif isinstance(out, knowledge.Verdict):
-                counted: Any = out.counted
-                self.driver.submit(counted)
+            elif isinstance(out, DeliverChargeAnswer):
+                answer: Any = out.answer
+                self.driver.submit(answer)
 
     def datagram(self, sender: str, message: AnyMessage) -> None:
         """A beat of the ring, or a copy of the news."""
         if isinstance(message, RingHeartbeat):
-            self.carry(self.knowledge.beat(self.now(), message, sender))
+            self.carry(self.knowledge.heartbeat_received(self.now(), message, sender))
         elif isinstance(message, HandOver):
-            self.carry(self.knowledge.handed(self.now(), message))
+            self.carry(self.knowledge.handed_over(self.now(), message))
 
     def request(self) -> None:
         """A client's request comes, as the clients of this proxy's zone ask."""
@@ -267,7 +280,7 @@
             return  # 503 before anything else
         index = self.knowledge.index
         assert index is not None
-        self.decisions.expect(name, Asked(RouteMatch(route, index.config.routes[route]), tenant))
+        self.decisions.expect(name, RequestContext(RouteMatch(route, index.config.routes[route]), tenant))
         life, sent = self.life, world.clock.now
         world.open[name] = (self, life, sent + DEADLINE_S)
 
--- a/tests/system/test_knowledge.py
+++ b/tests/proxy/test_cluster_view.py
@@ -7,9 +7,11 @@
 from tests.system.test_registry import PRESENCE, on_duty
 from thistleusher.common.node_settings import Bounds
 from thistleusher.proxy import program as proxy_program
-from thistleusher.proxy.cluster_view import ClusterView, Core, ToPeer, ToRing
+from thistleusher.proxy.cluster_view import ClusterView
+from thistleusher.proxy.commands import ConnectToCore, SendHandOver, SendHeartbeat
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.program import Heartbeats, ProxyProgram
+from thistleusher.proxy.program import ProxyProgram
+from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.registry import program as registry_program
 from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
@@ -53,16 +55,16 @@
 
 
 def test_an_old_copy_from_a_watcher_that_stood_still_takes_nothing_back():
-    knowledge = proxy()
+    view = proxy()
     control, registry = states(9, "draining", True)
-    knowledge.from_control(1.0, whole(control))
-    knowledge.from_registry(1.0, "c", whole(registry))
+    view.from_control(1.0, whole(control))
+    view.from_registry(1.0, "c", whole(registry))
     old_control, old_list = states(4, "ready", False)
-    assert knowledge.handed(2.0, HandOver("q", whole(old_control), whole(old_list))) == []
+    assert view.handed_over(2.0, HandOver("q", whole(old_control), whole(old_list))) == []
     partial = HandOver("q", old_control.since(2), old_list.since(2))
-    assert knowledge.handed(2.0, partial) == []
-    assert knowledge.decisions.ground.evacuated == {"z"} and knowledge.decisions.places["i"].draining
-    assert (knowledge.control.state.number, knowledge.list.state.number) == (9, 9)
+    assert view.handed_over(2.0, partial) == []
+    assert view.decisions.selector.locality.evacuated_zones == {"z"} and view.decisions.selector.listed["i"].draining
+    assert (view.control.state.number, view.registry.state.number) == (9, 9)
 
 
 def test_one_that_knows_nothing_is_handed_a_copy_and_takes_it():
@@ -72,30 +74,36 @@
     watcher.from_registry(1.0, "c", whole(registry))
     handed = []
     for at in (2.0, 2.1 + LACKS_S):
-        handed += [out for out in watcher.beat(at, RingHeartbeat("q", 0, 0), "ip-q") if isinstance(out, ToPeer)]
-    fresh.handed(3.0, handed[0].message)
-    assert fresh.known and fresh.decisions.places["i"].draining
-    answers = proxy().beat(3.0, RingHeartbeat("q", 9, 9), "ip-q")
-    assert answers == [ToRing("ip-q", RingHeartbeat("p", 0, 0))]  # it answers all, as it does not know its watchers
+        handed += [
+            out
+            for out in watcher.heartbeat_received(at, RingHeartbeat("q", 0, 0), "ip-q")
+            if isinstance(out, SendHandOver)
+        ]
+    fresh.handed_over(3.0, handed[0].message)
+    assert fresh.has_list and fresh.decisions.selector.listed["i"].draining
+    answers = proxy().heartbeat_received(3.0, RingHeartbeat("q", 9, 9), "ip-q")
+    assert answers == [
+        SendHeartbeat("ip-q", RingHeartbeat("p", 0, 0))
+    ]  # it answers all, as it does not know its watchers
 
 
 def test_an_older_epoch_does_not_bring_its_voters_back():
-    knowledge = proxy()
-    assert knowledge.from_control(1.0, CoreInfo(("1", "2", "4"), 3, "4"))[0] == [Core(("1", "2", "4"))]
-    assert knowledge.from_control(1.0, CoreInfo(("1", "2", "3"), 2, "1"))[0] == []
-    assert knowledge.core.voters == ("1", "2", "4")
+    view = proxy()
+    assert view.from_control(1.0, CoreInfo(("1", "2", "4"), 3, "4"))[0] == [ConnectToCore(("1", "2", "4"))]
+    assert view.from_control(1.0, CoreInfo(("1", "2", "3"), 2, "1"))[0] == []
+    assert view.core.voters == ("1", "2", "4")
 
 
 def test_a_message_that_a_proxy_does_not_take_is_refused_and_a_datagram_dropped():
-    knowledge = proxy()
+    view = proxy()
     for take in (
-        lambda: knowledge.from_control(1.0, KeepAlive()),
-        lambda: knowledge.from_registry(1.0, "c", KeepAlive()),
+        lambda: view.from_control(1.0, KeepAlive()),
+        lambda: view.from_registry(1.0, "c", KeepAlive()),
     ):
         with pytest.raises(UnexpectedMessage):
             take()
     heard = []
-    beats = Heartbeats(lambda beat, ip: heard.append((beat, ip)))
+    beats = RingSocket(lambda beat, ip: heard.append((beat, ip)))
     for data in (
         b"",
         b"\xff",
@@ -146,8 +154,8 @@
 
 
 def test_a_proxy_that_goes_on_takes_messages_by_the_clock_of_that_moment(monkeypatch):
-    program, knowledge = ProxyProgram.__new__(ProxyProgram), proxy()
-    program.loop, program.knowledge = StoppedLoop(), knowledge
+    program, view = ProxyProgram.__new__(ProxyProgram), proxy()
+    program.loop, program.cluster_view = StoppedLoop(), view
     monkeypatch.setattr(proxy_program.time, "monotonic", lambda: 12.0)
     program._from_registry(Sent(), HeartbeatEcho("c/1", 10.0, 5.0, 0.1))  # lay in the socket while it stood still
-    assert knowledge.counter == "" and knowledge.decisions.quota.alone(12.0)
+    assert view.counter == "" and view.decisions.quota.is_isolated(12.0)
--- a/tests/system/test_decisions.py
+++ b/tests/proxy/test_decisions.py
@@ -10,10 +10,13 @@
 from thistleusher.common.record_reader import record
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
-from thistleusher.proxy.budgets import Colds, Tries
-from thistleusher.proxy.decisions import Asked, Charge, Counted, Decisions
+from thistleusher.proxy.budgets import RetryBudget, SlowStartBudget
+from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.directory import addresses
-from thistleusher.proxy.placement import Place, homes_of
+from thistleusher.proxy.placement import ListedBackend
+from thistleusher.proxy.quota import Echo
+from thistleusher.proxy.requests import ChargeAnswered, ChargeTenant, RequestContext
+from thistleusher.proxy.routing import allowed_regions
 
 CONFIG = record(
     Configuration,
@@ -60,29 +63,29 @@
 
     def __init__(self, near=3, far=2):
         self.now = 100.0
-        self.d = Decisions("me", "z1", "near", Bounds(retry_slack=58), random.Random(1), self.now)
-        self.d.ingresses = ["me"]
-        self.d.configured(self.now, CONFIG)
-        self.places = {}
+        self.decisions = Decisions("me", "z1", "near", Bounds(retry_slack=58), random.Random(1), self.now)
+        self.decisions.apply_ingresses(["me"])
+        self.decisions.apply_configuration(self.now, CONFIG)
+        self.backends = {}
         for k in range(near):
             self.place(f"n{k}", "z1", "near")
         for k in range(far):
             self.place(f"f{k}", "z9", "far")
-        self.d.listed(self.now, self.places)
-        self.d.quota.echoed(self.now, "c", self.now - 0.1, 5.0, 0.1)
+        self.decisions.apply_backends(self.now, self.backends)
+        self.decisions.quota.record_echo(self.now, Echo("c", 5.0), self.now - 0.1, 0.1)
         self.count = 0
 
     def place(self, name, zone, region, **more):
-        self.places[name] = Place(name, "s", ("127.0.0.1", 1), zone, region, 6, False, **more)
+        self.backends[name] = ListedBackend(name, "s", ("127.0.0.1", 1), zone, region, 6, False, **more)
 
     def do(self, event, after=0.0):
         self.now += after
-        return self.d.handle(self.now, event)
+        return self.decisions.handle(self.now, event)
 
     def ask(self, route="pure", tenant="free"):
         self.count += 1
         name = f"r{self.count}"
-        self.d.expect(name, Asked(RouteMatch(route, CONFIG.routes[route]), tenant))
+        self.decisions.expect(name, RequestContext(RouteMatch(route, CONFIG.routes[route]), tenant))
         return name, self.do(events.Request(name, route, "all", 0, 2.9, 1.0))
 
     def end(self, name, acts, outcome, done=False):
@@ -101,8 +104,8 @@
 def test_a_request_is_charged_before_it_is_sent():
     rig = Rig()
     name, acts = rig.ask(tenant="t")
-    assert [a for a in acts if not isinstance(a, actions.SetTimer)] == [Charge(name, "t", 1)]
-    assert kinds(rig.do(Counted(name, OK, 0.5, 3))) == [actions.Attempt]
+    assert [a for a in acts if not isinstance(a, actions.SetTimer)] == [ChargeTenant(name, "t", 1)]
+    assert kinds(rig.do(ChargeAnswered(name, OK, 0.5, 3))) == [actions.Attempt]
 
 
 def test_one_that_no_region_may_serve_is_refused_at_once_and_not_charged():
@@ -114,38 +117,43 @@
     rig = Rig(near=1, far=0)
     rig.place("z2a", "z2", "near")
     rig.place("z2b", "z2", "near")
-    rig.d.listed(rig.now, rig.places)
+    rig.decisions.apply_backends(rig.now, rig.backends)
     first, second = (attempt(rig.ask()[1]).backend for _ in range(2))
     assert first == "n0" and second != "n0"
 
 
 def test_over_the_allowance_it_is_refused_at_once_and_the_charge_given_back():
     rig = Rig()
-    rig.d.quota.born, rig.d.quota.slack = rig.now, 0.0  # nothing of its own is left
+    rig.decisions.quota.started_at, rig.decisions.quota.slack = rig.now, 0.0  # nothing of its own is left
     name, _ = rig.ask(tenant="t")
-    back, refused = [a for a in rig.do(Counted(name, OVER, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
-    assert back == Charge(name, "t", -1, 3)
+    back, refused = [a for a in rig.do(ChargeAnswered(name, OVER, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
+    assert back == ChargeTenant(name, "t", -1, 3)
     assert isinstance(refused, actions.Refuse) and 0.5 <= refused.retry_in <= 1.0
 
 
 def test_no_verdict_never_opens_and_a_late_one_changes_nothing():
     rig = Rig()
-    rig.d.quota.born, rig.d.quota.slack = rig.now, 0.0  # a standing share that has had no time to fill
+    rig.decisions.quota.started_at, rig.decisions.quota.slack = (
+        rig.now,
+        0.0,
+    )  # a standing share that has had no time to fill
     name, _ = rig.ask(tenant="t")
     assert kinds(rig.do(events.TimerFired(1), PROMPT_S + 0.01)) == []  # no answer, no share: it waits
     acts = rig.do(events.TimerFired(1), ALONE_S)
-    assert kinds(acts) == [Charge, actions.Refuse] and acts[1].retry_in == 0.0  # and is refused, not let in
-    assert kinds(rig.do(Counted(name, OK, 0.5))) == []
+    assert kinds(acts) == [ChargeTenant, actions.Refuse] and acts[1].retry_in == 0.0  # and is refused, not let in
+    assert kinds(rig.do(ChargeAnswered(name, OK, 0.5))) == []
 
 
 def test_without_a_verdict_the_standing_share_decides():
     rig = Rig()
     rig.now += 10.0
-    rig.d.quota.echoed(rig.now, "c", rig.now - 0.1, 5.0, 0.5)
+    rig.decisions.quota.record_echo(rig.now, Echo("c", 5.0), rig.now - 0.1, 0.5)
     name, _ = rig.ask(tenant="t")
     acts = rig.do(events.TimerFired(1), PROMPT_S + 0.01)
-    assert kinds(acts) == [Charge, actions.Attempt] and acts[0] == Charge(name, "t", -1)  # it needs its charge no more
-    assert kinds(rig.do(Counted(name, OVER, 0.5))) == []
+    assert kinds(acts) == [ChargeTenant, actions.Attempt] and acts[0] == ChargeTenant(
+        name, "t", -1
+    )  # it needs its charge no more
+    assert kinds(rig.do(ChargeAnswered(name, OVER, 0.5))) == []
 
 
 @pytest.mark.parametrize(
@@ -187,38 +195,38 @@
     assert all(attempt(rig.ask("homed")[1]).backend.startswith("f") for _ in range(20))
     name, acts = rig.ask("homed", "nowhere")  # route and tenant have no region in common
     assert kinds(acts) == [actions.Refuse]
-    assert homes_of((), ()) is None and homes_of(("a", "b"), ("b",)) == {"b"}
+    assert allowed_regions((), ()) is None and allowed_regions(("a", "b"), ("b",)) == {"b"}
 
 
 def test_an_evacuated_zone_gets_nothing_and_comes_back_cold():
     rig = Rig()
-    rig.d.evacuated(rig.now, {"z1"})
+    rig.decisions.apply_evacuations(rig.now, {"z1"})
     assert all(attempt(rig.ask()[1]).backend.startswith("f") for _ in range(20))
-    rig.d.evacuated(rig.now, set())
+    rig.decisions.apply_evacuations(rig.now, set())
     sent = [attempt(rig.ask()[1]) for _ in range(200)]
     near = [a for a in sent if a is not None and a.backend.startswith("n")]
     assert 0 < len(near) <= 3 * (12 * 1.5 + 5)  # within a second, by one ingress of one
-    rig.d.evacuated(rig.now, {"z1", "z9"})
+    rig.decisions.apply_evacuations(rig.now, {"z1", "z9"})
     _, acts = rig.ask()
     assert attempt(acts) is None
 
 
 def test_a_draining_backend_and_a_stranger_get_nothing():
     rig = Rig(near=2, far=0)
-    rig.places["n0"].draining = True
-    rig.d.listed(rig.now, dict(rig.places))
+    rig.backends["n0"].draining = True
+    rig.decisions.apply_backends(rig.now, dict(rig.backends))
     assert all(attempt(rig.ask()[1]).backend == "n1" for _ in range(10))
-    rig.d.stranger("n1")  # a 421 has come from its address
+    rig.decisions.mark_misdirected("n1")  # a 421 has come from its address
     assert attempt(rig.ask()[1]) is None
     rig.place("n2", "z1", "near")
-    rig.d.listed(rig.now, dict(rig.places))
+    rig.decisions.apply_backends(rig.now, dict(rig.backends))
     assert attempt(rig.ask()[1]).backend == "n2"
 
 
 def test_a_route_that_is_gone_still_ends_its_requests():
     rig = Rig()
     name, acts = rig.ask()
-    rig.d.configured(rig.now, CONFIG._replace(routes={}))
+    rig.decisions.apply_configuration(rig.now, CONFIG._replace(routes={}))
     assert actions.Attempt in kinds(rig.end(name, acts, Outcome.RESET))
 
 
@@ -242,15 +250,15 @@
 def test_all_proxies_together_stay_within_the_budget_of_further_tries():
     """Half of a service has crashed: nine proxies see nothing but failures and would try each request again."""
     rng = random.Random(3)
-    proxies = [Tries(0.2, 58.0, 10.0) for _ in range(9)]
+    proxies = [RetryBudget(0.2, 58.0, 10.0) for _ in range(9)]
     requests, again, now = [], [], 0.0
     while now < 60.0:
         now += rng.expovariate(200.0)
         proxy = rng.choice(proxies)
-        proxy.came(now)
+        proxy.record_request(now)
         requests.append(now)
-        if rng.random() < 0.5 and proxy.may(now, 9):
-            proxy.spend(now)
+        if rng.random() < 0.5 and proxy.allows(now, 9):
+            proxy.record_retry(now)
             again.append(now)
     for end in range(10, 60):
         spent = sum(end - 10 < t <= end for t in again)
@@ -261,13 +269,13 @@
 @pytest.mark.parametrize("count", [3, 9, 86])
 def test_a_cold_backend_gets_no_more_than_it_bears_from_all_proxies_together(count):
     names = [f"p{k}" for k in range(count)]
-    colds = [Colds(name, 1.5, 5.0) for name in names]
+    colds = [SlowStartBudget(name, 1.5, 5.0) for name in names]
     rng, now, sent = random.Random(count), 0.0, []
     while now < 20.0:
         now += 0.001
         proxy = rng.choice(colds)
-        if proxy.may(now, "b", 12.0, names):
-            proxy.spend(now, "b")
+        if proxy.allows(now, "b", 12.0, names):
+            proxy.record_sent(now, "b")
             sent.append(now)
     for n, at in enumerate(sent):
         assert sum(1 for t in sent[n : n + 60] if t < at + 1.0) <= 12 * 1.5 + 5
--- a/tests/system/test_front.py
+++ b/tests/proxy/test_listener.py
@@ -12,8 +12,11 @@
 from thistleusher.common.record_reader import record
 from thistleusher.net.upstream import Endpoint, Terms, Upstream
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.proxy.placement import Place
+from thistleusher.proxy.forwarding import ProxyIngress
+from thistleusher.proxy.http_messages import ATTEMPT_HEADER, outcome_of
+from thistleusher.proxy.listener import ProxyServer
+from thistleusher.proxy.placement import ListedBackend
+from thistleusher.proxy.shutdown import ProxyGracefulShutdown
 
 ROUTE = {"hostname": "h.example", "deadline_ms": 2000, "target_ms": 500, "target": "s", "tries": 3}
 
@@ -98,24 +101,24 @@
         for backend in self.backends:
             await backend.start()
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(1), loop.time())
-        self.upstream = Upstream(loop, 0.5, 10.0, 50, Terms(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream = Upstream(loop, 0.5, 10.0, 50, Terms(1 << 20, ATTEMPT_HEADER, 1.0, outcome_of))
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow(config())
-        self.decisions.ingresses = ["me"]
-        places = {b.name: Place(b.name, "s", ("127.0.0.1", b.port), "z", "r", 6, False) for b in self.backends}
-        for name, place in places.items():
-            self.upstream.update(name, Endpoint(place.address, 0.0))
-        self.decisions.listed(loop.time(), places)
-        self.ingress.serving |= places.keys()
-        self.server.known = True
+        self.decisions.apply_ingresses(["me"])
+        listed = {b.name: ListedBackend(b.name, "s", ("127.0.0.1", b.port), "z", "r", 6, False) for b in self.backends}
+        for name, backend in listed.items():
+            self.upstream.update(name, Endpoint(backend.address, 0.0))
+        self.decisions.apply_backends(loop.time(), listed)
+        self.ingress.serving |= listed.keys()
+        self.server.has_list = True
         await self.server.listen("127.0.0.1", 0)
         self.port = self.server.listener.sockets[0].getsockname()[1]
         return self
 
     def follow(self, configuration):
-        self.decisions.configured(asyncio.get_running_loop().time(), configuration)
-        self.server.follow(Index(configuration))
+        self.decisions.apply_configuration(asyncio.get_running_loop().time(), configuration)
+        self.server.apply_configuration(Index(configuration))
 
     async def __aexit__(self, *_):
         self.server.close()
@@ -289,12 +292,12 @@
         assert (await rig.ask("/q/")).status == 404
         assert (await rig.ask("/p/", key="nobody")).status == 401
         assert (await rig.ask("/p/", lines="X-Attempt-Id: twice\r\n")).status == 400
-        rig.server.known = False
+        rig.server.has_list = False
         got = await rig.ask("/p/")
         assert got.status == 503 and float(got.headers["retry-after"]) > 0
-        rig.server.known = True
+        rig.server.has_list = True
         rig.ingress.serving.clear()
-        rig.decisions.evacuated(0.0, {"z"})
+        rig.decisions.apply_evacuations(0.0, {"z"})
         assert (await rig.ask("/p/")).status == 503
 
     play(scenario)
--- a/tests/system/test_quota.py
+++ b/tests/proxy/test_quota.py
@@ -7,7 +7,7 @@
 
 from simnet.clock import Clock
 from thistleusher.common.quota_timing import ALONE, ALONE_S, HERE_S, LOST_S, OVER, PROMPT_S
-from thistleusher.proxy.quota import Quota
+from thistleusher.proxy.quota import Echo, LocalQuota, RateLimit
 from thistleusher.registry.counts import Counts
 
 RATE = BURST = 100.0
@@ -16,8 +16,8 @@
 
 class Ingress:
     def __init__(self, name, now):
-        self.name, self.life, self.quota = name, f"{name}/{now}", Quota(now, SLACK)
-        self.quota.follow({"t": (RATE, BURST)})
+        self.name, self.life, self.quota = name, f"{name}/{now}", LocalQuota(now, SLACK)
+        self.quota.set_limits({"t": RateLimit(RATE, BURST)})
 
 
 class Fleet:
@@ -63,7 +63,7 @@
             mine = echo[1] if echo is not None and echo[0] == str(self.term) else None
             counter.here(self.clock.now, name, life, mine)
             share, now, by = counter.ingresses[name].share, self.clock.now, str(self.term)
-            self.way("c", name, lambda: ingress.quota.echoed(self.clock.now, by, at, now, share))
+            self.way("c", name, lambda: ingress.quota.record_echo(self.clock.now, Echo(by, now), at, share))
 
         ingress = self.ingresses[name]
         at, echo, life, term = self.clock.now, ingress.quota.echo, ingress.life, self.term
@@ -80,9 +80,9 @@
             state["open"] = False
             now = self.clock.now
             if verdict == ALONE:
-                ingress.quota.uncounted(now, "t", left)
+                ingress.quota.not_counted_centrally(now, "t", left)
             else:
-                ingress.quota.counted("t")
+                ingress.quota.counted_centrally("t")
             if verdict in (ALONE, OVER):
                 if ingress.quota.spend(now, "t"):
                     self.let_in.append(now)
@@ -170,26 +170,26 @@
 
 
 def test_a_new_life_lets_the_first_of_a_small_tenant_in_at_once():
-    quota = Quota(10.0, SLACK, born=9.5)
-    quota.follow({"small": (4.0, 4.0)})
-    quota.echoed(10.0, "c", 9.9, 5.0, 0.1)
+    quota = LocalQuota(10.0, SLACK, started_at=9.5)
+    quota.set_limits({"small": RateLimit(4.0, 4.0)})
+    quota.record_echo(10.0, Echo("c", 5.0), 9.9, 0.1)
     assert quota.spend(10.0, "small")  # its part of half of the slack
     assert not quota.spend(10.1, "small")  # and no more of that: 0.1 of 0.42 of 4 a second since its birth
-    quota.uncounted(10.1, "small", 1.0)
+    quota.not_counted_centrally(10.1, "small", 1.0)
     assert quota.spend(12.0, "small")  # parts of both stores together make one
 
 
 def test_all_that_begin_at_once_have_half_of_the_slack_together():
-    lives = [Quota(0.0, SLACK, born=0.0) for _ in range(40)]
+    lives = [LocalQuota(0.0, SLACK, started_at=0.0) for _ in range(40)]
     for quota in lives:
-        quota.follow({"t": (0.001, 0.001)})
-        quota.echoed(0.0, "c", 0.0, 1.0, 0.8 / 40)
+        quota.set_limits({"t": RateLimit(0.001, 0.001)})
+        quota.record_echo(0.0, Echo("c", 1.0), 0.0, 0.8 / 40)
     assert sum(quota.spend(0.0, "t") for quota in lives) <= SLACK / 2
 
 
 def test_an_ingress_without_a_share_lets_nothing_in():
-    quota = Quota(0.0)
-    quota.follow({"t": (RATE, BURST)})
+    quota = LocalQuota(0.0)
+    quota.set_limits({"t": RateLimit(RATE, BURST)})
     assert not any(quota.spend(0.1 * n, "t") for n in range(100))
     assert quota.spend(1.0, "unlimited")
 
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -24,8 +24,10 @@
 from thistleusher.net.server import ClientConnection
 from thistleusher.net.upstream import Connection, Endpoint, Pool, Terms, Upstream
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.proxy.placement import Place
+from thistleusher.proxy.forwarding import ProxyIngress
+from thistleusher.proxy.http_messages import ATTEMPT_HEADER, outcome_of
+from thistleusher.proxy.listener import ProxyServer
+from thistleusher.proxy.placement import ListedBackend
 from thistleusher.transport.call_server import CallServer, Handler, Readiness
 
 NOT_READY = Failure(Kind.STARTING)
@@ -332,14 +334,14 @@
         self.steps: list[str] = []  # what backends do, where it is not drawn
         self.again: list[bytes] = []  # effectful ids that were sent a second time without a proof
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(seed), loop.time())
-        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, Terms(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, Terms(1 << 20, ATTEMPT_HEADER, 1.0, outcome_of))
         self.upstream.world = self
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow("effectful")
-        self.decisions.ingresses = ["me"]
+        self.decisions.apply_ingresses(["me"])
         self.serve([f"b{n}" for n in range(backends)])
-        self.server.known = True
+        self.server.has_list = True
 
     def follow(self, variant: str, *, routes: bool = True) -> None:
         """A configuration is in force: route `e` is of this variant."""
@@ -352,17 +354,19 @@
             Configuration,
             {"version": "00000001", "routes": table if routes else {}, "services": {"s": {}}, "tenants": {}},
         )
-        self.decisions.configured(self.loop.time(), config)
-        self.server.follow(Index(config))
+        self.decisions.apply_configuration(self.loop.time(), config)
+        self.server.apply_configuration(Index(config))
 
     def serve(self, names: list[str]) -> None:
         """These are the backends."""
-        places = {name: Place(name, "s", ("10.0.0.1", n + 1), "z", "r", 6, False) for n, name in enumerate(names)}
+        places = {
+            name: ListedBackend(name, "s", ("10.0.0.1", n + 1), "z", "r", 6, False) for n, name in enumerate(names)
+        }
         for name in self.upstream.pools.keys() - places.keys():
             self.upstream.update(name, None)
         for name, place in places.items():
             self.upstream.update(name, Endpoint(place.address, 0.0))
-        self.decisions.listed(self.loop.time(), places)
+        self.decisions.apply_backends(self.loop.time(), places)
         self.ingress.serving.clear()
         self.ingress.serving |= places.keys()
 
@@ -677,7 +681,7 @@
         client.ask(b"e1", b"e")
         while not world.runs:
             await asyncio.sleep(0.001)
-        world.decisions.acts.append(actions.Refuse("e1", 0.2))
+        world.decisions.pending_actions.append(actions.Refuse("e1", 0.2))
         world.ingress.submit(TimerFired(0))
         ((status, _, _),) = client.answers()
         assert status == 502
@@ -693,7 +697,7 @@
         client.ask(b"p2", b"p")
         await asyncio.sleep(0.5)
         world.follow("effectful", routes=False)
-        world.decisions.take.pop(AttemptEnded)  # the second is held until its time is up
+        world.decisions.handlers.pop(AttemptEnded)  # the second is held until its time is up
         world.ingress.serving.clear()
         await asyncio.sleep(4.0)
         assert len(client.answers()) == 2
--- a/tests/system/test_charges.py
+++ b/tests/system/test_charges.py
@@ -7,9 +7,11 @@
 
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import ALONE_S, COUNTED, LOST_S, OK, OVER
-from thistleusher.proxy import decisions as decided
-from thistleusher.proxy.cluster_view import VERDICT_S, ClusterView, ToRegistry, Verdict
+from thistleusher.proxy.cluster_view import ClusterView
+from thistleusher.proxy.commands import DeliverChargeAnswer, SendToRegistry
 from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.open_charges import ANSWER_MAX_AGE_S
+from thistleusher.proxy.requests import ChargeTenant
 from thistleusher.registry import charges
 from thistleusher.registry.charges import ChargeLedger
 from thistleusher.registry.counts import Counts
@@ -59,20 +61,20 @@
         self.lives += 1
         self.proxies[name] = proxy_of(name, f"life {self.lives}", self.now)
         self.proxies[name].counter = "c"
-        self.open = {request: proxy for request, proxy in self.open.items() if proxy.me != name}
+        self.open = {request: proxy for request, proxy in self.open.items() if proxy.name != name}
 
     def carry(self, name, outputs):
         for out in outputs:
-            if isinstance(out, ToRegistry):
+            if isinstance(out, SendToRegistry):
                 self.to_counter.append((name, out.message))
-            elif isinstance(out, Verdict):
-                self.decide(name, out.counted)
+            elif isinstance(out, DeliverChargeAnswer):
+                self.decide(name, out.answer)
 
     def ask(self, name):
         self.requests += 1
         request = f"request {self.requests}"
         self.open[request] = self.proxies[name]
-        self.carry(name, self.proxies[name].charge(self.now, decided.Charge(request, "t", 1)))
+        self.carry(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", 1)))
 
     def decide(self, name, counted):
         assert self.open.pop(counted.request, None) is self.proxies[name], "an answer for nobody who waits"
@@ -85,16 +87,16 @@
     def give_up(self):
         if self.open:
             request = self.rng.choice(sorted(self.open))
-            name = self.open.pop(request).me
+            name = self.open.pop(request).name
             self.give_back(name, request)
 
     def give_back(self, name, request):
         for _ in range(self.rng.choice((1, 1, 2))):  # the decisions' own mistake would cost nothing either
-            self.carry(name, self.proxies[name].charge(self.now, decided.Charge(request, "t", -1)))
+            self.carry(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", -1)))
 
     def beat(self, name):
         proxy = self.proxies[name]
-        self.to_counter.append((name, ProxyHeartbeat(proxy.life, self.now, None)))
+        self.to_counter.append((name, ProxyHeartbeat(proxy.incarnation, self.now, None)))
 
     def arrive(self, bag):
         """One of the messages under way arrives, or is lost; now and then it comes again."""
@@ -158,7 +160,7 @@
     for seed in range(first, first + 10):
         fleet = Fleet(seed)
         for name in fleet.names:
-            fleet.at_counter(name, ProxyHeartbeat(fleet.proxies[name].life, fleet.now, None))
+            fleet.at_counter(name, ProxyHeartbeat(fleet.proxies[name].incarnation, fleet.now, None))
         for _ in range(1500):
             fleet.step()
             fleet.check()
@@ -220,29 +222,29 @@
 def test_an_answer_for_an_earlier_life_or_a_request_that_was_given_up_reaches_nobody():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
-    proxy.charge(5.0, decided.Charge("r1", "t", 1))
-    proxy.charge(5.0, decided.Charge("r2", "t", 1))
+    proxy.charge(5.0, ChargeTenant("r1", "t", 1))
+    proxy.charge(5.0, ChargeTenant("r2", "t", 1))
     assert proxy.from_registry(5.1, "c", ChargeResult("w", 1, OK, 0.5, 3)) == ([], None)
-    (back,) = proxy.charge(5.1, decided.Charge("r1", "t", -1))
+    (back,) = proxy.charge(5.1, ChargeTenant("r1", "t", -1))
     assert back.message == Charge("x", 1, "t", -1, -1)
-    assert proxy.charge(5.1, decided.Charge("r1", "t", -1)) == []  # once
+    assert proxy.charge(5.1, ChargeTenant("r1", "t", -1)) == []  # once
     assert proxy.from_registry(5.2, "c", ChargeResult("x", 1, OK, 0.5, 3)) == ([], None)
     (verdict,), _ = proxy.from_registry(5.2, "c", ChargeResult("x", 2, OK, 0.5, 3))
-    assert verdict.counted.request == "r2"
+    assert verdict.answer.request == "r2"
     assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, OK, 0.5, 3)) == ([], None)  # it comes again
 
 
 def test_a_verdict_that_lay_in_a_socket_lets_nothing_in():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
-    proxy.charge(5.0, decided.Charge("r", "t", 1))
-    (verdict,), _ = proxy.from_registry(5.0 + VERDICT_S, "c", ChargeResult("x", 1, OK, 0.5, 3))
-    assert verdict.counted.verdict == OVER and LOST_S < VERDICT_S <= ALONE_S
+    proxy.charge(5.0, ChargeTenant("r", "t", 1))
+    (verdict,), _ = proxy.from_registry(5.0 + ANSWER_MAX_AGE_S, "c", ChargeResult("x", 1, OK, 0.5, 3))
+    assert verdict.answer.verdict == OVER and LOST_S < ANSWER_MAX_AGE_S <= ALONE_S
 
 
 def test_an_echo_that_lay_in_a_socket_does_not_name_the_counter():
     proxy = proxy_of("p", "x", 5.0)
-    report = [out.message for out in proxy.tick(5.0, True) if isinstance(out, ToRegistry)]
+    report = [out.message for out in proxy.tick(5.0, True) if isinstance(out, SendToRegistry)]
     assert [type(message) for message in report] == [ProxyStatusReport]
     proxy.from_registry(5.2, "new", HeartbeatEcho("new/1", 5.0, 1.0, 0.1))
     proxy.from_registry(5.2, "old", HeartbeatEcho("old/1", 4.9, 1.0, 0.2))
--- a/tests/system/test_world.py
+++ b/tests/system/test_world.py
@@ -10,8 +10,9 @@
 from simnet.system import CORES, World, draw, run
 from thistleusher.common.configuration import Route
 from thistleusher.control.interface import Change
-from thistleusher.proxy import decisions
-from thistleusher.proxy.quota import Quota
+from thistleusher.core.events import Outcome
+from thistleusher.proxy import decisions, retries
+from thistleusher.proxy.quota import LocalQuota
 from thistleusher.registry import instances
 from thistleusher.registry.registry import Registry
 
@@ -96,14 +97,14 @@
     [
         ((Route, "repeatable", property(lambda self: True)), [(6.0, "answers lost", 6.0)], [], "TWICE"),
         (
-            (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.Outcome.RESET)),
+            (retries, "NEVER_RAN", (*retries.NEVER_RAN, Outcome.RESET)),
             [(6.0, "answers lost", 6.0)],
             [],
             "(TWICE|REFUSED)",
         ),
-        ((Quota, "spend", open_to_all), [(6.0, "hot", 9.0)], [], "QUOTA"),
+        ((LocalQuota, "spend", open_to_all), [(6.0, "hot", 9.0)], [], "QUOTA"),
         ((instances, "entry_of", always_ready), [], [(6.0, "drain")], "DRAIN"),
-        ((decisions.Decisions, "evacuated", nothing), [], [(6.0, "begin a1")], "EVAC"),
+        ((decisions.Decisions, "apply_evacuations", nothing), [], [(6.0, "begin a1")], "EVAC"),
         ((Registry, "_check_lease", nothing_now), [(6.0 + 0.5 * n, "core freeze", 2.0) for n in range(6)], [], "LEASE"),
     ],
     ids=[
--- a/thistleusher/proxy/__init__.py
+++ b/thistleusher/proxy/__init__.py
@@ -1,5 +1,5 @@
-"""The proxy: clients' requests by routes, keys, quotas and budgets to backends, and where clients should go.
+"""The proxy forwards clients' requests to backends by routes, keys, quotas and budgets, and tells clients where to go.
 
-`decisions`, `placement`, `quota` and `budgets` are pure; the sockets are those of the ingress in service
-(`thistleusher.net`).
+It promises that each request has one answer, that none which may have run is repeated unless its route allows it, and
+that its part of each shared limit holds without the others; all but `program` and the modules with sockets are pure.
 """
--- /dev/null
+++ b/thistleusher/proxy/backend_selection.py
@@ -0,0 +1,158 @@
+"""Which backend a request goes to: the best one of the nearest tier that has one.
+
+The choice within a tier and the ejection of faulty backends are those of `policy.fleet`, with one fleet per service.
+This module adds what the proxy knows besides: the registry's list, evacuated zones, misdirected addresses (421) and
+slow start.
+
+Pure; seconds on the steady clock. The fleets append their log lines to the decision module's actions.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator, Mapping
+from typing import Any, NamedTuple
+
+from thistleusher.common.configuration import Service
+from thistleusher.common.node_settings import Bounds
+from thistleusher.core import events
+from thistleusher.core.events import BackendEntry, ListKind, Phase
+from thistleusher.core.settings import Settings
+from thistleusher.policy.fleet import Backend, Fleet
+from thistleusher.proxy.budgets import SlowStartBudget
+from thistleusher.proxy.placement import ListedBackend, Locality, tiers
+from thistleusher.proxy.requests import RequestState
+
+SILENT_FACTOR = 8.0  # usual times of its outstanding answers, after which a backend counts as silent
+LATE_FACTOR = 2.0  # usual times of an answer, after which an attempt at a silent backend counts as late
+OWN_ZONE_RATIO = 1.25  # of the best backend's latency ratio, up to which one of this zone is taken instead
+
+
+class SilentAttempt(NamedTuple):
+    """An attempt at a backend that has fallen silent."""
+
+    fleet: Fleet
+    backend: Backend
+    request: str
+
+
+class BackendSelector:
+    """All known backends and the choice among them."""
+
+    def __init__(
+        self,
+        ingress: str,
+        locality: Locality,
+        bounds: Bounds,
+        settings: Settings,
+        rng: random.Random,
+        actions: list[Any],
+    ) -> None:
+        self.locality = locality
+        self.settings = settings
+        self.rng = rng
+        self.actions = actions
+        self.slow_start = SlowStartBudget(ingress, bounds.cold_excess, bounds.cold_slack)
+        self.services: Mapping[str, Service] = {}
+        self.listed: dict[str, ListedBackend] = {}
+        self.misdirected: set[str] = set()  # backends whose address belongs to another one, as a 421 has shown
+        self.fleets: dict[str, Fleet] = {}  # by service
+        self.ingresses: list[str] = []  # names of those that are up
+
+    # What is known.
+
+    def apply_services(self, now: float, services: Mapping[str, Service]) -> None:
+        """Use the services of the configuration in force."""
+        self.services = services
+        self._refresh_fleets(now)
+
+    def apply_list(self, now: float, listed: dict[str, ListedBackend]) -> None:
+        """Replace the list of backends."""
+        self.listed = listed
+        self.misdirected &= listed.keys()
+        self.slow_start.retain(set(listed))
+        self._refresh_fleets(now)
+
+    def apply_evacuations(self, now: float, zones: set[str]) -> None:
+        """Set the evacuated zones; backends of a zone that is no longer evacuated warm up anew."""
+        restored = self.locality.evacuated_zones - zones
+        for entry in self.listed.values():
+            if entry.zone in restored:
+                service = self.services.get(entry.service)
+                warmup_s = service.warmup_s if service is not None else 0.0
+                entry.warming_until = max(entry.warming_until, now + warmup_s)
+        self.locality.evacuated_zones = zones
+
+    def fleet_of(self, now: float, service: str) -> Fleet:
+        """Return a service's fleet."""
+        fleet = self.fleets.get(service)
+        if fleet is None:
+            fleet = self.fleets[service] = Fleet(self.settings, self.rng, self.actions, now)
+        return fleet
+
+    def _refresh_fleets(self, now: float) -> None:
+        by_service: dict[str, list[BackendEntry]] = {}
+        for listed in self.listed.values():
+            phase = Phase.STOPPING if listed.draining else Phase.RUNNING
+            entry = BackendEntry(listed.name, phase, float(listed.slots), zone=listed.zone)
+            by_service.setdefault(listed.service, []).append(entry)
+        for service in by_service.keys() | self.fleets.keys():
+            update = events.ListUpdate(ListKind.WHOLE, 0, tuple(by_service.get(service, ())))
+            self.fleet_of(now, service).listed(now, update)
+
+    # The choice.
+
+    def select(self, now: float, fleet: Fleet, request: RequestState) -> Backend | None:
+        """Return the best backend of the nearest tier that has one; None where no backend can take the request now."""
+        fleet.meet(request.cls)
+        for tier in tiers(self.locality, self.listed, fleet.ready, request.allowed_regions):
+            candidates = [backend for backend in tier if self._accepts(now, backend)]
+            best = fleet.least(now, request, candidates) if candidates else None
+            if best is not None:
+                return self._prefer_own_zone(now, fleet, request, candidates, best)
+        return None
+
+    def _prefer_own_zone(
+        self, now: float, fleet: Fleet, request: RequestState, candidates: list[Backend], best: Backend
+    ) -> Backend:
+        """Return a backend of this zone in place of the best where it is about as good: traffic between zones costs."""
+        zone = self.locality.zone
+        if best.entry.zone == zone:
+            return best
+        local = fleet.least(now, request, [backend for backend in candidates if backend.entry.zone == zone])
+        if local is None or local.work > best.work or local.errors > best.errors:
+            return best
+        return local if local.ratio <= OWN_ZONE_RATIO * best.ratio else best
+
+    def _accepts(self, now: float, backend: Backend) -> bool:
+        entry = self.listed[backend.entry.backend]
+        if entry.name in self.misdirected:
+            return False
+        if now >= entry.warming_until:
+            return True
+        service = self.services.get(entry.service)
+        if service is None or service.cold_per_s <= 0:
+            return True
+        return self.slow_start.allows(now, entry.name, service.cold_per_s, self.ingresses)
+
+    # Attempts.
+
+    def record_sent(self, now: float, fleet: Fleet, request: RequestState, backend: Backend) -> None:
+        """Count an attempt that is sent."""
+        name = backend.entry.backend
+        if now < self.listed[name].warming_until:
+            self.slow_start.record_sent(now, name)
+        fleet.sent(now, backend, request)
+
+    def record_ended(self, now: float, event: events.AttemptEnded) -> None:
+        """Learn from the end of an attempt."""
+        for fleet in self.fleets.values():
+            if event.backend in fleet.backends:
+                fleet.ended(now, event)
+
+    def silent_attempts(self, now: float) -> Iterator[SilentAttempt]:
+        """Yield the attempts at backends that have fallen silent, which their fleets eject."""
+        for fleet in self.fleets.values():
+            for backend in fleet.silent(now, SILENT_FACTOR):
+                for request in backend.out:
+                    yield SilentAttempt(fleet, backend, request)
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -1,26 +1,40 @@
-"""What a proxy knows and whom it tells: control state, the registry's news, the ring, beats and charges to the counter.
+"""What a proxy knows of the cluster: control state, registry list, heartbeat ring, and its contact with the counter.
 
-Guaranteed: what is in force here never goes back within a life, whoever tells it; news are acted on before they are
-acknowledged; without a configuration and a list this proxy is not ready; a charge is answered once and given back
-once at most. What a watched proxy has lacked for a while is handed over to it.
+Guarantees: what is in force here never goes back within an incarnation, whoever sends it; updates are acted on before
+they are acknowledged; a charge is answered once and refunded once at most. A watched proxy that has lacked updates for
+a while is handed them. Without a configuration and a list this proxy is not ready.
 
-Inputs are ticks and messages; outputs are messages to send and what has changed here, which is put into the decisions
-before it is told. Pure; seconds on the steady clock.
+Inputs are ticks and messages; results are commands (`proxy.commands`). Changes are put into the decision module before
+they are returned. Pure; seconds on the steady clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any
 
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
-from thistleusher.common.quota_timing import ALONE_S, OVER
-from thistleusher.proxy import decisions as decided
-from thistleusher.proxy.decisions import Counted, Decisions
-from thistleusher.proxy.placement import Place
-from thistleusher.services.wire import Address, read_address
+from thistleusher.proxy.commands import (
+    ApplyConfiguration,
+    BackendAddress,
+    Command,
+    ConnectToCore,
+    DeliverChargeAnswer,
+    LogEvent,
+    SendHandOver,
+    SendHeartbeat,
+    SendToRegistry,
+    SetServing,
+    UpdateBackends,
+)
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.open_charges import OpenCharges
+from thistleusher.proxy.placement import ListedBackend
+from thistleusher.proxy.quota import Echo, HeartbeatScope
+from thistleusher.proxy.requests import ChargeTenant
+from thistleusher.services.wire import read_address
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.heartbeat_ring import HeartbeatRing
@@ -40,303 +54,245 @@
 )
 from thistleusher.transport.state_updates import Subscriber
 
-MOST_CHARGES = 20_000  # that are remembered; one that is forgotten gets no answer and is not given back
-VERDICT_S = ALONE_S  # after a charge was sent, from which its verdict is too old to be used
-
-
-class ToRegistry(NamedTuple):
-    """A message to the registry on a machine; to each, where `ip` is empty."""
-
-    ip: str
-    message: AnyMessage
-
-
-class ToRing(NamedTuple):
-    """A datagram to the ring's port of a machine."""
-
-    ip: str
-    message: RingHeartbeat
-
-
-class ToPeer(NamedTuple):
-    """A watched proxy is to be given a copy of the news."""
-
-    name: str
-    ip: str
-    message: HandOver
-
-
-class Core(NamedTuple):
-    """Machines of the core, to be connected to."""
-
-    addresses: tuple[str, ...]
-
-
-class InForce(NamedTuple):
-    """A configuration is in force from here on."""
-
-    lookup: Index
-
-
-class Backends(NamedTuple):
-    """Backends that are new, moved (address and whether of this region) or gone (None)."""
-
-    changes: dict[str, tuple[Address, bool] | None]
-
-
-class Serving(NamedTuple):
-    """Who may be sent to: asked again right before the first byte of each attempt."""
-
-    names: set[str]
-
-
-class Verdict(NamedTuple):
-    """The counter's answer to a charge."""
-
-    counted: Counted
-
-
-class Note(NamedTuple):
-    """An event for the log."""
-
-    event: Event
-    fields: tuple[object, ...]
-
+EVACUATIONS = "evac:"  # prefixes of items of the control state
+MEMBERS = "m:"  # and of the registry's list
+BACKENDS = "b:"
+READY_PHASE = "ready"
 
 Reply = StateUpdateAck | SubscribeRequest
-Output = ToRegistry | ToRing | ToPeer | Core | InForce | Backends | Serving | Verdict | Note
-
-
-class OpenCharge(NamedTuple):
-    """A charge that has had no answer: of which request, and when it was sent."""
-
-    request: str
-    sent: float
 
 
 class ClusterView:
-    """One proxy's."""
+    """The cluster as one proxy sees it."""
 
     def __init__(
         self,
-        me: str,
-        life: str,
+        name: str,
+        incarnation: str,
         region: str,
         region_of: Callable[[str], str],
-        about: dict[str, str],
+        description: dict[str, str],
         decisions: Decisions,
         now: float,
     ) -> None:
-        """`about`: what others are told of this proxy: `front`, `ip`, `zone`, `region`."""
-        self.me, self.life, self.region, self.region_of, self.about = me, life, region, region_of, about
+        """`region_of`: the region of a zone; `description`: `front`, `ip`, `zone`, `region` for the registry's list."""
+        self.name = name
+        self.incarnation = incarnation
+        self.region = region
+        self.region_of = region_of
+        self.description = description
         self.decisions = decisions
         self.core = CoreMembers()
-        self.control = Subscriber(me)
+        self.control = Subscriber(name)
         self.configuration = ConfigurationFollower()
-        self.list = Subscriber(me)
-        self.ring = HeartbeatRing(me, now)
-        self.known = False  # whether there is a list of backends
+        self.registry = Subscriber(name)
+        self.ring = HeartbeatRing(name, now)
+        self.has_list = False  # of backends
         self.serving: set[str] = set()
         self.counter = ""  # the machine whose registry has echoed last
-        self.last_charge = 0
-        self.unanswered: dict[int, OpenCharge] = {}  # by the charge's number
-        self.charged: dict[str, int] = {}  # requests whose charge may still be given back, and its number
-        self.out: list[Output] = []
+        self.charges = OpenCharges(incarnation)
+        self.commands: list[Command] = []
 
     @property
     def index(self) -> Index | None:
         """The configuration in force."""
         return self.configuration.index
 
-    def _flush(self) -> list[Output]:
-        out, self.out = self.out, []
-        return out
+    def members(self) -> dict[str, dict[str, Any]]:
+        """Return the proxies of the registry's list by name: `front`, `ip`, `zone`, `region`, `up`."""
+        return self.registry.state.values(MEMBERS)
 
-    # Whom it tells.
+    def _flush(self) -> list[Command]:
+        commands = self.commands
+        self.commands = []
+        return commands
 
-    def follow_control(self) -> SubscribeRequest:
-        """The first message to a control process."""
-        return self.control.follow()
+    # Messages that this proxy begins with, and heartbeats.
 
-    def follow_list(self) -> SubscribeRequest:
-        """The first message to a registry."""
-        return self.list.follow()
+    def subscribe_to_control(self) -> SubscribeRequest:
+        """Return the first message to a control process."""
+        return self.control.follow()
 
-    def tick(self, now: float, ready: bool) -> list[Output]:
-        """Beats to the counter and on the ring; `ready`: whether requests are served here."""
-        beat, full = self.decisions.quota.beat(now)
-        if beat:
-            self._here(now, ready, full)
+    def subscribe_to_registry(self) -> SubscribeRequest:
+        """Return the first message to a registry."""
+        return self.registry.follow()
+
+    def tick(self, now: float, ready: bool) -> list[Command]:
+        """Send the heartbeats that are due, to the counter and on the ring; `ready`: whether requests are served."""
+        scope = self.decisions.quota.heartbeat_due(now)
+        if scope is HeartbeatScope.ALL_REGISTRIES:
+            self._report_status(now, ready)
+        elif scope is HeartbeatScope.COUNTER and self.counter:
+            heartbeat = ProxyHeartbeat(self.incarnation, now, self.decisions.quota.echo)
+            self.commands.append(SendToRegistry(self.counter, heartbeat))
         due = self.ring.due(now)
         if due:
-            members = self.list.state.values("m:")
-            self.out += [ToRing(members[name]["ip"], self._ring_beat()) for name in due if name in members]
+            members = self.members()
+            heartbeat_out = self._ring_heartbeat()
+            self.commands += [SendHeartbeat(members[peer]["ip"], heartbeat_out) for peer in due if peer in members]
         return self._flush()
 
-    def here(self, now: float, ready: bool) -> list[Output]:
-        """Tell all registries at once: this proxy ends."""
-        self._here(now, ready, True)
+    def report_status(self, now: float, ready: bool) -> list[Command]:
+        """Send this proxy's status to all registries at once, as when it shuts down."""
+        self._report_status(now, ready)
         return self._flush()
 
-    def _here(self, now: float, ready: bool, full: bool) -> None:
+    def _report_status(self, now: float, ready: bool) -> None:
+        silent = tuple(sorted(self.ring.silent(now)))
         echo = self.decisions.quota.echo
-        if full:
-            silent = tuple(sorted(self.ring.silent(now)))
-            self.out.append(ToRegistry("", ProxyStatusReport(self.life, now, echo, ready, silent, self.about)))
-        elif self.counter:
-            self.out.append(ToRegistry(self.counter, ProxyHeartbeat(self.life, now, echo)))
-
-    # The ring.
-
-    def _ring_beat(self) -> RingHeartbeat:
-        """With the numbers of the news that this proxy has."""
-        return RingHeartbeat(self.me, self.control.state.number, self.list.state.number)
-
-    def beat(self, now: float, beat: RingHeartbeat, ip: str) -> list[Output]:
-        """Another proxy's heartbeat."""
-        self.ring.beat(now, beat.name)
-        theirs, mine = (beat.control, beat.registry), (self.control.state.number, self.list.state.number)
+        report = ProxyStatusReport(self.incarnation, now, echo, ready, silent, self.description)
+        self.commands.append(SendToRegistry("", report))
+
+    # The heartbeat ring.
+
+    def _ring_heartbeat(self) -> RingHeartbeat:
+        """Return a heartbeat with the numbers of the states that this proxy has."""
+        return RingHeartbeat(self.name, self.control.state.number, self.registry.state.number)
+
+    def heartbeat_received(self, now: float, heartbeat: RingHeartbeat, ip: str) -> list[Command]:
+        """Take in another proxy's heartbeat; hand over what it has lacked for a while."""
+        self.ring.beat(now, heartbeat.name)
+        theirs = (heartbeat.control, heartbeat.registry)
+        mine = (self.control.state.number, self.registry.state.number)
         if 0 in mine and theirs > mine:
-            # One that knows nothing does not know its watchers: it answers all.
-            self.out.append(ToRing(ip, self._ring_beat()))
-        if self.ring.behind(now, beat.name, theirs, mine):
-            control, registry = self.control.state.since(theirs[0]), self.list.state.since(theirs[1])
-            self.out.append(ToPeer(beat.name, ip, HandOver(self.me, control, registry)))
+            # A proxy that knows nothing does not know its watchers either: it answers all, so that one hands over.
+            self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
+        if self.ring.behind(now, heartbeat.name, theirs, mine):
+            control = self.control.state.since(theirs[0])
+            registry = self.registry.state.since(theirs[1])
+            self.commands.append(SendHandOver(heartbeat.name, ip, HandOver(self.name, control, registry)))
         return self._flush()
 
-    def handed(self, now: float, copy: HandOver) -> list[Output]:
-        """A watcher's copy: news like any other, of which only what is newer counts."""
-        self._control_news(now, copy.control)
-        self._list_news(now, copy.registry)
+    def handed_over(self, now: float, copy: HandOver) -> list[Command]:
+        """Take in a watcher's copy: updates like any others, of which only what is newer counts."""
+        self._control_update(now, copy.control)
+        self._registry_update(now, copy.registry)
         return self._flush()
 
     # The control state.
 
-    def from_control(self, now: float, message: AnyMessage) -> tuple[list[Output], Reply | None]:
-        """A control process's message: what follows, and the acknowledgement, of what is in force here only."""
+    def from_control(self, now: float, message: AnyMessage) -> tuple[list[Command], Reply | None]:
+        """Take in a control process's message; return the commands and the acknowledgement to send after them.
+
+        Raises UnexpectedMessage for any other than a StateUpdate or CoreInfo.
+        """
         reply: Reply | None = None
         if isinstance(message, StateUpdate):
-            reply = self._control_news(now, message)
+            reply = self._control_update(now, message)
         elif isinstance(message, CoreInfo):
             if self.core.learn(message):
-                self.out.append(Core(message.voters))
+                self.commands.append(ConnectToCore(message.voters))
         else:
             raise UnexpectedMessage(message)
         return self._flush(), reply
 
-    def _control_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
-        changed, reply = self.control.heard(news)
+    def _control_update(self, now: float, update: StateUpdate) -> Reply:
+        changed, reply = self.control.heard(update)
         if not changed:
             return reply
         if self.configuration.update(self.control.state, changed):
-            self._configured(now)
-        if any(name.startswith("evac:") for name in changed):
-            evacuations = self.control.state.values("evac:")
-            self.decisions.evacuated(now, {zone for zone, held in evacuations.items() if held["on"]})
-            self._serve()
+            self._apply_configuration(now)
+        if any(name.startswith(EVACUATIONS) for name in changed):
+            evacuations = self.control.state.values(EVACUATIONS)
+            zones = {zone for zone, evacuation in evacuations.items() if evacuation["on"]}
+            self.decisions.apply_evacuations(now, zones)
+            self._update_serving()
         return reply
 
-    def _configured(self, now: float) -> None:
+    def _apply_configuration(self, now: float) -> None:
         index = self.configuration.index
         assert index is not None
-        self.decisions.configured(now, index.config)
-        self.out.append(InForce(index))
-        self.out.append(Note(Event.CONFIG, (index.config.version, len(index.config.routes))))
+        self.decisions.apply_configuration(now, index.config)
+        self.commands.append(ApplyConfiguration(index))
+        self.commands.append(LogEvent(Event.CONFIG, (index.config.version, len(index.config.routes))))
 
     # The registry.
 
-    def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Output], Reply | None]:
-        """An echo, a verdict, or news: what follows, and the acknowledgement."""
+    def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Command], Reply | None]:
+        """Take in a message of the registry at `ip`; return the commands and the acknowledgement to send after them.
+
+        Raises UnexpectedMessage for any other than a ChargeResult, HeartbeatEcho or StateUpdate.
+        """
         reply: Reply | None = None
         if isinstance(message, ChargeResult):
-            self._verdict(now, message)
+            answer = self.charges.answered(now, message)
+            if answer is not None:
+                self.commands.append(DeliverChargeAnswer(answer))
         elif isinstance(message, HeartbeatEcho):
-            if self.decisions.quota.echoed(now, message.by, message.sent, message.now, message.share):
+            echo = Echo(message.by, message.now)
+            if self.decisions.quota.record_echo(now, echo, message.sent, message.share):
                 self.counter = ip
         elif isinstance(message, StateUpdate):
-            reply = self._list_news(now, message)
+            reply = self._registry_update(now, message)
         else:
             raise UnexpectedMessage(message)
         return self._flush(), reply
 
-    def charge(self, now: float, action: decided.Charge) -> list[Output]:
-        """Charge a tenant's one count, or give a request's charge back."""
+    def charge(self, now: float, action: ChargeTenant) -> list[Command]:
+        """Charge a tenant's central count, or refund a request's charge. Lost while there is no counter."""
         if action.amount < 0:
-            return self._give_back(action)
-        self.last_charge += 1
-        number = self.last_charge
-        self.unanswered[number] = OpenCharge(action.request, now)
-        self.charged[action.request] = number
-        for remembered in (self.unanswered, self.charged):
-            if len(remembered) > MOST_CHARGES:
-                remembered.pop(next(iter(remembered)))  # type: ignore[call-overload]
-        return self._to_counter(Charge(self.life, number, action.tenant, action.amount, action.window))
-
-    def _give_back(self, action: decided.Charge) -> list[Output]:
-        """Once for each charge; its answer, if none has come yet, reaches nobody."""
-        number = self.charged.pop(action.request, None)
-        if number is None:
-            return []
-        self.unanswered.pop(number, None)
-        return self._to_counter(Charge(self.life, number, action.tenant, action.amount, action.window))
-
-    def _to_counter(self, charge: Charge) -> list[Output]:
-        return [ToRegistry(self.counter, charge)] if self.counter else []
-
-    def _verdict(self, now: float, result: ChargeResult) -> None:
-        """The answer to a charge of this life that waits for it. A late one may be of a window long over."""
-        if result.life != self.life:
-            return
-        charge = self.unanswered.pop(result.number, None)
-        if charge is None:
-            return
-        if now - charge.sent >= VERDICT_S:
-            counted = Counted(charge.request, OVER, 0.0, result.window)
+            number = self.charges.refund(action.request)
+            if number is None:
+                return []
         else:
-            counted = Counted(charge.request, result.verdict, result.left, result.window)
-        self.out.append(Verdict(counted))
+            number = self.charges.open(now, action.request)
+        if not self.counter:
+            return []
+        charge = Charge(self.incarnation, number, action.tenant, action.amount, action.window)
+        return [SendToRegistry(self.counter, charge)]
 
-    def _list_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
-        changed, reply = self.list.heard(news)
+    def _registry_update(self, now: float, update: StateUpdate) -> Reply:
+        changed, reply = self.registry.heard(update)
         if not changed:
             return reply
-        if any(name.startswith("m:") for name in changed):
-            members = self.list.state.values("m:")
+        if any(name.startswith(MEMBERS) for name in changed):
+            members = self.members()
             self.ring.members(now, members)
-            self.decisions.ingresses = sorted(n for n, m in members.items() if m["up"])
-        backends = {name[2:]: entry for name, entry in changed.items() if name.startswith("b:")}
+            self.decisions.apply_ingresses(sorted(name for name, member in members.items() if member["up"]))
+        backends = {name[len(BACKENDS) :]: item for name, item in changed.items() if name.startswith(BACKENDS)}
         if backends:
-            self._listed(now, backends)
+            self._update_backends(now, backends)
         return reply
 
-    def _listed(self, now: float, backends: dict[str, Any]) -> None:
-        places = dict(self.decisions.places)
-        moved: dict[str, tuple[Address, bool] | None] = {}
-        for name, entry in backends.items():
-            old = places.pop(name, None)
-            if entry is None:
-                moved[name] = None
+    def _update_backends(self, now: float, items: dict[str, Any]) -> None:
+        """Take in changed items of the list; None: the backend is gone."""
+        listed = dict(self.decisions.selector.listed)
+        changes: dict[str, BackendAddress | None] = {}
+        for name, item in items.items():
+            old = listed.pop(name, None)
+            if item is None:
+                changes[name] = None
                 continue
-            place = places[name] = Place(
-                name,
-                entry["s"],
-                read_address(entry["a"]),
-                entry["z"],
-                self.region_of(entry["z"]),
-                entry["c"],
-                entry["p"] != "ready",
-                now + entry["cold"] / 1000 if entry["cold"] > 0 else 0.0,
-            )
-            if old is None or old.address != place.address:
-                moved[name] = place.address, place.region == self.region
-        self.decisions.listed(now, places)
-        self.known = True
-        if moved:
-            self.out.append(Backends(moved))
-        self._serve()
-        self.out.append(Note(Event.LIST, (self.list.state.number, len(places), len(self.decisions.ingresses))))
-
-    def _serve(self) -> None:
-        evacuated = self.decisions.ground.evacuated
-        self.serving = {p.name for p in self.decisions.places.values() if not p.draining and p.zone not in evacuated}
-        self.out.append(Serving(self.serving))
+            new = listed[name] = self._read_backend(now, name, item)
+            if old is None or old.address != new.address:
+                changes[name] = BackendAddress(new.address, new.region == self.region)
+        self.decisions.apply_backends(now, listed)
+        self.has_list = True
+        if changes:
+            self.commands.append(UpdateBackends(changes))
+        self._update_serving()
+        sizes = (self.registry.state.number, len(listed), len(self.decisions.selector.ingresses))
+        self.commands.append(LogEvent(Event.LIST, sizes))
+
+    def _read_backend(self, now: float, name: str, item: dict[str, Any]) -> ListedBackend:
+        """Return an item of the list, whose keys are short as it is sent to all proxies."""
+        return ListedBackend(
+            name,
+            service=item["s"],
+            address=read_address(item["a"]),
+            zone=item["z"],
+            region=self.region_of(item["z"]),
+            slots=item["c"],
+            draining=item["p"] != READY_PHASE,
+            warming_until=now + item["cold"] / 1000 if item["cold"] > 0 else 0.0,
+        )
+
+    def _update_serving(self) -> None:
+        selector = self.decisions.selector
+        evacuated = selector.locality.evacuated_zones
+        self.serving = {
+            backend.name
+            for backend in selector.listed.values()
+            if not backend.draining and backend.zone not in evacuated
+        }
+        self.commands.append(SetServing(self.serving))
--- a/thistleusher/proxy/directory.py
+++ b/thistleusher/proxy/directory.py
@@ -1,19 +1,21 @@
-"""Where clients should go: ingresses that are up, those of the client's region first. Pure."""
+"""The addresses that clients are directed to: ingresses that are up, those of the client's region first. Pure."""
 
 from __future__ import annotations
 
 from typing import Any
 
-MOST = 64
-TTL_S = 1.0
+MAX_ADDRESSES = 64
+TTL_S = 1.0  # for which a client may keep an answer
 
 
 def addresses(members: dict[str, dict[str, Any]], silent: set[str], region: str, zone: str) -> list[str]:
-    """Front addresses for a client: those of its region that are up, or else of anywhere; where none is, all there are.
+    """Return the front addresses for a client in `zone` of `region`, sorted, `MAX_ADDRESSES` at most.
 
-    `silent`: names of ingresses that this one itself hears nothing of. A list that is somewhat old beats none.
+    Those of its region that are up, else those of any region; where none is up, all there are, as a somewhat stale
+    list beats none. `silent`: names of ingresses that this one itself hears nothing of.
     """
-    up = {n: m for n, m in members.items() if m["up"] and n not in silent}
-    near = [m["front"] for m in up.values() if m["region"] == region]
-    chosen = near or [m["front"] for m in up.values()] or [m["front"] for m in members.values()]
-    return sorted(chosen)[:MOST]
+    up = {name: member for name, member in members.items() if member["up"] and name not in silent}
+    near = [member["front"] for member in up.values() if member["region"] == region]
+    anywhere = [member["front"] for member in up.values()]
+    chosen = near or anywhere or [member["front"] for member in members.values()]
+    return sorted(chosen)[:MAX_ADDRESSES]
--- /dev/null
+++ b/thistleusher/proxy/forwarding.py
@@ -0,0 +1,129 @@
+"""The surroundings of the proxy's driver: clients' requests in, exchanges with backends out, one answer to each."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from thistleusher.common.configuration import Index
+from thistleusher.common.failures import ANSWERS, Kind, header_of
+from thistleusher.core import actions
+from thistleusher.core.driver import InFlightRequest
+from thistleusher.core.events import Outcome
+from thistleusher.core.ports import Ended, Final, Verdict
+from thistleusher.net.client_call import Answer
+from thistleusher.net.ingress import Ingress, Reply, Sent
+from thistleusher.net.upstream import Exchange, Upstream
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.http_messages import MISDIRECTED, NOT_RUN_STATUSES, ClientRequest, answer_lines
+from thistleusher.proxy.requests import ChargeTenant
+from thistleusher.proxy.routing import class_settings_of
+
+STALL_S = 1.0  # without a byte in the middle of an answer, after which a repeatable request goes to another backend
+MIN_LEFT_S = 0.001  # stated to a backend at least
+KINDS = {
+    Verdict.OVER_QUOTA: Kind.OVER_QUOTA,
+    Verdict.NO_ROOM: Kind.NO_ROOM,
+    Verdict.FAILED: Kind.FAILED,
+    Verdict.FAULT: Kind.FAULT,
+    Verdict.INVALID: Kind.MALFORMED,
+}
+REJECTIONS = (Verdict.OVER_QUOTA, Verdict.NO_ROOM)  # promise that the request has not run and never will
+
+
+class ProxyIngress(Ingress):
+    """The driver with the proxy's decision module, and its attempts at backends."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        decisions: Decisions,
+        upstream: Upstream,
+        charge: Callable[[ChargeTenant], None],
+    ) -> None:
+        super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
+        self.decisions = decisions
+        self.driver.carry[ChargeTenant] = charge
+        self.break_off = self.driver.carry[actions.CancelAttempt]
+        self.driver.carry[actions.CancelAttempt] = self.cancel
+        self.is_shutting_down: Callable[[], bool] = lambda: False
+
+    def apply_configuration(self, index: Index) -> None:
+        """Use this configuration's routes from here on; those of requests in flight stay known."""
+        self.driver.classes |= self.decisions.classes
+        used = {held.request.class_name for held in self.held.values()}
+        for name in self.driver.classes.keys() - index.config.routes.keys() - used:
+            del self.driver.classes[name]
+
+    def take(self, call: ClientRequest, reply: Reply) -> None:  # type: ignore[override]
+        """Take a client's request, which gets exactly one answer through `reply` from here on."""
+        if call.request.id not in self.held:
+            self.decisions.expect(call.request.id, call.context)
+        # It was read ahead, and its route may have been dropped since.
+        self.driver.classes.setdefault(call.request.class_name, class_settings_of(call.context.match))
+        self.driver.take(call.request, lambda final: self.answer(final, call, reply), call, call.received_at)
+
+    def cancel(self, action: actions.CancelAttempt) -> None:
+        """Cancel an attempt at a silent backend, so that another may follow.
+
+        Not during a graceful shutdown, as it may be the last attempt that can be made. Nor one whose answer has come:
+        where this process has stood still, timers may be due before the reads of the same moment.
+        """
+        held = self.held.get(action.request)
+        attempt = held.context.attempt if held is not None else None
+        if not self.is_shutting_down() and (attempt is None or not attempt.answering()):
+            self.break_off(action)
+
+    @staticmethod
+    def answer(final: Final, call: ClientRequest, reply: Reply) -> None:
+        """Give the one answer: the backend's own, unchanged, or one by the table of failure kinds.
+
+        A rejection promises that the request has not run and never will: whoever decided on it, none leaves here for
+        one that may have run.
+        """
+        verdict = final.verdict
+        if verdict in REJECTIONS and call.may_have_run():
+            verdict = Verdict.FAILED
+        answer: Answer | None = final.payload if verdict is Verdict.SERVED else None
+        if verdict is Verdict.FAILED and call.last_error is not None:
+            answer = call.last_error
+        if answer is not None:
+            reply(answer.status, answer_lines(answer), answer.body)
+            return
+        kind = KINDS[verdict]
+        reply(ANSWERS[kind].status, header_of(kind, final.retry_in or None), b"")
+
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
+        """Return one attempt, to be started by the driver.
+
+        It is not sent if by then its client has gone, its time is up, or its backend may not be sent to any more.
+        """
+        call: ClientRequest = held.context
+        repeatable = call.context.match.route.repeatable
+
+        def message() -> bytes:
+            return call.message(max(MIN_LEFT_S, held.deadline - self.driver.scheduler.time()), backend)
+
+        def may_send() -> bool:
+            in_time = self.driver.scheduler.time() < held.deadline
+            return not held.answered and in_time and backend in self.serving
+
+        def stall_s() -> float:
+            return STALL_S if repeatable and not self.is_shutting_down() else 0.0
+
+        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
+            call.attempt = None
+            call.ended_attempt_may_have_run |= exchange.written and outcome is not Outcome.FULL
+            if answer is not None:
+                self._note_answer(call, backend, outcome, answer)
+            on_end(Ended(outcome, answer))
+
+        mark = call.request.id.encode("latin-1")
+        call.attempt = Sent(self.upstream, Exchange(backend, message, may_send, ended, not repeatable, mark, stall_s))
+        return call.attempt
+
+    def _note_answer(self, call: ClientRequest, backend: str, outcome: Outcome, answer: Answer) -> None:
+        if answer.status == MISDIRECTED:
+            self.decisions.mark_misdirected(backend)
+        if outcome is Outcome.ERROR and answer.status >= 500 and answer.status not in NOT_RUN_STATUSES:
+            call.last_error = answer
--- /dev/null
+++ b/thistleusher/proxy/http_messages.py
@@ -0,0 +1,124 @@
+"""Requests and answers as they pass the proxy: which headers go on, and what an answer says of its attempt."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.core import events
+from thistleusher.core.events import Outcome
+from thistleusher.net.client_call import Answer
+from thistleusher.net.ingress import Sent
+from thistleusher.proxy.requests import RequestContext
+
+SEAL_HEADER = b"x-server-seal"  # a backend's proof that an answer is its own
+NOT_RUN_HEADER = b"x-not-run"  # a backend's proof that the request has not run and never will
+ATTEMPT_HEADER = b"x-attempt-id"
+DEADLINE_HEADER = b"x-deadline-ms"
+
+CONNECTION_HEADERS = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"expect",
+    b"content-length",
+}  # of one connection, or of its framing
+NOT_FORWARDED = CONNECTION_HEADERS | {b"authorization", b"x-tenant", b"x-expect-instance", DEADLINE_HEADER}
+SINGLE_HEADERS = (b"host", ATTEMPT_HEADER, DEADLINE_HEADER, b"authorization")  # a second one is malformed
+ALWAYS_FORWARDED = {b"host", ATTEMPT_HEADER}  # whatever `Connection` names
+
+MISDIRECTED = 421
+NOT_RUN_STATUSES = (408, MISDIRECTED, 429, 503)  # promise to clients that a request has not run and never will
+
+
+class RequestHeaders(NamedTuple):
+    """A request's headers: the values by lower-case name, and the lines that go on to a backend unchanged."""
+
+    values: dict[bytes, bytes]
+    forwarded: bytes
+
+
+def read_headers(headers: Iterable[tuple[bytes, bytes]]) -> RequestHeaders | Failure:
+    """Return a request's headers, or the failure where one that must be single comes twice."""
+    values: dict[bytes, bytes] = {}
+    forwarded: list[tuple[bytes, bytes]] = []
+    for name, value in headers:
+        key = name.lower()
+        if key in SINGLE_HEADERS and key in values:
+            return Failure(Kind.MALFORMED, f"{key.decode()}: more than one")
+        values[key] = value
+        if key not in NOT_FORWARDED:
+            forwarded.append((key, b"%s: %s\r\n" % (name, value)))
+    connection = values.get(b"connection", b"")
+    if connection:
+        dropped = header_names(connection) - ALWAYS_FORWARDED
+        forwarded = [(key, line) for key, line in forwarded if key not in dropped]
+    return RequestHeaders(values, b"".join(line for _, line in forwarded))
+
+
+def header_names(connection: bytes) -> set[bytes]:
+    """Return the lower-case names that a `Connection` header lists."""
+    return {part.strip().lower() for part in connection.split(b",")}
+
+
+def answer_lines(answer: Answer) -> bytes:
+    """Return the header lines of an answer that go on to the client: all but those of its connection."""
+    dropped = header_names(answer.headers.get(b"connection", b""))
+    return b"".join(
+        b"%s: %s\r\n" % (name, value)
+        for name, value in answer.headers.items()
+        if name not in CONNECTION_HEADERS and name not in dropped
+    )
+
+
+def outcome_of(answer: Answer) -> Outcome:
+    """Return what an answer says of its attempt.
+
+    A success without a seal is an error: something other than the backend has answered. A status that promises that the
+    request has not run counts only with the backend's proof.
+    """
+    if NOT_RUN_HEADER in answer.headers or answer.status == MISDIRECTED:
+        return Outcome.FULL
+    if 200 <= answer.status < 300:
+        return Outcome.OK if SEAL_HEADER in answer.headers else Outcome.ERROR
+    return Outcome.OK if answer.status < 500 and answer.status not in NOT_RUN_STATUSES else Outcome.ERROR
+
+
+@dataclass(slots=True)
+class ClientRequest:
+    """A client's request that was read whole and is to be forwarded."""
+
+    request: events.Request
+    context: RequestContext
+    start: bytes  # request line and the headers that go on unchanged
+    body: bytes
+    received_at: float
+    last_error: Answer | None = None  # the newest answer of a backend that reports an error of its own
+    has_length: bool = True  # whether it states a length
+    attempt: Sent | None = None  # in flight
+    ended_attempt_may_have_run: bool = False
+
+    def may_have_run(self) -> bool:
+        """Return whether a backend may have begun to run it, so that nothing may be promised about it any more."""
+        return self.ended_attempt_may_have_run or (self.attempt is not None and self.attempt.written)
+
+    def message(self, left_s: float, backend: str) -> bytes:
+        """Return the request as the backend gets it, with `left_s` of its time left."""
+        tenant = b"X-Tenant: %s\r\n" % self.context.tenant.encode() if self.context.tenant is not None else b""
+        length = b"Content-Length: %d\r\n" % len(self.body) if self.has_length else b""
+        return b"%sX-Deadline-Ms: %d\r\nX-Expect-Instance: %s\r\n%s%s\r\n%s" % (
+            self.start,
+            max(1, int(left_s * 1000)),
+            backend.encode(),
+            tenant,
+            length,
+            self.body,
+        )
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -1,291 +1,105 @@
-"""The clients' door of the proxy, and its driver's surroundings: those of the ingress in service, with the system's
-words."""
+"""The proxy's listener: reads clients' requests and matches their routes and tenants, or answers them at once."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 from thistleusher.common.configuration import Index
-from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
-from thistleusher.core import actions, events
-from thistleusher.core.driver import InFlightRequest
-from thistleusher.core.events import Outcome
-from thistleusher.core.ports import Ended, Final, Verdict
-from thistleusher.net.client_call import Answer
-from thistleusher.net.ingress import Ingress, Reply, Sent
+from thistleusher.common.failures import Failure, Kind
+from thistleusher.core import events
 from thistleusher.net.server import Bounds, ClientConnection, Server
-from thistleusher.net.shutdown import GracefulShutdown
-from thistleusher.net.upstream import Exchange, Upstream
-from thistleusher.proxy.decisions import PLAN, Asked, Charge, Decisions, class_of
+from thistleusher.proxy.decisions import PLAN
+from thistleusher.proxy.forwarding import ProxyIngress
+from thistleusher.proxy.http_messages import ATTEMPT_HEADER, DEADLINE_HEADER, ClientRequest, read_headers
+from thistleusher.proxy.requests import RequestContext
 from thistleusher.transport.call_server import refusal
 
-SEAL, NOT_RUN, ATTEMPT = b"x-server-seal", b"x-not-run", b"x-attempt-id"
-OWN = {
-    b"connection",
-    b"keep-alive",
-    b"proxy-connection",
-    b"proxy-authenticate",
-    b"proxy-authorization",
-    b"te",
-    b"trailer",
-    b"transfer-encoding",
-    b"upgrade",
-    b"expect",
-    b"content-length",
-}  # of a connection, or of framing
-BARE = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")  # methods whose requests need not state a length
-NOT_SENT = OWN | {b"authorization", b"x-tenant", b"x-expect-instance", b"x-deadline-ms"}
-ONCE = (b"host", b"x-attempt-id", b"x-deadline-ms", b"authorization")
-PROMISED = (408, 421, 429, 503)  # that it has not run; a backend's own, without its proof, is not passed on
-LONGEST_S = 120.0
-STALL_S = 1.0  # in the middle of an answer, after which a repeatable request goes to another backend
-DOOR_S = 3.2  # after a planned end is told, in which clients may still come
-LAST_S = 0.5  # kept of the time before a kill
-SHORT_S = 0.05
-KINDS = {
-    Verdict.OVER_QUOTA: Kind.OVER_QUOTA,
-    Verdict.NO_ROOM: Kind.NO_ROOM,
-    Verdict.FAILED: Kind.FAILED,
-    Verdict.FAULT: Kind.FAULT,
-    Verdict.INVALID: Kind.MALFORMED,
-}
-
-
-@dataclass(slots=True)
-class Call:
-    """A client's request that has come whole and is to be served."""
-
-    request: events.Request
-    asked: Asked
-    start: bytes  # request line and the headers that go on unchanged
-    body: bytes
-    came: float
-    last: Answer | None = None  # the newest whole answer that was no success
-    framed: bool = True  # whether it states a length
-    sent: Sent | None = None  # the attempt that is out
-    ran: bool = False  # an attempt that has ended may have run
-
-    def may_have_run(self) -> bool:
-        """Whether nothing may be promised about it any more."""
-        return self.ran or (self.sent is not None and self.sent.written)
-
-    def message(self, left_s: float, backend: str) -> bytes:
-        """The request as a backend gets it, with what is left of its time."""
-        tenant = b"X-Tenant: %s\r\n" % self.asked.tenant.encode() if self.asked.tenant is not None else b""
-        length = b"Content-Length: %d\r\n" % len(self.body) if self.framed else b""
-        return b"%sX-Deadline-Ms: %d\r\nX-Expect-Instance: %s\r\n%s%s\r\n%s" % (
-            self.start,
-            max(1, int(left_s * 1000)),
-            backend.encode(),
-            tenant,
-            length,
-            self.body,
-        )
-
-
-def outcome_of(answer: Answer) -> Outcome:
-    """What an answer says of the attempt. A success lacks its seal only where it is none of the backend's."""
-    if NOT_RUN in answer.headers or answer.status == 421:
-        return Outcome.FULL
-    if 200 <= answer.status < 300:
-        return Outcome.OK if SEAL in answer.headers else Outcome.ERROR
-    return Outcome.OK if answer.status < 500 and answer.status not in PROMISED else Outcome.ERROR
-
-
-def lines_of(answer: Answer) -> bytes:
-    """An answer's headers, but those of its connection."""
-    named = {part.strip().lower() for part in answer.headers.get(b"connection", b"").split(b",")}
-    return b"".join(
-        b"%s: %s\r\n" % (name, value) for name, value in answer.headers.items() if name not in OWN and name not in named
-    )
-
-
-class ProxyGracefulShutdown(GracefulShutdown):
-    """A planned end within `grace_s`: the door closes early enough for what came last."""
-
-    def __init__(self, told: float, grace_s: float) -> None:
-        super().__init__(told, 0.0)
-        self.shut = told + min(DOOR_S, grace_s / 2)
-        self.end = told + max(1.0, grace_s - LAST_S)
-
-    def open(self, now: float) -> bool:
-        return now < self.shut and super().open(now)
-
-
-class ProxyIngress(Ingress):
-    """Calls in, exchanges with backends out."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        decisions: Decisions,
-        upstream: Upstream,
-        charge: Callable[[Charge], None],
-    ) -> None:
-        super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
-        self.decisions = decisions
-        self.driver.carry[Charge] = charge
-        self.break_off = self.driver.carry[actions.CancelAttempt]
-        self.driver.carry[actions.CancelAttempt] = self.cancel
-        self.leaving: Callable[[], bool] = lambda: False  # whether this process's planned end has begun
-
-    def routes(self, index: Index) -> None:
-        """The routes that requests may come by from now on; those of requests that are out stay known."""
-        self.driver.classes |= self.decisions.classes
-        used = {held.request.class_name for held in self.held.values()}
-        for name in self.driver.classes.keys() - index.config.routes.keys() - used:
-            del self.driver.classes[name]
-
-    def take(self, call: Call, reply: Reply) -> None:  # type: ignore[override]
-        """A client's request: it is owed one answer from here on."""
-        if call.request.id not in self.held:
-            self.decisions.expect(call.request.id, call.asked)
-        # It was read ahead, and its route may have been dropped since.
-        self.driver.classes.setdefault(call.request.class_name, class_of(call.asked.found))
-        self.driver.take(call.request, lambda final: self.final(final, call, reply), call, call.came)
-
-    def cancel(self, action: actions.CancelAttempt) -> None:
-        """Break off an attempt at a silent backend, so that another may follow.
-
-        At a planned end it is left alone, as it may be the last that can be had. So is one whose answer has come: where
-        this process has stood still, timers may be due before the reads of the same moment.
-        """
-        held = self.held.get(action.request)
-        sent = held.context.sent if held is not None else None
-        if not self.leaving() and (sent is None or not sent.answering()):
-            self.break_off(action)
-
-    @staticmethod
-    def final(final: Final, call: Call, reply: Reply) -> None:
-        """The one answer: the backend's own, unchanged, or one by the table of kinds.
-
-        A refusal promises that the request has not run and never will: whoever decided on it, none leaves here for one
-        that may have.
-        """
-        verdict = final.verdict
-        if verdict in (Verdict.OVER_QUOTA, Verdict.NO_ROOM) and call.may_have_run():
-            verdict = Verdict.FAILED
-        answer: Answer | None = final.payload if verdict is Verdict.SERVED else None
-        if verdict is Verdict.FAILED and call.last is not None:
-            answer = call.last
-        if answer is not None:
-            reply(answer.status, lines_of(answer), answer.body)
-            return
-        kind = KINDS[verdict]
-        reply(ANSWERS[kind].status, header_of(kind, final.retry_in or None), b"")
-
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
-        """One attempt. It is not sent if its client has gone, its time is up, or its backend may not be sent to any
-        more by then."""
-        call: Call = held.context
-        repeatable = call.asked.found.route.repeatable
-
-        def message() -> bytes:
-            return call.message(max(0.001, held.deadline - self.driver.scheduler.time()), backend)
-
-        def may_send() -> bool:
-            in_time = self.driver.scheduler.time() < held.deadline
-            return not held.answered and in_time and backend in self.serving
-
-        def stall() -> float:
-            return STALL_S if repeatable and not self.leaving() else 0.0
-
-        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
-            call.sent = None
-            call.ran |= exchange.written and outcome is not Outcome.FULL
-            if answer is not None and answer.status == 421:
-                self.decisions.stranger(backend)
-            if (
-                answer is not None
-                and outcome is Outcome.ERROR
-                and not (answer.status < 500 or answer.status in PROMISED)
-            ):
-                call.last = answer
-            on_end(Ended(outcome, answer))
-
-        call.sent = Sent(
-            self.upstream,
-            Exchange(backend, message, may_send, ended, not repeatable, call.request.id.encode("latin-1"), stall),
-        )
-        return call.sent
+BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")  # whose requests need not state a length
+MAX_TIME_S = 120.0  # of a request
+MIN_TIME_S = 0.05  # before the end of a graceful shutdown, under which no request is taken any more
+MIN_TIMEOUT_S = 0.1  # of a connection, whatever the configuration says
 
 
 class ProxyServer(Server):
-    """Clients' connections."""
+    """The proxy's connections with clients."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ingress: ProxyIngress, most: int) -> None:
+        """`most`: connections at once."""
         super().__init__(loop, most)
         self.ingress = ingress
         self.index: Index | None = None
-        self.known = False  # whether there is a list of backends
-        self.take, self.gone = ingress.take, ingress.gone  # type: ignore[method-assign, assignment]
-        ingress.leaving = lambda: self.stopping
-
-    def follow(self, index: Index) -> None:
-        """A configuration is in force from here on."""
+        self.has_list = False  # of backends
+        # Bound directly: a request passes one call less on its way.
+        self.take = ingress.take  # type: ignore[method-assign, assignment]
+        self.gone = ingress.gone  # type: ignore[method-assign, assignment]
+        ingress.is_shutting_down = lambda: self.stopping
+
+    def apply_configuration(self, index: Index) -> None:
+        """Serve by this configuration from here on."""
         limits = index.config.limits
         self.index = index
         self.bounds = Bounds(
             limits.max_header_bytes,
             limits.max_body_bytes,
-            max(0.1, limits.header_timeout_ms / 1000),
-            max(0.1, limits.idle_timeout_ms / 1000),
+            max(MIN_TIMEOUT_S, limits.header_timeout_ms / 1000),
+            max(MIN_TIMEOUT_S, limits.idle_timeout_ms / 1000),
         )
-        self.ingress.routes(index)
+        self.ingress.apply_configuration(index)
 
     def read(self, came: ClientConnection) -> Any:
-        """The call that a request is, or its early answer."""
+        """Return the request that has come whole as a `ClientRequest`, or its early answer."""
         if came.crowded:
             return refusal(Failure(Kind.CROWDED))
         index = self.index
-        if index is None or not self.known:
+        if index is None or not self.has_list:
             return refusal(Failure(Kind.STARTING))
-        values: dict[bytes, bytes] = {}
-        passed = []
-        named = b""
-        for name, value in came.headers:
-            key = name.lower()
-            if key in ONCE and key in values:
-                return refusal(Failure(Kind.MALFORMED, f"{key.decode()}: more than one"))._replace(ends=True)
-            values[key] = value
-            if key == b"connection":
-                named = value
-            if key not in NOT_SENT:
-                passed.append((key, b"%s: %s\r\n" % (name, value)))
-        if named:
-            dropped = {part.strip().lower() for part in named.split(b",")} - {b"host", ATTEMPT}
-            passed = [(key, line) for key, line in passed if key not in dropped]
-        call_id = values.get(ATTEMPT, b"").decode("latin-1")
-        if not call_id:
+        headers = read_headers(came.headers)
+        if isinstance(headers, Failure):
+            return refusal(headers)._replace(ends=True)
+        request_id = headers.values.get(ATTEMPT_HEADER, b"").decode("latin-1")
+        if not request_id:
             return refusal(Failure(Kind.MALFORMED, "x-attempt-id: missing"))
-        path = came.url.partition(b"?")[0].decode("latin-1")
-        found = index.find(values.get(b"host", b"").decode("latin-1"), path)
-        if found is None:
-            return refusal(Failure(Kind.NO_ROUTE))
-        tenant = None
-        if not found.route.public and index.config.tenants:
-            tenant = index.tenant_of(values.get(b"authorization", b"").decode("latin-1"))
-            if tenant is None:
-                return refusal(Failure(Kind.NO_KEY))
-        left = found.route.deadline_ms / 1000
-        told = values.get(b"x-deadline-ms", b"")
-        if told.isdigit():
-            left = min(left, int(told) / 1000)
-        left = min(left, LONGEST_S)
+        context = self._match(index, came.url, headers.values)
+        if isinstance(context, Failure):
+            return refusal(context)
         now = self.loop.time()
+        time_s = self._time_allowed(now, context, headers.values)
+        if isinstance(time_s, Failure):
+            return refusal(time_s)
+        method = came.parser.get_method()
+        return ClientRequest(
+            events.Request(request_id, context.match.name, PLAN, 0, time_s, 1.0),
+            context,
+            b"%s %s HTTP/1.1\r\n%s" % (method, came.url, headers.forwarded),
+            bytes(came.body),
+            now,
+            has_length=bool(came.body) or method not in BODILESS_METHODS or b"content-length" in headers.values,
+        )
+
+    @staticmethod
+    def _match(index: Index, url: bytes, headers: dict[bytes, bytes]) -> RequestContext | Failure:
+        """Return the route by host and path, and the tenant by its key unless the route is public."""
+        path = url.partition(b"?")[0].decode("latin-1")
+        match = index.find(headers.get(b"host", b"").decode("latin-1"), path)
+        if match is None:
+            return Failure(Kind.NO_ROUTE)
+        if match.route.public or not index.config.tenants:
+            return RequestContext(match, None)
+        tenant = index.tenant_of(headers.get(b"authorization", b"").decode("latin-1"))
+        return Failure(Kind.NO_KEY) if tenant is None else RequestContext(match, tenant)
+
+    def _time_allowed(self, now: float, context: RequestContext, headers: dict[bytes, bytes]) -> float | Failure:
+        """Return the seconds for the request: the least of its route's, its own, and what a shutdown leaves."""
+        allowed_s = context.match.route.deadline_ms / 1000
+        stated = headers.get(DEADLINE_HEADER, b"")
+        if stated.isdigit():
+            allowed_s = min(allowed_s, int(stated) / 1000)
+        allowed_s = min(allowed_s, MAX_TIME_S)
         if self.farewell is not None:
             self.farewell.came(now)
-            rest = self.farewell.left(now)
-            if rest <= SHORT_S:
-                return refusal(Failure(Kind.ENDING))
-            left = min(left, rest)
-        if left <= 0:
-            return refusal(Failure(Kind.NO_ROOM))
-        method = came.parser.get_method()
-        request = events.Request(call_id, found.name, PLAN, 0, left, 1.0)
-        framed = bool(came.body) or method not in BARE or b"content-length" in values
-        start = b"%s %s HTTP/1.1\r\n%s" % (method, came.url, b"".join(line for _, line in passed))
-        return Call(request, Asked(found, tenant), start, bytes(came.body), now, framed=framed)
+            left_s = self.farewell.left(now)
+            if left_s <= MIN_TIME_S:
+                return Failure(Kind.ENDING)
+            allowed_s = min(allowed_s, left_s)
+        return Failure(Kind.NO_ROOM) if allowed_s <= 0 else allowed_s
--- a/thistleusher/proxy/placement.py
+++ b/thistleusher/proxy/placement.py
@@ -1,20 +1,20 @@
-"""Which backends a request may go to, in tiers: near ones first, never outside its homes.
+"""Backends as the registry lists them, and the tiers in which a request may go to them.
 
-Tiers by what the way costs: this region, then all others. A backend in an evacuated zone, one that is draining, and
-one that a 421 has shown to be somebody else are in none. Pure.
+Tiers by network cost: this region first, then all others. A backend that is draining or lies in an evacuated zone is in
+no tier. Pure.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from thistleusher.policy.fleet import Backend
 
 
 @dataclass(slots=True)
-class Place:
-    """One backend as the list tells of it; `cold_until`: on this ingress's steady clock."""
+class ListedBackend:
+    """One backend of the registry's list; `warming_until`: end of its warm-up on this ingress's steady clock."""
 
     name: str
     service: str
@@ -23,42 +23,32 @@
     region: str
     slots: int
     draining: bool
-    cold_until: float = 0.0
+    warming_until: float = 0.0
 
 
 @dataclass(slots=True)
-class Ground:
-    """Where this ingress is, and which zones are to be left."""
+class Locality:
+    """Where this ingress runs, and which zones are evacuated."""
 
     zone: str
     region: str
-    evacuated: set[str] = field(default_factory=set)
-
-
-def homes_of(*bounds: Iterable[str]) -> frozenset[str] | None:
-    """The regions that all of several bounds allow; None where none of them binds."""
-    homes: frozenset[str] | None = None
-    for bound in bounds:
-        regions = frozenset(bound)
-        if regions:
-            homes = regions if homes is None else homes & regions
-    return homes
+    evacuated_zones: set[str] = field(default_factory=set)
 
 
 def tiers(
-    ground: Ground,
-    places: dict[str, Place],
+    locality: Locality,
+    listed: Mapping[str, ListedBackend],
     ready: list[Backend],
-    homes: frozenset[str] | None,
+    allowed_regions: frozenset[str] | None,
 ) -> list[list[Backend]]:
-    """The backends that may be sent to, nearest tier first. Costs a look at each."""
+    """Return the ready backends that may be sent to, nearest tier first; no tier is empty. Costs a look at each."""
     near: list[Backend] = []
     far: list[Backend] = []
     for backend in ready:
-        place = places.get(backend.entry.backend)
-        if place is None or place.draining or place.zone in ground.evacuated:
+        entry = listed.get(backend.entry.backend)
+        if entry is None or entry.draining or entry.zone in locality.evacuated_zones:
             continue
-        if homes is not None and place.region not in homes:
+        if allowed_regions is not None and entry.region not in allowed_regions:
             continue
-        (near if place.region == ground.region else far).append(backend)
+        (near if entry.region == locality.region else far).append(backend)
     return [tier for tier in (near, far) if tier]
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -1,16 +1,17 @@
-"""The proxy as a process: news from the core, the counter, heartbeats, clients' doors.
+"""The proxy's process: wires the cluster view and the decisions to their sockets.
 
-The clock is read anew for each input: `loop.time()` is that of the loop's iteration, and a process that stood still in
-one would take it for the present.
+The clock is read anew for each input: `loop.time()` is the time of the loop's iteration, which a process that stood
+still in it would take for the present.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import random
 import time
-from collections.abc import Callable
-from typing import Any, cast
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from thistleusher.common.events import Event, say
 from thistleusher.common.failures import Failure, Kind
@@ -19,71 +20,51 @@
 from thistleusher.common.process_start import BORN
 from thistleusher.net.server import Bounds
 from thistleusher.net.upstream import Endpoint, Terms, Upstream
-from thistleusher.proxy.cluster_view import (
-    Backends,
-    ClusterView,
-    Core,
-    InForce,
-    Output,
-    Serving,
-    ToPeer,
-    ToRegistry,
-    ToRing,
-    Verdict,
+from thistleusher.proxy.cluster_view import ClusterView, Reply
+from thistleusher.proxy.commands import (
+    ApplyConfiguration,
+    Command,
+    ConnectToCore,
+    DeliverChargeAnswer,
+    LogEvent,
+    SendHandOver,
+    SendHeartbeat,
+    SendToRegistry,
+    SetServing,
+    UpdateBackends,
 )
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.directory import TTL_S, addresses
-from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.forwarding import ProxyIngress
+from thistleusher.proxy.hand_over import send_hand_over
+from thistleusher.proxy.http_messages import ATTEMPT_HEADER, outcome_of
+from thistleusher.proxy.listener import ProxyServer
+from thistleusher.proxy.requests import ChargeTenant
+from thistleusher.proxy.ring_socket import RingSocket
+from thistleusher.proxy.shutdown import ProxyGracefulShutdown
 from thistleusher.services.wire import read_address
 from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
-from thistleusher.transport.codec import MalformedMessage, decode, encode
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.links import Dial, Link, Listener
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
-CONNECT_S = 0.6  # to a backend of another region
-NEAR_S = 0.25  # to one of this region
+CONNECT_S = 0.6  # for a connection to a backend of another region
+NEAR_CONNECT_S = 0.25  # and of this one
 IDLE_S = 16.0  # of which the pools trust half; a backend's Keep-Alive may say less
-SILENT_S = 1.2  # without a word from a backend's kernel, after which a connection ends
-SPARE = 120  # descriptors that are neither clients' nor backends'
-NOTICE_S = 0.4  # between telling that this ingress ends and closing the door at the earliest
-BODY_MOST = 64 * 1024 * 1024
-DOOR = Bounds(body=4096, slow=3.0, idle=10.0)
-HAND_OVER_S = 1.0  # for a copy of the news to be taken
-MOST_WATCHERS = 64  # whose copies are taken at once
-
-
-class Heartbeats(asyncio.DatagramProtocol):
-    """Datagrams of the ring."""
-
-    def __init__(self, heard: Callable[[RingHeartbeat, str], None]) -> None:
-        self.heard = heard
-        self.transport: asyncio.DatagramTransport | None = None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
-
-    def datagram_received(self, data: bytes, addr: Any) -> None:
-        """What is no beat of the ring is dropped: a datagram is nobody's promise."""
-        try:
-            message = decode(data)
-        except MalformedMessage:
-            return
-        if isinstance(message, RingHeartbeat):
-            self.heard(message, addr[0])
-
-    def send(self, beat: RingHeartbeat, address: tuple[str, int]) -> None:
-        """Send one; it may be lost."""
-        if self.transport is not None:
-            self.transport.sendto(encode(beat), address)
-
-    def error_received(self, exc: Exception) -> None:
-        return
+SILENT_S = 1.2  # without an acknowledgement of a backend's kernel, after which a connection ends
+RESERVED_DESCRIPTORS = 200  # file descriptors of the process itself
+SPARE_DESCRIPTORS = 120  # that are neither clients' nor backends'
+MIN_CONNECTIONS = 32  # of clients, and of backends, whatever the limit of descriptors
+NOTICE_S = 0.4  # between announcing the shutdown and closing the listener at the earliest
+CLOSE_RESERVE_S = 0.3  # of the grace time, for closing all sockets
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+CALL_BOUNDS = Bounds(body=4096, slow=3.0, idle=10.0)  # of the directory and of readiness checks
+MAX_WATCHERS = 64  # whose copies are taken at once
 
 
 class ProxyProgram:
-    """One process on a front machine."""
+    """One proxy process."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -91,184 +72,184 @@
         loop = self.loop = asyncio.get_running_loop()
         now = time.monotonic()
         self.decisions = Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, BORN)
-        share = max(32, (boot.limits.fd_limit - 200 - SPARE) // 2)
-        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, share, Terms(BODY_MOST, ATTEMPT, SILENT_S, outcome_of))
-        self.ingress = ProxyIngress(
-            loop,
+        free = boot.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
+        connections = max(MIN_CONNECTIONS, free // 2)
+        terms = Terms(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
+        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, connections, terms)
+        self.ingress = ProxyIngress(loop, self.decisions, self.upstream, self._charge)
+        self.server = ProxyServer(loop, self.ingress, connections)
+        self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], CALL_BOUNDS)
+        self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], CALL_BOUNDS)
+        description = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
+        # Zones are looked up in the settings as they are by then: these are read anew while the process runs.
+        self.cluster_view = ClusterView(
+            boot.node_name,
+            life(),
+            boot.region,
+            lambda zone: self.boot.region_of(zone),
+            description,
             self.decisions,
-            self.upstream,
-            lambda action: self._carry(self.knowledge.charge(time.monotonic(), action)),
+            now,
         )
-        self.server = ProxyServer(loop, self.ingress, share)
-        self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], DOOR)
-        self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], DOOR)
-        about = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
-        self.knowledge = ClusterView(
-            boot.node_name, life(), boot.region, lambda zone: self.boot.region_of(zone), about, self.decisions, now
-        )
-        self.beats = Heartbeats(self._beat)
+        self.ring_socket = RingSocket(self._on_heartbeat)
         self.control = CoreLinks(
-            loop, lambda: self.boot.port(CONTROL), self.knowledge.follow_control, self._from_control
+            loop, lambda: self.boot.port(CONTROL), self.cluster_view.subscribe_to_control, self._from_control
         )
         self.registries = CoreLinks(
-            loop, lambda: self.boot.port(REGISTRY), self.knowledge.follow_list, self._from_registry
+            loop, lambda: self.boot.port(REGISTRY), self.cluster_view.subscribe_to_registry, self._from_registry
         )
-        self.handing = Listener(loop, self._handed, lambda link: None, most=MOST_WATCHERS)
-        self.leaving = False
+        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, most=MAX_WATCHERS)
+        self.shutting_down = False
+        self.executors: dict[type, Callable[[Any], None]] = {
+            SendToRegistry: self._send_to_registry,
+            DeliverChargeAnswer: self._deliver_charge_answer,
+            SendHeartbeat: self._send_heartbeat,
+            SendHandOver: self._start_hand_over,
+            ConnectToCore: lambda command: self._connect_to_core(command.addresses),
+            ApplyConfiguration: lambda command: self.server.apply_configuration(command.configuration),
+            UpdateBackends: self._update_backends,
+            SetServing: self._set_serving,
+            LogEvent: lambda command: say(command.event, *command.fields),
+        }
 
     async def run(self) -> None:
-        """Until it is told to end."""
+        """Serve until the process is told to end."""
         boot = self.boot
-        await self.loop.create_datagram_endpoint(lambda: self.beats, local_addr=(boot.ip, boot.port(RING)))
-        await self.handing.listen(boot.ip, boot.port(PROXY))
+        await self.loop.create_datagram_endpoint(lambda: self.ring_socket, local_addr=(boot.ip, boot.port(RING)))
+        await self.hand_over_listener.listen(boot.ip, boot.port(PROXY))
         if boot.binds.ready:
             await self.readiness.listen(*read_address(boot.binds.ready))
         if boot.binds.directory:
             await self.directory.listen(*read_address(boot.binds.directory))
         if boot.binds.front:
             await self.server.listen(*read_address(boot.binds.front))
-        self._meet(boot.core_ips)
+        self._connect_to_core(boot.core_ips)
         self.tick()
-        await serve("proxy", self.settings, self.tick, self._changed, self.leave)
+        await serve("proxy", self.settings, self.tick, self._settings_changed, self.shut_down)
 
-    async def leave(self) -> None:
-        """Tell that this ingress ends, go on for as long as somebody comes, finish what is held, close."""
-        self.leaving = True
+    async def shut_down(self) -> None:
+        """Announce the shutdown, go on while clients come, finish the requests in flight, then close all sockets."""
+        self.shutting_down = True
         self.server.stopping = True
-        self._carry(self.knowledge.here(time.monotonic(), self.is_ready()))
-        grace = self.boot.bounds.grace_s
-        farewell = ProxyGracefulShutdown(self.loop.time(), grace)
-        try:
-            async with asyncio.timeout(grace - 0.3):
-                await self.server.leave(asyncio.sleep(NOTICE_S), farewell)
-        except TimeoutError:
-            pass
+        self._execute(self.cluster_view.report_status(time.monotonic(), self.is_ready()))
+        grace_s = self.boot.bounds.grace_s
+        shutdown = ProxyGracefulShutdown(self.loop.time(), grace_s)
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(grace_s - CLOSE_RESERVE_S):
+                await self.server.leave(asyncio.sleep(NOTICE_S), shutdown)
         self.ingress.driver.close()
         self.server.close()
         self.directory.close()
         self.readiness.close()
-        self.handing.close()
+        self.hand_over_listener.close()
         self.control.close()
         self.registries.close()
         self.upstream.close()
 
-    def _changed(self) -> None:
+    def _settings_changed(self) -> None:
         self.boot = self.settings.boot
-        self._meet(self.boot.core_ips)
-
-    def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
-        self.control.meet(addresses)
-        self.registries.meet(addresses)
-
-    # Time.
+        self._connect_to_core(self.boot.core_ips)
 
     def tick(self) -> None:
-        """Beats to the counter and to the ring."""
-        self._carry(self.knowledge.tick(time.monotonic(), self.is_ready()))
+        """Send the heartbeats that are due."""
+        self._execute(self.cluster_view.tick(time.monotonic(), self.is_ready()))
 
     def is_ready(self) -> bool:
-        """Whether a request could be served here."""
-        return bool(self.server.index is not None and self.server.known and self.ingress.serving and not self.leaving)
-
-    # What the machine says.
-
-    def _carry(self, outputs: list[Output]) -> None:
-        for out in outputs:
-            if isinstance(out, ToRegistry):
-                if out.ip:
-                    self.registries.send(out.ip, out.message)
-                else:
-                    self.registries.broadcast(out.message)
-            elif isinstance(out, ToRing):
-                self.beats.send(out.message, (out.ip, self.boot.port(RING)))
-            elif isinstance(out, Core):
-                self._meet(out.addresses)
-            elif isinstance(out, Verdict):
-                counted: Any = out.counted
-                self.ingress.submit(counted)
-            elif isinstance(out, ToPeer):
-                self.loop.create_task(self._hand_over(out))
-            elif isinstance(out, InForce):
-                self.server.follow(out.lookup)
-            elif isinstance(out, Backends):
-                for name, where in out.changes.items():
-                    self.upstream.update(
-                        name, None if where is None else Endpoint(where[0], 0.0, NEAR_S if where[1] else CONNECT_S)
-                    )
-            elif isinstance(out, Serving):
-                for name in self.ingress.serving - out.names:
-                    self.upstream.close_idle(name)
-                self.ingress.serving.clear()
-                self.ingress.serving |= out.names
-                self.server.known = self.knowledge.known
+        """Return whether a request could be served here."""
+        has_state = self.server.index is not None and self.server.has_list
+        return has_state and bool(self.ingress.serving) and not self.shutting_down
+
+    # Commands of the cluster view.
+
+    def _execute(self, commands: list[Command]) -> None:
+        for command in commands:
+            self.executors[type(command)](command)
+
+    def _send_to_registry(self, command: SendToRegistry) -> None:
+        if command.ip:
+            self.registries.send(command.ip, command.message)
+        else:
+            self.registries.broadcast(command.message)
+
+    def _deliver_charge_answer(self, command: DeliverChargeAnswer) -> None:
+        answer: Any = command.answer  # no event of the driver's own
+        self.ingress.submit(answer)
+
+    def _send_heartbeat(self, command: SendHeartbeat) -> None:
+        self.ring_socket.send(command.message, (command.ip, self.boot.port(RING)))
+
+    def _start_hand_over(self, command: SendHandOver) -> None:
+        self.loop.create_task(self._hand_over(command))
+
+    def _connect_to_core(self, ips: Sequence[str]) -> None:
+        self.control.meet(ips)
+        self.registries.meet(ips)
+
+    def _update_backends(self, command: UpdateBackends) -> None:
+        for name, backend in command.changes.items():
+            if backend is None:
+                self.upstream.update(name, None)
             else:
-                say(out.event, *out.fields)
+                connect_s = NEAR_CONNECT_S if backend.is_near else CONNECT_S
+                self.upstream.update(name, Endpoint(backend.address, 0.0, connect_s))
+
+    def _set_serving(self, command: SetServing) -> None:
+        for name in self.ingress.serving - command.names:
+            self.upstream.close_idle(name)
+        self.ingress.serving.clear()
+        self.ingress.serving |= command.names
+        self.server.has_list = self.cluster_view.has_list
+
+    # Messages.
+
+    def _charge(self, action: ChargeTenant) -> None:
+        self._execute(self.cluster_view.charge(time.monotonic(), action))
 
     def _from_control(self, dial: Dial, message: AnyMessage) -> None:
-        outputs, reply = self.knowledge.from_control(time.monotonic(), message)
-        self._carry(outputs)
-        if reply is not None:  # only what is in force here is acknowledged
-            dial.send(reply)
+        commands, reply = self.cluster_view.from_control(time.monotonic(), message)
+        self._execute_and_reply(dial, commands, reply)
 
     def _from_registry(self, dial: Dial, message: AnyMessage) -> None:
-        outputs, reply = self.knowledge.from_registry(time.monotonic(), dial.host, message)
-        self._carry(outputs)
+        commands, reply = self.cluster_view.from_registry(time.monotonic(), dial.host, message)
+        self._execute_and_reply(dial, commands, reply)
+
+    def _execute_and_reply(self, dial: Dial, commands: list[Command], reply: Reply | None) -> None:
+        """Reply last: only what is in force here is acknowledged."""
+        self._execute(commands)
         if reply is not None:
             dial.send(reply)
 
-    # The ring.
+    def _on_heartbeat(self, heartbeat: RingHeartbeat, ip: str) -> None:
+        self._execute(self.cluster_view.heartbeat_received(time.monotonic(), heartbeat, ip))
 
-    def _beat(self, beat: RingHeartbeat, ip: str) -> None:
-        self._carry(self.knowledge.beat(time.monotonic(), beat, ip))
+    async def _hand_over(self, command: SendHandOver) -> None:
+        copy = command.message
+        if await send_hand_over(self.loop, command.ip, self.boot.port(PROXY), copy):
+            say(Event.HANDED, command.name, copy.control.previous or 0, copy.registry.previous or 0)
 
-    async def _hand_over(self, peer: ToPeer) -> None:
-        """Give one that came back what it should have had, while the core does not."""
-        done: asyncio.Future[bool] = self.loop.create_future()
-
-        def end(taken: bool) -> None:
-            if not done.done():
-                done.set_result(taken)
-
-        link = Link(
-            self.loop,
-            lambda link: link.send(peer.message),
-            lambda link, message: end(isinstance(message, HandOverAccepted)),
-            lambda link, why: end(False),
-        )
-        try:
-            async with asyncio.timeout(HAND_OVER_S):
-                await self.loop.create_connection(lambda: link, peer.ip, self.boot.port(PROXY))
-                taken = await done
-        except (OSError, TimeoutError):
-            return
-        finally:
-            link.close()
-        if taken:
-            copy = peer.message
-            say(Event.HANDED, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
-
-    def _handed(self, link: Link, message: AnyMessage) -> None:
+    def _on_hand_over(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
             raise UnexpectedMessage(message)
-        self._carry(self.knowledge.handed(time.monotonic(), message))
+        self._execute(self.cluster_view.handed_over(time.monotonic(), message))
         link.send(HandOverAccepted())
 
-    # Doors.
+    # Calls.
 
     def ready(self, call: Readiness, done: Callable[[Any], None]) -> None:
-        """The platform's check."""
+        """Answer the platform's readiness check."""
         done(Ready() if self.is_ready() else Failure(Kind.STARTING))
 
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
-        """Where a client should go."""
-        members = self.knowledge.list.state.values("m:")
-        me = members.get(self.boot.node_name)
-        if me is not None:
-            members[self.boot.node_name] = {**me, "up": self.is_ready()}
-        found = addresses(members, self.knowledge.ring.silent(time.monotonic()), call.region, call.zone)
+        """Answer where a client should go; this proxy's own state counts as it is now, not as last listed."""
+        members = self.cluster_view.members()
+        own = members.get(self.boot.node_name)
+        if own is not None:
+            members[self.boot.node_name] = {**own, "up": self.is_ready()}
+        silent = self.cluster_view.ring.silent(time.monotonic())
+        found = addresses(members, silent, call.region, call.zone)
         done(Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s)) if found else Failure(Kind.STARTING))
 
 
 async def main(settings: Settings) -> None:
-    """What `python -m thistleusher.system proxy` runs."""
+    """Run the proxy: `python -m thistleusher.system proxy`."""
     await ProxyProgram(settings).run()
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -1,14 +1,15 @@
-"""This ingress's side of the quotas: whom to ask, and what holds while nobody answers.
+"""This ingress's side of the tenants' rate limits: when to contact the counter, and what holds while it is silent.
 
-Each request is charged one against its tenant's one count before it is sent on. While the counter answers, its word
-decides; what the count no longer gives, this ingress's standing share may. Without a verdict for `PROMPT_S` the
-standing share alone decides, and without an echo for `ALONE_S` this ingress's share of the counted part as well: a
-store that refills at its part of the rate, empty at first, as the window before may be spent. It never fails open:
-without a share, or `SHARE_S` after the last echo, nothing is let in.
+Each request is charged against its tenant's central count before it is sent on. While the counter answers, its verdict
+decides; what the count no longer grants, this ingress's standing share may. Without a verdict for `PROMPT_S` the
+standing share alone decides. Without an echo for `ALONE_S` this ingress may also spend its share of the counted part:
+a token bucket that refills at its part of the rate, and is empty at first, as the window before may have been spent.
 
-A new life's standing share fills from its birth on, and begins with its part of half of the rule's slack: all lives
-that begin at once have half of that together, and few tenants ask so little that this is more than their last
-lives left unspent while they were down.
+It never fails open: without a share, or `SHARE_S` after the last echo, nothing is admitted.
+
+The standing bucket of a new incarnation fills from the start of its process on. It begins with this ingress's part of
+half of the rule's slack: all incarnations that start at once have half of the slack together, and few tenants ask so
+little that this is more than their previous incarnations left unspent while they were down.
 
 Pure; seconds on the steady clock.
 """
@@ -17,104 +18,149 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import Enum
+from typing import NamedTuple
 
 from thistleusher.common.quota_timing import ALONE_S, BEGIN, COUNTED, HERE_S, MISSED_S, SHARE_S, STANDING, TOLD_S
 
 
+class RateLimit(NamedTuple):
+    """A tenant's limit; a rate of 0 is no limit."""
+
+    rate_per_s: float
+    burst: float
+
+
+NO_LIMIT = RateLimit(0.0, 0.0)
+
+
+class Echo(NamedTuple):
+    """The newest echo of a heartbeat: which counter sent it, and its time then."""
+
+    counter: str
+    counter_time: float
+
+
+class HeartbeatScope(Enum):
+    """To whom a heartbeat is due."""
+
+    COUNTER = "counter"
+    ALL_REGISTRIES = "all registries"  # in full
+
+
 @dataclass(slots=True)
-class Store:
+class TokenBucket:
     """What is left of a tenant's share here, in requests, as of a time."""
 
     level: float
-    at: float
+    updated_at: float
+
+    def refill(self, now: float, rate_per_s: float, capacity: float) -> None:
+        """Bring the level up to date."""
+        self.level = min(capacity, self.level + max(0.0, now - self.updated_at) * rate_per_s)
+        self.updated_at = max(self.updated_at, now)
 
-    def fill(self, now: float, rate: float, most: float) -> float:
-        """What is there now; refills at `rate` up to `most`."""
-        self.level = min(most, self.level + max(0.0, now - self.at) * rate)
-        self.at = max(self.at, now)
-        return self.level
 
+class LocalQuota:
+    """The counter's echoes, this ingress's share, and the tenants' token buckets.
 
-class Quota:
-    """Echoes, shares, and the stores of tenants."""
+    Invariant: what the buckets admit stays within this ingress's share of each tenant's limit, whatever the counter
+    and the network do. The counter takes the share of a silent ingress off its count before that ingress spends it.
+    """
 
-    def __init__(self, now: float, slack: float = 0.0, born: float | None = None) -> None:
-        """`slack`: requests that the rule allows beyond its sum; `born`: since when no earlier life spends (`now`)."""
-        self.limits: dict[str, tuple[float, float]] = {}
-        self.share = 0.0
+    def __init__(self, now: float, slack: float = 0.0, started_at: float | None = None) -> None:
+        """`slack`: requests that the rule allows beyond its sum; `started_at`: start of this process, if not `now`.
+
+        What the previous incarnation on this machine has spent of its share is not known: nothing refills before then.
+        """
+        self.limits: dict[str, RateLimit] = {}
+        self.share = 0.0  # this ingress's part of all limits
         self.slack = slack
-        self.born = now if born is None else born  # what this machine's last life spent of its share is not known
-        self.echo: tuple[str, float] | None = None  # of the newest: who, its time
-        self.asked = float("-inf")  # when the beat was sent that was echoed last
-        self.next_beat = self.next_full = now
-        self.standing: dict[str, Store] = {}
-        self.apart: dict[str, Store] = {}  # of the counted part, while this ingress is not counted
-
-    def follow(self, limits: Mapping[str, tuple[float, float]]) -> None:
-        """Tenants' (rate, burst)."""
+        self.started_at = now if started_at is None else started_at
+        self.echo: Echo | None = None
+        self.echoed_sent_at = float("-inf")  # when the newest heartbeat that was echoed was sent
+        self.next_heartbeat_at = now
+        self.next_report_at = now  # of a heartbeat in full, to all registries
+        self.standing_buckets: dict[str, TokenBucket] = {}
+        self.isolated_buckets: dict[str, TokenBucket] = {}  # of the counted part, while not counted centrally
+
+    def set_limits(self, limits: Mapping[str, RateLimit]) -> None:
+        """Replace all tenants' limits."""
         self.limits = dict(limits)
-        for stores in (self.standing, self.apart):
-            for name in stores.keys() - limits.keys():
-                del stores[name]
-
-    def limited(self, tenant: str) -> bool:
-        """Whether a tenant has a limit at all."""
-        limit = self.limits.get(tenant)
-        return limit is not None and limit[0] > 0
-
-    def beat(self, now: float) -> tuple[bool, bool]:
-        """Whether a beat to the counter is due; and whether to all registries, in full."""
-        full = now >= self.next_full or (now >= self.next_beat and now - self.asked > MISSED_S)
-        if not full and now < self.next_beat:
-            return False, False
-        self.next_beat = now + HERE_S
-        if full:
-            self.next_full = now + TOLD_S
-        return True, full
-
-    def echoed(self, now: float, by: str, sent: float, their: float, share: float) -> bool:
-        """An echo of the beat of a time, by a counter at its time `their`; whether it counts.
-
-        One that is as old as `ALONE_S` does not: it may have lain here while this process stood still. Nor does one
-        of an older beat than the newest that was echoed: it may be a former counter's.
+        for buckets in (self.standing_buckets, self.isolated_buckets):
+            for name in buckets.keys() - limits.keys():
+                del buckets[name]
+
+    def is_limited(self, tenant: str) -> bool:
+        """Return whether a tenant has a limit at all."""
+        return self.limits.get(tenant, NO_LIMIT)[0] > 0
+
+    def heartbeat_due(self, now: float) -> HeartbeatScope | None:
+        """Return to whom a heartbeat is due now, and count it as sent.
+
+        All registries get one after `MISSED_S` without an echo: another of them may hold the counter's role.
         """
-        if now - sent >= ALONE_S or sent < self.asked:
+        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > MISSED_S
+        report_due = now >= self.next_report_at or echo_missed
+        if not report_due and now < self.next_heartbeat_at:
+            return None
+        self.next_heartbeat_at = now + HERE_S
+        if not report_due:
+            return HeartbeatScope.COUNTER
+        self.next_report_at = now + TOLD_S
+        return HeartbeatScope.ALL_REGISTRIES
+
+    def record_echo(self, now: float, echo: Echo, sent_at: float, share: float) -> bool:
+        """Take in the echo of the heartbeat sent at `sent_at`, with this ingress's share; return whether it counts.
+
+        One that is as old as `ALONE_S` does not: it may have lain here while this process stood still. Nor does one of
+        an older heartbeat than the newest that was echoed: it may come from a former counter.
+        """
+        if now - sent_at >= ALONE_S or sent_at < self.echoed_sent_at:
             return False
-        self.echo, self.share, self.asked = (by, their), share, sent
+        self.echo = echo
+        self.share = share
+        self.echoed_sent_at = sent_at
         return True
 
-    def alone(self, now: float) -> bool:
-        """Whether the counter has been silent for so long that this ingress's share of the counted part is its own."""
-        return now - self.asked >= ALONE_S
+    def is_isolated(self, now: float) -> bool:
+        """Return whether the counter has been silent so long that this ingress spends its share of the counted part."""
+        return now - self.echoed_sent_at >= ALONE_S
 
-    def counted(self, tenant: str) -> None:
-        """The counter counts this ingress's requests of a tenant in the present window."""
-        self.apart.pop(tenant, None)
+    def counted_centrally(self, tenant: str) -> None:
+        """Stop spending the counted part: the counter counts this ingress's requests of the tenant in this window."""
+        self.isolated_buckets.pop(tenant, None)
 
-    def uncounted(self, now: float, tenant: str, since: float) -> None:
-        """The counter has said that for `since` seconds it has not counted them, nor given their share to others."""
-        self.apart.setdefault(tenant, Store(0.0, now - since))
+    def not_counted_centrally(self, now: float, tenant: str, since_s: float) -> None:
+        """Spend the counted part: for `since_s` seconds the counter has neither counted here nor given it to others."""
+        self.isolated_buckets.setdefault(tenant, TokenBucket(0.0, now - since_s))
 
     def spend(self, now: float, tenant: str) -> bool:
-        """Let one request in by what is this ingress's own, if there is any left."""
-        rate, burst = self.limits.get(tenant, (0.0, 0.0))
-        if rate <= 0:
+        """Admit one request from this ingress's own share; return False where less than one is left of it."""
+        rate_per_s, burst = self.limits.get(tenant, NO_LIMIT)
+        if rate_per_s <= 0:
             return True
-        if self.share <= 0 or now > self.asked + SHARE_S:
+        if self.share <= 0 or now > self.echoed_sent_at + SHARE_S:
             return False
-        if self.alone(now):
-            self.apart.setdefault(tenant, Store(0.0, self.asked + ALONE_S))
-        stores = []
-        for kept, part in ((self.apart, COUNTED), (self.standing, STANDING)):
-            if kept is self.standing and tenant not in kept:
-                kept[tenant] = Store(min(1.0, self.share * self.slack * BEGIN), self.born)
-            if (store := kept.get(tenant)) is not None:
-                store.fill(now, part * self.share * rate, max(1.0, part * self.share * burst))
-                stores.append(store)
-        if sum(store.level for store in stores) < 1.0:
+        if self.is_isolated(now):
+            self.isolated_buckets.setdefault(tenant, TokenBucket(0.0, self.echoed_sent_at + ALONE_S))
+        buckets = []
+        for bucket, part in ((self.isolated_buckets.get(tenant), COUNTED), (self._standing_bucket(tenant), STANDING)):
+            if bucket is not None:
+                bucket.refill(now, part * self.share * rate_per_s, max(1.0, part * self.share * burst))
+                buckets.append(bucket)
+        if sum(bucket.level for bucket in buckets) < 1.0:
             return False
-        owed = 1.0
-        for store in stores:
-            taken = min(owed, store.level)
-            store.level, owed = store.level - taken, owed - taken
+        remaining = 1.0
+        for bucket in buckets:
+            taken = min(remaining, bucket.level)
+            bucket.level -= taken
+            remaining -= taken
         return True
+
+    def _standing_bucket(self, tenant: str) -> TokenBucket:
+        bucket = self.standing_buckets.get(tenant)
+        if bucket is None:
+            level = min(1.0, self.share * self.slack * BEGIN)
+            bucket = self.standing_buckets[tenant] = TokenBucket(level, self.started_at)
+        return bucket
--- /dev/null
+++ b/thistleusher/proxy/ring_socket.py
@@ -0,0 +1,40 @@
+"""The datagram socket of the heartbeat ring."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any, cast
+
+from thistleusher.transport.codec import MalformedMessage, decode, encode
+from thistleusher.transport.messages import RingHeartbeat
+
+
+class RingSocket(asyncio.DatagramProtocol):
+    """Heartbeats of the ring, in and out, as datagrams."""
+
+    def __init__(self, on_heartbeat: Callable[[RingHeartbeat, str], None]) -> None:
+        """`on_heartbeat` gets each heartbeat and the IP address that it came from."""
+        self.on_heartbeat = on_heartbeat
+        self.transport: asyncio.DatagramTransport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport to send by."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Pass a heartbeat on. Anything else is dropped: whoever sent a datagram relies on no answer."""
+        try:
+            message = decode(data)
+        except MalformedMessage:
+            return
+        if isinstance(message, RingHeartbeat):
+            self.on_heartbeat(message, addr[0])
+
+    def send(self, heartbeat: RingHeartbeat, address: tuple[str, int]) -> None:
+        """Send a heartbeat; it may be lost."""
+        if self.transport is not None:
+            self.transport.sendto(encode(heartbeat), address)
+
+    def error_received(self, exc: Exception) -> None:
+        """Ignore an error of an earlier datagram, as the next heartbeat follows soon."""
--- /dev/null
+++ b/thistleusher/proxy/routing.py
@@ -0,0 +1,45 @@
+"""What a matched route means for a request: its class, its service, and the regions that may serve it. Pure."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+
+from thistleusher.common.configuration import RouteMatch
+from thistleusher.core.settings import ClassSettings, Effect
+
+MIN_OBJECTIVE_S = 0.05  # lower bound of a class's latency target
+
+
+def class_settings_of(match: RouteMatch) -> ClassSettings:
+    """Return a route as a request class of the decision module."""
+    route = match.route
+    return ClassSettings(
+        match.name,
+        Effect.SAFE if route.repeatable else Effect.UNSAFE,
+        max(MIN_OBJECTIVE_S, route.target_ms / 1000),
+        route.deadline_ms / 1000,
+    )
+
+
+def draw_service(match: RouteMatch, rng: random.Random) -> str:
+    """Return one of the route's services, drawn by their weights. A route to one service draws nothing."""
+    shares = match.route.shares
+    if len(shares) == 1:
+        return shares[0].target
+    draw = rng.random() * sum(share.weight for share in shares)
+    for share in shares:
+        draw -= share.weight
+        if draw < 0:
+            return share.target
+    return max(shares, key=lambda share: share.weight).target  # rounding has left a rest
+
+
+def allowed_regions(*limits: Iterable[str]) -> frozenset[str] | None:
+    """Return the regions that all limits allow; None where each limit is empty, which allows every region."""
+    allowed: frozenset[str] | None = None
+    for limit in limits:
+        regions = frozenset(limit)
+        if regions:
+            allowed = regions if allowed is None else allowed & regions
+    return allowed
