--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -20,7 +20,7 @@
 from thistleusher.registry.charges import REMEMBERED, ChargeLedger
 from thistleusher.registry.counts import Counts
 from thistleusher.registry.instances import Survey
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.codec import decode, encode
 from thistleusher.transport.messages import Charge, StateUpdate
 from thistleusher.transport.state_updates import Publisher, State, Subscriber
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -67,17 +67,17 @@
     Wrong("an idle allowance sweeps itself", "ledger/escrow.py", "found.turn(now)  # touched", "pass  # touched"),
     Wrong(
         "a reset attempt counts as never written",
-        "net/upstream.py",
+        "net/backend_connection.py",
         "            exchange.written = True\n            self.transport",
         "            self.transport",
     ),
     Wrong(
         "a request that cannot be read is answered 500",
-        "net/server.py",
-        "return Early(400, str(error), ends=True)",
-        "return Early(500, str(error), ends=True)",
+        "net/ingress_server.py",
+        "return ImmediateResponse(400, str(error), closes=True)",
+        "return ImmediateResponse(500, str(error), closes=True)",
     ),
-    Wrong("a total need only begin like a number", "services/counter.py", "TOTAL.fullmatch", "TOTAL.match"),
+    Wrong("a total need only begin like a number", "services/counter_client.py", "TOTAL.fullmatch", "TOTAL.match"),
     Wrong(
         "requests are answered after their time",
         "core/driver.py",
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -26,14 +26,16 @@
 from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
 from thistleusher.core.events import Outcome, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.net.config import InvalidConfiguration, read_config
+from thistleusher.net.backend_list import parse_backend_list_text
+from thistleusher.net.client_connection import ClientConnection
+from thistleusher.net.config import InvalidConfigurationError, read_config
 from thistleusher.net.counters_file import read_counters
-from thistleusher.net.discovery import Watch, read_listing_text
-from thistleusher.net.server import ClientConnection, IngressServer
+from thistleusher.net.discovery import DiscoveryConnection
+from thistleusher.net.ingress_server import IngressServer
 from thistleusher.quota.escrow import ROW, SETTLED
 from thistleusher.quota.incarnations import HELLO, HELLO_MARK
-from thistleusher.services.counter import Add, Link
-from thistleusher.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
+from thistleusher.services.counter_client import CounterConnection, PendingAdd
+from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseReader
 from thistleusher.settings import nested_settings
 
 Check = Callable[[bytes, random.Random], Hashable]
@@ -89,11 +91,11 @@
         self.scheduler = asyncio.get_running_loop()
         self.taken: list[Any] = []
 
-    def take(self, call: Any, reply: Callable[[int, bytes, bytes], None]) -> None:
+    def handle_request(self, call: Any, reply: Callable[[int, bytes, bytes], None]) -> None:
         self.taken.append(call)
         reply(200, b"", call.request.id.encode())
 
-    def gone(self, call: Any) -> None: ...
+    def client_disconnected(self, call: Any) -> None: ...
 
 
 class _Answers:
@@ -121,9 +123,9 @@
                 break
             connection.data_received(part)
             await asyncio.sleep(0)
-        for _ in range(len(connection.waiting) + 2):
+        for _ in range(len(connection.queue) + 2):
             await asyncio.sleep(0)
-        if len(connection.body) > MAX_BODY or len(connection.url) > MAX_HEAD + 65536:
+        if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
             raise Broken("holds more than its limits")
         client = _Answers()
         try:
@@ -149,7 +151,7 @@
                 raise Broken(f"passed on as another: {call.message(1.0)[:300]!r}")
         connection.connection_lost(None)
         server.close()
-        return tuple(client.statuses[:4]), connection.deaf
+        return tuple(client.statuses[:4]), connection.discarding_input
 
     return _loop().run_until_complete(main())
 
@@ -159,15 +161,15 @@
 
 def answer(data: bytes, rng: random.Random) -> Hashable:
     """A backend's bytes: whole answers, or the reason why none can be read any more."""
-    reader, whole = AnswerReader(), []
+    reader, whole = ResponseReader(), []
     for part in chunks(data, rng):
         whole += reader.feed(part)
     for a in whole:
-        if len(a.body) > MAX_BODY or not 200 <= a.status <= 999:
+        if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
             raise Broken(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
-    if len(reader.body) > MAX_BODY or reader.fed > 3 * MAX_BODY + 3 * MAX_HEAD + 65536:
+    if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
         raise Broken("holds more than its limits")
-    return tuple(a.status for a in whole[:3]), reader.broken[:30], reader.partial
+    return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
 
 
 class _Line:
@@ -178,7 +180,7 @@
         self.counter = self
         self.told: list[tuple[int, Outcome, float]] = []
 
-    def tell(self, add: Add, outcome: Outcome, total: float = 0.0) -> None:
+    def tell(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
         self.told.append((add.name, outcome, total))
 
     def stands(self, link: Any) -> None: ...
@@ -191,10 +193,10 @@
 
     async def main() -> Hashable:
         line = _Line()
-        link, transport = Link(line), Transport()  # type: ignore[arg-type]
+        link, transport = CounterConnection(line), Transport()  # type: ignore[arg-type]
         link.connection_made(transport)  # type: ignore[arg-type]
         for n in range(3):
-            link.write(Add(n, b"", 0.0, 0.0))
+            link.write(PendingAdd(n, b"", 0.0, 0.0))
         for part in chunks(data, rng):
             link.data_received(part)
         link.connection_lost(None)
@@ -214,14 +216,14 @@
         seen: list[int] = []
 
         def on_text(text: bytes) -> int:
-            listing = read_listing_text(text)
+            listing = parse_backend_list_text(text)
             for entry, endpoint in listing.entries:
                 if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
                     raise Broken(f"taken as it cannot be meant: {entry!r}")
             seen.append(len(listing.entries))
             return listing.version
 
-        watch, transport = Watch(on_text, ("127.0.0.1", 1), rng.choice((None, 7))), Transport()
+        watch, transport = DiscoveryConnection(on_text, ("127.0.0.1", 1), rng.choice((None, 7))), Transport()
         watch.connection_made(transport)  # type: ignore[arg-type]
         for part in chunks(data, rng):
             watch.data_received(part)
@@ -368,8 +370,11 @@
             HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
         ),
     ),
-    "config": (_file(_config, InvalidConfiguration), (_config_bytes(),)),
-    "counters": (_file(read_counters, InvalidConfiguration), (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',)),
+    "config": (_file(_config, InvalidConfigurationError), (_config_bytes(),)),
+    "counters": (
+        _file(read_counters, InvalidConfigurationError),
+        (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',),
+    ),
     "script": (_file(_script, BadScript), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
     "records": (records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
     "case": (_file(read_case, BadCase), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.embed.forms import Script as Clock
-from tests.sockets import Script, settings
+from tests.net.sockets import Script, settings
 from thistleusher.core import events
 from thistleusher.core.actions import Attempt, CounterAdd, Fail, Refuse, SetTimer
 from thistleusher.core.driver import Driver
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -13,7 +13,7 @@
 from standins.discovery import Discovery
 from standins.records import Began, Ran, Records
 from tests.embed.host import Host, serve_lifespan
-from tests.sockets import HOST, Client, closed_port, datagram_homes
+from tests.net.sockets import HOST, Client, closed_port, datagram_addresses
 from thistleusher.assembly import make_gateway
 from thistleusher.core import events
 from thistleusher.core.actions import Action, CounterAdd, Tell
@@ -172,7 +172,7 @@
         self.apps = [App(script, self.records, f"app-{n}") for n in range(INSTANCES)]
         self.recorders: list[Recorder] = []
         self.ports: list[int] = []
-        self.peers = datagram_homes(INSTANCES)
+        self.peers = datagram_addresses(INSTANCES)
         self.clients: list[Client] = []
 
     def unix(self) -> Any:
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -15,7 +15,7 @@
 from standins.counter import Counter
 from tests.embed.host import Host, serve_lifespan
 from tests.embed.test_ingress import made, nothing_held, settings
-from tests.sockets import Client, call, run, until
+from tests.net.sockets import Client, call, run, until
 from thistleusher.embed import PASS, BadRequest, Call, EmbeddedIngress, MemoryCounter, QuotaMiddleware
 
 TERMS = "units=2,spread=1,first=0"
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -19,7 +19,7 @@
 from standins.front import ClassShape, Front, Traffic
 from standins.records import Added
 from tests.embed.forms import FORMS, HOST, INSTANCES, Script
-from tests.sockets import call
+from tests.net.sockets import call
 from thistleusher.core import events
 from thistleusher.core.actions import Action, Fail, Refuse, Tell
 from thistleusher.core.events import Event, Outcome
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -13,7 +13,7 @@
 from tests.embed.host import Host
 from tests.embed.test_asgi import TERMS, Played, say
 from tests.embed.test_ingress import made
-from tests.sockets import run
+from tests.net.sockets import run
 from thistleusher.core.answers import headers_of, problem_of
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.embed import MemoryCounter, QuotaMiddleware
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -11,7 +11,7 @@
 
 from standins.counter import Counter
 from tests.embed.program import crash_settings
-from tests.sockets import Client, call, closed_port, datagram_homes, run, until
+from tests.net.sockets import Client, call, closed_port, datagram_addresses, run, until
 from thistleusher.embed import Call, EmbeddedIngress, PeerAddresses
 from thistleusher.policy.store import Customer
 
@@ -52,7 +52,7 @@
     async def main():
         counter = Counter()
         await counter.start()
-        peers = datagram_homes(2)
+        peers = datagram_addresses(2)
         plan = crash_settings(1).plans[0]
         length = plan.burst / plan.rate
         ahead = length / 2 - (time.time() + Customer(7, plan, 0.0).phase) % length  # no window turns, whatever the hour
--- a/tests/embed/test_example.py
+++ b/tests/embed/test_example.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from tests.embed.host import Host
-from tests.sockets import Client, run
+from tests.net.sockets import Client, run
 
 EXAMPLE = Path("examples/embedded.py")
 
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -9,7 +9,7 @@
 
 from standins.counter import Counter
 from tests.helpers import CEILED, KEYED, SAFE, UNSAFE
-from tests.sockets import datagram_homes, run, until
+from tests.net.sockets import datagram_addresses, run, until
 from thistleusher.core import events
 from thistleusher.core.events import Outcome
 from thistleusher.core.settings import PlanSettings, Settings
@@ -361,7 +361,7 @@
 
 def test_peers_tell_one_another_of_what_was_let_in():
     async def main():
-        addresses = tuple(datagram_homes(2))
+        addresses = tuple(datagram_addresses(2))
         counter = MemoryCounter()
         both = [
             EmbeddedIngress(
--- a/tests/sockets.py
+++ b/tests/net/sockets.py
@@ -18,9 +18,9 @@
 from thistleusher.core.actions import Action
 from thistleusher.core.events import Event
 from thistleusher.core.settings import Settings
-from thistleusher.net.discovery import Listing, read_listing
+from thistleusher.net.backend_list import BackendList, parse_backend_list
 from thistleusher.net.ingress import Ingress
-from thistleusher.net.server import IngressServer
+from thistleusher.net.ingress_server import IngressServer
 from thistleusher.net.upstream import Upstream
 
 HOST = "127.0.0.1"
@@ -62,7 +62,7 @@
         return int(s.getsockname()[1])
 
 
-def datagram_homes(count: int) -> list[str]:
+def datagram_addresses(count: int) -> list[str]:
     """Addresses for datagrams that no other process's tests use: on a loopback address of this process's own."""
     pid = os.getpid()
     host = f"127.{1 + (pid >> 16) % 254}.{(pid >> 8) % 256}.{pid % 256}"
@@ -202,8 +202,8 @@
     }
 
 
-def listing(*entries: dict[str, Any], index: int = 1, snapshot: bool = True) -> Listing:
-    return read_listing(json.loads(json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries})))
+def listing(*entries: dict[str, Any], index: int = 1, snapshot: bool = True) -> BackendList:
+    return parse_backend_list(json.loads(json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries})))
 
 
 class Script:
@@ -258,7 +258,7 @@
 
     async def start(self, **backends: int) -> Client:
         """Listen, with these backends in the list; returns a client's connection."""
-        self.ingress.listed(listing(*(entry(name, port) for name, port in backends.items())))
+        self.ingress.update_backends(listing(*(entry(name, port) for name, port in backends.items())))
         await self.server.listen(HOST, 0)
         assert self.server.listener is not None
         self.port = self.server.listener.sockets[0].getsockname()[1]
--- a/tests/test_ingress.py
+++ b/tests/net/test_ingress.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.sockets import Client, Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, unix, until
+from tests.net.sockets import Client, Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, unix, until
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
 
@@ -29,7 +29,7 @@
         assert request[:4] == ("r1", "pay", "basic", 0x1FFFFFFFF) and request[5:9] == (2.0, 2, 1, True)
         assert 5 < request.expires_in < 6
         assert rig.script.ends()[0].true_units == 3.0 and rig.script.ends()[0].done
-        assert not rig.ingress.held
+        assert not rig.ingress.in_flight
 
     run(main())
 
@@ -41,7 +41,7 @@
         before = unix()
         client = await rig.start()
         started = int(before * 1000) - 4000
-        rig.ingress.listed(listing(entry("b0", backend.port, since_ms=started)))
+        rig.ingress.update_backends(listing(entry("b0", backend.port, since_ms=started)))
         await client.ask(call())
         assert all(before <= t <= unix() for t in rig.script.times)
         born = rig.script.events[1].entries[0].born
@@ -69,7 +69,7 @@
         status, headers, _ = await client.ask(call(budget="300m"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert asyncio.get_running_loop().time() - began < 5
-        assert rig.script.events[-1] == events.ClientGone("r1") and not rig.ingress.held
+        assert rig.script.events[-1] == events.ClientGone("r1") and not rig.ingress.in_flight
 
     run(main())
 
@@ -94,12 +94,12 @@
         rig = Rig(lambda e: [actions.Attempt("r1", "b0")] if isinstance(e, events.TimerFired) else [])
         client = await rig.start(b0=backend.port)
         client.writer.write(call())
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.in_flight)
         client.writer.close()
         await until(lambda: events.ClientGone("r1") in rig.script.events)
         rig.ingress.submit(events.TimerFired(1))
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(Outcome.MOOT, True)]
-        assert not backend.seen and not rig.ingress.held
+        assert not backend.seen and not rig.ingress.in_flight
 
     run(main())
 
@@ -122,7 +122,7 @@
         go.set()
         await until(rig.script.ends)
         assert [(e.outcome, e.done) for e in rig.script.ends()] == [(Outcome.OK, True)]
-        assert not rig.ingress.held
+        assert not rig.ingress.in_flight
 
     run(main())
 
@@ -164,10 +164,10 @@
         rig = Rig(lambda event: [])
         first = await rig.start()
         first.writer.write(call("same"))
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.in_flight)
         second = await Client.connect(rig.port)
         assert (await second.ask(call("same")))[0] == 400
-        assert len(rig.ingress.held) == 1
+        assert len(rig.ingress.in_flight) == 1
 
     run(main())
 
@@ -183,7 +183,7 @@
 
         async def open_late(pool, exchange):
             if pool.backend == "b0":
-                rig.ingress.listed(listing(entry("b0", draining.port, "DRAINING"), snapshot=False))
+                rig.ingress.update_backends(listing(entry("b0", draining.port, "DRAINING"), snapshot=False))
             await real(pool, exchange)
 
         rig.upstream.open = open_late
@@ -202,7 +202,7 @@
         client = await rig.start(b0=backend.port)
         await client.ask(call("r1"))
         gone = listing(entry("b0", backend.port, state), snapshot=False) if state else listing(index=2)
-        rig.ingress.listed(gone)
+        rig.ingress.update_backends(gone)
         assert (await client.ask(call("r2")))[0] == 503
         assert len(backend.seen) == 1 and rig.script.ends()[-1].outcome is Outcome.MOOT
 
@@ -226,8 +226,8 @@
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
         await rig.start(b0=backend.port)
-        rig.ingress.listed(listing(entry("b0", backend.port, "DRAINING"), snapshot=False))
-        rig.ingress.listed(listing(index=2))
+        rig.ingress.update_backends(listing(entry("b0", backend.port, "DRAINING"), snapshot=False))
+        rig.ingress.update_backends(listing(index=2))
         assert not rig.upstream.pools
 
     run(main())
--- a/tests/test_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -7,28 +7,30 @@
 import pytest
 
 from standins.http import read_message
-from tests.sockets import HOST, Peer, Rig, call, in_turn, ok, run, until
+from tests.net.sockets import HOST, Peer, Rig, call, in_turn, ok, run, until
 from thistleusher.core.events import Outcome
-from thistleusher.net.last_byte_guard import EARLY, WARY_S, LastByteGuard
+from thistleusher.net.last_byte_guard import ACTIVE_S, EARLY_SHARE, LastByteGuard
 
 IDLE = 15.0
 
 
 def test_it_is_wary_for_a_while_after_a_connection_broke():
     guard = LastByteGuard(IDLE)
-    assert not guard.wary(0.0)
-    guard.broke(100.0)
-    assert guard.wary(100.0) and guard.wary(100.0 + WARY_S - 0.1) and not guard.wary(100.0 + WARY_S)
-    guard.broke(110.0)
-    guard.broke(105.0)  # an older one does not shorten it
-    assert guard.wary(110.0 + WARY_S - 0.1)
-
-
-@pytest.mark.parametrize("idle,wary", [(0.0, True), (EARLY * IDLE * 0.9, True), (EARLY * IDLE * 1.1, False)])
-def test_an_idle_connection_that_was_closed_sooner_than_agreed_is_a_sign(idle, wary):
+    assert not guard.is_active(0.0)
+    guard.connection_broke(100.0)
+    assert guard.is_active(100.0) and guard.is_active(100.0 + ACTIVE_S - 0.1) and not guard.is_active(100.0 + ACTIVE_S)
+    guard.connection_broke(110.0)
+    guard.connection_broke(105.0)  # an older one does not shorten it
+    assert guard.is_active(110.0 + ACTIVE_S - 0.1)
+
+
+@pytest.mark.parametrize(
+    "idle,guarded", [(0.0, True), (EARLY_SHARE * IDLE * 0.9, True), (EARLY_SHARE * IDLE * 1.1, False)]
+)
+def test_an_idle_connection_that_was_closed_sooner_than_agreed_is_a_sign(idle, guarded):
     guard = LastByteGuard(IDLE)
     guard.found_closed(100.0 + idle, 100.0)
-    assert guard.wary(100.0 + idle) is wary
+    assert guard.is_active(100.0 + idle) is guarded
 
 
 class Faulty:
@@ -58,7 +60,7 @@
 
 
 def wary(rig):
-    rig.upstream.guard.broke(rig.upstream.loop.time())
+    rig.upstream.guard.connection_broke(rig.upstream.loop.time())
 
 
 async def first_breaks(peer, number, reader, writer):
@@ -95,10 +97,10 @@
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         await client.ask(call("r1", cls="once"))
-        assert not rig.upstream.guard.wary(rig.upstream.loop.time())
+        assert not rig.upstream.guard.is_active(rig.upstream.loop.time())
         assert (await client.ask(call("r2", cls="once")))[0] != 200
         assert rig.script.ends()[-1].outcome is Outcome.RESET
-        assert rig.upstream.guard.wary(rig.upstream.loop.time())
+        assert rig.upstream.guard.is_active(rig.upstream.loop.time())
 
     run(main())
 
@@ -168,7 +170,7 @@
         rig = backend.rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
         wary(rig)
-        rig.upstream.guard.hold = lambda: 0.05
+        rig.upstream.guard.hold_time = lambda: 0.05
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert rig.script.ends()[0].outcome is Outcome.MOOT and backend.whole == 0
 
@@ -184,11 +186,11 @@
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         wary(rig)
-        rig.upstream.guard.hold = lambda: 5.0
+        rig.upstream.guard.hold_time = lambda: 5.0
         client.writer.write(call("r1", cls="once"))
-        await until(lambda: backend.connections and rig.ingress.held)
+        await until(lambda: backend.connections and rig.ingress.in_flight)
         client.writer.close()
-        await until(lambda: not rig.ingress.held)
+        await until(lambda: not rig.ingress.in_flight)
         assert backend.whole == 0 and rig.script.ends()[-1].outcome is Outcome.MOOT
 
     run(main())
--- a/tests/test_server.py
+++ b/tests/net/test_server.py
@@ -7,7 +7,9 @@
 
 import pytest
 
-from tests.sockets import Client, Peer, Rig, call, entry, in_turn, listing, ok, run, until
+from tests.net.sockets import Client, Peer, Rig, call, entry, in_turn, listing, ok, run, until
+from thistleusher.net import client_connection as connection_module
+from thistleusher.net import request_buffer as limits_module
 from thistleusher.net import server as server_module
 
 BODY = b"x" * (64 * 1024)
@@ -136,8 +138,8 @@
 
 @pytest.mark.parametrize("begun", [b"GET /api/0000", call(cls="pay", body=b"12345")[:-1]])
 def test_a_request_that_does_not_come_whole_is_not_waited_for(monkeypatch, begun):
-    monkeypatch.setattr(server_module, "SLOW_S", 0.02)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(limits_module, "READ_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         rig = Rig(in_turn("b0"))
@@ -150,9 +152,9 @@
 
 def test_connections_that_say_nothing_or_no_more_are_closed(monkeypatch):
     """Those who never send a byte, and those who ask once and stay, would use up the descriptors."""
-    monkeypatch.setattr(server_module, "SLOW_S", 0.02)
-    monkeypatch.setattr(server_module, "IDLE_S", 0.04)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(limits_module, "READ_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(limits_module, "IDLE_TIMEOUT_S", 0.04)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await Peer.start()
@@ -170,7 +172,7 @@
     async def main():
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
-        rig.server.most = 2
+        rig.server.max_connections = 2
         used = await rig.start(b0=backend.port)
         assert (await used.ask(call("r1")))[0] == 200
         silent = await Client.connect(rig.port)
@@ -183,18 +185,18 @@
 
 
 def test_a_client_that_does_not_read_is_let_go(monkeypatch):
-    monkeypatch.setattr(server_module, "SLOW_S", 0.1)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(limits_module, "READ_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await Peer.start(ok(BODY))
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         client.writer.transport.pause_reading()
-        for n in range(server_module.PIPELINE * 20):  # more than the kernel takes in
+        for n in range(connection_module.MAX_PIPELINED_REQUESTS * 20):  # more than the kernel takes in
             client.writer.write(call(f"r{n}"))
         await until(lambda: not rig.server.connections)
-        assert len(backend.seen) < server_module.PIPELINE * 20
+        assert len(backend.seen) < connection_module.MAX_PIPELINED_REQUESTS * 20
 
     run(main())
 
@@ -206,8 +208,8 @@
         status, headers, _ = await client.ask(call(cls="pay", Content_Length="63000000"))
         assert (status, headers["connection"]) == (413, "close")
         connection = next(iter(rig.server.connections))
-        client.writer.write(b"x" * (4 * server_module.LINGER_BYTES))
-        await until(lambda: connection.paused or not rig.server.connections)
+        client.writer.write(b"x" * (4 * connection_module.MAX_LINGER_BYTES))
+        await until(lambda: connection.reading_paused or not rig.server.connections)
         await until(lambda: not rig.server.connections)
 
     run(main())
@@ -220,7 +222,7 @@
         rig = Rig(lambda event: [])
         first = await rig.start()
         first.writer.write(call("same"))
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.in_flight)
         for raw in (call("r1", X_Tier="unheard-of"), call("same"), call(path="/nowhere")):
             client = await Client.connect(rig.port)
             status, headers, _ = await client.ask(raw)
@@ -253,7 +255,7 @@
         backend = await Peer(act).listen()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
-        count = server_module.PIPELINE + 8
+        count = connection_module.MAX_PIPELINED_REQUESTS + 8
         client.writer.write(b"".join(call(f"r{i}") for i in range(count)) + b"rubbish\r\n\r\n")
         await until(lambda: backend.seen)
         go.set()
@@ -272,7 +274,7 @@
         health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
         status, headers, _ = await client.ask(health)
         assert (status, headers["connection"]) == (503, "close")
-        rig.ingress.listed(listing(entry("b0", backend.port)))
+        rig.ingress.update_backends(listing(entry("b0", backend.port)))
         client = await Client.connect(rig.port)
         for _ in range(2):
             assert (await client.ask(health))[0] == 200
@@ -284,7 +286,7 @@
     async def main():
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
-        rig.server.most = 2
+        rig.server.max_connections = 2
         one = await rig.start(b0=backend.port)
         two = await Client.connect(rig.port)
         await one.ask(call("r1"))
@@ -301,14 +303,14 @@
 def test_a_client_too_many_is_answered_when_none_is_idle():
     async def main():
         rig = Rig(lambda event: [])
-        rig.server.most = 1
+        rig.server.max_connections = 1
         one = await rig.start()
         one.writer.write(call("r1"))
-        await until(lambda: rig.ingress.held)
+        await until(lambda: rig.ingress.in_flight)
         two = await Client.connect(rig.port)
         status, headers, _ = await two.ask(call("r2"))
         assert (status, headers["connection"]) == (503, "close") and float(headers["retry-after"]) > 0
-        assert await two.reader.read() == b"" and list(rig.ingress.held) == ["r1"]
+        assert await two.reader.read() == b"" and list(rig.ingress.in_flight) == ["r1"]
 
     run(main())
 
@@ -320,11 +322,11 @@
         client = await rig.start(b0=backend.port)
         client.writer.write(call("r1", budget="400m"))
         await until(lambda: backend.seen)
-        leaving = asyncio.create_task(rig.server.leave(asyncio.sleep(0.0)))
-        await until(lambda: rig.server.leaving)
+        leaving = asyncio.create_task(rig.server.drain(asyncio.sleep(0.0)))
+        await until(lambda: rig.server.draining)
         ours, theirs = socket.socketpair()
         loop = asyncio.get_running_loop()
-        await loop.connect_accepted_socket(lambda: server_module.ClientConnection(rig.server), ours)
+        await loop.connect_accepted_socket(lambda: connection_module.ClientConnection(rig.server), ours)
         await leaving
         assert (await client.answer())[1]["connection"] == "close"
         theirs.close()
--- a/tests/test_farewell.py
+++ b/tests/net/test_shutdown.py
@@ -6,32 +6,44 @@
 
 import pytest
 
-from tests.sockets import Client, Peer, Rig, call, in_turn, ok, run, until
+from tests.net.sockets import Client, Peer, Rig, call, in_turn, ok, run, until
 from thistleusher.core import actions, events
-from thistleusher.net.shutdown import LAST_S, LONGEST_S, MORE_S, QUIET_S, SHORT_S, GracefulShutdown
+from thistleusher.net.shutdown import (
+    KILL_DELAY_S,
+    MAX_REQUEST_S,
+    MIN_REQUEST_S,
+    QUIET_PERIOD_S,
+    RESERVE_S,
+    GracefulShutdown,
+)
 
-WHOLE = LONGEST_S + MORE_S  # after which an ingress may be killed
+KILL_AFTER_S = MAX_REQUEST_S + KILL_DELAY_S  # after which an ingress may be killed
 
 
-@pytest.mark.parametrize("longest,end", [(1.0, 1.0 + MORE_S - LAST_S), (7.5, WHOLE - LAST_S)])
+@pytest.mark.parametrize("longest,end", [(1.0, 1.0 + KILL_DELAY_S - RESERVE_S), (7.5, KILL_AFTER_S - RESERVE_S)])
 def test_it_ends_before_it_may_be_killed(longest, end):
-    bye, now = GracefulShutdown(100.0, longest), 100.0
-    while bye.open(now):
-        bye.came(now)
+    shutdown, now = GracefulShutdown(100.0, longest), 100.0
+    while shutdown.accepts_requests(now):
+        shutdown.request_arrived(now)
         now += 0.01
-    assert now - 100.0 == pytest.approx(end - SHORT_S, abs=0.02) and bye.left(100.0 + end) == 0.0
+    assert now - 100.0 == pytest.approx(end - MIN_REQUEST_S, abs=0.02) and shutdown.time_left(100.0 + end) == 0.0
 
 
 def test_it_ends_as_soon_as_nobody_comes():
-    bye = GracefulShutdown(100.0, 7.5)
-    bye.came(100.4)
-    assert bye.open(100.4 + QUIET_S - 0.01) and not bye.open(100.4 + QUIET_S + 0.01)
+    shutdown = GracefulShutdown(100.0, 7.5)
+    shutdown.request_arrived(100.4)
+    assert shutdown.accepts_requests(100.4 + QUIET_PERIOD_S - 0.01)
+    assert not shutdown.accepts_requests(100.4 + QUIET_PERIOD_S + 0.01)
 
 
 def test_what_is_left_for_a_request_shrinks_to_nothing():
-    bye = GracefulShutdown(100.0, 7.5)
-    assert bye.left(100.0) == pytest.approx(WHOLE - LAST_S)
-    assert bye.left(bye.end - SHORT_S - 0.01) > 0 == bye.left(bye.end - SHORT_S)
+    shutdown = GracefulShutdown(100.0, 7.5)
+    assert shutdown.time_left(100.0) == pytest.approx(KILL_AFTER_S - RESERVE_S)
+    assert (
+        shutdown.time_left(shutdown.deadline - MIN_REQUEST_S - 0.01)
+        > 0
+        == shutdown.time_left(shutdown.deadline - MIN_REQUEST_S)
+    )
 
 
 def test_kept_connections_go_on_being_served_until_nobody_asks_any_more():
@@ -42,17 +54,17 @@
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("r0")))[0] == 200
-        bye = GracefulShutdown(asyncio.get_running_loop().time(), 7.5)
-        leaving = asyncio.create_task(rig.server.leave(asyncio.sleep(0.0), bye))
-        await until(lambda: rig.server.stopping)
+        shutdown = GracefulShutdown(asyncio.get_running_loop().time(), 7.5)
+        draining = asyncio.create_task(rig.server.drain(asyncio.sleep(0.0), shutdown))
+        await until(lambda: rig.server.shutting_down)
         late = await Client.connect(rig.port)
         for n in range(1, 6):
             for one in (client, late):
                 status, headers, _ = await one.ask(call(f"r{n}{one is late}"))
                 assert status == 200 and headers.get("connection") != "close"
-            await asyncio.sleep(QUIET_S / 4)
-        assert not leaving.done()
-        await leaving
+            await asyncio.sleep(QUIET_PERIOD_S / 4)
+        assert not draining.done()
+        await draining
         assert await client.reader.read() == b"" and await late.reader.read() == b""
 
     run(main())
@@ -64,11 +76,11 @@
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
         loop = asyncio.get_running_loop()
-        rig.server.farewell = GracefulShutdown(loop.time() - WHOLE + LAST_S + 1.0, 7.5)
+        rig.server.shutdown = GracefulShutdown(loop.time() - KILL_AFTER_S + RESERVE_S + 1.0, 7.5)
         assert (await client.ask(call("r1", budget="6000m")))[0] == 200
         asked = [e for e in rig.script.events if isinstance(e, events.Request)]
         assert 0.5 < asked[0].expires_in <= 1.0
-        rig.server.farewell = GracefulShutdown(loop.time() - WHOLE, 7.5)
+        rig.server.shutdown = GracefulShutdown(loop.time() - KILL_AFTER_S, 7.5)
         status, headers, _ = await client.ask(call("r2"))
         assert status == 503 and float(headers["retry-after"]) > 0
         assert len([e for e in rig.script.events if isinstance(e, events.Request)]) == 1
@@ -89,15 +101,17 @@
         client = await rig.start(b0=backend.port)
         client.writer.write(call("r1", budget="6000m"))
         await until(lambda: backend.seen)
-        leaving = asyncio.create_task(
-            rig.server.leave(asyncio.sleep(0.0), GracefulShutdown(asyncio.get_running_loop().time() - WHOLE, 7.5))
+        draining = asyncio.create_task(
+            rig.server.drain(
+                asyncio.sleep(0.0), GracefulShutdown(asyncio.get_running_loop().time() - KILL_AFTER_S, 7.5)
+            )
         )
-        await until(lambda: rig.server.leaving)
-        assert not leaving.done()
+        await until(lambda: rig.server.draining)
+        assert not draining.done()
         go.set()
         status, headers, _ = await client.answer()
         assert status == 200 and headers["connection"] == "close"
-        await leaving
+        await draining
 
     run(main())
 
@@ -107,16 +121,16 @@
         backend = await Peer.start(ok())
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
         client = await rig.start(b0=backend.port)
-        rig.server.most = 3
+        rig.server.max_connections = 3
         assert (await client.ask(call("r0")))[0] == 200
-        bye = GracefulShutdown(asyncio.get_running_loop().time(), 7.5)
-        leaving = asyncio.create_task(rig.server.leave(asyncio.sleep(0.0), bye))
-        await until(lambda: rig.server.stopping)
+        shutdown = GracefulShutdown(asyncio.get_running_loop().time(), 7.5)
+        draining = asyncio.create_task(rig.server.drain(asyncio.sleep(0.0), shutdown))
+        await until(lambda: rig.server.shutting_down)
         for _ in range(8):
             look = await Client.connect(rig.port)
             status, headers, _ = await look.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (status, headers["connection"]) == (503, "close")
         assert (await client.ask(call("r1")))[0] == 200
-        await leaving
+        await draining
 
     run(main())
--- a/tests/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.sockets import Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, until
+from tests.net.sockets import Peer, Rig, call, closed_port, entry, in_turn, listing, ok, run, until
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
 from thistleusher.net import upstream as upstream_module
@@ -135,7 +135,7 @@
         client = await rig.start(b0=backend.port)
         client.writer.write(call())
         await until(lambda: backend.seen)
-        rig.ingress.listed(listing(entry("b0", backend.port, since_ms=5000), snapshot=False))
+        rig.ingress.update_backends(listing(entry("b0", backend.port, since_ms=5000), snapshot=False))
         assert len(rig.upstream.connections) == 1
         rig.upstream.close()
         await until(backend.seen[0].ended)
@@ -293,7 +293,7 @@
         await one.ask(call("idle"))
         await until(lambda: len(backend.seen) == 2)
         new = entry("b0", backend.port, since_ms=5000) if change == "start" else entry("b0", moved.port)
-        rig.ingress.listed(listing(new, snapshot=False))
+        rig.ingress.update_backends(listing(new, snapshot=False))
         gate.set()
         assert (await two.answer())[0] == 200  # what was out is waited for
         for seen in backend.seen:
@@ -305,7 +305,7 @@
 
 
 def test_idle_connections_are_closed_well_before_the_backend_does(monkeypatch):
-    monkeypatch.setattr(upstream_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
         backend = await Peer.start()
@@ -358,13 +358,13 @@
             if isinstance(e, events.AttemptEnded) and not e.done
             else []
         )
-        rig.upstream.most = 2
+        rig.upstream.max_sockets = 2
         client = await rig.start(**{f"b{i}": b.port for i, b in enumerate(backends)})
         for i in range(3):
             assert (await client.ask(call(f"b{i}")))[0] == 200
         assert len(rig.upstream.connections) == 2
         assert not rig.upstream.pools["b0"].idle  # the one that had been idle longest made room
-        rig.upstream.most = 0
+        rig.upstream.max_sockets = 0
         for pool in rig.upstream.pools.values():
             pool.close_idle()
         assert (await client.ask(call("b1")))[0] == 503
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from standins.counter import Counter
-from tests.sockets import Peer, call, ok, run
-from tests.test_program import TERMS, Program, known
+from tests.net.program import TERMS, Program, known
+from tests.net.sockets import Peer, call, ok, run
 from thistleusher.cli.main import COMMANDS, main
 from thistleusher.operator.document import reference, starting_file
 from thistleusher.operator.layers import MOST, BadFile
--- a/tests/quota/test_outages.py
+++ b/tests/quota/test_outages.py
@@ -5,8 +5,8 @@
 import pytest
 
 from standins.counter import Counter
-from tests.sockets import Client, Peer, call, datagram_homes, ok, run
-from tests.test_program import SETTINGS, in_process
+from tests.net.program import SETTINGS, in_process
+from tests.net.sockets import Client, Peer, call, datagram_addresses, ok, run
 
 SHARED = {
     **SETTINGS,
@@ -22,7 +22,7 @@
     async def main():
         clock, backend, counter = [1000.0], await Peer.start(ok(b"fine")), Counter()
         await counter.start()
-        here, *others = datagram_homes(3)
+        here, *others = datagram_addresses(3)
         async with in_process(
             backend, counter, lambda: clock[0], settings=SHARED, peer_listen=here, peers=[here, *others]
         ) as (daemon, port):
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -10,15 +10,15 @@
 import pytest
 
 from standins.counter import Counter
+from tests.net.program import FEW, Program, known
+from tests.net.sockets import Peer, call, ok, run, until
 from tests.quota.test_failures import spread
 from tests.quota.world import BASIC, PLUS, World, settings
-from tests.sockets import Peer, call, ok, run, until
-from tests.test_program import FEW, Program, known
-from thistleusher.net.config import InvalidConfiguration
+from thistleusher.net.config import InvalidConfigurationError
 from thistleusher.net.counters_file import read_counters
 from thistleusher.quota import Placement, bound_of
 from thistleusher.quota.bound import Assumed
-from thistleusher.services.counters import Counters
+from thistleusher.services.counter_group import CounterGroup
 
 ADDRESSES = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 RNG = random.Random(5)
@@ -85,9 +85,9 @@
 def test_a_file_of_counters_that_cannot_be_used_is_named_with_its_key(tmp_path, text, error):
     path = tmp_path / "c.toml"
     path.write_text(text)
-    with pytest.raises(InvalidConfiguration, match=error):
+    with pytest.raises(InvalidConfigurationError, match=error):
         read_counters(str(path))
-    with pytest.raises(InvalidConfiguration, match="none"):
+    with pytest.raises(InvalidConfigurationError, match="none"):
         read_counters(str(tmp_path / "none"))
 
 
@@ -98,7 +98,7 @@
             await service.start()
         addresses = [s.address for s in services]
         replies: asyncio.Queue = asyncio.Queue()
-        counters = Counters(asyncio.get_running_loop(), Placement(addresses[:2]), 5.0, replies.put_nowait)
+        counters = CounterGroup(asyncio.get_running_loop(), Placement(addresses[:2]), 5.0, replies.put_nowait)
 
         async def add_all():
             for name in NAMES[:60]:
--- a/tests/test_services.py
+++ b/tests/services/test_services.py
@@ -7,14 +7,15 @@
 
 import pytest
 
-from tests.sockets import HOST, Peer, closed_port, entry, ok, run, until
+from tests.net.sockets import HOST, Peer, closed_port, entry, ok, run, until
 from thistleusher.core import events
 from thistleusher.core.events import Outcome, Phase
 from thistleusher.net import discovery as discovery_module
-from thistleusher.net.discovery import Discovery, read_listing
-from thistleusher.services import counter as counter_module
-from thistleusher.services.counter import Counter
-from thistleusher.services.peers import Peers
+from thistleusher.net.backend_list import parse_backend_list
+from thistleusher.net.discovery import DiscoveryClient
+from thistleusher.services import counter_client as counter_module
+from thistleusher.services.counter_client import CounterClient
+from thistleusher.services.peers import PeerDatagrams
 
 LONG = 10.0  # a time-out that no test waits for
 
@@ -24,7 +25,7 @@
 
     def __init__(self, port: int, timeout: float = LONG) -> None:
         self.replies: list[events.CounterReply] = []
-        self.counter = Counter(asyncio.get_running_loop(), (HOST, port), timeout, self.replies.append)
+        self.counter = CounterClient(asyncio.get_running_loop(), (HOST, port), timeout, self.replies.append)
 
     async def some(self, number: int) -> list[events.CounterReply]:
         await until(lambda: len(self.replies) >= number)
@@ -227,7 +228,7 @@
     async def main():
         agent = await Agent().listen()
         got = []
-        Discovery(asyncio.get_running_loop(), (HOST, agent.port), 41, got.append)
+        DiscoveryClient(asyncio.get_running_loop(), (HOST, agent.port), 41, got.append)
         agent.lines.put_nowait(b"\n" + text(42, entry("b0", 80), snapshot=True))
         agent.lines.put_nowait(b'{"index":43,"snapshot":true,"endp\n')
         await until(lambda: len(agent.requests) == 2)
@@ -238,7 +239,7 @@
         agent.lines.put_nowait(None)
         await until(lambda: len(agent.requests) == 3)
         assert [r.split(" ")[1] for r in agent.requests] == [f"/v1/servers?stream=1&index={i}" for i in (41, 42, 44)]
-        assert (got[0].whole, got[1].whole) == (True, False)
+        assert (got[0].complete, got[1].complete) == (True, False)
         backend, endpoint = got[1].entries[0]
         assert (backend.backend, backend.phase, backend.born) == ("b1", Phase.STOPPING, 1.5)
         assert endpoint.address == (HOST, 81)
@@ -252,7 +253,7 @@
 
     async def main():
         agent = await Agent().listen()
-        Discovery(asyncio.get_running_loop(), (HOST, agent.port), 7, lambda _: None)
+        DiscoveryClient(asyncio.get_running_loop(), (HOST, agent.port), 7, lambda _: None)
         await until(lambda: len(agent.requests) == 3)
 
     run(main())
@@ -263,7 +264,7 @@
 
     async def main():
         got = []
-        discovery = Discovery(asyncio.get_running_loop(), (HOST, closed_port()), 7, got.append)
+        discovery = DiscoveryClient(asyncio.get_running_loop(), (HOST, closed_port()), 7, got.append)
         await asyncio.sleep(0.02)
         agent = await Agent().listen()
         discovery.source.address = (HOST, agent.port)
@@ -287,7 +288,7 @@
             return ok(text(5, entry("b0", 80), snapshot=True))
 
         agent = await Peer(act).listen()
-        discovery = Discovery(asyncio.get_running_loop(), (HOST, old.port), 41, got.append)
+        discovery = DiscoveryClient(asyncio.get_running_loop(), (HOST, old.port), 41, got.append)
         await until(lambda: old.requests)
         discovery.move((HOST, agent.port))
         await new.wait()
@@ -296,9 +297,9 @@
         go.set()
         await until(lambda: len(got) == 3)
         old.lines.put_nowait(text(43))
-        assert [(x.version, x.whole) for x in got] == [(42, False), (5, True), (6, False)]
+        assert [(x.version, x.complete) for x in got] == [(42, False), (5, True), (6, False)]
         assert [s.line.split(" ")[1] for s in agent.seen] == ["/v1/servers", "/v1/servers?stream=1&index=5"]
-        discovery.listed(object(), got[0])  # whatever is neither the present nor the newest says nothing
+        discovery.on_source_list(object(), got[0])  # whatever is neither the present nor the newest says nothing
         assert len(got) == 3
 
     run(main())
@@ -316,7 +317,7 @@
             if len(got) == 1:
                 raise RuntimeError("a fault")
 
-        Discovery(asyncio.get_running_loop(), (HOST, agent.port), 7, take)
+        DiscoveryClient(asyncio.get_running_loop(), (HOST, agent.port), 7, take)
         agent.lines.put_nowait(text(8))
         await until(lambda: len(agent.requests) == 2)
         agent.lines.put_nowait(None)
@@ -344,7 +345,7 @@
 )
 def test_what_is_no_list_is_said_to_be_none(message):
     with pytest.raises(ValueError):
-        read_listing(message)
+        parse_backend_list(message)
 
 
 def test_datagrams_go_to_one_or_all_and_come_with_their_sender():
@@ -353,7 +354,7 @@
         got = {n: [] for n in range(3)}
         nodes = []
         for n in range(3):
-            node = Peers([], None, n, got[n].append)
+            node = PeerDatagrams([], None, n, got[n].append)
             await loop.create_datagram_endpoint(lambda node=node: node, local_addr=(HOST, 0))
             nodes.append(node)
         addresses = [n.transport.get_extra_info("sockname") for n in nodes]
@@ -363,7 +364,7 @@
         nodes[1].tell(None, b"all")
         nodes[1].tell(0, b"x" * 257)  # too long: not sent
         nodes[1].tell(9, b"nobody")
-        stranger = Peers(addresses, None, 0, got[0].append)
+        stranger = PeerDatagrams(addresses, None, 0, got[0].append)
         await loop.create_datagram_endpoint(lambda: stranger, local_addr=(HOST, 0))
         stranger.tell(0, b"from nowhere")
         nodes[2].tell(0, b"last")
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -14,7 +14,7 @@
 from standins.fleet import Fleet, Options, run_fleet
 from standins.front import Traffic, draw
 from standins.records import Crashed, Ran, Records
-from tests.sockets import run
+from tests.net.sockets import run
 
 SCRIPTS = sorted(Path("examples/faults").glob("*.toml"))
 
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -12,11 +12,11 @@
 from standins.match import Keys, MatchServer, Shape
 from standins.records import Began, Ran, Told
 from standins.relay import Relay
-from tests.sockets import HOST, call, run, until
-from tests.sockets import Client as Caller
+from tests.net.sockets import HOST, call, run, until
+from tests.net.sockets import Client as Caller
 from thistleusher.core.events import Outcome, Phase
-from thistleusher.net.discovery import Discovery as Subscriber
-from thistleusher.services.counter import Counter as Client
+from thistleusher.net.discovery import DiscoveryClient as Subscriber
+from thistleusher.services.counter_client import CounterClient as Client
 
 
 class Clock:
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -10,8 +10,8 @@
 import pytest
 
 from standins.counter import Counter
-from tests.sockets import Peer, call, ok, run, until
-from tests.test_program import SETTINGS, TERMS, Program, known
+from tests.net.program import SETTINGS, TERMS, Program, known
+from tests.net.sockets import Peer, call, ok, run, until
 from thistleusher.state.records import read_member
 from thistleusher.state.store import LISTED
 
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -22,7 +22,7 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.snapshots import SavedRoom
-from thistleusher.net.daemon import listing_of
+from thistleusher.net.daemon import backend_list_of
 from thistleusher.operator.units import Seconds
 from thistleusher.policy import Gateway
 from thistleusher.state.options import StateOptions, read_options
@@ -597,7 +597,7 @@
     assert read_listed(pack(listed)) == listed
     assert still_listed(160.0, listed) == listed
     assert still_listed(160.1, listed) is None is still_listed(99.0, listed) and still_listed(1.0, None) is None
-    listing = listing_of(listed)
+    listing = backend_list_of(listed)
     assert listing.version == 7 and listing.whole and listing.entries[0][1].address == ("127.0.0.1", 80)
     assert listing.entries[0][0] == BackendEntry("b0", Phase.RUNNING, 1.0, "std", 3, 1.5, "z0")
 
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -21,8 +21,10 @@
 from thistleusher.common.record_reader import record
 from thistleusher.core import actions
 from thistleusher.core.events import AttemptEnded, TimerFired
-from thistleusher.net.server import ClientConnection
-from thistleusher.net.upstream import Connection, Endpoint, Pool, Terms, Upstream
+from thistleusher.net.backend_connection import BackendConnection, UpstreamOptions
+from thistleusher.net.client_connection import ClientConnection
+from thistleusher.net.connection_pool import ConnectionPool, Endpoint
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.proxy.placement import Place
@@ -165,17 +167,17 @@
 
     world: World
 
-    async def connect(self, pool: Pool) -> Connection:
+    async def connect(self, pool: ConnectionPool) -> BackendConnection:
         return await self.world.connect(pool)
 
 
 class SimClient(ClientConnection):
     """The server's connection, with its look at the socket from the wire."""
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         return bool(self.transport.unread)
 
-    def in_kernel(self) -> int:
+    def unacknowledged_bytes(self) -> int:
         return 0
 
 
@@ -191,7 +193,7 @@
 class Backend:
     """One backend's connection: does what it draws with each request."""
 
-    def __init__(self, world: World, name: str, connection: Connection) -> None:
+    def __init__(self, world: World, name: str, connection: BackendConnection) -> None:
         self.world, self.name = world, name
         self.wire = Wire(world, connection, self.heard)
         self.buffer = b""
@@ -332,7 +334,7 @@
         self.steps: list[str] = []  # what backends do, where it is not drawn
         self.again: list[bytes] = []  # effectful ids that were sent a second time without a proof
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(seed), loop.time())
-        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, Terms(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT, 1.0, outcome_of))
         self.upstream.world = self
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
@@ -393,11 +395,11 @@
         ]
         return good + [step for step in bad if self.rng.random() < self.trouble]
 
-    async def connect(self, pool: Pool) -> Connection:
+    async def connect(self, pool: ConnectionPool) -> BackendConnection:
         await asyncio.sleep(0.0 if self.steps else self.rng.choice((0.0, 0.001, 0.05, 0.3)))
         if not self.steps and self.rng.random() < self.trouble * 0.2:
             raise ConnectionRefusedError
-        connection = Connection(pool, None)  # type: ignore[arg-type]
+        connection = BackendConnection(pool, None)  # type: ignore[arg-type]
         backend = Backend(self, pool.backend, connection)
         connection.sock = backend.wire  # type: ignore[assignment]
         self.upstream.connections.add(connection)
@@ -606,7 +608,7 @@
         doors = Doors(world)
         doors.ask()
         doors.ask(b"X: read ahead\r\n")
-        world.server.leaving = True
+        world.server.draining = True
         doors.done[0](NOT_READY)
         assert doors.client.wire.eof and not doors.client.wire.closing
         await asyncio.sleep(1.0)
@@ -620,7 +622,7 @@
 
     async def scenario(world: World) -> None:
         client = world.client()
-        world.upstream.guard.broke(world.loop.time())
+        world.upstream.guard.connection_broke(world.loop.time())
         client.ask(b"e1", b"e")
         while not any(c.exchange is not None for c in world.upstream.connections):
             await asyncio.sleep(0.001)
@@ -640,8 +642,8 @@
         client = world.client()
         client.ask(path + b"1", path)
         await asyncio.sleep(0.4)
-        world.server.stopping = leaving
-        held = world.ingress.held[path.decode() + "1"]
+        world.server.shutting_down = leaving
+        held = world.ingress.in_flight[path.decode() + "1"]
         assert held.attempts == 1 and not client.got
         await asyncio.sleep(0.8)
         assert held.attempts == runs and (runs > 1 or not client.got)
@@ -662,7 +664,7 @@
             await asyncio.sleep(0.001)
         wire = next(w for w in world.wires if w is not client.wire)
         wire.unread += [b"HTTP/1.1 200 X\r\n"] * unread  # that nobody has got round to reading
-        world.server.stopping = leaving
+        world.server.shutting_down = leaving
         world.ingress.cancel(actions.CancelAttempt("p1", 0))
         await asyncio.sleep(0.5)
         assert len(world.runs[b"p1"]) == runs
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -10,7 +10,9 @@
 from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.record_reader import record
-from thistleusher.net.upstream import Endpoint, Terms, Upstream
+from thistleusher.net.backend_connection import UpstreamOptions
+from thistleusher.net.connection_pool import Endpoint
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.proxy.placement import Place
@@ -98,7 +100,7 @@
         for backend in self.backends:
             await backend.start()
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(1), loop.time())
-        self.upstream = Upstream(loop, 0.5, 10.0, 50, Terms(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream = Upstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT, 1.0, outcome_of))
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow(config())
@@ -310,10 +312,10 @@
         connection = next(iter(rig.server.connections))
         most = 0
         while not asked.done():
-            most = max(most, connection.in_kernel())
+            most = max(most, connection.unacknowledged_bytes())
             await asyncio.sleep(0)
         assert most > 0 and len((await asked).body) == 1 << 20
-        while connection.in_kernel():
+        while connection.unacknowledged_bytes():
             await asyncio.sleep(0)
 
     play(scenario, 1)
@@ -325,7 +327,7 @@
         client = await rig.client()
         assert (await client.ask("/p/")).status == 200
         told = loop.time()
-        leaving = asyncio.ensure_future(rig.server.leave(asyncio.sleep(0), ProxyGracefulShutdown(told, 6.0)))
+        leaving = asyncio.ensure_future(rig.server.drain(asyncio.sleep(0), ProxyGracefulShutdown(told, 6.0)))
         assert (await client.ask("/p/")).status == 200  # somebody still comes
         await leaving
         assert loop.time() - told < 3.5
@@ -338,7 +340,7 @@
 def test_the_door_closes_early_enough_for_what_came_last():
     bye = ProxyGracefulShutdown(100.0, 6.0)
     now = 100.0
-    while bye.open(now):
-        bye.came(now)
+    while bye.accepts_requests(now):
+        bye.request_arrived(now)
         now += 0.01
-    assert now <= 103.1 and bye.left(now) >= 2.0
+    assert now <= 103.1 and bye.time_left(now) >= 2.0
--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from thistleusher.net.config import Config, InvalidConfiguration, read_config
+from thistleusher.net.config import Config, InvalidConfigurationError, read_config
 from thistleusher.net.counters_file import read_counters
 from thistleusher.net.daemon import Daemon
 
@@ -59,7 +59,7 @@
     state: StateOptions | None = None
 
 
-def keeper_of(config: Config, options: StateOptions) -> Snapshotter:
+def make_snapshotter(config: Config, options: StateOptions) -> Snapshotter:
     """The state folder; BadConfiguration says what keeps it from being used."""
     from thistleusher.assembly import room_terms
     from thistleusher.policy.sharing import kept_for
@@ -71,7 +71,7 @@
             options, config.name, config.settings, kept_for(config.settings), room_terms(config.settings)
         )
     except BadState as error:
-        raise InvalidConfiguration(str(error)) from error
+        raise InvalidConfigurationError(str(error)) from error
 
 
 def state_options(path: str) -> StateOptions:
@@ -79,25 +79,25 @@
     try:
         from thistleusher.state.options import read_options
     except ImportError as error:
-        raise InvalidConfiguration(f"--state needs the extra 'operator': {error}") from error
+        raise InvalidConfigurationError(f"--state needs the extra 'operator': {error}") from error
     try:
         return read_options(path)
     except ValueError as error:
-        raise InvalidConfiguration(str(error)) from error
+        raise InvalidConfigurationError(str(error)) from error
 
 
 async def serve(config: Config, extras: Extras) -> None:
     """Serve until told to stop, then leave in order."""
     loop = asyncio.get_running_loop()
     placement = extras.counters() if extras.counters else None
-    keeper = keeper_of(config, extras.state) if extras.state else None
-    daemon, stop = Daemon(config, placement=placement, keeper=keeper), asyncio.Event()
+    snapshotter = make_snapshotter(config, extras.state) if extras.state else None
+    daemon, stop = Daemon(config, placement=placement, snapshotter=snapshotter), asyncio.Event()
 
     def reload() -> None:
         try:
             new = read_config(extras.environ)
             again = extras.counters() if extras.counters else None
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             log.error("the configuration stays as it was: %s", error)
             return
         daemon.reload(new, again)
@@ -118,7 +118,7 @@
         )
     try:
         uvloop.run(serve(read_config(extras.environ), extras))
-    except (InvalidConfiguration, OSError) as error:
+    except (InvalidConfigurationError, OSError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
@@ -137,7 +137,7 @@
     counters = files.get("--counters")
     try:
         state = state_options(files["--state"]) if "--state" in files else None
-    except InvalidConfiguration as error:
+    except InvalidConfigurationError as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     return run(Extras(os.environ, (lambda: read_counters(counters)) if counters else None, state))
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from thistleusher.core.settings import Settings
-from thistleusher.net.config import InvalidConfiguration, read_data
+from thistleusher.net.config import InvalidConfigurationError, read_data
 from thistleusher.quota.bound import Assumed, table
 from thistleusher.settings import InvalidSetting, nested_settings
 
@@ -18,7 +18,7 @@
     try:
         return nested_settings(data["settings"])[0]
     except (InvalidSetting, ValueError, TypeError) as error:
-        raise InvalidConfiguration(f"{path}: {error}") from error
+        raise InvalidConfigurationError(f"{path}: {error}") from error
 
 
 def main(argv: Sequence[str]) -> int:
@@ -36,7 +36,7 @@
         lines = table(
             settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
         )
-    except (InvalidConfiguration, ValueError) as error:
+    except (InvalidConfigurationError, ValueError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
     print(f"units, for a failure of {args.outage:g} s; {100 * args.loss:g}% of datagrams lost, {args.delay:g} s late")
--- a/thistleusher/cli/options.py
+++ b/thistleusher/cli/options.py
@@ -44,11 +44,11 @@
     options = read(path, words)
     config = config or os.environ.get("PROXY_CONFIG")
     if config:
-        from thistleusher.net.config import InvalidConfiguration, read_config
+        from thistleusher.net.config import InvalidConfigurationError, read_config
 
         try:
             read_config({**os.environ, "PROXY_CONFIG": config})
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             raise click.ClickException(str(error)) from error
     click.echo(f"good: {', '.join(options.sections) or 'no section'}{f'; {config}' if config else ''}")
 
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from thistleusher.quota import Placement
-    from thistleusher.services.options import CountersOptions
+    from thistleusher.services.options import CounterGroupOptions
 
 
 @click.command()
@@ -26,7 +26,7 @@
     first = read(path, words)
 
     def counters() -> Placement | None:
-        options: CountersOptions | None = read_again(path, words).get("counters")
+        options: CounterGroupOptions | None = read_again(path, words).get("counters")
         return options.placement() if options is not None else None
 
     extras = Extras(environ=environ, counters=counters if first.get("counters") else None, state=first.get("state"))
@@ -44,9 +44,9 @@
 
 def read_again(path: str | None, words: tuple[str, ...]) -> Options:
     """The same layers as at the start; BadConfiguration where they cannot be used any more."""
-    from thistleusher.net.config import InvalidConfiguration
+    from thistleusher.net.config import InvalidConfigurationError
 
     try:
         return read(path, words)
     except click.ClickException as error:
-        raise InvalidConfiguration(error.format_message()) from error
+        raise InvalidConfigurationError(error.format_message()) from error
--- a/thistleusher/common/node_settings.py
+++ b/thistleusher/common/node_settings.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from thistleusher.common.record_reader import InvalidTable, record
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 
 VARIABLE = "THISTLEUSHER_NODE_FILE"
 USUAL = "/etc/thistleusher/boot.conf"
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -23,8 +23,8 @@
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.control.storage import Storage
-from thistleusher.net.server import Bounds
-from thistleusher.services.wire import read_address
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.call_server import (
     BeginEvacuation,
     CallServer,
@@ -64,7 +64,11 @@
         self.dials: dict[str, Dial] = {}
         self.links: dict[str, Link] = {}  # those that came, by name
         self.listener = Listener(self.loop, self._heard, self._gone)
-        self.api = CallServer(self.loop, self._handlers(), Bounds(body=BODY_MOST, slow=10.0, idle=30.0))
+        self.api = CallServer(
+            self.loop,
+            self._handlers(),
+            ClientLimits(max_body_bytes=BODY_MOST, read_timeout_s=10.0, idle_timeout_s=30.0),
+        )
         self.waiting: dict[int, Done] = {}
         self.control_port = read_address(boot.binds.control)[1] if boot.binds.control else 0
 
@@ -88,7 +92,7 @@
 
     async def leave(self) -> None:
         """Hand over what this machine holds, answer what waits, close."""
-        self.api.stopping = self.api.leaving = True
+        self.api.shutting_down = self.api.draining = True
         self._carry(self.service.stop(time.monotonic()))
         until = time.monotonic() + self.boot.bounds.grace_s - GRACE_LEFT_S
         while not self.service.node.may_end and time.monotonic() < until:
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -31,9 +31,9 @@
 from thistleusher.embed.call import Call, checked
 from thistleusher.embed.counter import MemoryCounter, MemoryPort
 from thistleusher.policy import Gateway
-from thistleusher.services.counter import Counter
-from thistleusher.services.peers import Peers
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
+from thistleusher.services.counter_client import CounterClient
+from thistleusher.services.peers import PeerDatagrams
 
 log = logging.getLogger(__name__)
 
@@ -254,7 +254,7 @@
         self._loop: asyncio.AbstractEventLoop | None = None
         self._driver: Driver | None = None
         self._counter: _Closable | None = None
-        self._peers: Peers | None = None
+        self._peers: PeerDatagrams | None = None
         self._closed = False
         self._gateway: Gateway | None = None
         self._numbers = itertools.count()
@@ -279,13 +279,15 @@
         driver = Driver(self.settings, gateway, self, self.scheduler or loop, self.clock)
         port: _Closable
         if self.address is not None:
-            port = Counter(loop, self.address, self.settings.counter_timeout, driver.submit, driver.scheduler.time)
+            port = CounterClient(
+                loop, self.address, self.settings.counter_timeout, driver.submit, driver.scheduler.time
+            )
         else:
             port = MemoryPort(self.memory, driver.submit)
         driver.counter = self._counter = port
         try:
             if self.settings.peers:
-                peers = self._peers = Peers(self._everybody, None, self.settings.me, driver.submit)
+                peers = self._peers = PeerDatagrams(self._everybody, None, self.settings.me, driver.submit)
                 await loop.create_datagram_endpoint(lambda: peers, local_addr=self._listen)
                 driver.peers = peers
         except BaseException:
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from thistleusher.core.settings import Settings
-from thistleusher.net.client_call import Address, read_address
-from thistleusher.net.discovery import Listing, read_listing
+from thistleusher.net.backend_list import BackendList, parse_backend_list
+from thistleusher.services.addresses import Address, read_address
 from thistleusher.settings import InvalidSetting, nested_settings
 
 
-class InvalidConfiguration(Exception):
+class InvalidConfigurationError(Exception):
     """What is wrong with the configuration, in one line."""
 
 
@@ -31,7 +31,7 @@
     seed: int
     sockets: int
     idle: float
-    known: Listing | None
+    known: BackendList | None
     settings: Settings
     load_fields: tuple[str, ...]
 
@@ -42,11 +42,11 @@
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
     except (OSError, ValueError) as error:
-        raise InvalidConfiguration(f"{path}: {error}") from error
+        raise InvalidConfigurationError(f"{path}: {error}") from error
     except RecursionError as error:
-        raise InvalidConfiguration(f"{path}: nested too deeply") from error
+        raise InvalidConfigurationError(f"{path}: nested too deeply") from error
     if not isinstance(data, dict) or not isinstance(data.get("settings"), dict):
-        raise InvalidConfiguration(f"{path}: settings: missing")
+        raise InvalidConfigurationError(f"{path}: settings: missing")
     return data
 
 
@@ -54,7 +54,7 @@
     """The configuration file, whose name and addresses the environment also tells."""
     path = environ.get("PROXY_CONFIG")
     if not path:
-        raise InvalidConfiguration("PROXY_CONFIG is not set")
+        raise InvalidConfigurationError("PROXY_CONFIG is not set")
     data = read_data(path)
     for key in ("name", "listen", "discovery"):
         data.setdefault(key, environ.get(f"PROXY_{key.upper()}"))
@@ -78,9 +78,9 @@
             seed=int(str(data.get("seed", "0")), 16),
             sockets=int(data.get("limits", {}).get("sockets", 1024)),
             idle=float(data["settings"].get("limits", {}).get("connIdle", 15.0)),
-            known=read_listing(data["known"]) if data.get("known") else None,
+            known=parse_backend_list(data["known"]) if data.get("known") else None,
             settings=settings,
             load_fields=fields,
         )
     except (InvalidSetting, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
-        raise InvalidConfiguration(f"{path}: {' '.join(str(error).split())}") from error
+        raise InvalidConfigurationError(f"{path}: {' '.join(str(error).split())}") from error
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -7,10 +7,10 @@
 
 import tomllib
 
-from thistleusher.net.config import InvalidConfiguration
+from thistleusher.net.config import InvalidConfigurationError
 from thistleusher.operator.layers import plain
 from thistleusher.quota.placement import Placement
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 
 
 def read_counters(path: str) -> Placement:
@@ -19,18 +19,18 @@
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except (OSError, ValueError) as error:
-        raise InvalidConfiguration(f"{path}: {error}") from error
+        raise InvalidConfigurationError(f"{path}: {error}") from error
     except RecursionError as error:
-        raise InvalidConfiguration(f"{path}: nested too deeply") from error
+        raise InvalidConfigurationError(f"{path}: nested too deeply") from error
     unknown = data.keys() - {"counters"}
     if unknown:
-        raise InvalidConfiguration(f"{path}: {plain(min(unknown))}: no such key")
+        raise InvalidConfigurationError(f"{path}: {plain(min(unknown))}: no such key")
     counters = data.get("counters")
     if not isinstance(counters, list) or not all(isinstance(c, str) for c in counters):
-        raise InvalidConfiguration(f"{path}: counters: expected a list of host:port, got {counters!r}")
+        raise InvalidConfigurationError(f"{path}: counters: expected a list of host:port, got {counters!r}")
     try:
         for address in counters:
             read_address(address)
         return Placement(counters)
     except ValueError as error:
-        raise InvalidConfiguration(f"{path}: counters: {error}") from error
+        raise InvalidConfigurationError(f"{path}: counters: {error}") from error
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -1,4 +1,4 @@
-"""One ingress on real sockets, from its start to its orderly end."""
+"""The daemon: one ingress on real sockets, from its start to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -12,25 +12,29 @@
 from thistleusher.assembly import make_gateway
 from thistleusher.core.events import BackendEntry, Phase
 from thistleusher.core.ports import Scheduler
+from thistleusher.net.backend_list import BackendList
 from thistleusher.net.config import Config
-from thistleusher.net.discovery import Discovery, Listing
+from thistleusher.net.connection_pool import Endpoint
+from thistleusher.net.discovery import DiscoveryClient
 from thistleusher.net.ingress import Ingress
-from thistleusher.net.server import IngressServer
+from thistleusher.net.ingress_server import IngressServer
 from thistleusher.net.shutdown import GracefulShutdown
-from thistleusher.net.upstream import Endpoint, Upstream
+from thistleusher.net.upstream import Upstream
 from thistleusher.quota.placement import Placement
-from thistleusher.services.counter import Counter
-from thistleusher.services.counters import Counters
-from thistleusher.services.peers import Peers
+from thistleusher.services.counter_client import CounterClient
+from thistleusher.services.counter_group import CounterGroup
+from thistleusher.services.peers import PeerDatagrams
 
-if TYPE_CHECKING:  # imported only where a state folder is given
+if TYPE_CHECKING:  # imported only if a state folder is given
     from thistleusher.state.records import Listed, Place
     from thistleusher.state.snapshotter import Snapshotter
 
 log = logging.getLogger("thistleusher")
 
-LAST_WORDS_S = 0.05  # in which the counter takes in what was not in it yet
-SOCKETS_SPARE = 64  # descriptors that are neither clients' nor backends'
+MAX_LAST_CALLS_S = 0.05  # for the counter to take in what it did not have yet, at the end
+SPARE_SOCKETS = 64  # descriptors that are neither clients' nor backends'
+MIN_SOCKETS = 16  # for clients, and for backends, however few descriptors there are
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
 class Daemon:
@@ -42,100 +46,126 @@
         clock: Callable[[], float] = time.time,
         scheduler: Scheduler | None = None,
         placement: Placement | None = None,
-        keeper: Snapshotter | None = None,
+        snapshotter: Snapshotter | None = None,
     ) -> None:
-        """`placement`: several counters in place of the configuration's one; `keeper`: a state folder."""
+        """`placement`: several counters instead of the configuration's one; `snapshotter`: a state folder."""
+        loop = asyncio.get_running_loop()
+        settings = config.settings
         self.config = config
-        self.loop = loop = asyncio.get_running_loop()
-        self.share = max(16, (config.sockets - SOCKETS_SPARE) // 2)
-        self.upstream = Upstream(loop, config.settings.connect_timeout or 1.0, config.idle, self.share)
-        self.placement, self.keeper, self.clock = placement, keeper, clock
-        gateway = self.gateway = make_gateway(config.settings, config.seed, clock(), placement)
-        self.ingress = Ingress(loop, config.settings, gateway, self.upstream, config.load_fields, clock, scheduler)
-        self.server = IngressServer(loop, self.ingress, self.share)
-        self.discovery: Discovery | None = None
-        self.version = config.known.version if config.known else 0  # of the list of backends
-        self.counter: Counter | Counters | None = None
-        self.peers: Peers | None = None
+        self.loop = loop
+        self.clock = clock
+        self.placement = placement
+        self.snapshotter = snapshotter
+        max_sockets = max(MIN_SOCKETS, (config.sockets - SPARE_SOCKETS) // 2)
+        connect_timeout = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_S
+        self.upstream = Upstream(loop, connect_timeout, config.idle, max_sockets)
+        self.gateway = make_gateway(settings, config.seed, clock(), placement)
+        self.ingress = Ingress(loop, settings, self.gateway, self.upstream, config.load_fields, clock, scheduler)
+        self.server = IngressServer(loop, self.ingress, max_sockets)
+        self.discovery: DiscoveryClient | None = None
+        self.list_version = config.known.version if config.known else 0
+        self.counter: CounterClient | CounterGroup | None = None
+        self.peers: PeerDatagrams | None = None
+
+    # Start.
 
     async def start(self) -> None:
-        """Open everything, clients' door last. OSError where an address cannot be had."""
-        config, ingress, driver = self.config, self.ingress, self.ingress.driver
-        if self.keeper is not None:
-            self.keeper.places = self.places
-            self.keeper.begin(self.gateway, self.clock, self.loop)
+        """Open everything, the clients' listener last. OSError if an address cannot be had."""
+        config = self.config
+        if self.snapshotter is not None:
+            self.snapshotter.places = self.places
+            self.snapshotter.begin(self.gateway, self.clock, self.loop)
+        self._connect_counter()
+        await self._open_peers()
+        self._take_first_list()
+        version = config.known.version if config.known else 0
+        self.discovery = DiscoveryClient(self.loop, config.discovery, version, self.update_backends)
+        await self.server.listen(*config.listen)
+        log.info("%s serves on %s:%d", config.name, *config.listen)
+        gc.freeze()  # what start-up made is never garbage
+
+    def _connect_counter(self) -> None:
+        config = self.config
+        driver = self.ingress.driver
+        timeout = config.settings.counter_timeout
+        submit = self.ingress.submit
         if self.placement is not None:
-            driver.counter = self.counter = Counters(
-                self.loop, self.placement, config.settings.counter_timeout, ingress.submit, driver.scheduler.time
-            )
+            group = CounterGroup(self.loop, self.placement, timeout, submit, driver.scheduler.time)
+            driver.counter = self.counter = group
         elif config.counter is not None and config.settings.counter:
-            driver.counter = self.counter = Counter(
-                self.loop, config.counter, config.settings.counter_timeout, ingress.submit, driver.scheduler.time
-            )
+            client = CounterClient(self.loop, config.counter, timeout, submit, driver.scheduler.time)
+            driver.counter = self.counter = client
+
+    async def _open_peers(self) -> None:
+        config = self.config
         if config.peer_listen is not None and config.settings.peers:
-            peers = Peers(config.peers, config.peers_all, config.settings.me, ingress.submit)
+            peers = PeerDatagrams(config.peers, config.peers_all, config.settings.me, self.ingress.submit)
             await self.loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
-            driver.peers = self.peers = peers
-        kept = self.keeper.list if self.keeper is not None else None
-        if kept is not None and (config.known is None or kept.version > config.known.version):
-            ingress.listed(listing_of(kept), saved=True)
-        elif config.known is not None:
-            ingress.listed(config.known, saved=True)
-        self.discovery = Discovery(
-            self.loop, config.discovery, config.known.version if config.known else 0, self.listed
-        )
-        await self.server.listen(*config.listen)
-        log.info("%s serves on %s:%d", config.name, *config.listen)
-        gc.freeze()  # what start-up made is never garbage
+            self.ingress.driver.peers = self.peers = peers
+
+    def _take_first_list(self) -> None:
+        """Begin with the newer one of the saved list of backends and the configuration's."""
+        saved = self.snapshotter.list if self.snapshotter is not None else None
+        known = self.config.known
+        if saved is not None and (known is None or saved.version > known.version):
+            self.ingress.update_backends(backend_list_of(saved), saved=True)
+        elif known is not None:
+            self.ingress.update_backends(known, saved=True)
 
-    def listed(self, listing: Listing) -> None:
-        """Discovery's word: its version goes with the list that is kept."""
-        self.ingress.listed(listing)
-        self.version = listing.version
+    # In service.
+
+    def update_backends(self, backends: BackendList) -> None:
+        """Follow discovery; the version goes with the list that is saved."""
+        self.ingress.update_backends(backends)
+        self.list_version = backends.version
 
     def places(self) -> tuple[int, tuple[Place, ...]]:
-        """The list of backends as it stands, to be kept."""
+        """Return the list of backends as it stands, to be saved."""
         from thistleusher.state.records import Place
 
-        entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in self.upstream.pools]
-        return self.version, tuple(
+        pools = self.upstream.pools
+        entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in pools]
+        places = (
             Place(
-                e.backend,
-                e.phase.value,
-                e.weight,
-                e.kind,
-                e.cell,
-                e.born,
-                e.zone,
-                *self.upstream.pools[e.backend].endpoint.address,
+                entry.backend,
+                entry.phase.value,
+                entry.weight,
+                entry.kind,
+                entry.cell,
+                entry.born,
+                entry.zone,
+                *pools[entry.backend].endpoint.address,
             )
-            for e in entries
+            for entry in entries
         )
+        return self.list_version, tuple(places)
 
-    def reload(self, new: Config, placement: Placement | None = None) -> None:
-        """Follow discovery and the counter to where the file says now; all else takes a restart."""
+    def reload(self, config: Config, placement: Placement | None = None) -> None:
+        """Follow discovery and the counter to where the configuration says now; all else takes a restart."""
         if self.discovery is not None:
-            self.discovery.move(new.discovery)
-        if isinstance(self.counter, Counter) and new.counter is not None:
-            self.counter.move(new.counter)
-        elif isinstance(self.counter, Counters) and placement is not None:
+            self.discovery.move(config.discovery)
+        if isinstance(self.counter, CounterClient) and config.counter is not None:
+            self.counter.move(config.counter)
+        elif isinstance(self.counter, CounterGroup) and placement is not None:
             self.gateway.counters.follow(placement)
             self.counter.place(placement)
         log.info("%s has read its configuration anew", self.config.name)
 
+    # End.
+
     async def stop(self, notice: Awaitable[object]) -> None:
-        """Go on until `notice` is over and nobody comes any more, finish what is held, then close everything."""
-        log.info("%s stops: %d requests held", self.config.name, len(self.ingress.held))
-        longest = max(c.deadline for c in self.config.settings.classes)
-        await self.server.leave(notice, GracefulShutdown(self.loop.time(), longest))
+        """Serve until `notice` is over and no requests come any more, finish what is pending, then close everything."""
+        log.info("%s stops: %d requests held", self.config.name, len(self.ingress.in_flight))
+        longest_s = max(c.deadline for c in self.config.settings.classes)
+        await self.server.drain(notice, GracefulShutdown(self.loop.time(), longest_s))
         self.ingress.driver.leave()
-        await asyncio.sleep(min(LAST_WORDS_S, self.config.settings.counter_timeout / 2))
+        await asyncio.sleep(min(MAX_LAST_CALLS_S, self.config.settings.counter_timeout / 2))
         self.ingress.driver.leave()  # again: a datagram may be lost, or overtaken by this one
         self.close()
         log.info("%s has stopped", self.config.name)
 
     def close(self) -> None:
-        """Close all at once; what is still held gets no answer."""
+        """Close all at once; what is still pending gets no response."""
         self.server.close()
         if self.discovery is not None:
             self.discovery.close()
@@ -144,20 +174,17 @@
         if self.peers is not None:
             self.peers.close()
         self.upstream.close()
-        if self.keeper is not None:
-            self.keeper.close()
-
-
-def listing_of(kept: Listed) -> Listing:
-    """A kept list of backends, as discovery would have told it."""
-    return Listing(
-        kept.version,
-        True,
-        tuple(
-            (
-                BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
-                Endpoint((p.host, p.port), p.born),
-            )
-            for p in kept.places
-        ),
+        if self.snapshotter is not None:
+            self.snapshotter.close()
+
+
+def backend_list_of(saved: Listed) -> BackendList:
+    """Return a saved list of backends as discovery would have sent it."""
+    entries = (
+        (
+            BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
+            Endpoint((p.host, p.port), p.born),
+        )
+        for p in saved.places
     )
+    return BackendList(saved.version, True, tuple(entries))
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -1,4 +1,4 @@
-"""The driver's surroundings in the daemon: clients' calls in, exchanges with backends out."""
+"""What the driver has around it in the daemon: clients' calls come in, exchanges with backends go out."""
 
 from __future__ import annotations
 
@@ -12,37 +12,46 @@
 from thistleusher.core.events import ListKind, Outcome, Phase
 from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
 from thistleusher.core.settings import Settings
-from thistleusher.net.client_call import Answer, Call
-from thistleusher.net.discovery import Listing
-from thistleusher.net.upstream import Exchange, Upstream
+from thistleusher.net.backend_list import BackendList
+from thistleusher.net.client_call import Call
+from thistleusher.net.client_connection import Reply
+from thistleusher.net.exchange import BackendExchange
+from thistleusher.net.upstream import Upstream
+from thistleusher.services.http_responses import Response
 
-Reply = Callable[[int, bytes, bytes], None]  # status, further header lines, body
+MIN_PATIENCE_S = 0.001  # that a backend is told, however little time is left
+LOAD_REPORT_REQUEST = b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
-class Sent:
+class BackendAttempt:
     """An attempt that is one exchange with a backend."""
 
     __slots__ = ("upstream", "exchange")
 
-    def __init__(self, upstream: Upstream, exchange: Exchange) -> None:
-        self.upstream, self.exchange = upstream, exchange
+    def __init__(self, upstream: Upstream, exchange: BackendExchange) -> None:
+        self.upstream = upstream
+        self.exchange = exchange
 
     @property
     def written(self) -> bool:
+        """Whether the request has been written whole, so that it may have run."""
         return self.exchange.written
 
-    def answering(self) -> bool:
-        """Whether bytes of its backend lie unread: where this process has stood still, its answer may be among them."""
+    def has_unread_bytes(self) -> bool:
+        """Return whether bytes of its backend are unread; if this process stood still, its response may be there."""
         connection = self.exchange.connection
-        return connection is not None and connection.stale()
+        return connection is not None and connection.is_stale()
 
     def start(self, timeout: float) -> None:
+        """Begin; the outcome may come before this returns."""
         self.upstream.send(self.exchange, timeout)
 
     def expire(self) -> None:
+        """End it as timed out."""
         self.upstream.expire(self.exchange)
 
     def cancel(self) -> None:
+        """End it as cancelled."""
         self.upstream.cancel(self.exchange)
 
 
@@ -59,104 +68,109 @@
         unix: Callable[[], float] = time.time,
         scheduler: Scheduler | None = None,
     ) -> None:
-        self.loop, self.settings, self.upstream = loop, settings, upstream
+        """`load_fields`: the values of a load report that are used; `unix` gives Unix time in seconds."""
+        self.loop = loop
+        self.settings = settings
+        self.upstream = upstream
         self.load_fields = load_fields
-        self.serving: set[str] = set()
+        self.serving: set[str] = set()  # backends that may be sent requests
         self.driver = Driver(settings, gateway, self, scheduler or loop, unix)
-        self.submit, self.held = self.driver.submit, self.driver.held
+        self.submit = self.driver.submit
+        self.in_flight = self.driver.held
 
     # Requests.
 
-    def take(self, call: Call, reply: Reply) -> None:
-        """A client's request has come whole: it is owed one answer from here on."""
-        self.driver.take(call.request, lambda final: self.finish(final, reply), call, call.came)
+    def handle_request(self, call: Call, reply: Reply) -> None:
+        """Take a client's request; it gets exactly one response from here on."""
+        self.driver.take(call.request, lambda final: self.finish(final, reply), call, call.received_at)
 
-    def gone(self, call: Call) -> None:
-        """The client has closed its connection. An id that another request holds was never taken."""
-        held = self.held.get(call.request.id)
-        if held is not None and held.context is call:
+    def client_disconnected(self, call: Call) -> None:
+        """Report a client that has gone; a call whose id another request has was never taken."""
+        in_flight = self.in_flight.get(call.request.id)
+        if in_flight is not None and in_flight.context is call:
             self.driver.gone(call.request.id)
 
     @staticmethod
     def finish(final: Final, reply: Reply) -> None:
-        """The final answer in HTTP's words; a served one is the backend's, unchanged."""
+        """Write the final answer as an HTTP response; a served one is the backend's, unchanged."""
         if final.verdict is Verdict.SERVED:
-            answer: Answer = final.payload
-            kind = answer.headers.get(b"content-type")
-            reply(200, b"Content-Type: %s\r\n" % kind if kind else b"", answer.body)
+            response: Response = final.payload
+            content_type = response.headers.get(b"content-type")
+            reply(200, b"Content-Type: %s\r\n" % content_type if content_type else b"", response.body)
         else:
-            lines = b"".join(b"%s: %s\r\n" % header for header in headers_of(final))
-            reply(STATUS[final.verdict], lines, b"")
+            header_lines = b"".join(b"%s: %s\r\n" % header for header in headers_of(final))
+            reply(STATUS[final.verdict], header_lines, b"")
 
     # Backends.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
-        """One attempt. It is not sent if its client has gone or its backend drains by then."""
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+        """Prepare an attempt. It is not sent if its client has gone or its backend drains by then."""
         call: Call = held.context
 
         def message() -> bytes:
-            return call.message(max(0.001, held.deadline - self.driver.scheduler.time()))
+            return call.message(max(MIN_PATIENCE_S, held.deadline - self.driver.scheduler.time()))
 
-        def may_send() -> bool:
+        def can_send() -> bool:
             return not held.answered and backend in self.serving
 
-        def ended(_: Exchange, outcome: Outcome, answer: Answer | None) -> None:
-            units = 0.0
-            if answer is not None and outcome is Outcome.OK:
-                units = read_number(answer.headers.get(b"x-cost-units", b""))
-            on_end(Ended(outcome, answer, units, self.load(answer) if self.settings.load_in_answers else {}))
+        def ended(_: BackendExchange, outcome: Outcome, response: Response | None) -> None:
+            true_units = 0.0
+            if response is not None and outcome is Outcome.OK:
+                true_units = read_number(response.headers.get(b"x-cost-units", b""))
+            load = self.load_report(response) if self.settings.load_in_answers else {}
+            on_end(Ended(outcome, response, true_units, load))
 
-        return Sent(self.upstream, Exchange(backend, message, may_send, ended, guarded=True))
+        return BackendAttempt(self.upstream, BackendExchange(backend, message, can_send, ended, guarded=True))
 
     def probe(self, backend: str) -> None:
-        """Ask a backend for its load; the answer may be a 503."""
+        """Ask a backend for its load; the response may be a 503."""
         began = self.loop.time()
 
-        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
-            self.submit(events.ProbeEnded(backend, outcome, self.loop.time() - began, self.load(answer)))
+        def ended(exchange: BackendExchange, outcome: Outcome, response: Response | None) -> None:
+            elapsed = self.loop.time() - began
+            self.submit(events.ProbeEnded(backend, outcome, elapsed, self.load_report(response)))
 
-        self.upstream.send(
-            Exchange(
-                backend,
-                lambda: b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n",
-                lambda: backend in self.serving,
-                ended,
-            ),
-            self.settings.connect_timeout,
-        )
+        exchange = BackendExchange(backend, lambda: LOAD_REPORT_REQUEST, lambda: backend in self.serving, ended)
+        self.upstream.send(exchange, self.settings.connect_timeout)
 
     def close_idle(self, backend: str) -> None:
+        """Close a backend's idle connections."""
         self.upstream.close_idle(backend)
 
-    def load(self, answer: Answer | None) -> dict[str, float]:
-        """The load report of an answer, in its header or, for a probe, its body: `TEXT name=value, ...`."""
-        if answer is None:
+    def load_report(self, response: Response | None) -> dict[str, float]:
+        """Return the load report of a response, `TEXT name=value, ...` in its header or, for a probe, its body."""
+        if response is None:
             return {}
-        text = (answer.headers.get(b"x-load-report") or answer.body).decode("ascii", "replace")
+        text = (response.headers.get(b"x-load-report") or response.body).decode("ascii", "replace")
         pairs = (part.strip().partition("=") for part in text.removeprefix("TEXT").split(","))
         return {key: read_number(value.encode()) for key, _, value in pairs if key in self.load_fields}
 
     # The list of backends.
 
-    def listed(self, listing: Listing, saved: bool = False) -> None:
-        """The list or a change to it: connections of old go before the module may send anything."""
-        if listing.whole:
-            for backend in self.upstream.pools.keys() - {e.backend for e, _ in listing.entries}:
+    def update_backends(self, backends: BackendList, saved: bool = False) -> None:
+        """Follow the list of backends or a change to it.
+
+        Connections to old addresses are closed before the decision module hears of it and may send anything.
+        """
+        if backends.complete:
+            for backend in self.upstream.pools.keys() - {e.backend for e, _ in backends.entries}:
                 self.upstream.update(backend, None)
             self.serving.clear()
-        for entry, endpoint in listing.entries:
+        for entry, endpoint in backends.entries:
             self.upstream.update(entry.backend, endpoint)
             if entry.phase is Phase.RUNNING:
                 self.serving.add(entry.backend)
             else:
                 self.serving.discard(entry.backend)
                 self.upstream.close_idle(entry.backend)
-        kind = ListKind.SAVED if saved else ListKind.WHOLE if listing.whole else ListKind.CHANGE
-        self.submit(events.ListUpdate(kind, listing.version, tuple(e for e, _ in listing.entries)))
+        kind = ListKind.WHOLE if backends.complete else ListKind.CHANGE
+        if saved:
+            kind = ListKind.SAVED
+        self.submit(events.ListUpdate(kind, backends.version, tuple(e for e, _ in backends.entries)))
 
 
 def read_number(text: bytes) -> float:
-    """A number of 0 or more, or 0 where there is none."""
+    """Return a number of 0 or more, or 0 if there is none."""
     try:
         value = float(text)
     except ValueError:
--- /dev/null
+++ b/thistleusher/net/ingress_server.py
@@ -0,0 +1,67 @@
+"""The clients' listener of the ingress in service: its requests, and GET /healthz."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
+from thistleusher.net.client_call import Call
+from thistleusher.net.client_connection import ClientConnection, ImmediateResponse
+from thistleusher.net.ingress import Ingress
+from thistleusher.net.server import Server
+
+RETRY_AFTER = b"Retry-After: 1\r\n"
+HEALTH_PATH = b"/healthz"
+HOP_BY_HOP_HEADERS = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"expect",
+    b"content-length",
+    b"x-budget",
+}
+
+
+class IngressServer(Server):
+    """Reads the requests of the ingress in service, and passes them on to it."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, ingress: Ingress, max_connections: int) -> None:
+        super().__init__(loop, max_connections)
+        self.ingress = ingress
+        self.reader = RequestReader(ingress.settings)
+        # Bound here to save a call a request.
+        self.handle_request = ingress.handle_request  # type: ignore[method-assign, assignment]
+        self.client_disconnected = ingress.client_disconnected  # type: ignore[method-assign, assignment]
+
+    def is_ready(self) -> bool:
+        """Return whether a request could be served: a backend can be sent requests, and no shutdown has begun."""
+        return bool(self.ingress.serving) and not self.shutting_down
+
+    def read_request(self, connection: ClientConnection) -> Any:
+        """Return the call that a request is, or the response to one that is refused without a decision."""
+        if connection.url.partition(b"?")[0] == HEALTH_PATH:
+            return ImmediateResponse(200, "") if self.is_ready() else ImmediateResponse(503, "", RETRY_AFTER)
+        if connection.over_limit:
+            return ImmediateResponse(503, "too many connections", RETRY_AFTER)
+        method = connection.parser.get_method()
+        try:
+            request = self.reader.read(customer_of(connection.url), method, connection.headers)
+        except NoSuchPath as error:
+            return ImmediateResponse(404, str(error), closes=True)
+        except BadRequest as error:
+            return ImmediateResponse(400, str(error), closes=True)
+        if self.shutdown is not None:
+            now = self.loop.time()
+            self.shutdown.request_arrived(now)
+            left = self.shutdown.time_left(now)
+            if left <= 0:
+                return ImmediateResponse(503, "this ingress ends", RETRY_AFTER)
+            request = request._replace(expires_in=min(request.expires_in, left))
+        head = [b"%s %s HTTP/1.1\r\n" % (method, connection.url)]
+        head += [b"%s: %s\r\n" % (n, v) for n, v in connection.headers if n.lower() not in HOP_BY_HOP_HEADERS]
+        return Call(request, b"".join(head), bytes(connection.body), self.ingress.driver.scheduler.time())
--- a/thistleusher/net/last_byte_guard.py
+++ b/thistleusher/net/last_byte_guard.py
@@ -1,41 +1,42 @@
-"""When a request's last byte is held back until its connection has shown that it stands.
+"""When the last byte of a request is held back until its connection has proved to be open.
 
-A request runs once its last byte has come. One that is written whole to a connection which ends just then may have run,
-and where its class is unsafe to repeat it has failed for good. So while connections are seen to end under requests, the
-last byte follows the rest a moment later, if the connection is still there: what breaks before has never run.
+A backend runs a request once its last byte has arrived. If the connection closes around the moment at which the whole
+request is written, the request may have run, and a class that is unsafe to repeat has then failed for good. So while
+connections are seen to close under requests, the last byte follows the rest a moment later, and only if the connection
+is still open: a request whose connection breaks before that has certainly not run.
 
-Pure: times are handed in, in seconds on a clock that never goes back.
+Pure: times are passed in, in seconds on a clock that never goes back.
 """
 
 from __future__ import annotations
 
-HOLD_S = 0.003  # between the rest and the last byte: the way there and back, and a busy moment
-WARY_S = 30.0  # after a connection has ended under a request, or sooner than agreed, in which requests are guarded
-EARLY = 0.1  # of the agreed idle time, before which the other side's end of a connection is a sign too
+HOLD_S = 0.003  # between the rest and the last byte: one round trip and a busy moment
+ACTIVE_S = 30.0  # for which requests are guarded after a connection has closed under one, or sooner than agreed
+EARLY_SHARE = 0.1  # of the agreed idle time; an idle connection that its backend closes sooner is a sign, too
 
 
 class LastByteGuard:
-    """Whether connections to backends have ended at bad moments of late; costs a comparison a request."""
+    """Decides whether requests are guarded, by how connections have closed lately; one comparison a request."""
 
-    def __init__(self, idle: float) -> None:
-        """`idle`: seconds for which backends keep idle connections, as agreed."""
-        self.early = EARLY * idle
-        self.until = float("-inf")
+    def __init__(self, idle_timeout_s: float) -> None:
+        """`idle_timeout_s`: for how long backends keep idle connections, as agreed."""
+        self.early_s = EARLY_SHARE * idle_timeout_s
+        self.active_until = float("-inf")
 
     @staticmethod
-    def hold() -> float:
-        """Seconds between a guarded request's other bytes and its last one."""
+    def hold_time() -> float:
+        """Return the seconds between a guarded request's other bytes and its last one."""
         return HOLD_S
 
-    def broke(self, now: float) -> None:
-        """A connection ended under a request."""
-        self.until = max(self.until, now + WARY_S)
+    def connection_broke(self, now: float) -> None:
+        """Record that a connection closed under a request."""
+        self.active_until = max(self.active_until, now + ACTIVE_S)
 
     def found_closed(self, now: float, idle_since: float) -> None:
-        """An idle connection was found ended by the other side."""
-        if now - idle_since < self.early:
-            self.broke(now)
+        """Record that the backend had closed a connection that was idle since then."""
+        if now - idle_since < self.early_s:
+            self.connection_broke(now)
 
-    def wary(self, now: float) -> bool:
-        """Whether requests are to be guarded now."""
-        return now < self.until
+    def is_active(self, now: float) -> bool:
+        """Return whether requests are guarded now."""
+        return now < self.active_until
--- /dev/null
+++ b/thistleusher/net/request_buffer.py
@@ -0,0 +1,88 @@
+"""One HTTP/1.1 request as it comes in, collected by the parser's callbacks within the client's limits."""
+
+from __future__ import annotations
+
+from typing import NamedTuple, Protocol
+
+import httptools
+
+from thistleusher.core.request import BadRequest
+from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES
+
+READ_TIMEOUT_S = 2.0
+IDLE_TIMEOUT_S = 5.0
+
+
+class ClientLimits(NamedTuple):
+    """What a client may send, and how long it may take over it.
+
+    `read_timeout_s` is for a first byte, for the rest of a request, and for a client to read its responses;
+    `idle_timeout_s` for the next request on a connection.
+    """
+
+    max_head_bytes: int = MAX_HEAD_BYTES
+    max_body_bytes: int = MAX_BODY_BYTES
+    read_timeout_s: float = READ_TIMEOUT_S
+    idle_timeout_s: float = IDLE_TIMEOUT_S
+
+
+class HasLimits(Protocol):
+    """Whoever sets a connection's limits, which may change while it is open."""
+
+    limits: ClientLimits
+
+
+class RequestBuffer:
+    """The request that is coming in on one connection; the callbacks of the parser fill it.
+
+    A callback that raises BadRequest(status, reason) ends the parser, which raises HttpParserError with it as context.
+    """
+
+    def __init__(self, server: HasLimits) -> None:
+        self.server = server
+        self.parser = httptools.HttpRequestParser(self)
+        self.reset()
+
+    def reset(self) -> None:
+        """Get ready for the next request's bytes."""
+        self.url = b""
+        self.headers: list[tuple[bytes, bytes]] = []
+        self.body = bytearray()
+        self.received_bytes = 0  # of a head that comes in several reads; of discarded input, once input is discarded
+        self.in_head = True
+        self.is_first_read = True
+
+    def on_url(self, url: bytes) -> None:
+        """Take a part of the request's target."""
+        self.url += url
+        if len(self.url) > self.server.limits.max_head_bytes:
+            raise BadRequest(431, "the head is too long")
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header; fields of a trailer, behind a chunked body, are dropped."""
+        if self.in_head:
+            self.headers.append((name, value))
+
+    def on_headers_complete(self) -> None:
+        """Reject, before any body comes, what the head already shows to be bad.
+
+        The parser itself rejects both framings at once, two lengths, and lengths that are no plain number.
+        """
+        self.in_head = False
+        limits = self.server.limits
+        for name, value in self.headers:
+            key = name.lower()
+            if key == b"content-length" and int(value) > limits.max_body_bytes:
+                raise BadRequest(413, f"a body holds at most {limits.max_body_bytes} bytes")
+            if key == b"transfer-encoding" and value.lower() != b"chunked":
+                raise BadRequest(400, "transfer-encoding: expected chunked")
+        if self.parser.should_upgrade():
+            raise BadRequest(400, "no other protocol is spoken here")
+        if len(self.url) + sum(len(n) + len(v) + 4 for n, v in self.headers) > limits.max_head_bytes:
+            raise BadRequest(431, "the head is too long")
+
+    def on_body(self, data: bytes) -> None:
+        """Take a part of the body."""
+        if len(self.body) + len(data) > self.server.limits.max_body_bytes:
+            raise BadRequest(413, f"a body holds at most {self.server.limits.max_body_bytes} bytes")
+        self.body += data
--- a/thistleusher/net/shutdown.py
+++ b/thistleusher/net/shutdown.py
@@ -1,38 +1,41 @@
-"""When an ingress that is told to end closes its door.
+"""When an ingress that shuts down stops taking requests.
 
-It may be killed a while after it was told, and not sooner: a planned end lasts at least as long as the longest answer
-may take. Who is in front may learn late that it ends and goes on dealing requests to it, and whoever finds the door
-closed is refused. So it stays open for as long as somebody comes, and closes in time for everything to be answered.
+After SIGTERM an ingress may be killed, but not before the longest response may have been given. The front that sends
+it requests may learn of the shutdown late, and a request that finds the listener closed is refused. So the listener
+stays open for as long as requests come, and closes in time for all of them to be answered.
 
-Pure: times are handed in, in seconds on a clock that never goes back.
+Pure: times are passed in, in seconds on a clock that never goes back.
 """
 
 from __future__ import annotations
 
-QUIET_S = 0.3  # without a request, after which nobody comes any more; looks at /healthz are none
-LONGEST_S = 3.0  # that requests are given at a planned end, however long their class allows
-MORE_S = 0.7  # beyond that, before an ingress is killed
-LAST_S = 0.35  # kept of it: for last words and for a busy moment
-SHORT_S = 0.05  # under which a request cannot be served any more
+QUIET_PERIOD_S = 0.3  # without a request, after which none is expected any more; GET /healthz does not count
+MAX_REQUEST_S = 3.0  # that a request is given during a shutdown, however much its class allows
+KILL_DELAY_S = 0.7  # beyond the longest request, before an ingress is killed
+RESERVE_S = 0.35  # kept of that: for the last state updates and for a busy moment
+MIN_REQUEST_S = 0.05  # with less time left a request cannot be served any more
 
 
 class GracefulShutdown:
-    """One planned end, from the moment at which it was told."""
+    """One graceful shutdown, from the signal on.
 
-    def __init__(self, told: float, longest: float) -> None:
-        """`longest`: seconds that a request may take by its class."""
-        self.end = told + min(longest, LONGEST_S) + MORE_S - LAST_S
-        self.last = told
+    `deadline` is the time by which every request must have its response.
+    """
 
-    def came(self, now: float) -> None:
-        """A request has come."""
-        self.last = now
+    def __init__(self, started_at: float, longest_request_s: float) -> None:
+        """`longest_request_s`: the longest deadline of all request classes."""
+        self.deadline = started_at + min(longest_request_s, MAX_REQUEST_S) + KILL_DELAY_S - RESERVE_S
+        self.last_request_at = started_at
 
-    def open(self, now: float) -> bool:
-        """Whether the door stays open."""
-        return now < self.end - SHORT_S and now - self.last < QUIET_S
+    def request_arrived(self, now: float) -> None:
+        """Record that a request has come."""
+        self.last_request_at = now
 
-    def left(self, now: float) -> float:
-        """Seconds in which a request that comes now must be answered; 0 where it cannot be served any more."""
-        left = self.end - now
-        return left if left > SHORT_S else 0.0
+    def accepts_requests(self, now: float) -> bool:
+        """Return whether the listener stays open."""
+        return now < self.deadline - MIN_REQUEST_S and now - self.last_request_at < QUIET_PERIOD_S
+
+    def time_left(self, now: float) -> float:
+        """Return the seconds in which a request that comes now must be answered; 0 if it cannot be served any more."""
+        left = self.deadline - now
+        return left if left > MIN_REQUEST_S else 0.0
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -20,7 +20,7 @@
 from thistleusher.proxy import decisions as decided
 from thistleusher.proxy.decisions import Counted, Decisions
 from thistleusher.proxy.placement import Place
-from thistleusher.services.wire import Address, read_address
+from thistleusher.services.addresses import Address, read_address
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.heartbeat_ring import HeartbeatRing
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -14,12 +14,15 @@
 from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended, Final, Verdict
-from thistleusher.net.client_call import Answer
-from thistleusher.net.ingress import Ingress, Reply, Sent
-from thistleusher.net.server import Bounds, ClientConnection, Server
+from thistleusher.net.client_connection import ClientConnection, Reply
+from thistleusher.net.exchange import BackendExchange
+from thistleusher.net.ingress import BackendAttempt, Ingress
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.net.server import Server
 from thistleusher.net.shutdown import GracefulShutdown
-from thistleusher.net.upstream import Exchange, Upstream
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import PLAN, Asked, Charge, Decisions, class_of
+from thistleusher.services.http_responses import Response
 from thistleusher.transport.call_server import refusal
 
 SEAL, NOT_RUN, ATTEMPT = b"x-server-seal", b"x-not-run", b"x-attempt-id"
@@ -63,9 +66,9 @@
     start: bytes  # request line and the headers that go on unchanged
     body: bytes
     came: float
-    last: Answer | None = None  # the newest whole answer that was no success
+    last: Response | None = None  # the newest whole answer that was no success
     framed: bool = True  # whether it states a length
-    sent: Sent | None = None  # the attempt that is out
+    sent: BackendAttempt | None = None  # the attempt that is out
     ran: bool = False  # an attempt that has ended may have run
 
     def may_have_run(self) -> bool:
@@ -86,7 +89,7 @@
         )
 
 
-def outcome_of(answer: Answer) -> Outcome:
+def outcome_of(answer: Response) -> Outcome:
     """What an answer says of the attempt. A success lacks its seal only where it is none of the backend's."""
     if NOT_RUN in answer.headers or answer.status == 421:
         return Outcome.FULL
@@ -95,7 +98,7 @@
     return Outcome.OK if answer.status < 500 and answer.status not in PROMISED else Outcome.ERROR
 
 
-def lines_of(answer: Answer) -> bytes:
+def lines_of(answer: Response) -> bytes:
     """An answer's headers, but those of its connection."""
     named = {part.strip().lower() for part in answer.headers.get(b"connection", b"").split(b",")}
     return b"".join(
@@ -109,10 +112,10 @@
     def __init__(self, told: float, grace_s: float) -> None:
         super().__init__(told, 0.0)
         self.shut = told + min(DOOR_S, grace_s / 2)
-        self.end = told + max(1.0, grace_s - LAST_S)
+        self.deadline = told + max(1.0, grace_s - LAST_S)
 
-    def open(self, now: float) -> bool:
-        return now < self.shut and super().open(now)
+    def accepts_requests(self, now: float) -> bool:
+        return now < self.shut and super().accepts_requests(now)
 
 
 class ProxyIngress(Ingress):
@@ -135,13 +138,13 @@
     def routes(self, index: Index) -> None:
         """The routes that requests may come by from now on; those of requests that are out stay known."""
         self.driver.classes |= self.decisions.classes
-        used = {held.request.class_name for held in self.held.values()}
+        used = {held.request.class_name for held in self.in_flight.values()}
         for name in self.driver.classes.keys() - index.config.routes.keys() - used:
             del self.driver.classes[name]
 
-    def take(self, call: Call, reply: Reply) -> None:  # type: ignore[override]
+    def handle_request(self, call: Call, reply: Reply) -> None:  # type: ignore[override]
         """A client's request: it is owed one answer from here on."""
-        if call.request.id not in self.held:
+        if call.request.id not in self.in_flight:
             self.decisions.expect(call.request.id, call.asked)
         # It was read ahead, and its route may have been dropped since.
         self.driver.classes.setdefault(call.request.class_name, class_of(call.asked.found))
@@ -153,9 +156,9 @@
         At a planned end it is left alone, as it may be the last that can be had. So is one whose answer has come: where
         this process has stood still, timers may be due before the reads of the same moment.
         """
-        held = self.held.get(action.request)
+        held = self.in_flight.get(action.request)
         sent = held.context.sent if held is not None else None
-        if not self.leaving() and (sent is None or not sent.answering()):
+        if not self.leaving() and (sent is None or not sent.has_unread_bytes()):
             self.break_off(action)
 
     @staticmethod
@@ -168,7 +171,7 @@
         verdict = final.verdict
         if verdict in (Verdict.OVER_QUOTA, Verdict.NO_ROOM) and call.may_have_run():
             verdict = Verdict.FAILED
-        answer: Answer | None = final.payload if verdict is Verdict.SERVED else None
+        answer: Response | None = final.payload if verdict is Verdict.SERVED else None
         if verdict is Verdict.FAILED and call.last is not None:
             answer = call.last
         if answer is not None:
@@ -177,7 +180,7 @@
         kind = KINDS[verdict]
         reply(ANSWERS[kind].status, header_of(kind, final.retry_in or None), b"")
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
         """One attempt. It is not sent if its client has gone, its time is up, or its backend may not be sent to any
         more by then."""
         call: Call = held.context
@@ -193,7 +196,7 @@
         def stall() -> float:
             return STALL_S if repeatable and not self.leaving() else 0.0
 
-        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
+        def ended(exchange: BackendExchange, outcome: Outcome, answer: Response | None) -> None:
             call.sent = None
             call.ran |= exchange.written and outcome is not Outcome.FULL
             if answer is not None and answer.status == 421:
@@ -206,9 +209,11 @@
                 call.last = answer
             on_end(Ended(outcome, answer))
 
-        call.sent = Sent(
+        call.sent = BackendAttempt(
             self.upstream,
-            Exchange(backend, message, may_send, ended, not repeatable, call.request.id.encode("latin-1"), stall),
+            BackendExchange(
+                backend, message, may_send, ended, not repeatable, call.request.id.encode("latin-1"), stall
+            ),
         )
         return call.sent
 
@@ -221,14 +226,15 @@
         self.ingress = ingress
         self.index: Index | None = None
         self.known = False  # whether there is a list of backends
-        self.take, self.gone = ingress.take, ingress.gone  # type: ignore[method-assign, assignment]
-        ingress.leaving = lambda: self.stopping
+        self.handle_request = ingress.handle_request  # type: ignore[method-assign, assignment]
+        self.client_disconnected = ingress.client_disconnected  # type: ignore[method-assign, assignment]
+        ingress.leaving = lambda: self.shutting_down
 
     def follow(self, index: Index) -> None:
         """A configuration is in force from here on."""
         limits = index.config.limits
         self.index = index
-        self.bounds = Bounds(
+        self.limits = ClientLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
             max(0.1, limits.header_timeout_ms / 1000),
@@ -236,9 +242,9 @@
         )
         self.ingress.routes(index)
 
-    def read(self, came: ClientConnection) -> Any:
+    def read_request(self, connection: ClientConnection) -> Any:
         """The call that a request is, or its early answer."""
-        if came.crowded:
+        if connection.over_limit:
             return refusal(Failure(Kind.CROWDED))
         index = self.index
         if index is None or not self.known:
@@ -246,10 +252,10 @@
         values: dict[bytes, bytes] = {}
         passed = []
         named = b""
-        for name, value in came.headers:
+        for name, value in connection.headers:
             key = name.lower()
             if key in ONCE and key in values:
-                return refusal(Failure(Kind.MALFORMED, f"{key.decode()}: more than one"))._replace(ends=True)
+                return refusal(Failure(Kind.MALFORMED, f"{key.decode()}: more than one"))._replace(closes=True)
             values[key] = value
             if key == b"connection":
                 named = value
@@ -261,7 +267,7 @@
         call_id = values.get(ATTEMPT, b"").decode("latin-1")
         if not call_id:
             return refusal(Failure(Kind.MALFORMED, "x-attempt-id: missing"))
-        path = came.url.partition(b"?")[0].decode("latin-1")
+        path = connection.url.partition(b"?")[0].decode("latin-1")
         found = index.find(values.get(b"host", b"").decode("latin-1"), path)
         if found is None:
             return refusal(Failure(Kind.NO_ROUTE))
@@ -276,16 +282,16 @@
             left = min(left, int(told) / 1000)
         left = min(left, LONGEST_S)
         now = self.loop.time()
-        if self.farewell is not None:
-            self.farewell.came(now)
-            rest = self.farewell.left(now)
+        if self.shutdown is not None:
+            self.shutdown.request_arrived(now)
+            rest = self.shutdown.time_left(now)
             if rest <= SHORT_S:
                 return refusal(Failure(Kind.ENDING))
             left = min(left, rest)
         if left <= 0:
             return refusal(Failure(Kind.NO_ROOM))
-        method = came.parser.get_method()
+        method = connection.parser.get_method()
         request = events.Request(call_id, found.name, PLAN, 0, left, 1.0)
-        framed = bool(came.body) or method not in BARE or b"content-length" in values
-        start = b"%s %s HTTP/1.1\r\n%s" % (method, came.url, b"".join(line for _, line in passed))
-        return Call(request, Asked(found, tenant), start, bytes(came.body), now, framed=framed)
+        framed = bool(connection.body) or method not in BARE or b"content-length" in values
+        start = b"%s %s HTTP/1.1\r\n%s" % (method, connection.url, b"".join(line for _, line in passed))
+        return Call(request, Asked(found, tenant), start, bytes(connection.body), now, framed=framed)
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -17,8 +17,10 @@
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import Settings, life, serve
 from thistleusher.common.process_start import BORN
-from thistleusher.net.server import Bounds
-from thistleusher.net.upstream import Endpoint, Terms, Upstream
+from thistleusher.net.backend_connection import UpstreamOptions
+from thistleusher.net.connection_pool import Endpoint
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.cluster_view import (
     Backends,
     ClusterView,
@@ -34,7 +36,7 @@
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.directory import TTL_S, addresses
 from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
 from thistleusher.transport.codec import MalformedMessage, decode, encode
 from thistleusher.transport.core_links import CoreLinks
@@ -49,7 +51,7 @@
 SPARE = 120  # descriptors that are neither clients' nor backends'
 NOTICE_S = 0.4  # between telling that this ingress ends and closing the door at the earliest
 BODY_MOST = 64 * 1024 * 1024
-DOOR = Bounds(body=4096, slow=3.0, idle=10.0)
+DOOR = ClientLimits(max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0)
 HAND_OVER_S = 1.0  # for a copy of the news to be taken
 MOST_WATCHERS = 64  # whose copies are taken at once
 
@@ -92,7 +94,9 @@
         now = time.monotonic()
         self.decisions = Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, BORN)
         share = max(32, (boot.limits.fd_limit - 200 - SPARE) // 2)
-        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, share, Terms(BODY_MOST, ATTEMPT, SILENT_S, outcome_of))
+        self.upstream = Upstream(
+            loop, CONNECT_S, IDLE_S, share, UpstreamOptions(BODY_MOST, ATTEMPT, SILENT_S, outcome_of)
+        )
         self.ingress = ProxyIngress(
             loop,
             self.decisions,
@@ -134,13 +138,13 @@
     async def leave(self) -> None:
         """Tell that this ingress ends, go on for as long as somebody comes, finish what is held, close."""
         self.leaving = True
-        self.server.stopping = True
+        self.server.shutting_down = True
         self._carry(self.knowledge.here(time.monotonic(), self.is_ready()))
         grace = self.boot.bounds.grace_s
         farewell = ProxyGracefulShutdown(self.loop.time(), grace)
         try:
             async with asyncio.timeout(grace - 0.3):
-                await self.server.leave(asyncio.sleep(NOTICE_S), farewell)
+                await self.server.drain(asyncio.sleep(NOTICE_S), farewell)
         except TimeoutError:
             pass
         self.ingress.driver.close()
--- a/thistleusher/registry/platform.py
+++ b/thistleusher/registry/platform.py
@@ -5,8 +5,9 @@
 import asyncio
 import socket
 
-from thistleusher.net.upstream import watch
-from thistleusher.services.wire import Address, Answer, AnswerReader
+from thistleusher.net.socket_state import enable_dead_peer_detection
+from thistleusher.services.addresses import Address
+from thistleusher.services.http_responses import Response, ResponseReader
 
 CALL_S = 1.0
 MOST = 4 * 1024 * 1024
@@ -19,7 +20,7 @@
         self.address = address
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def get(self, target: str) -> Answer | None:
+    async def get(self, target: str) -> Response | None:
         """The whole answer; None where none came within `CALL_S`."""
         try:
             async with asyncio.timeout(CALL_S):
@@ -31,24 +32,24 @@
             self.drop()  # its answer would be the next call's
             raise
 
-    async def _get(self, target: str) -> Answer:
+    async def _get(self, target: str) -> Response:
         if self.streams is None:
             self.streams = await asyncio.open_connection(*self.address)
             sock = self.streams[1].get_extra_info("socket")
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            watch(sock, CALL_S)
+            enable_dead_peer_detection(sock, CALL_S)
         reader, writer = self.streams
         writer.write(b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (target.encode("latin-1"), self.address[0].encode()))
-        parser = AnswerReader(MOST)
+        parser = ResponseReader(MOST)
         while True:
             data = await reader.read(65536)
             if not data:
                 raise EOFError
             answers = parser.feed(data)
-            if parser.broken:
+            if parser.error:
                 raise EOFError
             if answers:
-                if not answers[0].keep or len(answers) > 1 or parser.partial:
+                if not answers[0].keep_alive or len(answers) > 1 or parser.partial:
                     self.drop()
                 return answers[0]
 
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -15,7 +15,7 @@
 from thistleusher.common.process import Settings, life, serve
 from thistleusher.registry.platform import Platform
 from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.links import Dial, Link, Listener
--- a/thistleusher/services/counter.py
+++ b/thistleusher/services/counter_client.py
@@ -11,7 +11,8 @@
 
 from thistleusher.core import events
 from thistleusher.core.events import Outcome
-from thistleusher.services.wire import Address, Answer, AnswerReader
+from thistleusher.services.addresses import Address
+from thistleusher.services.http_responses import Response, ResponseReader
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +25,7 @@
 TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # nan and inf are none; below 0 happens by settling
 
 
-class Add:
+class PendingAdd:
     """One call, with the time by which it needs a verdict."""
 
     __slots__ = ("name", "text", "due", "began", "reply")
@@ -34,15 +35,15 @@
         self.reply: events.CounterReply | None = None
 
 
-class Link(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection to the counter, from its start to its end. Answers come in the order of the calls."""
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: CounterChannel) -> None:
         self.line = line
         self.loop = line.counter.loop
         self.transport: asyncio.Transport | None = None
-        self.reader = AnswerReader()
-        self.owed: deque[Add] = deque()  # written; kept past their time, so that late answers find their call
+        self.reader = ResponseReader()
+        self.owed: deque[PendingAdd] = deque()  # written; kept past their time, so that late answers find their call
         self.heard = 0.0
         self.served = self.retired = self.closed = False
         self.stall: asyncio.TimerHandle | None = None
@@ -51,7 +52,7 @@
         self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
         self.line.stands(self)
 
-    def write(self, add: Add) -> None:
+    def write(self, add: PendingAdd) -> None:
         assert self.transport is not None
         if not self.owed:
             self.heard = self.loop.time()
@@ -66,12 +67,12 @@
             self.stall.cancel()
         for answer in self.reader.feed(data):
             self.answered(answer)
-        if self.reader.broken:
-            self.end(f"spoilt: {self.reader.broken}", spoilt=True)
+        if self.reader.error:
+            self.end(f"spoilt: {self.reader.error}", spoilt=True)
         elif self.reader.partial and not self.closed:
             self.stall = self.loop.call_later(STALL_S, self.end, "spoilt: it stops midway", True)
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: Response) -> None:
         if self.closed:
             return
         if not self.owed:
@@ -90,7 +91,7 @@
             nothing_added = answer.status in (400, 404)
             log.warning("counter: status %d", answer.status)
             self.line.counter.tell(add, Outcome.CONNECT_FAILED if nothing_added else Outcome.TIMEOUT)
-        if not answer.keep or (self.retired and not self.owed):
+        if not answer.keep_alive or (self.retired and not self.owed):
             self.end("done")
 
     def retire(self) -> None:
@@ -123,14 +124,14 @@
         self.owed.clear()
 
 
-class Line:
+class CounterChannel:
     """Keeps one connection to wherever the counter is; calls that find none wait for it."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self.counter, self.loop = counter, counter.loop
-        self.link: Link | None = None
-        self.unsent: deque[Add] = deque()
-        self.untold: deque[Add] = deque()  # those without a verdict, oldest first
+        self.link: CounterConnection | None = None
+        self.unsent: deque[PendingAdd] = deque()
+        self.untold: deque[PendingAdd] = deque()  # those without a verdict, oldest first
         self.timer: asyncio.TimerHandle | None = None
         self.wanted = asyncio.Event()
         self.task = self.loop.create_task(self.run())
@@ -138,7 +139,7 @@
     async def run(self) -> None:
         """Connect, and again when that connection is lost or the counter is elsewhere."""
         while True:
-            address, link, began = self.counter.address, Link(self), self.loop.time()
+            address, link, began = self.counter.address, CounterConnection(self), self.loop.time()
             self.wanted.clear()
             try:
                 async with asyncio.timeout(CONNECT_S):
@@ -155,10 +156,10 @@
             await asyncio.sleep(RETRY_S)
 
     @staticmethod
-    def factory(link: Link) -> Callable[[], Link]:
+    def factory(link: CounterConnection) -> Callable[[], CounterConnection]:
         return lambda: link
 
-    def stands(self, link: Link) -> None:
+    def stands(self, link: CounterConnection) -> None:
         """A connection has come up: it takes over."""
         old, self.link = self.link, link
         waiting = [a for a in self.unsent if a.reply is None]
@@ -168,12 +169,12 @@
         if old is not None:
             old.retire()
 
-    def lost(self, link: Link) -> None:
+    def lost(self, link: CounterConnection) -> None:
         if self.link is link:
             self.link = None
             self.wanted.set()
 
-    def call(self, add: Add) -> None:
+    def call(self, add: PendingAdd) -> None:
         """Write a call, or have it wait for the connection as long as its time allows."""
         self.untold.append(add)
         if self.link is None:
@@ -209,7 +210,7 @@
             self.link.end("the program ends")
 
 
-class Counter:
+class CounterClient:
     """The counter service. All calls of one name go over one line, so that they keep their order there."""
 
     def __init__(
@@ -223,8 +224,8 @@
         """`timeout` in seconds; `time` measures how long calls took, and is the loop's own by default."""
         self.loop, self.address, self.timeout, self.on_reply = loop, address, timeout, on_reply
         self.time = time or loop.time
-        self.calls: dict[int, deque[Add]] = {}  # by name, until all before them have been told
-        self.lines = [Line(self) for _ in range(LINES)]
+        self.calls: dict[int, deque[PendingAdd]] = {}  # by name, until all before them have been told
+        self.lines = [CounterChannel(self) for _ in range(LINES)]
 
     def move(self, address: Address) -> None:
         """The counter is elsewhere from now on; the old connections serve until the new ones stand."""
@@ -241,11 +242,11 @@
             f"POST /v2/numbers/{name}?delta={amount:.6f}&life_ms={life} HTTP/1.1\r\n"
             f"Host: {self.address[0]}:{self.address[1]}\r\nContent-Length: 0\r\n\r\n"
         ).encode()
-        add = Add(name, text, self.time(), now + self.timeout)
+        add = PendingAdd(name, text, self.time(), now + self.timeout)
         self.calls.setdefault(name, deque()).append(add)
         self.lines[name % LINES].call(add)
 
-    def tell(self, add: Add, outcome: Outcome, total: float = 0.0) -> None:
+    def tell(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
         """The verdict on a call, the first one only.
 
         Verdicts on one name are handed on in the order of the calls, also where an old connection and a new
--- a/thistleusher/services/counters.py
+++ b/thistleusher/services/counter_group.py
@@ -7,13 +7,13 @@
 
 from thistleusher.core import events
 from thistleusher.quota.placement import Placement
-from thistleusher.services.counter import Counter
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
+from thistleusher.services.counter_client import CounterClient
 
 LEAVE_S = 2.0  # for the answers that a counter taken out still owes
 
 
-class Counters:
+class CounterGroup:
     """Calls go to the counter that holds their name. `place` changes the set in service."""
 
     def __init__(
@@ -25,8 +25,8 @@
         time: Callable[[], float] | None = None,
     ) -> None:
         self.loop, self.timeout, self.on_reply, self.time = loop, timeout, on_reply, time
-        self.clients: dict[str, Counter] = {}
-        self.leaving: dict[Counter, asyncio.TimerHandle] = {}
+        self.clients: dict[str, CounterClient] = {}
+        self.leaving: dict[CounterClient, asyncio.TimerHandle] = {}
         self.placement = placement
         self.place(placement)
 
@@ -35,14 +35,14 @@
         self.placement = placement
         for address in placement.addresses:
             if address not in self.clients:
-                self.clients[address] = Counter(
+                self.clients[address] = CounterClient(
                     self.loop, read_address(address), self.timeout, self.on_reply, self.time
                 )
         for address in self.clients.keys() - set(placement.addresses):
             client = self.clients.pop(address)
             self.leaving[client] = self.loop.call_later(LEAVE_S, self.drop, client)
 
-    def drop(self, client: Counter) -> None:
+    def drop(self, client: CounterClient) -> None:
         self.leaving.pop(client).cancel()
         client.close()
 
--- a/thistleusher/services/options.py
+++ b/thistleusher/services/options.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from thistleusher.quota.placement import Placement
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 
 
-class CountersOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class CounterGroupOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Counters that share the names.
 
     addresses: host:port of each, the same at all ingresses; the order does not matter
--- a/thistleusher/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -8,14 +8,14 @@
 from typing import Any, cast
 
 from thistleusher.core import events
-from thistleusher.services.wire import Address
+from thistleusher.services.addresses import Address
 
 log = logging.getLogger(__name__)
 
 MAX_MESSAGE = 256
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends to one ingress or to all, and tells who sent what came."""
 
     def __init__(
--- a/thistleusher/transport/call_server.py
+++ b/thistleusher/transport/call_server.py
@@ -15,8 +15,9 @@
 
 from thistleusher.common.events import Event, say
 from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
-from thistleusher.net.ingress import Reply
-from thistleusher.net.server import Bounds, ClientConnection, Early, Server
+from thistleusher.net.client_connection import ClientConnection, ImmediateResponse, Reply
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.net.server import Server
 
 MOST_CONNECTIONS = 400
 JSON = b"Content-Type: application/json\r\n"
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConfiguration:
-    """POST /Config.Replace: a whole configuration, as its bytes came."""
+    """POST /Config.Replace: a whole configuration, as its bytes connection."""
 
     METHOD: ClassVar[str] = "POST"
     PATH: ClassVar[str] = "/Config.Replace"
@@ -146,18 +147,18 @@
         self,
         loop: asyncio.AbstractEventLoop,
         handlers: list[Handler[Any]],
-        bounds: Bounds,
+        limits: ClientLimits,
         most: int = MOST_CONNECTIONS,
     ) -> None:
-        super().__init__(loop, most, bounds)
+        super().__init__(loop, most, limits)
         self.handlers = {h.call: h for h in handlers}
 
-    def read(self, came: ClientConnection) -> Any:
+    def read_request(self, connection: ClientConnection) -> Any:
         """The call that a request is."""
-        target = came.url.decode("latin-1")
+        target = connection.url.decode("latin-1")
         path, _, query = target.partition("?")
-        method = came.parser.get_method().decode()
-        if came.crowded:
+        method = connection.parser.get_method().decode()
+        if connection.over_limit:
             return refusal(Failure(Kind.CROWDED))
         for kind in CALLS:
             handler = self.handlers.get(kind)
@@ -168,35 +169,37 @@
                     asked = parse_qs(query)
                     return Asked(Resolve(*(asked.get(k, [""])[0] for k in ("name", "region", "zone"))), handler, target)
                 if kind is ReplaceConfiguration:
-                    return Asked(ReplaceConfiguration(bytes(came.body)), handler, target)
+                    return Asked(ReplaceConfiguration(bytes(connection.body)), handler, target)
                 if not kind.PATH.endswith("/"):
                     return Asked(kind(), handler, target)
             elif kind.PATH.endswith("/") and path.startswith(kind.PATH):
                 return Asked(kind(unquote(path[len(kind.PATH) :])), handler, target)
         return refusal(Failure(Kind.UNKNOWN_CALL, f"no such call: {method} {path[:80]}"))
 
-    def take(self, item: Asked, reply: Reply) -> None:
+    def handle_request(self, request: Asked, reply: Reply) -> None:
         """Hand a call to its handler."""
 
         def done(answer: Any) -> None:
             if isinstance(answer, Failure):
-                early = refusal(answer, item.target)
-                reply(early.status, early.lines, early.why.encode())
+                early = refusal(answer, request.target)
+                reply(early.status, early.header_lines, early.text.encode())
             else:
                 reply(200, JSON, answer.body())
 
         try:
-            item.handler.answer(item.call, done)
+            request.handler.answer(request.call, done)
         except Failure as failure:
             done(failure)
         except Exception as error:  # a fault of one call ends that call
-            say(Event.FAULT, type(item.call).__name__, repr(error))
+            say(Event.FAULT, type(request.call).__name__, repr(error))
             done(Failure(Kind.FAULT))
 
 
-def refusal(failure: Failure, target: str = "") -> Early:
+def refusal(failure: Failure, target: str = "") -> ImmediateResponse:
     """A failure in HTTP's words, by the table."""
     lines = JSON + header_of(failure.kind)
     if failure.kind is Kind.ELSEWHERE:
         lines += b"Location: http://%s%s\r\n" % (failure.where.encode(), target.encode("latin-1"))
-    return Early(ANSWERS[failure.kind].status, json.dumps({"error": failure.text, "kind": failure.kind.value}), lines)
+    return ImmediateResponse(
+        ANSWERS[failure.kind].status, json.dumps({"error": failure.text, "kind": failure.kind.value}), lines
+    )
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -19,7 +19,7 @@
 from typing import cast
 
 from thistleusher.common.events import Event, say
-from thistleusher.net.upstream import watch
+from thistleusher.net.socket_state import enable_dead_peer_detection
 from thistleusher.transport.codec import Deframer, MalformedMessage, frame
 from thistleusher.transport.errors import UnexpectedMessage
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
@@ -57,7 +57,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        watch(sock, SILENT_S)
+        enable_dead_peer_detection(sock, SILENT_S)
         self.open = True
         self.beater = self.loop.call_later(BEAT_S, self._beat)
         self.on_open(self)
