--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -24,9 +24,9 @@
 
 
 EVERYWHERE = "everywhere = pending.here and pending.there >= set(leadership.view.replicas)"
-RECORDED = "if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):"
+RECORDED = "if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):"
 VOTE_REFUSED = "elif message.epoch <= durable.promised or self._helps_another(sender, view):"
-ELIGIBLE = "return view is not None and self._context.me in view.holders and replica.epoch >= view.epoch"
+ELIGIBLE = "return view is not None and self._context.me in view.replica_set and replica.epoch >= view.epoch"
 MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.until()"
 
 NOT_APPENDED = (
@@ -70,7 +70,7 @@
         0,
         "an old copy counts as whole",
         ELIGIBLE,
-        "return view is not None and self._context.me in view.holders and replica.epoch >= 0",
+        "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
     ),
     Wrong(
         0,
@@ -91,7 +91,7 @@
     Wrong(
         0,
         "a copy counts as followed by its number alone",
-        "known = self._history.get(position.number) == position.written_in",
+        "known = self._history.get(position.number) == position.change_epoch",
         "known = position.number in self._history",
     ),
     Wrong(
@@ -213,7 +213,7 @@
     Wrong(
         3,
         "a process ends while it holds a copy",
-        "return led and me not in view.holders and not self._joining.learners.present()",
+        "return led and me not in view.replica_set and not self._joining.learners.present()",
         "return True",
     ),
     Wrong(3, "a gone voter is exchanged late", "EXCHANGE_S = 2.8 ", "EXCHANGE_S = 8.0 "),
@@ -227,8 +227,8 @@
     Wrong(
         3,
         "one without a vote is voted for",
-        "if self._context.me not in view.deciders or sender not in view.voters:",
-        "if self._context.me not in view.deciders:",
+        "if self._context.me not in view.electorate or sender not in view.voters:",
+        "if self._context.me not in view.electorate:",
     ),
     Wrong(
         3,
@@ -341,8 +341,8 @@
     Wrong(
         5,
         "a process that starts grants at once",
-        'Grant(f"{machine}/", term, now + GRANT_S) for duty',
-        'Grant(f"{machine}/", term, now) for duty',
+        'Grant(f"{machine}/", term, now + GRANT_S) for role',
+        'Grant(f"{machine}/", term, now) for role',
     ),
     # Faults of both guards, where one alone makes the other's loss harmless.
     Wrong(
@@ -359,7 +359,7 @@
         0,
         "an old copy counts as whole, and a view names replicas that have none",
         ELIGIBLE,
-        "return view is not None and self._context.me in view.holders and replica.epoch >= 0",
+        "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
         (
             (INSTALLED, "if candidacy is None or candidacy.next is None:"),
             ("if not {self._context.me, *view.replicas} <= recorded:", "if self._context.me not in recorded:"),
@@ -386,7 +386,7 @@
     Wrong(
         3,
         "a view that the voters before it have not agreed to is a base",
-        "if not newest.decided_by(candidacy.votes):",
+        "if not newest.has_quorum(candidacy.votes):",
         "if not newest.has_majority(candidacy.votes):",
         ((RECORDED, "if not (view.has_majority(recorded) and candidacy.view.has_majority(recorded)):"),),
     ),
--- a/benchmarks/take_over.py
+++ b/benchmarks/take_over.py
@@ -87,7 +87,7 @@
         return False
     view = leader.node.view
     machines = [core.machines[a] for a in view.voters]
-    holders = [core.machines[a] for a in view.holders]
+    holders = [core.machines[a] for a in view.replica_set]
     return (
         old.address not in view.voters
         and all(m.node is not None for m in machines)
@@ -103,7 +103,7 @@
     leader = core.leader()
     assert leader is not None and leader.node is not None and leader.node.view is not None
     view = leader.node.view
-    witness = next(a for a in view.voters if a not in view.holders)
+    witness = next(a for a in view.voters if a not in view.replica_set)
     old = {"leader": leader, "replica": core.machines[view.replicas[0]], "witness": core.machines[witness]}[role]
     if not planned:
         core.remove(old)
--- a/simnet/cluster.py
+++ b/simnet/cluster.py
@@ -344,7 +344,7 @@
         machine.published, machine.published_number = state, state.number
         self.ledger.publish(state)
         leadership = service.node.leadership
-        for holder in leadership.view.holders if leadership is not None else ():
+        for holder in leadership.view.replica_set if leadership is not None else ():
             if self.machines[holder].disk.furthest < state.number:
                 raise Broken(f"change {state.number} is published, and never was on the disk of {holder}")
 
--- a/simnet/faults.py
+++ b/simnet/faults.py
@@ -151,7 +151,7 @@
         if "replica" in how and view.replicas:
             return self.cluster.machines[view.replicas[0]]
         if "witness" in how:
-            return next((self.cluster.machines[a] for a in view.voters if a not in view.holders), None)
+            return next((self.cluster.machines[a] for a in view.voters if a not in view.replica_set), None)
         return None
 
     # Kills.
@@ -266,7 +266,9 @@
     def _from(self, first: Machine, count: int) -> list[Machine]:
         """A machine, then those that hold copies beside it."""
         view = first.node.view if first.node is not None else None
-        others = [self.cluster.machines[a] for a in (view.holders if view is not None else ()) if a != first.address]
+        others = [
+            self.cluster.machines[a] for a in (view.replica_set if view is not None else ()) if a != first.address
+        ]
         return [first, *others][: max(1, min(count, self.cluster.tolerance))]
 
     # Disks.
--- a/simnet/search.py
+++ b/simnet/search.py
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self.now = BEGIN
         self.disks = {ip: Stored(promised=1, view=VIEW) for ip in VOTERS}
-        for ip in VIEW.holders:
+        for ip in VIEW.replica_set:
             disk = self.disks[ip]
             disk.items, disk.position = {CONFIG: (1, {"v": 0, "z": ""})}, Position(1, 1, 1)
         self.wires: dict[tuple[str, str], deque[AnyMessage]] = {}
@@ -226,7 +226,7 @@
     def _check_disks(self) -> None:
         views = [disk.view for disk in self.disks.values() if disk.view is not None]
         newest = max(views, key=lambda v: v.epoch)
-        holders = [self.disks[ip] for ip in newest.holders if ip in self.nodes]
+        holders = [self.disks[ip] for ip in newest.replica_set if ip in self.nodes]
         if not any(d.position.epoch >= newest.epoch and self._stored_number(d) >= self.acknowledged for d in holders):
             raise Broken("LOST: no holder of the newest view has what was acknowledged on its disk")
 
--- a/simnet/system.py
+++ b/simnet/system.py
@@ -385,7 +385,7 @@
         holding = [
             p.name
             for p in self.processes.values()
-            if isinstance(p, RegistryProcess) and p.up and p.registry.on_duty and p.registry.holder.holds(p.now())
+            if isinstance(p, RegistryProcess) and p.up and p.registry.holds_role and p.registry.holder.holds(p.now())
         ]
         if len(holding) > 1:
             self.broke(f"LEASE: two hold the duty: {holding}")
--- a/tests/system/test_charges.py
+++ b/tests/system/test_charges.py
@@ -21,9 +21,9 @@
 ALLOWED = COUNTED * BURST
 
 
-def proxy_of(name, life, now):
+def proxy_of(name, incarnation, now):
     decisions = Decisions(name, "z", "r", Bounds(), random.Random(1), now)
-    return ClusterView(name, life, "r", lambda zone: "r", {}, decisions, now)
+    return ClusterView(name, incarnation, "r", lambda zone: "r", {}, decisions, now)
 
 
 def counter_of(now, shares=()):
@@ -94,7 +94,7 @@
 
     def beat(self, name):
         proxy = self.proxies[name]
-        self.to_counter.append((name, ProxyHeartbeat(proxy.life, self.now, None)))
+        self.to_counter.append((name, ProxyHeartbeat(proxy.incarnation, self.now, None)))
 
     def arrive(self, bag):
         """One of the messages under way arrives, or is lost; now and then it comes again."""
@@ -107,13 +107,13 @@
 
     def at_counter(self, name, message):
         if isinstance(message, ProxyHeartbeat):
-            if self.ledger.counts.here(self.now, name, message.life, self.now):
+            if self.ledger.counts.here(self.now, name, message.incarnation, self.now):
                 self.ledger.counts.ingresses[name].since = float("-inf")
             return
         result = self.ledger.take(self.now, name, message)
-        key = message.life, message.number
+        key = message.incarnation, message.number
         if message.amount < 0:
-            if self.ledger.counts.ingresses[name].life == message.life:
+            if self.ledger.counts.ingresses[name].incarnation == message.incarnation:
                 self.given_back.add(key)
         elif result is not None:
             first = self.counted.setdefault(key, result.window)
@@ -158,7 +158,7 @@
     for seed in range(first, first + 10):
         fleet = Fleet(seed)
         for name in fleet.names:
-            fleet.at_counter(name, ProxyHeartbeat(fleet.proxies[name].life, fleet.now, None))
+            fleet.at_counter(name, ProxyHeartbeat(fleet.proxies[name].incarnation, fleet.now, None))
         for _ in range(1500):
             fleet.step()
             fleet.check()
@@ -167,9 +167,9 @@
     assert let_in > 100 and given_back > 100  # it is no empty run
 
 
-def known(ledger, name="p", life="x", now=2.0):
+def known(ledger, name="p", incarnation="x", now=2.0):
     """A proxy that is counted."""
-    ledger.counts.here(now, name, life, now)
+    ledger.counts.here(now, name, incarnation, now)
     ledger.counts.ingresses[name].since = 0.0
     return ledger
 
@@ -205,7 +205,7 @@
 
 
 def test_a_message_of_a_former_life_neither_counts_nor_brings_it_back():
-    ledger = known(known(counter_of(0.0), life="old"), life="new")
+    ledger = known(known(counter_of(0.0), incarnation="old"), incarnation="new")
     assert ledger.take(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
     assert not ledger.counts.here(2.1, "p", "old", 2.1)
     assert ledger.take(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == OK
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -52,7 +52,7 @@
     """Leader, first replica, first witness."""
     first = core.leader()
     view = first.node.view
-    witness = next(a for a in view.voters if a not in view.holders)
+    witness = next(a for a in view.voters if a not in view.replica_set)
     return first, core.machines[view.replicas[0]], core.machines[witness]
 
 
@@ -182,7 +182,7 @@
     core = calm(5)
     number = put(core)
     acknowledged(core, number)
-    holders = [core.machines[a] for a in core.leader().node.view.holders]
+    holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == 3 and len({m.zone for m in holders}) > 1
     assert all(m.disk.item("config")["v"] == number for m in holders)
     for machine in core.machines.values():  # two of the three lose their disks, and all others power
@@ -221,7 +221,7 @@
     first, replica, _ = by_role(core)
     core.end(replica, power=True, wipe=True, back_s=back_s)
     run_for(core, 3.0)
-    holders = [core.machines[a] for a in core.leader().node.view.holders]
+    holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.disk.item("config")["v"] == 1 for m in holders)
     core.end(first, power=True, wipe=True, back_s=1.0)
     core.operators.read()
@@ -506,7 +506,7 @@
 def node(me: str, view: ViewRecord = VIEW) -> ControlNode:
     """A process that starts with the record of a view on its disk."""
     stored = Stored(promised=view.epoch, view=view)
-    if me in view.holders:
+    if me in view.replica_set:
         stored.position = Position(view.epoch, 0, 0)
     return ControlNode(me, view.voters[me], ["10.0.0.1", "10.0.0.2"], False, stored, 0.0, random.Random(1))
 
@@ -558,7 +558,7 @@
     control = node("10.0.0.2")
     position = control.position
     items = {"config": (1, {"v": 1, "z": ""})}
-    other = Position(position.epoch, position.number, position.written_in + 1)
+    other = Position(position.epoch, position.number, position.change_epoch + 1)
     assert control.message(1.0, "10.0.0.1", Append(2, position, Position(2, 1, 2), items)) == []
     assert control.message(1.0, "10.0.0.3", Append(1, position, Position(1, 1, 1), items)) == []
     assert said(control.message(1.0, "10.0.0.1", Append(1, other, Position(1, 1, 1), items))) == [InstallRejected]
@@ -683,7 +683,7 @@
     assert voters(core) <= {m.address for m in core.running()}
     core.trouble(core.clock.now)
     acknowledged(core, number, most=4.0)
-    holders = [core.machines[a] for a in core.leader().node.view.holders]
+    holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.node is not None for m in holders)
     core.end(core.leader(), power=True, wipe=True, back_s=1.0)
     core.operators.read()
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -192,13 +192,13 @@
     return request.sent + 0.01
 
 
-def on_duty(now=10.0):
+def holding_role(now=10.0):
     """A registry that holds the duty by three grants, with control state, and the follower `d`."""
     registry = Registry("m/1", "1", now, random.Random(1), 50.0, True)
     registry.from_control(now, "1", CoreInfo(("1", "2", "3"), 1, "2"))
     registry.from_control(now, "1", StateUpdate(1, 0, {"share:d": (1, 0.1)}))
     grant(registry, now)
-    assert registry.on_duty
+    assert registry.holds_role
     registry.from_follower(now + 0.02, "d", SubscribeRequest("d", 0))
     return registry
 
@@ -212,21 +212,21 @@
 
 
 def test_a_registry_that_was_stopped_beyond_its_lease_counts_and_echoes_nothing_before_its_next_tick():
-    registry = on_duty()
+    registry = holding_role()
     assert told(registry.from_follower(10.1, "d", PRESENCE)) == [HeartbeatEcho]
     assert len(told(registry.from_follower(10.1, "d", CHARGE))) == 1
     assert told(registry.from_follower(12.0, "d", CHARGE)) == told(registry.from_follower(12.0, "d", PRESENCE)) == []
-    assert not registry.on_duty
+    assert not registry.holds_role
 
 
 def test_a_registry_that_was_stopped_beyond_its_lease_hands_out_no_list_to_one_that_comes():
-    registry = on_duty()
+    registry = holding_role()
     registry.tick(10.05)
     registry.answered(10.06, 200, page(entry(1)))
     assert told(registry.from_follower(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
     assert told(registry.from_follower(12.0, "f", SubscribeRequest("f", 0))) == []  # on the clock of that very input
     now = grant(registry, 12.5)  # the duty is held anew: those who came meanwhile are told
-    assert registry.on_duty
+    assert registry.holds_role
     outputs = registry.tick(now + 0.1)
     assert {out.name for out in outputs if isinstance(out, Tell) and isinstance(out.message, StateUpdate)} == {
         "d",
@@ -236,15 +236,15 @@
 
 
 def test_an_answer_that_was_decided_within_the_lease_does_not_leave_after_it():
-    registry = on_duty()
+    registry = holding_role()
     assert registry.may_tell(10.1)
-    assert not registry.may_tell(12.0) and not registry.on_duty
+    assert not registry.may_tell(12.0) and not registry.holds_role
     grants = [LeaseGranted("registrar", registry.holder.term, 10.0)]  # lay in a socket meanwhile
-    assert [registry.from_control(12.0, "1", message)[0] for message in grants] and not registry.on_duty
+    assert [registry.from_control(12.0, "1", message)[0] for message in grants] and not registry.holds_role
 
 
 def test_a_message_that_nobody_here_takes_is_refused():
-    registry = on_duty()
+    registry = holding_role()
     for take in (
         lambda m: registry.from_follower(10.1, "d", m),
         lambda m: registry.from_control(10.1, "1", m),
@@ -255,7 +255,7 @@
 
 
 def test_an_older_epoch_does_not_replace_the_electorate_of_the_lease():
-    registry = on_duty()
+    registry = holding_role()
     registry.from_control(10.1, "4", CoreInfo(("1", "2", "4"), 3, "4"))
     registry.from_control(10.1, "1", CoreInfo(("1", "2", "3"), 2, "1"))
     asked = {out.address for out in registry.tick(10.5) if isinstance(out, ToControl)}
@@ -263,7 +263,7 @@
 
 
 def test_a_page_that_an_earlier_duty_asked_for_is_no_list_of_the_next():
-    registry = on_duty()
+    registry = holding_role()
     assert [o for o in registry.tick(10.05) if isinstance(o, Call)]
     registry.answered(10.06, 200, page(entry(1), token="p"))
     assert [o.target for o in registry.tick(10.2) if isinstance(o, Call)] == ["/instances?page_token=p"]
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -90,6 +90,6 @@
     say(Event.STOPPED, settings.boot.node_name)
 
 
-def life() -> str:
+def new_incarnation() -> str:
     """A name for this life of a process, that no other has."""
     return f"{time.time_ns():x}{os.urandom(4).hex()}"
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -106,12 +106,12 @@
         self._context.known.update(view.voters)
         if self.view is None or view.epoch > self.view.epoch:
             self.view = view
-        elif view.epoch == self.view.epoch and not view.before:
+        elif view.epoch == self.view.epoch and not view.previous_voters:
             self.confirm()
 
     def confirm(self) -> None:
         """The leader of the newest view is known to lead: the voters before it are asked no more."""
-        if self.view is None or not self.view.before:
+        if self.view is None or not self.view.previous_voters:
             return
         self.view = self.view.confirmed()
         if self.recorded == self.view.epoch:
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -124,7 +124,7 @@
         if candidacy is None or candidacy.epoch != self._durable.promised:
             return
         candidacy.votes[self._context.me] = self._durable.view
-        for voter in candidacy.view.deciders:
+        for voter in candidacy.view.electorate:
             if voter not in candidacy.votes:
                 self._context.send(voter, VoteRequest(candidacy.epoch, candidacy.view))
 
@@ -155,7 +155,7 @@
         if newest.epoch > candidacy.view.epoch:  # others may vote by now: they are asked too
             candidacy.view, candidacy.voters = newest, None
             self._ask()
-        if not newest.decided_by(candidacy.votes):
+        if not newest.has_quorum(candidacy.votes):
             return
         if not self._role.eligible():
             self._role.candidacy = None
@@ -206,7 +206,7 @@
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
         candidacy.tried |= set(replicas)
         same = voters.keys() == candidacy.view.voters.keys()
-        before = candidacy.view.before if same else candidacy.view.voters
+        before = candidacy.view.previous_voters if same else candidacy.view.voters
         candidacy.next = ViewRecord(candidacy.epoch, context.me, replicas, dict(voters), before)
         for replica in replicas:
             if replica not in candidacy.installed:
@@ -264,7 +264,7 @@
             self._count_records(candidacy)
 
     def _ask_to_record(self, candidacy: Candidacy, view: ViewRecord) -> None:
-        for voter in {**candidacy.view.deciders, **view.voters}:
+        for voter in {**candidacy.view.electorate, **view.voters}:
             if voter not in candidacy.recorded and voter != self._context.me:
                 self._context.send(voter, RecordView(view))
 
@@ -282,7 +282,7 @@
         assert view is not None
         if not {self._context.me, *view.replicas} <= recorded:
             return
-        if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):
+        if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):
             return
         if self._joining.founding:
             if self._context.now - candidacy.since < CANDIDACY_S and len(recorded) < len(view.voters):
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -148,10 +148,10 @@
     def _consider(self) -> None:
         """With enough told: ready for a vote, or a voter again."""
         newest = max((told.view for told in self._told.values()), key=lambda view: view.epoch)
-        told = [name for name in self._told if name in newest.deciders and name != self._context.me]
+        told = [name for name in self._told if name in newest.electorate and name != self._context.me]
         if self._context.me not in newest.voters:
             self._durable.adopt(newest)
-            if newest.decided_by(told):
+            if newest.has_quorum(told):
                 self.ready = True
                 self._durable.promised = max(self._durable.promised, self._highest_promise())
                 self._told = {}
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -171,12 +171,12 @@
     def _is_free(self, name: str, leadership: Leadership) -> bool:
         """A voter that may hold a copy in the place of another."""
         acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
-        return acked and name not in leadership.view.holders and name not in self._role.leaving
+        return acked and name not in leadership.view.replica_set and name not in self._role.leaving
 
     def _abroad(self, leadership: Leadership, free: list[str]) -> bool:
         """Whether all copies are in one zone, and a voter of another one has been there for long enough."""
         view, now = leadership.view, self._context.now
-        zones = {view.voters[name] for name in view.holders if name in view.voters}
+        zones = {view.voters[name] for name in view.replica_set if name in view.voters}
         if len(zones) > 1:
             return False
         return any(
@@ -233,7 +233,7 @@
             if view.replicas[0] == self._context.me:
                 self.elections.stand("the leader has stepped down")
             else:  # all standing at once would only hinder each other
-                role.stand_at = self._context.now + TURN_S * view.holders.index(self._context.me)
+                role.stand_at = self._context.now + TURN_S * view.replica_set.index(self._context.me)
 
     def _mend_replicas(self, leadership: Leadership) -> None:
         """Give replicas the copy that they lost, with their disk or by a write that failed; no change may be due."""
--- a/thistleusher/control/leases.py
+++ b/thistleusher/control/leases.py
@@ -56,12 +56,12 @@
         """`kept`: of each duty the machine and term that an earlier life granted last."""
         self.begun = now
         self.grants = {
-            duty: Grant(f"{machine}/", term, now + GRANT_S) for duty, (machine, term) in (kept or {}).items()
+            role: Grant(f"{machine}/", term, now + GRANT_S) for role, (machine, term) in (kept or {}).items()
         }
 
     def wanted(self, now: float, request: LeaseRequest, epoch: int) -> Decision:
         """A wish for a duty; `epoch` is that of the control state."""
-        grant = self.grants.setdefault(request.duty, Grant("/", 0, self.begun + GRANT_S))
+        grant = self.grants.setdefault(request.singleton_role, Grant("/", 0, self.begun + GRANT_S))
         same_machine = machine_of(request.holder) == machine_of(grant.holder)
         # A new life on the holder's machine: the old one is dead.
         free = now >= grant.until or (request.holder != grant.holder and same_machine)
@@ -69,8 +69,8 @@
         highest = max(grant.term, epoch << EPOCH)
         if renewed or (free and request.term > highest):
             grant.holder, grant.term, grant.until = request.holder, request.term, now + GRANT_S
-            return Decision(LeaseGranted(request.duty, request.term, request.sent), not renewed)
-        return Decision(LeaseRejected(request.duty, highest, free), False)
+            return Decision(LeaseGranted(request.singleton_role, request.term, request.sent), not renewed)
+        return Decision(LeaseRejected(request.singleton_role, highest, free), False)
 
     def pause(self, now: float) -> None:
         """This machine has just got a vote: it grants nothing new for `GRANT_S`."""
@@ -80,11 +80,11 @@
 
     def kept(self) -> dict[str, tuple[str, int]]:
         """What the next life must know."""
-        return {duty: (machine_of(grant.holder), grant.term) for duty, grant in self.grants.items()}
+        return {role: (machine_of(grant.holder), grant.term) for role, grant in self.grants.items()}
 
     def released(self, message: LeaseReleased) -> None:
         """A holder ends in order, or has not got a majority and asks no more."""
-        grant = self.grants.get(message.duty)
+        grant = self.grants.get(message.singleton_role)
         if grant is not None and grant.holder == message.holder and grant.term == message.term:
             grant.until = float("-inf")
 
@@ -96,8 +96,8 @@
     keep its grants from the others for ever. After that it waits for a while that is drawn.
     """
 
-    def __init__(self, duty: str, me: str, now: float, rng: random.Random) -> None:
-        self.duty, self.me, self.rng = duty, me, rng
+    def __init__(self, singleton_role: str, me: str, now: float, rng: random.Random) -> None:
+        self.singleton_role, self.me, self.rng = singleton_role, me, rng
         self.term = 0
         self.highest = 0
         self.granted: dict[str, float] = {}
@@ -139,14 +139,14 @@
             self.term, self.granted, self.begun, self.had = self.highest + 1, {}, now, False
         self.next = now + RENEW_S
         for ip in sorted(self.grantors):
-            send(ip, LeaseRequest(self.duty, self.me, self.term, now))
+            send(ip, LeaseRequest(self.singleton_role, self.me, self.term, now))
 
     def give_back(self, send: Callable[[str, Message], object]) -> None:
         """Ask no more under this term."""
         if self.begun is None:
             return
         for ip in sorted(self.grantors):
-            send(ip, LeaseReleased(self.duty, self.me, self.term))
+            send(ip, LeaseReleased(self.singleton_role, self.me, self.term))
         self.begun, self.granted, self.had = None, {}, False
         self.highest = max(self.highest, self.term)
 
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -247,14 +247,14 @@
         view, me = self._durable.view, self._context.me
         if view is None:
             return True
-        if me in view.before:  # as a voter before it, it may be asked what follows
+        if me in view.previous_voters:  # as a voter before it, it may be asked what follows
             return False
         if not self._joining.votes:  # a copy of a later epoch: that is to give it a vote
             return self._durable.replica.epoch <= view.epoch
         if self._role.confirmed < view.epoch:  # known, but its leader has not been heard: it may not have begun
             return False
         led = self._role.guarded()  # else its vote may be the one that is lacking
-        return led and me not in view.holders and not self._joining.learners.present()
+        return led and me not in view.replica_set and not self._joining.learners.present()
 
     # What follows.
 
@@ -274,7 +274,7 @@
         One whose process is about to end comes last, but it does: it may be the only one that holds the copy.
         """
         view = self._durable.view
-        turn = TURN_S * view.holders.index(self._context.me) if view is not None else 0.0
+        turn = TURN_S * view.replica_set.index(self._context.me) if view is not None else 0.0
         return turn + (STOPPING_TURN_S if self._role.stopping else 0.0)
 
     def _leave(self) -> None:
--- a/thistleusher/control/replica.py
+++ b/thistleusher/control/replica.py
@@ -33,7 +33,7 @@
     def __init__(self, stored: Stored) -> None:
         self.position = stored.position
         self.state = State(stored.position.number, stored.items, stored.floor)
-        self._history: OrderedDict[int, int] = OrderedDict({stored.position.number: stored.position.written_in})
+        self._history: OrderedDict[int, int] = OrderedDict({stored.position.number: stored.position.change_epoch})
 
     @property
     def epoch(self) -> int:
@@ -42,7 +42,7 @@
 
     def enter(self, epoch: int) -> Position:
         """The copy is whole in an epoch that begins."""
-        self.position = Position(epoch, self.position.number, self.position.written_in)
+        self.position = Position(epoch, self.position.number, self.position.change_epoch)
         return self.position
 
     def next_position(self) -> Position:
@@ -81,13 +81,13 @@
 
     def _moved(self, position: Position) -> None:
         self.position = position
-        self._history[position.number] = position.written_in
+        self._history[position.number] = position.change_epoch
         while len(self._history) > HISTORY_MOST:
             self._history.popitem(last=False)
 
     def follows(self, position: Position) -> bool:
         """Whether a copy at that position lacks only changes that are known here."""
-        known = self._history.get(position.number) == position.written_in
+        known = self._history.get(position.number) == position.change_epoch
         return position.epoch != NO_EPOCH and known and position.number >= self.state.floor
 
     def install_for(self, position: Position | None) -> Install:
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -131,7 +131,7 @@
     def eligible(self) -> bool:
         """Whether this machine holds everything that was acknowledged in the newest epoch that it knows."""
         view, replica = self._durable.view, self._durable.replica
-        return view is not None and self._context.me in view.holders and replica.epoch >= view.epoch
+        return view is not None and self._context.me in view.replica_set and replica.epoch >= view.epoch
 
     def hear_leader(self, leader: str) -> None:
         """A leader's heartbeat, or the record of its view, has come."""
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -142,7 +142,7 @@
 
     def _keep(self, now: float, name: str, message: PersistItems) -> list[Outward]:
         items = message.items
-        self._keeping[self.calls + 1] = Tell(name, ItemsPersisted(message.request, True))
+        self._keeping[self.calls + 1] = Tell(name, ItemsPersisted(message.request_id, True))
 
         def kept(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
@@ -200,4 +200,4 @@
 
 def _request_of(tell: Tell) -> str:
     assert isinstance(tell.message, ItemsPersisted)
-    return tell.message.request
+    return tell.message.request_id
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -81,7 +81,7 @@
     if records.view is not None:
         transaction.put(VIEW, msgspec.msgpack.encode(records.view))
     if records.leases is not None:
-        transaction.put(LEASES, msgpack.packb({duty: list(pair) for duty, pair in records.leases.items()}))
+        transaction.put(LEASES, msgpack.packb({role: list(pair) for role, pair in records.leases.items()}))
     if records.position is not None:
         transaction.put(POSITION, msgpack.packb([msgspec.to_builtins(records.position), records.floor]))
     if records.items is not None:
@@ -107,7 +107,7 @@
         stored.view = _view(raw[VIEW])
     if LEASES in raw:
         leases = msgpack.unpackb(raw[LEASES])
-        stored.leases = {duty: (pair[0], pair[1]) for duty, pair in leases.items()}
+        stored.leases = {role: (pair[0], pair[1]) for role, pair in leases.items()}
     if POSITION in raw:
         position, stored.floor = msgpack.unpackb(raw[POSITION])
         stored.position = msgspec.convert(position, Position)
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -54,7 +54,7 @@
             return
         durable.adopt(message.view)
         view = durable.view
-        if self._context.me not in view.deciders or sender not in view.voters:
+        if self._context.me not in view.electorate or sender not in view.voters:
             self._refuse(sender, message, view)
         elif message.epoch == durable.promised and sender == role.voted_for:
             if role.vote_told:  # its first answer was lost; else it is on its way to the disk
@@ -126,7 +126,7 @@
         if self._joining.forgotten:
             return self._joining.ready and self._context.me in view.voters
         known = self._durable.view
-        was_voter = known is not None and self._context.me in known.deciders
+        was_voter = known is not None and self._context.me in known.electorate
         return was_voter or self._context.me in view.voters
 
     # Copies.
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -120,15 +120,21 @@
     def __init__(
         self,
         me: str,
-        life: str,
+        incarnation: str,
         region: str,
         region_of: Callable[[str], str],
-        about: dict[str, str],
+        attributes: dict[str, str],
         decisions: Decisions,
         now: float,
     ) -> None:
-        """`about`: what others are told of this proxy: `front`, `ip`, `zone`, `region`."""
-        self.me, self.life, self.region, self.region_of, self.about = me, life, region, region_of, about
+        """`attributes`: what others are told of this proxy: `front`, `ip`, `zone`, `region`."""
+        self.me, self.incarnation, self.region, self.region_of, self.attributes = (
+            me,
+            incarnation,
+            region,
+            region_of,
+            attributes,
+        )
         self.decisions = decisions
         self.core = CoreMembers()
         self.control = Subscriber(me)
@@ -182,9 +188,11 @@
         echo = self.decisions.quota.echo
         if full:
             silent = tuple(sorted(self.ring.silent(now)))
-            self.out.append(ToRegistry("", ProxyStatusReport(self.life, now, echo, ready, silent, self.about)))
+            self.out.append(
+                ToRegistry("", ProxyStatusReport(self.incarnation, now, echo, ready, silent, self.attributes))
+            )
         elif self.counter:
-            self.out.append(ToRegistry(self.counter, ProxyHeartbeat(self.life, now, echo)))
+            self.out.append(ToRegistry(self.counter, ProxyHeartbeat(self.incarnation, now, echo)))
 
     # The ring.
 
@@ -194,14 +202,14 @@
 
     def beat(self, now: float, beat: RingHeartbeat, ip: str) -> list[Output]:
         """Another proxy's heartbeat."""
-        self.ring.beat(now, beat.name)
-        theirs, mine = (beat.control, beat.registry), (self.control.state.number, self.list.state.number)
+        self.ring.beat(now, beat.sender)
+        theirs, mine = (beat.control_number, beat.registry_number), (self.control.state.number, self.list.state.number)
         if 0 in mine and theirs > mine:
             # One that knows nothing does not know its watchers: it answers all.
             self.out.append(ToRing(ip, self._ring_beat()))
-        if self.ring.behind(now, beat.name, theirs, mine):
+        if self.ring.behind(now, beat.sender, theirs, mine):
             control, registry = self.control.state.since(theirs[0]), self.list.state.since(theirs[1])
-            self.out.append(ToPeer(beat.name, ip, HandOver(self.me, control, registry)))
+            self.out.append(ToPeer(beat.sender, ip, HandOver(self.me, control, registry)))
         return self._flush()
 
     def handed(self, now: float, copy: HandOver) -> list[Output]:
@@ -251,7 +259,7 @@
         if isinstance(message, ChargeResult):
             self._verdict(now, message)
         elif isinstance(message, HeartbeatEcho):
-            if self.decisions.quota.echoed(now, message.by, message.sent, message.now, message.share):
+            if self.decisions.quota.echoed(now, message.registry, message.sent, message.registry_time, message.share):
                 self.counter = ip
         elif isinstance(message, StateUpdate):
             reply = self._list_news(now, message)
@@ -270,7 +278,7 @@
         for remembered in (self.unanswered, self.charged):
             if len(remembered) > MOST_CHARGES:
                 remembered.pop(next(iter(remembered)))  # type: ignore[call-overload]
-        return self._to_counter(Charge(self.life, number, action.tenant, action.amount, action.window))
+        return self._to_counter(Charge(self.incarnation, number, action.tenant, action.amount, action.window))
 
     def _give_back(self, action: decided.Charge) -> list[Output]:
         """Once for each charge; its answer, if none has come yet, reaches nobody."""
@@ -278,14 +286,14 @@
         if number is None:
             return []
         self.unanswered.pop(number, None)
-        return self._to_counter(Charge(self.life, number, action.tenant, action.amount, action.window))
+        return self._to_counter(Charge(self.incarnation, number, action.tenant, action.amount, action.window))
 
     def _to_counter(self, charge: Charge) -> list[Output]:
         return [ToRegistry(self.counter, charge)] if self.counter else []
 
     def _verdict(self, now: float, result: ChargeResult) -> None:
         """The answer to a charge of this life that waits for it. A late one may be of a window long over."""
-        if result.life != self.life:
+        if result.incarnation != self.incarnation:
             return
         charge = self.unanswered.pop(result.number, None)
         if charge is None:
@@ -293,7 +301,7 @@
         if now - charge.sent >= VERDICT_S:
             counted = Counted(charge.request, OVER, 0.0, result.window)
         else:
-            counted = Counted(charge.request, result.verdict, result.left, result.window)
+            counted = Counted(charge.request, result.verdict, result.seconds, result.window)
         self.out.append(Verdict(counted))
 
     def _list_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -15,7 +15,7 @@
 from thistleusher.common.events import Event, say
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process import Settings, new_incarnation, serve
 from thistleusher.common.process_start import BORN
 from thistleusher.net.server import Bounds
 from thistleusher.net.upstream import Endpoint, Terms, Upstream
@@ -102,9 +102,15 @@
         self.server = ProxyServer(loop, self.ingress, share)
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], DOOR)
         self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], DOOR)
-        about = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
+        attributes = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
         self.knowledge = ClusterView(
-            boot.node_name, life(), boot.region, lambda zone: self.boot.region_of(zone), about, self.decisions, now
+            boot.node_name,
+            new_incarnation(),
+            boot.region,
+            lambda zone: self.boot.region_of(zone),
+            attributes,
+            self.decisions,
+            now,
         )
         self.beats = Heartbeats(self._beat)
         self.control = CoreLinks(
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -34,14 +34,14 @@
         """What a repetition is answered, None where it is not."""
         if self.count is None or self.count.verdict == ALONE:
             return self.count
-        return self.count._replace(left=max(0.0, self.count.left - (now - self.at)))
+        return self.count._replace(seconds=max(0.0, self.count.seconds - (now - self.at)))
 
 
 class SenderLedger:
     """The charges of one life of a sender."""
 
-    def __init__(self, life: str) -> None:
-        self.life = life
+    def __init__(self, incarnation: str) -> None:
+        self.incarnation = incarnation
         self.charges: dict[int, CountedCharge] = {}
         self.forgotten = 0  # the highest number that is remembered no more
 
@@ -68,7 +68,7 @@
         """
         if not math.isfinite(charge.amount) or charge.amount == 0:
             raise UnexpectedMessage(charge)
-        ledger = self._ledger(sender, charge.life)
+        ledger = self._ledger(sender, charge.incarnation)
         if ledger is None:
             return None
         if charge.amount < 0:
@@ -77,16 +77,16 @@
         count = self._count(now, sender, ledger, charge)
         if count is None:
             return None
-        return ChargeResult(charge.life, charge.number, count.verdict, count.left, count.window)
+        return ChargeResult(charge.incarnation, charge.number, count.verdict, count.seconds, count.window)
 
-    def _ledger(self, sender: str, life: str) -> SenderLedger | None:
+    def _ledger(self, sender: str, incarnation: str) -> SenderLedger | None:
         """The ledger of a sender's present life; None for a message of another life."""
         ingress = self.counts.ingresses.get(sender)
-        if ingress is None or ingress.life != life:
+        if ingress is None or ingress.incarnation != incarnation:
             return None
         ledger = self.senders.get(sender)
-        if ledger is None or ledger.life != life:
-            ledger = self.senders[sender] = SenderLedger(life)
+        if ledger is None or ledger.incarnation != incarnation:
+            ledger = self.senders[sender] = SenderLedger(incarnation)
         return ledger
 
     def _count(self, now: float, sender: str, ledger: SenderLedger, charge: Charge) -> Count | None:
--- a/thistleusher/registry/counts.py
+++ b/thistleusher/registry/counts.py
@@ -19,7 +19,7 @@
 from thistleusher.common.quota_timing import ALONE, COUNTED, FORGET_S, GATHER_S, GIVEN, LOST_S, OK, OVER, ROOM
 
 LONGEST_S = 60.0  # a window lasts at most
-FORMER_LIVES = 4  # of each ingress that are remembered, so that a late message of one does not bring it back
+FORMER_INCARNATIONS = 4  # of each ingress that are remembered, so that a late message of one does not bring it back
 NO_WINDOW = -1  # the number of no window
 
 
@@ -38,11 +38,11 @@
 class Ingress:
     """One ingress: its life, when the last echo was sent that it is known to have had, since when without a gap."""
 
-    life: str = ""
+    incarnation: str = ""
     share: float = 0.0
     confirmed: float = float("-inf")
     since: float = float("inf")
-    former_lives: deque[str] = field(default_factory=lambda: deque(maxlen=FORMER_LIVES))
+    former_incarnations: deque[str] = field(default_factory=lambda: deque(maxlen=FORMER_INCARNATIONS))
 
 
 class Count(NamedTuple):
@@ -52,7 +52,7 @@
     """
 
     verdict: int
-    left: float
+    seconds: float
     window: int
 
 
@@ -72,17 +72,17 @@
         for node, share in shares.items():
             self.ingresses.setdefault(node, Ingress()).share = share
 
-    def here(self, now: float, node: str, life: str, echoed: float | None) -> bool:
+    def here(self, now: float, node: str, incarnation: str, echoed: float | None) -> bool:
         """A beat; whether it counts, as it is not of a former life.
 
         `echoed`: when, by this counter's clock, the newest echo was sent that its sender has had.
         """
         ingress = self.ingresses.setdefault(node, Ingress())
-        if life in ingress.former_lives:
+        if incarnation in ingress.former_incarnations:
             return False
-        if ingress.life != life:
-            ingress.former_lives.append(ingress.life)
-            ingress.life, ingress.since, ingress.confirmed = life, float("inf"), float("-inf")
+        if ingress.incarnation != incarnation:
+            ingress.former_incarnations.append(ingress.incarnation)
+            ingress.incarnation, ingress.since, ingress.confirmed = incarnation, float("inf"), float("-inf")
         if echoed is not None and now - echoed < LOST_S:
             if now - ingress.confirmed >= LOST_S:
                 ingress.since = now
--- a/thistleusher/registry/members.py
+++ b/thistleusher/registry/members.py
@@ -23,8 +23,8 @@
 class Member:
     """One ingress as it told of itself."""
 
-    about: dict[str, Any]
-    life: str
+    attributes: dict[str, Any]
+    incarnation: str
     heard: float
     ready: bool = False
     words: dict[str, float] = field(default_factory=dict)  # watchers that call it silent, and when
@@ -36,25 +36,27 @@
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
 
-    def known(self, now: float, node: str, about: dict[str, Any]) -> None:
+    def known(self, now: float, node: str, attributes: dict[str, Any]) -> None:
         """One that an earlier registry told of."""
-        own = {k: v for k, v in about.items() if k != "up"}
-        self.members.setdefault(node, Member(own, "", now, bool(about.get("up"))))
+        own = {k: v for k, v in attributes.items() if k != "up"}
+        self.members.setdefault(node, Member(own, "", now, bool(attributes.get("up"))))
 
-    def here(self, now: float, node: str, about: dict[str, Any], life: str, ready: bool, silent: list[str]) -> None:
+    def here(
+        self, now: float, node: str, attributes: dict[str, Any], incarnation: str, ready: bool, silent: list[str]
+    ) -> None:
         """An ingress's beat: what it says of itself, and whom it watches in vain."""
         member = self.members.get(node)
-        if member is None or member.life != life:
-            member = self.members[node] = Member(about, life, now)
-        member.about, member.ready, member.heard = about, ready, now
+        if member is None or member.incarnation != incarnation:
+            member = self.members[node] = Member(attributes, incarnation, now)
+        member.attributes, member.ready, member.heard = attributes, ready, now
         for other in silent:
             if other in self.members:
                 self.members[other].words[node] = now
 
-    def beat(self, now: float, node: str, life: str) -> None:
+    def beat(self, now: float, node: str, incarnation: str) -> None:
         """A short beat: it is there, and as it last said."""
         member = self.members.get(node)
-        if member is not None and member.life == life:
+        if member is not None and member.incarnation == incarnation:
             member.heard = now
 
     def up(self, now: float, member: Member) -> bool:
@@ -67,4 +69,4 @@
         """Every ingress, and whether it is up."""
         for node in [n for n, m in self.members.items() if now - m.heard > GONE_S]:
             del self.members[node]
-        return {node: {**m.about, "up": self.up(now, m)} for node, m in self.members.items()}
+        return {node: {**m.attributes, "up": self.up(now, m)} for node, m in self.members.items()}
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -12,7 +12,7 @@
 
 from thistleusher.common.events import say
 from thistleusher.common.node_settings import CONTROL, REGISTRY
-from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process import Settings, new_incarnation, serve
 from thistleusher.registry.platform import Platform
 from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
 from thistleusher.services.wire import read_address
@@ -32,7 +32,7 @@
         boot = self.boot = settings.boot
         loop = self.loop = asyncio.get_running_loop()
         self.platform = Platform(read_address(boot.cloud_api.address)) if boot.cloud_api.address else None
-        me = f"{boot.node_name}/{life()}"
+        me = f"{boot.node_name}/{new_incarnation()}"
         rate_per_s, polls = boot.cloud_api.rate_per_s, self.platform is not None
         self.registry = Registry(me, boot.ip, time.monotonic(), random.Random(), rate_per_s, polls)
         self.calling: asyncio.Task[None] | None = None
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -41,7 +41,7 @@
 )
 from thistleusher.transport.state_updates import Publisher, Subscriber
 
-DUTY = "registrar"
+REGISTRAR_ROLE = "registrar"
 TERM_BITS = 24  # of a number, below the holder's term
 KEEP_S = 1.0  # between requests that a share be kept
 AWAY_S = 0.3  # by which the leader's machine asks for the duty later
@@ -90,7 +90,7 @@
         """`me` names the machine and this life; `polls`: there is a platform, whose bound on calls is `rate_per_s`."""
         self.me, self.address, self.rate_per_s, self.polls = me, address, rate_per_s, polls
         self.core = CoreMembers()
-        self.holder = Holder(DUTY, me, now, rng)
+        self.holder = Holder(REGISTRAR_ROLE, me, now, rng)
         self.control = Subscriber(me)  # of the control state
         self.configuration = ConfigurationFollower()
         self.list = Subscriber(me)  # of the registry that holds the duty, or its own
@@ -101,7 +101,7 @@
         self.survey = Survey(now, rate_per_s)
         self.asked: Survey | None = None  # the reading whose call is out
         self.followers: set[str] = set()
-        self.on_duty = False
+        self.holds_role = False
         self.next_keep = now
         self.out: list[Output] = []
 
@@ -110,13 +110,13 @@
     def tick(self, now: float) -> list[Output]:
         """Time has passed; to be called ten times a second or more."""
         self._mind_duty(now)
-        if self.on_duty:
+        if self.holds_role:
             self._work(now)
         return self._flush()
 
     def stop(self) -> list[Output]:
         """This process ends in order: the duty is given back."""
-        if self.on_duty:
+        if self.holds_role:
             self.holder.give_back(self._to_control)
         self._end_duty("this process ends")
         return self._flush()
@@ -144,7 +144,7 @@
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
             raise UnexpectedMessage(message)
-        reply = None if self.on_duty else self.list.heard(message).answer
+        reply = None if self.holds_role else self.list.heard(message).answer
         return self._flush(), reply
 
     def from_follower(self, now: float, name: str, message: AnyMessage) -> list[Output]:
@@ -182,14 +182,14 @@
         except Garbage as error:
             self._note(Event.PLATFORM, error)
             return self._flush()
-        if changes is not None and self.on_duty:
+        if changes is not None and self.holds_role:
             self._listed(changes)
         return self._flush()
 
     def may_tell(self, now: float) -> bool:
         """Whether an answer may leave now; where it may not, the duty is over."""
         self._check_lease(now)
-        return self.on_duty
+        return self.holds_role
 
     # Helpers.
 
@@ -222,24 +222,24 @@
 
     def _check_lease(self, now: float) -> None:
         """End the duty if its lease is over on the clock of this input, whatever the last tick knew."""
-        if self.on_duty and not self.holder.holds(now):
+        if self.holds_role and not self.holder.holds(now):
             self._end_duty("the lease has ended")
 
     def _mind_duty(self, now: float) -> None:
         """Ask for the duty when it is time; begin it as soon as it is held, end it as soon as it is not."""
         self.holder.tick(now, self._to_control)
         self._check_lease(now)
-        if self.holder.holds(now) and not self.on_duty and self.control.state.number > 0:
+        if self.holder.holds(now) and not self.holds_role and self.control.state.number > 0:
             self._begin_duty(now)
 
     def _begin_duty(self, now: float) -> None:
-        self.on_duty = True
+        self.holds_role = True
         self._note(Event.DUTY, self.holder.term)
         self.counts = Counts(now)
         self.charges = ChargeLedger(self.counts)
         self._limits()
-        for node, about in self.list.state.values("m:").items():
-            self.members.known(now, node, about)
+        for node, attributes in self.list.state.values("m:").items():
+            self.members.known(now, node, attributes)
         self.survey = Survey(now, self.rate_per_s)
         known = self.list.state.values("b:")
         self.survey.entries = {name: {**entry, "cold": 0.0} for name, entry in known.items()}
@@ -251,8 +251,8 @@
             self.publisher.sent[name] = self.publisher.acked[name] = -1  # gets the whole: its number is not known
 
     def _end_duty(self, why: str) -> None:
-        if self.on_duty:
-            self.on_duty, self.counts, self.charges = False, None, None
+        if self.holds_role:
+            self.holds_role, self.counts, self.charges = False, None, None
             self._note(Event.DUTY_OVER, why)
 
     def _work(self, now: float) -> None:
@@ -264,7 +264,9 @@
             self.next_keep = now + KEEP_S
             self._to_control("", PersistItems(self.me, {f"share:{name}": share for name, share in wanted.items()}))
         old, new = self.list.state.values("m:"), self.members.listed(now)
-        changed: dict[str, Any] = {f"m:{name}": about for name, about in new.items() if old.get(name) != about}
+        changed: dict[str, Any] = {
+            f"m:{name}": attributes for name, attributes in new.items() if old.get(name) != attributes
+        }
         changed.update({f"m:{name}": None for name in old.keys() - new.keys()})
         self._publish(changed)
 
@@ -272,7 +274,7 @@
 
     def _follow(self, name: str, number: int) -> None:
         self.followers.add(name)
-        if not self.on_duty:
+        if not self.holds_role:
             return
         for follower, news in self.publisher.follow(name, number):
             if self._has_list():
@@ -312,11 +314,11 @@
 
     def _here(self, now: float, name: str, beat: ProxyHeartbeat | ProxyStatusReport) -> None:
         if isinstance(beat, ProxyStatusReport):
-            self.members.here(now, name, beat.about, beat.life, beat.ready, list(beat.silent))
+            self.members.here(now, name, beat.attributes, beat.incarnation, beat.ready, list(beat.silent_peers))
         else:
-            self.members.beat(now, name, beat.life)
+            self.members.beat(now, name, beat.incarnation)
         if self.counts is None:
             return
         echoed = beat.echo[1] if beat.echo is not None and beat.echo[0] == self.me else None
-        if self.counts.here(now, name, beat.life, echoed):
+        if self.counts.here(now, name, beat.incarnation, echoed):
             self._tell(name, HeartbeatEcho(self.me, beat.sent, now, self.counts.ingresses[name].share))
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -263,7 +263,7 @@
 
     def _message(self, link: Link, message: AnyMessage) -> None:
         if not link.name and isinstance(message, Hello | SubscribeRequest | HandOver):
-            link.name = message.me
+            link.name = message.sender
         self.on_message(link, message)
 
     def _ended(self, link: Link, why: str) -> None:
--- /dev/null
+++ b/thistleusher/transport/messages/__init__.py
@@ -0,0 +1,115 @@
+"""The messages between the system's own processes, each with its fields: the one place where their form is stated.
+
+On the wire a message is an array in msgpack that begins with its tag; tags, and the order and types of fields, never
+change (`codec` packs, unpacks and checks them). Times are seconds on the steady clock of the machine that the field's
+comment names, and mean nothing on another one.
+"""
+
+from __future__ import annotations
+
+from typing import Union
+
+from thistleusher.transport.messages.base import Items, Message, Position, ViewRecord
+from thistleusher.transport.messages.bootstrap import FounderAnnouncement, Status, StatusRequest
+from thistleusher.transport.messages.connection import Hello, KeepAlive
+from thistleusher.transport.messages.election import RecordView, ViewRecorded, Vote, VoteRejected, VoteRequest
+from thistleusher.transport.messages.leadership import Deposed, Heartbeat, HeartbeatAck, Leaving, StepDown
+from thistleusher.transport.messages.lease import LeaseGranted, LeaseRejected, LeaseReleased, LeaseRequest
+from thistleusher.transport.messages.peer import HandOver, HandOverAccepted, RingHeartbeat
+from thistleusher.transport.messages.replication import Append, Appended, Install, Installed, InstallRejected
+from thistleusher.transport.messages.subscription import (
+    CoreInfo,
+    ItemsPersisted,
+    PersistItems,
+    StateUpdate,
+    StateUpdateAck,
+    SubscribeRequest,
+)
+from thistleusher.transport.messages.usage import Charge, ChargeResult, HeartbeatEcho, ProxyHeartbeat, ProxyStatusReport
+
+AnyMessage = Union[
+    Hello,
+    KeepAlive,
+    FounderAnnouncement,
+    StatusRequest,
+    Status,
+    VoteRequest,
+    Vote,
+    VoteRejected,
+    RecordView,
+    ViewRecorded,
+    Install,
+    Installed,
+    InstallRejected,
+    Append,
+    Appended,
+    Heartbeat,
+    HeartbeatAck,
+    Deposed,
+    StepDown,
+    Leaving,
+    SubscribeRequest,
+    StateUpdate,
+    StateUpdateAck,
+    CoreInfo,
+    LeaseRequest,
+    LeaseGranted,
+    LeaseRejected,
+    LeaseReleased,
+    PersistItems,
+    ItemsPersisted,
+    ProxyHeartbeat,
+    ProxyStatusReport,
+    HeartbeatEcho,
+    Charge,
+    ChargeResult,
+    RingHeartbeat,
+    HandOver,
+    HandOverAccepted,
+]
+
+__all__ = [
+    "AnyMessage",
+    "Append",
+    "Appended",
+    "Charge",
+    "ChargeResult",
+    "CoreInfo",
+    "Deposed",
+    "FounderAnnouncement",
+    "HandOver",
+    "HandOverAccepted",
+    "Heartbeat",
+    "HeartbeatAck",
+    "HeartbeatEcho",
+    "Hello",
+    "Install",
+    "InstallRejected",
+    "Installed",
+    "Items",
+    "ItemsPersisted",
+    "KeepAlive",
+    "LeaseGranted",
+    "LeaseRejected",
+    "LeaseReleased",
+    "LeaseRequest",
+    "Leaving",
+    "Message",
+    "PersistItems",
+    "Position",
+    "ProxyHeartbeat",
+    "ProxyStatusReport",
+    "RecordView",
+    "RingHeartbeat",
+    "StateUpdate",
+    "StateUpdateAck",
+    "Status",
+    "StatusRequest",
+    "StepDown",
+    "SubscribeRequest",
+    "ViewRecord",
+    "ViewRecorded",
+    "Vote",
+    "VoteRejected",
+    "VoteRequest",
+]
--- /dev/null
+++ b/thistleusher/transport/messages/connection.py
@@ -0,0 +1,15 @@
+"""Messages that any connection may carry."""
+
+from __future__ import annotations
+
+from thistleusher.transport.messages.base import Message
+
+
+class Hello(Message, tag="hello", frozen=True):
+    """The first message on a connection between control processes; `sender` is its address."""
+
+    sender: str
+
+
+class KeepAlive(Message, tag="beat", frozen=True):
+    """Sent on a connection that has carried nothing else for a while, to show that the sender is up."""
--- /dev/null
+++ b/thistleusher/transport/messages/subscription.py
@@ -0,0 +1,50 @@
+"""Between the publisher of a state (control process, registry) and its subscribers (proxies, registries)."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from thistleusher.transport.messages.base import Items, Message
+
+
+class SubscribeRequest(Message, tag="follow", frozen=True):
+    """A subscriber's first message: its name, and the number of the state that it has (0: nothing)."""
+
+    sender: str
+    number: int
+
+
+class StateUpdate(Message, tag="news", frozen=True):
+    """The items that changed after state `previous` (None: the complete state), which lead to state `number`."""
+
+    number: int
+    previous: int | None
+    items: Items
+
+
+class StateUpdateAck(Message, tag="news-ack", frozen=True):
+    """The subscriber has applied the state of this number."""
+
+    number: int
+
+
+class CoreInfo(Message, tag="core", frozen=True):
+    """The core machines: who votes, in which epoch, and who leads."""
+
+    voters: tuple[str, ...]
+    epoch: int
+    leader: str
+
+
+class PersistItems(Message, tag="keep", frozen=True):
+    """The registry asks the control process to persist items; `request_id` identifies the call."""
+
+    request_id: str
+    items: dict[str, Any]
+
+
+class ItemsPersisted(Message, tag="kept", frozen=True):
+    """The answer: `ok` says whether the items were persisted."""
+
+    request_id: str
+    ok: bool
