--- a/tests/system/test_links.py
+++ b/tests/system/test_links.py
@@ -69,7 +69,7 @@
 )
 def test_what_is_no_message_or_not_taken_is_refused_logged_and_ends_its_connection(monkeypatch, data):
     said, came = [], []
-    monkeypatch.setattr(links, "say", lambda event, *fields: said.append(event.name))
+    monkeypatch.setattr(links, "log_event", lambda event, *fields: said.append(event.name))
 
     def take(link, message):
         if not isinstance(message, Hello):
@@ -92,7 +92,7 @@
             listener.close()
 
     assert asyncio.run(play()) == b""
-    assert came == [Hello("x")] and said == ["REFUSED_MESSAGE"]
+    assert came == [Hello("x")] and said == ["MESSAGE_REJECTED"]
 
 
 def test_an_older_epoch_does_not_replace_newer_voters():
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from thistleusher.common.events import Event, say
+from thistleusher.common.events import Event, log_event
 from thistleusher.common.node_settings import node_settings_path, read_node_settings
 
 TICK_S = 0.06
@@ -35,12 +35,12 @@
             self.text = text
             self.boot = read_node_settings(text)
         except OSError as error:
-            say(Event.BAD_SETTINGS, error)
+            log_event(Event.SETTINGS_REJECTED, error)
             return False
         except ExceptionGroup as group:
-            say(Event.BAD_SETTINGS, "; ".join(str(e) for e in group.exceptions))
+            log_event(Event.SETTINGS_REJECTED, "; ".join(str(e) for e in group.exceptions))
             return False
-        say(Event.SETTINGS, ",".join(self.boot.seed_nodes))
+        log_event(Event.SETTINGS_RELOADED, ",".join(self.boot.seed_nodes))
         return True
 
 
@@ -66,7 +66,7 @@
     loop.add_signal_handler(signal.SIGTERM, end, "SIGTERM")
     loop.add_signal_handler(signal.SIGINT, end, "SIGINT")
     loop.add_signal_handler(signal.SIGHUP, look)
-    say(Event.STARTED, settings.boot.node_name, name)
+    log_event(Event.STARTED, settings.boot.node_name, name)
     gc.freeze()
     gc.enable()
 
@@ -77,17 +77,17 @@
             try:
                 tick()
             except Exception as error:  # one tick's fault is not the program's end
-                say(Event.FAULT, f"{name}: tick", repr(error))
+                log_event(Event.FAULT, f"{name}: tick", repr(error))
             if loop.time() >= next_look:
                 next_look = loop.time() + LOOK_S
                 look()
 
     beating = loop.create_task(beat())
     why = await over
-    say(Event.STOPPING, settings.boot.node_name, why)
+    log_event(Event.STOPPING, settings.boot.node_name, why)
     await leave()
     beating.cancel()
-    say(Event.STOPPED, settings.boot.node_name)
+    log_event(Event.STOPPED, settings.boot.node_name)
 
 
 def new_incarnation() -> str:
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -119,4 +119,4 @@
 
     def failed(self, what: str) -> None:
         """A write that mattered is not on disk."""
-        self._context.note(Event.DISK, f"{what} not written")
+        self._context.note(Event.DISK_FAILED, f"{what} not written")
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -83,7 +83,7 @@
         candidacy.votes = dict.fromkeys(voters, None)
         self._role.candidacy = candidacy
         position = self._durable.replica.enter(FIRST_EPOCH)
-        context.note(Event.CANDIDATE, FIRST_EPOCH, "founding")
+        context.note(Event.CANDIDACY_STARTED, FIRST_EPOCH, "founding")
         records = Records(position=position, items={}, complete=True)
         self._role.promise(FIRST_EPOCH, records, self._install)
 
@@ -94,7 +94,7 @@
         durable, role = self._durable, self._role
         assert durable.view is not None
         epoch = max(durable.promised, durable.view.epoch, self._promised_by(voters or {})) + 1
-        self._context.note(Event.CANDIDATE, epoch, why)
+        self._context.note(Event.CANDIDACY_STARTED, epoch, why)
         if role.leadership is not None:  # its voters still guard it, and know it as the one that asks
             role.begin_anew()
         else:
@@ -287,7 +287,7 @@
         if self._joining.founding:
             if self._context.now - candidacy.since < CANDIDACY_S and len(recorded) < len(view.voters):
                 return
-            self._context.note(Event.FOUNDED, ", ".join(sorted(view.voters)))
+            self._context.note(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
         self._durable.view = view
         self._durable.confirm()
         self._joining.has_vote(True)
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -179,7 +179,7 @@
         self.state_lost = False
         self._durable.recorded = max(self._durable.recorded, newest.epoch)
         holders, voters = ", ".join(newest.replicas), ", ".join(sorted(newest.voters))
-        self._context.note(Event.VIEW, newest.epoch, newest.leader, holders, voters)
+        self._context.note(Event.VIEW_ADOPTED, newest.epoch, newest.leader, holders, voters)
 
     # Answering.
 
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -73,7 +73,7 @@
         self._role.leadership = leadership
         self._heartbeat_at = self._status_at = now
         self._installing = {}
-        self._context.note(Event.LEADS, view.epoch, ", ".join(view.replicas))
+        self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
         self._context.emit(Publish(self._durable.replica.state.copied()))
         self._send_heartbeats(leadership)
         self.serve()
@@ -368,7 +368,7 @@
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Keep a change, or acknowledge one that the state in force makes needless."""
         if change.is_redundant(self._durable.replica.state):
-            self._context.note(Event.UNALTERED, change.description)
+            self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
         else:
             self._begin_change(leadership, change)
@@ -427,6 +427,6 @@
         if not everywhere or self._context.now >= leadership.expires_at():
             return
         leadership.pending = None
-        self._context.note(Event.KEPT, pending.position.number, pending.change.description)
+        self._context.note(Event.CHANGE_COMMITTED, pending.position.number, pending.change.description)
         self._context.answer(pending.change.call_id, None)
         self._context.emit(PublishChange(pending.position.number, pending.items))
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from thistleusher.common.events import say
+from thistleusher.common.events import log_event
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.node_settings import CONTROL
 from thistleusher.common.process import Settings, serve
@@ -162,7 +162,7 @@
                 if done is not None:
                     done(out.answer)
             elif isinstance(out, LogEvent):
-                say(out.event, *out.fields)
+                log_event(out.event, *out.fields)
 
     # Calls.
 
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -177,7 +177,7 @@
         self.candidacy = None
         if leadership is None:
             return
-        self._context.note(Event.STEPPED_DOWN, leadership.view.epoch, why)
+        self._context.note(Event.LEADERSHIP_LOST, leadership.view.epoch, why)
         if leadership.pending is not None:
             self._calls.put_back(leadership.pending.change)
         self.tell_step_down(leadership.view)
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -18,7 +18,7 @@
 import msgpack
 import msgspec
 
-from thistleusher.common.events import Event, say
+from thistleusher.common.events import Event, log_event
 from thistleusher.control.interface import Records, StoredState
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
@@ -51,7 +51,7 @@
         try:
             return _stored(raw)
         except UNREADABLE as error:
-            say(Event.DISK, f"not readable, counts as lost: {error!r}")
+            log_event(Event.DISK_FAILED, f"not readable, counts as lost: {error!r}")
             return StoredState()
 
     def write(self, token: int, records: Records) -> None:
@@ -66,7 +66,7 @@
                     _put(transaction, records)
                 ok = True
             except (lmdb.Error, OSError) as error:
-                say(Event.DISK, repr(error))
+                log_event(Event.DISK_FAILED, repr(error))
                 ok = False
             self._done(token, ok)
 
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -111,7 +111,7 @@
         role.hear_leader(view.leader)
         role.promise(view.epoch, Records(view=view), partial(self._recorded, sender, view.epoch), self._not_recorded)
         self._context.note(
-            Event.VIEW, view.epoch, view.leader, ", ".join(view.replicas), ", ".join(sorted(view.voters))
+            Event.VIEW_ADOPTED, view.epoch, view.leader, ", ".join(view.replicas), ", ".join(sorted(view.voters))
         )
 
     def _recorded(self, sender: str, epoch: int) -> None:
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -249,7 +249,7 @@
         assert index is not None
         self.decisions.configured(now, index.config)
         self.out.append(InForce(index))
-        self.out.append(Note(Event.CONFIG, (index.config.version, len(index.config.routes))))
+        self.out.append(Note(Event.CONFIGURATION_APPLIED, (index.config.version, len(index.config.routes))))
 
     # The registry.
 
@@ -342,7 +342,9 @@
         if moved:
             self.out.append(Backends(moved))
         self._serve()
-        self.out.append(Note(Event.LIST, (self.list.state.number, len(places), len(self.decisions.ingresses))))
+        self.out.append(
+            Note(Event.BACKENDS_APPLIED, (self.list.state.number, len(places), len(self.decisions.ingresses)))
+        )
 
     def _serve(self) -> None:
         evacuated = self.decisions.ground.evacuated
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from thistleusher.common.events import Event, say
+from thistleusher.common.events import Event, log_event
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import Settings, new_incarnation, serve
@@ -208,7 +208,7 @@
                 self.ingress.serving |= out.names
                 self.server.known = self.knowledge.known
             else:
-                say(out.event, *out.fields)
+                log_event(out.event, *out.fields)
 
     def _from_control(self, dial: Dial, message: AnyMessage) -> None:
         outputs, reply = self.knowledge.from_control(time.monotonic(), message)
@@ -251,7 +251,7 @@
             link.close()
         if taken:
             copy = peer.message
-            say(Event.HANDED, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
+            log_event(Event.STATE_HANDED_OVER, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
 
     def _handed(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -10,7 +10,7 @@
 import random
 import time
 
-from thistleusher.common.events import say
+from thistleusher.common.events import log_event
 from thistleusher.common.node_settings import CONTROL, REGISTRY
 from thistleusher.common.process import Settings, new_incarnation, serve
 from thistleusher.registry.platform import Platform
@@ -88,7 +88,7 @@
             elif isinstance(out, Core):
                 self._meet(out.addresses)
             else:
-                say(out.event, *out.fields)
+                log_event(out.event, *out.fields)
 
     def _tell(self, out: Tell) -> None:
         """Send what only a holder of the duty may say, if the duty is held still."""
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -174,13 +174,13 @@
         if asked is not self.survey:
             return []  # of a reading that ended with an earlier duty: a page of it is no whole list
         if status != 200:
-            self._note(Event.PLATFORM, status or "no answer")
+            self._note(Event.PLATFORM_FAILED, status or "no answer")
             self.survey.failed(now, status)
             return self._flush()
         try:
             changes = self.survey.page(now, body)
         except Garbage as error:
-            self._note(Event.PLATFORM, error)
+            self._note(Event.PLATFORM_FAILED, error)
             return self._flush()
         if changes is not None and self.holds_role:
             self._listed(changes)
@@ -234,7 +234,7 @@
 
     def _begin_duty(self, now: float) -> None:
         self.holds_role = True
-        self._note(Event.DUTY, self.holder.term)
+        self._note(Event.ROLE_ACQUIRED, self.holder.term)
         self.counts = Counts(now)
         self.charges = ChargeLedger(self.counts)
         self._limits()
@@ -253,7 +253,7 @@
     def _end_duty(self, why: str) -> None:
         if self.holds_role:
             self.holds_role, self.counts, self.charges = False, None, None
-            self._note(Event.DUTY_OVER, why)
+            self._note(Event.ROLE_LOST, why)
 
     def _work(self, now: float) -> None:
         assert self.counts is not None
@@ -283,7 +283,7 @@
     def _listed(self, changes: dict[str, dict[str, Any] | None]) -> None:
         if changes:
             draining = sum(1 for entry in self.survey.entries.values() if entry["p"] != "ready")
-            self._note(Event.LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
+            self._note(Event.BACKENDS_LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
         self._publish({f"b:{name}": entry for name, entry in changes.items()})
 
     def _publish(self, changes: dict[str, Any]) -> None:
--- a/thistleusher/transport/call_server.py
+++ b/thistleusher/transport/call_server.py
@@ -13,7 +13,7 @@
 from typing import Any, ClassVar, Generic, NamedTuple, TypeVar
 from urllib.parse import parse_qs, unquote
 
-from thistleusher.common.events import Event, say
+from thistleusher.common.events import Event, log_event
 from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
 from thistleusher.net.ingress import Reply
 from thistleusher.net.server import Bounds, ClientConnection, Early, Server
@@ -190,7 +190,7 @@
         except Failure as failure:
             done(failure)
         except Exception as error:  # a fault of one call ends that call
-            say(Event.FAULT, type(item.call).__name__, repr(error))
+            log_event(Event.FAULT, type(item.call).__name__, repr(error))
             done(Failure(Kind.FAULT))
 
 
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from thistleusher.common.events import Event, say
+from thistleusher.common.events import Event, log_event
 from thistleusher.net.upstream import watch
 from thistleusher.transport.codec import Deframer, MalformedMessage, frame
 from thistleusher.transport.errors import UnexpectedMessage
@@ -71,10 +71,10 @@
                 if not isinstance(message, KeepAlive):
                     self.on_message(self, message)
         except (MalformedMessage, UnexpectedMessage) as error:
-            say(Event.REFUSED_MESSAGE, self.name or self.peer, error)
+            log_event(Event.MESSAGE_REJECTED, self.name or self.peer, error)
             self.close(str(error))
         except (ValueError, KeyError, TypeError) as error:
-            say(Event.FAULT, f"a message of {self.name or self.peer}", repr(error))
+            log_event(Event.FAULT, f"a message of {self.name or self.peer}", repr(error))
             self.close(repr(error))
 
     def send(self, message: Message) -> None:
