--- a/thistleusher/net/ingress_server.py
+++ b/thistleusher/net/ingress_server.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from thistleusher.core.request import BadRequest, NoSuchPath, RequestReader, customer_of
+from thistleusher.core.request import BadRequest, NoSuchPathError, RequestReader, customer_of
 from thistleusher.net.client_call import Call
 from thistleusher.net.client_connection import ClientConnection, ImmediateResponse
 from thistleusher.net.ingress import Ingress
@@ -51,7 +51,7 @@
         method = connection.parser.get_method()
         try:
             request = self.reader.read(customer_of(connection.url), method, connection.headers)
-        except NoSuchPath as error:
+        except NoSuchPathError as error:
             return ImmediateResponse(404, str(error), closes=True)
         except BadRequest as error:
             return ImmediateResponse(400, str(error), closes=True)
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from thistleusher.common.events import Event, say
+from thistleusher.common.events import Event, log_event
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process import Settings, new_incarnation, serve
 from thistleusher.common.process_start import BORN
 from thistleusher.net.backend_connection import UpstreamOptions
 from thistleusher.net.connection_pool import Endpoint
@@ -106,9 +106,15 @@
         self.server = ProxyServer(loop, self.ingress, share)
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], DOOR)
         self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], DOOR)
-        about = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
+        attributes = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
         self.knowledge = ClusterView(
-            boot.node_name, life(), boot.region, lambda zone: self.boot.region_of(zone), about, self.decisions, now
+            boot.node_name,
+            new_incarnation(),
+            boot.region,
+            lambda zone: self.boot.region_of(zone),
+            attributes,
+            self.decisions,
+            now,
         )
         self.beats = Heartbeats(self._beat)
         self.control = CoreLinks(
@@ -206,7 +212,7 @@
                 self.ingress.serving |= out.names
                 self.server.known = self.knowledge.known
             else:
-                say(out.event, *out.fields)
+                log_event(out.event, *out.fields)
 
     def _from_control(self, dial: Dial, message: AnyMessage) -> None:
         outputs, reply = self.knowledge.from_control(time.monotonic(), message)
@@ -249,7 +255,7 @@
             link.close()
         if taken:
             copy = peer.message
-            say(Event.HANDED, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
+            log_event(Event.STATE_HANDED_OVER, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
 
     def _handed(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
