--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -22,7 +22,7 @@
 
 from benchmarks.scale.inputs import address_of, settings, zone_of
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import TICK_S, Settings
+from thistleusher.common.process import TICK_S, SettingsFile
 from thistleusher.proxy.cluster_view import InForce, Output, Verdict
 from thistleusher.proxy.decisions import Charge
 from thistleusher.proxy.program import Heartbeats, ProxyProgram
@@ -81,7 +81,7 @@
 class HollowProxy(ProxyProgram):
     """The proxy program without doors; it notes when what it learns is in force."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: SettingsFile, seed: int) -> None:
         super().__init__(settings)
         self.beats = MeasuredHeartbeats(self._beat)
         self.random = random.Random(seed)
@@ -156,7 +156,7 @@
         for number in range(self.first, self.first + self.count):
             path = self.folder / f"proxy-{number}.conf"
             path.write_text(settings(f"proxy-{number}", "proxy", address_of(number), zone_of(number), self.folder))
-            self.proxies.append(HollowProxy(Settings(path), number))
+            self.proxies.append(HollowProxy(SettingsFile(path), number))
         boot = self.proxies[0].boot
         Measured.ports = {boot.port(CONTROL): "control", boot.port(REGISTRY): "registry"}
         for proxy in self.proxies:
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -17,9 +17,9 @@
 from thistleusher.common.node_settings import read_node_settings
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.placement import Place
-from thistleusher.registry.charges import REMEMBERED, ChargeLedger
-from thistleusher.registry.counts import Counts
-from thistleusher.registry.instances import Survey
+from thistleusher.registry.charges import REMEMBERED, ChargeTable
+from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.instances import BackendPoller
 from thistleusher.services.wire import read_address
 from thistleusher.transport.codec import decode, encode
 from thistleusher.transport.messages import Charge, StateUpdate
@@ -125,7 +125,7 @@
         ).encode()
         for start in range(0, count, PAGE)
     ]
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now = read_s = 0.0
     changes: dict[str, dict[str, Any] | None] = {}
     for page in pages:
@@ -180,10 +180,10 @@
 
 def counter_state(senders: int) -> Figures:
     """The counter's ledger once each sender has sent as many charges as are remembered."""
-    counts = Counts(0.0)
+    counts = QuotaCounter(0.0)
     tenants = [f"t-{n}" for n in range(1000)]
     counts.follow(dict.fromkeys(tenants, (1e6, 1e6)), {})
-    ledger = ChargeLedger(counts)
+    ledger = ChargeTable(counts)
     names = [f"proxy-{n}" for n in range(senders)]
     for name in names:
         counts.here(0.0, name, "life", None)
--- a/simnet/operators.py
+++ b/simnet/operators.py
@@ -16,7 +16,7 @@
 from simnet.clock import Clock
 from simnet.machine import Machine
 from simnet.rules import CONFIG, Broken, Ledger, Order, held_order
-from thistleusher.common.failures import ANSWERS, Failure, Kind
+from thistleusher.common.errors import RESPONSES, ErrorKind, ServiceError
 from thistleusher.control.interface import Answer, Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
@@ -212,18 +212,18 @@
         this = self.tries.pop(number, None) if number is not None else None
         if this is None:
             raise Broken(f"call {answer.call_id} was answered twice, or never asked")
-        if isinstance(answer.answer, Failure):
+        if isinstance(answer.answer, ServiceError):
             self._failed(this, answer.answer)
         elif not self.core.in_contact(machine):
             raise Broken(f"{machine.address} answered call {answer.call_id} without contact with a majority")
         elif this.request.conflicting():
-            self._failed(this, Failure(Kind.INVALID))
+            self._failed(this, ServiceError(ErrorKind.INVALID_CONFIGURATION))
         else:
             self._succeeded(this, answer.answer)
 
-    def _failed(self, this: Try, failure: Failure) -> None:
+    def _failed(self, this: Try, failure: ServiceError) -> None:
         request = this.request
-        status = ANSWERS[failure.kind].status
+        status = RESPONSES[failure.kind].status
         if status in FINAL_STATUSES and not request.conflicting():
             raise Broken(f"{this.address} refused an order for good: {failure.kind}")
         if this.given_up or request.done:
--- a/simnet/system.py
+++ b/simnet/system.py
@@ -27,7 +27,7 @@
 from simnet.processes import ControlProcess, Process, ProxyProcess, RegistryProcess
 from thistleusher.common import config_items
 from thistleusher.common.configuration import Configuration
-from thistleusher.common.failures import Failure
+from thistleusher.common.errors import ServiceError
 from thistleusher.control.interface import Change
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.transport.codec import decode, encode
@@ -278,7 +278,7 @@
                 self.order(make, done, until)
 
         def answered(answer: Any) -> None:
-            if state["open"] and isinstance(answer, Failure):
+            if state["open"] and isinstance(answer, ServiceError):
                 self.clock.later(0.1, again)
             elif state["open"]:
                 state["open"] = False
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -9,7 +9,7 @@
 
 from thistleusher.common import validation as checks
 from thistleusher.common.config_items import NONE, REMEMBERED, assemble, changes, number_of
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control import orders
 from thistleusher.control.orders import Standing
 from thistleusher.transport.state_updates import State
@@ -186,7 +186,7 @@
 
 def test_reading_gives_the_document_or_says_that_there_is_none():
     none = orders.read(1).answer(State())
-    assert isinstance(none, Failure) and none.kind is Kind.NO_LEADER
+    assert isinstance(none, ServiceError) and none.kind is ErrorKind.NO_LEADER
     assert json.loads(orders.read(1).answer(holding(7).state)) == json.loads(document(7))
 
 
@@ -257,9 +257,9 @@
 
 @pytest.mark.parametrize("zone", ["", "a/b", "z" * 401])
 def test_what_can_be_no_zone_is_refused(zone):
-    with pytest.raises(Failure) as caught:
+    with pytest.raises(ServiceError) as caught:
         orders.evacuate(1, zone, True)
-    assert caught.value.kind is Kind.INVALID
+    assert caught.value.kind is ErrorKind.INVALID_CONFIGURATION
 
 
 def test_a_change_of_one_route_sets_its_item_the_header_and_one_digest():
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -16,7 +16,7 @@
 import pytest
 
 from thistleusher.common.configuration import Configuration, Index
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.record_reader import record
 from thistleusher.core import actions
@@ -28,7 +28,7 @@
 from thistleusher.proxy.placement import Place
 from thistleusher.transport.call_server import CallServer, Handler, Readiness
 
-NOT_READY = Failure(Kind.STARTING)
+NOT_READY = ServiceError(ErrorKind.STARTING)
 SEEDS = 120
 TRIES = 3
 DEADLINE_MS = 1500
--- a/tests/system/test_charges.py
+++ b/tests/system/test_charges.py
@@ -6,19 +6,19 @@
 import pytest
 
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_timing import ALONE_S, COUNTED, LOST_S, OK, OVER
+from thistleusher.common.quota_timing import ALLOWED, COUNTED_PART, LOCAL_QUOTA_FROM_S, OVER_LIMIT, SHARE_DEDUCTED_S
 from thistleusher.proxy import decisions as decided
 from thistleusher.proxy.cluster_view import VERDICT_S, ClusterView, ToRegistry, Verdict
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.registry import charges
-from thistleusher.registry.charges import ChargeLedger
-from thistleusher.registry.counts import Counts
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.registry.charges import ChargeTable
+from thistleusher.registry.counts import QuotaCounter
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import Charge, ChargeResult, HeartbeatEcho, ProxyHeartbeat, ProxyStatusReport
 
 RATE = BURST = 10.0
 LIMITS = {"t": (RATE, BURST)}
-ALLOWED = COUNTED * BURST
+ALLOWANCE = COUNTED_PART * BURST
 
 
 def proxy_of(name, incarnation, now):
@@ -27,9 +27,9 @@
 
 
 def counter_of(now, shares=()):
-    counts = Counts(now)
+    counts = QuotaCounter(now)
     counts.follow(LIMITS, dict.fromkeys(shares, 0.1))
-    return ChargeLedger(counts)
+    return ChargeTable(counts)
 
 
 class Fleet:
@@ -76,9 +76,9 @@
 
     def decide(self, name, counted):
         assert self.open.pop(counted.request, None) is self.proxies[name], "an answer for nobody who waits"
-        if counted.verdict == OK:
+        if counted.verdict == ALLOWED:
             self.let_in[counted.request] = self.counters, counted.window
-        if counted.verdict != OK or self.rng.random() < 0.1:  # refused after all: it never ran
+        if counted.verdict != ALLOWED or self.rng.random() < 0.1:  # refused after all: it never ran
             self.let_in.pop(counted.request, None)
             self.give_back(name, counted.request)
 
@@ -149,7 +149,7 @@
         in_window = {}
         for key in self.let_in.values():
             in_window[key] = in_window.get(key, 0) + 1
-        assert all(count <= ALLOWED for count in in_window.values())
+        assert all(count <= ALLOWANCE for count in in_window.values())
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
@@ -208,12 +208,12 @@
     ledger = known(known(counter_of(0.0), incarnation="old"), incarnation="new")
     assert ledger.take(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
     assert not ledger.counts.here(2.1, "p", "old", 2.1)
-    assert ledger.take(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == OK
+    assert ledger.take(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == ALLOWED
 
 
 @pytest.mark.parametrize("amount", [0.0, float("nan"), float("inf"), float("-inf")])
 def test_an_amount_that_is_none_is_refused(amount):
-    with pytest.raises(UnexpectedMessage):
+    with pytest.raises(UnexpectedMessageError):
         known(counter_of(0.0)).take(2.0, "p", Charge("x", 1, "t", amount, -1))
 
 
@@ -222,22 +222,22 @@
     proxy.counter = "c"
     proxy.charge(5.0, decided.Charge("r1", "t", 1))
     proxy.charge(5.0, decided.Charge("r2", "t", 1))
-    assert proxy.from_registry(5.1, "c", ChargeResult("w", 1, OK, 0.5, 3)) == ([], None)
+    assert proxy.from_registry(5.1, "c", ChargeResult("w", 1, ALLOWED, 0.5, 3)) == ([], None)
     (back,) = proxy.charge(5.1, decided.Charge("r1", "t", -1))
     assert back.message == Charge("x", 1, "t", -1, -1)
     assert proxy.charge(5.1, decided.Charge("r1", "t", -1)) == []  # once
-    assert proxy.from_registry(5.2, "c", ChargeResult("x", 1, OK, 0.5, 3)) == ([], None)
-    (verdict,), _ = proxy.from_registry(5.2, "c", ChargeResult("x", 2, OK, 0.5, 3))
+    assert proxy.from_registry(5.2, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)
+    (verdict,), _ = proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3))
     assert verdict.counted.request == "r2"
-    assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, OK, 0.5, 3)) == ([], None)  # it comes again
+    assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3)) == ([], None)  # it comes again
 
 
 def test_a_verdict_that_lay_in_a_socket_lets_nothing_in():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
     proxy.charge(5.0, decided.Charge("r", "t", 1))
-    (verdict,), _ = proxy.from_registry(5.0 + VERDICT_S, "c", ChargeResult("x", 1, OK, 0.5, 3))
-    assert verdict.counted.verdict == OVER and LOST_S < VERDICT_S <= ALONE_S
+    (verdict,), _ = proxy.from_registry(5.0 + VERDICT_S, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3))
+    assert verdict.counted.verdict == OVER_LIMIT and SHARE_DEDUCTED_S < VERDICT_S <= LOCAL_QUOTA_FROM_S
 
 
 def test_an_echo_that_lay_in_a_socket_does_not_name_the_counter():
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -17,9 +17,9 @@
     was_taken,
 )
 from thistleusher.common.configuration import Index, kept_configuration
-from thistleusher.common.failures import ANSWERS, PROMISES, Kind
+from thistleusher.common.errors import NOT_EXECUTED, RESPONSES, ErrorKind
 from thistleusher.common.node_settings import read_node_settings
-from thistleusher.common.record_reader import InvalidTable
+from thistleusher.common.record_reader import InvalidTableError
 from thistleusher.common.validation import read_configuration
 from thistleusher.transport.state_updates import State, Subscriber
 
@@ -261,9 +261,9 @@
 
 
 def test_every_kind_has_an_answer_and_only_promises_promise():
-    assert ANSWERS.keys() == set(Kind)
-    assert all(ANSWERS[k].again_s > 0 for k in PROMISES if ANSWERS[k].status in (429, 503))
-    assert not {Kind.FAILED, Kind.OVERDUE, Kind.FAULT} & PROMISES
+    assert RESPONSES.keys() == set(ErrorKind)
+    assert all(RESPONSES[k].retry_after_s > 0 for k in NOT_EXECUTED if RESPONSES[k].status in (429, 503))
+    assert not {ErrorKind.BACKEND_FAILED, ErrorKind.DEADLINE_EXCEEDED, ErrorKind.INTERNAL_ERROR} & NOT_EXECUTED
 
 
 NAMES = ["r", "r:1", "", 'é"\\', "a/b\n", "route:r", "\U0001f600"]
@@ -341,7 +341,7 @@
         return config.update(kept, changed)
 
     assert follow(7, body())
-    with pytest.raises(InvalidTable):
+    with pytest.raises(InvalidTableError):
         unreadable = {"t1": {"api_keys": 5}}
         follow(8, body(lambda t: t.update(version="00000008", limits={"max_body_bytes": 5}, tenants=unreadable)))
     assert config.index.config == kept_configuration(body()) and config.index.tenant_of("Token k3") == "t2"
--- a/tests/system/test_decisions.py
+++ b/tests/system/test_decisions.py
@@ -6,7 +6,7 @@
 
 from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_timing import ALONE_S, OK, OVER, PROMPT_S
+from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.common.record_reader import record
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
@@ -102,7 +102,7 @@
     rig = Rig()
     name, acts = rig.ask(tenant="t")
     assert [a for a in acts if not isinstance(a, actions.SetTimer)] == [Charge(name, "t", 1)]
-    assert kinds(rig.do(Counted(name, OK, 0.5, 3))) == [actions.Attempt]
+    assert kinds(rig.do(Counted(name, ALLOWED, 0.5, 3))) == [actions.Attempt]
 
 
 def test_one_that_no_region_may_serve_is_refused_at_once_and_not_charged():
@@ -123,7 +123,7 @@
     rig = Rig()
     rig.d.quota.born, rig.d.quota.slack = rig.now, 0.0  # nothing of its own is left
     name, _ = rig.ask(tenant="t")
-    back, refused = [a for a in rig.do(Counted(name, OVER, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
+    back, refused = [a for a in rig.do(Counted(name, OVER_LIMIT, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
     assert back == Charge(name, "t", -1, 3)
     assert isinstance(refused, actions.Refuse) and 0.5 <= refused.retry_in <= 1.0
 
@@ -132,10 +132,10 @@
     rig = Rig()
     rig.d.quota.born, rig.d.quota.slack = rig.now, 0.0  # a standing share that has had no time to fill
     name, _ = rig.ask(tenant="t")
-    assert kinds(rig.do(events.TimerFired(1), PROMPT_S + 0.01)) == []  # no answer, no share: it waits
-    acts = rig.do(events.TimerFired(1), ALONE_S)
+    assert kinds(rig.do(events.TimerFired(1), VERDICT_WAIT_S + 0.01)) == []  # no answer, no share: it waits
+    acts = rig.do(events.TimerFired(1), LOCAL_QUOTA_FROM_S)
     assert kinds(acts) == [Charge, actions.Refuse] and acts[1].retry_in == 0.0  # and is refused, not let in
-    assert kinds(rig.do(Counted(name, OK, 0.5))) == []
+    assert kinds(rig.do(Counted(name, ALLOWED, 0.5))) == []
 
 
 def test_without_a_verdict_the_standing_share_decides():
@@ -143,9 +143,9 @@
     rig.now += 10.0
     rig.d.quota.echoed(rig.now, "c", rig.now - 0.1, 5.0, 0.5)
     name, _ = rig.ask(tenant="t")
-    acts = rig.do(events.TimerFired(1), PROMPT_S + 0.01)
+    acts = rig.do(events.TimerFired(1), VERDICT_WAIT_S + 0.01)
     assert kinds(acts) == [Charge, actions.Attempt] and acts[0] == Charge(name, "t", -1)  # it needs its charge no more
-    assert kinds(rig.do(Counted(name, OVER, 0.5))) == []
+    assert kinds(rig.do(Counted(name, OVER_LIMIT, 0.5))) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_knowledge.py
+++ b/tests/system/test_knowledge.py
@@ -13,7 +13,7 @@
 from thistleusher.registry import program as registry_program
 from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import LACKS_S
 from thistleusher.transport.messages import (
     CoreInfo,
@@ -92,7 +92,7 @@
         lambda: knowledge.from_control(1.0, KeepAlive()),
         lambda: knowledge.from_registry(1.0, "c", KeepAlive()),
     ):
-        with pytest.raises(UnexpectedMessage):
+        with pytest.raises(UnexpectedMessageError):
             take()
     heard = []
     beats = Heartbeats(lambda beat, ip: heard.append((beat, ip)))
--- a/tests/system/test_links.py
+++ b/tests/system/test_links.py
@@ -8,10 +8,10 @@
 import pytest
 
 from thistleusher.transport import links
-from thistleusher.transport.codec import COMPRESSED, Deframer, MalformedMessage, frame
+from thistleusher.transport.codec import COMPRESSED, Deframer, MalformedMessageError, frame
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Listener, ReconnectingLink
 from thistleusher.transport.messages import CoreInfo, Hello, KeepAlive, Message, StateUpdate, StateUpdateAck
 
 
@@ -25,7 +25,7 @@
         await listener.listen("127.0.0.1", 0)
         port = listener.server.sockets[0].getsockname()[1]
         listener.close()
-        dial = Dial(loop, "127.0.0.1", port, lambda: Hello("x"), lambda dial, message: None)
+        dial = ReconnectingLink(loop, "127.0.0.1", port, lambda: Hello("x"), lambda dial, message: None)
         while dial.opening is None or not dial.opening.done():  # refused: nobody listens there
             await asyncio.sleep(0)
         await listener.listen("127.0.0.1", port)
@@ -73,7 +73,7 @@
 
     def take(link, message):
         if not isinstance(message, Hello):
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         came.append(message)
 
     async def play() -> bytes:
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("body", [b"no such stream", zlib.compress(b"x" * 2000)[:-5], zlib.compress(b"x" * 2000)])
 def test_what_expands_to_no_message_is_refused(body):
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         list(Deframer().feed(struct.pack(">I", len(body) | COMPRESSED) + body))
 
 
@@ -135,7 +135,7 @@
             raise asyncio.CancelledError
 
         loop.create_connection = stands_and_is_cancelled
-        dial = Dial(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda dial, message: None)
+        dial = ReconnectingLink(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda dial, message: None)
         while not links_made:
             await asyncio.sleep(0)
         dial.close()
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -6,9 +6,16 @@
 import pytest
 
 from simnet.clock import Clock
-from thistleusher.common.quota_timing import ALONE, ALONE_S, HERE_S, LOST_S, OVER, PROMPT_S
+from thistleusher.common.quota_timing import (
+    DECIDE_LOCALLY,
+    HEARTBEAT_S,
+    LOCAL_QUOTA_FROM_S,
+    OVER_LIMIT,
+    SHARE_DEDUCTED_S,
+    VERDICT_WAIT_S,
+)
 from thistleusher.proxy.quota import Quota
-from thistleusher.registry.counts import Counts
+from thistleusher.registry.counts import QuotaCounter
 
 RATE = BURST = 100.0
 SLACK = 20.0
@@ -42,7 +49,7 @@
 
     def take_over(self):
         self.term += 1
-        self.counter = Counts(self.clock.now)
+        self.counter = QuotaCounter(self.clock.now)
         self.counter.follow({"t": (RATE, BURST)}, self.shares)
 
     def keep(self):
@@ -68,7 +75,7 @@
         ingress = self.ingresses[name]
         at, echo, life, term = self.clock.now, ingress.quota.echo, ingress.life, self.term
         self.way(name, "c", lambda: there(ingress, life, at, echo, term))
-        self.clock.later(HERE_S, lambda: self.beat(name))
+        self.clock.later(HEARTBEAT_S, lambda: self.beat(name))
 
     def request(self, name):
         ingress = self.ingresses[name]
@@ -79,14 +86,14 @@
                 return
             state["open"] = False
             now = self.clock.now
-            if verdict == ALONE:
+            if verdict == DECIDE_LOCALLY:
                 ingress.quota.uncounted(now, "t", left)
             else:
                 ingress.quota.counted("t")
-            if verdict in (ALONE, OVER):
+            if verdict in (DECIDE_LOCALLY, OVER_LIMIT):
                 if ingress.quota.spend(now, "t"):
                     self.let_in.append(now)
-                if verdict == OVER:
+                if verdict == OVER_LIMIT:
                     self.way(name, "c", lambda: self.give_back(name, number))
             else:
                 self.let_in.append(now)
@@ -102,8 +109,8 @@
                 self.let_in.append(self.clock.now)
 
         self.way(name, "c", there)
-        self.clock.later(PROMPT_S, prompt)
-        self.clock.later(max(PROMPT_S, ALONE_S), prompt)
+        self.clock.later(VERDICT_WAIT_S, prompt)
+        self.clock.later(max(VERDICT_WAIT_S, LOCAL_QUOTA_FROM_S), prompt)
         self.clock.later(self.rng.expovariate(1 / self.gap), lambda: self.request(name))
 
     def give_back(self, name, number):
@@ -195,10 +202,10 @@
 
 
 def test_what_is_given_back_late_makes_no_room_in_the_next_window():
-    counts = Counts(0.0)
+    counts = QuotaCounter(0.0)
     counts.follow({"t": (10.0, 10.0)}, {"i": 0.1})
     counts.here(0.1, "i", "x", 0.1)
-    assert counts.add(0.5, "i", "t", 1)[0] == ALONE  # no window has begun yet
+    assert counts.add(0.5, "i", "t", 1)[0] == DECIDE_LOCALLY  # no window has begun yet
     counts.here(0.9, "i", "x", 0.9)
     counts.ingresses["i"].since = 0.1
     number = counts.add(1.0, "i", "t", 1)[2]
@@ -215,12 +222,14 @@
 
 
 def test_a_share_that_may_be_spent_elsewhere_is_off_the_count_first():
-    assert LOST_S + 0.25 <= ALONE_S
-    counts = Counts(0.0)
+    assert SHARE_DEDUCTED_S + 0.25 <= LOCAL_QUOTA_FROM_S
+    counts = QuotaCounter(0.0)
     counts.follow({"t": (10.0, 10.0)}, {"i": 0.3, "j": 0.3})
     for name in "ij":
         counts.here(1.0, name, "x", 1.0)
     assert counts.part(1.1, 1.05) == 1.0
     counts.here(1.6, "j", "x", 1.6)
-    assert counts.part(1.0 + LOST_S, 1.05) == pytest.approx(0.4)  # j was out of touch for a while, and counts anew
+    assert counts.part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(
+        0.4
+    )  # j was out of touch for a while, and counts anew
     assert counts.part(1.7, 1.65) == pytest.approx(0.7)
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from thistleusher.registry.instances import EMPTY, Garbage, Survey
+from thistleusher.registry.instances import EMPTY, BackendPoller, Garbage
 from thistleusher.registry.members import ALONE_S, SILENT_S, Members
 from thistleusher.registry.registry import Call, Registry, Tell, ToControl
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import LACKS_S, HeartbeatRing
 from thistleusher.transport.heartbeat_ring import SILENT_S as RING_S
 from thistleusher.transport.messages import (
@@ -52,7 +52,7 @@
 
 
 def test_a_backend_that_drains_on_page_two_is_found():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, changes = read(survey, 0.0, page(entry(1), entry(2), token="p-50"), page(entry(3)))
     assert changes.keys() == {"i1", "i2", "i3"}
     now, changes = read(survey, now + 1, page(entry(1), entry(2), token="p-50"), page(entry(3, "draining")))
@@ -62,7 +62,7 @@
 
 
 def test_the_second_page_is_asked_for_by_its_token():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     assert survey.due(0.0) == "/instances"
     survey.page(0.0, page(entry(1), token="p 50"))
     assert survey.due(0.0) is None and survey.due(0.1) == "/instances?page_token=p%2050"
@@ -82,7 +82,7 @@
     ],
 )
 def test_garbage_leaves_the_list_as_it_was(body):
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, _ = read(survey, 0.0, page(entry(1), entry(2)))
     while survey.due(now) is None:
         now += 0.05
@@ -94,7 +94,7 @@
 
 
 def test_half_a_list_is_no_list():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, _ = read(survey, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(survey, now + 1, page(entry(1), token="p"))
     survey.due(now + 1)
@@ -104,7 +104,7 @@
 
 
 def test_an_empty_list_is_believed_only_after_some_readings():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, _ = read(survey, 0.0, page(entry(1)))
     for n in range(EMPTY):
         now, changes = read(survey, now + 1, page())
@@ -113,7 +113,7 @@
 
 
 def test_calls_stay_below_the_platforms_bound_and_back_off_after_a_429():
-    survey, calls, now = Survey(0.0, 4.0), 0, 0.0
+    survey, calls, now = BackendPoller(0.0, 4.0), 0, 0.0
     while now < 10.0:
         if survey.due(now) is not None:
             calls += 1
@@ -126,7 +126,7 @@
 
 
 def test_a_cold_backend_is_told_of_once_and_again_when_it_is_warm():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, changes = read(survey, 0.0, page(entry(1, cold=3000)))
     assert changes["i1"]["cold"] == 3000
     now, changes = read(survey, now + 1.0, page(entry(1, cold=2000)))
@@ -250,7 +250,7 @@
         lambda m: registry.from_control(10.1, "1", m),
         lambda m: registry.from_peer(10.1, m),
     ):
-        with pytest.raises(UnexpectedMessage):
+        with pytest.raises(UnexpectedMessageError):
             take(KeepAlive())
 
 
--- a/thistleusher/common/launcher.py
+++ b/thistleusher/common/launcher.py
@@ -10,7 +10,7 @@
 import uvloop
 from absl import logging
 
-from thistleusher.common.process import Settings
+from thistleusher.common.process import SettingsFile
 
 
 def start(program: str, path: Path | None = None, verbose: bool = False) -> int:
@@ -18,7 +18,7 @@
     logging.use_absl_handler()
     logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
     try:
-        settings = Settings(path)
+        settings = SettingsFile(path)
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
         return 2
--- a/thistleusher/common/node_settings.py
+++ b/thistleusher/common/node_settings.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from thistleusher.common.record_reader import InvalidTable, record
+from thistleusher.common.record_reader import InvalidTableError, record
 from thistleusher.services.wire import read_address
 
 VARIABLE = "THISTLEUSHER_NODE_FILE"
@@ -21,7 +21,7 @@
 CONTROL, REGISTRY, PROXY, RING = range(4)  # ports by their place in the range: what is handed over, beats by UDP
 
 
-class InvalidSetting(ValueError):
+class InvalidSettingError(ValueError):
     """One field of a settings file that cannot be used: which, what was found, what was expected."""
 
 
@@ -129,7 +129,7 @@
             continue
         name, sep, value = line.partition("=")
         if not sep:
-            raise InvalidSetting(f"line {number}: expected name=value, found {line[:60]!r}")
+            raise InvalidSettingError(f"line {number}: expected name=value, found {line[:60]!r}")
         name = name.strip()
         if name in LISTS:
             parts = [part.strip() for part in value.split(",") if part.strip()]
@@ -141,7 +141,7 @@
         for step in path:
             inner = table.setdefault(step, {})
             if not isinstance(inner, dict):
-                raise InvalidSetting(f"line {number}: {step} is both a value and a table")
+                raise InvalidSettingError(f"line {number}: {step} is both a value and a table")
             table = inner
         table[last] = read
     return tables
@@ -190,15 +190,15 @@
     """A settings file's text as a record. ExceptionGroup of `BadSetting` with all that is wrong."""
     try:
         boot = record(NodeSettings, nested(text))
-    except InvalidSetting as error:
+    except InvalidSettingError as error:
         raise ExceptionGroup("settings", [error]) from None
-    except InvalidTable:
+    except InvalidTableError:
         from thistleusher.common.validation import (
             explain_node_settings,  # takes a while to load, and is not needed otherwise
         )
 
         raise ExceptionGroup("settings", explain_node_settings(nested(text))) from None
-    wrong = [InvalidSetting(text) for text in faults_of(boot)]
+    wrong = [InvalidSettingError(text) for text in faults_of(boot)]
     if wrong:
         raise ExceptionGroup("settings", wrong)
     return boot
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -17,7 +17,7 @@
 LOOK_S = 1.0  # between looks at the settings file, which may change without a signal
 
 
-class Settings:
+class SettingsFile:
     """The settings file, followed."""
 
     def __init__(self, path: Path | None = None) -> None:
@@ -46,7 +46,7 @@
 
 async def serve(
     name: str,
-    settings: Settings,
+    settings: SettingsFile,
     tick: Callable[[], object],
     changed: Callable[[], object],
     leave: Callable[[], Awaitable[object]],
--- a/thistleusher/common/record_reader.py
+++ b/thistleusher/common/record_reader.py
@@ -19,7 +19,7 @@
 FALSE = ("false", "0", "no", "off", "f", "n")
 
 
-class InvalidTable(ValueError):
+class InvalidTableError(ValueError):
     """A field that is missing or cannot be read as what its record names: where, and what was found."""
 
 
@@ -93,11 +93,11 @@
     def guarded(found: Any, where: str) -> Any:
         try:
             return read(found, where)
-        except InvalidTable:
+        except InvalidTableError:
             raise
         except (ValueError, TypeError, AttributeError, OverflowError):
             expected = getattr(kind, "__name__", kind)
-            raise InvalidTable(f"{where}: expected {expected}, found {str(found)[:60]!r}") from None
+            raise InvalidTableError(f"{where}: expected {expected}, found {str(found)[:60]!r}") from None
 
     return guarded
 
@@ -163,7 +163,7 @@
 def _refuse_lacking(kind: Any, values: Mapping[str, Any], where: str) -> None:
     lacking = [name for name in kind._fields if name not in values and name not in kind._field_defaults]
     if lacking:
-        raise InvalidTable(f"{where or 'table'}: {', '.join(lacking)} missing")
+        raise InvalidTableError(f"{where or 'table'}: {', '.join(lacking)} missing")
 
 
 def _listed(found: Any) -> Any:
--- a/thistleusher/common/validation.py
+++ b/thistleusher/common/validation.py
@@ -19,7 +19,7 @@
 
 from thistleusher.common.config_items import canonical
 from thistleusher.common.configuration import Configuration, Route, Service, Tenant
-from thistleusher.common.node_settings import InvalidSetting, NodeSettings
+from thistleusher.common.node_settings import InvalidSettingError, NodeSettings
 from thistleusher.common.record_reader import known
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
@@ -30,16 +30,16 @@
 CONFIGURATION: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
 
 
-class InvalidConfiguration(ValueError):
+class InvalidConfigurationError(ValueError):
     """One fault of a configuration: where, what was found, what was expected."""
 
 
-def explain_node_settings(table: dict[str, Any]) -> list[InvalidSetting]:
+def explain_node_settings(table: dict[str, Any]) -> list[InvalidSettingError]:
     """What is wrong with the table of a settings file, by field."""
     try:
         BOOT.validate_python(known(NodeSettings, table))
     except ValidationError as error:
-        return [InvalidSetting(line) for line in _lines(error, "file")]
+        return [InvalidSettingError(line) for line in _lines(error, "file")]
     return []
 
 
@@ -80,7 +80,7 @@
     try:
         value = json.loads(body, object_pairs_hook=table, parse_float=number, parse_constant=number)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("configuration", [InvalidConfiguration(f"body: no JSON: {error}")]) from None
+        raise ExceptionGroup("configuration", [InvalidConfigurationError(f"body: no JSON: {error}")]) from None
     return ReadJson(value, faults)
 
 
@@ -104,8 +104,8 @@
     return config
 
 
-def _refusal(faults: Iterable[str]) -> ExceptionGroup[InvalidConfiguration]:
-    return ExceptionGroup("configuration", [InvalidConfiguration(text) for text in faults])
+def _refusal(faults: Iterable[str]) -> ExceptionGroup[InvalidConfigurationError]:
+    return ExceptionGroup("configuration", [InvalidConfigurationError(text) for text in faults])
 
 
 def _not_writable(value: Any) -> Iterable[str]:
--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.context import Context
 from thistleusher.control.interface import Call, Change
 from thistleusher.control.timing import HOLD_S
@@ -34,11 +34,11 @@
 
     def send_on(self, leader: str) -> None:
         """All callers go to the machine that leads."""
-        self._answer_all(Failure(Kind.ELSEWHERE, where=leader))
+        self._answer_all(ServiceError(ErrorKind.REDIRECTED, where=leader))
 
     def end(self) -> None:
         """This process ends."""
-        self._answer_all(Failure(Kind.ENDING))
+        self._answer_all(ServiceError(ErrorKind.SHUTTING_DOWN))
 
     def expire(self) -> None:
         """Those that have waited too long are refused."""
@@ -46,8 +46,8 @@
         if late:
             self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
         for call in late:
-            self._context.answer(call.call_id, Failure(Kind.NO_LEADER))
+            self._context.answer(call.call_id, ServiceError(ErrorKind.NO_LEADER))
 
-    def _answer_all(self, failure: Failure) -> None:
+    def _answer_all(self, failure: ServiceError) -> None:
         while self._waiting:
             self._context.answer(self._waiting.popleft().call_id, failure)
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -9,8 +9,8 @@
 
 from functools import partial
 
+from thistleusher.common.errors import ServiceError
 from thistleusher.common.events import Event
-from thistleusher.common.failures import Failure
 from thistleusher.control import membership
 from thistleusher.control.calls import Calls
 from thistleusher.control.context import Context
@@ -362,7 +362,7 @@
                 self._context.answer(call.call_id, call.answer(state))
             else:
                 self._serve_change(leadership, call.change(state) if isinstance(call, DeferredChange) else call)
-        except Failure as failure:
+        except ServiceError as failure:
             self._context.answer(call.call_id, failure)
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -33,7 +33,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.calls import Calls
 from thistleusher.control.context import Context
 from thistleusher.control.durable import Durable
@@ -167,7 +167,7 @@
         """A call from outside; its `Answer` comes now, or within about `HOLD_S` where nobody leads."""
         self._context.advance(now)
         if self._role.stopping:
-            self._context.answer(call.call_id, Failure(Kind.ENDING))
+            self._context.answer(call.call_id, ServiceError(ErrorKind.SHUTTING_DOWN))
         else:
             self._calls.add(call)
             self._leading.serve()
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -37,7 +37,7 @@
     split,
     was_taken,
 )
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.interface import Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
@@ -124,7 +124,7 @@
             order = parse(document, state)
         except ExceptionGroup as group:
             faults = "; ".join(str(error) for error in group.exceptions)
-            raise Failure(Kind.INVALID, faults[:MOST_REASON]) from None
+            raise ServiceError(ErrorKind.INVALID_CONFIGURATION, faults[:MOST_REASON]) from None
         made = replace(call, order)
         return made._replace(description=f"{made.description}, {standing(state, order).value}")
 
@@ -142,7 +142,7 @@
     The item's `n` counts the changes, so that each return of a zone is seen.
     """
     if not zone or "/" in zone or len(zone.encode("utf-8", "replace")) > MOST_ZONE_BYTES:
-        raise Failure(Kind.INVALID, f"no such zone: {zone[:60]!r}")
+        raise ServiceError(ErrorKind.INVALID_CONFIGURATION, f"no such zone: {zone[:60]!r}")
     name = f"evac:{zone}"
 
     def is_redundant(state: State) -> bool:
@@ -159,8 +159,8 @@
 def read(call: int) -> Read:
     """The document of the configuration in force; Failure(NO_LEADER) where there is none."""
 
-    def answer(state: State) -> bytes | Failure:
+    def answer(state: State) -> bytes | ServiceError:
         document = assemble(state)
-        return document if document is not None else Failure(Kind.NO_LEADER, "no configuration yet")
+        return document if document is not None else ServiceError(ErrorKind.NO_LEADER, "no configuration yet")
 
     return Read(call, answer)
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.common.events import log_event
-from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.node_settings import CONTROL
-from thistleusher.common.process import Settings, serve
+from thistleusher.common.process import SettingsFile, serve
 from thistleusher.control import orders
 from thistleusher.control.interface import Answer, Call, LogEvent, Send, SendToClient, ServiceOutput, Write
 from thistleusher.control.leases import LeaseGrantor
@@ -35,7 +35,7 @@
     ReadConfiguration,
     ReplaceConfiguration,
 )
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, Hello
 
 BODY_MOST = 64 * 1024 * 1024
@@ -50,7 +50,7 @@
 class ControlProgram:
     """One process on a core machine."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
         boot = self.boot = settings.boot
         self.loop = asyncio.get_running_loop()
@@ -61,7 +61,7 @@
             boot.ip, boot.zone, boot.core_ips, boot.bootstrap, stored, now, random.Random(), boot.tolerance.machines
         )
         self.service = ControlService(node, LeaseGrantor(now, stored.leases))
-        self.dials: dict[str, Dial] = {}
+        self.dials: dict[str, ReconnectingLink] = {}
         self.links: dict[str, Link] = {}  # those that came, by name
         self.listener = Listener(self.loop, self._heard, self._gone)
         self.api = CallServer(self.loop, self._handlers(), Bounds(body=BODY_MOST, slow=10.0, idle=30.0))
@@ -111,8 +111,8 @@
                 self.dials[ip] = self._dial(ip)
         self._carry(self.service.tick(time.monotonic()))
 
-    def _dial(self, ip: str) -> Dial:
-        return Dial(self.loop, ip, self.boot.port(CONTROL), lambda: self._hello(ip), self._from_dial)
+    def _dial(self, ip: str) -> ReconnectingLink:
+        return ReconnectingLink(self.loop, ip, self.boot.port(CONTROL), lambda: self._hello(ip), self._from_dial)
 
     def _hello(self, ip: str) -> Hello:
         self.loop.call_soon(lambda: self._carry(self.service.connected(time.monotonic(), ip)))
@@ -120,7 +120,7 @@
 
     # Messages.
 
-    def _from_dial(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_dial(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         """Nothing comes back on a connection that this side opened: each opens its own."""
 
     def _heard(self, link: Link, message: AnyMessage) -> None:
@@ -176,10 +176,10 @@
         """What a leader says of an order or its state counts only while its lease stands as the answer leaves."""
 
         def tell(answer: Any) -> None:
-            if isinstance(answer, Failure) and answer.kind is Kind.ELSEWHERE:
-                answer = Failure(Kind.ELSEWHERE, where=f"{answer.where}:{self.control_port}")
+            if isinstance(answer, ServiceError) and answer.kind is ErrorKind.REDIRECTED:
+                answer = ServiceError(ErrorKind.REDIRECTED, where=f"{answer.where}:{self.control_port}")
             elif self._rests_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
-                answer = Failure(Kind.NO_LEADER)
+                answer = ServiceError(ErrorKind.NO_LEADER)
             done(Kept() if answer is None else answer)
 
         return tell
@@ -187,7 +187,9 @@
     @staticmethod
     def _rests_on_lease(answer: Any) -> bool:
         """What is kept stays kept; a refusal for good or a document may be out of date."""
-        return isinstance(answer, bytes) or (isinstance(answer, Failure) and answer.kind is Kind.INVALID)
+        return isinstance(answer, bytes) or (
+            isinstance(answer, ServiceError) and answer.kind is ErrorKind.INVALID_CONFIGURATION
+        )
 
     def replace(self, call: ReplaceConfiguration, done: Done) -> None:
         """Checked whole before anything else, by the leader; INVALID with all faults in one line."""
@@ -206,6 +208,6 @@
         self._call(lambda number: orders.evacuate_unread(number, zone, begin), done)
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """What `python -m thistleusher.system control` runs."""
     await ControlProgram(settings).run()
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Callable, Iterable
 
-from thistleusher.common.failures import Failure
+from thistleusher.common.errors import ServiceError
 from thistleusher.control.interface import (
     Answer,
     Call,
@@ -184,7 +184,7 @@
                     out += self._news(self.publisher.tell())
             elif isinstance(each, Answer) and each.call_id in self._keeping:
                 tell = self._keeping.pop(each.call_id)
-                kept = not isinstance(each.answer, Failure)
+                kept = not isinstance(each.answer, ServiceError)
                 out.append(SendToClient(tell.name, ItemsPersisted(_request_of(tell), kept)))
             else:
                 out.append(each)
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -16,13 +16,13 @@
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
-from thistleusher.common.quota_timing import ALONE_S, OVER
+from thistleusher.common.quota_timing import LOCAL_QUOTA_FROM_S, OVER_LIMIT
 from thistleusher.proxy import decisions as decided
 from thistleusher.proxy.decisions import Counted, Decisions
 from thistleusher.proxy.placement import Place
 from thistleusher.services.wire import Address, read_address
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import HeartbeatRing
 from thistleusher.transport.messages import (
     AnyMessage,
@@ -41,7 +41,7 @@
 from thistleusher.transport.state_updates import Subscriber
 
 MOST_CHARGES = 20_000  # that are remembered; one that is forgotten gets no answer and is not given back
-VERDICT_S = ALONE_S  # after a charge was sent, from which its verdict is too old to be used
+VERDICT_S = LOCAL_QUOTA_FROM_S  # after a charge was sent, from which its verdict is too old to be used
 
 
 class ToRegistry(NamedTuple):
@@ -229,7 +229,7 @@
             if self.core.learn(message):
                 self.out.append(Core(message.voters))
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def _control_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
@@ -264,7 +264,7 @@
         elif isinstance(message, StateUpdate):
             reply = self._list_news(now, message)
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def charge(self, now: float, action: decided.Charge) -> list[Output]:
@@ -299,7 +299,7 @@
         if charge is None:
             return
         if now - charge.sent >= VERDICT_S:
-            counted = Counted(charge.request, OVER, 0.0, result.window)
+            counted = Counted(charge.request, OVER_LIMIT, 0.0, result.window)
         else:
             counted = Counted(charge.request, result.verdict, result.seconds, result.window)
         self.out.append(Verdict(counted))
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -19,7 +19,7 @@
 
 from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_timing import ALONE, OVER, PROMPT_S
+from thistleusher.common.quota_timing import DECIDE_LOCALLY, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
@@ -283,12 +283,12 @@
         if flight is None or flight.counted or flight.tenant is None:
             return  # its client has left, or its own share has let it in: the charge was given back
         flight.window = e.window
-        if e.verdict == ALONE:
+        if e.verdict == DECIDE_LOCALLY:
             self.quota.uncounted(now, flight.tenant, e.left)
             self._alone(now, flight)
             return
         self.quota.counted(flight.tenant)
-        if e.verdict == OVER:
+        if e.verdict == OVER_LIMIT:
             self._alone(now, flight, e.left + AGAIN_S + 0.2 * self.rng.random())
         else:
             self._let_in(now, flight)
@@ -434,7 +434,7 @@
             elif alone:
                 del self.counting[name]
                 self._alone(now, flight)
-            elif now - since < PROMPT_S:
+            elif now - since < VERDICT_WAIT_S:
                 break  # they stand in the order in which they came
             elif self.quota.spend(now, flight.tenant):
                 del self.counting[name]
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from thistleusher.common.configuration import Index
-from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
+from thistleusher.common.errors import RESPONSES, ErrorKind, ServiceError, retry_after_header
 from thistleusher.core import actions, events
 from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
@@ -46,11 +46,11 @@
 LAST_S = 0.5  # kept of the time before a kill
 SHORT_S = 0.05
 KINDS = {
-    Verdict.OVER_QUOTA: Kind.OVER_QUOTA,
-    Verdict.NO_ROOM: Kind.NO_ROOM,
-    Verdict.FAILED: Kind.FAILED,
-    Verdict.FAULT: Kind.FAULT,
-    Verdict.INVALID: Kind.MALFORMED,
+    Verdict.OVER_QUOTA: ErrorKind.QUOTA_EXCEEDED,
+    Verdict.NO_ROOM: ErrorKind.NO_CAPACITY,
+    Verdict.FAILED: ErrorKind.BACKEND_FAILED,
+    Verdict.FAULT: ErrorKind.INTERNAL_ERROR,
+    Verdict.INVALID: ErrorKind.MALFORMED,
 }
 
 
@@ -175,7 +175,7 @@
             reply(answer.status, lines_of(answer), answer.body)
             return
         kind = KINDS[verdict]
-        reply(ANSWERS[kind].status, header_of(kind, final.retry_in or None), b"")
+        reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
     def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
         """One attempt. It is not sent if its client has gone, its time is up, or its backend may not be sent to any
@@ -239,17 +239,17 @@
     def read(self, came: ClientConnection) -> Any:
         """The call that a request is, or its early answer."""
         if came.crowded:
-            return refusal(Failure(Kind.CROWDED))
+            return refusal(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         index = self.index
         if index is None or not self.known:
-            return refusal(Failure(Kind.STARTING))
+            return refusal(ServiceError(ErrorKind.STARTING))
         values: dict[bytes, bytes] = {}
         passed = []
         named = b""
         for name, value in came.headers:
             key = name.lower()
             if key in ONCE and key in values:
-                return refusal(Failure(Kind.MALFORMED, f"{key.decode()}: more than one"))._replace(ends=True)
+                return refusal(ServiceError(ErrorKind.MALFORMED, f"{key.decode()}: more than one"))._replace(ends=True)
             values[key] = value
             if key == b"connection":
                 named = value
@@ -260,16 +260,16 @@
             passed = [(key, line) for key, line in passed if key not in dropped]
         call_id = values.get(ATTEMPT, b"").decode("latin-1")
         if not call_id:
-            return refusal(Failure(Kind.MALFORMED, "x-attempt-id: missing"))
+            return refusal(ServiceError(ErrorKind.MALFORMED, "x-attempt-id: missing"))
         path = came.url.partition(b"?")[0].decode("latin-1")
         found = index.find(values.get(b"host", b"").decode("latin-1"), path)
         if found is None:
-            return refusal(Failure(Kind.NO_ROUTE))
+            return refusal(ServiceError(ErrorKind.NO_ROUTE))
         tenant = None
         if not found.route.public and index.config.tenants:
             tenant = index.tenant_of(values.get(b"authorization", b"").decode("latin-1"))
             if tenant is None:
-                return refusal(Failure(Kind.NO_KEY))
+                return refusal(ServiceError(ErrorKind.UNKNOWN_KEY))
         left = found.route.deadline_ms / 1000
         told = values.get(b"x-deadline-ms", b"")
         if told.isdigit():
@@ -280,10 +280,10 @@
             self.farewell.came(now)
             rest = self.farewell.left(now)
             if rest <= SHORT_S:
-                return refusal(Failure(Kind.ENDING))
+                return refusal(ServiceError(ErrorKind.SHUTTING_DOWN))
             left = min(left, rest)
         if left <= 0:
-            return refusal(Failure(Kind.NO_ROOM))
+            return refusal(ServiceError(ErrorKind.NO_CAPACITY))
         method = came.parser.get_method()
         request = events.Request(call_id, found.name, PLAN, 0, left, 1.0)
         framed = bool(came.body) or method not in BARE or b"content-length" in values
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import Any, cast
 
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.common.events import Event, log_event
-from thistleusher.common.failures import Failure, Kind
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import Settings, new_incarnation, serve
+from thistleusher.common.process import SettingsFile, new_incarnation, serve
 from thistleusher.common.process_start import BORN
 from thistleusher.net.server import Bounds
 from thistleusher.net.upstream import Endpoint, Terms, Upstream
@@ -36,10 +36,10 @@
 from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.services.wire import read_address
 from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
-from thistleusher.transport.codec import MalformedMessage, decode, encode
+from thistleusher.transport.codec import MalformedMessageError, decode, encode
 from thistleusher.transport.core_links import CoreLinks
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
 CONNECT_S = 0.6  # to a backend of another region
@@ -68,7 +68,7 @@
         """What is no beat of the ring is dropped: a datagram is nobody's promise."""
         try:
             message = decode(data)
-        except MalformedMessage:
+        except MalformedMessageError:
             return
         if isinstance(message, RingHeartbeat):
             self.heard(message, addr[0])
@@ -85,7 +85,7 @@
 class ProxyProgram:
     """One process on a front machine."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
         boot = self.boot = settings.boot
         loop = self.loop = asyncio.get_running_loop()
@@ -210,13 +210,13 @@
             else:
                 log_event(out.event, *out.fields)
 
-    def _from_control(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.knowledge.from_control(time.monotonic(), message)
         self._carry(outputs)
         if reply is not None:  # only what is in force here is acknowledged
             dial.send(reply)
 
-    def _from_registry(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_registry(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.knowledge.from_registry(time.monotonic(), dial.host, message)
         self._carry(outputs)
         if reply is not None:
@@ -255,7 +255,7 @@
 
     def _handed(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         self._carry(self.knowledge.handed(time.monotonic(), message))
         link.send(HandOverAccepted())
 
@@ -263,7 +263,7 @@
 
     def ready(self, call: Readiness, done: Callable[[Any], None]) -> None:
         """The platform's check."""
-        done(Ready() if self.is_ready() else Failure(Kind.STARTING))
+        done(Ready() if self.is_ready() else ServiceError(ErrorKind.STARTING))
 
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
         """Where a client should go."""
@@ -272,9 +272,13 @@
         if me is not None:
             members[self.boot.node_name] = {**me, "up": self.is_ready()}
         found = addresses(members, self.knowledge.ring.silent(time.monotonic()), call.region, call.zone)
-        done(Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s)) if found else Failure(Kind.STARTING))
+        done(
+            Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s))
+            if found
+            else ServiceError(ErrorKind.STARTING)
+        )
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """What `python -m thistleusher.system proxy` runs."""
     await ProxyProgram(settings).run()
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -18,7 +18,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from thistleusher.common.quota_timing import ALONE_S, BEGIN, COUNTED, HERE_S, MISSED_S, SHARE_S, STANDING, TOLD_S
+from thistleusher.common.quota_timing import (
+    COUNTED_PART,
+    ECHO_MISSED_S,
+    HEARTBEAT_S,
+    LOCAL_QUOTA_FROM_S,
+    LOCAL_QUOTA_UNTIL_S,
+    STANDING_PART,
+    STARTUP_SLACK_PART,
+    STATUS_REPORT_S,
+)
 
 
 @dataclass(slots=True)
@@ -64,12 +73,12 @@
 
     def beat(self, now: float) -> tuple[bool, bool]:
         """Whether a beat to the counter is due; and whether to all registries, in full."""
-        full = now >= self.next_full or (now >= self.next_beat and now - self.asked > MISSED_S)
+        full = now >= self.next_full or (now >= self.next_beat and now - self.asked > ECHO_MISSED_S)
         if not full and now < self.next_beat:
             return False, False
-        self.next_beat = now + HERE_S
+        self.next_beat = now + HEARTBEAT_S
         if full:
-            self.next_full = now + TOLD_S
+            self.next_full = now + STATUS_REPORT_S
         return True, full
 
     def echoed(self, now: float, by: str, sent: float, their: float, share: float) -> bool:
@@ -78,14 +87,14 @@
         One that is as old as `ALONE_S` does not: it may have lain here while this process stood still. Nor does one
         of an older beat than the newest that was echoed: it may be a former counter's.
         """
-        if now - sent >= ALONE_S or sent < self.asked:
+        if now - sent >= LOCAL_QUOTA_FROM_S or sent < self.asked:
             return False
         self.echo, self.share, self.asked = (by, their), share, sent
         return True
 
     def alone(self, now: float) -> bool:
         """Whether the counter has been silent for so long that this ingress's share of the counted part is its own."""
-        return now - self.asked >= ALONE_S
+        return now - self.asked >= LOCAL_QUOTA_FROM_S
 
     def counted(self, tenant: str) -> None:
         """The counter counts this ingress's requests of a tenant in the present window."""
@@ -100,14 +109,14 @@
         rate, burst = self.limits.get(tenant, (0.0, 0.0))
         if rate <= 0:
             return True
-        if self.share <= 0 or now > self.asked + SHARE_S:
+        if self.share <= 0 or now > self.asked + LOCAL_QUOTA_UNTIL_S:
             return False
         if self.alone(now):
-            self.apart.setdefault(tenant, Store(0.0, self.asked + ALONE_S))
+            self.apart.setdefault(tenant, Store(0.0, self.asked + LOCAL_QUOTA_FROM_S))
         stores = []
-        for kept, part in ((self.apart, COUNTED), (self.standing, STANDING)):
+        for kept, part in ((self.apart, COUNTED_PART), (self.standing, STANDING_PART)):
             if kept is self.standing and tenant not in kept:
-                kept[tenant] = Store(min(1.0, self.share * self.slack * BEGIN), self.born)
+                kept[tenant] = Store(min(1.0, self.share * self.slack * STARTUP_SLACK_PART), self.born)
             if (store := kept.get(tenant)) is not None:
                 store.fill(now, part * self.share * rate, max(1.0, part * self.share * burst))
                 stores.append(store)
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -12,9 +12,9 @@
 
 import math
 
-from thistleusher.common.quota_timing import ALONE
-from thistleusher.registry.counts import NO_WINDOW, Count, Counts
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.common.quota_timing import DECIDE_LOCALLY
+from thistleusher.registry.counts import NO_WINDOW, CountResult, QuotaCounter
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import Charge, ChargeResult
 
 REMEMBERED = 256  # charges of a sender's life; what comes later than so many others is neither counted nor given back
@@ -25,19 +25,19 @@
 
     __slots__ = ("tenant", "amount", "at", "count", "given_back")
 
-    def __init__(self, tenant: str, amount: float, at: float, count: Count | None) -> None:
+    def __init__(self, tenant: str, amount: float, at: float, count: CountResult | None) -> None:
         """`count`: what became of it; None for one that was given back before it came."""
         self.tenant, self.amount, self.at, self.count = tenant, amount, at, count
         self.given_back = count is None
 
-    def repeated(self, now: float) -> Count | None:
+    def repeated(self, now: float) -> CountResult | None:
         """What a repetition is answered, None where it is not."""
-        if self.count is None or self.count.verdict == ALONE:
+        if self.count is None or self.count.verdict == DECIDE_LOCALLY:
             return self.count
         return self.count._replace(seconds=max(0.0, self.count.seconds - (now - self.at)))
 
 
-class SenderLedger:
+class SenderCharges:
     """The charges of one life of a sender."""
 
     def __init__(self, incarnation: str) -> None:
@@ -54,12 +54,12 @@
             self.forgotten = max(self.forgotten, first)
 
 
-class ChargeLedger:
+class ChargeTable:
     """The charges that one counter has seen."""
 
-    def __init__(self, counts: Counts) -> None:
+    def __init__(self, counts: QuotaCounter) -> None:
         self.counts = counts
-        self.senders: dict[str, SenderLedger] = {}
+        self.senders: dict[str, SenderCharges] = {}
 
     def take(self, now: float, sender: str, charge: Charge) -> ChargeResult | None:
         """A charge, or one given back: the answer, if there is one to give.
@@ -67,7 +67,7 @@
         UnexpectedMessage where its amount is none.
         """
         if not math.isfinite(charge.amount) or charge.amount == 0:
-            raise UnexpectedMessage(charge)
+            raise UnexpectedMessageError(charge)
         ledger = self._ledger(sender, charge.incarnation)
         if ledger is None:
             return None
@@ -79,17 +79,17 @@
             return None
         return ChargeResult(charge.incarnation, charge.number, count.verdict, count.seconds, count.window)
 
-    def _ledger(self, sender: str, incarnation: str) -> SenderLedger | None:
+    def _ledger(self, sender: str, incarnation: str) -> SenderCharges | None:
         """The ledger of a sender's present life; None for a message of another life."""
         ingress = self.counts.ingresses.get(sender)
         if ingress is None or ingress.incarnation != incarnation:
             return None
         ledger = self.senders.get(sender)
         if ledger is None or ledger.incarnation != incarnation:
-            ledger = self.senders[sender] = SenderLedger(incarnation)
+            ledger = self.senders[sender] = SenderCharges(incarnation)
         return ledger
 
-    def _count(self, now: float, sender: str, ledger: SenderLedger, charge: Charge) -> Count | None:
+    def _count(self, now: float, sender: str, ledger: SenderCharges, charge: Charge) -> CountResult | None:
         known = ledger.charges.get(charge.number)
         if known is not None:
             return known.repeated(now)
@@ -99,7 +99,7 @@
         ledger.remember(charge.number, CountedCharge(charge.tenant, charge.amount, now, count))
         return count
 
-    def _give_back(self, now: float, ledger: SenderLedger, charge: Charge) -> None:
+    def _give_back(self, now: float, ledger: SenderCharges, charge: Charge) -> None:
         known = ledger.charges.get(charge.number)
         if known is None:
             if charge.number > ledger.forgotten:
--- a/thistleusher/registry/counts.py
+++ b/thistleusher/registry/counts.py
@@ -16,7 +16,17 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from thistleusher.common.quota_timing import ALONE, COUNTED, FORGET_S, GATHER_S, GIVEN, LOST_S, OK, OVER, ROOM
+from thistleusher.common.quota_timing import (
+    ALLOWED,
+    COUNTED_PART,
+    DECIDE_LOCALLY,
+    FIRST_SHARES_PART,
+    LATER_SHARE_PART,
+    OVER_LIMIT,
+    SHARE_DEDUCTED_S,
+    SHARE_FORGOTTEN_S,
+    SHARE_GATHERING_S,
+)
 
 LONGEST_S = 60.0  # a window lasts at most
 FORMER_INCARNATIONS = 4  # of each ingress that are remembered, so that a late message of one does not bring it back
@@ -35,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Ingress:
+class IngressState:
     """One ingress: its life, when the last echo was sent that it is known to have had, since when without a gap."""
 
     incarnation: str = ""
@@ -45,7 +55,7 @@
     former_incarnations: deque[str] = field(default_factory=lambda: deque(maxlen=FORMER_INCARNATIONS))
 
 
-class Count(NamedTuple):
+class CountResult(NamedTuple):
     """What became of a charge: the verdict, seconds, and the number of the window that it counts in.
 
     Seconds: until the tenant's next window, or with ALONE, for which the ingress was not counted.
@@ -56,55 +66,55 @@
     window: int
 
 
-class Counts:
+class QuotaCounter:
     """All counts, by whoever does the duty."""
 
     def __init__(self, now: float) -> None:
         self.begun = now
         self.limits: dict[str, tuple[float, float]] = {}
         self.windows: dict[str, Window] = {}
-        self.ingresses: dict[str, Ingress] = {}
+        self.ingresses: dict[str, IngressState] = {}
         self.first: float | None = None  # when the first without a share asked
 
     def follow(self, limits: Mapping[str, tuple[float, float]], shares: Mapping[str, float]) -> None:
         """Tenants' (rate, burst), and the shares that are kept."""
         self.limits = dict(limits)
         for node, share in shares.items():
-            self.ingresses.setdefault(node, Ingress()).share = share
+            self.ingresses.setdefault(node, IngressState()).share = share
 
     def here(self, now: float, node: str, incarnation: str, echoed: float | None) -> bool:
         """A beat; whether it counts, as it is not of a former life.
 
         `echoed`: when, by this counter's clock, the newest echo was sent that its sender has had.
         """
-        ingress = self.ingresses.setdefault(node, Ingress())
+        ingress = self.ingresses.setdefault(node, IngressState())
         if incarnation in ingress.former_incarnations:
             return False
         if ingress.incarnation != incarnation:
             ingress.former_incarnations.append(ingress.incarnation)
             ingress.incarnation, ingress.since, ingress.confirmed = incarnation, float("inf"), float("-inf")
-        if echoed is not None and now - echoed < LOST_S:
-            if now - ingress.confirmed >= LOST_S:
+        if echoed is not None and now - echoed < SHARE_DEDUCTED_S:
+            if now - ingress.confirmed >= SHARE_DEDUCTED_S:
                 ingress.since = now
             ingress.confirmed = max(ingress.confirmed, echoed)
         return True
 
     def wanted(self, now: float) -> dict[str, float]:
         """Shares that are to be kept for ingresses that have none; they hold once `follow` brings them."""
-        lacking = [n for n, i in self.ingresses.items() if i.share <= 0 and now - i.confirmed < LOST_S]
+        lacking = [n for n, i in self.ingresses.items() if i.share <= 0 and now - i.confirmed < SHARE_DEDUCTED_S]
         if not lacking:
             return {}
         if self.first is None:
             self.first = now
         given = sum(i.share for i in self.ingresses.values())
         if given <= 0:
-            if now - self.first < GATHER_S:
+            if now - self.first < SHARE_GATHERING_S:
                 return {}
-            return dict.fromkeys(lacking, GIVEN / len(lacking))
+            return dict.fromkeys(lacking, FIRST_SHARES_PART / len(lacking))
         usual = min(i.share for i in self.ingresses.values() if i.share > 0)
         shares: dict[str, float] = {}
         for node in lacking:
-            shares[node] = min(usual, max(0.0, 1.0 - given) * ROOM)
+            shares[node] = min(usual, max(0.0, 1.0 - given) * LATER_SHARE_PART)
             given += shares[node]
         return shares
 
@@ -113,24 +123,24 @@
         alone = 0.0
         for i in self.ingresses.values():
             quiet = now - max(i.confirmed, self.begun)
-            if (quiet >= LOST_S or i.since > start or i.confirmed < self.begun) and quiet < FORGET_S:
+            if (quiet >= SHARE_DEDUCTED_S or i.since > start or i.confirmed < self.begun) and quiet < SHARE_FORGOTTEN_S:
                 alone += i.share
         return max(0.0, 1.0 - alone)
 
-    def add(self, now: float, node: str, tenant: str, amount: float) -> Count:
+    def add(self, now: float, node: str, tenant: str, amount: float) -> CountResult:
         """Charge a tenant's count. What is over the allowance is charged too, until it is given back."""
         limit = self.limits.get(tenant)
         if limit is None or limit[0] <= 0:
-            return Count(OK, 0.0, NO_WINDOW)
+            return CountResult(ALLOWED, 0.0, NO_WINDOW)
         window = self._window(now, tenant, *limit)
         left = window.start + window.length - now
         ingress = self.ingresses.get(node)
         if ingress is None or ingress.since > window.start or window.start > now:
             uncounted = now - max(self.begun, ingress.since if ingress is not None else now)
-            return Count(ALONE, uncounted, NO_WINDOW)
+            return CountResult(DECIDE_LOCALLY, uncounted, NO_WINDOW)
         window.count += amount
-        within = window.count <= window.burst * COUNTED * self.part(now, window.start)
-        return Count(OK if within else OVER, left, window.number)
+        within = window.count <= window.burst * COUNTED_PART * self.part(now, window.start)
+        return CountResult(ALLOWED if within else OVER_LIMIT, left, window.number)
 
     def give_back(self, now: float, tenant: str, amount: float, number: int) -> None:
         """Take a charge back that counts in the window of a number.
--- a/thistleusher/registry/instances.py
+++ b/thistleusher/registry/instances.py
@@ -44,7 +44,7 @@
         raise Garbage(f"an instance that cannot be read: {error!r}") from None
 
 
-class Survey:
+class BackendPoller:
     """Readings of the list, one after the other."""
 
     def __init__(self, now: float, rate_per_s: float) -> None:
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -12,13 +12,13 @@
 
 from thistleusher.common.events import log_event
 from thistleusher.common.node_settings import CONTROL, REGISTRY
-from thistleusher.common.process import Settings, new_incarnation, serve
+from thistleusher.common.process import SettingsFile, new_incarnation, serve
 from thistleusher.registry.platform import Platform
 from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
 from thistleusher.services.wire import read_address
 from thistleusher.transport.core_links import CoreLinks
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
 LEAVE_S = 0.1
@@ -27,7 +27,7 @@
 class RegistryProgram:
     """One process on a core machine."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
         boot = self.boot = settings.boot
         loop = self.loop = asyncio.get_running_loop()
@@ -104,13 +104,13 @@
 
     # Messages.
 
-    def _from_control(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.from_control(time.monotonic(), dial.host, message)
         if reply is not None:
             dial.send(reply)
         self._carry(outputs)
 
-    def _from_peer(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_peer(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.from_peer(time.monotonic(), message)
         if reply is not None:
             dial.send(reply)
@@ -118,7 +118,7 @@
 
     def _from_follower(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
-            raise UnexpectedMessage(message)  # it has not said who it is
+            raise UnexpectedMessageError(message)  # it has not said who it is
         if isinstance(message, SubscribeRequest):
             self.followers[link.name] = link
             for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
@@ -133,6 +133,6 @@
             self.registry.gone(link.name)
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """What `python -m thistleusher.system registry` runs."""
     await RegistryProgram(settings).run()
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -17,12 +17,12 @@
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.events import Event
 from thistleusher.control.leases import LeaseHolder
-from thistleusher.registry.charges import ChargeLedger
-from thistleusher.registry.counts import Counts
-from thistleusher.registry.instances import Garbage, Survey
+from thistleusher.registry.charges import ChargeTable
+from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.instances import BackendPoller, Garbage
 from thistleusher.registry.members import Members
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import (
     AnyMessage,
     Charge,
@@ -96,10 +96,10 @@
         self.list = Subscriber(me)  # of the registry that holds the duty, or its own
         self.publisher = Publisher(self.list.state)
         self.members = Members()
-        self.counts: Counts | None = None
-        self.charges: ChargeLedger | None = None
-        self.survey = Survey(now, rate_per_s)
-        self.asked: Survey | None = None  # the reading whose call is out
+        self.counts: QuotaCounter | None = None
+        self.charges: ChargeTable | None = None
+        self.survey = BackendPoller(now, rate_per_s)
+        self.asked: BackendPoller | None = None  # the reading whose call is out
         self.followers: set[str] = set()
         self.holds_role = False
         self.next_keep = now
@@ -136,14 +136,14 @@
                 self.configuration.update(self.control.state, changed)
                 self._limits()
         elif not isinstance(message, ItemsPersisted):  # the state itself shows what is kept
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
         """A message from another registry: news, which one off duty keeps; the reply to it."""
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         reply = None if self.holds_role else self.list.heard(message).answer
         return self._flush(), reply
 
@@ -159,7 +159,7 @@
         elif isinstance(message, StateUpdateAck):
             self.publisher.ack(name, message.number)
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush()
 
     def gone(self, name: str) -> None:
@@ -235,12 +235,12 @@
     def _begin_duty(self, now: float) -> None:
         self.holds_role = True
         self._note(Event.ROLE_ACQUIRED, self.holder.term)
-        self.counts = Counts(now)
-        self.charges = ChargeLedger(self.counts)
+        self.counts = QuotaCounter(now)
+        self.charges = ChargeTable(self.counts)
         self._limits()
         for node, attributes in self.list.state.values("m:").items():
             self.members.known(now, node, attributes)
-        self.survey = Survey(now, self.rate_per_s)
+        self.survey = BackendPoller(now, self.rate_per_s)
         known = self.list.state.values("b:")
         self.survey.entries = {name: {**entry, "cold": 0.0} for name, entry in known.items()}
         self.survey.cold_until = {name: now for name, entry in known.items() if entry["cold"] > 0}
--- a/thistleusher/transport/call_server.py
+++ b/thistleusher/transport/call_server.py
@@ -13,8 +13,8 @@
 from typing import Any, ClassVar, Generic, NamedTuple, TypeVar
 from urllib.parse import parse_qs, unquote
 
+from thistleusher.common.errors import RESPONSES, ErrorKind, ServiceError, retry_after_header
 from thistleusher.common.events import Event, log_event
-from thistleusher.common.failures import ANSWERS, Failure, Kind, header_of
 from thistleusher.net.ingress import Reply
 from thistleusher.net.server import Bounds, ClientConnection, Early, Server
 
@@ -158,7 +158,7 @@
         path, _, query = target.partition("?")
         method = came.parser.get_method().decode()
         if came.crowded:
-            return refusal(Failure(Kind.CROWDED))
+            return refusal(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         for kind in CALLS:
             handler = self.handlers.get(kind)
             if handler is None or method != kind.METHOD:
@@ -173,13 +173,13 @@
                     return Asked(kind(), handler, target)
             elif kind.PATH.endswith("/") and path.startswith(kind.PATH):
                 return Asked(kind(unquote(path[len(kind.PATH) :])), handler, target)
-        return refusal(Failure(Kind.UNKNOWN_CALL, f"no such call: {method} {path[:80]}"))
+        return refusal(ServiceError(ErrorKind.UNKNOWN_CALL, f"no such call: {method} {path[:80]}"))
 
     def take(self, item: Asked, reply: Reply) -> None:
         """Hand a call to its handler."""
 
         def done(answer: Any) -> None:
-            if isinstance(answer, Failure):
+            if isinstance(answer, ServiceError):
                 early = refusal(answer, item.target)
                 reply(early.status, early.lines, early.why.encode())
             else:
@@ -187,16 +187,16 @@
 
         try:
             item.handler.answer(item.call, done)
-        except Failure as failure:
+        except ServiceError as failure:
             done(failure)
         except Exception as error:  # a fault of one call ends that call
             log_event(Event.FAULT, type(item.call).__name__, repr(error))
-            done(Failure(Kind.FAULT))
+            done(ServiceError(ErrorKind.INTERNAL_ERROR))
 
 
-def refusal(failure: Failure, target: str = "") -> Early:
+def refusal(failure: ServiceError, target: str = "") -> Early:
     """A failure in HTTP's words, by the table."""
-    lines = JSON + header_of(failure.kind)
-    if failure.kind is Kind.ELSEWHERE:
+    lines = JSON + retry_after_header(failure.kind)
+    if failure.kind is ErrorKind.REDIRECTED:
         lines += b"Location: http://%s%s\r\n" % (failure.where.encode(), target.encode("latin-1"))
-    return Early(ANSWERS[failure.kind].status, json.dumps({"error": failure.text, "kind": failure.kind.value}), lines)
+    return Early(RESPONSES[failure.kind].status, json.dumps({"error": failure.text, "kind": failure.kind.value}), lines)
--- a/thistleusher/transport/codec.py
+++ b/thistleusher/transport/codec.py
@@ -27,7 +27,7 @@
 _decoder: msgspec.msgpack.Decoder[AnyMessage] = msgspec.msgpack.Decoder(AnyMessage)
 
 
-class MalformedMessage(ValueError):
+class MalformedMessageError(ValueError):
     """Bytes that are no message, or one whose fields do not fit its type."""
 
 
@@ -41,7 +41,7 @@
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as error:
-        raise MalformedMessage(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
 class Framer:
@@ -70,9 +70,9 @@
     try:
         expanded = expander.decompress(data, MOST_BYTES)
     except zlib.error as error:
-        raise MalformedMessage(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
     if not expander.eof:
-        raise MalformedMessage("cut off, or too long when expanded")
+        raise MalformedMessageError("cut off, or too long when expanded")
     return expanded
 
 
@@ -93,7 +93,7 @@
             (head,) = LENGTH.unpack_from(self._buffer)
             length = head & ~COMPRESSED
             if length > MOST_BYTES:
-                raise MalformedMessage(f"{length} bytes, {MOST_BYTES} at most")
+                raise MalformedMessageError(f"{length} bytes, {MOST_BYTES} at most")
             end = LENGTH.size + length
             if len(self._buffer) < end:
                 return
--- a/thistleusher/transport/core_links.py
+++ b/thistleusher/transport/core_links.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from thistleusher.transport.links import Dial
+from thistleusher.transport.links import ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, Message
 
 
@@ -20,18 +20,18 @@
         loop: asyncio.AbstractEventLoop,
         port: Callable[[], int],
         hello: Callable[[], Message],
-        on_message: Callable[[Dial, AnyMessage], None],
+        on_message: Callable[[ReconnectingLink, AnyMessage], None],
         own: str = "",
     ) -> None:
         """`own`: an address that is never dialled."""
         self.loop, self.port, self.hello, self.on_message, self.own = loop, port, hello, on_message, own
-        self.dials: dict[str, Dial] = {}
+        self.dials: dict[str, ReconnectingLink] = {}
 
     def meet(self, addresses: Iterable[str]) -> None:
         """Open a connection to each of some machines that is not known yet."""
         for address in addresses:
             if address != self.own and address not in self.dials:
-                self.dials[address] = Dial(self.loop, address, self.port(), self.hello, self.on_message)
+                self.dials[address] = ReconnectingLink(self.loop, address, self.port(), self.hello, self.on_message)
 
     def send(self, address: str, message: Message) -> None:
         """Send to one machine; nothing where no connection stands."""
--- a/thistleusher/transport/errors.py
+++ b/thistleusher/transport/errors.py
@@ -5,7 +5,7 @@
 from thistleusher.transport.messages import Message
 
 
-class UnexpectedMessage(ValueError):
+class UnexpectedMessageError(ValueError):
     """A message that is well formed, of a type or with a value that its receiver does not take."""
 
     def __init__(self, message: Message) -> None:
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -20,8 +20,8 @@
 
 from thistleusher.common.events import Event, log_event
 from thistleusher.net.upstream import watch
-from thistleusher.transport.codec import Deframer, MalformedMessage, frame
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.codec import Deframer, MalformedMessageError, frame
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
 
 BEAT_S = 0.4
@@ -70,7 +70,7 @@
                     return
                 if not isinstance(message, KeepAlive):
                     self.on_message(self, message)
-        except (MalformedMessage, UnexpectedMessage) as error:
+        except (MalformedMessageError, UnexpectedMessageError) as error:
             log_event(Event.MESSAGE_REJECTED, self.name or self.peer, error)
             self.close(str(error))
         except (ValueError, KeyError, TypeError) as error:
@@ -130,7 +130,7 @@
             self.on_end(self, self.why)
 
 
-class Dial:
+class ReconnectingLink:
     """A connection to one address that is opened again for as long as it is wanted."""
 
     def __init__(
@@ -139,8 +139,8 @@
         host: str,
         port: int,
         hello: Callable[[], Message],
-        on_message: Callable[[Dial, AnyMessage], None],
-        on_end: Callable[[Dial], None] | None = None,
+        on_message: Callable[[ReconnectingLink, AnyMessage], None],
+        on_end: Callable[[ReconnectingLink], None] | None = None,
     ) -> None:
         """`hello`: the first message on each connection."""
         self.loop, self.host, self.port, self.hello, self.on_message = loop, host, port, hello, on_message
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -124,7 +124,7 @@
         return sum(1 for n in self.acked.values() if n >= self.state.number), len(self.acked)
 
 
-class Heard(NamedTuple):
+class UpdateResult(NamedTuple):
     """What a message of news led to: the items that it changed, and the answer to send."""
 
     changed: dict[str, Any] | None
@@ -143,19 +143,19 @@
         """The first message to a publisher, and the answer to a gap."""
         return SubscribeRequest(self.me, self.state.number)
 
-    def heard(self, news: StateUpdate) -> Heard:
+    def heard(self, news: StateUpdate) -> UpdateResult:
         """A message of news."""
         if news.number <= self.state.number:
-            return Heard(None, StateUpdateAck(self.state.number))
+            return UpdateResult(None, StateUpdateAck(self.state.number))
         if news.previous is None:
             changed = self._replaced(news)
         elif news.previous > self.state.number:
-            return Heard(None, self.follow())
+            return UpdateResult(None, self.follow())
         else:
             newer = {name: item for name, item in news.items.items() if item[0] > self.state.number}
             changed = {name: item[1] for name, item in newer.items()}
             self.state.merge(news.number, newer)
-        return Heard(changed, StateUpdateAck(news.number))
+        return UpdateResult(changed, StateUpdateAck(news.number))
 
     def _replaced(self, news: StateUpdate) -> dict[str, Any]:
         """Take a whole state in; what it changed."""
