--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -22,7 +22,7 @@
 
 from benchmarks.scale.inputs import address_of, settings, zone_of
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import TICK_S, Settings
+from thistleusher.common.process import TICK_S, SettingsFile
 from thistleusher.proxy.commands import ApplyConfiguration, Command, DeliverChargeAnswer
 from thistleusher.proxy.program import ProxyProgram
 from thistleusher.proxy.requests import ChargeTenant
@@ -82,7 +82,7 @@
 class HollowProxy(ProxyProgram):
     """The proxy program without doors; it notes when what it learns is in force."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: SettingsFile, seed: int) -> None:
         super().__init__(settings)
         self.ring_socket = MeasuredHeartbeats(self._on_heartbeat)
         self.random = random.Random(seed)
@@ -139,8 +139,8 @@
         super()._execute(outputs)
         for out in outputs:
             if isinstance(out, ApplyConfiguration):
-                self.in_force[out.configuration.config.version] = time.monotonic()
-                self.tenants = list(out.configuration.config.tenants)
+                self.in_force[out.index.config.version] = time.monotonic()
+                self.tenants = list(out.index.config.tenants)
         if self.cluster_view.counter and (not self.counters or self.counters[-1][1] != self.cluster_view.counter):
             self.counters.append((now, self.cluster_view.counter))
         if self.complete is None and self.cluster_view.counter and self.is_ready():
@@ -159,7 +159,7 @@
         for number in range(self.first, self.first + self.count):
             path = self.folder / f"proxy-{number}.conf"
             path.write_text(settings(f"proxy-{number}", "proxy", address_of(number), zone_of(number), self.folder))
-            self.proxies.append(HollowProxy(Settings(path), number))
+            self.proxies.append(HollowProxy(SettingsFile(path), number))
         boot = self.proxies[0].boot
         Measured.ports = {boot.port(CONTROL): "control", boot.port(REGISTRY): "registry"}
         for proxy in self.proxies:
--- a/tests/proxy/test_cluster_view.py
+++ b/tests/proxy/test_cluster_view.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.system.test_registry import PRESENCE, on_duty
+from tests.system.test_registry import PRESENCE, holding_role
 from thistleusher.common.node_settings import Bounds
 from thistleusher.proxy import program as proxy_program
 from thistleusher.proxy.cluster_view import ClusterView
@@ -15,7 +15,7 @@
 from thistleusher.registry import program as registry_program
 from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import LACKS_S
 from thistleusher.transport.messages import (
     CoreInfo,
@@ -100,7 +100,7 @@
         lambda: view.from_control(1.0, KeepAlive()),
         lambda: view.from_registry(1.0, "c", KeepAlive()),
     ):
-        with pytest.raises(UnexpectedMessage):
+        with pytest.raises(UnexpectedMessageError):
             take()
     heard = []
     beats = RingSocket(lambda beat, ip: heard.append((beat, ip)))
@@ -136,21 +136,21 @@
 
 def test_a_registry_that_goes_on_answers_by_the_clock_of_that_moment(monkeypatch):
     program, link = RegistryProgram.__new__(RegistryProgram), Sent()
-    program.loop, program.registry, program.followers = StoppedLoop(), on_duty(), {"d": link}
+    program.loop, program.registry, program.followers = StoppedLoop(), holding_role(), {"d": link}
     clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
     monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
     program._from_follower(link, PRESENCE)
     assert [type(message) for message in link.messages] == [HeartbeatEcho]
     program._from_follower(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
     program._from_follower(link, PRESENCE)
-    assert len(link.messages) == 1 and not program.registry.on_duty
+    assert len(link.messages) == 1 and not program.registry.holds_role
 
 
 def test_a_message_on_a_connection_that_a_newer_one_replaced_is_not_heard():
     program, old, new = RegistryProgram.__new__(RegistryProgram), Sent(), Sent()
-    program.registry, program.followers = on_duty(), {"d": new}
+    program.registry, program.followers = holding_role(), {"d": new}
     program._from_follower(old, PRESENCE)
-    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].life == ""
+    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].incarnation == ""
 
 
 def test_a_proxy_that_goes_on_takes_messages_by_the_clock_of_that_moment(monkeypatch):
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from thistleusher.registry.instances import EMPTY, Garbage, Survey
+from thistleusher.registry.instances import EMPTY, BackendPoller, Garbage
 from thistleusher.registry.members import ALONE_S, SILENT_S, Members
 from thistleusher.registry.registry import Call, Registry, Tell, ToControl
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import LACKS_S, HeartbeatRing
 from thistleusher.transport.heartbeat_ring import SILENT_S as RING_S
 from thistleusher.transport.messages import (
@@ -52,7 +52,7 @@
 
 
 def test_a_backend_that_drains_on_page_two_is_found():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, changes = read(survey, 0.0, page(entry(1), entry(2), token="p-50"), page(entry(3)))
     assert changes.keys() == {"i1", "i2", "i3"}
     now, changes = read(survey, now + 1, page(entry(1), entry(2), token="p-50"), page(entry(3, "draining")))
@@ -62,7 +62,7 @@
 
 
 def test_the_second_page_is_asked_for_by_its_token():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     assert survey.due(0.0) == "/instances"
     survey.page(0.0, page(entry(1), token="p 50"))
     assert survey.due(0.0) is None and survey.due(0.1) == "/instances?page_token=p%2050"
@@ -82,7 +82,7 @@
     ],
 )
 def test_garbage_leaves_the_list_as_it_was(body):
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, _ = read(survey, 0.0, page(entry(1), entry(2)))
     while survey.due(now) is None:
         now += 0.05
@@ -94,7 +94,7 @@
 
 
 def test_half_a_list_is_no_list():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, _ = read(survey, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(survey, now + 1, page(entry(1), token="p"))
     survey.due(now + 1)
@@ -104,7 +104,7 @@
 
 
 def test_an_empty_list_is_believed_only_after_some_readings():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, _ = read(survey, 0.0, page(entry(1)))
     for n in range(EMPTY):
         now, changes = read(survey, now + 1, page())
@@ -113,7 +113,7 @@
 
 
 def test_calls_stay_below_the_platforms_bound_and_back_off_after_a_429():
-    survey, calls, now = Survey(0.0, 4.0), 0, 0.0
+    survey, calls, now = BackendPoller(0.0, 4.0), 0, 0.0
     while now < 10.0:
         if survey.due(now) is not None:
             calls += 1
@@ -126,7 +126,7 @@
 
 
 def test_a_cold_backend_is_told_of_once_and_again_when_it_is_warm():
-    survey = Survey(0.0, 47.0)
+    survey = BackendPoller(0.0, 47.0)
     now, changes = read(survey, 0.0, page(entry(1, cold=3000)))
     assert changes["i1"]["cold"] == 3000
     now, changes = read(survey, now + 1.0, page(entry(1, cold=2000)))
@@ -192,13 +192,13 @@
     return request.sent + 0.01
 
 
-def on_duty(now=10.0):
+def holding_role(now=10.0):
     """A registry that holds the duty by three grants, with control state, and the follower `d`."""
     registry = Registry("m/1", "1", now, random.Random(1), 50.0, True)
     registry.from_control(now, "1", CoreInfo(("1", "2", "3"), 1, "2"))
     registry.from_control(now, "1", StateUpdate(1, 0, {"share:d": (1, 0.1)}))
     grant(registry, now)
-    assert registry.on_duty
+    assert registry.holds_role
     registry.from_follower(now + 0.02, "d", SubscribeRequest("d", 0))
     return registry
 
@@ -212,21 +212,21 @@
 
 
 def test_a_registry_that_was_stopped_beyond_its_lease_counts_and_echoes_nothing_before_its_next_tick():
-    registry = on_duty()
+    registry = holding_role()
     assert told(registry.from_follower(10.1, "d", PRESENCE)) == [HeartbeatEcho]
     assert len(told(registry.from_follower(10.1, "d", CHARGE))) == 1
     assert told(registry.from_follower(12.0, "d", CHARGE)) == told(registry.from_follower(12.0, "d", PRESENCE)) == []
-    assert not registry.on_duty
+    assert not registry.holds_role
 
 
 def test_a_registry_that_was_stopped_beyond_its_lease_hands_out_no_list_to_one_that_comes():
-    registry = on_duty()
+    registry = holding_role()
     registry.tick(10.05)
     registry.answered(10.06, 200, page(entry(1)))
     assert told(registry.from_follower(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
     assert told(registry.from_follower(12.0, "f", SubscribeRequest("f", 0))) == []  # on the clock of that very input
     now = grant(registry, 12.5)  # the duty is held anew: those who came meanwhile are told
-    assert registry.on_duty
+    assert registry.holds_role
     outputs = registry.tick(now + 0.1)
     assert {out.name for out in outputs if isinstance(out, Tell) and isinstance(out.message, StateUpdate)} == {
         "d",
@@ -236,26 +236,26 @@
 
 
 def test_an_answer_that_was_decided_within_the_lease_does_not_leave_after_it():
-    registry = on_duty()
+    registry = holding_role()
     assert registry.may_tell(10.1)
-    assert not registry.may_tell(12.0) and not registry.on_duty
+    assert not registry.may_tell(12.0) and not registry.holds_role
     grants = [LeaseGranted("registrar", registry.holder.term, 10.0)]  # lay in a socket meanwhile
-    assert [registry.from_control(12.0, "1", message)[0] for message in grants] and not registry.on_duty
+    assert [registry.from_control(12.0, "1", message)[0] for message in grants] and not registry.holds_role
 
 
 def test_a_message_that_nobody_here_takes_is_refused():
-    registry = on_duty()
+    registry = holding_role()
     for take in (
         lambda m: registry.from_follower(10.1, "d", m),
         lambda m: registry.from_control(10.1, "1", m),
         lambda m: registry.from_peer(10.1, m),
     ):
-        with pytest.raises(UnexpectedMessage):
+        with pytest.raises(UnexpectedMessageError):
             take(KeepAlive())
 
 
 def test_an_older_epoch_does_not_replace_the_electorate_of_the_lease():
-    registry = on_duty()
+    registry = holding_role()
     registry.from_control(10.1, "4", CoreInfo(("1", "2", "4"), 3, "4"))
     registry.from_control(10.1, "1", CoreInfo(("1", "2", "3"), 2, "1"))
     asked = {out.address for out in registry.tick(10.5) if isinstance(out, ToControl)}
@@ -263,7 +263,7 @@
 
 
 def test_a_page_that_an_earlier_duty_asked_for_is_no_list_of_the_next():
-    registry = on_duty()
+    registry = holding_role()
     assert [o for o in registry.tick(10.05) if isinstance(o, Call)]
     registry.answered(10.06, 200, page(entry(1), token="p"))
     assert [o.target for o in registry.tick(10.2) if isinstance(o, Call)] == ["/instances?page_token=p"]
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -9,8 +9,8 @@
 
 from functools import partial
 
+from thistleusher.common.errors import ServiceError
 from thistleusher.common.events import Event
-from thistleusher.common.failures import Failure
 from thistleusher.control import membership
 from thistleusher.control.calls import Calls
 from thistleusher.control.context import Context
@@ -73,7 +73,7 @@
         self._role.leadership = leadership
         self._heartbeat_at = self._status_at = now
         self._installing = {}
-        self._context.note(Event.LEADS, view.epoch, ", ".join(view.replicas))
+        self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
         self._context.emit(Publish(self._durable.replica.state.copied()))
         self._send_heartbeats(leadership)
         self.serve()
@@ -171,12 +171,12 @@
     def _is_free(self, name: str, leadership: Leadership) -> bool:
         """A voter that may hold a copy in the place of another."""
         acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
-        return acked and name not in leadership.view.holders and name not in self._role.leaving
+        return acked and name not in leadership.view.replica_set and name not in self._role.leaving
 
     def _abroad(self, leadership: Leadership, free: list[str]) -> bool:
         """Whether all copies are in one zone, and a voter of another one has been there for long enough."""
         view, now = leadership.view, self._context.now
-        zones = {view.voters[name] for name in view.holders if name in view.voters}
+        zones = {view.voters[name] for name in view.replica_set if name in view.voters}
         if len(zones) > 1:
             return False
         return any(
@@ -233,7 +233,7 @@
             if view.replicas[0] == self._context.me:
                 self.elections.stand("the leader has stepped down")
             else:  # all standing at once would only hinder each other
-                role.stand_at = self._context.now + TURN_S * view.holders.index(self._context.me)
+                role.stand_at = self._context.now + TURN_S * view.replica_set.index(self._context.me)
 
     def _mend_replicas(self, leadership: Leadership) -> None:
         """Give replicas the copy that they lost, with their disk or by a write that failed; no change may be due."""
@@ -362,13 +362,13 @@
                 self._context.answer(call.call_id, call.answer(state))
             else:
                 self._serve_change(leadership, call.change(state) if isinstance(call, DeferredChange) else call)
-        except Failure as failure:
+        except ServiceError as failure:
             self._context.answer(call.call_id, failure)
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Keep a change, or acknowledge one that the state in force makes needless."""
         if change.is_redundant(self._durable.replica.state):
-            self._context.note(Event.UNALTERED, change.description)
+            self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
         else:
             self._begin_change(leadership, change)
@@ -427,6 +427,6 @@
         if not everywhere or self._context.now >= leadership.expires_at():
             return
         leadership.pending = None
-        self._context.note(Event.KEPT, pending.position.number, pending.change.description)
+        self._context.note(Event.CHANGE_COMMITTED, pending.position.number, pending.change.description)
         self._context.answer(pending.change.call_id, None)
         self._context.emit(PublishChange(pending.position.number, pending.items))
--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from thistleusher.common.quota_timing import ALONE, OVER, PROMPT_S
+from thistleusher.common.quota_timing import DECIDE_LOCALLY, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.proxy.quota import LocalQuota
 from thistleusher.proxy.requests import ChargeAnswered, ChargeTenant, RequestState
 
@@ -61,11 +61,11 @@
         if request is None or request.charge_settled or request.tenant is None:
             return None
         request.charge_window = event.window
-        if event.verdict == ALONE:
+        if event.verdict == DECIDE_LOCALLY:
             self.quota.not_counted_centrally(now, request.tenant, event.left)
             return self._rule_locally(now, request, request.tenant)
         self.quota.counted_centrally(request.tenant)
-        if event.verdict == OVER:
+        if event.verdict == OVER_LIMIT:
             # Drawn whether it is used or not: a simulated run depends on the number of draws.
             retry_after_s = event.left + RETRY_MARGIN_S + RETRY_SPREAD_S * self.rng.random()
             return self._rule_locally(now, request, request.tenant, retry_after_s)
@@ -76,7 +76,7 @@
         """Yield rulings by this ingress's own share on requests whose verdict is late.
 
         Each is to be acted on before the next is taken. While the counter is silent all are ruled on; else those that
-        have waited for `PROMPT_S` and that the share admits, while the others wait on.
+        have waited for `VERDICT_WAIT_S` and that the share admits, while the others wait on.
         """
         isolated = self.quota.is_isolated(now)
         for name, since in list(self.awaiting_verdict.items()):
@@ -86,7 +86,7 @@
             elif isolated:
                 del self.awaiting_verdict[name]
                 yield request, self._rule_locally(now, request, request.tenant)
-            elif now - since < PROMPT_S:
+            elif now - since < VERDICT_WAIT_S:
                 break  # the oldest come first
             elif self.quota.spend(now, request.tenant):
                 del self.awaiting_verdict[name]
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -34,9 +34,9 @@
 from thistleusher.proxy.placement import ListedBackend
 from thistleusher.proxy.quota import Echo, HeartbeatScope
 from thistleusher.proxy.requests import ChargeTenant
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import HeartbeatRing
 from thistleusher.transport.messages import (
     AnyMessage,
@@ -71,16 +71,16 @@
         incarnation: str,
         region: str,
         region_of: Callable[[str], str],
-        description: dict[str, str],
+        attributes: dict[str, str],
         decisions: Decisions,
         now: float,
     ) -> None:
-        """`region_of`: the region of a zone; `description`: `front`, `ip`, `zone`, `region` for the registry's list."""
+        """`region_of`: the region of a zone; `attributes`: `front`, `ip`, `zone`, `region` for the registry's list."""
         self.name = name
         self.incarnation = incarnation
         self.region = region
         self.region_of = region_of
-        self.description = description
+        self.attributes = attributes
         self.decisions = decisions
         self.core = CoreMembers()
         self.control = Subscriber(name)
@@ -140,7 +140,7 @@
     def _report_status(self, now: float, ready: bool) -> None:
         silent = tuple(sorted(self.ring.silent(now)))
         echo = self.decisions.quota.echo
-        report = ProxyStatusReport(self.incarnation, now, echo, ready, silent, self.description)
+        report = ProxyStatusReport(self.incarnation, now, echo, ready, silent, self.attributes)
         self.commands.append(SendToRegistry("", report))
 
     # The heartbeat ring.
@@ -151,16 +151,16 @@
 
     def heartbeat_received(self, now: float, heartbeat: RingHeartbeat, ip: str) -> list[Command]:
         """Take in another proxy's heartbeat; hand over what it has lacked for a while."""
-        self.ring.beat(now, heartbeat.name)
-        theirs = (heartbeat.control, heartbeat.registry)
+        self.ring.beat(now, heartbeat.sender)
+        theirs = (heartbeat.control_number, heartbeat.registry_number)
         mine = (self.control.state.number, self.registry.state.number)
         if 0 in mine and theirs > mine:
             # A proxy that knows nothing does not know its watchers either: it answers all, so that one hands over.
             self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
-        if self.ring.behind(now, heartbeat.name, theirs, mine):
+        if self.ring.behind(now, heartbeat.sender, theirs, mine):
             control = self.control.state.since(theirs[0])
             registry = self.registry.state.since(theirs[1])
-            self.commands.append(SendHandOver(heartbeat.name, ip, HandOver(self.name, control, registry)))
+            self.commands.append(SendHandOver(heartbeat.sender, ip, HandOver(self.name, control, registry)))
         return self._flush()
 
     def handed_over(self, now: float, copy: HandOver) -> list[Command]:
@@ -183,7 +183,7 @@
             if self.core.learn(message):
                 self.commands.append(ConnectToCore(message.voters))
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def _control_update(self, now: float, update: StateUpdate) -> Reply:
@@ -204,7 +204,7 @@
         assert index is not None
         self.decisions.apply_configuration(now, index.config)
         self.commands.append(ApplyConfiguration(index))
-        self.commands.append(LogEvent(Event.CONFIG, (index.config.version, len(index.config.routes))))
+        self.commands.append(LogEvent(Event.CONFIGURATION_APPLIED, (index.config.version, len(index.config.routes))))
 
     # The registry.
 
@@ -219,13 +219,13 @@
             if answer is not None:
                 self.commands.append(DeliverChargeAnswer(answer))
         elif isinstance(message, HeartbeatEcho):
-            echo = Echo(message.by, message.now)
+            echo = Echo(message.registry, message.registry_time)
             if self.decisions.quota.record_echo(now, echo, message.sent, message.share):
                 self.counter = ip
         elif isinstance(message, StateUpdate):
             reply = self._registry_update(now, message)
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def charge(self, now: float, action: ChargeTenant) -> list[Command]:
@@ -272,7 +272,7 @@
             self.commands.append(UpdateBackends(changes))
         self._update_serving()
         sizes = (self.registry.state.number, len(listed), len(self.decisions.selector.ingresses))
-        self.commands.append(LogEvent(Event.LIST, sizes))
+        self.commands.append(LogEvent(Event.BACKENDS_APPLIED, sizes))
 
     def _read_backend(self, now: float, name: str, item: dict[str, Any]) -> ListedBackend:
         """Return an item of the list, whose keys are short as it is sent to all proxies."""
--- a/thistleusher/proxy/commands.py
+++ b/thistleusher/proxy/commands.py
@@ -7,7 +7,7 @@
 from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
 from thistleusher.proxy.requests import ChargeAnswered
-from thistleusher.services.wire import Address
+from thistleusher.services.addresses import Address
 from thistleusher.transport.messages import AnyMessage, HandOver, RingHeartbeat
 
 
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -6,27 +6,29 @@
 from collections.abc import Callable
 
 from thistleusher.common.configuration import Index
-from thistleusher.common.failures import ANSWERS, Kind, header_of
+from thistleusher.common.errors import RESPONSES, ErrorKind, retry_after_header
 from thistleusher.core import actions
 from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended, Final, Verdict
-from thistleusher.net.client_call import Answer
-from thistleusher.net.ingress import Ingress, Reply, Sent
-from thistleusher.net.upstream import Exchange, Upstream
+from thistleusher.net.client_connection import Reply
+from thistleusher.net.exchange import BackendExchange
+from thistleusher.net.ingress import BackendAttempt, Ingress
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.http_messages import MISDIRECTED, NOT_RUN_STATUSES, ClientRequest, answer_lines
 from thistleusher.proxy.requests import ChargeTenant
 from thistleusher.proxy.routing import class_settings_of
+from thistleusher.services.http_responses import Response
 
 STALL_S = 1.0  # without a byte in the middle of an answer, after which a repeatable request goes to another backend
 MIN_LEFT_S = 0.001  # stated to a backend at least
 KINDS = {
-    Verdict.OVER_QUOTA: Kind.OVER_QUOTA,
-    Verdict.NO_ROOM: Kind.NO_ROOM,
-    Verdict.FAILED: Kind.FAILED,
-    Verdict.FAULT: Kind.FAULT,
-    Verdict.INVALID: Kind.MALFORMED,
+    Verdict.OVER_QUOTA: ErrorKind.QUOTA_EXCEEDED,
+    Verdict.NO_ROOM: ErrorKind.NO_CAPACITY,
+    Verdict.FAILED: ErrorKind.BACKEND_FAILED,
+    Verdict.FAULT: ErrorKind.INTERNAL_ERROR,
+    Verdict.INVALID: ErrorKind.MALFORMED,
 }
 REJECTIONS = (Verdict.OVER_QUOTA, Verdict.NO_ROOM)  # promise that the request has not run and never will
 
@@ -51,13 +53,13 @@
     def apply_configuration(self, index: Index) -> None:
         """Use this configuration's routes from here on; those of requests in flight stay known."""
         self.driver.classes |= self.decisions.classes
-        used = {held.request.class_name for held in self.held.values()}
+        used = {held.request.class_name for held in self.in_flight.values()}
         for name in self.driver.classes.keys() - index.config.routes.keys() - used:
             del self.driver.classes[name]
 
-    def take(self, call: ClientRequest, reply: Reply) -> None:  # type: ignore[override]
+    def handle_request(self, call: ClientRequest, reply: Reply) -> None:  # type: ignore[override]
         """Take a client's request, which gets exactly one answer through `reply` from here on."""
-        if call.request.id not in self.held:
+        if call.request.id not in self.in_flight:
             self.decisions.expect(call.request.id, call.context)
         # It was read ahead, and its route may have been dropped since.
         self.driver.classes.setdefault(call.request.class_name, class_settings_of(call.context.match))
@@ -69,9 +71,9 @@
         Not during a graceful shutdown, as it may be the last attempt that can be made. Nor one whose answer has come:
         where this process has stood still, timers may be due before the reads of the same moment.
         """
-        held = self.held.get(action.request)
+        held = self.in_flight.get(action.request)
         attempt = held.context.attempt if held is not None else None
-        if not self.is_shutting_down() and (attempt is None or not attempt.answering()):
+        if not self.is_shutting_down() and (attempt is None or not attempt.has_unread_bytes()):
             self.break_off(action)
 
     @staticmethod
@@ -84,16 +86,16 @@
         verdict = final.verdict
         if verdict in REJECTIONS and call.may_have_run():
             verdict = Verdict.FAILED
-        answer: Answer | None = final.payload if verdict is Verdict.SERVED else None
+        answer: Response | None = final.payload if verdict is Verdict.SERVED else None
         if verdict is Verdict.FAILED and call.last_error is not None:
             answer = call.last_error
         if answer is not None:
             reply(answer.status, answer_lines(answer), answer.body)
             return
         kind = KINDS[verdict]
-        reply(ANSWERS[kind].status, header_of(kind, final.retry_in or None), b"")
+        reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Sent:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
         """Return one attempt, to be started by the driver.
 
         It is not sent if by then its client has gone, its time is up, or its backend may not be sent to any more.
@@ -111,7 +113,7 @@
         def stall_s() -> float:
             return STALL_S if repeatable and not self.is_shutting_down() else 0.0
 
-        def ended(exchange: Exchange, outcome: Outcome, answer: Answer | None) -> None:
+        def ended(exchange: BackendExchange, outcome: Outcome, answer: Response | None) -> None:
             call.attempt = None
             call.ended_attempt_may_have_run |= exchange.written and outcome is not Outcome.FULL
             if answer is not None:
@@ -119,10 +121,12 @@
             on_end(Ended(outcome, answer))
 
         mark = call.request.id.encode("latin-1")
-        call.attempt = Sent(self.upstream, Exchange(backend, message, may_send, ended, not repeatable, mark, stall_s))
+        call.attempt = BackendAttempt(
+            self.upstream, BackendExchange(backend, message, may_send, ended, not repeatable, mark, stall_s)
+        )
         return call.attempt
 
-    def _note_answer(self, call: ClientRequest, backend: str, outcome: Outcome, answer: Answer) -> None:
+    def _note_answer(self, call: ClientRequest, backend: str, outcome: Outcome, answer: Response) -> None:
         if answer.status == MISDIRECTED:
             self.decisions.mark_misdirected(backend)
         if outcome is Outcome.ERROR and answer.status >= 500 and answer.status not in NOT_RUN_STATUSES:
--- a/thistleusher/proxy/http_messages.py
+++ b/thistleusher/proxy/http_messages.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.core import events
 from thistleusher.core.events import Outcome
-from thistleusher.net.client_call import Answer
-from thistleusher.net.ingress import Sent
+from thistleusher.net.ingress import BackendAttempt
 from thistleusher.proxy.requests import RequestContext
+from thistleusher.services.http_responses import Response
 
 SEAL_HEADER = b"x-server-seal"  # a backend's proof that an answer is its own
 NOT_RUN_HEADER = b"x-not-run"  # a backend's proof that the request has not run and never will
@@ -46,14 +46,14 @@
     forwarded: bytes
 
 
-def read_headers(headers: Iterable[tuple[bytes, bytes]]) -> RequestHeaders | Failure:
+def read_headers(headers: Iterable[tuple[bytes, bytes]]) -> RequestHeaders | ServiceError:
     """Return a request's headers, or the failure where one that must be single comes twice."""
     values: dict[bytes, bytes] = {}
     forwarded: list[tuple[bytes, bytes]] = []
     for name, value in headers:
         key = name.lower()
         if key in SINGLE_HEADERS and key in values:
-            return Failure(Kind.MALFORMED, f"{key.decode()}: more than one")
+            return ServiceError(ErrorKind.MALFORMED, f"{key.decode()}: more than one")
         values[key] = value
         if key not in NOT_FORWARDED:
             forwarded.append((key, b"%s: %s\r\n" % (name, value)))
@@ -69,7 +69,7 @@
     return {part.strip().lower() for part in connection.split(b",")}
 
 
-def answer_lines(answer: Answer) -> bytes:
+def answer_lines(answer: Response) -> bytes:
     """Return the header lines of an answer that go on to the client: all but those of its connection."""
     dropped = header_names(answer.headers.get(b"connection", b""))
     return b"".join(
@@ -79,7 +79,7 @@
     )
 
 
-def outcome_of(answer: Answer) -> Outcome:
+def outcome_of(answer: Response) -> Outcome:
     """Return what an answer says of its attempt.
 
     A success without a seal is an error: something other than the backend has answered. A status that promises that the
@@ -101,9 +101,9 @@
     start: bytes  # request line and the headers that go on unchanged
     body: bytes
     received_at: float
-    last_error: Answer | None = None  # the newest answer of a backend that reports an error of its own
+    last_error: Response | None = None  # the newest answer of a backend that reports an error of its own
     has_length: bool = True  # whether it states a length
-    attempt: Sent | None = None  # in flight
+    attempt: BackendAttempt | None = None  # in flight
     ended_attempt_may_have_run: bool = False
 
     def may_have_run(self) -> bool:
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -6,9 +6,11 @@
 from typing import Any
 
 from thistleusher.common.configuration import Index
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.core import events
-from thistleusher.net.server import Bounds, ClientConnection, Server
+from thistleusher.net.client_connection import ClientConnection
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.net.server import Server
 from thistleusher.proxy.decisions import PLAN
 from thistleusher.proxy.forwarding import ProxyIngress
 from thistleusher.proxy.http_messages import ATTEMPT_HEADER, DEADLINE_HEADER, ClientRequest, read_headers
@@ -31,15 +33,15 @@
         self.index: Index | None = None
         self.has_list = False  # of backends
         # Bound directly: a request passes one call less on its way.
-        self.take = ingress.take  # type: ignore[method-assign, assignment]
-        self.gone = ingress.gone  # type: ignore[method-assign, assignment]
-        ingress.is_shutting_down = lambda: self.stopping
+        self.handle_request = ingress.handle_request  # type: ignore[method-assign, assignment]
+        self.client_disconnected = ingress.client_disconnected  # type: ignore[method-assign, assignment]
+        ingress.is_shutting_down = lambda: self.shutting_down
 
     def apply_configuration(self, index: Index) -> None:
         """Serve by this configuration from here on."""
         limits = index.config.limits
         self.index = index
-        self.bounds = Bounds(
+        self.limits = ClientLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
             max(MIN_TIMEOUT_S, limits.header_timeout_ms / 1000),
@@ -47,59 +49,59 @@
         )
         self.ingress.apply_configuration(index)
 
-    def read(self, came: ClientConnection) -> Any:
+    def read_request(self, connection: ClientConnection) -> Any:
         """Return the request that has come whole as a `ClientRequest`, or its early answer."""
-        if came.crowded:
-            return refusal(Failure(Kind.CROWDED))
+        if connection.over_limit:
+            return refusal(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         index = self.index
         if index is None or not self.has_list:
-            return refusal(Failure(Kind.STARTING))
-        headers = read_headers(came.headers)
-        if isinstance(headers, Failure):
-            return refusal(headers)._replace(ends=True)
+            return refusal(ServiceError(ErrorKind.STARTING))
+        headers = read_headers(connection.headers)
+        if isinstance(headers, ServiceError):
+            return refusal(headers)._replace(closes=True)
         request_id = headers.values.get(ATTEMPT_HEADER, b"").decode("latin-1")
         if not request_id:
-            return refusal(Failure(Kind.MALFORMED, "x-attempt-id: missing"))
-        context = self._match(index, came.url, headers.values)
-        if isinstance(context, Failure):
+            return refusal(ServiceError(ErrorKind.MALFORMED, "x-attempt-id: missing"))
+        context = self._match(index, connection.url, headers.values)
+        if isinstance(context, ServiceError):
             return refusal(context)
         now = self.loop.time()
         time_s = self._time_allowed(now, context, headers.values)
-        if isinstance(time_s, Failure):
+        if isinstance(time_s, ServiceError):
             return refusal(time_s)
-        method = came.parser.get_method()
+        method = connection.parser.get_method()
         return ClientRequest(
             events.Request(request_id, context.match.name, PLAN, 0, time_s, 1.0),
             context,
-            b"%s %s HTTP/1.1\r\n%s" % (method, came.url, headers.forwarded),
-            bytes(came.body),
+            b"%s %s HTTP/1.1\r\n%s" % (method, connection.url, headers.forwarded),
+            bytes(connection.body),
             now,
-            has_length=bool(came.body) or method not in BODILESS_METHODS or b"content-length" in headers.values,
+            has_length=bool(connection.body) or method not in BODILESS_METHODS or b"content-length" in headers.values,
         )
 
     @staticmethod
-    def _match(index: Index, url: bytes, headers: dict[bytes, bytes]) -> RequestContext | Failure:
+    def _match(index: Index, url: bytes, headers: dict[bytes, bytes]) -> RequestContext | ServiceError:
         """Return the route by host and path, and the tenant by its key unless the route is public."""
         path = url.partition(b"?")[0].decode("latin-1")
         match = index.find(headers.get(b"host", b"").decode("latin-1"), path)
         if match is None:
-            return Failure(Kind.NO_ROUTE)
+            return ServiceError(ErrorKind.NO_ROUTE)
         if match.route.public or not index.config.tenants:
             return RequestContext(match, None)
         tenant = index.tenant_of(headers.get(b"authorization", b"").decode("latin-1"))
-        return Failure(Kind.NO_KEY) if tenant is None else RequestContext(match, tenant)
+        return ServiceError(ErrorKind.UNKNOWN_KEY) if tenant is None else RequestContext(match, tenant)
 
-    def _time_allowed(self, now: float, context: RequestContext, headers: dict[bytes, bytes]) -> float | Failure:
+    def _time_allowed(self, now: float, context: RequestContext, headers: dict[bytes, bytes]) -> float | ServiceError:
         """Return the seconds for the request: the least of its route's, its own, and what a shutdown leaves."""
         allowed_s = context.match.route.deadline_ms / 1000
         stated = headers.get(DEADLINE_HEADER, b"")
         if stated.isdigit():
             allowed_s = min(allowed_s, int(stated) / 1000)
         allowed_s = min(allowed_s, MAX_TIME_S)
-        if self.farewell is not None:
-            self.farewell.came(now)
-            left_s = self.farewell.left(now)
+        if self.shutdown is not None:
+            self.shutdown.request_arrived(now)
+            left_s = self.shutdown.time_left(now)
             if left_s <= MIN_TIME_S:
-                return Failure(Kind.ENDING)
+                return ServiceError(ErrorKind.SHUTTING_DOWN)
             allowed_s = min(allowed_s, left_s)
-        return Failure(Kind.NO_ROOM) if allowed_s <= 0 else allowed_s
+        return ServiceError(ErrorKind.NO_CAPACITY) if allowed_s <= 0 else allowed_s
--- a/thistleusher/proxy/open_charges.py
+++ b/thistleusher/proxy/open_charges.py
@@ -10,12 +10,12 @@
 
 from typing import NamedTuple
 
-from thistleusher.common.quota_timing import ALONE_S, OVER
+from thistleusher.common.quota_timing import LOCAL_QUOTA_FROM_S, OVER_LIMIT
 from thistleusher.proxy.requests import ChargeAnswered
 from thistleusher.transport.messages import ChargeResult
 
 MAX_CHARGES = 20_000  # remembered; one that is forgotten gets no answer and no refund
-ANSWER_MAX_AGE_S = ALONE_S  # after the charge was sent, from which its answer is too old to admit anything
+ANSWER_MAX_AGE_S = LOCAL_QUOTA_FROM_S  # after the charge was sent, from which its answer is too old to admit anything
 
 
 class OpenCharge(NamedTuple):
@@ -56,13 +56,13 @@
     def answered(self, now: float, result: ChargeResult) -> ChargeAnswered | None:
         """Return the answer for the request that waits for it; None where none does.
 
-        One that comes too late counts as `OVER`: its window may have ended long ago.
+        One that comes too late counts as `OVER_LIMIT`: its window may have ended long ago.
         """
-        if result.life != self.incarnation:
+        if result.incarnation != self.incarnation:
             return None
         charge = self.unanswered.pop(result.number, None)
         if charge is None:
             return None
         if now - charge.sent_at >= ANSWER_MAX_AGE_S:
-            return ChargeAnswered(charge.request, OVER, 0.0, result.window)
-        return ChargeAnswered(charge.request, result.verdict, result.left, result.window)
+            return ChargeAnswered(charge.request, OVER_LIMIT, 0.0, result.window)
+        return ChargeAnswered(charge.request, result.verdict, result.seconds, result.window)
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -13,13 +13,15 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from thistleusher.common.events import Event, say
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.common.events import Event, log_event
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process import SettingsFile, new_incarnation, serve
 from thistleusher.common.process_start import BORN
-from thistleusher.net.server import Bounds
-from thistleusher.net.upstream import Endpoint, Terms, Upstream
+from thistleusher.net.backend_connection import UpstreamOptions
+from thistleusher.net.connection_pool import Endpoint
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.cluster_view import ClusterView, Reply
 from thistleusher.proxy.commands import (
     ApplyConfiguration,
@@ -42,11 +44,11 @@
 from thistleusher.proxy.requests import ChargeTenant
 from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.proxy.shutdown import ProxyGracefulShutdown
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
 from thistleusher.transport.core_links import CoreLinks
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
 CONNECT_S = 0.6  # for a connection to a backend of another region
@@ -59,14 +61,16 @@
 NOTICE_S = 0.4  # between announcing the shutdown and closing the listener at the earliest
 CLOSE_RESERVE_S = 0.3  # of the grace time, for closing all sockets
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-CALL_BOUNDS = Bounds(body=4096, slow=3.0, idle=10.0)  # of the directory and of readiness checks
+CALL_BOUNDS = ClientLimits(
+    max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0
+)  # of the directory and of readiness checks
 MAX_WATCHERS = 64  # whose copies are taken at once
 
 
 class ProxyProgram:
     """One proxy process."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
         boot = self.boot = settings.boot
         loop = self.loop = asyncio.get_running_loop()
@@ -74,20 +78,20 @@
         self.decisions = Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, BORN)
         free = boot.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
         connections = max(MIN_CONNECTIONS, free // 2)
-        terms = Terms(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
+        terms = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
         self.upstream = Upstream(loop, CONNECT_S, IDLE_S, connections, terms)
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, self._charge)
         self.server = ProxyServer(loop, self.ingress, connections)
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], CALL_BOUNDS)
         self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], CALL_BOUNDS)
-        description = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
+        attributes = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
         # Zones are looked up in the settings as they are by then: these are read anew while the process runs.
         self.cluster_view = ClusterView(
             boot.node_name,
-            life(),
+            new_incarnation(),
             boot.region,
             lambda zone: self.boot.region_of(zone),
-            description,
+            attributes,
             self.decisions,
             now,
         )
@@ -109,7 +113,7 @@
             ApplyConfiguration: lambda command: self.server.apply_configuration(command.configuration),
             UpdateBackends: self._update_backends,
             SetServing: self._set_serving,
-            LogEvent: lambda command: say(command.event, *command.fields),
+            LogEvent: lambda command: log_event(command.event, *command.fields),
         }
 
     async def run(self) -> None:
@@ -130,13 +134,13 @@
     async def shut_down(self) -> None:
         """Announce the shutdown, go on while clients come, finish the requests in flight, then close all sockets."""
         self.shutting_down = True
-        self.server.stopping = True
+        self.server.shutting_down = True
         self._execute(self.cluster_view.report_status(time.monotonic(), self.is_ready()))
         grace_s = self.boot.bounds.grace_s
         shutdown = ProxyGracefulShutdown(self.loop.time(), grace_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s - CLOSE_RESERVE_S):
-                await self.server.leave(asyncio.sleep(NOTICE_S), shutdown)
+                await self.server.drain(asyncio.sleep(NOTICE_S), shutdown)
         self.ingress.driver.close()
         self.server.close()
         self.directory.close()
@@ -205,15 +209,15 @@
     def _charge(self, action: ChargeTenant) -> None:
         self._execute(self.cluster_view.charge(time.monotonic(), action))
 
-    def _from_control(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         commands, reply = self.cluster_view.from_control(time.monotonic(), message)
         self._execute_and_reply(dial, commands, reply)
 
-    def _from_registry(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_registry(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         commands, reply = self.cluster_view.from_registry(time.monotonic(), dial.host, message)
         self._execute_and_reply(dial, commands, reply)
 
-    def _execute_and_reply(self, dial: Dial, commands: list[Command], reply: Reply | None) -> None:
+    def _execute_and_reply(self, dial: ReconnectingLink, commands: list[Command], reply: Reply | None) -> None:
         """Reply last: only what is in force here is acknowledged."""
         self._execute(commands)
         if reply is not None:
@@ -225,11 +229,11 @@
     async def _hand_over(self, command: SendHandOver) -> None:
         copy = command.message
         if await send_hand_over(self.loop, command.ip, self.boot.port(PROXY), copy):
-            say(Event.HANDED, command.name, copy.control.previous or 0, copy.registry.previous or 0)
+            log_event(Event.STATE_HANDED_OVER, command.name, copy.control.previous or 0, copy.registry.previous or 0)
 
     def _on_hand_over(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         self._execute(self.cluster_view.handed_over(time.monotonic(), message))
         link.send(HandOverAccepted())
 
@@ -237,7 +241,7 @@
 
     def ready(self, call: Readiness, done: Callable[[Any], None]) -> None:
         """Answer the platform's readiness check."""
-        done(Ready() if self.is_ready() else Failure(Kind.STARTING))
+        done(Ready() if self.is_ready() else ServiceError(ErrorKind.STARTING))
 
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
         """Answer where a client should go; this proxy's own state counts as it is now, not as last listed."""
@@ -247,9 +251,13 @@
             members[self.boot.node_name] = {**own, "up": self.is_ready()}
         silent = self.cluster_view.ring.silent(time.monotonic())
         found = addresses(members, silent, call.region, call.zone)
-        done(Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s)) if found else Failure(Kind.STARTING))
+        done(
+            Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s))
+            if found
+            else ServiceError(ErrorKind.STARTING)
+        )
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """Run the proxy: `python -m thistleusher.system proxy`."""
     await ProxyProgram(settings).run()
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -1,11 +1,12 @@
 """This ingress's side of the tenants' rate limits: when to contact the counter, and what holds while it is silent.
 
 Each request is charged against its tenant's central count before it is sent on. While the counter answers, its verdict
-decides; what the count no longer grants, this ingress's standing share may. Without a verdict for `PROMPT_S` the
-standing share alone decides. Without an echo for `ALONE_S` this ingress may also spend its share of the counted part:
-a token bucket that refills at its part of the rate, and is empty at first, as the window before may have been spent.
+decides; what the count no longer grants, this ingress's standing share may. Without a verdict for `VERDICT_WAIT_S` the
+standing share alone decides. Without an echo for `LOCAL_QUOTA_FROM_S` this ingress may also spend its share of the
+counted part: a token bucket that refills at its part of the rate, and is empty at first, as the window before may have
+been spent.
 
-It never fails open: without a share, or `SHARE_S` after the last echo, nothing is admitted.
+It never fails open: without a share, or `LOCAL_QUOTA_UNTIL_S` after the last echo, nothing is admitted.
 
 The standing bucket of a new incarnation fills from the start of its process on. It begins with this ingress's part of
 half of the rule's slack: all incarnations that start at once have half of the slack together, and few tenants ask so
@@ -21,7 +22,16 @@
 from enum import Enum
 from typing import NamedTuple
 
-from thistleusher.common.quota_timing import ALONE_S, BEGIN, COUNTED, HERE_S, MISSED_S, SHARE_S, STANDING, TOLD_S
+from thistleusher.common.quota_timing import (
+    COUNTED_PART,
+    ECHO_MISSED_S,
+    HEARTBEAT_S,
+    LOCAL_QUOTA_FROM_S,
+    LOCAL_QUOTA_UNTIL_S,
+    STANDING_PART,
+    STARTUP_SLACK_PART,
+    STATUS_REPORT_S,
+)
 
 
 class RateLimit(NamedTuple):
@@ -100,23 +110,23 @@
 
         All registries get one after `MISSED_S` without an echo: another of them may hold the counter's role.
         """
-        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > MISSED_S
+        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_MISSED_S
         report_due = now >= self.next_report_at or echo_missed
         if not report_due and now < self.next_heartbeat_at:
             return None
-        self.next_heartbeat_at = now + HERE_S
+        self.next_heartbeat_at = now + HEARTBEAT_S
         if not report_due:
             return HeartbeatScope.COUNTER
-        self.next_report_at = now + TOLD_S
+        self.next_report_at = now + STATUS_REPORT_S
         return HeartbeatScope.ALL_REGISTRIES
 
     def record_echo(self, now: float, echo: Echo, sent_at: float, share: float) -> bool:
         """Take in the echo of the heartbeat sent at `sent_at`, with this ingress's share; return whether it counts.
 
-        One that is as old as `ALONE_S` does not: it may have lain here while this process stood still. Nor does one of
-        an older heartbeat than the newest that was echoed: it may come from a former counter.
+        One that is as old as `LOCAL_QUOTA_FROM_S` does not: it may have lain here while this process stood still. Nor
+        does one of an older heartbeat than the newest that was echoed: it may come from a former counter.
         """
-        if now - sent_at >= ALONE_S or sent_at < self.echoed_sent_at:
+        if now - sent_at >= LOCAL_QUOTA_FROM_S or sent_at < self.echoed_sent_at:
             return False
         self.echo = echo
         self.share = share
@@ -125,7 +135,7 @@
 
     def is_isolated(self, now: float) -> bool:
         """Return whether the counter has been silent so long that this ingress spends its share of the counted part."""
-        return now - self.echoed_sent_at >= ALONE_S
+        return now - self.echoed_sent_at >= LOCAL_QUOTA_FROM_S
 
     def counted_centrally(self, tenant: str) -> None:
         """Stop spending the counted part: the counter counts this ingress's requests of the tenant in this window."""
@@ -140,12 +150,15 @@
         rate_per_s, burst = self.limits.get(tenant, NO_LIMIT)
         if rate_per_s <= 0:
             return True
-        if self.share <= 0 or now > self.echoed_sent_at + SHARE_S:
+        if self.share <= 0 or now > self.echoed_sent_at + LOCAL_QUOTA_UNTIL_S:
             return False
         if self.is_isolated(now):
-            self.isolated_buckets.setdefault(tenant, TokenBucket(0.0, self.echoed_sent_at + ALONE_S))
+            self.isolated_buckets.setdefault(tenant, TokenBucket(0.0, self.echoed_sent_at + LOCAL_QUOTA_FROM_S))
         buckets = []
-        for bucket, part in ((self.isolated_buckets.get(tenant), COUNTED), (self._standing_bucket(tenant), STANDING)):
+        for bucket, part in (
+            (self.isolated_buckets.get(tenant), COUNTED_PART),
+            (self._standing_bucket(tenant), STANDING_PART),
+        ):
             if bucket is not None:
                 bucket.refill(now, part * self.share * rate_per_s, max(1.0, part * self.share * burst))
                 buckets.append(bucket)
@@ -161,6 +174,6 @@
     def _standing_bucket(self, tenant: str) -> TokenBucket:
         bucket = self.standing_buckets.get(tenant)
         if bucket is None:
-            level = min(1.0, self.share * self.slack * BEGIN)
+            level = min(1.0, self.share * self.slack * STARTUP_SLACK_PART)
             bucket = self.standing_buckets[tenant] = TokenBucket(level, self.started_at)
         return bucket
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -26,7 +26,7 @@
 
 
 class ChargeAnswered(NamedTuple):
-    """Event: the counter's verdict (`OK`, `OVER` or `ALONE` of `common.quota_timing`) on a charge.
+    """Event: the counter's verdict (`ALLOWED`, `OVER_LIMIT` or `DECIDE_LOCALLY` of `common.quota_timing`) on a charge.
 
     `left` is the time in seconds until the tenant's next window, `window` the number of the present one.
     """
--- a/thistleusher/proxy/ring_socket.py
+++ b/thistleusher/proxy/ring_socket.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from thistleusher.transport.codec import MalformedMessage, decode, encode
+from thistleusher.transport.codec import MalformedMessageError, decode, encode
 from thistleusher.transport.messages import RingHeartbeat
 
 
@@ -26,7 +26,7 @@
         """Pass a heartbeat on. Anything else is dropped: whoever sent a datagram relies on no answer."""
         try:
             message = decode(data)
-        except MalformedMessage:
+        except MalformedMessageError:
             return
         if isinstance(message, RingHeartbeat):
             self.on_heartbeat(message, addr[0])
--- a/thistleusher/proxy/shutdown.py
+++ b/thistleusher/proxy/shutdown.py
@@ -15,8 +15,8 @@
     def __init__(self, told: float, grace_s: float) -> None:
         super().__init__(told, 0.0)
         self.closes_at = told + min(MAX_OPEN_S, grace_s / 2)
-        self.end = told + max(MIN_DURATION_S, grace_s - RESERVE_S)
+        self.deadline = told + max(MIN_DURATION_S, grace_s - RESERVE_S)
 
-    def open(self, now: float) -> bool:
+    def accepts_requests(self, now: float) -> bool:
         """Return whether the listener stays open."""
-        return now < self.closes_at and super().open(now)
+        return now < self.closes_at and super().accepts_requests(now)
