--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -1,4 +1,4 @@
-"""The client library's two forms over a transport in memory: ids, headers, ends."""
+"""Both clients of the library over a transport in memory: ids, headers, ends."""
 
 import asyncio
 
@@ -28,8 +28,8 @@
         return httpx.Response(status, headers=headers, content=b"body")
 
 
-def ask(form, service, method="GET", **more):
-    """One call by a form of the library."""
+def make_call(form, service, method="GET", **more):
+    """Make one call by either client."""
     if form is PlainClient:
         with PlainClient(["d:1"], HOST, key="k", transport=httpx.MockTransport(service)) as client:
             return client.call(method, "/x", **more)
@@ -45,9 +45,11 @@
 
 
 @both
-def test_each_try_has_an_id_of_its_own_and_what_is_left_of_the_time(form):
+def test_each_attempt_has_its_own_id_and_the_time_left(form):
     service = Service((503, {"Retry-After": "0.01"}), 200)
-    assert ask(form, service, "POST", body=b"b", deadline_s=2.0) == Answered(200, {"content-length": "4"}, b"body", 2)
+    assert make_call(form, service, "POST", body=b"b", deadline_s=2.0) == Answered(
+        200, {"content-length": "4"}, b"body", 2
+    )
     first, second = service.seen
     assert first.headers["x-attempt-id"] != second.headers["x-attempt-id"] and service.resolved == 1
     assert 2000 >= int(first.headers["x-deadline-ms"]) > int(second.headers["x-deadline-ms"]) > 1000
@@ -71,7 +73,7 @@
 def test_an_effectful_call_with_an_unknown_end_says_so_and_is_sent_once(form, end):
     service = Service(end, 200)
     with pytest.raises(UnknownEnd) as caught:
-        ask(form, service, "POST")
+        make_call(form, service, "POST")
     assert len(service.seen) == 1 and caught.value.ids == (service.seen[0].headers["x-attempt-id"],)
 
 
@@ -79,33 +81,33 @@
 @pytest.mark.parametrize("end", [httpx.ReadError("reset"), httpx.RemoteProtocolError("half"), 502], ids=repr)
 def test_a_read_is_sent_again_to_another_address(form, end):
     service = Service(end, 200)
-    assert isinstance(ask(form, service, repeatable=True), Answered) and len(service.seen) == 2
+    assert isinstance(make_call(form, service, repeatable=True), Answered) and len(service.seen) == 2
     if isinstance(end, Exception):
         assert service.seen[0].url.host != service.seen[1].url.host
 
 
 @both
-def test_what_was_never_sent_is_sent_again_whatever_it_is(form):
+def test_what_was_never_sent_is_retried_whatever_it_is(form):
     service = Service(httpx.ConnectError("refused"), httpx.ConnectTimeout("dark"), 200)
-    ended = ask(form, service, "POST")
+    ended = make_call(form, service, "POST")
     assert isinstance(ended, Answered) and ended.tries == 3
 
 
 @both
 def test_refused_to_the_end_is_refused(form):
     service = Service(*[(503, {"Retry-After": "0.01"})] * 4)
-    assert ask(form, service, "POST") == Refused(503, 0.01, 4)
+    assert make_call(form, service, "POST") == Refused(503, 0.01, 4)
 
 
 @both
-def test_no_directory_ends_as_never_sent(form):
+def test_a_call_without_a_directory_ends_as_never_sent(form):
     def dark(request):
         raise httpx.ConnectError("dark")
 
-    assert ask(form, dark, "POST", deadline_s=0.5) == Refused(0, 0.0, 4)
+    assert make_call(form, dark, "POST", deadline_s=0.5) == Refused(0, 0.0, 4)
 
 
-def test_hooks_see_each_try():
+def test_hooks_get_each_attempt():
     seen = []
     service = Service(httpx.ReadError("reset"), 200)
     with PlainClient(["d:1"], HOST, transport=httpx.MockTransport(service), on_try=seen.append) as client:
--- a/thistleusher/client/__init__.py
+++ b/thistleusher/client/__init__.py
@@ -1,8 +1,7 @@
-"""The client library: requests to thistleusher with the right end for each.
+"""The client library sends requests to thistleusher over httpx (extra `client`) and returns what is known of their end.
 
-Promises that a call ends with what is known of it: answered, refused and never run, or unknown; and that a call that
-may not be repeated and may have run is never sent again. `Client` is for asyncio, `PlainClient` for everything else;
-both need httpx (extra `client`).
+It promises that each call ends as answered, refused and never run, or unknown, and that a call which may have run is
+never sent again unless it may be repeated; `Client` is for asyncio, `PlainClient` for programs without an event loop.
 """
 
 from thistleusher.client.calls import Answered, Ended, Refused, Unknown, UnknownEnd
--- a/thistleusher/client/directory.py
+++ b/thistleusher/client/directory.py
@@ -1,8 +1,8 @@
-"""Where to go: what the directory answered last, for how long it holds, and which addresses have failed of late.
+"""The addresses that a client sends to: what the directory answered last, and which of them have failed recently.
 
-An answer counts for its time to live, and beyond that for as long as no newer one can be had: an old list beats none.
-An answer without addresses or time to live is a failure. Addresses that failed are gone around for `SHUN_S`, unless
-all have.
+An answer is valid for its time to live, and beyond that for as long as no newer one can be had: a stale list beats
+none. An answer without addresses or time to live is a failure. Addresses that failed are avoided for `AVOID_S`, unless
+all have failed.
 
 Pure; seconds on the steady clock.
 """
@@ -13,60 +13,67 @@
 import random
 from collections.abc import Sequence
 
-SHUN_S = 2.0
-AGAIN_S = 0.2  # between questions while none is answered
-ASKED = 3  # directories that one question goes to at most
-MOST = 64  # addresses of an answer that count
+AVOID_S = 2.0
+RETRY_INTERVAL_S = 0.2  # between requests to the directories while none answers
+MAX_SERVERS_ASKED = 3  # directories that are asked one after the other
+MAX_ADDRESSES = 64  # of an answer that are used
+MAX_TTL_S = 60.0
 
 
 class Directory:
-    """One client's."""
+    """The directory as one client knows it."""
 
     def __init__(
         self, servers: Sequence[str], name: str, region: str, zone: str, now: float, rng: random.Random
     ) -> None:
-        """`servers`: `host:port` that answer /resolve, near ones first. ValueError where there is none."""
+        """`servers`: `host:port` that answer /resolve, near ones first. Raises ValueError where there is none."""
         if not servers:
             raise ValueError("servers: expected one address of a directory at least, found none")
-        self.servers, self.rng = tuple(servers), rng
+        self.servers = tuple(servers)
+        self.rng = rng
         self.query = {"name": name, "region": region, "zone": zone}
         self.addresses: tuple[str, ...] = ()
-        self.until = now
-        self.next = now
-        self.failed: dict[str, float] = {}
+        self.valid_until = now
+        self.next_request_at = now
+        self.failed_at: dict[str, float] = {}  # by address
 
-    def due(self, now: float) -> bool:
-        """Whether the directory is to be asked before the next try."""
-        return now >= self.until and now >= self.next
+    def is_due(self, now: float) -> bool:
+        """Return whether the directory is to be asked before the next attempt."""
+        return now >= self.valid_until and now >= self.next_request_at
 
-    def order(self) -> tuple[str, ...]:
-        """Whom to ask, one after the other."""
-        return self.servers[:ASKED]
+    def servers_to_ask(self) -> tuple[str, ...]:
+        """Return the directories to ask, one after the other until one answers."""
+        return self.servers[:MAX_SERVERS_ASKED]
 
-    def answered(self, now: float, body: bytes, ttl_most_s: float = 60.0) -> bool:
-        """Take an answer in; False where it lacks what it must have, and counts as a failure."""
+    def answered(self, now: float, body: bytes, max_ttl_s: float = MAX_TTL_S) -> bool:
+        """Take in an answer; return False where it lacks what it must have, which counts as a failure."""
         try:
             table = json.loads(body)
-            addresses, ttl = [str(a) for a in table["addresses"]][:MOST], float(table["ttl_s"])
+            addresses = [str(address) for address in table["addresses"]][:MAX_ADDRESSES]
+            ttl_s = float(table["ttl_s"])
         except (ValueError, KeyError, TypeError):
             return False
-        if not addresses or not 0 < ttl < float("inf"):
+        if not addresses or not 0 < ttl_s < float("inf"):
             return False
         self.addresses = tuple(addresses)
-        self.until = now + min(ttl, ttl_most_s)
-        self.failed = {a: at for a, at in self.failed.items() if a in addresses and now - at < SHUN_S}
+        self.valid_until = now + min(ttl_s, max_ttl_s)
+        self.failed_at = {
+            address: failed_at
+            for address, failed_at in self.failed_at.items()
+            if address in addresses and now - failed_at < AVOID_S
+        }
         return True
 
     def unanswered(self, now: float) -> None:
-        """Nobody answered: what was known goes on to count."""
-        self.next = now + AGAIN_S
+        """Go on with what is known, as no directory has answered."""
+        self.next_request_at = now + RETRY_INTERVAL_S
 
-    def shun(self, now: float, address: str) -> None:
-        """An address has failed this client."""
-        self.failed[address] = now
+    def avoid(self, now: float, address: str) -> None:
+        """Avoid an address that has failed this client."""
+        self.failed_at[address] = now
 
     def pick(self, now: float) -> str | None:
-        """An address for a new try, by chance; None where none was ever known."""
-        well = [a for a in self.addresses if now - self.failed.get(a, float("-inf")) >= SHUN_S]
-        among = well or list(self.addresses)
-        return self.rng.choice(among) if among else None
+        """Return an address for a new attempt, drawn evenly; None where none was ever known."""
+        healthy = [a for a in self.addresses if now - self.failed_at.get(a, float("-inf")) >= AVOID_S]
+        candidates = healthy or list(self.addresses)
+        return self.rng.choice(candidates) if candidates else None
--- /dev/null
+++ b/thistleusher/client/steps.py
@@ -0,0 +1,169 @@
+"""The steps of a call, shared by both clients: a generator that yields what is to be waited for.
+
+What follows from each answer or failure is decided in `calls` and `directory`; the clients only wait. Connections are
+httpx's, which keeps them open for addresses that stay; a retry opens a new one.
+"""
+
+from __future__ import annotations
+
+import random
+import secrets
+import time
+from collections.abc import Callable, Generator, Mapping, Sequence
+from typing import Any, NamedTuple
+
+import httpx
+
+from thistleusher.client.calls import (
+    DEFAULT_MAX_ATTEMPTS,
+    AttemptFailure,
+    Call,
+    Ended,
+    Retry,
+    RetryBudget,
+    Unknown,
+    UnknownEnd,
+)
+from thistleusher.client.directory import Directory
+
+CONNECT_TIMEOUT_S = 1.0
+RESOLVE_TIMEOUT_S = 1.0  # for a directory to answer
+GRACE_S = 0.05  # beyond the call's time, in which the answer of the last moment may come
+
+
+class AttemptReport(NamedTuple):
+    """One attempt, as hooks get it: id, address, duration, and its status, or 0 and the error."""
+
+    id: str
+    address: str
+    took_s: float
+    status: int
+    error: str
+
+
+class Send(NamedTuple):
+    """Send a request and wait for the httpx response, or the error that comes in its place."""
+
+    request: httpx.Request
+    connect_timeout_s: float
+    answer_timeout_s: float
+
+    def with_timeouts(self) -> httpx.Request:
+        """Return the request with its timeouts, as httpx's clients take them."""
+        timeout = httpx.Timeout(self.answer_timeout_s, connect=self.connect_timeout_s)
+        self.request.extensions = {"timeout": timeout.as_dict()}
+        return self.request
+
+
+class Sleep(NamedTuple):
+    """Wait."""
+
+    for_s: float
+
+
+Step = Send | Sleep
+Steps = Generator[Step, Any, Ended]
+Hook = Callable[[AttemptReport], object]
+
+
+class CallSteps:
+    """What both clients share: the directory, the retry budget, and the steps of a call."""
+
+    def __init__(
+        self,
+        servers: Sequence[str],
+        host: str,
+        *,
+        region: str = "",
+        zone: str = "",
+        key: str = "",
+        tries: int = DEFAULT_MAX_ATTEMPTS,
+        on_try: Hook | None = None,
+        rng: random.Random | None = None,
+    ) -> None:
+        """Prepare calls to the service `host`.
+
+        `servers`: directories, `host:port`, near ones first; `key`: the tenant's, if any; `tries`: attempts of a call;
+        `on_try` gets an `AttemptReport` after each. Raises ValueError where there is no directory.
+        """
+        self.host = host
+        self.key = key
+        self.max_attempts = tries
+        self.on_try = on_try
+        self.rng = rng or random.Random()
+        self.budget = RetryBudget()
+        self.directory = Directory(servers, host, region, zone, time.monotonic(), self.rng)
+
+    def _steps(
+        self,
+        method: str,
+        path: str,
+        body: bytes,
+        headers: Mapping[str, str],
+        deadline_s: float,
+        repeatable: bool,
+    ) -> Steps:
+        """Yield what is to be waited for in one call; return its end, or raise UnknownEnd."""
+        call = Call(time.monotonic(), deadline_s, repeatable, self.budget, self.max_attempts)
+        attempt_ids: list[str] = []
+        while True:
+            yield from self._resolve()
+            now = time.monotonic()
+            address = self.directory.pick(now)
+            call.begin_attempt()
+            if call.left(now) <= 0 or address is None:
+                following: Retry | Ended = call.failed(now, AttemptFailure.UNSENT, "no address is known")
+            else:
+                attempt_ids.append(secrets.token_hex(8))
+                all_headers = {**headers, **self._headers(call, now, attempt_ids[-1])}
+                url = f"http://{address}{path}"
+                request = httpx.Request(method, url, headers=all_headers, content=body or None)
+                result = yield Send(request, min(CONNECT_TIMEOUT_S, call.left(now)), call.left(now) + GRACE_S)
+                following = self._attempt_ended(call, address, result, now, attempt_ids[-1])
+            if isinstance(following, Retry):
+                yield Sleep(following.after_s)
+                continue
+            if isinstance(following, Unknown) and not repeatable:
+                raise UnknownEnd(following.why, tuple(attempt_ids))
+            return following
+
+    def _resolve(self) -> Generator[Step, Any, None]:
+        """Ask the directories where their last answer has expired; the first that answers counts."""
+        directory = self.directory
+        if not directory.is_due(time.monotonic()):
+            return
+        for server in directory.servers_to_ask():
+            request = httpx.Request("GET", f"http://{server}/resolve", params=directory.query)
+            result = yield Send(request, RESOLVE_TIMEOUT_S, RESOLVE_TIMEOUT_S)
+            has_answered = isinstance(result, httpx.Response) and result.status_code == 200
+            if has_answered and directory.answered(time.monotonic(), result.content):
+                return
+        directory.unanswered(time.monotonic())
+
+    def _headers(self, call: Call, now: float, attempt_id: str) -> dict[str, str]:
+        """Return the headers of an attempt that are the library's own."""
+        headers = {
+            "Host": self.host,
+            "X-Attempt-Id": attempt_id,
+            "X-Deadline-Ms": str(max(1, int(call.left(now) * 1000))),
+        }
+        if self.key:
+            headers["Authorization"] = f"Token {self.key}"
+        if call.attempts > 1:
+            headers["Connection"] = "close"
+        return headers
+
+    def _attempt_ended(self, call: Call, address: str, result: Any, began: float, attempt_id: str) -> Retry | Ended:
+        """Report an attempt to the hook and return what follows; `result`: httpx's response or an error."""
+        now = time.monotonic()
+        response = result if isinstance(result, httpx.Response) else None
+        if self.on_try is not None:
+            status = response.status_code if response is not None else 0
+            error = "" if response is not None else f"{type(result).__name__}: {result}"
+            self.on_try(AttemptReport(attempt_id, address, now - began, status, error))
+        if response is not None:
+            return call.answered(now, response.status_code, dict(response.headers), response.content)
+        self.directory.avoid(now, address)
+        is_unsent = isinstance(result, httpx.ConnectError | httpx.ConnectTimeout | httpx.PoolTimeout)
+        failure = AttemptFailure.UNSENT if is_unsent else AttemptFailure.BROKEN
+        return call.failed(now, failure, f"{type(result).__name__} at {address}")
