--- a/tests/client/test_calls.py
+++ b/tests/client/test_calls.py
@@ -32,9 +32,8 @@
 )
 def test_a_connection_that_ends_before_the_first_byte_and_after(repeatable, before, cut):
     assert isinstance(call(repeatable).failed(100.0, AttemptFailure.UNSENT, "refused"), before)
-    assert isinstance(
-        call(repeatable).failed(100.0, AttemptFailure.BROKEN, "reset"), cut
-    )  # in its last byte, or after it
+    # In its last byte, or after it.
+    assert isinstance(call(repeatable).failed(100.0, AttemptFailure.BROKEN, "reset"), cut)
     for status in (502, 504):
         assert isinstance(call(repeatable).answered(100.0, status, NONE, b""), cut)
 
--- a/tests/proxy/test_cluster_view.py
+++ b/tests/proxy/test_cluster_view.py
@@ -1,26 +1,20 @@
-"""What a proxy takes in, from whom, and that it never goes back; that both programs read the clock for each input."""
+"""What a proxy takes in, from whom, and that its state never goes back."""
 
 import random
 
 import pytest
 
-from tests.system.test_registry import PRESENCE, holding_role
 from thistleusher.common.node_settings import Bounds
-from thistleusher.proxy import program as proxy_program
 from thistleusher.proxy.cluster_view import ClusterView
 from thistleusher.proxy.commands import ConnectToCore, SendHandOver, SendHeartbeat
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.program import ProxyProgram
 from thistleusher.proxy.ring_socket import RingSocket
-from thistleusher.registry import program as registry_program
-from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import LACKS_S
 from thistleusher.transport.messages import (
     CoreInfo,
     HandOver,
-    HeartbeatEcho,
     Hello,
     KeepAlive,
     RingHeartbeat,
@@ -29,11 +23,11 @@
 from thistleusher.transport.state_updates import State
 
 
-def entry(phase):
+def backend_item(phase):
     return {"s": "s", "a": "10.9.0.1:80", "z": "z", "c": 1, "p": phase, "cold": 0.0}
 
 
-def member(name):
+def member_item(name):
     return {"front": f"{name}:1", "ip": f"ip-{name}", "region": "r", "zone": "z", "up": True}
 
 
@@ -46,55 +40,53 @@
     """The control state and the registry's list at a number."""
     return (
         State(number, {"evac:z": (number, {"on": on, "n": 1})}),
-        State(number, {"b:i": (number, entry(phase)), "m:p": (1, member("p")), "m:q": (1, member("q"))}),
+        State(
+            number, {"b:i": (number, backend_item(phase)), "m:p": (1, member_item("p")), "m:q": (1, member_item("q"))}
+        ),
     )
 
 
-def whole(state):
+def complete(state):
     return StateUpdate(state.number, None, state.items)
 
 
-def test_an_old_copy_from_a_watcher_that_stood_still_takes_nothing_back():
+def test_a_stale_hand_over_takes_nothing_back():
     view = proxy()
     control, registry = states(9, "draining", True)
-    view.from_control(1.0, whole(control))
-    view.from_registry(1.0, "c", whole(registry))
+    view.from_control(1.0, complete(control))
+    view.from_registry(1.0, "c", complete(registry))
     old_control, old_list = states(4, "ready", False)
-    assert view.handed_over(2.0, HandOver("q", whole(old_control), whole(old_list))) == []
+    assert view.handed_over(2.0, HandOver("q", complete(old_control), complete(old_list))) == []
     partial = HandOver("q", old_control.since(2), old_list.since(2))
     assert view.handed_over(2.0, partial) == []
     assert view.decisions.selector.locality.evacuated_zones == {"z"} and view.decisions.selector.listed["i"].draining
     assert (view.control.state.number, view.registry.state.number) == (9, 9)
 
 
-def test_one_that_knows_nothing_is_handed_a_copy_and_takes_it():
+def test_a_proxy_without_state_is_handed_a_copy_and_applies_it():
     watcher, fresh = proxy(), proxy()
     control, registry = states(9, "draining", True)
-    watcher.from_control(1.0, whole(control))
-    watcher.from_registry(1.0, "c", whole(registry))
-    handed = []
+    watcher.from_control(1.0, complete(control))
+    watcher.from_registry(1.0, "c", complete(registry))
+    commands = []
     for at in (2.0, 2.1 + LACKS_S):
-        handed += [
-            out
-            for out in watcher.heartbeat_received(at, RingHeartbeat("q", 0, 0), "ip-q")
-            if isinstance(out, SendHandOver)
-        ]
-    fresh.handed_over(3.0, handed[0].message)
+        commands += watcher.heartbeat_received(at, RingHeartbeat("q", 0, 0), "ip-q")
+    copies = [command.message for command in commands if isinstance(command, SendHandOver)]
+    fresh.handed_over(3.0, copies[0])
     assert fresh.has_list and fresh.decisions.selector.listed["i"].draining
     answers = proxy().heartbeat_received(3.0, RingHeartbeat("q", 9, 9), "ip-q")
-    assert answers == [
-        SendHeartbeat("ip-q", RingHeartbeat("p", 0, 0))
-    ]  # it answers all, as it does not know its watchers
+    # It answers all, as it does not know its watchers.
+    assert answers == [SendHeartbeat("ip-q", RingHeartbeat("p", 0, 0))]
 
 
-def test_an_older_epoch_does_not_bring_its_voters_back():
+def test_an_older_epoch_does_not_restore_its_voters():
     view = proxy()
     assert view.from_control(1.0, CoreInfo(("1", "2", "4"), 3, "4"))[0] == [ConnectToCore(("1", "2", "4"))]
     assert view.from_control(1.0, CoreInfo(("1", "2", "3"), 2, "1"))[0] == []
     assert view.core.voters == ("1", "2", "4")
 
 
-def test_a_message_that_a_proxy_does_not_take_is_refused_and_a_datagram_dropped():
+def test_an_unexpected_message_is_an_error_and_an_unexpected_datagram_is_dropped():
     view = proxy()
     for take in (
         lambda: view.from_control(1.0, KeepAlive()),
@@ -102,8 +94,8 @@
     ):
         with pytest.raises(UnexpectedMessageError):
             take()
-    heard = []
-    beats = RingSocket(lambda beat, ip: heard.append((beat, ip)))
+    received = []
+    socket = RingSocket(lambda heartbeat, ip: received.append((heartbeat, ip)))
     for data in (
         b"",
         b"\xff",
@@ -111,51 +103,5 @@
         encode(RingHeartbeat("q", 1, 2))[:-1],
         encode(RingHeartbeat("q", 1, 2)),
     ):
-        beats.datagram_received(data, ("ip-q", 7))
-    assert heard == [(RingHeartbeat("q", 1, 2), "ip-q")]
-
-
-class StoppedLoop:
-    """An event loop whose iteration began before the process stood still."""
-
-    def time(self):
-        return 10.1
-
-
-class Sent:
-    """A connection, and what was sent on it."""
-
-    name, peer, host = "d", "ip-d", "c"
-
-    def __init__(self):
-        self.messages = []
-
-    def send(self, message):
-        self.messages.append(message)
-
-
-def test_a_registry_that_goes_on_answers_by_the_clock_of_that_moment(monkeypatch):
-    program, link = RegistryProgram.__new__(RegistryProgram), Sent()
-    program.loop, program.registry, program.followers = StoppedLoop(), holding_role(), {"d": link}
-    clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
-    monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
-    program._from_follower(link, PRESENCE)
-    assert [type(message) for message in link.messages] == [HeartbeatEcho]
-    program._from_follower(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
-    program._from_follower(link, PRESENCE)
-    assert len(link.messages) == 1 and not program.registry.holds_role
-
-
-def test_a_message_on_a_connection_that_a_newer_one_replaced_is_not_heard():
-    program, old, new = RegistryProgram.__new__(RegistryProgram), Sent(), Sent()
-    program.registry, program.followers = holding_role(), {"d": new}
-    program._from_follower(old, PRESENCE)
-    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].incarnation == ""
-
-
-def test_a_proxy_that_goes_on_takes_messages_by_the_clock_of_that_moment(monkeypatch):
-    program, view = ProxyProgram.__new__(ProxyProgram), proxy()
-    program.loop, program.cluster_view = StoppedLoop(), view
-    monkeypatch.setattr(proxy_program.time, "monotonic", lambda: 12.0)
-    program._from_registry(Sent(), HeartbeatEcho("c/1", 10.0, 5.0, 0.1))  # lay in the socket while it stood still
-    assert view.counter == "" and view.decisions.quota.is_isolated(12.0)
+        socket.datagram_received(data, ("ip-q", 7))
+    assert received == [(RingHeartbeat("q", 1, 2), "ip-q")]
--- a/tests/proxy/test_decisions.py
+++ b/tests/proxy/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the proxy decides, event by event: charged first, near first, further tries by variant, route and budget."""
+"""The decision module, event by event: charges, placement, retries by variant, route and budget."""
 
 import random
 
@@ -10,9 +10,7 @@
 from thistleusher.common.record_reader import record
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
-from thistleusher.proxy.budgets import RetryBudget, SlowStartBudget
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.directory import addresses
 from thistleusher.proxy.placement import ListedBackend
 from thistleusher.proxy.quota import Echo
 from thistleusher.proxy.requests import ChargeAnswered, ChargeTenant, RequestContext
@@ -41,9 +39,9 @@
                 "target": "s",
                 "tries": 2,
             },
-            "homed": {
+            "far": {
                 "hostname": "h",
-                "path_prefix": "/h/",
+                "path_prefix": "/f/",
                 "variant": "pure",
                 "deadline_ms": 3000,
                 "target_ms": 800,
@@ -68,14 +66,14 @@
         self.decisions.apply_configuration(self.now, CONFIG)
         self.backends = {}
         for k in range(near):
-            self.place(f"n{k}", "z1", "near")
+            self.add_backend(f"n{k}", "z1", "near")
         for k in range(far):
-            self.place(f"f{k}", "z9", "far")
+            self.add_backend(f"f{k}", "z9", "far")
         self.decisions.apply_backends(self.now, self.backends)
         self.decisions.quota.record_echo(self.now, Echo("c", 5.0), self.now - 0.1, 0.1)
         self.count = 0
 
-    def place(self, name, zone, region, **more):
+    def add_backend(self, name, zone, region, **more):
         self.backends[name] = ListedBackend(name, "s", ("127.0.0.1", 1), zone, region, 6, False, **more)
 
     def do(self, event, after=0.0):
@@ -108,39 +106,37 @@
     assert kinds(rig.do(ChargeAnswered(name, ALLOWED, 0.5, 3))) == [actions.Attempt]
 
 
-def test_one_that_no_region_may_serve_is_refused_at_once_and_not_charged():
+def test_a_request_that_no_region_may_serve_is_rejected_at_once_and_not_charged():
     rig = Rig()
-    assert kinds(rig.ask("homed", tenant="nowhere")[1]) == [actions.Refuse]
+    assert kinds(rig.ask("far", tenant="nowhere")[1]) == [actions.Refuse]
 
 
-def test_of_two_that_are_as_good_the_one_of_this_zone_is_taken_and_a_busier_one_is_not():
+def test_of_equally_good_backends_the_one_of_this_zone_is_selected_unless_it_is_busier():
     rig = Rig(near=1, far=0)
-    rig.place("z2a", "z2", "near")
-    rig.place("z2b", "z2", "near")
+    rig.add_backend("z2a", "z2", "near")
+    rig.add_backend("z2b", "z2", "near")
     rig.decisions.apply_backends(rig.now, rig.backends)
     first, second = (attempt(rig.ask()[1]).backend for _ in range(2))
     assert first == "n0" and second != "n0"
 
 
-def test_over_the_allowance_it_is_refused_at_once_and_the_charge_given_back():
+def test_over_the_limit_a_request_is_rejected_at_once_and_its_charge_refunded():
     rig = Rig()
-    rig.decisions.quota.started_at, rig.decisions.quota.slack = rig.now, 0.0  # nothing of its own is left
+    rig.decisions.quota.started_at, rig.decisions.quota.slack = rig.now, 0.0  # nothing is left of its own share
     name, _ = rig.ask(tenant="t")
     back, refused = [a for a in rig.do(ChargeAnswered(name, OVER_LIMIT, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
     assert back == ChargeTenant(name, "t", -1, 3)
     assert isinstance(refused, actions.Refuse) and 0.5 <= refused.retry_in <= 1.0
 
 
-def test_no_verdict_never_opens_and_a_late_one_changes_nothing():
+def test_a_missing_verdict_admits_nothing_and_a_late_one_changes_nothing():
     rig = Rig()
-    rig.decisions.quota.started_at, rig.decisions.quota.slack = (
-        rig.now,
-        0.0,
-    )  # a standing share that has had no time to fill
+    # A standing share that has had no time to fill.
+    rig.decisions.quota.started_at, rig.decisions.quota.slack = rig.now, 0.0
     name, _ = rig.ask(tenant="t")
     assert kinds(rig.do(events.TimerFired(1), VERDICT_WAIT_S + 0.01)) == []  # no answer, no share: it waits
     acts = rig.do(events.TimerFired(1), LOCAL_QUOTA_FROM_S)
-    assert kinds(acts) == [ChargeTenant, actions.Refuse] and acts[1].retry_in == 0.0  # and is refused, not let in
+    assert kinds(acts) == [ChargeTenant, actions.Refuse] and acts[1].retry_in == 0.0  # and is rejected, not admitted
     assert kinds(rig.do(ChargeAnswered(name, ALLOWED, 0.5))) == []
 
 
@@ -150,9 +146,8 @@
     rig.decisions.quota.record_echo(rig.now, Echo("c", 5.0), rig.now - 0.1, 0.5)
     name, _ = rig.ask(tenant="t")
     acts = rig.do(events.TimerFired(1), VERDICT_WAIT_S + 0.01)
-    assert kinds(acts) == [ChargeTenant, actions.Attempt] and acts[0] == ChargeTenant(
-        name, "t", -1
-    )  # it needs its charge no more
+    assert kinds(acts) == [ChargeTenant, actions.Attempt]
+    assert acts[0] == ChargeTenant(name, "t", -1)  # it needs its charge no more
     assert kinds(rig.do(ChargeAnswered(name, OVER_LIMIT, 0.5))) == []
 
 
@@ -171,7 +166,7 @@
         ("effect", Outcome.TIMEOUT, actions.Fail),
     ],
 )
-def test_what_follows_an_attempt_goes_by_variant(route, outcome, then):
+def test_what_follows_an_attempt_depends_on_the_variant(route, outcome, then):
     rig = Rig()
     name, acts = rig.ask(route)
     first = attempt(acts).backend
@@ -181,7 +176,7 @@
         assert attempt(acts).backend != first
 
 
-def test_tries_bound_the_backends_that_one_request_reaches():
+def test_the_route_bounds_the_attempts_that_reach_a_backend():
     rig = Rig()
     name, acts = rig.ask("effect")
     acts = rig.end(name, acts, Outcome.FULL)
@@ -189,16 +184,16 @@
     assert kinds(acts) == [actions.Refuse]  # it surely has not run
 
 
-def test_near_first_and_home_always():
+def test_this_region_comes_first_and_only_allowed_regions_are_selected():
     rig = Rig()
     assert all(attempt(rig.ask()[1]).backend.startswith("n") for _ in range(20))
-    assert all(attempt(rig.ask("homed")[1]).backend.startswith("f") for _ in range(20))
-    name, acts = rig.ask("homed", "nowhere")  # route and tenant have no region in common
+    assert all(attempt(rig.ask("far")[1]).backend.startswith("f") for _ in range(20))
+    name, acts = rig.ask("far", "nowhere")  # route and tenant have no region in common
     assert kinds(acts) == [actions.Refuse]
     assert allowed_regions((), ()) is None and allowed_regions(("a", "b"), ("b",)) == {"b"}
 
 
-def test_an_evacuated_zone_gets_nothing_and_comes_back_cold():
+def test_an_evacuated_zone_gets_nothing_and_warms_up_when_restored():
     rig = Rig()
     rig.decisions.apply_evacuations(rig.now, {"z1"})
     assert all(attempt(rig.ask()[1]).backend.startswith("f") for _ in range(20))
@@ -211,26 +206,26 @@
     assert attempt(acts) is None
 
 
-def test_a_draining_backend_and_a_stranger_get_nothing():
+def test_a_draining_and_a_misdirected_backend_get_nothing():
     rig = Rig(near=2, far=0)
     rig.backends["n0"].draining = True
     rig.decisions.apply_backends(rig.now, dict(rig.backends))
     assert all(attempt(rig.ask()[1]).backend == "n1" for _ in range(10))
     rig.decisions.mark_misdirected("n1")  # a 421 has come from its address
     assert attempt(rig.ask()[1]) is None
-    rig.place("n2", "z1", "near")
+    rig.add_backend("n2", "z1", "near")
     rig.decisions.apply_backends(rig.now, dict(rig.backends))
     assert attempt(rig.ask()[1]).backend == "n2"
 
 
-def test_a_route_that_is_gone_still_ends_its_requests():
+def test_requests_of_a_removed_route_are_finished():
     rig = Rig()
     name, acts = rig.ask()
     rig.decisions.apply_configuration(rig.now, CONFIG._replace(routes={}))
     assert actions.Attempt in kinds(rig.end(name, acts, Outcome.RESET))
 
 
-def test_a_silent_backend_loses_what_may_be_repeated():
+def test_repeatable_requests_at_a_silent_backend_are_cancelled():
     rig = Rig()
     names = {}
     for _ in range(6):
@@ -240,54 +235,8 @@
     assert {a.request for a in asked} <= names.keys() and asked
 
 
-def test_a_silent_backend_keeps_its_request_where_no_other_would_take_it():
+def test_a_request_at_a_silent_backend_stays_where_no_other_backend_would_take_it():
     rig = Rig(near=1, far=0)
     rig.ask()
     acts = [a for n in range(60) for a in rig.do(events.TimerFired(1), 0.05)]
     assert not any(isinstance(a, actions.CancelAttempt) for a in acts)
-
-
-def test_all_proxies_together_stay_within_the_budget_of_further_tries():
-    """Half of a service has crashed: nine proxies see nothing but failures and would try each request again."""
-    rng = random.Random(3)
-    proxies = [RetryBudget(0.2, 58.0, 10.0) for _ in range(9)]
-    requests, again, now = [], [], 0.0
-    while now < 60.0:
-        now += rng.expovariate(200.0)
-        proxy = rng.choice(proxies)
-        proxy.record_request(now)
-        requests.append(now)
-        if rng.random() < 0.5 and proxy.allows(now, 9):
-            proxy.record_retry(now)
-            again.append(now)
-    for end in range(10, 60):
-        spent = sum(end - 10 < t <= end for t in again)
-        assert spent <= 0.2 * sum(end - 10 < t <= end for t in requests) + 58
-    assert len(again) > 0.1 * len(requests)
-
-
-@pytest.mark.parametrize("count", [3, 9, 86])
-def test_a_cold_backend_gets_no_more_than_it_bears_from_all_proxies_together(count):
-    names = [f"p{k}" for k in range(count)]
-    colds = [SlowStartBudget(name, 1.5, 5.0) for name in names]
-    rng, now, sent = random.Random(count), 0.0, []
-    while now < 20.0:
-        now += 0.001
-        proxy = rng.choice(colds)
-        if proxy.allows(now, "b", 12.0, names):
-            proxy.record_sent(now, "b")
-            sent.append(now)
-    for n, at in enumerate(sent):
-        assert sum(1 for t in sent[n : n + 60] if t < at + 1.0) <= 12 * 1.5 + 5
-    assert len(sent) > 20 * 8  # and it is not starved
-
-
-def test_clients_are_sent_to_ingresses_of_their_region_that_are_up():
-    members = {
-        n: {"front": f"{n}:1", "region": r, "zone": "z", "up": up}
-        for n, r, up in (("a", "k", True), ("b", "k", False), ("c", "l", True), ("d", "k", True))
-    }
-    assert addresses(members, set(), "k", "z") == ["a:1", "d:1"]
-    assert addresses(members, {"a"}, "k", "z") == ["d:1"]
-    assert addresses(members, {"a", "d"}, "k", "z") == ["c:1"]  # the region is away
-    assert len(addresses({"b": members["b"]}, set(), "k", "z")) == 1  # somewhat old beats none
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -1,5 +1,4 @@
-"""The proxy's door and its connections to backends over loopback: bytes that end, come twice, or are somebody
-else's."""
+"""The listener and the connections to backends over loopback: bytes that end, come twice, or belong to another."""
 
 import asyncio
 import random
@@ -92,7 +91,7 @@
 
 
 class Rig:
-    """A proxy's door with two backends of one service."""
+    """A proxy's listener with two backends of one service."""
 
     def __init__(self, count=2):
         self.backends = [Backend(f"b{n}") for n in range(count)]
@@ -171,7 +170,7 @@
     asyncio.run(main())
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_so():
+def test_a_request_and_its_answer_are_forwarded_unchanged():
     async def scenario(rig):
         got = await rig.ask(
             "/e/x?q=1", body=b"abc", lines="X-Tenant: forged\r\nX-Other: kept\r\nConnection: x-gone\r\n" "X-Gone: 1\r\n"
@@ -200,7 +199,7 @@
         ("/p/", lambda a: answer(a, seal=False), 200, 2),
         ("/e/", lambda a: answer(a, seal=False), 502, 1),
         ("/p/", lambda a: answer(a, 500), 200, 2),
-        ("/e/", lambda a: answer(a, 500), 500, 1),  # the backend's own word
+        ("/e/", lambda a: answer(a, 500), 500, 1),  # the backend's own answer
         ("/p/", lambda a: answer(a, 503, more=b"X-Not-Run: 1\r\n"), 200, 2),
         ("/e/", lambda a: answer(a, 503, more=b"X-Not-Run: 1\r\n"), 200, 2),
         ("/e/", lambda a: answer(a, 421), 200, 2),
@@ -208,7 +207,7 @@
         ("/e/", lambda a: answer(a, 429), 502, 1),  # no proof, no promise
     ],
 )
-def test_what_a_backend_does_to_a_request_ends_by_variant(path, step, status, runs):
+def test_the_end_after_a_backend_fault_depends_on_the_variant(path, step, status, runs):
     async def scenario(rig):
         for backend in rig.backends:  # whichever is chosen first does it, the other one answers
             backend.script.append(step)
@@ -223,7 +222,7 @@
     play(scenario)
 
 
-def test_a_closed_backend_is_passed_over_for_any_variant():
+def test_another_backend_replaces_a_closed_one_for_any_variant():
     async def scenario(rig):
         rig.backends[0].server.close()
         assert [(await rig.ask(p)).status for p in ("/p/", "/e/", "/p/", "/e/")] == [200] * 4
@@ -231,7 +230,7 @@
     play(scenario)
 
 
-def test_a_second_answer_that_comes_late_belongs_to_no_request():
+def test_a_surplus_answer_that_comes_late_belongs_to_no_request():
     async def scenario(rig):
         (backend,) = rig.backends
         backend.script += [
@@ -247,20 +246,20 @@
     play(scenario, 1)
 
 
-def test_a_421_from_a_reused_address_keeps_that_backend_out():
+def test_a_421_from_a_reused_address_excludes_that_backend():
     async def scenario(rig):
-        stranger = rig.backends[0]
-        stranger.script += [lambda a: answer(a, 421)] * 50
+        reused = rig.backends[0]
+        reused.script += [lambda a: answer(a, 421)] * 50
         got = await asyncio.gather(*(rig.ask("/e/") for _ in range(12)))
-        assert [m.status for m in got] == [200] * 12 and stranger.got
-        before = len(stranger.got)
+        assert [m.status for m in got] == [200] * 12 and reused.got
+        before = len(reused.got)
         got = await asyncio.gather(*(rig.ask("/e/") for _ in range(12)))
-        assert [m.status for m in got] == [200] * 12 and len(stranger.got) == before
+        assert [m.status for m in got] == [200] * 12 and len(reused.got) == before
 
     play(scenario)
 
 
-def test_a_key_taken_away_is_gone_on_an_open_connection():
+def test_a_removed_key_is_rejected_on_an_open_connection():
     async def scenario(rig):
         client = await rig.client()
         assert (await client.ask("/p/", key="k2")).status == 200
@@ -272,7 +271,7 @@
     play(scenario)
 
 
-def test_a_route_changed_while_its_request_is_out_ends_in_its_answer():
+def test_a_request_in_flight_is_answered_after_its_route_was_removed():
     async def scenario(rig):
         (backend,) = rig.backends
         backend.script.append("wait")
@@ -289,7 +288,7 @@
     play(scenario, 1)
 
 
-def test_requests_that_cannot_be_served_say_why():
+def test_requests_that_cannot_be_served_are_answered_with_the_reason():
     async def scenario(rig):
         assert (await rig.ask("/q/")).status == 404
         assert (await rig.ask("/p/", key="nobody")).status == 401
@@ -305,7 +304,7 @@
     play(scenario)
 
 
-def test_what_a_client_takes_out_of_the_kernel_counts_as_taken():
+def test_what_a_client_reads_from_the_kernel_counts_as_read():
     async def scenario(rig):
         rig.backends[0].script.append(lambda a: answer(a, body=b"x" * (1 << 20)))
         client = await rig.client()
@@ -324,26 +323,26 @@
     play(scenario, 1)
 
 
-def test_an_ending_proxy_answers_what_it_holds_and_closes_its_door_in_time():
+def test_a_shutdown_answers_requests_in_flight_and_closes_the_listener_in_time():
     async def scenario(rig):
         loop = asyncio.get_running_loop()
         client = await rig.client()
         assert (await client.ask("/p/")).status == 200
-        told = loop.time()
-        leaving = asyncio.ensure_future(rig.server.drain(asyncio.sleep(0), ProxyGracefulShutdown(told, 6.0)))
+        began = loop.time()
+        drained = asyncio.ensure_future(rig.server.drain(asyncio.sleep(0), ProxyGracefulShutdown(began, 6.0)))
         assert (await client.ask("/p/")).status == 200  # somebody still comes
-        await leaving
-        assert loop.time() - told < 3.5
+        await drained
+        assert loop.time() - began < 3.5
         with pytest.raises(OSError):
             await rig.client()
 
     play(scenario)
 
 
-def test_the_door_closes_early_enough_for_what_came_last():
-    bye = ProxyGracefulShutdown(100.0, 6.0)
+def test_the_listener_closes_early_enough_for_the_last_requests():
+    shutdown = ProxyGracefulShutdown(100.0, 6.0)
     now = 100.0
-    while bye.accepts_requests(now):
-        bye.request_arrived(now)
+    while shutdown.accepts_requests(now):
+        shutdown.request_arrived(now)
         now += 0.01
-    assert now <= 103.1 and bye.time_left(now) >= 2.0
+    assert now <= 103.1 and shutdown.time_left(now) >= 2.0
--- a/tests/proxy/test_quota.py
+++ b/tests/proxy/test_quota.py
@@ -1,5 +1,4 @@
-"""Quotas over a fleet on simulated wires: the counter and the ingresses' shares together stay within the users'
-rule."""
+"""Rate limits over a fleet on a simulated network: counter and shares together stay within the users' rule."""
 
 import random
 
@@ -22,107 +21,121 @@
 
 
 class Ingress:
+    """One incarnation of an ingress."""
+
     def __init__(self, name, now):
-        self.name, self.life, self.quota = name, f"{name}/{now}", LocalQuota(now, SLACK)
+        self.name = name
+        self.incarnation = f"{name}/{now}"
+        self.quota = LocalQuota(now, SLACK)
         self.quota.set_limits({"t": RateLimit(RATE, BURST)})
 
 
+class OpenRequest:
+    """A request at an ingress that has neither been admitted nor rejected."""
+
+    def __init__(self, ingress):
+        self.ingress = ingress
+        self.is_open = True
+
+
 class Fleet:
-    """One counter at a time, some ingresses, far more asked than is allowed; QUOTA checked over every 5 s."""
+    """One counter at a time, some ingresses, far more requests than the limit; QUOTA checked over every 5 s."""
 
-    def __init__(self, seed, count=6, asked=400.0):
+    def __init__(self, seed, count=6, rate=400.0):
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.clock.now = 100.0
         self.shares: dict[str, float] = {}
         self.counter = None
         self.term = 0
-        self.cuts: set[tuple[str, str]] = set()
-        self.let_in: list[float] = []
+        self.partitions: set[tuple[str, str]] = set()  # from, to
+        self.admitted: list[float] = []
         self.ingresses = {f"i{n}": Ingress(f"i{n}", self.clock.now) for n in range(count)}
-        self.gap = count / asked
-        self.take_over()
+        self.gap = count / rate
+        self.replace_counter()
         for name in self.ingresses:
-            self.beat(name)
+            self.send_heartbeat(name)
             self.request(name)
-        self.keep()
+        self.persist_shares()
 
-    def take_over(self):
+    def replace_counter(self):
         self.term += 1
         self.counter = QuotaCounter(self.clock.now)
         self.counter.follow({"t": (RATE, BURST)}, self.shares)
 
-    def keep(self):
+    def persist_shares(self):
         if self.counter is not None:
             self.shares.update(self.counter.wanted(self.clock.now))
             self.counter.follow({"t": (RATE, BURST)}, self.shares)
-        self.clock.later(0.1, self.keep)
-
-    def way(self, a, b, what):
-        if (a, b) not in self.cuts:
-            self.clock.later(0.01 + 0.05 * self.rng.random(), lambda: (a, b) not in self.cuts and what())
-
-    def beat(self, name):
-        def there(ingress, life, at, echo, term):
-            counter = self.counter
-            if counter is None:
-                return
-            mine = echo[1] if echo is not None and echo[0] == str(self.term) else None
-            counter.here(self.clock.now, name, life, mine)
-            share, now, by = counter.ingresses[name].share, self.clock.now, str(self.term)
-            self.way("c", name, lambda: ingress.quota.record_echo(self.clock.now, Echo(by, now), at, share))
+        self.clock.later(0.1, self.persist_shares)
 
+    def deliver(self, sender, receiver, receive):
+        """Send a message, which a partition drops at either end."""
+        if (sender, receiver) not in self.partitions:
+            delay = 0.01 + 0.05 * self.rng.random()
+            self.clock.later(delay, lambda: (sender, receiver) not in self.partitions and receive())
+
+    def send_heartbeat(self, name):
         ingress = self.ingresses[name]
-        at, echo, life, term = self.clock.now, ingress.quota.echo, ingress.life, self.term
-        self.way(name, "c", lambda: there(ingress, life, at, echo, term))
-        self.clock.later(HEARTBEAT_S, lambda: self.beat(name))
+        sent_at, echo = self.clock.now, ingress.quota.echo
+        self.deliver(name, "c", lambda: self.echo_heartbeat(ingress, sent_at, echo))
+        self.clock.later(HEARTBEAT_S, lambda: self.send_heartbeat(name))
+
+    def echo_heartbeat(self, ingress, sent_at, echo):
+        counter = self.counter
+        if counter is None:
+            return
+        own_echo = echo[1] if echo is not None and echo[0] == str(self.term) else None
+        counter.here(self.clock.now, ingress.name, ingress.incarnation, own_echo)
+        share, new_echo = counter.ingresses[ingress.name].share, Echo(str(self.term), self.clock.now)
+        self.deliver("c", ingress.name, lambda: ingress.quota.record_echo(self.clock.now, new_echo, sent_at, share))
 
     def request(self, name):
-        ingress = self.ingresses[name]
-        state = {"open": True}
-
-        def decide(verdict, left, number):
-            if not state["open"] or self.ingresses[name] is not ingress:
-                return
-            state["open"] = False
-            now = self.clock.now
-            if verdict == DECIDE_LOCALLY:
-                ingress.quota.not_counted_centrally(now, "t", left)
-            else:
-                ingress.quota.counted_centrally("t")
-            if verdict in (DECIDE_LOCALLY, OVER_LIMIT):
-                if ingress.quota.spend(now, "t"):
-                    self.let_in.append(now)
-                if verdict == OVER_LIMIT:
-                    self.way(name, "c", lambda: self.give_back(name, number))
-            else:
-                self.let_in.append(now)
-
-        def there():
-            if self.counter is not None:
-                answer = self.counter.add(self.clock.now, name, "t", 1)
-                self.way("c", name, lambda: decide(*answer))
-
-        def prompt():
-            if state["open"] and self.ingresses[name] is ingress and ingress.quota.spend(self.clock.now, "t"):
-                state["open"] = False
-                self.let_in.append(self.clock.now)
-
-        self.way(name, "c", there)
-        self.clock.later(VERDICT_WAIT_S, prompt)
-        self.clock.later(max(VERDICT_WAIT_S, LOCAL_QUOTA_FROM_S), prompt)
+        request = OpenRequest(self.ingresses[name])
+        self.deliver(name, "c", lambda: self.charge(request))
+        self.clock.later(VERDICT_WAIT_S, lambda: self.decide_without_verdict(request))
+        self.clock.later(max(VERDICT_WAIT_S, LOCAL_QUOTA_FROM_S), lambda: self.decide_without_verdict(request))
         self.clock.later(self.rng.expovariate(1 / self.gap), lambda: self.request(name))
 
-    def give_back(self, name, number):
+    def charge(self, request):
+        if self.counter is not None:
+            name = request.ingress.name
+            answer = self.counter.add(self.clock.now, name, "t", 1)
+            self.deliver("c", name, lambda: self.decide(request, *answer))
+
+    def decide(self, request, verdict, left, window):
+        if not self.may_decide(request):
+            return
+        request.is_open = False
+        now, quota = self.clock.now, request.ingress.quota
+        if verdict == DECIDE_LOCALLY:
+            quota.not_counted_centrally(now, "t", left)
+        else:
+            quota.counted_centrally("t")
+        if verdict not in (DECIDE_LOCALLY, OVER_LIMIT) or quota.spend(now, "t"):
+            self.admitted.append(now)
+        if verdict == OVER_LIMIT:
+            self.deliver(request.ingress.name, "c", lambda: self.refund(window))
+
+    def decide_without_verdict(self, request):
+        if self.may_decide(request) and request.ingress.quota.spend(self.clock.now, "t"):
+            request.is_open = False
+            self.admitted.append(self.clock.now)
+
+    def may_decide(self, request):
+        """Return whether it is undecided, and its ingress has not been restarted since."""
+        return request.is_open and self.ingresses[request.ingress.name] is request.ingress
+
+    def refund(self, window):
         if self.counter is not None:
-            self.counter.give_back(self.clock.now, "t", 1, number)
+            self.counter.give_back(self.clock.now, "t", 1, window)
 
     def restart(self, name):
         self.ingresses[name] = Ingress(name, self.clock.now)
 
     def worst(self):
-        """The most that was let in within any 5 s, over what the rule allows."""
-        times, first, most = sorted(self.let_in), 0, 0
+        """Return the most that was admitted within any 5 s, over what the rule allows."""
+        times, first, most = sorted(self.admitted), 0, 0
         for n, at in enumerate(times):
             while times[first] <= at - 5.0:
                 first += 1
@@ -130,32 +143,33 @@
         return most / ((RATE * 5 + BURST) * 1.1 + SLACK)
 
 
-def test_calm_days_give_about_a_burst_a_window():
+def test_without_faults_about_a_burst_is_admitted_in_each_window():
     fleet = Fleet(1)
     fleet.clock.run(115.0)
-    late = [t for t in fleet.let_in if 108 <= t < 114]
+    late = [t for t in fleet.admitted if 108 <= t < 114]
     assert 0.9 <= len(late) / (6 * BURST) <= 1.1 and fleet.worst() <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_rule_holds_while_the_counter_changes_ingresses_are_cut_off_and_restarted(seed):
+def test_the_rule_holds_while_counters_change_and_ingresses_are_partitioned_and_restarted(seed):
     fleet = Fleet(seed)
     rng = random.Random(seed + 100)
     fleet.clock.run(106.0)
     for _ in range(8):
-        what = rng.choice(["die", "cut", "cut in", "cut out", "restart", "restart all", "swap"])
+        what = rng.choice(["die", "partition", "partition in", "partition out", "restart", "restart all", "swap"])
         names = rng.sample(sorted(fleet.ingresses), rng.randint(1, 6))
         if what == "die":
             fleet.counter = None
             fleet.clock.run(fleet.clock.now + rng.random() * 3)
-            fleet.take_over()
+            fleet.replace_counter()
         elif what == "swap":
-            fleet.take_over()
-        elif what.startswith("cut"):
-            pairs = {(n, "c") for n in names if what != "cut in"} | {("c", n) for n in names if what != "cut out"}
-            fleet.cuts |= pairs
+            fleet.replace_counter()
+        elif what.startswith("partition"):
+            out = {(n, "c") for n in names if what != "partition in"}
+            back = {("c", n) for n in names if what != "partition out"}
+            fleet.partitions |= out | back
             fleet.clock.run(fleet.clock.now + rng.random() * 6)
-            fleet.cuts -= pairs
+            fleet.partitions -= out | back
         else:
             for name in names if what == "restart" else sorted(fleet.ingresses):
                 fleet.restart(name)
@@ -163,45 +177,45 @@
     assert fleet.worst() <= 1.0
 
 
-def test_without_a_counter_shares_still_let_most_in_and_never_more():
-    fleet = Fleet(3, asked=70.0)
+def test_without_a_counter_shares_admit_most_of_the_limit_and_never_more():
+    fleet = Fleet(3, rate=70.0)
     fleet.clock.run(106.0)
     fleet.counter = None
-    before = len(fleet.let_in)
+    before = len(fleet.admitted)
     fleet.clock.run(112.0)
-    assert len(fleet.let_in) - before > 0.75 * 70 * 6
+    assert len(fleet.admitted) - before > 0.75 * 70 * 6
     assert fleet.worst() <= 1.0
     fleet.clock.run(130.0)
-    late = [t for t in fleet.let_in if t > 124.0]
+    late = [t for t in fleet.admitted if t > 124.0]
     assert late == []  # it does not fail open: a share ends
 
 
-def test_a_new_life_lets_the_first_of_a_small_tenant_in_at_once():
+def test_a_new_incarnation_admits_the_first_request_of_a_small_tenant_at_once():
     quota = LocalQuota(10.0, SLACK, started_at=9.5)
     quota.set_limits({"small": RateLimit(4.0, 4.0)})
     quota.record_echo(10.0, Echo("c", 5.0), 9.9, 0.1)
     assert quota.spend(10.0, "small")  # its part of half of the slack
-    assert not quota.spend(10.1, "small")  # and no more of that: 0.1 of 0.42 of 4 a second since its birth
+    assert not quota.spend(10.1, "small")  # and no more of that: 0.1 of 0.42 of 4 a second since its start
     quota.not_counted_centrally(10.1, "small", 1.0)
-    assert quota.spend(12.0, "small")  # parts of both stores together make one
+    assert quota.spend(12.0, "small")  # parts of both buckets together make one
 
 
-def test_all_that_begin_at_once_have_half_of_the_slack_together():
-    lives = [LocalQuota(0.0, SLACK, started_at=0.0) for _ in range(40)]
-    for quota in lives:
+def test_incarnations_that_start_at_once_have_half_of_the_slack_together():
+    quotas = [LocalQuota(0.0, SLACK, started_at=0.0) for _ in range(40)]
+    for quota in quotas:
         quota.set_limits({"t": RateLimit(0.001, 0.001)})
         quota.record_echo(0.0, Echo("c", 1.0), 0.0, 0.8 / 40)
-    assert sum(quota.spend(0.0, "t") for quota in lives) <= SLACK / 2
+    assert sum(quota.spend(0.0, "t") for quota in quotas) <= SLACK / 2
 
 
-def test_an_ingress_without_a_share_lets_nothing_in():
+def test_an_ingress_without_a_share_admits_nothing():
     quota = LocalQuota(0.0)
     quota.set_limits({"t": RateLimit(RATE, BURST)})
     assert not any(quota.spend(0.1 * n, "t") for n in range(100))
     assert quota.spend(1.0, "unlimited")
 
 
-def test_what_is_given_back_late_makes_no_room_in_the_next_window():
+def test_a_late_refund_adds_nothing_to_the_next_window():
     counts = QuotaCounter(0.0)
     counts.follow({"t": (10.0, 10.0)}, {"i": 0.1})
     counts.here(0.1, "i", "x", 0.1)
@@ -218,10 +232,10 @@
     for _ in range(10):
         counts.give_back(2.1, "t", 1, number)
         verdicts.append(counts.add(2.1, "i", "t", 1)[0])
-    assert verdicts.count(0) == 6  # COUNTED of ten, whatever came back from the window before
+    assert verdicts.count(0) == 6  # COUNTED_PART of ten, whatever was refunded from the window before
 
 
-def test_a_share_that_may_be_spent_elsewhere_is_off_the_count_first():
+def test_a_share_is_deducted_from_the_count_before_it_may_be_spent_locally():
     assert SHARE_DEDUCTED_S + 0.25 <= LOCAL_QUOTA_FROM_S
     counts = QuotaCounter(0.0)
     counts.follow({"t": (10.0, 10.0)}, {"i": 0.3, "j": 0.3})
@@ -229,7 +243,6 @@
         counts.here(1.0, name, "x", 1.0)
     assert counts.part(1.1, 1.05) == 1.0
     counts.here(1.6, "j", "x", 1.6)
-    assert counts.part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(
-        0.4
-    )  # j was out of touch for a while, and counts anew
+    # j was out of touch for a while, and counts anew.
+    assert counts.part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(0.4)
     assert counts.part(1.7, 1.65) == pytest.approx(0.7)
