--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -128,13 +128,13 @@
     state, follower = State(), ConfigurationFollower()
     check = timed(lambda: orders.parse(document))
     whole = timed(lambda: changes(state, 1, document))
-    state.set(1, whole.result)
+    state.apply(1, whole.result)
     build = timed(lambda: follower.update(state, whole.result))
     one = timed(lambda: changes(state, 2, second), REPEATS)
     parts = orders.parse(second).parts
     assert parts is not None
     differing = timed(lambda: difference(state, parts), REPEATS)
-    state.set(2, one.result)
+    state.apply(2, one.result)
     update = timed(lambda: follower.update(state, one.result))
     put_together = timed(lambda: assemble(state), REPEATS)
     assert build.result and update.result and json.loads(put_together.result) == table
--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -276,7 +276,7 @@
     Wrong(
         4,
         "a change is told before it is kept",
-        "Publish(self._durable.replica.state.copied())",
+        "Publish(self._durable.replica.state.copy())",
         "Publish(self._durable.replica.state)",
     ),
     Wrong(
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -66,7 +66,7 @@
         """News as they come from a connection."""
         news = decode(data)
         assert isinstance(news, StateUpdate)
-        changed, _ = self.follower.heard(news)
+        changed, _ = self.follower.apply(news)
         assert changed is not None
         self.configuration.update(self.follower.state, changed)
         assert self.configuration.index is not None
@@ -82,11 +82,11 @@
     del config
     state = State()
     before = resident_mb()
-    first_s = timed(lambda: state.set(1, config_items.changes(state, 1, body)))
+    first_s = timed(lambda: state.apply(1, config_items.changes(state, 1, body)))
     control_mb = resident_mb() - before
-    whole = encode(state.since(0))
-    second_s = timed(lambda: state.set(2, config_items.changes(state, 2, again)))
-    change = encode(state.since(1))
+    whole = encode(state.update_since(0))
+    second_s = timed(lambda: state.apply(2, config_items.changes(state, 2, again)))
+    change = encode(state.update_since(1))
     proxy = ConfiguredProxy()
     before = resident_mb()
     whole_s = timed(lambda: proxy.take(whole))
@@ -107,8 +107,8 @@
         "control: first document to items s": first_s,
         "control: next document to items s": second_s,
         "control: items MB of memory": control_mb,
-        "control: encode whole state s": timed(lambda: encode(state.since(0))),
-        "control: encode change us": 1e6 * timed(lambda: [encode(state.since(1)) for _ in range(3)]) / 3,
+        "control: encode whole state s": timed(lambda: encode(state.update_since(0))),
+        "control: encode change us": 1e6 * timed(lambda: [encode(state.update_since(1)) for _ in range(3)]) / 3,
         "proxy: whole state s": whole_s,
         "proxy: memory MB": proxy_mb,
         "proxy: change s": change_s,
@@ -135,8 +135,8 @@
         changes = survey.page(now, page) or changes
         read_s += time.process_time() - began
     state = State()
-    state.set(1, {f"b:{name}": entry for name, entry in changes.items()})
-    state.set(2, {f"b:{rows[0]['id']}": {**(changes[rows[0]["id"]] or {}), "p": "draining"}})
+    state.apply(1, {f"b:{name}": entry for name, entry in changes.items()})
+    state.apply(2, {f"b:{rows[0]['id']}": {**(changes[rows[0]["id"]] or {}), "p": "draining"}})
     deciding = decisions()
     before = resident_mb()
     places = {
@@ -152,8 +152,8 @@
         "registry: seconds of a reading": now,
         "registry: processor s": read_s,
         "registry: backends found": len(changes),
-        "whole list, message MB": len(encode(state.since(0))) / MB,
-        "one backend, message bytes": len(encode(state.since(1))),
+        "whole list, message MB": len(encode(state.update_since(0))) / MB,
+        "one backend, message bytes": len(encode(state.update_since(1))),
         "proxy: take in s": first_s,
         "proxy: memory MB": proxy_mb,
         "proxy: one backend less s": timed(lambda: deciding.listed(1.0, dict(places))),
@@ -170,12 +170,12 @@
         f"b:i-{n}": {"s": "s", "a": "127.0.0.1:80"} for n in range(round(followers * BACKENDS / TARGET_FOLLOWERS))
     }
     state = State()
-    state.set(1, {**members, **listed})
+    state.apply(1, {**members, **listed})
     publisher = Publisher(state)
     for n in range(followers):
-        publisher.follow(f"proxy-{n}", 1)
-    state.set(2, {"m:proxy-0": {**members["m:proxy-0"], "up": False}})
-    return {"one change to all: processor s": timed(publisher.tell)}
+        publisher.subscribe(f"proxy-{n}", 1)
+    state.apply(2, {"m:proxy-0": {**members["m:proxy-0"], "up": False}})
+    return {"one change to all: processor s": timed(publisher.updates_due)}
 
 
 def counter_state(senders: int) -> Figures:
--- a/simnet/clients.py
+++ b/simnet/clients.py
@@ -80,7 +80,7 @@
         self.cluster.wires.reset(client.name, machine.address)
         self.cluster.wires.reset(machine.address, client.name)
         machine.service.disconnected(client.name)
-        self._send(client, machine.address, client.follower.follow())
+        self._send(client, machine.address, client.follower.subscribe_request())
 
     def _send(self, client: Client, address: str, message: Message) -> None:
         if address in self.cluster.machines:
@@ -116,11 +116,11 @@
             return
         if isinstance(message, StateUpdate):
             before = client.follower.state.number
-            heard = client.follower.heard(message)
+            heard = client.follower.apply(message)
             self._check_news(client, before)
-            self._send(client, sender, heard.answer)
+            self._send(client, sender, heard.reply)
         elif isinstance(message, CoreInfo):
-            if client.members.learn(message):
+            if client.members.update(message):
                 client.holder.set_grantors(message.voters)
         elif isinstance(message, LeaseGranted | LeaseRejected):
             client.holder.receive(sender, message)
--- a/simnet/operators.py
+++ b/simnet/operators.py
@@ -162,7 +162,7 @@
             self.last_read = answer
 
         request = Request(
-            make=lambda call: Read(call, lambda state: state.copied()),
+            make=lambda call: Read(call, lambda state: state.copy()),
             accepted=accepted,
             confirmed=confirmed,
             addresses=addresses or list(self.core.machines),
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -146,7 +146,7 @@
 
     def opened(self, to: str) -> None:
         follower = self.registry.control if to.startswith("control") else self.registry.list
-        self.world.send(self, to, follower.follow())
+        self.world.send(self, to, follower.subscribe_request())
 
     def replied(self, sender: str, message: AnyMessage) -> None:
         if sender.startswith("control"):
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -59,16 +59,16 @@
 
     def kept(self) -> None:
         change, items = self.being_kept
-        self.state.set(self.state.number + 1, items)
+        self.state.apply(self.state.number + 1, items)
         self.being_kept = None
         self.acked.append(change.call_id)
         self.step()
 
     def successor(self, has_last: bool) -> "Leader":
         """The next leader; `has_last`: whether it has the change that was being kept."""
-        state = self.state.copied()
+        state = self.state.copy()
         if has_last and self.being_kept is not None:
-            state.set(state.number + 1, self.being_kept[1])
+            state.apply(state.number + 1, self.being_kept[1])
         return Leader(state)
 
 
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -313,11 +313,11 @@
             changed = {"config": {"v": number, "z": zlib.compress(sent)}}
         else:
             changed = changes(kept, number, sent)
-        kept.set(kept.number + 1, changed)
+        kept.apply(kept.number + 1, changed)
         assert json.loads(assemble(kept)) == json.loads(sent) and number_of(kept) == number
         assert was_taken(kept, Identity(number, digest_of(json.loads(sent))))
         if data.draw(strategies.integers(0, 3)):
-            before, heard = config.number, follower.heard(kept.since(follower.state.number))
+            before, heard = config.number, follower.apply(kept.update_since(follower.state.number))
             assert config.update(follower.state, heard.changed or {}) == (number > before)
             if number > before:
                 whole = Index(kept_configuration(sent))
@@ -337,7 +337,7 @@
 
     def follow(number, sent):
         changed = changes(kept, number, sent)
-        kept.set(kept.number + 1, changed)
+        kept.apply(kept.number + 1, changed)
         return config.update(kept, changed)
 
     assert follow(7, body())
--- a/tests/system/test_knowledge.py
+++ b/tests/system/test_knowledge.py
@@ -14,7 +14,7 @@
 from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
 from thistleusher.transport.errors import UnexpectedMessageError
-from thistleusher.transport.heartbeat_ring import LACKS_S
+from thistleusher.transport.heartbeat_ring import UPDATE_WAIT_S
 from thistleusher.transport.messages import (
     CoreInfo,
     HandOver,
@@ -59,7 +59,7 @@
     knowledge.from_registry(1.0, "c", whole(registry))
     old_control, old_list = states(4, "ready", False)
     assert knowledge.handed(2.0, HandOver("q", whole(old_control), whole(old_list))) == []
-    partial = HandOver("q", old_control.since(2), old_list.since(2))
+    partial = HandOver("q", old_control.update_since(2), old_list.update_since(2))
     assert knowledge.handed(2.0, partial) == []
     assert knowledge.decisions.ground.evacuated == {"z"} and knowledge.decisions.places["i"].draining
     assert (knowledge.control.state.number, knowledge.list.state.number) == (9, 9)
@@ -71,7 +71,7 @@
     watcher.from_control(1.0, whole(control))
     watcher.from_registry(1.0, "c", whole(registry))
     handed = []
-    for at in (2.0, 2.1 + LACKS_S):
+    for at in (2.0, 2.1 + UPDATE_WAIT_S):
         handed += [out for out in watcher.beat(at, RingHeartbeat("q", 0, 0), "ip-q") if isinstance(out, ToPeer)]
     fresh.handed(3.0, handed[0].message)
     assert fresh.known and fresh.decisions.places["i"].draining
--- a/tests/system/test_links.py
+++ b/tests/system/test_links.py
@@ -16,7 +16,7 @@
 
 
 def test_a_dial_that_waits_is_tried_at_once_when_the_other_side_shows(monkeypatch):
-    monkeypatch.setattr(links, "REDIAL_S", 60.0)
+    monkeypatch.setattr(links, "RECONNECT_S", 60.0)
 
     async def play() -> Message:
         loop = asyncio.get_running_loop()
@@ -29,7 +29,7 @@
         while dial.opening is None or not dial.opening.done():  # refused: nobody listens there
             await asyncio.sleep(0)
         await listener.listen("127.0.0.1", port)
-        dial.poke()
+        dial.retry_now()
         try:
             async with asyncio.timeout(5.0):
                 return await came
@@ -97,8 +97,8 @@
 
 def test_an_older_epoch_does_not_replace_newer_voters():
     core = CoreMembers()
-    assert core.learn(CoreInfo(("a", "b", "d"), 7, "d"))
-    assert not core.learn(CoreInfo(("a", "b", "c"), 6, "c")) and not core.learn(CoreInfo((), 9, ""))
+    assert core.update(CoreInfo(("a", "b", "d"), 7, "d"))
+    assert not core.update(CoreInfo(("a", "b", "c"), 6, "c")) and not core.update(CoreInfo((), 9, ""))
     assert (core.epoch, core.voters, core.leader) == (7, ("a", "b", "d"), "d")
 
 
@@ -131,7 +131,7 @@
             link = factory()
             links_made.append(link)
             link.open, link.transport = True, None
-            link.beater = loop.call_later(0, faults.append, "the beat of a link that nobody has")
+            link.keep_alive_timer = loop.call_later(0, faults.append, "the beat of a link that nobody has")
             raise asyncio.CancelledError
 
         loop.create_connection = stands_and_is_cancelled
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -74,7 +74,7 @@
         self._heartbeat_at = self._status_at = now
         self._installing = {}
         self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
-        self._context.emit(Publish(self._durable.replica.state.copied()))
+        self._context.emit(Publish(self._durable.replica.state.copy()))
         self._send_heartbeats(leadership)
         self.serve()
 
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -126,7 +126,7 @@
     def _heard(self, link: Link, message: AnyMessage) -> None:
         if isinstance(message, Hello):
             if link.name in self.dials:
-                self.dials[link.name].poke()
+                self.dials[link.name].retry_now()
             return
         if link.name:
             self.links[link.name] = link
--- a/thistleusher/control/replica.py
+++ b/thistleusher/control/replica.py
@@ -93,6 +93,6 @@
     def install_for(self, position: Position | None) -> Install:
         """What brings a copy at a position (None: not known) to this one: changes where they do, else all items."""
         if position is not None and self.follows(position):
-            items = self.state.after(position.number)
+            items = self.state.changed_after(position.number)
             return Install(self.epoch, position, self.position, self.state.floor, items)
         return Install(self.epoch, None, self.position, self.state.floor, self.state.items)
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -91,7 +91,7 @@
         elif isinstance(message, SubscribeRequest):
             return self._follow(now, name, message.number)
         elif isinstance(message, StateUpdateAck):
-            self.publisher.ack(name, message.number)
+            self.publisher.acknowledge(name, message.number)
         elif isinstance(message, PersistItems):
             return self._keep(now, name, message)
         elif name:
@@ -106,7 +106,7 @@
     def disconnected(self, name: str) -> None:
         """A follower's connection has ended."""
         self.followers.discard(name)
-        self.publisher.leave(name)
+        self.publisher.unsubscribe(name)
 
     # Leases.
 
@@ -135,9 +135,9 @@
     def _follow(self, now: float, name: str, number: int) -> list[ServiceOutput]:
         self.followers.add(name)
         if self.node.holds_lease(now):
-            return [SendToClient(name, self._core()), *self._news(self.publisher.follow(name, number))]
-        self.publisher.leave(name)
-        self.publisher.sent[name] = self.publisher.acked[name] = number
+            return [SendToClient(name, self._core()), *self._news(self.publisher.subscribe(name, number))]
+        self.publisher.unsubscribe(name)
+        self.publisher.sent[name] = self.publisher.acknowledged[name] = number
         return [SendToClient(name, self._core())]
 
     def _keep(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
@@ -166,7 +166,7 @@
         self._told_epoch = view.epoch if view is not None else NO_EPOCH
         told: list[ServiceOutput] = [SendToClient(name, self._core()) for name in sorted(self.followers)]
         if begun:  # what came into force before the lease stood
-            told += self._news(self.publisher.tell())
+            told += self._news(self.publisher.updates_due())
         return told
 
     def _news(self, messages: Iterable[tuple[str, StateUpdate]]) -> list[ServiceOutput]:
@@ -181,7 +181,7 @@
                 self._publish(each)
                 out += self._tell_core(now)
                 if self.node.holds_lease(now):
-                    out += self._news(self.publisher.tell())
+                    out += self._news(self.publisher.updates_due())
             elif isinstance(each, Answer) and each.call_id in self._keeping:
                 tell = self._keeping.pop(each.call_id)
                 kept = not isinstance(each.answer, ServiceError)
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -162,18 +162,18 @@
 
     def follow_control(self) -> SubscribeRequest:
         """The first message to a control process."""
-        return self.control.follow()
+        return self.control.subscribe_request()
 
     def follow_list(self) -> SubscribeRequest:
         """The first message to a registry."""
-        return self.list.follow()
+        return self.list.subscribe_request()
 
     def tick(self, now: float, ready: bool) -> list[Output]:
         """Beats to the counter and on the ring; `ready`: whether requests are served here."""
         beat, full = self.decisions.quota.beat(now)
         if beat:
             self._here(now, ready, full)
-        due = self.ring.due(now)
+        due = self.ring.heartbeats_due(now)
         if due:
             members = self.list.state.values("m:")
             self.out += [ToRing(members[name]["ip"], self._ring_beat()) for name in due if name in members]
@@ -202,13 +202,13 @@
 
     def beat(self, now: float, beat: RingHeartbeat, ip: str) -> list[Output]:
         """Another proxy's heartbeat."""
-        self.ring.beat(now, beat.sender)
+        self.ring.record_heartbeat(now, beat.sender)
         theirs, mine = (beat.control_number, beat.registry_number), (self.control.state.number, self.list.state.number)
         if 0 in mine and theirs > mine:
             # One that knows nothing does not know its watchers: it answers all.
             self.out.append(ToRing(ip, self._ring_beat()))
-        if self.ring.behind(now, beat.sender, theirs, mine):
-            control, registry = self.control.state.since(theirs[0]), self.list.state.since(theirs[1])
+        if self.ring.needs_hand_over(now, beat.sender, theirs, mine):
+            control, registry = self.control.state.update_since(theirs[0]), self.list.state.update_since(theirs[1])
             self.out.append(ToPeer(beat.sender, ip, HandOver(self.me, control, registry)))
         return self._flush()
 
@@ -226,14 +226,14 @@
         if isinstance(message, StateUpdate):
             reply = self._control_news(now, message)
         elif isinstance(message, CoreInfo):
-            if self.core.learn(message):
+            if self.core.update(message):
                 self.out.append(Core(message.voters))
         else:
             raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def _control_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
-        changed, reply = self.control.heard(news)
+        changed, reply = self.control.apply(news)
         if not changed:
             return reply
         if self.configuration.update(self.control.state, changed):
@@ -305,12 +305,12 @@
         self.out.append(Verdict(counted))
 
     def _list_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
-        changed, reply = self.list.heard(news)
+        changed, reply = self.list.apply(news)
         if not changed:
             return reply
         if any(name.startswith("m:") for name in changed):
             members = self.list.state.values("m:")
-            self.ring.members(now, members)
+            self.ring.set_members(now, members)
             self.decisions.ingresses = sorted(n for n, m in members.items() if m["up"])
         backends = {name[2:]: entry for name, entry in changed.items() if name.startswith("b:")}
         if backends:
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -119,7 +119,7 @@
         self.registries = CoreLinks(
             loop, lambda: self.boot.port(REGISTRY), self.knowledge.follow_list, self._from_registry
         )
-        self.handing = Listener(loop, self._handed, lambda link: None, most=MOST_WATCHERS)
+        self.handing = Listener(loop, self._handed, lambda link: None, max_links=MOST_WATCHERS)
         self.leaving = False
 
     async def run(self) -> None:
@@ -163,8 +163,8 @@
         self._meet(self.boot.core_ips)
 
     def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
-        self.control.meet(addresses)
-        self.registries.meet(addresses)
+        self.control.connect_to(addresses)
+        self.registries.connect_to(addresses)
 
     # Time.
 
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -37,10 +37,14 @@
         self.registry = Registry(me, boot.ip, time.monotonic(), random.Random(), rate_per_s, polls)
         self.calling: asyncio.Task[None] | None = None
         self.control = CoreLinks(
-            loop, lambda: self.boot.port(CONTROL), self.registry.control.follow, self._from_control
+            loop, lambda: self.boot.port(CONTROL), self.registry.control.subscribe_request, self._from_control
         )
         self.peers = CoreLinks(
-            loop, lambda: self.boot.port(REGISTRY), self.registry.list.follow, self._from_peer, own=boot.ip
+            loop,
+            lambda: self.boot.port(REGISTRY),
+            self.registry.list.subscribe_request,
+            self._from_peer,
+            own_address=boot.ip,
         )
         self.listener = Listener(loop, self._from_follower, self._gone)
         self.followers: dict[str, Link] = {}
@@ -65,8 +69,8 @@
         self._meet(self.boot.core_ips)
 
     def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
-        self.control.meet(addresses)
-        self.peers.meet(addresses)
+        self.control.connect_to(addresses)
+        self.peers.connect_to(addresses)
 
     def tick(self) -> None:
         """A tick of the state machine."""
@@ -122,7 +126,7 @@
         if isinstance(message, SubscribeRequest):
             self.followers[link.name] = link
             for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
-                links.poke(link.peer)
+                links.retry_now(link.peer_address)
         elif self.followers.get(link.name) is not link:
             return  # a newer connection has taken this one's place, maybe of a newer life
         self._carry(self.registry.from_follower(time.monotonic(), link.name, message))
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -131,7 +131,7 @@
         elif isinstance(message, CoreInfo):
             self._core(message)
         elif isinstance(message, StateUpdate):
-            changed, reply = self.control.heard(message)
+            changed, reply = self.control.apply(message)
             if changed:
                 self.configuration.update(self.control.state, changed)
                 self._limits()
@@ -144,7 +144,7 @@
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
             raise UnexpectedMessageError(message)
-        reply = None if self.holds_role else self.list.heard(message).answer
+        reply = None if self.holds_role else self.list.apply(message).reply
         return self._flush(), reply
 
     def from_follower(self, now: float, name: str, message: AnyMessage) -> list[Output]:
@@ -157,7 +157,7 @@
         elif isinstance(message, SubscribeRequest):
             self._follow(name, message.number)
         elif isinstance(message, StateUpdateAck):
-            self.publisher.ack(name, message.number)
+            self.publisher.acknowledge(name, message.number)
         else:
             raise UnexpectedMessageError(message)
         return self._flush()
@@ -165,7 +165,7 @@
     def gone(self, name: str) -> None:
         """A follower's connection has ended."""
         self.followers.discard(name)
-        self.publisher.leave(name)
+        self.publisher.unsubscribe(name)
 
     def answered(self, now: float, status: int, body: bytes) -> list[Output]:
         """The platform's answer to the call; `status` 0: none came."""
@@ -213,7 +213,7 @@
     # The duty.
 
     def _core(self, info: CoreInfo) -> None:
-        if not self.core.learn(info):
+        if not self.core.update(info):
             return
         self.holder.set_grantors(info.voters)
         # The leader's machine has another role to lose at the same time.
@@ -248,7 +248,9 @@
         state.number = state.floor = max(state.number, self.holder.term << TERM_BITS)
         self.publisher = Publisher(state)
         for name in sorted(self.followers):
-            self.publisher.sent[name] = self.publisher.acked[name] = -1  # gets the whole: its number is not known
+            # The number that it has is not known, so it gets the complete state.
+            self.publisher.sent[name] = -1
+            self.publisher.acknowledged[name] = -1
 
     def _end_duty(self, why: str) -> None:
         if self.holds_role:
@@ -276,7 +278,7 @@
         self.followers.add(name)
         if not self.holds_role:
             return
-        for follower, news in self.publisher.follow(name, number):
+        for follower, news in self.publisher.subscribe(name, number):
             if self._has_list():
                 self._tell(follower, news)
 
@@ -290,9 +292,9 @@
         """Tell followers, once there is a list to tell of."""
         state = self.list.state
         if changes:
-            state.set(state.number + 1, changes)
+            state.apply(state.number + 1, changes)
         if self._has_list():
-            for name, news in self.publisher.tell():
+            for name, news in self.publisher.updates_due():
                 self._tell(name, news)
 
     # The counter.
--- a/thistleusher/transport/__init__.py
+++ b/thistleusher/transport/__init__.py
@@ -1,5 +1,4 @@
-"""What carries words between the system's processes: held connections, numbered news, heartbeats on a ring.
+"""Communication between the system's processes: links, numbered state updates, the heartbeat ring, the call server.
 
-`news` and `ring` are pure; `links` and `api` have the sockets. A message on a held connection comes whole and in
-order or the connection ends; nothing else is promised.
+A message on a link arrives complete and in order or the link ends; nothing else is promised.
 """
--- a/thistleusher/transport/core_links.py
+++ b/thistleusher/transport/core_links.py
@@ -1,4 +1,4 @@
-"""Connections to one service of the core: a dial to each machine that is known.
+"""Links to one service on each core machine that is known.
 
 A machine once known stays known, as settings and the newest view may name different ones.
 """
@@ -13,43 +13,49 @@
 
 
 class CoreLinks:
-    """Dials to one service of the core, by the machines' addresses."""
+    """Reconnecting links to one service of the core, by the machines' addresses."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         port: Callable[[], int],
-        hello: Callable[[], Message],
+        first_message: Callable[[], Message],
         on_message: Callable[[ReconnectingLink, AnyMessage], None],
-        own: str = "",
+        own_address: str = "",
     ) -> None:
-        """`own`: an address that is never dialled."""
-        self.loop, self.port, self.hello, self.on_message, self.own = loop, port, hello, on_message, own
-        self.dials: dict[str, ReconnectingLink] = {}
-
-    def meet(self, addresses: Iterable[str]) -> None:
-        """Open a connection to each of some machines that is not known yet."""
+        """Create without any link; `own_address` is never connected to."""
+        self.loop = loop
+        self.port = port
+        self.first_message = first_message
+        self.on_message = on_message
+        self.own_address = own_address
+        self.links: dict[str, ReconnectingLink] = {}
+
+    def connect_to(self, addresses: Iterable[str]) -> None:
+        """Open a link to each machine that is not known yet."""
         for address in addresses:
-            if address != self.own and address not in self.dials:
-                self.dials[address] = ReconnectingLink(self.loop, address, self.port(), self.hello, self.on_message)
+            if address != self.own_address and address not in self.links:
+                self.links[address] = ReconnectingLink(
+                    self.loop, address, self.port(), self.first_message, self.on_message
+                )
 
     def send(self, address: str, message: Message) -> None:
-        """Send to one machine; nothing where no connection stands."""
-        dial = self.dials.get(address)
-        if dial is not None:
-            dial.send(message)
+        """Send to one machine; dropped where no connection is up."""
+        link = self.links.get(address)
+        if link is not None:
+            link.send(message)
 
     def broadcast(self, message: Message) -> None:
-        """Send to each machine."""
-        for dial in self.dials.values():
-            dial.send(message)
+        """Send to each machine whose connection is up."""
+        for link in self.links.values():
+            link.send(message)
 
-    def poke(self, address: str) -> None:
-        """Something has come from a machine: try it at once if its connection is down."""
-        if address in self.dials:
-            self.dials[address].poke()
+    def retry_now(self, address: str) -> None:
+        """Connect at once if the link is down: something has come from that machine, so it is up."""
+        if address in self.links:
+            self.links[address].retry_now()
 
     def close(self) -> None:
-        """End all of them for good."""
-        for dial in self.dials.values():
-            dial.close()
+        """Close all links for good."""
+        for link in self.links.values():
+            link.close()
--- a/thistleusher/transport/core_members.py
+++ b/thistleusher/transport/core_members.py
@@ -1,4 +1,4 @@
-"""Which machines are the core's, as followers of it know. Pure."""
+"""The core machines as their subscribers know them. Pure."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 
 class CoreMembers:
-    """The core as the newest epoch that was heard of has it."""
+    """The core's members, of the newest epoch heard of."""
 
     def __init__(self) -> None:
         self.epoch = 0
         self.voters: tuple[str, ...] = ()
         self.leader = ""
 
-    def learn(self, info: CoreInfo) -> bool:
-        """Take in what a control process tells; whether it counts: not of an older epoch, nor without voters."""
+    def update(self, info: CoreInfo) -> bool:
+        """Take in what a control process says; return False where it is of an older epoch or names no voters."""
         if info.epoch < self.epoch or not info.voters:
             return False
-        self.epoch, self.voters, self.leader = info.epoch, info.voters, info.leader
+        self.epoch = info.epoch
+        self.voters = info.voters
+        self.leader = info.leader
         return True
--- a/thistleusher/transport/errors.py
+++ b/thistleusher/transport/errors.py
@@ -1,4 +1,4 @@
-"""What a receiver raises about a message that it refuses."""
+"""The error that a receiver raises to reject a message."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnexpectedMessageError(ValueError):
-    """A message that is well formed, of a type or with a value that its receiver does not take."""
+    """A well-formed message of a type, or with a value, that its receiver does not accept."""
 
     def __init__(self, message: Message) -> None:
-        super().__init__(f"{type(message).__name__} is not taken here")
+        super().__init__(f"{type(message).__name__} is not accepted here")
--- a/thistleusher/transport/heartbeat_ring.py
+++ b/thistleusher/transport/heartbeat_ring.py
@@ -1,11 +1,11 @@
-"""Heartbeats on a ring: each ingress tells a few watchers, which its place names, that it is there.
+"""Heartbeats on a ring: each ingress sends heartbeats to a few watchers, which its position on the ring determines.
 
-Places are hashes of names; an ingress's watchers are the next `WATCHERS` on the ring, so each watches as many on
-average and the sum of heartbeats grows with the fleet, not with its square. One watcher's word is no verdict: who
-judges wants two.
+Positions are hashes of names. An ingress's watchers are the next `WATCHERS` on the ring, so each watches as many on
+average, and the sum of heartbeats grows with the fleet, not with its square. One watcher's report is no verdict:
+whoever judges wants two (`thistleusher.registry.members`).
 
-Watchers also keep what a missing one should have had: while one is silent they go on calling it, and when it answers
-with a life that knows nothing they hand over their copy of the news.
+Watchers also keep the state updates that a missing ingress should have had: while one is silent they go on sending it
+heartbeats, and when it answers with an incarnation that knows nothing they hand over their copy.
 
 Pure; times are seconds on a steady clock.
 """
@@ -17,75 +17,79 @@
 from collections.abc import Iterable
 
 WATCHERS = 3
-BEAT_S = 0.25
-LACKS_S = 0.6  # in which the core may bring the news itself, before a watcher does
-SILENT_S = 0.9  # without a beat, after which a watcher calls one silent
+HEARTBEAT_S = 0.25
+UPDATE_WAIT_S = 0.6  # left to the core to send the updates itself, before a watcher hands them over
+SILENT_S = 0.9  # without a heartbeat, after which a watcher reports an ingress as silent
 
 
-def place_of(name: str) -> int:
-    """A name's place on the ring."""
+def ring_position(name: str) -> int:
+    """Return a name's position on the ring."""
     return zlib.crc32(name.encode())
 
 
 class HeartbeatRing:
-    """One ingress's part: whom it tells, whom it watches, who is silent."""
-
-    def __init__(self, me: str, now: float) -> None:
-        self.me = me
-        self.order: list[tuple[int, str]] = []
-        self.heard: dict[str, float] = {}  # of those watched, when last
-        self.met: set[str] = set()  # of those watched, heard at least once
-        self.next_beat = now
-        # Of those watched, who lacks news: with which numbers, and since when it has had these.
+    """One ingress's view of the ring: who watches it, whom it watches, who is silent."""
+
+    def __init__(self, name: str, now: float) -> None:
+        self.name = name
+        self.order: list[tuple[int, str]] = []  # (position, name) of all members
+        self.last_heard: dict[str, float] = {}  # of those watched
+        self.met: set[str] = set()  # of those watched, heard from at least once
+        self.next_heartbeat = now
+        # Of those watched that lack updates: the numbers that they have, and since when.
         self.lacking: dict[str, tuple[tuple[int, int], float]] = {}
 
-    def members(self, now: float, names: Iterable[str]) -> None:
-        """Who is in the ring now, itself included or not."""
-        self.order = sorted((place_of(name), name) for name in {*names, self.me})
+    def set_members(self, now: float, names: Iterable[str]) -> None:
+        """Set the ring's members; this ingress is always one of them."""
+        self.order = sorted((ring_position(name), name) for name in {*names, self.name})
         watched = self.watched()
-        self.heard = {name: self.heard.get(name, now) for name in watched}
+        self.last_heard = {name: self.last_heard.get(name, now) for name in watched}
         self.met &= watched
 
-    def _from(self, name: str, step: int) -> list[str]:
-        at = bisect.bisect_left(self.order, (place_of(name), name))
-        count = len(self.order)
-        return [self.order[(at + step * k) % count][1] for k in range(1, min(WATCHERS, count - 1) + 1)]
+    def _neighbours(self, step: int) -> list[str]:
+        """Return the next `WATCHERS` members in one direction (`step` 1 or -1)."""
+        own = bisect.bisect_left(self.order, (ring_position(self.name), self.name))
+        size = len(self.order)
+        return [self.order[(own + step * k) % size][1] for k in range(1, min(WATCHERS, size - 1) + 1)]
 
     def watchers(self) -> list[str]:
-        """Whom this one tells that it is there."""
-        return self._from(self.me, 1) if len(self.order) > 1 else []
+        """Return who watches this ingress."""
+        return self._neighbours(1) if len(self.order) > 1 else []
 
     def watched(self) -> set[str]:
-        """Whom this one listens for."""
-        return set(self._from(self.me, -1)) if len(self.order) > 1 else set()
+        """Return whom this ingress watches."""
+        return set(self._neighbours(-1)) if len(self.order) > 1 else set()
 
-    def beat(self, now: float, name: str) -> bool:
-        """A heartbeat has come; whether it was silent until now."""
-        if name not in self.heard:
+    def record_heartbeat(self, now: float, name: str) -> bool:
+        """Record a heartbeat; return whether its sender is watched and was silent until now."""
+        if name not in self.last_heard:
             return False
-        back = now - self.heard[name] > SILENT_S
-        self.heard[name] = now
+        was_silent = now - self.last_heard[name] > SILENT_S
+        self.last_heard[name] = now
         self.met.add(name)
-        return back
+        return was_silent
 
-    def due(self, now: float) -> list[str]:
-        """Whom to send a heartbeat to now: the watchers, and the watched ones that are silent, which are called."""
-        if now < self.next_beat:
+    def heartbeats_due(self, now: float) -> list[str]:
+        """Return whom to send a heartbeat to now: the watchers, then the silent ones among the watched."""
+        if now < self.next_heartbeat:
             return []
-        self.next_beat = now + BEAT_S
+        self.next_heartbeat = now + HEARTBEAT_S
         return [*self.watchers(), *sorted(self.silent(now) - set(self.watchers()))]
 
-    def behind(self, now: float, name: str, theirs: tuple[int, int], mine: tuple[int, int]) -> bool:
-        """Whether one that is watched has lacked news for `LACKS_S` and got none, and its watcher hands them over."""
-        if name not in self.heard or (theirs[0] >= mine[0] and theirs[1] >= mine[1]):
+    def needs_hand_over(self, now: float, name: str, theirs: tuple[int, int], own: tuple[int, int]) -> bool:
+        """Return whether a watched ingress has lacked updates for `UPDATE_WAIT_S` without receiving any.
+
+        `theirs` and `own` are the numbers of the control's and the registry's state. After True it waits anew.
+        """
+        if name not in self.last_heard or (theirs[0] >= own[0] and theirs[1] >= own[1]):
             self.lacking.pop(name, None)
             return False
         had, since = self.lacking.get(name, (theirs, now))
-        stuck = had == theirs and now - since >= LACKS_S
+        stuck = had == theirs and now - since >= UPDATE_WAIT_S
         if stuck or had != theirs or name not in self.lacking:
             self.lacking[name] = theirs, now
         return stuck
 
     def silent(self, now: float) -> set[str]:
-        """Those watched that have not been heard of for `SILENT_S`."""
-        return {name for name, at in self.heard.items() if now - at > SILENT_S}
+        """Return those watched that have not been heard of for `SILENT_S`."""
+        return {name for name, at in self.last_heard.items() if now - at > SILENT_S}
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -1,19 +1,20 @@
-"""Held connections between the system's own processes: framed messages, one after the other, over TCP.
+"""Long-lived connections between the system's own processes: framed messages, one after the other, over TCP.
 
-`Dial` keeps one connection to an address and opens it again when it ends; `Listener` takes others' connections. Both
-sides send a `Beat` when they have nothing else to say, and end a connection on which nothing came for `SILENT_S`:
-behind a network partition nothing else would tell. What was written to a connection that ends may be lost; who needs
-an answer asks again.
+`ReconnectingLink` keeps one connection to an address and opens it again when it ends; `Listener` accepts others'
+connections. Both sides send a `KeepAlive` when they have nothing else to send, and close a connection on which nothing
+came for `SILENT_S`: behind a network partition nothing else would show that the other side is gone. What was written to
+a connection that ends may be lost; whoever needs an answer asks again.
 
-A message that does not fit its type (`MalformedMessage`), or that its receiver does not take (`UnexpectedMessage`),
-is refused and logged, and its connection is ended.
+A message that does not fit its type (`MalformedMessageError`), or that its receiver does not accept
+(`UnexpectedMessageError`), is logged, and its connection is closed.
 
-Cost over the fleet: a beat each `BEAT_S` and connection each way.
+Cost over the fleet: a keep-alive each `KEEP_ALIVE_S` for each connection and direction.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 from collections.abc import Callable
 from typing import cast
@@ -24,13 +25,15 @@
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
 
-BEAT_S = 0.4
+KEEP_ALIVE_S = 0.4
 SILENT_S = 1.5
-OPEN_S = 0.3  # to connect: the opening packet to a machine that is down is lost, and not sent again in time
-PATIENT = 4  # each so many attempts one gets `SILENT_S`, as the way may be that slow
-REDIAL_S = 0.1
-UNSENT_BYTES = 16 * 1024 * 1024  # waiting to be sent, beyond which a peer that does not read is given up
-BEAT = frame(KeepAlive())
+CONNECT_S = 0.3  # the opening packet to a machine that is down is lost, and not sent again in time
+SLOW_ATTEMPT_EACH = 4  # each so many attempts one may take `SILENT_S`, as the route may be that slow
+RECONNECT_S = 0.1
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # beyond which a peer that does not read is given up
+MAX_LINKS = 1024
+BACKLOG = 256
+KEEP_ALIVE_FRAME = frame(KeepAlive())
 
 
 class Link(asyncio.Protocol):
@@ -43,27 +46,34 @@
         on_message: Callable[[Link, AnyMessage], None],
         on_end: Callable[[Link, str], None],
     ) -> None:
-        self.loop, self.on_open, self.on_message, self.on_end = loop, on_open, on_message, on_end
+        """Create a link that is not connected yet; `on_end` is called once, with the reason."""
+        self.loop = loop
+        self.on_open = on_open
+        self.on_message = on_message
+        self.on_end = on_end
         self.transport: asyncio.Transport | None = None
         self.deframer = Deframer()
-        self.heard = self.said = loop.time()
-        self.name = ""  # who is at the other end, once it has said so
-        self.peer = ""  # the address that it came from
+        self.last_received = loop.time()
+        self.last_sent = self.last_received
+        self.name = ""  # the peer's, once it has sent it
+        self.peer_address = ""
         self.open = False
-        self.why = "closed"
-        self.beater: asyncio.TimerHandle | None = None
+        self.close_reason = "closed"
+        self.keep_alive_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin to watch the connection and to send keep-alives."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         watch(sock, SILENT_S)
         self.open = True
-        self.beater = self.loop.call_later(BEAT_S, self._beat)
+        self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_S, self._keep_alive)
         self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = self.loop.time()
+        """Hand on the messages that are complete; an error in one closes the connection."""
+        self.last_received = self.loop.time()
         try:
             for message in self.deframer.feed(data):
                 if not self.open:
@@ -71,144 +81,155 @@
                 if not isinstance(message, KeepAlive):
                     self.on_message(self, message)
         except (MalformedMessageError, UnexpectedMessageError) as error:
-            log_event(Event.MESSAGE_REJECTED, self.name or self.peer, error)
+            log_event(Event.MESSAGE_REJECTED, self.name or self.peer_address, error)
             self.close(str(error))
         except (ValueError, KeyError, TypeError) as error:
-            log_event(Event.FAULT, f"a message of {self.name or self.peer}", repr(error))
+            log_event(Event.FAULT, f"a message of {self.name or self.peer_address}", repr(error))
             self.close(repr(error))
 
     def send(self, message: Message) -> None:
-        """Send one message; nothing where the connection has ended."""
+        """Send one message; dropped where the connection has ended."""
         self.write(frame(message))
 
     def write(self, data: bytes) -> None:
-        """Send a message that is framed already."""
+        """Send a message that is framed already; closes the connection of a peer that does not read."""
         if not self.open or self.transport is None:
             return
-        if self.transport.is_closing():  # given up while it was being opened: nothing else tells
+        if self.transport.is_closing():  # given up while it was being opened: no other callback reports its end
             self._ended()
             return
-        self.said = self.loop.time()
+        self.last_sent = self.loop.time()
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > UNSENT_BYTES:
-            self.close("it does not read")
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.close("the peer does not read")
 
-    def _beat(self) -> None:
-        now = self.loop.time()
+    def _keep_alive(self) -> None:
         if not self.open:
             return
-        if now - self.heard > SILENT_S:
+        now = self.loop.time()
+        if now - self.last_received > SILENT_S:
             self.close("silent")
             return
-        if now - self.said >= BEAT_S * 0.9:
-            self.write(BEAT)
-        self.beater = self.loop.call_later(BEAT_S, self._beat)
+        if now - self.last_sent >= KEEP_ALIVE_S * 0.9:
+            self.write(KEEP_ALIVE_FRAME)
+        self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_S, self._keep_alive)
 
-    def close(self, why: str = "closed") -> None:
-        """End it at once."""
-        self.why = why
+    def close(self, reason: str = "closed") -> None:
+        """Close the connection at once; what is unsent is lost."""
+        self.close_reason = reason
         if self.transport is not None:
             self.transport.abort()
         self._ended()
 
     def abandon(self) -> None:
-        """It was given up while it was being opened: nobody has had it, and nothing is told."""
+        """Give the connection up while it is being opened: nobody has had it, so `on_end` is not called."""
         self.open = False
-        if self.beater is not None:
-            self.beater.cancel()
+        self._cancel_keep_alive()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection."""
         if exc is not None:
-            self.why = str(exc)
+            self.close_reason = str(exc)
         self._ended()
 
     def _ended(self) -> None:
         if self.open:
             self.open = False
-            if self.beater is not None:
-                self.beater.cancel()
-            self.on_end(self, self.why)
+            self._cancel_keep_alive()
+            self.on_end(self, self.close_reason)
+
+    def _cancel_keep_alive(self) -> None:
+        if self.keep_alive_timer is not None:
+            self.keep_alive_timer.cancel()
 
 
 class ReconnectingLink:
-    """A connection to one address that is opened again for as long as it is wanted."""
+    """A link to one address that is opened again, `RECONNECT_S` after its end, until it is closed."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         host: str,
         port: int,
-        hello: Callable[[], Message],
+        first_message: Callable[[], Message],
         on_message: Callable[[ReconnectingLink, AnyMessage], None],
         on_end: Callable[[ReconnectingLink], None] | None = None,
     ) -> None:
-        """`hello`: the first message on each connection."""
-        self.loop, self.host, self.port, self.hello, self.on_message = loop, host, port, hello, on_message
-        self.ended = on_end
+        """Begin to connect; `first_message` makes the message that is sent first on each connection."""
+        self.loop = loop
+        self.host = host
+        self.port = port
+        self.first_message = first_message
+        self.on_message = on_message
+        self.on_end = on_end
         self.link: Link | None = None
         self.closed = False
         self.opening: asyncio.Task[Link] | None = None
-        self.there = asyncio.Event()  # the other side has shown that it is up
+        self.peer_seen = asyncio.Event()  # the other side has shown that it is up
         self.task = loop.create_task(self._run())
 
     @property
-    def up(self) -> bool:
-        """Whether the connection stands."""
+    def is_up(self) -> bool:
+        """Return whether the connection is open."""
         return self.link is not None and self.link.open
 
     async def _run(self) -> None:
-        tries = 0
+        attempts = 0
         while not self.closed:
-            tries += 1
-            over = self.loop.create_future()
+            attempts += 1
+            ended = self.loop.create_future()
 
-            def end(link: Link, why: str, over: asyncio.Future[str] = over) -> None:
-                if not over.done():
-                    over.set_result(why)
+            def end(link: Link, reason: str, ended: asyncio.Future[str] = ended) -> None:
+                if not ended.done():
+                    ended.set_result(reason)
 
-            self.opening = self.loop.create_task(self._open(end, SILENT_S if tries % PATIENT == 0 else OPEN_S))
+            timeout_s = SILENT_S if attempts % SLOW_ATTEMPT_EACH == 0 else CONNECT_S
+            self.opening = self.loop.create_task(self._open(end, timeout_s))
             try:
-                protocol = await self.opening
+                link = await self.opening
             except asyncio.CancelledError:
                 if self.closed:
                     raise
-                continue
+                continue  # by `retry_now`
             except (OSError, TimeoutError):
                 await self._pause()
                 continue
-            self.opening, tries = None, 0
-            self.link = protocol
-            self.link.name = f"{self.host}:{self.port}"
-            self.link.send(self.hello())
-            await over
-            self.link = None
-            if self.ended is not None and not self.closed:
-                self.ended(self)
+            self.opening = None
+            attempts = 0
+            await self._use(link, ended)
             await self._pause()
 
-    async def _open(self, end: Callable[[Link, str], None], for_s: float) -> Link:
-        link = Link(self.loop, lambda opened: None, self._message, end)
+    async def _use(self, link: Link, ended: asyncio.Future[str]) -> None:
+        """Use an open link until it ends."""
+        self.link = link
+        link.name = f"{self.host}:{self.port}"
+        link.send(self.first_message())
+        await ended
+        self.link = None
+        if self.on_end is not None and not self.closed:
+            self.on_end(self)
+
+    async def _open(self, on_end: Callable[[Link, str], None], timeout_s: float) -> Link:
+        link = Link(self.loop, lambda opened: None, self._message, on_end)
         try:
-            async with asyncio.timeout(for_s):
+            async with asyncio.timeout(timeout_s):
                 await self.loop.create_connection(lambda: link, self.host, self.port)
         except BaseException:
-            link.abandon()  # it may stand already, and the loop closes it without a word
+            link.abandon()  # it may be open already, and the loop closes it without calling back
             raise
         return link
 
     async def _pause(self) -> None:
-        self.there.clear()
-        try:
-            async with asyncio.timeout(REDIAL_S):
-                await self.there.wait()
-        except TimeoutError:
-            pass
-
-    def poke(self) -> None:
-        """The other side is up, as something has come from it: what waits for it is tried again at once."""
-        if self.up:
+        self.peer_seen.clear()
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(RECONNECT_S):
+                await self.peer_seen.wait()
+
+    def retry_now(self) -> None:
+        """Connect at once if the link is down: something has come from the other side, so it is up."""
+        if self.is_up:
             return
-        self.there.set()
+        self.peer_seen.set()
         if self.opening is not None:
             self.opening.cancel()
 
@@ -216,14 +237,14 @@
         self.on_message(self, message)
 
     def send(self, message: Message) -> bool:
-        """Send one message; False where no connection stands."""
+        """Send one message; return False where no connection is open."""
         if self.link is None or not self.link.open:
             return False
         self.link.send(message)
         return True
 
     def close(self) -> None:
-        """End it for good."""
+        """Close the link for good."""
         self.closed = True
         self.task.cancel()
         if self.opening is not None:
@@ -233,32 +254,35 @@
 
 
 class Listener:
-    """Takes connections; each is known by the `me` of its first message, a `Hello`, `Follow` or `HandOver`."""
+    """Accepts links; each is named by the `sender` of its first `Hello`, `SubscribeRequest` or `HandOver`."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         on_message: Callable[[Link, AnyMessage], None],
         on_end: Callable[[Link], None],
-        most: int = 1024,
+        max_links: int = MAX_LINKS,
     ) -> None:
-        self.loop, self.on_message, self.most = loop, on_message, most
+        """Create a listener that is not open yet; `on_end` is called for named links only."""
+        self.loop = loop
+        self.on_message = on_message
         self.on_end = on_end
+        self.max_links = max_links
         self.links: set[Link] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Open the port; OSError where it cannot be had."""
+        """Open the port. Raise OSError where it cannot be opened."""
         self.server = await self.loop.create_server(
-            lambda: Link(self.loop, self._opened, self._message, self._ended), host, port, backlog=256
+            lambda: Link(self.loop, self._opened, self._message, self._ended), host, port, backlog=BACKLOG
         )
 
     def _opened(self, link: Link) -> None:
         self.links.add(link)
         assert link.transport is not None
         peer = link.transport.get_extra_info("peername")
-        link.peer = peer[0] if peer else ""
-        if len(self.links) > self.most:
+        link.peer_address = peer[0] if peer else ""
+        if len(self.links) > self.max_links:
             link.close("too many connections")
 
     def _message(self, link: Link, message: AnyMessage) -> None:
@@ -266,13 +290,13 @@
             link.name = message.sender
         self.on_message(link, message)
 
-    def _ended(self, link: Link, why: str) -> None:
+    def _ended(self, link: Link, reason: str) -> None:
         self.links.discard(link)
         if link.name:
             self.on_end(link)
 
     def close(self) -> None:
-        """Close the port and all that came through it."""
+        """Close the port and all links that came through it."""
         if self.server is not None:
             self.server.close()
         for link in list(self.links):
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -1,12 +1,12 @@
-"""Numbered news: named items, each with the number of the change that last touched it.
+"""Numbered state updates: named items, each with the number of the change that last set it.
 
-Guaranteed: a follower's number never falls within its life, whoever tells it; it holds exactly the items of the
-numbered state that it names. How: a publisher sends each follower what changed since the number that the follower has;
-a message that does not begin at that number is a gap, and a gap is answered by what lies between, or by the whole
-state where removals in between are forgotten.
+Guaranteed: a subscriber's number never falls within its incarnation, whoever sends it updates, and it has exactly the
+items of the numbered state that it names. How: a publisher sends each subscriber what changed since the number that
+the subscriber has. An update that does not begin at that number leaves a gap; the subscriber answers it by subscribing
+again, and gets what lies between, or the complete state where removals in between have been forgotten.
 
-Pure: messages are to be sent by whoever holds the connection. Cost: one message a change and follower, of the size of
-what changed; a whole state at each new connection that lacks more than is remembered.
+Pure: whoever has the connection sends the messages. Cost: one message a change and subscriber, of the size of what
+changed; a complete state for each new connection that lacks more than is remembered.
 """
 
 from __future__ import annotations
@@ -16,152 +16,160 @@
 
 from thistleusher.transport.messages import Items, StateUpdate, StateUpdateAck, SubscribeRequest
 
-REMOVED_MOST = 2000  # removed items that are remembered, so that a follower further behind gets the whole state
+MAX_REMOVED_ITEMS = 2000  # removed items that are remembered; a subscriber further behind gets the complete state
 
 
 class State:
-    """Items with their numbers."""
+    """Items with their numbers. A removed item stays for a while, with the value None."""
 
     def __init__(self, number: int = 0, items: Mapping[str, tuple[int, Any]] | None = None, floor: int = 0) -> None:
-        """`floor`: a follower with a lower number gets the whole state, as removals before it are forgotten."""
-        self.number, self.floor = number, floor
+        """Create a state.
+
+        `floor`: a subscriber with a lower number gets the complete state, as removals up to there are forgotten.
+        """
+        self.number = number
+        self.floor = floor
         self.items: Items = dict(items or {})
-        self.removed = sum(1 for _, value in self.items.values() if value is None)
+        self.removed_count = sum(1 for _, value in self.items.values() if value is None)
 
-    def copied(self) -> State:
-        """A state of its own with the same items."""
+    def copy(self) -> State:
+        """Return a separate state with the same items."""
         return State(self.number, self.items, self.floor)
 
     def value(self, name: str) -> Any:
-        """An item's value, None where there is none."""
+        """Return an item's value, None where there is none."""
         item = self.items.get(name)
         return item[1] if item is not None else None
 
     def values(self, prefix: str) -> dict[str, Any]:
-        """All items whose names begin so, by the rest of their names."""
+        """Return the values of all items whose names begin with `prefix`, by the rest of their names."""
         return {
             name[len(prefix) :]: value
             for name, (_, value) in self.items.items()
             if value is not None and name.startswith(prefix)
         }
 
-    def set(self, number: int, changes: Mapping[str, Any]) -> None:
-        """Take changes in under a number; forgets the oldest removals beyond `REMOVED_MOST`."""
+    def apply(self, number: int, changes: Mapping[str, Any]) -> None:
+        """Set values (None: remove) under one number. Forgets the oldest removals beyond `MAX_REMOVED_ITEMS`."""
         self.merge(number, {name: (number, value) for name, value in changes.items()})
 
     def merge(self, number: int, items: Items) -> None:
-        """Take items in that have their numbers already."""
+        """Set items that have their numbers already."""
         self.number = max(self.number, number)
         for name, item in items.items():
             old = self.items.get(name)
-            self.removed += (item[1] is None) - (old is not None and old[1] is None)
+            self.removed_count += (item[1] is None) - (old is not None and old[1] is None)
             self.items[name] = item
-        if self.removed > REMOVED_MOST:
-            self._forget()
+        if self.removed_count > MAX_REMOVED_ITEMS:
+            self._forget_removals()
 
-    def _forget(self) -> None:
-        gone = sorted((number, name) for name, (number, value) in self.items.items() if value is None)
-        for number, name in gone[: len(gone) // 2]:
+    def _forget_removals(self) -> None:
+        """Forget the older half of the removals."""
+        removed = sorted((number, name) for name, (number, value) in self.items.items() if value is None)
+        for number, name in removed[: len(removed) // 2]:
             del self.items[name]
             self.floor = max(self.floor, number)
-        self.removed -= len(gone) // 2
+        self.removed_count -= len(removed) // 2
 
-    def after(self, number: int) -> Items:
-        """Items that changed after a number."""
+    def changed_after(self, number: int) -> Items:
+        """Return the items that changed after a number."""
         return {name: item for name, item in self.items.items() if item[0] > number}
 
-    def since(self, number: int) -> StateUpdate:
-        """What a follower at `number` lacks."""
+    def update_since(self, number: int) -> StateUpdate:
+        """Return what a subscriber at `number` lacks."""
         if number < self.floor or number > self.number:
-            return StateUpdate(self.number, None, {n: item for n, item in self.items.items() if item[1] is not None})
-        return StateUpdate(self.number, number, self.after(number))
+            present = {name: item for name, item in self.items.items() if item[1] is not None}
+            return StateUpdate(self.number, None, present)
+        return StateUpdate(self.number, number, self.changed_after(number))
 
 
 class Publisher:
-    """Who tells followers of one state, and counts which of them have acknowledged which number."""
+    """Sends one state to its subscribers, and counts which of them have acknowledged which number."""
 
     def __init__(self, state: State) -> None:
         self.state = state
-        self.sent: dict[str, int] = {}
-        self.acked: dict[str, int] = {}
+        self.sent: dict[str, int] = {}  # subscriber -> the number that it was sent last
+        self.acknowledged: dict[str, int] = {}  # subscriber -> the number that it is known to have
 
-    def follow(self, follower: str, number: int) -> list[tuple[str, StateUpdate]]:
-        """A follower has come, or asks anew, and has `number` (0: nothing)."""
-        self.acked[follower] = min(number, self.state.number)
+    def subscribe(self, subscriber: str, number: int) -> list[tuple[str, StateUpdate]]:
+        """Add a subscriber that has `number` (0: nothing), or serve one that asks again after a gap."""
+        self.acknowledged[subscriber] = min(number, self.state.number)
         if number == self.state.number:
-            self.sent[follower] = number
+            self.sent[subscriber] = number
             return []
-        return self._send(follower, number)
+        self.sent[subscriber] = self.state.number
+        return [(subscriber, self.state.update_since(number))]
 
-    def _send(self, follower: str, number: int) -> list[tuple[str, StateUpdate]]:
-        self.sent[follower] = self.state.number
-        return [(follower, self.state.since(number))]
+    def unsubscribe(self, subscriber: str) -> None:
+        """Remove a subscriber, whose connection has ended."""
+        self.sent.pop(subscriber, None)
+        self.acknowledged.pop(subscriber, None)
 
-    def leave(self, follower: str) -> None:
-        """A follower's connection has ended."""
-        self.sent.pop(follower, None)
-        self.acked.pop(follower, None)
+    def updates_due(self) -> list[tuple[str, StateUpdate]]:
+        """Return the updates for all who were not sent the present number, and count them as sent.
 
-    def tell(self) -> list[tuple[str, StateUpdate]]:
-        """Messages to all who have not been sent the present number; those at one number share theirs."""
-        out: list[tuple[str, StateUpdate]] = []
+        Subscribers at one number share one message, so it is encoded once.
+        """
+        updates: list[tuple[str, StateUpdate]] = []
         shared: dict[int, StateUpdate] = {}
-        for follower, number in list(self.sent.items()):
-            if number != self.state.number:
-                if number not in shared:
-                    shared[number] = self.state.since(number)
-                self.sent[follower] = self.state.number
-                out.append((follower, shared[number]))
-        return out
-
-    def ack(self, follower: str, number: int) -> None:
-        """A follower has taken a number in."""
-        if follower in self.acked:
-            self.acked[follower] = max(self.acked[follower], number)
-
-    def count(self) -> tuple[int, int]:
-        """How many have the present number, of how many."""
-        return sum(1 for n in self.acked.values() if n >= self.state.number), len(self.acked)
+        for subscriber, number in list(self.sent.items()):
+            if number == self.state.number:
+                continue
+            if number not in shared:
+                shared[number] = self.state.update_since(number)
+            self.sent[subscriber] = self.state.number
+            updates.append((subscriber, shared[number]))
+        return updates
+
+    def acknowledge(self, subscriber: str, number: int) -> None:
+        """Record that a subscriber has applied a number."""
+        if subscriber in self.acknowledged:
+            self.acknowledged[subscriber] = max(self.acknowledged[subscriber], number)
+
+    def acknowledged_count(self) -> tuple[int, int]:
+        """Return how many subscribers have the present number, and how many there are."""
+        current = sum(1 for number in self.acknowledged.values() if number >= self.state.number)
+        return current, len(self.acknowledged)
 
 
 class UpdateResult(NamedTuple):
-    """What a message of news led to: the items that it changed, and the answer to send."""
+    """What an update led to: the values that it changed (None: nothing was applied), and the reply to send."""
 
     changed: dict[str, Any] | None
-    answer: StateUpdateAck | SubscribeRequest
+    reply: StateUpdateAck | SubscribeRequest
 
 
 class Subscriber:
-    """Who follows a state; `state.number` never falls."""
+    """A subscriber's copy of a state; `state.number` never falls."""
 
-    def __init__(self, me: str = "", state: State | None = None) -> None:
-        """`me`: the name that it follows under."""
-        self.me = me
+    def __init__(self, name: str = "", state: State | None = None) -> None:
+        """Create a subscriber; `name`: the one that it subscribes under."""
+        self.name = name
         self.state = state or State()
 
-    def follow(self) -> SubscribeRequest:
-        """The first message to a publisher, and the answer to a gap."""
-        return SubscribeRequest(self.me, self.state.number)
+    def subscribe_request(self) -> SubscribeRequest:
+        """Return the first message to a publisher, which is also the reply to a gap."""
+        return SubscribeRequest(self.name, self.state.number)
 
-    def heard(self, news: StateUpdate) -> UpdateResult:
-        """A message of news."""
-        if news.number <= self.state.number:
+    def apply(self, update: StateUpdate) -> UpdateResult:
+        """Apply an update. An older one is only acknowledged; one that leaves a gap is not applied."""
+        if update.number <= self.state.number:
             return UpdateResult(None, StateUpdateAck(self.state.number))
-        if news.previous is None:
-            changed = self._replaced(news)
-        elif news.previous > self.state.number:
-            return UpdateResult(None, self.follow())
+        if update.previous is None:
+            changed = self._replace(update)
+        elif update.previous > self.state.number:
+            return UpdateResult(None, self.subscribe_request())
         else:
-            newer = {name: item for name, item in news.items.items() if item[0] > self.state.number}
+            newer = {name: item for name, item in update.items.items() if item[0] > self.state.number}
             changed = {name: item[1] for name, item in newer.items()}
-            self.state.merge(news.number, newer)
-        return UpdateResult(changed, StateUpdateAck(news.number))
+            self.state.merge(update.number, newer)
+        return UpdateResult(changed, StateUpdateAck(update.number))
 
-    def _replaced(self, news: StateUpdate) -> dict[str, Any]:
-        """Take a whole state in; what it changed."""
+    def _replace(self, update: StateUpdate) -> dict[str, Any]:
+        """Replace the state by a complete one; return the values that this changed."""
         old = self.state
-        changed = {name: item[1] for name, item in news.items.items() if old.value(name) != item[1]}
-        gone = [name for name, item in old.items.items() if name not in news.items and item[1] is not None]
-        changed.update(dict.fromkeys(gone))
-        self.state = State(news.number, news.items, news.number)
+        changed = {name: item[1] for name, item in update.items.items() if old.value(name) != item[1]}
+        removed = [name for name, item in old.items.items() if name not in update.items and item[1] is not None]
+        changed.update(dict.fromkeys(removed))
+        self.state = State(update.number, update.items, update.number)
         return changed
