--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -20,7 +20,7 @@
 from typing import cast
 
 from thistleusher.common.events import Event, log_event
-from thistleusher.net.upstream import watch
+from thistleusher.net.socket_state import enable_dead_peer_detection
 from thistleusher.transport.codec import Deframer, MalformedMessageError, frame
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
@@ -66,7 +66,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        watch(sock, SILENT_S)
+        enable_dead_peer_detection(sock, SILENT_S)
         self.open = True
         self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_S, self._keep_alive)
         self.on_open(self)
