--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -28,7 +28,8 @@
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.proxy.placement import Place
-from thistleusher.transport.call_server import CallServer, Handler, Readiness
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Readiness
 
 NOT_READY = ServiceError(ErrorKind.STARTING)
 SEEDS = 120
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -25,13 +25,12 @@
 from thistleusher.control.storage import Storage
 from thistleusher.net.request_buffer import ClientLimits
 from thistleusher.services.addresses import read_address
-from thistleusher.transport.call_server import (
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import (
     BeginEvacuation,
-    CallServer,
-    Document,
+    ChangeCommitted,
+    ConfigurationDocument,
     FinishEvacuation,
-    Handler,
-    Kept,
     ReadConfiguration,
     ReplaceConfiguration,
 )
@@ -184,7 +183,7 @@
                 answer = ServiceError(ErrorKind.REDIRECTED, where=f"{answer.where}:{self.control_port}")
             elif self._rests_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
                 answer = ServiceError(ErrorKind.NO_LEADER)
-            done(Kept() if answer is None else answer)
+            done(ChangeCommitted() if answer is None else answer)
 
         return tell
 
@@ -203,7 +202,7 @@
         """The newest configuration, from the leader."""
 
         def told(answer: Any) -> None:
-            done(Document(answer) if isinstance(answer, bytes) else answer)
+            done(ConfigurationDocument(answer) if isinstance(answer, bytes) else answer)
 
         self._call(orders.read, told)
 
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -23,7 +23,7 @@
 from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import PLAN, Asked, Charge, Decisions, class_of
 from thistleusher.services.http_responses import Response
-from thistleusher.transport.call_server import refusal
+from thistleusher.transport.call_server import error_response
 
 SEAL, NOT_RUN, ATTEMPT = b"x-server-seal", b"x-not-run", b"x-attempt-id"
 OWN = {
@@ -245,17 +245,17 @@
     def read_request(self, connection: ClientConnection) -> Any:
         """The call that a request is, or its early answer."""
         if connection.over_limit:
-            return refusal(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
+            return error_response(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         index = self.index
         if index is None or not self.known:
-            return refusal(ServiceError(ErrorKind.STARTING))
+            return error_response(ServiceError(ErrorKind.STARTING))
         values: dict[bytes, bytes] = {}
         passed = []
         named = b""
         for name, value in connection.headers:
             key = name.lower()
             if key in ONCE and key in values:
-                return refusal(ServiceError(ErrorKind.MALFORMED, f"{key.decode()}: more than one"))._replace(
+                return error_response(ServiceError(ErrorKind.MALFORMED, f"{key.decode()}: more than one"))._replace(
                     closes=True
                 )
             values[key] = value
@@ -268,16 +268,16 @@
             passed = [(key, line) for key, line in passed if key not in dropped]
         call_id = values.get(ATTEMPT, b"").decode("latin-1")
         if not call_id:
-            return refusal(ServiceError(ErrorKind.MALFORMED, "x-attempt-id: missing"))
+            return error_response(ServiceError(ErrorKind.MALFORMED, "x-attempt-id: missing"))
         path = connection.url.partition(b"?")[0].decode("latin-1")
         found = index.find(values.get(b"host", b"").decode("latin-1"), path)
         if found is None:
-            return refusal(ServiceError(ErrorKind.NO_ROUTE))
+            return error_response(ServiceError(ErrorKind.NO_ROUTE))
         tenant = None
         if not found.route.public and index.config.tenants:
             tenant = index.tenant_of(values.get(b"authorization", b"").decode("latin-1"))
             if tenant is None:
-                return refusal(ServiceError(ErrorKind.UNKNOWN_KEY))
+                return error_response(ServiceError(ErrorKind.UNKNOWN_KEY))
         left = found.route.deadline_ms / 1000
         told = values.get(b"x-deadline-ms", b"")
         if told.isdigit():
@@ -288,10 +288,10 @@
             self.shutdown.request_arrived(now)
             rest = self.shutdown.time_left(now)
             if rest <= SHORT_S:
-                return refusal(ServiceError(ErrorKind.SHUTTING_DOWN))
+                return error_response(ServiceError(ErrorKind.SHUTTING_DOWN))
             left = min(left, rest)
         if left <= 0:
-            return refusal(ServiceError(ErrorKind.NO_CAPACITY))
+            return error_response(ServiceError(ErrorKind.NO_CAPACITY))
         method = connection.parser.get_method()
         request = events.Request(call_id, found.name, PLAN, 0, left, 1.0)
         framed = bool(connection.body) or method not in BARE or b"content-length" in values
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -37,7 +37,8 @@
 from thistleusher.proxy.directory import TTL_S, addresses
 from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.services.addresses import read_address
-from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Addresses, Readiness, Ready, Resolve
 from thistleusher.transport.codec import MalformedMessageError, decode, encode
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessageError
