--- a/tests/proxy/test_cluster_view.py
+++ b/tests/proxy/test_cluster_view.py
@@ -11,7 +11,7 @@
 from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.transport.codec import encode
 from thistleusher.transport.errors import UnexpectedMessageError
-from thistleusher.transport.heartbeat_ring import LACKS_S
+from thistleusher.transport.heartbeat_ring import UPDATE_WAIT_S
 from thistleusher.transport.messages import (
     CoreInfo,
     HandOver,
@@ -57,7 +57,7 @@
     view.from_registry(1.0, "c", complete(registry))
     old_control, old_list = states(4, "ready", False)
     assert view.handed_over(2.0, HandOver("q", complete(old_control), complete(old_list))) == []
-    partial = HandOver("q", old_control.since(2), old_list.since(2))
+    partial = HandOver("q", old_control.update_since(2), old_list.update_since(2))
     assert view.handed_over(2.0, partial) == []
     assert view.decisions.selector.locality.evacuated_zones == {"z"} and view.decisions.selector.listed["i"].draining
     assert (view.control.state.number, view.registry.state.number) == (9, 9)
@@ -69,7 +69,7 @@
     watcher.from_control(1.0, complete(control))
     watcher.from_registry(1.0, "c", complete(registry))
     commands = []
-    for at in (2.0, 2.1 + LACKS_S):
+    for at in (2.0, 2.1 + UPDATE_WAIT_S):
         commands += watcher.heartbeat_received(at, RingHeartbeat("q", 0, 0), "ip-q")
     copies = [command.message for command in commands if isinstance(command, SendHandOver)]
     fresh.handed_over(3.0, copies[0])
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -30,7 +30,8 @@
 from thistleusher.proxy.http_messages import ATTEMPT_HEADER, outcome_of
 from thistleusher.proxy.listener import ProxyServer
 from thistleusher.proxy.placement import ListedBackend
-from thistleusher.transport.call_server import CallServer, Handler, Readiness
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Readiness
 
 NOT_READY = ServiceError(ErrorKind.STARTING)
 SEEDS = 120
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -111,11 +111,11 @@
 
     def subscribe_to_control(self) -> SubscribeRequest:
         """Return the first message to a control process."""
-        return self.control.follow()
+        return self.control.subscribe_request()
 
     def subscribe_to_registry(self) -> SubscribeRequest:
         """Return the first message to a registry."""
-        return self.registry.follow()
+        return self.registry.subscribe_request()
 
     def tick(self, now: float, ready: bool) -> list[Command]:
         """Send the heartbeats that are due, to the counter and on the ring; `ready`: whether requests are served."""
@@ -125,7 +125,7 @@
         elif scope is HeartbeatScope.COUNTER and self.counter:
             heartbeat = ProxyHeartbeat(self.incarnation, now, self.decisions.quota.echo)
             self.commands.append(SendToRegistry(self.counter, heartbeat))
-        due = self.ring.due(now)
+        due = self.ring.heartbeats_due(now)
         if due:
             members = self.members()
             heartbeat_out = self._ring_heartbeat()
@@ -151,15 +151,15 @@
 
     def heartbeat_received(self, now: float, heartbeat: RingHeartbeat, ip: str) -> list[Command]:
         """Take in another proxy's heartbeat; hand over what it has lacked for a while."""
-        self.ring.beat(now, heartbeat.sender)
+        self.ring.record_heartbeat(now, heartbeat.sender)
         theirs = (heartbeat.control_number, heartbeat.registry_number)
         mine = (self.control.state.number, self.registry.state.number)
         if 0 in mine and theirs > mine:
             # A proxy that knows nothing does not know its watchers either: it answers all, so that one hands over.
             self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
-        if self.ring.behind(now, heartbeat.sender, theirs, mine):
-            control = self.control.state.since(theirs[0])
-            registry = self.registry.state.since(theirs[1])
+        if self.ring.needs_hand_over(now, heartbeat.sender, theirs, mine):
+            control = self.control.state.update_since(theirs[0])
+            registry = self.registry.state.update_since(theirs[1])
             self.commands.append(SendHandOver(heartbeat.sender, ip, HandOver(self.name, control, registry)))
         return self._flush()
 
@@ -180,14 +180,14 @@
         if isinstance(message, StateUpdate):
             reply = self._control_update(now, message)
         elif isinstance(message, CoreInfo):
-            if self.core.learn(message):
+            if self.core.update(message):
                 self.commands.append(ConnectToCore(message.voters))
         else:
             raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def _control_update(self, now: float, update: StateUpdate) -> Reply:
-        changed, reply = self.control.heard(update)
+        changed, reply = self.control.apply(update)
         if not changed:
             return reply
         if self.configuration.update(self.control.state, changed):
@@ -242,12 +242,12 @@
         return [SendToRegistry(self.counter, charge)]
 
     def _registry_update(self, now: float, update: StateUpdate) -> Reply:
-        changed, reply = self.registry.heard(update)
+        changed, reply = self.registry.apply(update)
         if not changed:
             return reply
         if any(name.startswith(MEMBERS) for name in changed):
             members = self.members()
-            self.ring.members(now, members)
+            self.ring.set_members(now, members)
             self.decisions.apply_ingresses(sorted(name for name, member in members.items() if member["up"]))
         backends = {name[len(BACKENDS) :]: item for name, item in changed.items() if name.startswith(BACKENDS)}
         if backends:
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -15,7 +15,7 @@
 from thistleusher.proxy.forwarding import ProxyIngress
 from thistleusher.proxy.http_messages import ATTEMPT_HEADER, DEADLINE_HEADER, ClientRequest, read_headers
 from thistleusher.proxy.requests import RequestContext
-from thistleusher.transport.call_server import refusal
+from thistleusher.transport.call_server import error_response
 
 BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")  # whose requests need not state a length
 MAX_TIME_S = 120.0  # of a request
@@ -52,23 +52,23 @@
     def read_request(self, connection: ClientConnection) -> Any:
         """Return the request that has come whole as a `ClientRequest`, or its early answer."""
         if connection.over_limit:
-            return refusal(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
+            return error_response(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         index = self.index
         if index is None or not self.has_list:
-            return refusal(ServiceError(ErrorKind.STARTING))
+            return error_response(ServiceError(ErrorKind.STARTING))
         headers = read_headers(connection.headers)
         if isinstance(headers, ServiceError):
-            return refusal(headers)._replace(closes=True)
+            return error_response(headers)._replace(closes=True)
         request_id = headers.values.get(ATTEMPT_HEADER, b"").decode("latin-1")
         if not request_id:
-            return refusal(ServiceError(ErrorKind.MALFORMED, "x-attempt-id: missing"))
+            return error_response(ServiceError(ErrorKind.MALFORMED, "x-attempt-id: missing"))
         context = self._match(index, connection.url, headers.values)
         if isinstance(context, ServiceError):
-            return refusal(context)
+            return error_response(context)
         now = self.loop.time()
         time_s = self._time_allowed(now, context, headers.values)
         if isinstance(time_s, ServiceError):
-            return refusal(time_s)
+            return error_response(time_s)
         method = connection.parser.get_method()
         return ClientRequest(
             events.Request(request_id, context.match.name, PLAN, 0, time_s, 1.0),
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -45,7 +45,8 @@
 from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.proxy.shutdown import ProxyGracefulShutdown
 from thistleusher.services.addresses import read_address
-from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Addresses, Readiness, Ready, Resolve
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
@@ -102,7 +103,7 @@
         self.registries = CoreLinks(
             loop, lambda: self.boot.port(REGISTRY), self.cluster_view.subscribe_to_registry, self._from_registry
         )
-        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, most=MAX_WATCHERS)
+        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, max_links=MAX_WATCHERS)
         self.shutting_down = False
         self.executors: dict[type, Callable[[Any], None]] = {
             SendToRegistry: self._send_to_registry,
@@ -186,8 +187,8 @@
         self.loop.create_task(self._hand_over(command))
 
     def _connect_to_core(self, ips: Sequence[str]) -> None:
-        self.control.meet(ips)
-        self.registries.meet(ips)
+        self.control.connect_to(ips)
+        self.registries.connect_to(ips)
 
     def _update_backends(self, command: UpdateBackends) -> None:
         for name, backend in command.changes.items():
