--- a/examples/client_script.py
+++ b/examples/client_script.py
@@ -1,4 +1,4 @@
-"""A script that reads a balance and confirms a payout, and says what it knows of each end.
+"""Read a balance and make a payout, and print what is known of the end of each.
 
     python examples/client_script.py --directory 127.0.41.11:18383 --host shop.example --key key-large
 
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Exit code 0 where both were served, 1 where one was not, 3 where the payout's end is unknown."""
+    """Return the exit code: 0 where both were served, 1 where one was not, 3 where the payout's end is unknown."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--directory", action="append", required=True, help="host:port that answers /resolve")
     parser.add_argument("--host", required=True, help="the service's name")
@@ -26,18 +26,18 @@
         options.directory,
         options.host,
         key=options.key,
-        on_try=lambda t: print(f"  try {t.id} at {t.address}: {t.status or t.error}"),
+        on_try=lambda attempt: print(f"  try {attempt.id} at {attempt.address}: {attempt.status or attempt.error}"),
     ) as client:
         balance = client.get(options.read)
         print(f"balance: {balance}")
         try:
             payout = client.call("POST", options.pay, body=b"{}")
-        except UnknownEnd as unknown:  # never sent again by the library: ask the ledger by these ids, or a person
+        except UnknownEnd as unknown:  # the library never sends it again: look these ids up at the service
             print(f"payout: {unknown}", file=sys.stderr)
             return 3
         if isinstance(payout, Refused):
             print(f"payout: not run; come back in {payout.again_s:g} s")
-    return 0 if all(isinstance(e, Answered) and e.status < 300 for e in (balance, payout)) else 1
+    return 0 if all(isinstance(end, Answered) and end.status < 300 for end in (balance, payout)) else 1
 
 
 if __name__ == "__main__":
