--- /dev/null
+++ b/tests/compatibility/test_simulated_runs.py
@@ -0,0 +1,89 @@
+"""Simulated runs are the same as in release 0.2: virtual times, bytes sent, bytes written and log events of each seed.
+
+What is seen here lies below any name that may change: the queue of due events (`heapq`), the encoder of the codec, and
+the encoder of simulated disks; log events count by their numbers.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+import pytest
+
+from simnet import core, system
+from tests.compatibility.fixtures import load, positional
+from thistleusher.control.interface import Note
+from thistleusher.transport import codec
+
+SEEDS = range(10)
+WORLDS = {"core": core, "system": system}
+
+
+class Recorder:
+    """Digests of what a run does, by kind, and how many there were of each."""
+
+    def __init__(self) -> None:
+        self._digests: dict[str, Any] = {}
+        self._counts: dict[str, int] = {}
+
+    def add(self, kind: str, data: bytes) -> None:
+        """Take in one thing that has happened, after those before it; `all` keeps the order between kinds."""
+        for name in (kind, "all"):
+            digest = self._digests.setdefault(name, hashlib.sha256())
+            digest.update(len(data).to_bytes(4) + kind.encode() + data)
+            self._counts[name] = self._counts.get(name, 0) + 1
+
+    def result(self) -> dict[str, list[int | str]]:
+        return {kind: [self._counts[kind], self._digests[kind].hexdigest()[:16]] for kind in sorted(self._digests)}
+
+
+class RecordingEncoder:
+    """In place of the codec's encoder: what is sent is recorded."""
+
+    def __init__(self, encoder: msgspec.msgpack.Encoder, recorder: Recorder) -> None:
+        self._encoder, self._recorder = encoder, recorder
+
+    def encode(self, message: Any) -> bytes:
+        data = self._encoder.encode(message)
+        self._recorder.add("sent", data)
+        return data
+
+
+def record(world: Any, seed: int, patch: Callable[[Any, str, Any], None]) -> dict[str, list[int | str]]:
+    """Play a seed's day; `patch(owner, name, value)` sets an attribute for as long as it takes."""
+    recorder = Recorder()
+    pop, encode, make_note = heapq.heappop, msgspec.msgpack.encode, Note.__new__
+
+    def recorded_pop(heap: Any) -> Any:
+        due = pop(heap)
+        if isinstance(due, tuple) and isinstance(due[0], float):
+            recorder.add("time", due[0].hex().encode())
+        return due
+
+    def recorded_encode(value: Any) -> bytes:
+        data = encode(value)
+        recorder.add("written", data)
+        return data
+
+    def recorded_note(kind: Any, event: Any, fields: Any) -> Any:
+        recorder.add("noted", repr([event.value.number, *map(positional, fields)]).encode())
+        return make_note(kind, event, fields)
+
+    patch(heapq, "heappop", recorded_pop)
+    patch(msgspec.msgpack, "encode", recorded_encode)
+    patch(Note, "__new__", recorded_note)
+    encoders = [name for name, value in vars(codec).items() if isinstance(value, msgspec.msgpack.Encoder)]
+    assert len(encoders) == 1
+    patch(codec, encoders[0], RecordingEncoder(getattr(codec, encoders[0]), recorder))
+    world.run(seed)
+    return recorder.result()
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+@pytest.mark.parametrize("world", WORLDS)
+def test_a_seed_plays_the_day_that_it_played_before(world, seed, monkeypatch):
+    assert record(WORLDS[world], seed, monkeypatch.setattr) == load("simulated_runs.json")[world][str(seed)]
