--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -24,10 +24,10 @@
 
 
 EVERYWHERE = "everywhere = pending.here and pending.there >= set(leadership.view.replicas)"
-RECORDED = "if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):"
+RECORDED = "if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):"
 VOTE_REFUSED = "elif message.epoch <= durable.promised or self._helps_another(sender, view):"
-ELIGIBLE = "return view is not None and self._context.me in view.holders and replica.epoch >= view.epoch"
-MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.until()"
+ELIGIBLE = "return view is not None and self._context.me in view.replica_set and replica.epoch >= view.epoch"
+MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.expires_at()"
 
 NOT_APPENDED = (
     '        if not ok:\n            durable.replica.damaged()\n            durable.failed("a change")\n        elif'
@@ -43,7 +43,7 @@
     Wrong(
         0,
         "acknowledged without the lease",
-        "if not everywhere or self._context.now >= leadership.until():",
+        "if not everywhere or self._context.now >= leadership.expires_at():",
         "if not everywhere:",
     ),
     Wrong(
@@ -55,8 +55,8 @@
     Wrong(
         0,
         "a machine that has forgotten votes",
-        "self.forgotten = durable.view is None and not self.founding",
-        "self.forgotten = False\n        if durable.view is None and not self.founding:\n"
+        "self.state_lost = durable.view is None and not self.founding",
+        "self.state_lost = False\n        if durable.view is None and not self.founding:\n"
         "            durable.view = ViewRecord(1, min(context.seeds), (), dict.fromkeys(context.seeds, ''))",
     ),
     Wrong(
@@ -70,7 +70,7 @@
         0,
         "an old copy counts as whole",
         ELIGIBLE,
-        "return view is not None and self._context.me in view.holders and replica.epoch >= 0",
+        "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
     ),
     Wrong(
         0,
@@ -91,7 +91,7 @@
     Wrong(
         0,
         "a copy counts as followed by its number alone",
-        "known = self._history.get(position.number) == position.written_in",
+        "known = self._history.get(position.number) == position.change_epoch",
         "known = position.number in self._history",
     ),
     Wrong(
@@ -119,14 +119,14 @@
     Wrong(
         1,
         "news are told without the lease",
-        "                if self.node.holds(now):\n                    out +=",
+        "                if self.node.holds_lease(now):\n                    out +=",
         "                if True:\n                    out +=",
     ),
     Wrong(
         1,
         "one that comes to follow is told without the lease",
-        "        if self.node.holds(now):\n            return [Tell",
-        "        if True:\n            return [Tell",
+        "        if self.node.holds_lease(now):\n            return [SendToClient",
+        "        if True:\n            return [SendToClient",
     ),
     Wrong(
         1,
@@ -143,7 +143,7 @@
     Wrong(
         1,
         "a duty is granted without contact",
-        "return self.holds(now) or now - self.contact_at < CONTACT_S",
+        "return self.holds_lease(now) or now - self.contact_at < CONTACT_S",
         "return True",
     ),
     Wrong(
@@ -171,7 +171,7 @@
         "        if leadership.pending is not None:\n            self._calls.put_back(leadership.pending.change)\n"
         "        self.tell_step_down",
         "        if leadership.pending is not None:\n"
-        "            self._context.answer(leadership.pending.change.call, None)\n        self.tell_step_down",
+        "            self._context.answer(leadership.pending.change.call_id, None)\n        self.tell_step_down",
     ),
     Wrong(
         2,
@@ -213,7 +213,7 @@
     Wrong(
         3,
         "a process ends while it holds a copy",
-        "return led and me not in view.holders and not self._joining.learners.present()",
+        "return led and me not in view.replica_set and not self._joining.learners.present()",
         "return True",
     ),
     Wrong(3, "a gone voter is exchanged late", "EXCHANGE_S = 2.8 ", "EXCHANGE_S = 8.0 "),
@@ -227,8 +227,8 @@
     Wrong(
         3,
         "one without a vote is voted for",
-        "if self._context.me not in view.deciders or sender not in view.voters:",
-        "if self._context.me not in view.deciders:",
+        "if self._context.me not in view.electorate or sender not in view.voters:",
+        "if self._context.me not in view.electorate:",
     ),
     Wrong(
         3,
@@ -307,14 +307,14 @@
     Wrong(
         5,
         "a call that waited too long is answered twice",
-        "            self._waiting = deque(call for call in self._waiting if self._context.now <= call.until)\n",
+        "            self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)\n",
         "            pass\n",
     ),
     Wrong(
         5,
         "an answer bears the number of another call",
-        "self._carry(now, self.node.call(now, make(self.calls)))",
-        "self._carry(now, self.node.call(now, make(max(1, self.calls - 1))))",
+        "self._carry(now, self.node.submit(now, make(self.calls)))",
+        "self._carry(now, self.node.submit(now, make(max(1, self.calls - 1))))",
     ),
     Wrong(5, "a grant is told before it is on disk", "        if not changed:\n", "        if True:\n"),
     Wrong(
@@ -341,14 +341,14 @@
     Wrong(
         5,
         "a process that starts grants at once",
-        'Grant(f"{machine}/", term, now + GRANT_S) for duty',
-        'Grant(f"{machine}/", term, now) for duty',
+        'Grant(f"{machine}/", term, now + GRANT_S) for role',
+        'Grant(f"{machine}/", term, now) for role',
     ),
     # Faults of both guards, where one alone makes the other's loss harmless.
     Wrong(
         0,
         "acknowledged without the lease, by replicas that promised more",
-        "if not everywhere or self._context.now >= leadership.until():",
+        "if not everywhere or self._context.now >= leadership.expires_at():",
         "if not everywhere:",
         (
             (TAKES_CHANGES, TAKES_CHANGES.removesuffix(" == durable.promised")),
@@ -359,7 +359,7 @@
         0,
         "an old copy counts as whole, and a view names replicas that have none",
         ELIGIBLE,
-        "return view is not None and self._context.me in view.holders and replica.epoch >= 0",
+        "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
         (
             (INSTALLED, "if candidacy is None or candidacy.next is None:"),
             ("if not {self._context.me, *view.replicas} <= recorded:", "if self._context.me not in recorded:"),
@@ -386,7 +386,7 @@
     Wrong(
         3,
         "a view that the voters before it have not agreed to is a base",
-        "if not newest.decided_by(candidacy.votes):",
+        "if not newest.has_quorum(candidacy.votes):",
         "if not newest.has_majority(candidacy.votes):",
         ((RECORDED, "if not (view.has_majority(recorded) and candidacy.view.has_majority(recorded)):"),),
     ),
