--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -9,8 +9,8 @@
 
 from functools import partial
 
+from thistleusher.common.errors import ServiceError
 from thistleusher.common.events import Event
-from thistleusher.common.failures import Failure
 from thistleusher.control import membership
 from thistleusher.control.calls import Calls
 from thistleusher.control.context import Context
@@ -73,8 +73,8 @@
         self._role.leadership = leadership
         self._heartbeat_at = self._status_at = now
         self._installing = {}
-        self._context.note(Event.LEADS, view.epoch, ", ".join(view.replicas))
-        self._context.emit(Publish(self._durable.replica.state.copied()))
+        self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
+        self._context.emit(Publish(self._durable.replica.state.copy()))
         self._send_heartbeats(leadership)
         self.serve()
 
@@ -362,13 +362,13 @@
                 self._context.answer(call.call_id, call.answer(state))
             else:
                 self._serve_change(leadership, call.change(state) if isinstance(call, DeferredChange) else call)
-        except Failure as failure:
+        except ServiceError as failure:
             self._context.answer(call.call_id, failure)
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Keep a change, or acknowledge one that the state in force makes needless."""
         if change.is_redundant(self._durable.replica.state):
-            self._context.note(Event.UNALTERED, change.description)
+            self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
         else:
             self._begin_change(leadership, change)
@@ -427,6 +427,6 @@
         if not everywhere or self._context.now >= leadership.expires_at():
             return
         leadership.pending = None
-        self._context.note(Event.KEPT, pending.position.number, pending.change.description)
+        self._context.note(Event.CHANGE_COMMITTED, pending.position.number, pending.change.description)
         self._context.answer(pending.change.call_id, None)
         self._context.emit(PublishChange(pending.position.number, pending.items))
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -17,12 +17,12 @@
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.events import Event
 from thistleusher.control.leases import LeaseHolder
-from thistleusher.registry.charges import ChargeLedger
-from thistleusher.registry.counts import Counts
-from thistleusher.registry.instances import Garbage, Survey
+from thistleusher.registry.charges import ChargeTable
+from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.instances import BackendPoller, Garbage
 from thistleusher.registry.members import Members
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import (
     AnyMessage,
     Charge,
@@ -96,10 +96,10 @@
         self.list = Subscriber(me)  # of the registry that holds the duty, or its own
         self.publisher = Publisher(self.list.state)
         self.members = Members()
-        self.counts: Counts | None = None
-        self.charges: ChargeLedger | None = None
-        self.survey = Survey(now, rate_per_s)
-        self.asked: Survey | None = None  # the reading whose call is out
+        self.counts: QuotaCounter | None = None
+        self.charges: ChargeTable | None = None
+        self.survey = BackendPoller(now, rate_per_s)
+        self.asked: BackendPoller | None = None  # the reading whose call is out
         self.followers: set[str] = set()
         self.holds_role = False
         self.next_keep = now
@@ -131,20 +131,20 @@
         elif isinstance(message, CoreInfo):
             self._core(message)
         elif isinstance(message, StateUpdate):
-            changed, reply = self.control.heard(message)
+            changed, reply = self.control.apply(message)
             if changed:
                 self.configuration.update(self.control.state, changed)
                 self._limits()
         elif not isinstance(message, ItemsPersisted):  # the state itself shows what is kept
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
         """A message from another registry: news, which one off duty keeps; the reply to it."""
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
-            raise UnexpectedMessage(message)
-        reply = None if self.holds_role else self.list.heard(message).answer
+            raise UnexpectedMessageError(message)
+        reply = None if self.holds_role else self.list.apply(message).reply
         return self._flush(), reply
 
     def from_follower(self, now: float, name: str, message: AnyMessage) -> list[Output]:
@@ -157,15 +157,15 @@
         elif isinstance(message, SubscribeRequest):
             self._follow(name, message.number)
         elif isinstance(message, StateUpdateAck):
-            self.publisher.ack(name, message.number)
+            self.publisher.acknowledge(name, message.number)
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush()
 
     def gone(self, name: str) -> None:
         """A follower's connection has ended."""
         self.followers.discard(name)
-        self.publisher.leave(name)
+        self.publisher.unsubscribe(name)
 
     def answered(self, now: float, status: int, body: bytes) -> list[Output]:
         """The platform's answer to the call; `status` 0: none came."""
@@ -174,13 +174,13 @@
         if asked is not self.survey:
             return []  # of a reading that ended with an earlier duty: a page of it is no whole list
         if status != 200:
-            self._note(Event.PLATFORM, status or "no answer")
+            self._note(Event.PLATFORM_FAILED, status or "no answer")
             self.survey.failed(now, status)
             return self._flush()
         try:
             changes = self.survey.page(now, body)
         except Garbage as error:
-            self._note(Event.PLATFORM, error)
+            self._note(Event.PLATFORM_FAILED, error)
             return self._flush()
         if changes is not None and self.holds_role:
             self._listed(changes)
@@ -213,7 +213,7 @@
     # The duty.
 
     def _core(self, info: CoreInfo) -> None:
-        if not self.core.learn(info):
+        if not self.core.update(info):
             return
         self.holder.set_grantors(info.voters)
         # The leader's machine has another role to lose at the same time.
@@ -234,13 +234,13 @@
 
     def _begin_duty(self, now: float) -> None:
         self.holds_role = True
-        self._note(Event.DUTY, self.holder.term)
-        self.counts = Counts(now)
-        self.charges = ChargeLedger(self.counts)
+        self._note(Event.ROLE_ACQUIRED, self.holder.term)
+        self.counts = QuotaCounter(now)
+        self.charges = ChargeTable(self.counts)
         self._limits()
         for node, attributes in self.list.state.values("m:").items():
             self.members.known(now, node, attributes)
-        self.survey = Survey(now, self.rate_per_s)
+        self.survey = BackendPoller(now, self.rate_per_s)
         known = self.list.state.values("b:")
         self.survey.entries = {name: {**entry, "cold": 0.0} for name, entry in known.items()}
         self.survey.cold_until = {name: now for name, entry in known.items() if entry["cold"] > 0}
@@ -248,12 +248,14 @@
         state.number = state.floor = max(state.number, self.holder.term << TERM_BITS)
         self.publisher = Publisher(state)
         for name in sorted(self.followers):
-            self.publisher.sent[name] = self.publisher.acked[name] = -1  # gets the whole: its number is not known
+            # The number that it has is not known, so it gets the complete state.
+            self.publisher.sent[name] = -1
+            self.publisher.acknowledged[name] = -1
 
     def _end_duty(self, why: str) -> None:
         if self.holds_role:
             self.holds_role, self.counts, self.charges = False, None, None
-            self._note(Event.DUTY_OVER, why)
+            self._note(Event.ROLE_LOST, why)
 
     def _work(self, now: float) -> None:
         assert self.counts is not None
@@ -276,23 +278,23 @@
         self.followers.add(name)
         if not self.holds_role:
             return
-        for follower, news in self.publisher.follow(name, number):
+        for follower, news in self.publisher.subscribe(name, number):
             if self._has_list():
                 self._tell(follower, news)
 
     def _listed(self, changes: dict[str, dict[str, Any] | None]) -> None:
         if changes:
             draining = sum(1 for entry in self.survey.entries.values() if entry["p"] != "ready")
-            self._note(Event.LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
+            self._note(Event.BACKENDS_LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
         self._publish({f"b:{name}": entry for name, entry in changes.items()})
 
     def _publish(self, changes: dict[str, Any]) -> None:
         """Tell followers, once there is a list to tell of."""
         state = self.list.state
         if changes:
-            state.set(state.number + 1, changes)
+            state.apply(state.number + 1, changes)
         if self._has_list():
-            for name, news in self.publisher.tell():
+            for name, news in self.publisher.updates_due():
                 self._tell(name, news)
 
     # The counter.
--- a/thistleusher/transport/errors.py
+++ b/thistleusher/transport/errors.py
@@ -1,12 +1,12 @@
-"""What a receiver raises about a message that it refuses."""
+"""The error that a receiver raises to reject a message."""
 
 from __future__ import annotations
 
 from thistleusher.transport.messages import Message
 
 
-class UnexpectedMessage(ValueError):
-    """A message that is well formed, of a type or with a value that its receiver does not take."""
+class UnexpectedMessageError(ValueError):
+    """A well-formed message of a type, or with a value, that its receiver does not accept."""
 
     def __init__(self, message: Message) -> None:
-        super().__init__(f"{type(message).__name__} is not taken here")
+        super().__init__(f"{type(message).__name__} is not accepted here")
