--- a/tests/operator/test_operator.py
+++ b/tests/operator_file/test_operator.py
@@ -18,12 +18,12 @@
 from tests.sockets import Peer, call, ok, run
 from tests.test_program import TERMS, Program, known
 from thistleusher.cli.main import COMMANDS, main
-from thistleusher.operator.document import reference, starting_file
-from thistleusher.operator.layers import MOST, BadFile
-from thistleusher.operator.reader import read_operator
-from thistleusher.operator.secrets import Secret
-from thistleusher.operator.sections import SECTIONS, Section
-from thistleusher.operator.units import Bytes, Seconds, read_bytes, read_seconds
+from thistleusher.operator_file.document import reference, starting_file
+from thistleusher.operator_file.layers import MOST, BadFile
+from thistleusher.operator_file.reader import read_operator
+from thistleusher.operator_file.secrets import Secret
+from thistleusher.operator_file.sections import SECTIONS, Section
+from thistleusher.operator_file.units import Bytes, Seconds, read_bytes, read_seconds
 from thistleusher.state.records import Member, Room, pack
 from thistleusher.state.store import Store
 
@@ -67,6 +67,14 @@
     assert read_operator(None).sections == {}
 
 
+def test_variables_with_the_earlier_prefix_are_taken_and_the_present_one_wins():
+    earlier = {"ROADSPUR_LOG__FORM": "json", "ROADSPUR_LOG__QUEUE": "99"}
+    shown = {key: (value, origin) for key, value, origin in read_operator(None, earlier).shown()}
+    assert shown["log.form"] == ("'json'", "environment ROADSPUR_LOG__FORM")
+    both = read_operator(None, {**earlier, "THISTLEUSHER_LOG__QUEUE": "77"})
+    assert (both.get("log").form, both.get("log").queue) == ("json", 77)
+
+
 @pytest.mark.parametrize(
     "text,where,error",
     [
@@ -247,7 +255,7 @@
 
 
 def test_a_secret_is_in_a_file_of_its_owner_s_or_in_the_environment_and_never_shown(tmp_path, monkeypatch, capsys):
-    monkeypatch.setitem(SECTIONS, "hidden", Section("tests.operator.test_operator", "Hidden", "Hidden."))
+    monkeypatch.setitem(SECTIONS, "hidden", Section("tests.operator_file.test_operator", "Hidden", "Hidden."))
     place = tmp_path / "key"
     place.write_text("s3cret\n")
 
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -23,7 +23,7 @@
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.snapshots import SavedRoom
 from thistleusher.net.daemon import listing_of
-from thistleusher.operator.units import Seconds
+from thistleusher.operator_file.units import Seconds
 from thistleusher.policy import Gateway
 from thistleusher.state.options import StateOptions, read_options
 from thistleusher.state.records import (
--- a/thistleusher/cli/options.py
+++ b/thistleusher/cli/options.py
@@ -10,8 +10,8 @@
 
 import click
 
-from thistleusher.operator.layers import BadFile
-from thistleusher.operator.reader import Options, read_operator
+from thistleusher.operator_file.layers import BadFile
+from thistleusher.operator_file.reader import Options, read_operator
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -68,7 +68,7 @@
 @click.argument("path")
 def init(path: str) -> None:
     """Write a commented starting file; one that is there is left alone."""
-    from thistleusher.operator.document import starting_file
+    from thistleusher.operator_file.document import starting_file
 
     try:
         with Path(path).open("x", encoding="utf-8") as file:
@@ -80,6 +80,6 @@
 @click.command()
 def reference() -> None:
     """Print docs/configuration.md."""
-    from thistleusher.operator.document import reference as page
+    from thistleusher.operator_file.document import reference as page
 
     click.echo(page(), nl=False)
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -8,7 +8,7 @@
 import click
 
 from thistleusher.cli.options import layers, read
-from thistleusher.operator.reader import Options
+from thistleusher.operator_file.reader import Options
 
 if TYPE_CHECKING:
     from thistleusher.quota import Placement
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -8,7 +8,7 @@
 import tomllib
 
 from thistleusher.net.config import InvalidConfiguration
-from thistleusher.operator.layers import plain
+from thistleusher.operator_file.layers import plain
 from thistleusher.quota.placement import Placement
 from thistleusher.services.wire import read_address
 
--- a/thistleusher/operator/document.py
+++ b/thistleusher/operator_file/document.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from thistleusher.operator.reader import text_of
-from thistleusher.operator.secrets import Secret
-from thistleusher.operator.sections import SECTIONS
-from thistleusher.operator.units import Bytes, Seconds
+from thistleusher.operator_file.reader import text_of
+from thistleusher.operator_file.secrets import Secret
+from thistleusher.operator_file.sections import SECTIONS
+from thistleusher.operator_file.units import Bytes, Seconds
 
 HEAD = """# The operator's file
 
--- a/thistleusher/operator/layers.py
+++ b/thistleusher/operator_file/layers.py
@@ -13,7 +13,7 @@
 
 MOST = 1 << 20  # bytes of a file
 DEEPEST = 8  # files that include one another
-PREFIX = "ROADSPUR_"  # of environment variables: ROADSPUR_STATE__SYNC is state.sync
+PREFIXES = ("ROADSPUR_", "THISTLEUSHER_")  # THISTLEUSHER_STATE__SYNC is state.sync; it wins over its earlier name
 
 
 class BadFile(ValueError):
@@ -68,11 +68,12 @@
                 self.put(section, key, value, Origin(path, line_of(text, section, key)))
 
     def environment(self, environ: Mapping[str, str], sections: Iterable[str]) -> None:
-        """ROADSPUR_SECTION__KEY=value, for sections that there are; a section alone is nobody's."""
-        for name in sorted(environ):
-            section, split, key = name.removeprefix(PREFIX).lower().partition("__")
-            if name.startswith(PREFIX) and split and section in sections:
-                self.put(section, key, value_of(environ[name]), Origin(f"environment {name}"))
+        """Take THISTLEUSHER_SECTION__KEY=value, for known sections; variables of other forms are ignored."""
+        for prefix in PREFIXES:
+            for name in sorted(environ):
+                section, split, key = name.removeprefix(prefix).lower().partition("__")
+                if name.startswith(prefix) and split and section in sections:
+                    self.put(section, key, value_of(environ[name]), Origin(f"environment {name}"))
 
     def words(self, settings: Iterable[str]) -> None:
         """`section.key=value` of the command line."""
--- a/thistleusher/operator/reader.py
+++ b/thistleusher/operator_file/reader.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from thistleusher.operator.layers import BadFile, Layers, one_line, plain
-from thistleusher.operator.secrets import Secret, read_secret
-from thistleusher.operator.sections import SECTIONS
-from thistleusher.operator.units import Bytes, Seconds, read_bytes, read_seconds
+from thistleusher.operator_file.layers import BadFile, Layers, one_line, plain
+from thistleusher.operator_file.secrets import Secret, read_secret
+from thistleusher.operator_file.sections import SECTIONS
+from thistleusher.operator_file.units import Bytes, Seconds, read_bytes, read_seconds
 
 READ: dict[type, Callable[[object], Any]] = {Seconds: read_seconds, Bytes: read_bytes, Secret: read_secret}
 AT = re.compile(r" - at `\$\.?([^`]*)`$")
--- a/thistleusher/state/options.py
+++ b/thistleusher/state/options.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from thistleusher.operator.layers import one_line
-from thistleusher.operator.units import Bytes, Seconds
+from thistleusher.operator_file.layers import one_line
+from thistleusher.operator_file.units import Bytes, Seconds
 
 COMMIT = Seconds(0.005), Seconds(10.0)
 SIZE = Bytes(1 << 20), Bytes(1 << 36)
