--- a/tests/operator_file/test_operator.py
+++ b/tests/operator_file/test_operator.py
@@ -7,9 +7,9 @@
 import sqlite3
 import subprocess
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 
-import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -18,9 +18,10 @@
 from tests.sockets import Peer, call, ok, run
 from tests.test_program import TERMS, Program, known
 from thistleusher.cli.main import COMMANDS, main
-from thistleusher.operator_file.document import reference, starting_file
-from thistleusher.operator_file.layers import MOST, BadFile
-from thistleusher.operator_file.reader import read_operator
+from thistleusher.operator_file.errors import OperatorFileError
+from thistleusher.operator_file.layers import MAX_FILE_BYTES
+from thistleusher.operator_file.reader import read_operator_file
+from thistleusher.operator_file.reference import reference, starting_file
 from thistleusher.operator_file.secrets import Secret
 from thistleusher.operator_file.sections import SECTIONS, Section
 from thistleusher.operator_file.units import Bytes, Seconds, read_bytes, read_seconds
@@ -45,7 +46,7 @@
 
 def test_a_good_file_is_typed_and_the_last_layer_wins(tmp_path):
     path = written(tmp_path, GOOD)
-    o = read_operator(
+    o = read_operator_file(
         path,
         {
             "THISTLEUSHER_STATE__SYNC": "full",
@@ -59,37 +60,41 @@
     assert (state.folder, state.sync, state.max_size) == ("/var/lib/x", "full", 2 << 20)
     assert state.commit_every == 0.03 and isinstance(state.commit_every, Seconds)
     assert o.get("counters").placement().addresses == ("10.0.0.1:6400", "10.0.0.2:6400")
-    shown = {key: (value, origin) for key, value, origin in o.shown()}
+    shown = {key: (value, origin) for key, value, origin in o.effective_values()}
     assert shown["state.folder"] == ("'/var/lib/x'", f"{path}:3")
     assert shown["state.commit_every"] == ("30ms", "command line")
     assert shown["state.sync"] == ("'full'", "environment THISTLEUSHER_STATE__SYNC")
     assert shown["log.queue"] == ("10000", "default")
-    assert read_operator(None).sections == {}
+    assert read_operator_file(None).sections == {}
 
 
 def test_variables_with_the_earlier_prefix_are_taken_and_the_present_one_wins():
     earlier = {"ROADSPUR_LOG__FORM": "json", "ROADSPUR_LOG__QUEUE": "99"}
-    shown = {key: (value, origin) for key, value, origin in read_operator(None, earlier).shown()}
+    shown = {key: (value, origin) for key, value, origin in read_operator_file(None, earlier).effective_values()}
     assert shown["log.form"] == ("'json'", "environment ROADSPUR_LOG__FORM")
-    both = read_operator(None, {**earlier, "THISTLEUSHER_LOG__QUEUE": "77"})
+    both = read_operator_file(None, {**earlier, "THISTLEUSHER_LOG__QUEUE": "77"})
     assert (both.get("log").form, both.get("log").queue) == ("json", 77)
 
 
 @pytest.mark.parametrize(
     "text,where,error",
     [
-        ("[state]\nfolder = 3\n", ":2: state.folder: ", "Expected `str`"),
+        ("[state]\nfolder = 3\n", ":2: state.folder: ", "expected text, found 3"),
         ("[state]\n", ":1: state: ", "missing required field `folder`"),
         ("[state]\nfolder = 'x'\nsnyc = 'off'\n", ":3: state.snyc: ", "did you mean sync?"),
         ("[stat]\nfolder = 'x'\n", ":1: [stat]: ", "did you mean state?"),
         ("[zzz]\n", ":1: [zzz]: ", "there are counters, log, state"),
-        ("[state]\nfolder = 'x'\nsync = 'now'\n", ":3: state.sync: ", "Invalid enum value"),
+        (
+            "[state]\nfolder = 'x'\nsync = 'now'\n",
+            ":3: state.sync: ",
+            "'off', 'normal' or 'full', found 'now'",
+        ),
         ("[state]\nfolder = 'x'\ncommit_every = 50\n", ":3: state.commit_every: ", "such as '250ms'"),
-        ("[state]\nfolder = 'x'\ncommit_every = '1ms'\n", ":3: state.commit_every: ", "expected 5ms to 10s, got 1ms"),
-        ("[state]\nfolder = 'x'\ncommit_every = nan\n", ":3: state.commit_every: ", "got nan"),
-        ("[state]\nfolder = 'x'\nmax_size = 1e400\n", ":3: state.max_size: ", "got inf"),
+        ("[state]\nfolder = 'x'\ncommit_every = '1ms'\n", ":3: state.commit_every: ", "expected 5ms to 10s, found 1ms"),
+        ("[state]\nfolder = 'x'\ncommit_every = nan\n", ":3: state.commit_every: ", "found nan"),
+        ("[state]\nfolder = 'x'\nmax_size = 1e400\n", ":3: state.max_size: ", "found inf"),
         ("[state]\nfolder = 'x'\nmax_size = '1.5B'\n", ":3: state.max_size: ", "whole number of bytes"),
-        ("[log]\nqueue = 3\n", ":2: log.queue: ", ">= 16"),
+        ("[log]\nqueue = 3\n", ":2: log.queue: ", "expected >= 16, found 3"),
         ("[counters]\naddresses = ['a:1', 'a:1']\n", ":2: counters.addresses: ", ""),
         ("[counters]\naddresses = ['a']\n", ":2: counters.addresses: ", ""),
         ("state = 3\n", ":1: state: ", "expected a section"),
@@ -105,8 +110,8 @@
 )
 def test_what_cannot_be_used_is_one_line(tmp_path, text, where, error):
     path = written(tmp_path, text)
-    with pytest.raises(BadFile) as raised:
-        read_operator(path)
+    with pytest.raises(OperatorFileError) as raised:
+        read_operator_file(path)
     line = str(raised.value)
     assert where in line and error in line and "operator.toml" in line or "none.toml" in line
     assert "\n" not in line and len(line) < 400
@@ -114,26 +119,26 @@
 
 
 def test_an_empty_file_is_good_and_a_huge_one_is_not_read(tmp_path):
-    assert read_operator(written(tmp_path, "")).sections == {}
+    assert read_operator_file(written(tmp_path, "")).sections == {}
     path = tmp_path / "huge.toml"
     with path.open("wb") as file:
         file.truncate(100 << 20)
-    with pytest.raises(BadFile, match=f"huge.toml: larger than {MOST} bytes"):
-        read_operator(str(path))
+    with pytest.raises(OperatorFileError, match=f"huge.toml: larger than {MAX_FILE_BYTES} bytes"):
+        read_operator_file(str(path))
 
 
 def test_included_files_stand_before_and_a_circle_is_named(tmp_path):
     written(tmp_path, "[state]\nfolder = 'a'\nsync = 'off'\n", "a.toml")
-    o = read_operator(written(tmp_path, "include = ['a.toml']\n[state]\nfolder = 'b'\n"))
+    o = read_operator_file(written(tmp_path, "include = ['a.toml']\n[state]\nfolder = 'b'\n"))
     assert (o.get("state").folder, o.get("state").sync) == ("b", "off")
-    assert dict((k, w) for k, _, w in o.shown())["state.sync"].endswith("a.toml:3")
+    assert dict((k, w) for k, _, w in o.effective_values())["state.sync"].endswith("a.toml:3")
     written(tmp_path, "include = ['operator.toml']\n", "a.toml")
-    with pytest.raises(BadFile, match="include: a circle"):
-        read_operator(str(tmp_path / "operator.toml"))
+    with pytest.raises(OperatorFileError, match="include: a circle"):
+        read_operator_file(str(tmp_path / "operator.toml"))
     for n in range(12):
         written(tmp_path, f"include = ['n{n + 1}.toml']\n", f"n{n}.toml")
-    with pytest.raises(BadFile, match="files deep"):
-        read_operator(str(tmp_path / "n0.toml"))
+    with pytest.raises(OperatorFileError, match="files deep"):
+        read_operator_file(str(tmp_path / "n0.toml"))
 
 
 @pytest.mark.parametrize("word", ["state", "state=x", ".=x", "state.=x", "stat.x=1", "state.folder"])
@@ -172,7 +177,7 @@
         if line.startswith("# [") or " = " in line.split("  # ")[0]
     ]
     edited = "\n".join(lines).replace("folder = ...", 'folder = "x"').replace("= ...", '= ["a:1", "b:2"]')
-    assert set(read_operator(written(tmp_path, edited)).sections) == set(SECTIONS)
+    assert set(read_operator_file(written(tmp_path, edited)).sections) == set(SECTIONS)
 
 
 def test_commands_are_imported_when_asked_for_and_end_with_their_codes(tmp_path, capsys):
@@ -245,7 +250,8 @@
     run(scenario())
 
 
-class Hidden(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+@dataclass(frozen=True)
+class Hidden:
     """A section with a secret.
 
     key: of somebody
@@ -260,21 +266,21 @@
     place.write_text("s3cret\n")
 
     def wrong(text):
-        with pytest.raises(BadFile) as raised:
-            read_operator(written(tmp_path, f"[hidden]\nkey = {text}\n"))
+        with pytest.raises(OperatorFileError) as raised:
+            read_operator_file(written(tmp_path, f"[hidden]\nkey = {text}\n"))
         assert "s3cret" not in str(raised.value) and ":2: hidden.key: " in str(raised.value)
         return str(raised.value)
 
     place.chmod(0o640)
-    assert "owner's alone (mode 600), got 640" in wrong(f"'file:{place}'")
+    assert "owner's alone (mode 600), found 640" in wrong(f"'file:{place}'")
     place.chmod(0o600)
     assert "never the value itself" in wrong("'s3cret'") and "never the value itself" in wrong("['s3cret']")
     assert "No such file" in wrong(f"'file:{place}x'") and "not set" in wrong("'env:THISTLEUSHER_NO_SUCH'")
     path = written(tmp_path, f"[hidden]\nkey = 'file:{place}'\n")
-    secret = read_operator(path).get("hidden").key
+    secret = read_operator_file(path).get("hidden").key
     assert secret.reveal() == b"s3cret" and "s3cret" not in f"{secret}{secret!r}"
     assert main(["show", "--operator", path]) == 0 and "s3cret" not in capsys.readouterr().out
     place.write_text("")
     assert "expected 1 to" in wrong(f"'file:{place}'")
     monkeypatch.setenv("K", "s3cret")
-    assert read_operator(written(tmp_path, "[hidden]\nkey = 'env:K'\n")).get("hidden").key.reveal() == b"s3cret"
+    assert read_operator_file(written(tmp_path, "[hidden]\nkey = 'env:K'\n")).get("hidden").key.reveal() == b"s3cret"
--- a/thistleusher/cli/options.py
+++ b/thistleusher/cli/options.py
@@ -10,8 +10,8 @@
 
 import click
 
-from thistleusher.operator_file.layers import BadFile
-from thistleusher.operator_file.reader import Options, read_operator
+from thistleusher.operator_file.errors import OperatorFileError
+from thistleusher.operator_file.reader import OperatorFile, read_operator_file
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -28,11 +28,11 @@
     return click.option("--operator", "path", metavar="FILE", help="The operator's file.")(command)
 
 
-def read(path: str | None, words: tuple[str, ...]) -> Options:
+def read(path: str | None, words: tuple[str, ...]) -> OperatorFile:
     """All layers; what is wrong with them is one line and exit code 2."""
     try:
-        return read_operator(path, os.environ, words)
-    except BadFile as error:
+        return read_operator_file(path, os.environ, words)
+    except OperatorFileError as error:
         raise click.ClickException(str(error)) from error
 
 
@@ -58,7 +58,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
 def show(path: str | None, words: tuple[str, ...], as_json: bool) -> None:
     """Print each effective value and where it comes from."""
-    for key, value, origin in read(path, words).shown():
+    for key, value, origin in read(path, words).effective_values():
         click.echo(
             json.dumps({"key": key, "value": value, "from": origin}) if as_json else f"{key} = {value}  # {origin}"
         )
@@ -68,7 +68,7 @@
 @click.argument("path")
 def init(path: str) -> None:
     """Write a commented starting file; one that is there is left alone."""
-    from thistleusher.operator_file.document import starting_file
+    from thistleusher.operator_file.reference import starting_file
 
     try:
         with Path(path).open("x", encoding="utf-8") as file:
@@ -80,6 +80,6 @@
 @click.command()
 def reference() -> None:
     """Print docs/configuration.md."""
-    from thistleusher.operator_file.document import reference as page
+    from thistleusher.operator_file.reference import reference as page
 
     click.echo(page(), nl=False)
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -8,7 +8,7 @@
 import click
 
 from thistleusher.cli.options import layers, read
-from thistleusher.operator_file.reader import Options
+from thistleusher.operator_file.reader import OperatorFile
 
 if TYPE_CHECKING:
     from thistleusher.quota import Placement
@@ -42,7 +42,7 @@
         logs.close()
 
 
-def read_again(path: str | None, words: tuple[str, ...]) -> Options:
+def read_again(path: str | None, words: tuple[str, ...]) -> OperatorFile:
     """The same layers as at the start; BadConfiguration where they cannot be used any more."""
     from thistleusher.net.config import InvalidConfiguration
 
--- a/thistleusher/log/options.py
+++ b/thistleusher/log/options.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Annotated, Literal
 
-import msgspec
+from pydantic import Field
 
 
-class LogOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+@dataclass(frozen=True, slots=True)
+class LogOptions:
     """Lines on standard error.
 
     form: JSON lines with stable fields (event, level, logger, timestamp), or text
@@ -17,4 +19,4 @@
 
     form: Literal["json", "text"] = "text"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    queue: Annotated[int, msgspec.Meta(ge=16, le=1_000_000)] = 10_000
+    queue: Annotated[int, Field(ge=16, le=1_000_000)] = 10_000
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -8,7 +8,7 @@
 import tomllib
 
 from thistleusher.net.config import InvalidConfiguration
-from thistleusher.operator_file.layers import plain
+from thistleusher.operator_file.errors import printable
 from thistleusher.quota.placement import Placement
 from thistleusher.services.wire import read_address
 
@@ -24,7 +24,7 @@
         raise InvalidConfiguration(f"{path}: nested too deeply") from error
     unknown = data.keys() - {"counters"}
     if unknown:
-        raise InvalidConfiguration(f"{path}: {plain(min(unknown))}: no such key")
+        raise InvalidConfiguration(f"{path}: {printable(min(unknown))}: no such key")
     counters = data.get("counters")
     if not isinstance(counters, list) or not all(isinstance(c, str) for c in counters):
         raise InvalidConfiguration(f"{path}: counters: expected a list of host:port, got {counters!r}")
--- a/thistleusher/operator_file/layers.py
+++ b/thistleusher/operator_file/layers.py
@@ -1,7 +1,7 @@
-"""Values by layers: defaults < files < environment < command line; the last one that names a key wins.
+"""Values by layers: included files < the file < environment < command line; the last layer that names a key wins.
 
-Pure but for the reading of files. Each leaf keeps where it comes from, for `show` and for errors. Included files stand
-before the file that includes them; a circle, a file over `MOST` and one that is not UTF-8 are errors of one line.
+Pure but for the reading of files. Each value keeps its origin, for `show` and for errors. Included files come before
+the file that includes them; a circle, a file over `MAX_FILE_BYTES` and one that is not UTF-8 are errors of one line.
 """
 
 from __future__ import annotations
@@ -11,17 +11,16 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-MOST = 1 << 20  # bytes of a file
-DEEPEST = 8  # files that include one another
-PREFIXES = ("ROADSPUR_", "THISTLEUSHER_")  # THISTLEUSHER_STATE__SYNC is state.sync; it wins over its earlier name
+from thistleusher.operator_file.errors import OperatorFileError, one_line, printable
 
-
-class BadFile(ValueError):
-    """What keeps the operator's file from being used: file, line, key, what was found and expected; one line."""
+MAX_FILE_BYTES = 1 << 20
+MAX_INCLUDE_DEPTH = 8  # files that include one another
+# Of environment variables: THISTLEUSHER_STATE__SYNC is state.sync. The earlier prefix comes first, so the present wins.
+PREFIXES = ("ROADSPUR_", "THISTLEUSHER_")
 
 
 class Origin(NamedTuple):
-    """Where a value was written. `line` 0 where it has none."""
+    """Where a value was written; `line` is 0 where there is none."""
 
     place: str
     line: int = 0
@@ -31,77 +30,94 @@
 
 
 class Layers:
-    """Sections of keys, and the origin of each `section.key`."""
+    """Sections of keys, and the origin of each section and of each `section.key`."""
 
     def __init__(self) -> None:
         self.values: dict[str, dict[str, Any]] = {}
         self.origins: dict[str, Origin] = {}
 
     def put(self, section: str, key: str, value: Any, origin: Origin) -> None:
+        """Set a value; it replaces the one of an earlier layer."""
         self.values.setdefault(section, {})[key] = value
         self.origins[f"{section}.{key}"] = origin
 
-    def file(self, path: str, seen: tuple[str, ...] = ()) -> None:
-        """Read a file and what it includes; BadFile names the file."""
-        real = str(Path(path).resolve())
-        if real in seen or len(seen) >= DEEPEST:
-            raise BadFile(f"{path}: include: " + ("a circle" if real in seen else f"more than {DEEPEST} files deep"))
+    def origin_of(self, section: str, key: str = "") -> str:
+        """Return where a key, its section, or the section's first key was written."""
+        origin = self.origins.get(f"{section}.{key}") or self.origins.get(section)
+        if origin is not None:
+            return str(origin)
+        return next((str(o) for name, o in self.origins.items() if name.startswith(f"{section}.")), "operator's file")
+
+    def add_file(self, path: str, including: tuple[str, ...] = ()) -> None:
+        """Add a file and what it includes. `including` are the files that led to it; raises OperatorFileError."""
+        real_path = str(Path(path).resolve())
+        if real_path in including:
+            raise OperatorFileError(path, "include", found="a circle")
+        if len(including) >= MAX_INCLUDE_DEPTH:
+            raise OperatorFileError(path, "include", found=f"more than {MAX_INCLUDE_DEPTH} files deep")
         text = read_text(path)
-        try:
-            data = tomllib.loads(text)
-        except (tomllib.TOMLDecodeError, RecursionError) as error:
-            raise BadFile(f"{path}: {one_line(error) or 'nested too deeply'}") from error
+        data = parse_toml(path, text)
         includes = data.pop("include", [])
         if not isinstance(includes, list) or not all(isinstance(name, str) for name in includes):
-            raise BadFile(f"{path}: include: expected a list of file names, got {includes!r:.60}")
+            raise OperatorFileError(path, "include", "a list of file names", f"{includes!r:.60}")
         for name in includes:
-            self.file(str(Path(path).parent / name), (*seen, real))
+            self.add_file(str(Path(path).parent / name), (*including, real_path))
         for section, keys in data.items():
-            if not isinstance(keys, dict):
-                raise BadFile(
-                    f"{Origin(path, line_of(text, '', section))}: {plain(section)}: expected a section, "
-                    f"[{plain(section)}], got a value"
-                )
-            self.values.setdefault(section, {})  # also an empty one
-            self.origins.setdefault(section, Origin(path, line_of(text, section)))
-            for key, value in keys.items():
-                self.put(section, key, value, Origin(path, line_of(text, section, key)))
-
-    def environment(self, environ: Mapping[str, str], sections: Iterable[str]) -> None:
-        """Take THISTLEUSHER_SECTION__KEY=value, for known sections; variables of other forms are ignored."""
+            self._add_section(path, text, section, keys)
+
+    def _add_section(self, path: str, text: str, section: str, keys: Any) -> None:
+        if not isinstance(keys, dict):
+            place = str(Origin(path, line_of(text, "", section)))
+            raise OperatorFileError(place, printable(section), f"a section, [{printable(section)}]", "a value")
+        self.values.setdefault(section, {})  # a section without keys counts as there
+        self.origins.setdefault(section, Origin(path, line_of(text, section)))
+        for key, value in keys.items():
+            self.put(section, key, value, Origin(path, line_of(text, section, key)))
+
+    def add_environment(self, environ: Mapping[str, str], sections: Iterable[str]) -> None:
+        """Add THISTLEUSHER_SECTION__KEY=value, for known sections; variables of other forms are ignored."""
+        known = set(sections)
         for prefix in PREFIXES:
             for name in sorted(environ):
-                section, split, key = name.removeprefix(prefix).lower().partition("__")
-                if name.startswith(prefix) and split and section in sections:
-                    self.put(section, key, value_of(environ[name]), Origin(f"environment {name}"))
-
-    def words(self, settings: Iterable[str]) -> None:
-        """`section.key=value` of the command line."""
-        for text in settings:
-            name, given, value = text.partition("=")
+                section, separator, key = name.removeprefix(prefix).lower().partition("__")
+                if name.startswith(prefix) and separator and section in known:
+                    self.put(section, key, parse_value(environ[name]), Origin(f"environment {name}"))
+
+    def add_assignments(self, assignments: Iterable[str]) -> None:
+        """Add `section.key=value` texts of the command line; raises OperatorFileError."""
+        for text in assignments:
+            name, equals, value = text.partition("=")
             section, dot, key = name.strip().partition(".")
-            if not given or not dot or not section or not key:
-                raise BadFile(f"--set: expected section.key=value, got {text!r:.60}")
-            self.put(section, key.strip(), value_of(value.strip()), Origin("command line"))
+            if not (equals and dot and section and key):
+                raise OperatorFileError("--set", expected="section.key=value", found=f"{text!r:.60}")
+            self.put(section, key.strip(), parse_value(value.strip()), Origin("command line"))
 
 
 def read_text(path: str) -> str:
-    """A file's text, bounded; BadFile names it."""
+    """Return a file's text; raises OperatorFileError where it is missing, too large or not UTF-8."""
     try:
-        with open(path, "rb") as file:
-            raw = file.read(MOST + 1)
+        with Path(path).open("rb") as file:
+            raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise BadFile(f"{path}: {error.strerror}") from error
-    if len(raw) > MOST:
-        raise BadFile(f"{path}: larger than {MOST} bytes")
+        raise OperatorFileError(path, found=error.strerror or "cannot be read") from error
+    if len(raw) > MAX_FILE_BYTES:
+        raise OperatorFileError(path, found=f"larger than {MAX_FILE_BYTES} bytes")
     try:
         return raw.decode()
     except UnicodeDecodeError as error:
-        raise BadFile(f"{path}: not UTF-8 at byte {error.start}") from error
+        raise OperatorFileError(path, found=f"not UTF-8 at byte {error.start}") from error
+
+
+def parse_toml(path: str, text: str) -> dict[str, Any]:
+    """Return the tables of a TOML text; raises OperatorFileError."""
+    try:
+        return tomllib.loads(text)
+    except (tomllib.TOMLDecodeError, RecursionError) as error:
+        raise OperatorFileError(path, found=one_line(error) or "nested too deeply") from error
 
 
-def value_of(text: str) -> Any:
-    """A value as TOML has it, or else the text itself: `normal` need not be quoted."""
+def parse_value(text: str) -> Any:
+    """Return a value as TOML has it, or else the text itself: `normal` need not be quoted."""
     try:
         return tomllib.loads(f"x = {text}")["x"]
     except (tomllib.TOMLDecodeError, RecursionError):
@@ -109,23 +125,14 @@
 
 
 def line_of(text: str, section: str, key: str = "") -> int:
-    """The line of a section's head, or of a key in it; 0 where it is written in another way than usual."""
-    here = ""
-    for number, line in enumerate(text.splitlines(), 1):
-        line = line.strip()
+    """Return the line of a section's head, or of a key in it; 0 where it is written in another way than usual."""
+    current_section = ""
+    for number, raw_line in enumerate(text.splitlines(), 1):
+        line = raw_line.strip()
         if line.startswith("[") and not line.startswith("[["):
-            here = line.strip("[] \t").split("]")[0].strip().strip("\"'")
-            if here == section and not key:
+            current_section = line.strip("[] \t").split("]")[0].strip().strip("\"'")
+            if current_section == section and not key:
                 return number
-        elif key and here == section and line.split("=")[0].strip().strip("\"'") == key:
+        elif key and current_section == section and line.split("=")[0].strip().strip("\"'") == key:
             return number
     return 0
-
-
-def plain(key: str) -> str:
-    """A key as it can stand in one line."""
-    return key[:60] if key.isprintable() else repr(key)[:60]
-
-
-def one_line(error: BaseException) -> str:
-    return " ".join(str(error).split())
--- a/thistleusher/operator_file/secrets.py
+++ b/thistleusher/operator_file/secrets.py
@@ -1,4 +1,4 @@
-"""Values that must not be seen: named in the operator's file, kept in a file of their own or in the environment.
+"""Secrets: named in the operator's file, kept in a file of their own or in the environment.
 
 `"file:/etc/thistleusher/key"` or `"env:THISTLEUSHER_KEY"`; the value itself is
 never in the operator's file, and never printed.
@@ -8,21 +8,25 @@
 
 import os
 import stat
+from pathlib import Path
 
-MOST = 64 * 1024  # bytes
-FORMS = 'expected "file:PATH" or "env:NAME", never the value itself'
+from thistleusher.operator_file.errors import InvalidValueError
+
+MAX_SECRET_BYTES = 64 * 1024
+EXPECTED_FORM = '"file:PATH" or "env:NAME", never the value itself'
 
 
 class Secret:
-    """A secret's value. Shown as its source, in errors and in `thistleusher show` as well."""
+    """A secret's value, shown as its source: in errors and in `thistleusher show` as well."""
 
     __slots__ = ("source", "_value")
 
     def __init__(self, source: str, value: bytes) -> None:
-        self.source, self._value = source, value
+        self.source = source
+        self._value = value
 
     def reveal(self) -> bytes:
-        """The value, for whoever uses it; not to be kept, logged or compared other than by `hmac.compare_digest`."""
+        """Return the value, for its user alone; not to be stored, logged or compared other than by `hmac`."""
         return self._value
 
     def __repr__(self) -> str:
@@ -32,24 +36,35 @@
 
 
 def read_secret(text: object) -> Secret:
-    """ValueError says what keeps it from being used; it never holds the value, nor what stood there in its place."""
+    """Return the secret that a source names.
+
+    Raises InvalidValueError, which never holds the value, nor what stood there in place of a source.
+    """
     kind, colon, name = text.partition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not name or kind not in ("file", "env"):
-        raise ValueError(FORMS)
-    if kind == "env":
-        value = os.environ.get(name)
-        if not value:
-            raise ValueError(f"{kind}:{name}: not set")
-        return Secret(f"env:{name}", value.encode())
+        raise InvalidValueError(EXPECTED_FORM)
+    value = _from_environment(name) if kind == "env" else _from_file(name)
+    return Secret(f"{kind}:{name}", value)
+
+
+def _from_environment(name: str) -> bytes:
+    value = os.environ.get(name)
+    if not value:
+        raise InvalidValueError(found=f"env:{name}: not set")
+    return value.encode()
+
+
+def _from_file(name: str) -> bytes:
     try:
-        with open(name, "rb") as file:
+        with Path(name).open("rb") as file:
             mode = os.fstat(file.fileno()).st_mode
-            value_read = file.read(MOST + 1)
+            value = file.read(MAX_SECRET_BYTES + 1)
     except OSError as error:
-        raise ValueError(f"file:{name}: {error.strerror}") from None
+        raise InvalidValueError(found=f"file:{name}: {error.strerror}") from None
     if mode & (stat.S_IRWXG | stat.S_IRWXO):
-        raise ValueError(f"file:{name}: expected to be its owner's alone (mode 600), got {stat.S_IMODE(mode):o}")
-    value_read = value_read.rstrip(b"\r\n")
-    if not value_read or len(value_read) > MOST:
-        raise ValueError(f"file:{name}: expected 1 to {MOST} bytes, got {len(value_read)}")
-    return Secret(f"file:{name}", value_read)
+        found = f"{stat.S_IMODE(mode):o}"
+        raise InvalidValueError(f"file:{name} to be its owner's alone (mode 600)", found)
+    value = value.rstrip(b"\r\n")
+    if not value or len(value) > MAX_SECRET_BYTES:
+        raise InvalidValueError(f"1 to {MAX_SECRET_BYTES} bytes in file:{name}", str(len(value)))
+    return value
--- a/thistleusher/operator_file/sections.py
+++ b/thistleusher/operator_file/sections.py
@@ -1,6 +1,6 @@
-"""All sections of the operator's file, registered in one place; each struct is its own direction's.
+"""All sections of the operator's file, registered in one place; each section's dataclass belongs to its own package.
 
-A section is imported only when it is there: the platform's ingress has no operator's file and needs none of this.
+A section's module is imported only when the file has the section: an ingress without an operator's file needs none.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 
 class Section(NamedTuple):
-    """Where a section's struct is, and what it is for in one sentence."""
+    """Where a section's dataclass is, and what the section is for in one sentence."""
 
     module: str
-    struct: str
+    dataclass_name: str
     about: str
 
     def load(self) -> Any:
-        """Its msgspec struct."""
-        return getattr(importlib.import_module(self.module), self.struct)
+        """Import and return the section's dataclass."""
+        return getattr(importlib.import_module(self.module), self.dataclass_name)
 
 
 SECTIONS = {
--- a/thistleusher/services/options.py
+++ b/thistleusher/services/options.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-import msgspec
+from dataclasses import dataclass
 
+from thistleusher.operator_file.errors import InvalidValueError
 from thistleusher.quota.placement import Placement
 from thistleusher.services.wire import read_address
 
 
-class CountersOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+@dataclass(frozen=True, slots=True)
+class CountersOptions:
     """Counters that share the names.
 
     addresses: host:port of each, the same at all ingresses; the order does not matter
@@ -17,13 +19,14 @@
     addresses: tuple[str, ...]
 
     def __post_init__(self) -> None:
+        """Check the addresses; raises InvalidValueError."""
         try:
             for address in self.addresses:
                 read_address(address)
             self.placement()
         except ValueError as error:
-            raise ValueError(f"addresses: {error}") from error
+            raise InvalidValueError(found=str(error), key="addresses") from error
 
     def placement(self) -> Placement:
-        """Which of them holds a name."""
+        """Return which of them owns a name."""
         return Placement(list(self.addresses))
--- a/thistleusher/state/options.py
+++ b/thistleusher/state/options.py
@@ -1,4 +1,4 @@
-"""The section [state] of the operator's file, and the file of its own that `--state` names:
+"""The section [state] of the operator's file, and the file of its own that `--state` names.
 
 folder = "/var/lib/thistleusher"
 sync = "normal"      # off, normal or full: what a loss of power may cost
@@ -8,20 +8,22 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-from typing import Annotated, Literal
+from dataclasses import dataclass
+from typing import Literal
 
-import msgspec
-
-from thistleusher.operator_file.layers import one_line
+from thistleusher.operator_file.errors import InvalidValueError
+from thistleusher.operator_file.reader import read_flat_file
 from thistleusher.operator_file.units import Bytes, Seconds
 
-COMMIT = Seconds(0.005), Seconds(10.0)
-SIZE = Bytes(1 << 20), Bytes(1 << 36)
+COMMIT_EVERY_LIMITS = Seconds(0.005), Seconds(10.0)
+MAX_SIZE_LIMITS = Bytes(1 << 20), Bytes(1 << 36)
+COMMIT_MS_LIMITS = 5, 10_000
+MOST_MB_LIMITS = 1, 65_536
 
 
-class StateOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where and how state is kept.
+@dataclass(frozen=True, slots=True)
+class StateOptions:
+    """Where and how state is stored.
 
     folder: of this ingress alone; made if it is not there; held by one process
     sync: what a loss of power may cost: what the system had not written, commits since the last checkpoint, or nothing
@@ -29,32 +31,48 @@
     max_size: bound of the folder's file, 1MiB to 64GiB
     """
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]
+    folder: str
     sync: Literal["off", "normal", "full"] = "normal"
     commit_every: Seconds = Seconds(0.05)
     max_size: Bytes = Bytes(256 << 20)
 
     def __post_init__(self) -> None:
-        for key, value, (low, high) in (("commit_every", self.commit_every, COMMIT), ("max_size", self.max_size, SIZE)):
-            if not low <= value <= high:
-                raise ValueError(f"{key}: expected {low} to {high}, got {value}")
+        """Check the ranges; raises InvalidValueError."""
+        check_folder(self.folder)
+        check_range("commit_every", self.commit_every, COMMIT_EVERY_LIMITS)
+        check_range("max_size", self.max_size, MAX_SIZE_LIMITS)
 
 
-class StateFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The older file, with units in its keys' names."""
+@dataclass(frozen=True, slots=True)
+class StateFile:
+    """The earlier file, with units in its keys' names."""
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]
+    folder: str
     sync: Literal["off", "normal", "full"] = "normal"
-    commit_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 50
-    most_mb: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = 256
+    commit_ms: int = 50
+    most_mb: int = 256
+
+    def __post_init__(self) -> None:
+        """Check the ranges; raises InvalidValueError."""
+        check_folder(self.folder)
+        check_range("commit_ms", self.commit_ms, COMMIT_MS_LIMITS)
+        check_range("most_mb", self.most_mb, MOST_MB_LIMITS)
+
+
+def check_folder(folder: str) -> None:
+    """Raise InvalidValueError where a folder's name is empty."""
+    if not folder:
+        raise InvalidValueError("a folder's name", "''", key="folder")
+
+
+def check_range(key: str, value: float, limits: tuple[float, float]) -> None:
+    """Raise InvalidValueError where a value is outside its limits, both included."""
+    low, high = limits
+    if not low <= value <= high:
+        raise InvalidValueError(f"{low} to {high}", str(value), key=key)
 
 
 def read_options(path: str) -> StateOptions:
-    """The older file's options; ValueError names file, key, what was found and expected, in one line."""
-    try:
-        old = msgspec.toml.decode(Path(path).read_bytes(), type=StateFile)
-    except (OSError, ValueError) as error:
-        raise ValueError(f"{path}: {one_line(error)}") from error
-    except RecursionError as error:
-        raise ValueError(f"{path}: nested too deeply") from error
-    return StateOptions(old.folder, old.sync, Seconds(old.commit_ms / 1000), Bytes(old.most_mb << 20))
+    """Return the earlier file's options. Raises OperatorFileError, a ValueError: file, key, expected and found."""
+    file: StateFile = read_flat_file(path, StateFile)
+    return StateOptions(file.folder, file.sync, Seconds(file.commit_ms / 1000), Bytes(file.most_mb << 20))
