--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -17,9 +17,9 @@
 from thistleusher.common.node_settings import read_node_settings
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.placement import Place
-from thistleusher.registry.charges import REMEMBERED, ChargeTable
-from thistleusher.registry.counts import QuotaCounter
-from thistleusher.registry.instances import BackendPoller
+from thistleusher.registry.backend_poller import BackendPoller
+from thistleusher.registry.charges import REMEMBERED_CHARGES, ChargeTable
+from thistleusher.registry.quota_counter import QuotaCounter
 from thistleusher.services.addresses import read_address
 from thistleusher.transport.codec import decode, encode
 from thistleusher.transport.messages import Charge, StateUpdate
@@ -125,14 +125,14 @@
         ).encode()
         for start in range(0, count, PAGE)
     ]
-    survey = BackendPoller(0.0, 47.0)
+    poller = BackendPoller(0.0, 47.0)
     now = read_s = 0.0
     changes: dict[str, dict[str, Any] | None] = {}
     for page in pages:
-        now = max(now, survey.next)
-        survey.due(now)
+        now = max(now, poller.next_call_at)
+        poller.next_call(now)
         began = time.process_time()
-        changes = survey.page(now, page) or changes
+        changes = poller.receive_page(now, page) or changes
         read_s += time.process_time() - began
     state = State()
     state.apply(1, {f"b:{name}": entry for name, entry in changes.items()})
@@ -182,22 +182,22 @@
     """The counter's ledger once each sender has sent as many charges as are remembered."""
     counts = QuotaCounter(0.0)
     tenants = [f"t-{n}" for n in range(1000)]
-    counts.follow(dict.fromkeys(tenants, (1e6, 1e6)), {})
+    counts.configure(dict.fromkeys(tenants, (1e6, 1e6)), {})
     ledger = ChargeTable(counts)
     names = [f"proxy-{n}" for n in range(senders)]
     for name in names:
-        counts.here(0.0, name, "life", None)
+        counts.record_heartbeat(0.0, name, "life", None)
     before = resident_mb()
 
     def charge_all() -> None:
-        for number in range(1, REMEMBERED + 1):
+        for number in range(1, REMEMBERED_CHARGES + 1):
             for name in names:
-                ledger.take(2.0, name, Charge("life", number, tenants[number % len(tenants)], 1, -1))
+                ledger.receive(2.0, name, Charge("life", number, tenants[number % len(tenants)], 1, -1))
 
     spent_s = timed(charge_all)
     return {
         "memory of the ledger MB": resident_mb() - before,
-        "processor of one charge, without its messages us": 1e6 * spent_s / (REMEMBERED * senders),
+        "processor of one charge, without its messages us": 1e6 * spent_s / (REMEMBERED_CHARGES * senders),
     }
 
 
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -20,10 +20,11 @@
 from thistleusher.proxy import cluster_view as knowledge
 from thistleusher.proxy.cluster_view import ClusterView, InForce, Serving, ToPeer, ToRegistry, ToRing
 from thistleusher.proxy.decisions import Asked, Charge, Decisions
-from thistleusher.registry.registry import Call as PlatformCall
-from thistleusher.registry.registry import Output as RegistryOutput
-from thistleusher.registry.registry import Registry, ToControl
-from thistleusher.registry.registry import Tell as RegistryTell
+from thistleusher.registry.outputs import CallPlatform as PlatformCall
+from thistleusher.registry.outputs import Output as RegistryOutput
+from thistleusher.registry.outputs import SendToControl
+from thistleusher.registry.outputs import SendToSubscriber as RegistryTell
+from thistleusher.registry.registry import Registry
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, RingHeartbeat
 
 if TYPE_CHECKING:
@@ -145,32 +146,32 @@
         self.carry(self.registry.tick(self.now()))
 
     def opened(self, to: str) -> None:
-        follower = self.registry.control if to.startswith("control") else self.registry.list
+        follower = self.registry.control_state if to.startswith("control") else self.registry.list
         self.world.send(self, to, follower.subscribe_request())
 
     def replied(self, sender: str, message: AnyMessage) -> None:
         if sender.startswith("control"):
-            outputs, reply = self.registry.from_control(self.now(), sender.partition("@")[2], message)
+            outputs, reply = self.registry.receive_from_control(self.now(), sender.partition("@")[2], message)
         else:
-            outputs, reply = self.registry.from_peer(self.now(), message)
+            outputs, reply = self.registry.receive_from_peer(self.now(), message)
         self.carry(outputs)
         if reply is not None:
             self.world.send(self, sender, reply)
 
     def heard(self, sender: str, who: str, message: AnyMessage) -> None:
-        self.carry(self.registry.from_follower(self.now(), who, message))
+        self.carry(self.registry.receive_from_subscriber(self.now(), who, message))
 
     def lost(self, who: str) -> None:
-        self.registry.gone(who)
+        self.registry.subscriber_gone(who)
 
     def carry(self, outputs: Sequence[RegistryOutput]) -> None:
         """Do what follows from an input."""
         for out in outputs:
             if isinstance(out, RegistryTell):
-                if not self.registry.holder.holds_lease(self.now()):
+                if not self.registry.lease.holds_lease(self.now()):
                     self.world.broke(f"LEASE: {self.name} tells {out.name} {type(out.message).__name__} without one")
                 self.world.reply(self, out.name, out.message)
-            elif isinstance(out, ToControl):
+            elif isinstance(out, SendToControl):
                 for address in CORES:
                     if out.address in ("", address):
                         self.world.send(self, f"control@{address}", out.message)
@@ -182,7 +183,7 @@
 
         def answered() -> None:
             status, body = world.platform(target)
-            self.carry(self.registry.answered(self.now(), status, body))
+            self.carry(self.registry.platform_answered(self.now(), status, body))
 
         world.later(self, 0.002 if world.platform_up() else 1.0, answered)
 
--- a/simnet/system.py
+++ b/simnet/system.py
@@ -214,7 +214,7 @@
 
     @staticmethod
     def _who(process: Process) -> str:
-        return process.registry.me if isinstance(process, RegistryProcess) else process.machine
+        return process.registry.name if isinstance(process, RegistryProcess) else process.machine
 
     def reply(self, process: Process, who: str, message: AnyMessage) -> None:
         """A message back on the connection of one that is known by its name."""
@@ -388,7 +388,7 @@
             if isinstance(p, RegistryProcess)
             and p.up
             and p.registry.holds_role
-            and p.registry.holder.holds_lease(p.now())
+            and p.registry.lease.holds_lease(p.now())
         ]
         if len(holding) > 1:
             self.broke(f"LEASE: two hold the duty: {holding}")
--- a/tests/system/test_charges.py
+++ b/tests/system/test_charges.py
@@ -12,7 +12,7 @@
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.registry import charges
 from thistleusher.registry.charges import ChargeTable
-from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.quota_counter import QuotaCounter
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import Charge, ChargeResult, HeartbeatEcho, ProxyHeartbeat, ProxyStatusReport
 
@@ -28,7 +28,7 @@
 
 def counter_of(now, shares=()):
     counts = QuotaCounter(now)
-    counts.follow(LIMITS, dict.fromkeys(shares, 0.1))
+    counts.configure(LIMITS, dict.fromkeys(shares, 0.1))
     return ChargeTable(counts)
 
 
@@ -107,13 +107,13 @@
 
     def at_counter(self, name, message):
         if isinstance(message, ProxyHeartbeat):
-            if self.ledger.counts.here(self.now, name, message.incarnation, self.now):
-                self.ledger.counts.ingresses[name].since = float("-inf")
+            if self.ledger.counter.record_heartbeat(self.now, name, message.incarnation, self.now):
+                self.ledger.counter.ingresses[name].in_contact_since = float("-inf")
             return
-        result = self.ledger.take(self.now, name, message)
+        result = self.ledger.receive(self.now, name, message)
         key = message.incarnation, message.number
         if message.amount < 0:
-            if self.ledger.counts.ingresses[name].incarnation == message.incarnation:
+            if self.ledger.counter.ingresses[name].incarnation == message.incarnation:
                 self.given_back.add(key)
         elif result is not None:
             first = self.counted.setdefault(key, result.window)
@@ -142,7 +142,7 @@
         self.now += 0.01 * self.rng.random()
 
     def check(self):
-        window = self.ledger.counts.windows.get("t")
+        window = self.ledger.counter.windows.get("t")
         if window is not None:
             charged = {key for key, number in self.counted.items() if number == window.number}
             assert window.count == len(charged - self.given_back)
@@ -169,46 +169,46 @@
 
 def known(ledger, name="p", incarnation="x", now=2.0):
     """A proxy that is counted."""
-    ledger.counts.here(now, name, incarnation, now)
-    ledger.counts.ingresses[name].since = 0.0
+    ledger.counter.record_heartbeat(now, name, incarnation, now)
+    ledger.counter.ingresses[name].in_contact_since = 0.0
     return ledger
 
 
 def test_memory_is_bounded_and_a_forgotten_charge_counts_no_second_time(monkeypatch):
-    monkeypatch.setattr(charges, "REMEMBERED", 8)
+    monkeypatch.setattr(charges, "REMEMBERED_CHARGES", 8)
     ledger = known(counter_of(0.0))
     for number in range(1, 20):
-        ledger.take(2.0, "p", Charge("x", number, "t", 1, -1))
-    count = ledger.counts.windows["t"].count
+        ledger.receive(2.0, "p", Charge("x", number, "t", 1, -1))
+    count = ledger.counter.windows["t"].count
     assert count == 19 and len(ledger.senders["p"].charges) == 8
-    assert ledger.take(2.1, "p", Charge("x", 3, "t", 1, -1)) is None
-    ledger.take(2.1, "p", Charge("x", 3, "t", -1, -1))
-    assert ledger.counts.windows["t"].count == count
+    assert ledger.receive(2.1, "p", Charge("x", 3, "t", 1, -1)) is None
+    ledger.receive(2.1, "p", Charge("x", 3, "t", -1, -1))
+    assert ledger.counter.windows["t"].count == count
 
 
 def test_a_new_counter_gives_no_charge_of_another_back():
     ledger = known(counter_of(0.0))
-    first = ledger.take(2.0, "p", Charge("x", 1, "t", 1, -1))
+    first = ledger.receive(2.0, "p", Charge("x", 1, "t", 1, -1))
     later = known(counter_of(0.0))
     for number in range(2, 6):
         later.take(2.0, "p", Charge("x", number, "t", 1, -1))
     later.take(2.1, "p", Charge("x", 1, "t", -1, first.window))  # its windows have the same numbers
-    assert later.counts.windows["t"].count == 4
+    assert later.counter.windows["t"].count == 4
 
 
 def test_a_charge_that_comes_after_it_was_given_back_is_not_counted():
     ledger = known(counter_of(0.0))
-    ledger.take(2.0, "p", Charge("x", 2, "t", 1, -1))
-    ledger.take(2.0, "p", Charge("x", 1, "t", -1, -1))
-    assert ledger.take(2.0, "p", Charge("x", 1, "t", 1, -1)) is None
-    assert ledger.counts.windows["t"].count == 1
+    ledger.receive(2.0, "p", Charge("x", 2, "t", 1, -1))
+    ledger.receive(2.0, "p", Charge("x", 1, "t", -1, -1))
+    assert ledger.receive(2.0, "p", Charge("x", 1, "t", 1, -1)) is None
+    assert ledger.counter.windows["t"].count == 1
 
 
 def test_a_message_of_a_former_life_neither_counts_nor_brings_it_back():
     ledger = known(known(counter_of(0.0), incarnation="old"), incarnation="new")
-    assert ledger.take(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
-    assert not ledger.counts.here(2.1, "p", "old", 2.1)
-    assert ledger.take(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == ALLOWED
+    assert ledger.receive(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
+    assert not ledger.counter.record_heartbeat(2.1, "p", "old", 2.1)
+    assert ledger.receive(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == ALLOWED
 
 
 @pytest.mark.parametrize("amount", [0.0, float("nan"), float("inf"), float("-inf")])
--- a/tests/system/test_knowledge.py
+++ b/tests/system/test_knowledge.py
@@ -117,7 +117,7 @@
 class Sent:
     """A connection, and what was sent on it."""
 
-    name, peer, host = "d", "ip-d", "c"
+    name, peer_address, host = "d", "ip-d", "c"
 
     def __init__(self):
         self.messages = []
@@ -128,21 +128,21 @@
 
 def test_a_registry_that_goes_on_answers_by_the_clock_of_that_moment(monkeypatch):
     program, link = RegistryProgram.__new__(RegistryProgram), Sent()
-    program.loop, program.registry, program.followers = StoppedLoop(), holding_role(), {"d": link}
+    program.loop, program.registry, program.subscribers = StoppedLoop(), holding_role(), {"d": link}
     clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
     monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
-    program._from_follower(link, PRESENCE)
+    program._from_subscriber(link, PRESENCE)
     assert [type(message) for message in link.messages] == [HeartbeatEcho]
-    program._from_follower(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
-    program._from_follower(link, PRESENCE)
+    program._from_subscriber(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
+    program._from_subscriber(link, PRESENCE)
     assert len(link.messages) == 1 and not program.registry.holds_role
 
 
 def test_a_message_on_a_connection_that_a_newer_one_replaced_is_not_heard():
     program, old, new = RegistryProgram.__new__(RegistryProgram), Sent(), Sent()
-    program.registry, program.followers = holding_role(), {"d": new}
-    program._from_follower(old, PRESENCE)
-    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].incarnation == ""
+    program.registry, program.subscribers = holding_role(), {"d": new}
+    program._from_subscriber(old, PRESENCE)
+    assert old.messages == new.messages == [] and program.registry.counter.ingresses["d"].incarnation == ""
 
 
 def test_a_proxy_that_goes_on_takes_messages_by_the_clock_of_that_moment(monkeypatch):
--- a/tests/system/test_quota.py
+++ b/tests/system/test_quota.py
@@ -15,7 +15,7 @@
     VERDICT_WAIT_S,
 )
 from thistleusher.proxy.quota import Quota
-from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.quota_counter import QuotaCounter
 
 RATE = BURST = 100.0
 SLACK = 20.0
@@ -50,12 +50,12 @@
     def take_over(self):
         self.term += 1
         self.counter = QuotaCounter(self.clock.now)
-        self.counter.follow({"t": (RATE, BURST)}, self.shares)
+        self.counter.configure({"t": (RATE, BURST)}, self.shares)
 
     def keep(self):
         if self.counter is not None:
-            self.shares.update(self.counter.wanted(self.clock.now))
-            self.counter.follow({"t": (RATE, BURST)}, self.shares)
+            self.shares.update(self.counter.missing_shares(self.clock.now))
+            self.counter.configure({"t": (RATE, BURST)}, self.shares)
         self.clock.later(0.1, self.keep)
 
     def way(self, a, b, what):
@@ -68,7 +68,7 @@
             if counter is None:
                 return
             mine = echo[1] if echo is not None and echo[0] == str(self.term) else None
-            counter.here(self.clock.now, name, life, mine)
+            counter.record_heartbeat(self.clock.now, name, life, mine)
             share, now, by = counter.ingresses[name].share, self.clock.now, str(self.term)
             self.way("c", name, lambda: ingress.quota.echoed(self.clock.now, by, at, now, share))
 
@@ -100,7 +100,7 @@
 
         def there():
             if self.counter is not None:
-                answer = self.counter.add(self.clock.now, name, "t", 1)
+                answer = self.counter.charge(self.clock.now, name, "t", 1)
                 self.way("c", name, lambda: decide(*answer))
 
         def prompt():
@@ -115,7 +115,7 @@
 
     def give_back(self, name, number):
         if self.counter is not None:
-            self.counter.give_back(self.clock.now, "t", 1, number)
+            self.counter.refund(self.clock.now, "t", 1, number)
 
     def restart(self, name):
         self.ingresses[name] = Ingress(name, self.clock.now)
@@ -203,33 +203,33 @@
 
 def test_what_is_given_back_late_makes_no_room_in_the_next_window():
     counts = QuotaCounter(0.0)
-    counts.follow({"t": (10.0, 10.0)}, {"i": 0.1})
-    counts.here(0.1, "i", "x", 0.1)
-    assert counts.add(0.5, "i", "t", 1)[0] == DECIDE_LOCALLY  # no window has begun yet
-    counts.here(0.9, "i", "x", 0.9)
-    counts.ingresses["i"].since = 0.1
-    number = counts.add(1.0, "i", "t", 1)[2]
+    counts.configure({"t": (10.0, 10.0)}, {"i": 0.1})
+    counts.record_heartbeat(0.1, "i", "x", 0.1)
+    assert counts.charge(0.5, "i", "t", 1)[0] == DECIDE_LOCALLY  # no window has begun yet
+    counts.record_heartbeat(0.9, "i", "x", 0.9)
+    counts.ingresses["i"].in_contact_since = 0.1
+    number = counts.charge(1.0, "i", "t", 1)[2]
     for _ in range(20):
-        counts.here(1.0, "i", "x", 1.0)
-        counts.add(1.0, "i", "t", 1)
-    counts.here(2.0, "i", "x", 2.0)
-    counts.ingresses["i"].since = 0.1
+        counts.record_heartbeat(1.0, "i", "x", 1.0)
+        counts.charge(1.0, "i", "t", 1)
+    counts.record_heartbeat(2.0, "i", "x", 2.0)
+    counts.ingresses["i"].in_contact_since = 0.1
     verdicts = []
     for _ in range(10):
-        counts.give_back(2.1, "t", 1, number)
-        verdicts.append(counts.add(2.1, "i", "t", 1)[0])
+        counts.refund(2.1, "t", 1, number)
+        verdicts.append(counts.charge(2.1, "i", "t", 1)[0])
     assert verdicts.count(0) == 6  # COUNTED of ten, whatever came back from the window before
 
 
 def test_a_share_that_may_be_spent_elsewhere_is_off_the_count_first():
     assert SHARE_DEDUCTED_S + 0.25 <= LOCAL_QUOTA_FROM_S
     counts = QuotaCounter(0.0)
-    counts.follow({"t": (10.0, 10.0)}, {"i": 0.3, "j": 0.3})
+    counts.configure({"t": (10.0, 10.0)}, {"i": 0.3, "j": 0.3})
     for name in "ij":
-        counts.here(1.0, name, "x", 1.0)
-    assert counts.part(1.1, 1.05) == 1.0
-    counts.here(1.6, "j", "x", 1.6)
-    assert counts.part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(
+        counts.record_heartbeat(1.0, name, "x", 1.0)
+    assert counts.countable_part(1.1, 1.05) == 1.0
+    counts.record_heartbeat(1.6, "j", "x", 1.6)
+    assert counts.countable_part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(
         0.4
     )  # j was out of touch for a while, and counts anew
-    assert counts.part(1.7, 1.65) == pytest.approx(0.7)
+    assert counts.countable_part(1.7, 1.65) == pytest.approx(0.7)
--- a/thistleusher/registry/__init__.py
+++ b/thistleusher/registry/__init__.py
@@ -1,5 +1,4 @@
-"""The registry: which ingresses and backends there are, and the counter service.
+"""The registry: which ingresses and backends there are, and the counter service for tenants' rate limits.
 
-One of the core's machines does it at a time, under a lease; the others follow what it tells, to go on from there.
-`instances`, `members` and `counts` are pure.
+One registry at a time works, under the lease of a singleton role; the others subscribe to its list and can take over.
 """
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -1,9 +1,10 @@
-"""Charges by their names: each counts once and is given back once, however often and in whatever order it comes.
+"""Charges by their identity: each counts once and is refunded once, however often and in whatever order it arrives.
 
-A charge is named by its sender's life and a number. This counter remembers what became of the last `REMEMBERED`
-charges of each sender's present life; a number at or below the highest forgotten one is never counted, so the bound
-on memory costs answers and never a second count. A charge that is given back before it has come is not counted when
-it comes. A new counter begins with an empty ledger: it knows no charge of another counter's, and gives none back.
+A charge is identified by its sender's incarnation and a number. This counter remembers what became of the last
+`REMEMBERED_CHARGES` charges of each sender's present incarnation; a number at or below the highest forgotten one is
+never counted, so the bound on memory costs answers and never a second count. A charge that is refunded before it has
+arrived is not counted when it arrives. A new counter begins with an empty table: it knows no charge of another
+counter's, and refunds none.
 
 Pure; seconds on the steady clock. Cost: a dictionary look-up a charge.
 """
@@ -13,100 +14,104 @@
 import math
 
 from thistleusher.common.quota_timing import DECIDE_LOCALLY
-from thistleusher.registry.counts import NO_WINDOW, CountResult, QuotaCounter
+from thistleusher.registry.quota_counter import NO_WINDOW, CountResult, QuotaCounter
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import Charge, ChargeResult
 
-REMEMBERED = 256  # charges of a sender's life; what comes later than so many others is neither counted nor given back
+# Of a sender's incarnation. A charge that comes later than so many others is neither counted nor refunded.
+REMEMBERED_CHARGES = 256
 
 
-class CountedCharge:
+class RememberedCharge:
     """One charge that is remembered."""
 
-    __slots__ = ("tenant", "amount", "at", "count", "given_back")
+    __slots__ = ("tenant", "amount", "at", "result", "refunded")
 
-    def __init__(self, tenant: str, amount: float, at: float, count: CountResult | None) -> None:
-        """`count`: what became of it; None for one that was given back before it came."""
-        self.tenant, self.amount, self.at, self.count = tenant, amount, at, count
-        self.given_back = count is None
+    def __init__(self, tenant: str, amount: float, at: float, result: CountResult | None) -> None:
+        """Remember a charge and its `result`; None for one that was refunded before it arrived."""
+        self.tenant = tenant
+        self.amount = amount
+        self.at = at
+        self.result = result
+        self.refunded = result is None
 
     def repeated(self, now: float) -> CountResult | None:
-        """What a repetition is answered, None where it is not."""
-        if self.count is None or self.count.verdict == DECIDE_LOCALLY:
-            return self.count
-        return self.count._replace(seconds=max(0.0, self.count.seconds - (now - self.at)))
+        """Return the answer to a repetition, None where there is none; the time until the next window has shrunk."""
+        if self.result is None or self.result.verdict == DECIDE_LOCALLY:
+            return self.result
+        return self.result._replace(seconds=max(0.0, self.result.seconds - (now - self.at)))
 
 
 class SenderCharges:
-    """The charges of one life of a sender."""
+    """The charges of one incarnation of a sender."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.charges: dict[int, CountedCharge] = {}
-        self.forgotten = 0  # the highest number that is remembered no more
+        self.charges: dict[int, RememberedCharge] = {}
+        self.highest_forgotten = 0
 
-    def remember(self, number: int, charge: CountedCharge) -> None:
-        """Add one; the first that came is forgotten beyond `REMEMBERED`."""
+    def remember(self, number: int, charge: RememberedCharge) -> None:
+        """Add a charge; beyond `REMEMBERED_CHARGES` the one that came first is forgotten."""
         self.charges[number] = charge
-        if len(self.charges) > REMEMBERED:
+        if len(self.charges) > REMEMBERED_CHARGES:
             first = next(iter(self.charges))
             del self.charges[first]
-            self.forgotten = max(self.forgotten, first)
+            self.highest_forgotten = max(self.highest_forgotten, first)
 
 
 class ChargeTable:
     """The charges that one counter has seen."""
 
-    def __init__(self, counts: QuotaCounter) -> None:
-        self.counts = counts
+    def __init__(self, counter: QuotaCounter) -> None:
+        self.counter = counter
         self.senders: dict[str, SenderCharges] = {}
 
-    def take(self, now: float, sender: str, charge: Charge) -> ChargeResult | None:
-        """A charge, or one given back: the answer, if there is one to give.
+    def receive(self, now: float, sender: str, charge: Charge) -> ChargeResult | None:
+        """Count or refund a charge; return the answer, if there is one to give.
 
-        UnexpectedMessage where its amount is none.
+        Raise UnexpectedMessageError where the amount is 0 or not finite.
         """
         if not math.isfinite(charge.amount) or charge.amount == 0:
             raise UnexpectedMessageError(charge)
-        ledger = self._ledger(sender, charge.incarnation)
-        if ledger is None:
+        charges = self._charges_of(sender, charge.incarnation)
+        if charges is None:
             return None
         if charge.amount < 0:
-            self._give_back(now, ledger, charge)
+            self._refund(now, charges, charge)
             return None
-        count = self._count(now, sender, ledger, charge)
-        if count is None:
+        result = self._count(now, sender, charges, charge)
+        if result is None:
             return None
-        return ChargeResult(charge.incarnation, charge.number, count.verdict, count.seconds, count.window)
+        return ChargeResult(charge.incarnation, charge.number, result.verdict, result.seconds, result.window)
 
-    def _ledger(self, sender: str, incarnation: str) -> SenderCharges | None:
-        """The ledger of a sender's present life; None for a message of another life."""
-        ingress = self.counts.ingresses.get(sender)
+    def _charges_of(self, sender: str, incarnation: str) -> SenderCharges | None:
+        """Return the charges of a sender's present incarnation; None for a message of another one."""
+        ingress = self.counter.ingresses.get(sender)
         if ingress is None or ingress.incarnation != incarnation:
             return None
-        ledger = self.senders.get(sender)
-        if ledger is None or ledger.incarnation != incarnation:
-            ledger = self.senders[sender] = SenderCharges(incarnation)
-        return ledger
+        charges = self.senders.get(sender)
+        if charges is None or charges.incarnation != incarnation:
+            charges = self.senders[sender] = SenderCharges(incarnation)
+        return charges
 
-    def _count(self, now: float, sender: str, ledger: SenderCharges, charge: Charge) -> CountResult | None:
-        known = ledger.charges.get(charge.number)
+    def _count(self, now: float, sender: str, charges: SenderCharges, charge: Charge) -> CountResult | None:
+        known = charges.charges.get(charge.number)
         if known is not None:
             return known.repeated(now)
-        if charge.number <= ledger.forgotten:
+        if charge.number <= charges.highest_forgotten:
             return None
-        count = self.counts.add(now, sender, charge.tenant, charge.amount)
-        ledger.remember(charge.number, CountedCharge(charge.tenant, charge.amount, now, count))
-        return count
+        result = self.counter.charge(now, sender, charge.tenant, charge.amount)
+        charges.remember(charge.number, RememberedCharge(charge.tenant, charge.amount, now, result))
+        return result
 
-    def _give_back(self, now: float, ledger: SenderCharges, charge: Charge) -> None:
-        known = ledger.charges.get(charge.number)
+    def _refund(self, now: float, charges: SenderCharges, charge: Charge) -> None:
+        known = charges.charges.get(charge.number)
         if known is None:
-            if charge.number > ledger.forgotten:
-                ledger.remember(charge.number, CountedCharge(charge.tenant, -charge.amount, now, None))
+            if charge.number > charges.highest_forgotten:
+                charges.remember(charge.number, RememberedCharge(charge.tenant, -charge.amount, now, None))
             return
-        if known.given_back or known.count is None:
+        if known.refunded or known.result is None:
             return
-        known.given_back = True
-        if known.count.window != NO_WINDOW:
-            self.counts.give_back(now, known.tenant, known.amount, known.count.window)
+        known.refunded = True
+        if known.result.window != NO_WINDOW:
+            self.counter.refund(now, known.tenant, known.amount, known.result.window)
--- a/thistleusher/registry/members.py
+++ b/thistleusher/registry/members.py
@@ -1,8 +1,8 @@
-"""Which ingresses are there: who has told it of late, what the watchers say, and who may be sent clients.
+"""Which ingresses there are: who has reported of late, what their watchers report, and who may be sent clients.
 
-An ingress is sent clients while it says that it is ready, and is neither silent here nor called silent by two
-watchers. One that ends says so first. Verdicts need more than one: this registry's own silence counts as one, a
-watcher's word as another.
+An ingress is sent clients while it says that it is ready, and is not silent by two sources. One that shuts down says so
+first. A verdict needs two sources: this registry's own silence counts as one, a watcher's report as another. Only
+after `SILENT_ALONE_S` does this registry's own silence decide alone.
 
 Pure; seconds on the steady clock.
 """
@@ -12,22 +12,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SILENT_S = 0.9  # without a beat here
-ALONE_S = 1.8  # without a beat here, after which no watcher's word is needed
-WORD_S = 1.0  # for which a watcher's word counts
-GONE_S = 30.0  # after which an ingress is forgotten altogether
-VERDICT = 2
+SILENT_S = 0.9  # without a heartbeat here, which counts as one report
+SILENT_ALONE_S = 1.8  # without a heartbeat here, after which no watcher's report is needed
+REPORT_VALID_S = 1.0  # for which a watcher's report counts
+FORGET_S = 30.0  # without a heartbeat, after which an ingress is forgotten altogether
+REPORTS_FOR_VERDICT = 2
 
 
 @dataclass(slots=True)
 class Member:
-    """One ingress as it told of itself."""
+    """One ingress as it reported itself: the attributes under which it is listed, and whether it is ready."""
 
     attributes: dict[str, Any]
     incarnation: str
-    heard: float
+    last_heard: float
     ready: bool = False
-    words: dict[str, float] = field(default_factory=dict)  # watchers that call it silent, and when
+    silence_reports: dict[str, float] = field(default_factory=dict)  # watchers that call it silent, and when
 
 
 class Members:
@@ -36,37 +36,39 @@
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
 
-    def known(self, now: float, node: str, attributes: dict[str, Any]) -> None:
-        """One that an earlier registry told of."""
-        own = {k: v for k, v in attributes.items() if k != "up"}
-        self.members.setdefault(node, Member(own, "", now, bool(attributes.get("up"))))
+    def restore(self, now: float, node: str, entry: dict[str, Any]) -> None:
+        """Add an ingress from the list that an earlier registry published."""
+        attributes = {key: value for key, value in entry.items() if key != "up"}
+        self.members.setdefault(node, Member(attributes, "", now, bool(entry.get("up"))))
 
-    def here(
+    def record_report(
         self, now: float, node: str, attributes: dict[str, Any], incarnation: str, ready: bool, silent: list[str]
     ) -> None:
-        """An ingress's beat: what it says of itself, and whom it watches in vain."""
+        """Record an ingress's full heartbeat: what it says of itself, and which of those it watches are silent."""
         member = self.members.get(node)
         if member is None or member.incarnation != incarnation:
             member = self.members[node] = Member(attributes, incarnation, now)
-        member.attributes, member.ready, member.heard = attributes, ready, now
+        member.attributes = attributes
+        member.ready = ready
+        member.last_heard = now
         for other in silent:
             if other in self.members:
-                self.members[other].words[node] = now
+                self.members[other].silence_reports[node] = now
 
-    def beat(self, now: float, node: str, incarnation: str) -> None:
-        """A short beat: it is there, and as it last said."""
+    def record_heartbeat(self, now: float, node: str, incarnation: str) -> None:
+        """Record a short heartbeat: the ingress is there, and as it last reported."""
         member = self.members.get(node)
         if member is not None and member.incarnation == incarnation:
-            member.heard = now
+            member.last_heard = now
 
-    def up(self, now: float, member: Member) -> bool:
-        """Whether clients may be sent there."""
-        quiet = now - member.heard
-        words = sum(1 for at in member.words.values() if now - at < WORD_S)
-        return member.ready and quiet < ALONE_S and words + (quiet > SILENT_S) < VERDICT
+    def is_up(self, now: float, member: Member) -> bool:
+        """Return whether clients may be sent there."""
+        quiet = now - member.last_heard
+        reports = sum(1 for at in member.silence_reports.values() if now - at < REPORT_VALID_S)
+        return member.ready and quiet < SILENT_ALONE_S and reports + (quiet > SILENT_S) < REPORTS_FOR_VERDICT
 
-    def listed(self, now: float) -> dict[str, dict[str, Any]]:
-        """Every ingress, and whether it is up."""
-        for node in [n for n, m in self.members.items() if now - m.heard > GONE_S]:
+    def entries(self, now: float) -> dict[str, dict[str, Any]]:
+        """Return every ingress as it is published, with whether it is up. Forgets those gone for `FORGET_S`."""
+        for node in [name for name, member in self.members.items() if now - member.last_heard > FORGET_S]:
             del self.members[node]
-        return {node: {**m.attributes, "up": self.up(now, m)} for node, m in self.members.items()}
+        return {node: {**member.attributes, "up": self.is_up(now, member)} for node, member in self.members.items()}
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -1,7 +1,7 @@
-"""The registry as a process: its machine's connections, the platform's calls, ticks.
+"""The registry as a process: its machine's links, the platform's calls, ticks.
 
 The clock is read anew for each input and before each answer: `loop.time()` is that of the loop's iteration, and a
-process that stood still in one would take it for the present.
+process that was paused within one would take it for the present.
 """
 
 from __future__ import annotations
@@ -9,134 +9,145 @@
 import asyncio
 import random
 import time
+from collections.abc import Iterable
 
 from thistleusher.common.events import log_event
 from thistleusher.common.node_settings import CONTROL, REGISTRY
 from thistleusher.common.process import SettingsFile, new_incarnation, serve
-from thistleusher.registry.platform import Platform
-from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
+from thistleusher.registry.outputs import CallPlatform, ConnectToCore, Output, SendToControl, SendToSubscriber
+from thistleusher.registry.platform_client import PlatformClient
+from thistleusher.registry.registry import Registry
 from thistleusher.services.addresses import read_address
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
-LEAVE_S = 0.1
+SHUTDOWN_S = 0.1  # for the last messages to leave
 
 
 class RegistryProgram:
-    """One process on a core machine."""
+    """One registry process on a core machine."""
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        boot = self.boot = settings.boot
-        loop = self.loop = asyncio.get_running_loop()
-        self.platform = Platform(read_address(boot.cloud_api.address)) if boot.cloud_api.address else None
-        me = f"{boot.node_name}/{new_incarnation()}"
-        rate_per_s, polls = boot.cloud_api.rate_per_s, self.platform is not None
-        self.registry = Registry(me, boot.ip, time.monotonic(), random.Random(), rate_per_s, polls)
-        self.calling: asyncio.Task[None] | None = None
+        self.boot = settings.boot
+        self.loop = asyncio.get_running_loop()
+        platform = self.boot.cloud_api
+        self.platform = PlatformClient(read_address(platform.address)) if platform.address else None
+        self.registry = Registry(
+            f"{self.boot.node_name}/{new_incarnation()}",
+            self.boot.ip,
+            time.monotonic(),
+            random.Random(),
+            platform.rate_per_s,
+            self.platform is not None,
+        )
+        self.platform_call: asyncio.Task[None] | None = None
         self.control = CoreLinks(
-            loop, lambda: self.boot.port(CONTROL), self.registry.control.subscribe_request, self._from_control
+            self.loop,
+            lambda: self.boot.port(CONTROL),
+            self.registry.control_state.subscribe_request,
+            self._from_control,
         )
         self.peers = CoreLinks(
-            loop,
+            self.loop,
             lambda: self.boot.port(REGISTRY),
             self.registry.list.subscribe_request,
             self._from_peer,
-            own_address=boot.ip,
+            own_address=self.boot.ip,
         )
-        self.listener = Listener(loop, self._from_follower, self._gone)
-        self.followers: dict[str, Link] = {}
+        self.listener = Listener(self.loop, self._from_subscriber, self._subscriber_gone)
+        self.subscribers: dict[str, Link] = {}
 
     async def run(self) -> None:
-        """Until it is told to end."""
+        """Serve until the process is asked to shut down."""
         await self.listener.listen(self.boot.ip, self.boot.port(REGISTRY))
-        self._meet(self.boot.core_ips)
+        self._connect_to(self.boot.core_ips)
         self.tick()
-        await serve("registry", self.settings, self.tick, self._changed, self.leave)
+        await serve("registry", self.settings, self.tick, self._settings_changed, self.shut_down)
 
-    async def leave(self) -> None:
-        """Give the duty back, close."""
-        self._carry(self.registry.stop())
-        await asyncio.sleep(LEAVE_S)
+    async def shut_down(self) -> None:
+        """Release the singleton role, then close all links."""
+        self._carry_out(self.registry.stop())
+        await asyncio.sleep(SHUTDOWN_S)
         self.listener.close()
         self.control.close()
         self.peers.close()
 
-    def _changed(self) -> None:
+    def _settings_changed(self) -> None:
         self.boot = self.settings.boot
-        self._meet(self.boot.core_ips)
+        self._connect_to(self.boot.core_ips)
 
-    def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
+    def _connect_to(self, addresses: Iterable[str]) -> None:
         self.control.connect_to(addresses)
         self.peers.connect_to(addresses)
 
     def tick(self) -> None:
-        """A tick of the state machine."""
-        self._carry(self.registry.tick(time.monotonic()))
+        """Let the state machine do what is due."""
+        self._carry_out(self.registry.tick(time.monotonic()))
 
     # Outputs.
 
-    def _carry(self, outputs: list[Output]) -> None:
-        for out in outputs:
-            if isinstance(out, Tell):
-                self._tell(out)
-            elif isinstance(out, ToControl):
-                if out.address:
-                    self.control.send(out.address, out.message)
+    def _carry_out(self, outputs: list[Output]) -> None:
+        for output in outputs:
+            if isinstance(output, SendToSubscriber):
+                self._send_to_subscriber(output)
+            elif isinstance(output, SendToControl):
+                if output.address:
+                    self.control.send(output.address, output.message)
                 else:
-                    self.control.broadcast(out.message)
-            elif isinstance(out, Call):
-                self.calling = self.loop.create_task(self._call(out.target))
-            elif isinstance(out, Core):
-                self._meet(out.addresses)
+                    self.control.broadcast(output.message)
+            elif isinstance(output, CallPlatform):
+                self.platform_call = self.loop.create_task(self._call_platform(output.target))
+            elif isinstance(output, ConnectToCore):
+                self._connect_to(output.addresses)
             else:
-                log_event(out.event, *out.fields)
+                log_event(output.event, *output.fields)
 
-    def _tell(self, out: Tell) -> None:
-        """Send what only a holder of the duty may say, if the duty is held still."""
-        link = self.followers.get(out.name)
-        if link is not None and self.registry.may_tell(time.monotonic()):
-            link.send(out.message)
+    def _send_to_subscriber(self, output: SendToSubscriber) -> None:
+        """Send what only a holder of the role may send, if the role is still held."""
+        link = self.subscribers.get(output.name)
+        if link is not None and self.registry.can_answer(time.monotonic()):
+            link.send(output.message)
 
-    async def _call(self, target: str) -> None:
+    async def _call_platform(self, target: str) -> None:
         assert self.platform is not None
-        answer = await self.platform.get(target)
-        status, body = (answer.status, answer.body) if answer is not None else (0, b"")
-        self._carry(self.registry.answered(time.monotonic(), status, body))
+        response = await self.platform.get(target)
+        status, body = (response.status, response.body) if response is not None else (0, b"")
+        self._carry_out(self.registry.platform_answered(time.monotonic(), status, body))
 
     # Messages.
 
-    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        outputs, reply = self.registry.from_control(time.monotonic(), dial.host, message)
+    def _from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        outputs, reply = self.registry.receive_from_control(time.monotonic(), link.host, message)
         if reply is not None:
-            dial.send(reply)
-        self._carry(outputs)
+            link.send(reply)
+        self._carry_out(outputs)
 
-    def _from_peer(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        outputs, reply = self.registry.from_peer(time.monotonic(), message)
+    def _from_peer(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        outputs, reply = self.registry.receive_from_peer(time.monotonic(), message)
         if reply is not None:
-            dial.send(reply)
-        self._carry(outputs)
+            link.send(reply)
+        self._carry_out(outputs)
 
-    def _from_follower(self, link: Link, message: AnyMessage) -> None:
+    def _from_subscriber(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
             raise UnexpectedMessageError(message)  # it has not said who it is
         if isinstance(message, SubscribeRequest):
-            self.followers[link.name] = link
+            self.subscribers[link.name] = link
             for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
                 links.retry_now(link.peer_address)
-        elif self.followers.get(link.name) is not link:
-            return  # a newer connection has taken this one's place, maybe of a newer life
-        self._carry(self.registry.from_follower(time.monotonic(), link.name, message))
+        elif self.subscribers.get(link.name) is not link:
+            return  # a newer connection has taken this one's place, maybe of a newer incarnation
+        self._carry_out(self.registry.receive_from_subscriber(time.monotonic(), link.name, message))
 
-    def _gone(self, link: Link) -> None:
-        if self.followers.get(link.name) is link:
-            del self.followers[link.name]
-            self.registry.gone(link.name)
+    def _subscriber_gone(self, link: Link) -> None:
+        if self.subscribers.get(link.name) is link:
+            del self.subscribers[link.name]
+            self.registry.subscriber_gone(link.name)
 
 
 async def main(settings: SettingsFile) -> None:
-    """What `python -m thistleusher.system registry` runs."""
+    """Run what `python -m thistleusher.system registry` starts."""
     await RegistryProgram(settings).run()
--- /dev/null
+++ b/thistleusher/registry/quota_counter.py
@@ -0,0 +1,196 @@
+"""The counter service: one global count for each tenant, in windows of burst / rate seconds, one burst a window.
+
+Guaranteed, over all ingresses and their incarnations: in one window about one burst is admitted, by the count and by
+local shares together (`COUNTED_PART` and `STANDING_PART` of one, see `thistleusher.common.quota_timing`). How: an
+ingress has a share, which is persisted in the control state before it is handed out. While an ingress is not known to
+hear the counter, its share is deducted from what the count may admit, so that the ingress may decide alone. It is
+counted here again from the first window that begins after it is back. A new counter begins no window for as long as
+one lasts: the counter before it may have spent the present one.
+
+Pure; seconds on the steady clock. Cost: one message and one answer a request; a few additions.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from thistleusher.common.quota_timing import (
+    ALLOWED,
+    COUNTED_PART,
+    DECIDE_LOCALLY,
+    FIRST_SHARES_PART,
+    LATER_SHARE_PART,
+    OVER_LIMIT,
+    SHARE_DEDUCTED_S,
+    SHARE_FORGOTTEN_S,
+    SHARE_GATHERING_S,
+)
+
+MAX_WINDOW_S = 60.0
+FORMER_INCARNATIONS = 4  # of each ingress that are remembered, so that a late message of one does not bring it back
+NO_WINDOW = -1  # the number of no window
+NEVER = float("-inf")
+
+
+@dataclass(slots=True)
+class Window:
+    """One tenant's present window: when it began, its length in seconds, its burst and what was charged."""
+
+    start: float
+    length: float
+    burst: float
+    number: int = 0
+    count: float = 0.0
+
+
+@dataclass(slots=True)
+class IngressState:
+    """What the counter knows of one ingress.
+
+    `confirmed_at`: when the newest echo was sent that the ingress is known to have received. `in_contact_since`: since
+    when there has been no gap between such echoes.
+    """
+
+    incarnation: str = ""
+    share: float = 0.0
+    confirmed_at: float = NEVER
+    in_contact_since: float = float("inf")
+    former_incarnations: deque[str] = field(default_factory=lambda: deque(maxlen=FORMER_INCARNATIONS))
+
+
+class CountResult(NamedTuple):
+    """What became of a charge: the verdict, seconds, and the number of the window that it counts in.
+
+    Seconds: until the tenant's next window; with DECIDE_LOCALLY, for how long the ingress has not been counted here.
+    """
+
+    verdict: int
+    seconds: float
+    window: int
+
+
+class QuotaCounter:
+    """All counts; kept by whoever holds the singleton role, and begun anew with it."""
+
+    def __init__(self, now: float) -> None:
+        self.started_at = now
+        self.limits: dict[str, tuple[float, float]] = {}  # tenant -> (rate, burst)
+        self.windows: dict[str, Window] = {}
+        self.ingresses: dict[str, IngressState] = {}
+        self.first_share_wanted_at: float | None = None
+
+    def configure(self, limits: Mapping[str, tuple[float, float]], shares: Mapping[str, float]) -> None:
+        """Set the tenants' (rate, burst), and the ingresses' shares that are persisted."""
+        self.limits = dict(limits)
+        for node, share in shares.items():
+            self.ingresses.setdefault(node, IngressState()).share = share
+
+    def record_heartbeat(self, now: float, node: str, incarnation: str, echoed: float | None) -> bool:
+        """Record a heartbeat; return whether it counts, as it is not of a former incarnation.
+
+        `echoed`: when, on this counter's clock, the newest echo was sent that the heartbeat's sender has received.
+        """
+        ingress = self.ingresses.setdefault(node, IngressState())
+        if incarnation in ingress.former_incarnations:
+            return False
+        if ingress.incarnation != incarnation:
+            ingress.former_incarnations.append(ingress.incarnation)
+            ingress.incarnation = incarnation
+            ingress.in_contact_since = float("inf")
+            ingress.confirmed_at = NEVER
+        if echoed is not None and now - echoed < SHARE_DEDUCTED_S:
+            if now - ingress.confirmed_at >= SHARE_DEDUCTED_S:
+                ingress.in_contact_since = now
+            ingress.confirmed_at = max(ingress.confirmed_at, echoed)
+        return True
+
+    def missing_shares(self, now: float) -> dict[str, float]:
+        """Return shares to persist for ingresses that have none; they hold once `configure` brings them back.
+
+        The first ingresses share `FIRST_SHARES_PART` evenly; a later one gets as much as the smallest share, at most
+        `LATER_SHARE_PART` of what is left.
+        """
+        lacking = [
+            node
+            for node, ingress in self.ingresses.items()
+            if ingress.share <= 0 and now - ingress.confirmed_at < SHARE_DEDUCTED_S
+        ]
+        if not lacking:
+            return {}
+        if self.first_share_wanted_at is None:
+            self.first_share_wanted_at = now
+        assigned = sum(ingress.share for ingress in self.ingresses.values())
+        if assigned <= 0:
+            if now - self.first_share_wanted_at < SHARE_GATHERING_S:
+                return {}
+            return dict.fromkeys(lacking, FIRST_SHARES_PART / len(lacking))
+        smallest = min(ingress.share for ingress in self.ingresses.values() if ingress.share > 0)
+        shares: dict[str, float] = {}
+        for node in lacking:
+            shares[node] = min(smallest, max(0.0, 1.0 - assigned) * LATER_SHARE_PART)
+            assigned += shares[node]
+        return shares
+
+    def countable_part(self, now: float, start: float) -> float:
+        """Return the part of the allowance that the count may admit in a window that began at `start`.
+
+        The shares of ingresses that may decide alone in this window are deducted. A share that nobody can still be
+        spending, `SHARE_FORGOTTEN_S` after the last contact, is not.
+        """
+        deducted = 0.0
+        for ingress in self.ingresses.values():
+            quiet = now - max(ingress.confirmed_at, self.started_at)
+            out_of_contact = quiet >= SHARE_DEDUCTED_S
+            counted_later = ingress.in_contact_since > start
+            unheard = ingress.confirmed_at < self.started_at
+            if (out_of_contact or counted_later or unheard) and quiet < SHARE_FORGOTTEN_S:
+                deducted += ingress.share
+        return max(0.0, 1.0 - deducted)
+
+    def charge(self, now: float, node: str, tenant: str, amount: float) -> CountResult:
+        """Charge a tenant's count. What is over the allowance is charged too, until it is refunded."""
+        limit = self.limits.get(tenant)
+        if limit is None or limit[0] <= 0:
+            return CountResult(ALLOWED, 0.0, NO_WINDOW)
+        window = self._window(now, tenant, *limit)
+        remaining = window.start + window.length - now
+        ingress = self.ingresses.get(node)
+        if ingress is None or ingress.in_contact_since > window.start or window.start > now:
+            uncounted = now - max(self.started_at, ingress.in_contact_since if ingress is not None else now)
+            return CountResult(DECIDE_LOCALLY, uncounted, NO_WINDOW)
+        window.count += amount
+        within = window.count <= window.burst * COUNTED_PART * self.countable_part(now, window.start)
+        return CountResult(ALLOWED if within else OVER_LIMIT, remaining, window.number)
+
+    def refund(self, now: float, tenant: str, amount: float, number: int) -> None:
+        """Take back a charge that counts in the window of a number.
+
+        Does nothing where that window is over: it would free capacity in the present one that nobody gave up.
+        """
+        limit = self.limits.get(tenant)
+        if limit is None or limit[0] <= 0:
+            return
+        window = self._window(now, tenant, *limit)
+        if window.number == number:
+            window.count = max(0.0, window.count - amount)
+
+    def _window(self, now: float, tenant: str, rate: float, burst: float) -> Window:
+        """Return a tenant's present window. A new counter's first one begins a whole length after the counter."""
+        length = min(MAX_WINDOW_S, max(burst, 1.0) / rate)
+        allowance = length * rate
+        window = self.windows.get(tenant)
+        if window is None:
+            window = self.windows[tenant] = Window(self.started_at + length, length, allowance)
+        if now >= window.start + window.length:
+            steps = (now - window.start) // window.length
+            window.number += 1
+            window.start += steps * window.length
+            window.length = length
+            window.burst = allowance
+            window.count = 0.0
+            if now >= window.start + length:  # the new one is shorter
+                window.start = now
+        return window
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -1,26 +1,34 @@
-"""The registry's state machine: the duty's lease, the list of backends, who is there, the counts, and who follows.
+"""The registry's state machine: the singleton role's lease, backends, ingresses, the counter, subscribers.
 
-Guaranteed: only a holder of the duty reads the platform's list, publishes and counts. Whether it holds the duty is
-asked on the clock of each input, and once more when an answer leaves (`may_tell`), so a process that stood still
-answers nothing of what waited for it meanwhile. What it publishes begins above every number of an earlier holder, so
-a follower never goes back; those off duty keep a copy of the news and go on from there.
+Guaranteed: only a holder of the role calls the platform, publishes and counts. Whether it holds the role is checked on
+the clock of each input, and once more when an answer leaves (`can_answer`), so a process that was paused answers
+nothing of what waited for it meanwhile. What it publishes begins above every number of an earlier holder, so a
+subscriber never goes back; registries without the role keep a copy of the list and go on from there.
 
-Inputs are ticks, messages from the control processes, from other registries and from followers, and the platform's
-answers; outputs are messages to send, the platform's calls and notes for the log. Pure; seconds on the steady clock.
+Inputs are ticks, messages from the control processes, from other registries and from subscribers, and the platform's
+answers; outputs are in `thistleusher.registry.outputs`. Pure; seconds on the steady clock.
 """
 
 from __future__ import annotations
 
 import random
-from typing import Any, NamedTuple
+from typing import Any
 
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.events import Event
 from thistleusher.control.leases import LeaseHolder
+from thistleusher.registry.backend_poller import BackendPoller, UnreadableAnswerError
 from thistleusher.registry.charges import ChargeTable
-from thistleusher.registry.counts import QuotaCounter
-from thistleusher.registry.instances import BackendPoller, Garbage
 from thistleusher.registry.members import Members
+from thistleusher.registry.outputs import (
+    CallPlatform,
+    ConnectToCore,
+    LogEvent,
+    Output,
+    SendToControl,
+    SendToSubscriber,
+)
+from thistleusher.registry.quota_counter import QuotaCounter
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import (
@@ -42,285 +50,289 @@
 from thistleusher.transport.state_updates import Publisher, Subscriber
 
 REGISTRAR_ROLE = "registrar"
-TERM_BITS = 24  # of a number, below the holder's term
-KEEP_S = 1.0  # between requests that a share be kept
-AWAY_S = 0.3  # by which the leader's machine asks for the duty later
-
-
-class ToControl(NamedTuple):
-    """A message to the control process on a machine; on each, where `address` is empty."""
-
-    address: str
-    message: AnyMessage
-
-
-class Tell(NamedTuple):
-    """A message to a follower, by its name."""
-
-    name: str
-    message: AnyMessage
-
-
-class Call(NamedTuple):
-    """A call to the platform; its answer is to be given to `answered`."""
-
-    target: str
-
-
-class Core(NamedTuple):
-    """Machines of the core, to be connected to."""
-
-    addresses: tuple[str, ...]
-
+TERM_BITS = 24  # a published number has the holder's term above these bits
+PERSIST_SPACING_S = 1.0  # between requests to persist shares
+LEADER_MACHINE_DELAY_S = 0.3  # by which the registry on the control leader's machine attempts the lease later
+OK = 200
 
-class Note(NamedTuple):
-    """An event for the log."""
-
-    event: Event
-    fields: tuple[object, ...]
-
-
-Output = ToControl | Tell | Call | Core | Note
+# Prefixes of items: the registry's list has backends and members, the control state has shares.
+BACKEND = "b:"
+MEMBER = "m:"
+SHARE = "share:"
 
 
 class Registry:
     """One registry."""
 
-    def __init__(self, me: str, address: str, now: float, rng: random.Random, rate_per_s: float, polls: bool) -> None:
-        """`me` names the machine and this life; `polls`: there is a platform, whose bound on calls is `rate_per_s`."""
-        self.me, self.address, self.rate_per_s, self.polls = me, address, rate_per_s, polls
+    def __init__(
+        self, name: str, address: str, now: float, rng: random.Random, platform_rate_per_s: float, has_platform: bool
+    ) -> None:
+        """Create a registry without the role.
+
+        `name` names the machine and this incarnation; `platform_rate_per_s` is the rate limit of the platform, if
+        there is one (`has_platform`).
+        """
+        self.name = name
+        self.address = address
+        self.platform_rate_per_s = platform_rate_per_s
+        self.has_platform = has_platform
         self.core = CoreMembers()
-        self.holder = LeaseHolder(REGISTRAR_ROLE, me, now, rng)
-        self.control = Subscriber(me)  # of the control state
+        self.lease = LeaseHolder(REGISTRAR_ROLE, name, now, rng)
+        self.holds_role = False
+        self.control_state = Subscriber(name)
         self.configuration = ConfigurationFollower()
-        self.list = Subscriber(me)  # of the registry that holds the duty, or its own
+        self.list = Subscriber(name)  # of the registry that holds the role, or this one's own
         self.publisher = Publisher(self.list.state)
+        self.subscribers: set[str] = set()
         self.members = Members()
-        self.counts: QuotaCounter | None = None
+        self.counter: QuotaCounter | None = None  # only while it holds the role
         self.charges: ChargeTable | None = None
-        self.survey = BackendPoller(now, rate_per_s)
-        self.asked: BackendPoller | None = None  # the reading whose call is out
-        self.followers: set[str] = set()
-        self.holds_role = False
-        self.next_keep = now
-        self.out: list[Output] = []
+        self.poller = BackendPoller(now, platform_rate_per_s)
+        self.called_by: BackendPoller | None = None  # the poller whose call is in flight
+        self.next_persist_at = now
+        self._outputs: list[Output] = []
 
     # Inputs.
 
     def tick(self, now: float) -> list[Output]:
-        """Time has passed; to be called ten times a second or more."""
-        self._mind_duty(now)
+        """Let time pass; to be called ten times a second or more."""
+        self._tend_lease(now)
         if self.holds_role:
             self._work(now)
         return self._flush()
 
     def stop(self) -> list[Output]:
-        """This process ends in order: the duty is given back."""
+        """Release the role, as this process shuts down."""
         if self.holds_role:
-            self.holder.release(self._to_control)
-        self._end_duty("this process ends")
+            self.lease.release(self._send_to_control)
+        self._end_role("this process shuts down")
         return self._flush()
 
-    def from_control(self, now: float, address: str, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
-        """A message from the control process on a machine: what follows, and the reply to it."""
+    def receive_from_control(
+        self, now: float, address: str, message: AnyMessage
+    ) -> tuple[list[Output], AnyMessage | None]:
+        """Take in a message of the control process on a machine; return what follows, and the reply to it.
+
+        Raise UnexpectedMessageError for a message that no registry takes from there.
+        """
         self._check_lease(now)
         reply: AnyMessage | None = None
         if isinstance(message, LeaseGranted | LeaseRejected):
-            self.holder.receive(address, message)
-            self._mind_duty(now)
+            self.lease.receive(address, message)
+            self._tend_lease(now)
         elif isinstance(message, CoreInfo):
-            self._core(message)
+            self._update_core(message)
         elif isinstance(message, StateUpdate):
-            changed, reply = self.control.apply(message)
+            changed, reply = self.control_state.apply(message)
             if changed:
-                self.configuration.update(self.control.state, changed)
-                self._limits()
-        elif not isinstance(message, ItemsPersisted):  # the state itself shows what is kept
+                self.configuration.update(self.control_state.state, changed)
+                self._configure_counter()
+        elif not isinstance(message, ItemsPersisted):  # the state itself shows what was persisted
             raise UnexpectedMessageError(message)
         return self._flush(), reply
 
-    def from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
-        """A message from another registry: news, which one off duty keeps; the reply to it."""
+    def receive_from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
+        """Take in another registry's update, which one without the role applies; return the reply to it too.
+
+        Raise UnexpectedMessageError for anything else.
+        """
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
             raise UnexpectedMessageError(message)
         reply = None if self.holds_role else self.list.apply(message).reply
         return self._flush(), reply
 
-    def from_follower(self, now: float, name: str, message: AnyMessage) -> list[Output]:
-        """A message from a proxy or registry that follows."""
+    def receive_from_subscriber(self, now: float, name: str, message: AnyMessage) -> list[Output]:
+        """Take in a message of a proxy or of another registry.
+
+        Raise UnexpectedMessageError for a message that no registry takes from there.
+        """
         self._check_lease(now)
         if isinstance(message, Charge):
-            self._charge(now, name, message)
+            self._receive_charge(now, name, message)
         elif isinstance(message, ProxyHeartbeat | ProxyStatusReport):
-            self._here(now, name, message)
+            self._receive_heartbeat(now, name, message)
         elif isinstance(message, SubscribeRequest):
-            self._follow(name, message.number)
+            self._subscribe(name, message.number)
         elif isinstance(message, StateUpdateAck):
             self.publisher.acknowledge(name, message.number)
         else:
             raise UnexpectedMessageError(message)
         return self._flush()
 
-    def gone(self, name: str) -> None:
-        """A follower's connection has ended."""
-        self.followers.discard(name)
+    def subscriber_gone(self, name: str) -> None:
+        """Take note that a subscriber's connection has ended."""
+        self.subscribers.discard(name)
         self.publisher.unsubscribe(name)
 
-    def answered(self, now: float, status: int, body: bytes) -> list[Output]:
-        """The platform's answer to the call; `status` 0: none came."""
+    def platform_answered(self, now: float, status: int, body: bytes) -> list[Output]:
+        """Take in the platform's answer to the call in flight; `status` 0: none came."""
         self._check_lease(now)
-        asked, self.asked = self.asked, None
-        if asked is not self.survey:
-            return []  # of a reading that ended with an earlier duty: a page of it is no whole list
-        if status != 200:
-            self._note(Event.PLATFORM_FAILED, status or "no answer")
-            self.survey.failed(now, status)
+        called_by, self.called_by = self.called_by, None
+        if called_by is not self.poller:
+            return []  # of a reading that ended with an earlier term: a page of it is no complete list
+        if status != OK:
+            self._log(Event.PLATFORM_FAILED, status or "no answer")
+            self.poller.call_failed(now, status)
             return self._flush()
         try:
-            changes = self.survey.page(now, body)
-        except Garbage as error:
-            self._note(Event.PLATFORM_FAILED, error)
+            changes = self.poller.receive_page(now, body)
+        except UnreadableAnswerError as error:
+            self._log(Event.PLATFORM_FAILED, error)
             return self._flush()
         if changes is not None and self.holds_role:
-            self._listed(changes)
+            self._publish_backends(changes)
         return self._flush()
 
-    def may_tell(self, now: float) -> bool:
-        """Whether an answer may leave now; where it may not, the duty is over."""
+    def can_answer(self, now: float) -> bool:
+        """Return whether an answer may leave now; where it may not, the role has ended."""
         self._check_lease(now)
         return self.holds_role
 
-    # Helpers.
+    # Outputs.
 
     def _flush(self) -> list[Output]:
-        out, self.out = self.out, []
-        return out
-
-    def _note(self, event: Event, *fields: object) -> None:
-        self.out.append(Note(event, fields))
+        outputs, self._outputs = self._outputs, []
+        return outputs
 
-    def _tell(self, name: str, message: AnyMessage) -> None:
-        if name in self.followers:
-            self.out.append(Tell(name, message))
+    def _log(self, event: Event, *fields: object) -> None:
+        self._outputs.append(LogEvent(event, fields))
 
-    def _to_control(self, address: str, message: Message) -> None:
-        self.out.append(ToControl(address, message))  # type: ignore[arg-type]
+    def _send_to_subscriber(self, name: str, message: AnyMessage) -> None:
+        if name in self.subscribers:
+            self._outputs.append(SendToSubscriber(name, message))
 
-    def _has_list(self) -> bool:
-        return self.survey.read or bool(self.list.state.values("b:"))
+    def _send_to_control(self, address: str, message: Message) -> None:
+        self._outputs.append(SendToControl(address, message))  # type: ignore[arg-type]
 
-    # The duty.
+    # The singleton role.
 
-    def _core(self, info: CoreInfo) -> None:
+    def _update_core(self, info: CoreInfo) -> None:
         if not self.core.update(info):
             return
-        self.holder.set_grantors(info.voters)
-        # The leader's machine has another role to lose at the same time.
-        self.holder.attempt_delay_s = AWAY_S if info.leader == self.address else 0.0
-        self.out.append(Core(info.voters))
+        self.lease.set_grantors(info.voters)
+        # The leader's machine would lose two roles at the same time.
+        self.lease.attempt_delay_s = LEADER_MACHINE_DELAY_S if info.leader == self.address else 0.0
+        self._outputs.append(ConnectToCore(info.voters))
 
     def _check_lease(self, now: float) -> None:
-        """End the duty if its lease is over on the clock of this input, whatever the last tick knew."""
-        if self.holds_role and not self.holder.holds_lease(now):
-            self._end_duty("the lease has ended")
+        """End the role if its lease is over on the clock of this input, whatever the last tick knew."""
+        if self.holds_role and not self.lease.holds_lease(now):
+            self._end_role("the lease has ended")
 
-    def _mind_duty(self, now: float) -> None:
-        """Ask for the duty when it is time; begin it as soon as it is held, end it as soon as it is not."""
-        self.holder.tick(now, self._to_control)
+    def _tend_lease(self, now: float) -> None:
+        """Ask for the lease when it is due; begin the role as soon as it is held, end it as soon as it is not."""
+        self.lease.tick(now, self._send_to_control)
         self._check_lease(now)
-        if self.holder.holds_lease(now) and not self.holds_role and self.control.state.number > 0:
-            self._begin_duty(now)
+        if self.lease.holds_lease(now) and not self.holds_role and self.control_state.state.number > 0:
+            self._begin_role(now)
 
-    def _begin_duty(self, now: float) -> None:
+    def _begin_role(self, now: float) -> None:
         self.holds_role = True
-        self._note(Event.ROLE_ACQUIRED, self.holder.term)
-        self.counts = QuotaCounter(now)
-        self.charges = ChargeTable(self.counts)
-        self._limits()
-        for node, attributes in self.list.state.values("m:").items():
-            self.members.known(now, node, attributes)
-        self.survey = BackendPoller(now, self.rate_per_s)
-        known = self.list.state.values("b:")
-        self.survey.entries = {name: {**entry, "cold": 0.0} for name, entry in known.items()}
-        self.survey.cold_until = {name: now for name, entry in known.items() if entry["cold"] > 0}
+        self._log(Event.ROLE_ACQUIRED, self.lease.term)
+        self.counter = QuotaCounter(now)
+        self.charges = ChargeTable(self.counter)
+        self._configure_counter()
         state = self.list.state
-        state.number = state.floor = max(state.number, self.holder.term << TERM_BITS)
+        for node, entry in state.values(MEMBER).items():
+            self.members.restore(now, node, entry)
+        self.poller = BackendPoller(now, self.platform_rate_per_s)
+        known = state.values(BACKEND)
+        self.poller.backends = {name: {**backend, "cold": 0.0} for name, backend in known.items()}
+        self.poller.warm_at = {name: now for name, backend in known.items() if backend["cold"] > 0}
+        # Above every number of an earlier term; nothing below it can be continued from.
+        state.number = max(state.number, self.lease.term << TERM_BITS)
+        state.floor = state.number
         self.publisher = Publisher(state)
-        for name in sorted(self.followers):
+        for name in sorted(self.subscribers):
             # The number that it has is not known, so it gets the complete state.
             self.publisher.sent[name] = -1
             self.publisher.acknowledged[name] = -1
 
-    def _end_duty(self, why: str) -> None:
+    def _end_role(self, reason: str) -> None:
         if self.holds_role:
-            self.holds_role, self.counts, self.charges = False, None, None
-            self._note(Event.ROLE_LOST, why)
+            self.holds_role = False
+            self.counter = None
+            self.charges = None
+            self._log(Event.ROLE_LOST, reason)
 
     def _work(self, now: float) -> None:
-        assert self.counts is not None
-        if self.polls and self.asked is None and (target := self.survey.due(now)) is not None:
-            self.asked = self.survey
-            self.out.append(Call(target))
-        if now >= self.next_keep and (wanted := self.counts.wanted(now)):
-            self.next_keep = now + KEEP_S
-            self._to_control("", PersistItems(self.me, {f"share:{name}": share for name, share in wanted.items()}))
-        old, new = self.list.state.values("m:"), self.members.listed(now)
-        changed: dict[str, Any] = {
-            f"m:{name}": attributes for name, attributes in new.items() if old.get(name) != attributes
-        }
-        changed.update({f"m:{name}": None for name in old.keys() - new.keys()})
-        self._publish(changed)
-
-    # The news.
-
-    def _follow(self, name: str, number: int) -> None:
-        self.followers.add(name)
+        """Do what is due for a holder of the role."""
+        assert self.counter is not None
+        if self.has_platform and self.called_by is None:
+            target = self.poller.next_call(now)
+            if target is not None:
+                self.called_by = self.poller
+                self._outputs.append(CallPlatform(target))
+        if now >= self.next_persist_at:
+            shares = self.counter.missing_shares(now)
+            if shares:
+                self.next_persist_at = now + PERSIST_SPACING_S
+                items = {f"{SHARE}{name}": share for name, share in shares.items()}
+                self._send_to_control("", PersistItems(self.name, items))
+        self._publish_members(now)
+
+    # The list.
+
+    def _has_list(self) -> bool:
+        return self.poller.has_list or bool(self.list.state.values(BACKEND))
+
+    def _subscribe(self, name: str, number: int) -> None:
+        self.subscribers.add(name)
         if not self.holds_role:
             return
-        for follower, news in self.publisher.subscribe(name, number):
+        for subscriber, update in self.publisher.subscribe(name, number):
             if self._has_list():
-                self._tell(follower, news)
+                self._send_to_subscriber(subscriber, update)
 
-    def _listed(self, changes: dict[str, dict[str, Any] | None]) -> None:
+    def _publish_backends(self, changes: dict[str, dict[str, Any] | None]) -> None:
         if changes:
-            draining = sum(1 for entry in self.survey.entries.values() if entry["p"] != "ready")
-            self._note(Event.BACKENDS_LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
-        self._publish({f"b:{name}": entry for name, entry in changes.items()})
+            draining = sum(1 for backend in self.poller.backends.values() if backend["p"] != "ready")
+            self._log(Event.BACKENDS_LISTED, self.list.state.number + 1, len(self.poller.backends), draining)
+        self._publish({f"{BACKEND}{name}": backend for name, backend in changes.items()})
+
+    def _publish_members(self, now: float) -> None:
+        old = self.list.state.values(MEMBER)
+        new = self.members.entries(now)
+        changes: dict[str, Any] = {f"{MEMBER}{name}": entry for name, entry in new.items() if old.get(name) != entry}
+        changes.update({f"{MEMBER}{name}": None for name in old.keys() - new.keys()})
+        self._publish(changes)
 
     def _publish(self, changes: dict[str, Any]) -> None:
-        """Tell followers, once there is a list to tell of."""
+        """Apply changes to the list and send it to subscribers, once there is a list of backends."""
         state = self.list.state
         if changes:
             state.apply(state.number + 1, changes)
         if self._has_list():
-            for name, news in self.publisher.updates_due():
-                self._tell(name, news)
+            for name, update in self.publisher.updates_due():
+                self._send_to_subscriber(name, update)
 
     # The counter.
 
-    def _limits(self) -> None:
-        """Tenants' limits and kept shares, for the counts."""
-        if self.counts is None:
+    def _configure_counter(self) -> None:
+        """Give the counter the tenants' limits and the shares that are persisted."""
+        if self.counter is None:
             return
         tenants = self.configuration.tenants
         limits = {name: (tenant.rate_per_s, tenant.burst) for name, tenant in tenants.items()}
-        self.counts.follow(limits, self.control.state.values("share:"))
+        self.counter.configure(limits, self.control_state.state.values(SHARE))
 
-    def _charge(self, now: float, name: str, charge: Charge) -> None:
+    def _receive_charge(self, now: float, name: str, charge: Charge) -> None:
         if self.charges is None:
             return
-        result = self.charges.take(now, name, charge)
+        result = self.charges.receive(now, name, charge)
         if result is not None:
-            self._tell(name, result)
+            self._send_to_subscriber(name, result)
 
-    def _here(self, now: float, name: str, beat: ProxyHeartbeat | ProxyStatusReport) -> None:
+    def _receive_heartbeat(self, now: float, name: str, beat: ProxyHeartbeat | ProxyStatusReport) -> None:
         if isinstance(beat, ProxyStatusReport):
-            self.members.here(now, name, beat.attributes, beat.incarnation, beat.ready, list(beat.silent_peers))
+            silent = list(beat.silent_peers)
+            self.members.record_report(now, name, beat.attributes, beat.incarnation, beat.ready, silent)
         else:
-            self.members.beat(now, name, beat.incarnation)
-        if self.counts is None:
+            self.members.record_heartbeat(now, name, beat.incarnation)
+        if self.counter is None:
             return
-        echoed = beat.echo[1] if beat.echo is not None and beat.echo[0] == self.me else None
-        if self.counts.here(now, name, beat.incarnation, echoed):
-            self._tell(name, HeartbeatEcho(self.me, beat.sent, now, self.counts.ingresses[name].share))
+        echoed = beat.echo[1] if beat.echo is not None and beat.echo[0] == self.name else None
+        if self.counter.record_heartbeat(now, name, beat.incarnation, echoed):
+            share = self.counter.ingresses[name].share
+            self._send_to_subscriber(name, HeartbeatEcho(self.name, beat.sent, now, share))
