--- a/tests/system/test_world.py
+++ b/tests/system/test_world.py
@@ -12,7 +12,7 @@
 from thistleusher.control.interface import Change
 from thistleusher.proxy import decisions
 from thistleusher.proxy.quota import Quota
-from thistleusher.registry import instances
+from thistleusher.registry import backend_poller
 from thistleusher.registry.registry import Registry
 
 
@@ -86,7 +86,7 @@
     return None
 
 
-def always_ready(raw, real=instances.entry_of):
+def always_ready(raw, real=backend_poller.read_backend):
     name, entry = real(raw)
     return name, {**entry, "p": "ready"}
 
@@ -102,7 +102,7 @@
             "(TWICE|REFUSED)",
         ),
         ((Quota, "spend", open_to_all), [(6.0, "hot", 9.0)], [], "QUOTA"),
-        ((instances, "entry_of", always_ready), [], [(6.0, "drain")], "DRAIN"),
+        ((backend_poller, "read_backend", always_ready), [], [(6.0, "drain")], "DRAIN"),
         ((decisions.Decisions, "evacuated", nothing), [], [(6.0, "begin a1")], "EVAC"),
         ((Registry, "_check_lease", nothing_now), [(6.0 + 0.5 * n, "core freeze", 2.0) for n in range(6)], [], "LEASE"),
     ],
