--- a/simnet/system.py
+++ b/simnet/system.py
@@ -27,7 +27,7 @@
 from simnet.processes import ControlProcess, Process, ProxyProcess, RegistryProcess
 from thistleusher.common import config_items
 from thistleusher.common.configuration import Configuration
-from thistleusher.common.failures import Failure
+from thistleusher.common.errors import ServiceError
 from thistleusher.control.interface import Change
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.transport.codec import decode, encode
@@ -214,7 +214,7 @@
 
     @staticmethod
     def _who(process: Process) -> str:
-        return process.registry.me if isinstance(process, RegistryProcess) else process.machine
+        return process.registry.name if isinstance(process, RegistryProcess) else process.machine
 
     def reply(self, process: Process, who: str, message: AnyMessage) -> None:
         """A message back on the connection of one that is known by its name."""
@@ -278,7 +278,7 @@
                 self.order(make, done, until)
 
         def answered(answer: Any) -> None:
-            if state["open"] and isinstance(answer, Failure):
+            if state["open"] and isinstance(answer, ServiceError):
                 self.clock.later(0.1, again)
             elif state["open"]:
                 state["open"] = False
@@ -385,7 +385,10 @@
         holding = [
             p.name
             for p in self.processes.values()
-            if isinstance(p, RegistryProcess) and p.up and p.registry.on_duty and p.registry.holder.holds(p.now())
+            if isinstance(p, RegistryProcess)
+            and p.up
+            and p.registry.holds_role
+            and p.registry.lease.holds_lease(p.now())
         ]
         if len(holding) > 1:
             self.broke(f"LEASE: two hold the duty: {holding}")
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -18,11 +18,11 @@
 from tests.helpers import Ingress, only
 from tests.quota.world import BASIC, PLUS, World
 from tests.quota.world import settings as told
-from thistleusher.assembly import room_terms
+from thistleusher.assembly import allowance_terms
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
-from thistleusher.core.snapshots import SavedRoom
-from thistleusher.net.daemon import listing_of
+from thistleusher.core.snapshots import SavedReservation
+from thistleusher.net.daemon import backend_list_of
 from thistleusher.operator_file.units import Seconds
 from thistleusher.policy import Gateway
 from thistleusher.state.options import StateOptions, read_options
@@ -45,7 +45,7 @@
 from thistleusher.state.writer import Writer
 
 PLANS = {p.name: p for p in (BASIC, PLUS)}
-TERMS = room_terms(told(0))
+TERMS = allowance_terms(told(0))
 NUMBER = st.floats(-1e6, 1e6)
 
 
@@ -523,7 +523,7 @@
     ],
 )
 def test_a_room_is_worth_nothing_under_other_terms_or_in_a_copy(more, twin):
-    assert still_there([ROOM], PLANS, TERMS) == [SavedRoom(1, 7, 0, 3, 2.5, 100.0)]
+    assert still_there([ROOM], PLANS, TERMS) == [SavedReservation(1, 7, 0, 3, 2.5, 100.0)]
     assert still_there([msgspec.structs.replace(ROOM, **more)], PLANS, TERMS, twin) == []
 
 
@@ -597,7 +597,7 @@
     assert read_listed(pack(listed)) == listed
     assert still_listed(160.0, listed) == listed
     assert still_listed(160.1, listed) is None is still_listed(99.0, listed) and still_listed(1.0, None) is None
-    listing = listing_of(listed)
+    listing = backend_list_of(listed)
     assert listing.version == 7 and listing.whole and listing.entries[0][1].address == ("127.0.0.1", 80)
     assert listing.entries[0][0] == BackendEntry("b0", Phase.RUNNING, 1.0, "std", 3, 1.5, "z0")
 
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -83,8 +83,8 @@
         candidacy.votes = dict.fromkeys(voters, None)
         self._role.candidacy = candidacy
         position = self._durable.replica.enter(FIRST_EPOCH)
-        context.note(Event.CANDIDATE, FIRST_EPOCH, "founding")
-        records = Records(position=position, items={}, whole=True)
+        context.note(Event.CANDIDACY_STARTED, FIRST_EPOCH, "founding")
+        records = Records(position=position, items={}, complete=True)
         self._role.promise(FIRST_EPOCH, records, self._install)
 
     # Standing.
@@ -94,7 +94,7 @@
         durable, role = self._durable, self._role
         assert durable.view is not None
         epoch = max(durable.promised, durable.view.epoch, self._promised_by(voters or {})) + 1
-        self._context.note(Event.CANDIDATE, epoch, why)
+        self._context.note(Event.CANDIDACY_STARTED, epoch, why)
         if role.leadership is not None:  # its voters still guard it, and know it as the one that asks
             role.begin_anew()
         else:
@@ -107,7 +107,7 @@
         learners = self._joining.learners.present()
         return max((learners[name].promised for name in voters if name in learners), default=0)
 
-    def linked(self, other: str) -> None:
+    def connected(self, other: str) -> None:
         """A connection to another machine stands anew: what was said to it before may be lost."""
         candidacy = self._role.candidacy
         if candidacy is not None and candidacy.stage == "vote" and other not in candidacy.votes:
@@ -124,7 +124,7 @@
         if candidacy is None or candidacy.epoch != self._durable.promised:
             return
         candidacy.votes[self._context.me] = self._durable.view
-        for voter in candidacy.view.deciders:
+        for voter in candidacy.view.electorate:
             if voter not in candidacy.votes:
                 self._context.send(voter, VoteRequest(candidacy.epoch, candidacy.view))
 
@@ -155,7 +155,7 @@
         if newest.epoch > candidacy.view.epoch:  # others may vote by now: they are asked too
             candidacy.view, candidacy.voters = newest, None
             self._ask()
-        if not newest.decided_by(candidacy.votes):
+        if not newest.has_quorum(candidacy.votes):
             return
         if not self._role.eligible():
             self._role.candidacy = None
@@ -206,7 +206,7 @@
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
         candidacy.tried |= set(replicas)
         same = voters.keys() == candidacy.view.voters.keys()
-        before = candidacy.view.before if same else candidacy.view.voters
+        before = candidacy.view.previous_voters if same else candidacy.view.voters
         candidacy.next = ViewRecord(candidacy.epoch, context.me, replicas, dict(voters), before)
         for replica in replicas:
             if replica not in candidacy.installed:
@@ -264,7 +264,7 @@
             self._count_records(candidacy)
 
     def _ask_to_record(self, candidacy: Candidacy, view: ViewRecord) -> None:
-        for voter in {**candidacy.view.deciders, **view.voters}:
+        for voter in {**candidacy.view.electorate, **view.voters}:
             if voter not in candidacy.recorded and voter != self._context.me:
                 self._context.send(voter, RecordView(view))
 
@@ -282,12 +282,12 @@
         assert view is not None
         if not {self._context.me, *view.replicas} <= recorded:
             return
-        if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):
+        if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):
             return
         if self._joining.founding:
             if self._context.now - candidacy.since < CANDIDACY_S and len(recorded) < len(view.voters):
                 return
-            self._context.note(Event.FOUNDED, ", ".join(sorted(view.voters)))
+            self._context.note(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
         self._durable.view = view
         self._durable.confirm()
         self._joining.has_vote(True)
--- a/thistleusher/services/options.py
+++ b/thistleusher/services/options.py
@@ -6,11 +6,11 @@
 
 from thistleusher.operator_file.errors import InvalidValueError
 from thistleusher.quota.placement import Placement
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 
 
 @dataclass(frozen=True, slots=True)
-class CountersOptions:
+class CounterGroupOptions:
     """Counters that share the names.
 
     addresses: host:port of each, the same at all ingresses; the order does not matter
