--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -27,7 +27,7 @@
 from thistleusher.common.validation import read_configuration
 from thistleusher.core.settings_parser import read_settings
 from thistleusher.net.config import read_config
-from thistleusher.operator.reader import read_operator
+from thistleusher.operator_file.reader import read_operator
 from thistleusher.state.options import read_options
 from thistleusher.transport.state_updates import State
 
