--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -27,7 +27,7 @@
 from thistleusher.common.validation import read_configuration
 from thistleusher.core.settings_parser import read_settings
 from thistleusher.net.config import read_config
-from thistleusher.operator_file.reader import read_operator
+from thistleusher.operator_file.reader import read_operator_file
 from thistleusher.state.options import read_options
 from thistleusher.transport.state_updates import State
 
@@ -72,7 +72,7 @@
 
 def operator_file() -> Any:
     """Every key of the operator's file with its value."""
-    return [[key, value] for key, value, _ in read_operator(str(FORMS / "operator.toml")).shown()]
+    return [list(each)[:2] for each in read_operator_file(str(FORMS / "operator.toml")).effective_values()]
 
 
 def state_file() -> Any:
