--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -14,7 +14,7 @@
 
 from benchmarks.scale.inputs import PAGE, backends, changed, configuration, settings
 from thistleusher.common import config_items
-from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.placement import Place
 from thistleusher.registry.backend_poller import BackendPoller
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from thistleusher.common import validation as checks
-from thistleusher.common.config_items import NONE, REMEMBERED, assemble, changes, number_of
+from thistleusher.common.config_items import NO_CONFIGURATION, REMEMBERED_DIGESTS, assemble, changes, number_of
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control import orders
 from thistleusher.control.orders import Standing
@@ -157,13 +157,13 @@
 
 def test_a_stricter_check_refuses_no_repeat(monkeypatch):
     leader = Leader(State())
-    for number in range(1, REMEMBERED + 2):
+    for number in range(1, REMEMBERED_DIGESTS + 2):
         leader.send(document(number))
         leader.kept()
     stricter(monkeypatch)
-    for number in (2, REMEMBERED + 1):
+    for number in (2, REMEMBERED_DIGESTS + 1):
         assert leader.send(document(number)) in leader.acked
-    assert leader.send(document(REMEMBERED + 1, "b")) is None
+    assert leader.send(document(REMEMBERED_DIGESTS + 1, "b")) is None
     assert leader.send(document(1)) is None  # no longer remembered: docs/hardening.md says so
 
 
@@ -210,7 +210,7 @@
             assert call is not None
             confirmed[call] = json.loads(body)
         held, number = in_force(leader), number_of(leader.state)
-        assert held is None and number == NONE or held in [json.loads(body) for body in sent]
+        assert held is None and number == NO_CONFIGURATION or held in [json.loads(body) for body in sent]
         for call in leader.acked:
             if call in confirmed and int(confirmed[call]["version"], 16) >= number:
                 wanted = confirmed[call]
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -18,7 +18,7 @@
 from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.record_reader import record
+from thistleusher.common.record_reader import read_record
 from thistleusher.core import actions
 from thistleusher.core.events import AttemptEnded, TimerFired
 from thistleusher.net.backend_connection import BackendConnection, UpstreamOptions
@@ -351,7 +351,7 @@
             "p": {**ROUTE, "path_prefix": "/p/", "variant": "pure"},
             "e": {**ROUTE, "path_prefix": "/e/", "variant": variant},
         }
-        config = record(
+        config = read_record(
             Configuration,
             {"version": "00000001", "routes": table if routes else {}, "services": {"s": {}}, "tenants": {}},
         )
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -14,12 +14,12 @@
     changes,
     digest_of,
     number_of,
-    was_taken,
+    was_accepted,
 )
-from thistleusher.common.configuration import Index, kept_configuration
+from thistleusher.common.configuration import Index, read_checked_configuration
 from thistleusher.common.errors import NOT_EXECUTED, RESPONSES, ErrorKind
-from thistleusher.common.node_settings import read_node_settings
 from thistleusher.common.record_reader import InvalidTableError
+from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.common.validation import read_configuration
 from thistleusher.transport.state_updates import State, Subscriber
 
@@ -110,7 +110,7 @@
                     del part[name]
 
     sent = body(change)
-    assert kept_configuration(sent) == read_configuration(sent)
+    assert read_checked_configuration(sent) == read_configuration(sent)
 
 
 @pytest.mark.parametrize(
@@ -315,12 +315,12 @@
             changed = changes(kept, number, sent)
         kept.apply(kept.number + 1, changed)
         assert json.loads(assemble(kept)) == json.loads(sent) and number_of(kept) == number
-        assert was_taken(kept, Identity(number, digest_of(json.loads(sent))))
+        assert was_accepted(kept, Identity(number, digest_of(json.loads(sent))))
         if data.draw(strategies.integers(0, 3)):
             before, heard = config.number, follower.apply(kept.update_since(follower.state.number))
             assert config.update(follower.state, heard.changed or {}) == (number > before)
             if number > before:
-                whole = Index(kept_configuration(sent))
+                whole = Index(read_checked_configuration(sent))
                 assert (config.index.config, config.index.hosts, config.index.keys) == (
                     whole.config,
                     whole.hosts,
@@ -344,6 +344,6 @@
     with pytest.raises(InvalidTableError):
         unreadable = {"t1": {"api_keys": 5}}
         follow(8, body(lambda t: t.update(version="00000008", limits={"max_body_bytes": 5}, tenants=unreadable)))
-    assert config.index.config == kept_configuration(body()) and config.index.tenant_of("Token k3") == "t2"
+    assert config.index.config == read_checked_configuration(body()) and config.index.tenant_of("Token k3") == "t2"
     last = body(lambda t: t.update(version="00000009", tenants={}))
-    assert follow(9, last) and config.index.keys == {} and config.index.config == kept_configuration(last)
+    assert follow(9, last) and config.index.keys == {} and config.index.config == read_checked_configuration(last)
--- a/tests/system/test_decisions.py
+++ b/tests/system/test_decisions.py
@@ -7,7 +7,7 @@
 from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, VERDICT_WAIT_S
-from thistleusher.common.record_reader import record
+from thistleusher.common.record_reader import read_record
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
 from thistleusher.proxy.budgets import Colds, Tries
@@ -15,7 +15,7 @@
 from thistleusher.proxy.directory import addresses
 from thistleusher.proxy.placement import Place, homes_of
 
-CONFIG = record(
+CONFIG = read_record(
     Configuration,
     {
         "version": "00000001",
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -9,7 +9,7 @@
 from standins.http import read_message
 from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.record_reader import record
+from thistleusher.common.record_reader import read_record
 from thistleusher.net.backend_connection import UpstreamOptions
 from thistleusher.net.connection_pool import Endpoint
 from thistleusher.net.upstream import Upstream
@@ -21,7 +21,7 @@
 
 
 def config(**tenants):
-    return record(
+    return read_record(
         Configuration,
         {
             "version": "00000001",
--- a/tests/system/test_scale.py
+++ b/tests/system/test_scale.py
@@ -6,7 +6,7 @@
 
 from benchmarks.scale.fit import fit, quantile, table
 from benchmarks.scale.inputs import CHANGED_ROUTES, address_of, changed, configuration, settings
-from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.common.validation import read_configuration
 
 
--- a/tests/system/test_world.py
+++ b/tests/system/test_world.py
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(
     "patch, troubles, plan, rule",
     [
-        ((Route, "repeatable", property(lambda self: True)), [(6.0, "answers lost", 6.0)], [], "TWICE"),
+        ((Route, "idempotent", property(lambda self: True)), [(6.0, "answers lost", 6.0)], [], "TWICE"),
         (
             (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.Outcome.RESET)),
             [(6.0, "answers lost", 6.0)],
--- a/thistleusher/common/__init__.py
+++ b/thistleusher/common/__init__.py
@@ -1,4 +1,4 @@
-"""The words that the system's three programs share: settings, configurations, routes, error kinds, events, calls.
+"""What the system's three programs share: settings, the operator's configuration, errors, log events, the main loop.
 
-Everything here is pure: texts and bytes in, checked values out; no sockets, no clock, no disk.
+The readers and checkers are pure: texts and bytes in, checked values out; only `process` and `launcher` run anything.
 """
--- a/thistleusher/common/commands.py
+++ b/thistleusher/common/commands.py
@@ -12,10 +12,10 @@
 
 import cappa
 
-from thistleusher.common.configuration import brief
+from thistleusher.common.configuration import summary
 from thistleusher.common.events import page
 from thistleusher.common.launcher import start
-from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.common.validation import read_configuration
 
 
@@ -68,7 +68,7 @@
                 boot = read_node_settings(self.file.read_text())
                 print(f"{self.file}: sound: {boot.node_name}, {boot.machine_class or 'no class'}, zone {boot.zone}")
             else:
-                figures = brief(read_configuration(self.file.read_bytes()))
+                figures = summary(read_configuration(self.file.read_bytes()))
                 print(f"{self.file}: sound: " + ", ".join(f"{name} {value}" for name, value in figures.items()))
         except OSError as error:
             print(f"{self.file}: {error.strerror}", file=sys.stderr)
--- a/thistleusher/common/config_items.py
+++ b/thistleusher/common/config_items.py
@@ -1,22 +1,22 @@
 """A configuration as items of the control state, and back.
 
-An operator sends one document. It is kept as items, so that a change of one route costs one route on the disks, between
-replicas and on the way to the proxies:
+An operator sends one document. It is stored as items, so that a change of one route costs one route on the disks,
+between replicas and on the way to the proxies:
 
 - `config`: the header: number, digest, and the document's top-level fields that are in no other item;
-- `route:NAME`, `service:NAME`, `tenant:NAME`, `limits`: one JSON value each, whole, with the fields that this release
-  does not know;
-- `taken:SLOT`: number and digest of the last `REMEMBERED` configurations, so that a repeat of one is known.
+- `route:NAME`, `service:NAME`, `tenant:NAME`, `limits`: one JSON value each, complete, with the fields that this
+  release does not know;
+- `taken:SLOT`: number and digest of the last `REMEMBERED_DIGESTS` configurations, so that a repeat of one is known.
 
-JSON values are kept as canonical text: numbers of any size and any nesting survive, equal values are equal texts, and
-a document is put together without reading them.
+JSON values are stored as canonical text: numbers of any size and any nesting survive, equal values are equal texts, and
+a document is put together without parsing them.
 
-Guaranteed: the document that `assemble` gives is equal as JSON to the one that was sent under its number.
+Guaranteed: the document that `assemble` returns is equal as JSON to the one that was sent under its number.
 
 Cost of an order: at the leader one pass over its document and a comparison with each item; everywhere else the items
-that differ. A follower's update: one step a changed item, and one copy of a record of five fields; its look-ups are
-those of `Index`. A whole build, one step an item, is made at the first configuration, after a configuration that was
-not taken in, and after one in the form of release 0.1 (one item with the compressed document), which is still read.
+that differ. A subscriber's update: one step a changed item, and one copy of a record of five fields; its look-ups are
+those of `Index`. A complete build, one step an item, is made at the first configuration, after a configuration that
+was not applied, and after one in the form of release 0.1 (one item with the compressed document), which is still read.
 
 Pure.
 """
@@ -32,17 +32,17 @@
 import msgspec
 
 from thistleusher.common.configuration import Configuration, Index, Limits, Route, Service, Tenant
-from thistleusher.common.record_reader import record
+from thistleusher.common.record_reader import read_record
 from thistleusher.transport.state_updates import State
 
-NONE = -1  # the number of no configuration
-REMEMBERED = 64  # configurations whose digests are kept
+NO_CONFIGURATION = -1  # the number of no configuration
+REMEMBERED_DIGESTS = 64  # configurations whose digests are remembered
 HEADER = "config"
 LIMITS = "limits"
-TAKEN = "taken:"
+ACCEPTED = "taken:"
 TABLES = {"routes": "route:", "services": "service:", "tenants": "tenant:"}  # field -> prefix of its items
 PREFIXES = tuple(TABLES.values())
-COMPRESSED = "z"  # the field of a header in the form of release 0.1 that holds the whole document
+COMPRESSED = "z"  # the field of a header in the form of release 0.1 that has the complete document, compressed
 
 
 class Identity(NamedTuple):
@@ -52,8 +52,8 @@
     digest: str
 
 
-class Split(NamedTuple):
-    """A document in parts: its identity, the text of its header's fields, which tables it has, and its items."""
+class DocumentParts(NamedTuple):
+    """A document in parts: its identity, the text of its header's fields, the tables that it has, and its items."""
 
     identity: Identity
     fields: str
@@ -65,7 +65,7 @@
 
 
 def canonical(value: Any) -> str:
-    """The text of a JSON value that is equal for equal values."""
+    """Return the canonical text of a JSON value: equal values have equal texts."""
     try:
         return _encode(value).decode()
     except (OverflowError, UnicodeEncodeError):  # numbers beyond 64 bits, text that is not Unicode
@@ -73,12 +73,12 @@
 
 
 def digest_of(value: Any) -> str:
-    """The digest of a document that was read as JSON."""
+    """Return the digest of a document that was parsed as JSON."""
     return hashlib.sha256(canonical(value).encode("utf-8", "surrogatepass")).hexdigest()
 
 
-def split(number: int, document: Mapping[str, Any]) -> Split:
-    """The parts of a document that was read as JSON."""
+def split_document(number: int, document: Mapping[str, Any]) -> DocumentParts:
+    """Return the parts of a document that was parsed as JSON."""
     items: dict[str, str] = {}
     tables: list[str] = []
     fields: dict[str, Any] = {}
@@ -90,17 +90,17 @@
             items[LIMITS] = canonical(value)
         else:
             fields[field] = value
-    return Split(Identity(number, digest_of(document)), canonical(fields), tables, items)
+    return DocumentParts(Identity(number, digest_of(document)), canonical(fields), tables, items)
 
 
 def number_of(state: State) -> int:
-    """The number of the configuration in a state, `NONE` where there is none."""
+    """Return the number of the configuration in a state, `NO_CONFIGURATION` where there is none."""
     header = state.value(HEADER)
-    return int(header["v"]) if header is not None else NONE
+    return int(header["v"]) if header is not None else NO_CONFIGURATION
 
 
 def identity_of(state: State) -> Identity | None:
-    """The identity of the configuration in a state."""
+    """Return the identity of the configuration in a state, None where there is none."""
     header = state.value(HEADER)
     if header is None:
         return None
@@ -110,34 +110,34 @@
 
 
 def is_kept_document(state: State, document: bytes) -> bool:
-    """Whether a state has these very bytes, in the form of release 0.1, which checked less."""
+    """Return whether a state has these very bytes, in the form of release 0.1, which checked less."""
     header = state.value(HEADER)
     return header is not None and COMPRESSED in header and assemble(state) == document
 
 
-def was_taken(state: State, identity: Identity) -> bool:
-    """Whether a configuration is the one in a state, or is remembered as an earlier one."""
+def was_accepted(state: State, identity: Identity) -> bool:
+    """Return whether a configuration is the one in a state, or is remembered as an earlier one."""
     if identity == identity_of(state):
         return True
-    remembered = (state.value(f"{TAKEN}{slot}") for slot in range(REMEMBERED))
+    remembered = (state.value(f"{ACCEPTED}{slot}") for slot in range(REMEMBERED_DIGESTS))
     return list(identity) in (list(kept) for kept in remembered if kept is not None)
 
 
 def changes(state: State, number: int, document: bytes) -> dict[str, Any]:
-    """The items that a configuration sets (None: removes) in a state."""
-    return difference(state, split(number, json.loads(document)))
+    """Return the items that a configuration sets (None: removes) in a state."""
+    return difference(state, split_document(number, json.loads(document)))
 
 
-def difference(state: State, parts: Split) -> dict[str, Any]:
-    """The items that a document's parts set (None: removes) in a state."""
+def difference(state: State, parts: DocumentParts) -> dict[str, Any]:
+    """Return the items that a document's parts set (None: removes) in a state."""
     header = state.value(HEADER) or {}
     serial = header.get("serial", 0) + 1
     present = dict(_configuration_items(state))
     changed: dict[str, Any] = {name: text for name, text in parts.items.items() if present.get(name) != text}
     changed.update(dict.fromkeys(present.keys() - parts.items.keys()))
     if COMPRESSED in header:  # the last of release 0.1, which remembered none
-        changed[f"{TAKEN}0"] = list(identity_of(state) or ())
-    changed[f"{TAKEN}{serial % REMEMBERED}"] = list(parts.identity)
+        changed[f"{ACCEPTED}0"] = list(identity_of(state) or ())
+    changed[f"{ACCEPTED}{serial % REMEMBERED_DIGESTS}"] = list(parts.identity)
     changed[HEADER] = {
         "v": parts.identity.number,
         "digest": parts.identity.digest,
@@ -149,7 +149,7 @@
 
 
 def _is_part(name: str) -> bool:
-    """Whether an item is a part of a configuration, other than its header."""
+    """Return whether an item is a part of a configuration, other than its header."""
     return name == LIMITS or name.startswith(PREFIXES)
 
 
@@ -160,39 +160,39 @@
 
 
 def assemble(state: State) -> bytes | None:
-    """The document of the configuration in a state, None where there is none."""
+    """Return the document of the configuration in a state, None where there is none."""
     header = state.value(HEADER)
     if header is None:
         return None
     if COMPRESSED in header:
         return zlib.decompress(header[COMPRESSED])
     members = [header["fields"][1:-1]] if header["fields"] != "{}" else []
-    members += [f'"{field}":{{{_entries(state, TABLES[field])}}}' for field in header["tables"]]
+    members += [f'"{field}":{{{_table_members(state, TABLES[field])}}}' for field in header["tables"]]
     limits = state.value(LIMITS)
     if limits is not None:
         members.append(f'"{LIMITS}":{limits}')
     return ("{" + ",".join(members) + "}").encode()
 
 
-def _entries(state: State, prefix: str) -> str:
-    """The members of one table's object."""
+def _table_members(state: State, prefix: str) -> str:
+    """Return the members of one table's JSON object."""
     return ",".join(f"{canonical(name)}:{text}" for name, text in state.values(prefix).items())
 
 
 class ConfigurationFollower:
-    """The configuration of a followed state, as a proxy or registry asks it.
+    """The configuration of a subscribed state, with its look-up tables.
 
-    `index` stays the same object from one configuration to the next, but after a whole build.
+    `index` stays the same object from one configuration to the next, except after a complete build.
     """
 
     def __init__(self) -> None:
         self.index: Index | None = None
-        self._behind = True  # whether `index` lacks items that the state has had; only a whole build mends that
+        self._behind = True  # whether `index` lacks items that the state has; only a complete build repairs that
 
     def update(self, state: State, changed: Mapping[str, Any]) -> bool:
-        """Take in what news changed in a state; whether a newer configuration is in force by it.
+        """Apply what an update changed in a state; return whether a newer configuration is in effect by it.
 
-        A configuration whose number is no higher than the one in force is left out.
+        A configuration whose number is no higher than the one in effect is not applied.
         """
         if HEADER not in changed and not any(map(_is_part, changed)):
             return False
@@ -202,7 +202,7 @@
             return False
         if self.index is None or self._behind:
             self._behind = True
-            self.index = Index(_whole(state))
+            self.index = Index(_complete_configuration(state))
         else:
             self._behind = True  # until all is in: an item that cannot be read leaves `index` as it was
             _apply(self.index, header, changed)
@@ -211,39 +211,39 @@
 
     @property
     def number(self) -> int:
-        """The number of the configuration in force."""
-        return self.index.config.number if self.index is not None else NONE
+        """Return the number of the configuration in effect."""
+        return self.index.config.number if self.index is not None else NO_CONFIGURATION
 
     @property
     def tenants(self) -> Mapping[str, Tenant]:
-        """All tenants."""
+        """Return all tenants."""
         return self.index.config.tenants if self.index is not None else {}
 
 
-def _whole(state: State) -> Configuration:
-    """The configuration of a state, read from all its items."""
+def _complete_configuration(state: State) -> Configuration:
+    """Return the configuration of a state, read from all its items."""
     document = assemble(state)
     assert document is not None
-    return record(Configuration, json.loads(document))
+    return read_record(Configuration, json.loads(document))
 
 
 def _apply(index: Index, header: Mapping[str, Any], changed: Mapping[str, Any]) -> None:
-    """Take a change of items into an index. All are read before the first is applied."""
-    version = record(Configuration, json.loads(header["fields"])).version
+    """Apply changed items to an index. All are read before the first is applied: an unreadable one changes nothing."""
+    version = read_record(Configuration, json.loads(header["fields"])).version
     limits = index.config.limits
     if LIMITS in changed:
-        limits = record(Limits, json.loads(changed[LIMITS] or "{}"), LIMITS)
-    routes = _entries_of(Route, "routes", changed)
-    services = _entries_of(Service, "services", changed)
-    tenants = _entries_of(Tenant, "tenants", changed)
+        limits = read_record(Limits, json.loads(changed[LIMITS] or "{}"), LIMITS)
+    routes = _changed_records(Route, "routes", changed)
+    services = _changed_records(Service, "services", changed)
+    tenants = _changed_records(Tenant, "tenants", changed)
     index.update(version, limits, routes, services, tenants)
 
 
-def _entries_of(kind: type[Any], table: str, changed: Mapping[str, Any]) -> dict[str, Any]:
-    """The records of one table among changed items, by name; None for those that are removed."""
+def _changed_records(kind: type[Any], table: str, changed: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the records of one table among changed items, by name; None for those that are removed."""
     prefix = TABLES[table]
     return {
-        name[len(prefix) :]: record(kind, json.loads(text), table) if text is not None else None
+        name[len(prefix) :]: read_record(kind, json.loads(text), table) if text is not None else None
         for name, text in changed.items()
         if name.startswith(prefix)
     }
--- a/thistleusher/common/configuration.py
+++ b/thistleusher/common/configuration.py
@@ -1,7 +1,8 @@
 """The operator's configuration: its records, and the index in which a proxy looks up routes and tenants.
 
-What is valid is stated in `thistleusher.common.validation`, for the control node that acknowledges and for the command
-that checks offline. Who has a configuration from a control node reads it without checks. Unknown fields are ignored.
+What is valid is stated in `thistleusher.common.validation`, for the control node that acknowledges a configuration and
+for the command that checks one offline. Whoever has a configuration from a control node reads it without checks.
+Unknown fields are ignored. The records' fields are names in the operator's document, and never change.
 """
 
 from __future__ import annotations
@@ -10,20 +11,20 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple, TypeVar
 
-from thistleusher.common.record_reader import record
+from thistleusher.common.record_reader import read_record
 
-REPEATABLE = ("pure", "download")
+IDEMPOTENT_VARIANTS = ("pure", "download")
 
 
 class Weighted(NamedTuple):
-    """One of a route's services and its weight."""
+    """One of a route's services (`target`) and its weight."""
 
     target: str
     weight: float
 
 
 class Route(NamedTuple):
-    """One route; times in milliseconds."""
+    """One route; times in milliseconds. `tries`: attempts in all; `rank`: priority; `target_ms`: latency target."""
 
     hostname: str
     path_prefix: str
@@ -39,17 +40,17 @@
 
     @property
     def shares(self) -> tuple[Weighted, ...]:
-        """The route's services with their weights."""
+        """Return the route's services with their weights."""
         return self.weighted or ((Weighted(target=self.target, weight=1.0),) if self.target else ())
 
     @property
-    def repeatable(self) -> bool:
-        """Whether a request on it may run more than once."""
-        return self.variant in REPEATABLE
+    def idempotent(self) -> bool:
+        """Return whether a request on it may be executed more than once."""
+        return self.variant in IDEMPOTENT_VARIANTS
 
 
 class Service(NamedTuple):
-    """One service's backends: health path, connections, and the rate that they bear while cold."""
+    """One service's backends: health path, connections, and the rate that each bears while it warms up."""
 
     health_path: str = "/health"
     max_conns: int = 100
@@ -60,7 +61,7 @@
 
 
 class Limits(NamedTuple):
-    """What a client may send, in bytes and milliseconds."""
+    """Limits on what a client may send, in bytes and milliseconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
@@ -69,7 +70,7 @@
 
 
 class Tenant(NamedTuple):
-    """A tenant; no limit where its rate is 0."""
+    """A tenant; without a rate limit where its rate is 0. `rank`: priority."""
 
     api_keys: tuple[str, ...] = ()
     rank: int = 0
@@ -79,7 +80,7 @@
 
 
 class Configuration(NamedTuple):
-    """A whole configuration."""
+    """A complete configuration."""
 
     version: str
     routes: dict[str, Route] = {}
@@ -89,20 +90,20 @@
 
     @property
     def number(self) -> int:
-        """The version as a number: the highest prevails."""
+        """Return the version as a number: the highest prevails."""
         return int(self.version, 16)
 
 
-def kept_configuration(body: bytes) -> Configuration:
-    """A configuration that a control node has checked. Cost: one step a field."""
-    return record(Configuration, json.loads(body))
+def read_checked_configuration(body: bytes) -> Configuration:
+    """Return a configuration that a control node has checked. Cost: one step a field."""
+    return read_record(Configuration, json.loads(body))
 
 
 E = TypeVar("E")
 
 
 def _merge(table: dict[str, E], entries: Mapping[str, E | None]) -> None:
-    """Set entries of a table; None removes."""
+    """Set entries of a table; None removes one."""
     for name, entry in entries.items():
         if entry is None:
             table.pop(name, None)
@@ -111,14 +112,14 @@
 
 
 class RouteMatch(NamedTuple):
-    """The route that a request's host and path lead to, and its name."""
+    """The route that matches a request's host and path, and its name."""
 
     name: str
     route: Route
 
 
 class Index:
-    """A configuration as a proxy asks it. Built in one pass, updated by one step a changed entry.
+    """The look-up tables of a configuration. Built in one pass, updated by one step a changed entry.
 
     Cost of a look-up: one step a segment of the path, one for a key. `update` changes the tables of its `config`
     in place: whoever needs an earlier configuration keeps the records, not the tables.
@@ -143,9 +144,10 @@
         services: Mapping[str, Service | None],
         tenants: Mapping[str, Tenant | None],
     ) -> None:
-        """Take in a newer version: all limits, and of each table the entries that differ (None: removed).
+        """Apply a newer version: all limits, and of each table the entries that differ (None: removed).
 
-        Old entries go before new ones come, as a key or a place may pass from one entry to another.
+        Old entries are removed before new ones are added, as a key, or a host and prefix, may pass from one entry to
+        another.
         """
         for name in routes.keys() & self.config.routes.keys():
             self._remove_route(self.config.routes[name])
@@ -181,7 +183,7 @@
             self.keys.pop(key, None)
 
     def find(self, host: str, path: str) -> RouteMatch | None:
-        """The route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix that begins the path, None where there is none."""
         prefixes = self.hosts.get(host) or self.hosts.get(host.rpartition(":")[0].lower() or host.lower())
         if prefixes is None:
             return None
@@ -194,13 +196,13 @@
         return None
 
     def tenant_of(self, authorization: str) -> str | None:
-        """The tenant that holds the key of an `Authorization: Token KEY`."""
+        """Return the tenant that has the key of an `Authorization: Token KEY`, None where there is none."""
         scheme, _, key = authorization.strip().partition(" ")
         return self.keys.get(key.strip()) if scheme.lower() == "token" else None
 
 
-def brief(config: Configuration) -> dict[str, Any]:
-    """A few figures of a configuration, for display."""
+def summary(config: Configuration) -> dict[str, Any]:
+    """Return a few figures of a configuration, for display."""
     return {
         "version": config.version,
         "routes": len(config.routes),
--- a/thistleusher/common/launcher.py
+++ b/thistleusher/common/launcher.py
@@ -1,4 +1,4 @@
-"""Start one of the three programs and run it until it ends. Exit codes: 0 in order, 1 cannot serve, 2 settings."""
+"""Start one of the three programs and run it until it ends."""
 
 from __future__ import annotations
 
@@ -12,25 +12,33 @@
 
 from thistleusher.common.process import SettingsFile
 
+EXIT_OK = 0
+EXIT_CANNOT_SERVE = 1
+EXIT_BAD_SETTINGS = 2
+
 
 def start(program: str, path: Path | None = None, verbose: bool = False) -> int:
-    """Run `thistleusher.<program>.program` with the settings at a path, or at the one the environment names."""
+    """Run `thistleusher.<program>.program` with the settings at `path`, or at the one that the environment names.
+
+    Return the exit code: `EXIT_OK` after a graceful shutdown, `EXIT_CANNOT_SERVE` where a port cannot be opened,
+    `EXIT_BAD_SETTINGS` where the settings file is missing or invalid.
+    """
     logging.use_absl_handler()
     logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
     try:
         settings = SettingsFile(path)
     except OSError as error:
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_SETTINGS
     except ExceptionGroup as group:
         for fault in group.exceptions:
             print(f"settings: {fault}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_SETTINGS
     main = importlib.import_module(f"thistleusher.{program}.program").main
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(main(settings))
     except OSError as error:
         print(f"cannot serve: {error}", file=sys.stderr)
-        return 1
-    return 0
+        return EXIT_CANNOT_SERVE
+    return EXIT_OK
--- a/thistleusher/common/node_settings.py
+++ b/thistleusher/common/node_settings.py
@@ -1,32 +1,33 @@
-"""The settings file of a process (`boot.conf`): lines `a.b=value`, and the record that they make.
+"""The settings of a process (`boot.conf`): the record, the lines `a.b=value` that make it, and what is valid.
 
-Unknown fields are ignored, as the users' page asks. What is wrong is told all at once: an exception group with one
-`BadSetting` a fault, each of them one line. A file that can be used is read without the library that explains what
-is wrong with one that cannot (`thistleusher.common.validation`).
+Unknown fields are ignored, as the users' page asks. Every fault is reported at once, one line each.
+`thistleusher.common.settings_reader` reads a whole file.
 """
 
 from __future__ import annotations
 
-import os
-from collections.abc import Iterable
-from pathlib import Path
+from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-from thistleusher.common.record_reader import InvalidTableError, record
 from thistleusher.services.addresses import read_address
 
-VARIABLE = "THISTLEUSHER_NODE_FILE"
-USUAL = "/etc/thistleusher/boot.conf"
-LISTS = ("serves", "seed_nodes", "contracts", "bounds", "cloud_api.duties", "port_range")
-CONTROL, REGISTRY, PROXY, RING = range(4)  # ports by their place in the range: what is handed over, beats by UDP
+LIST_FIELDS = ("serves", "seed_nodes", "contracts", "bounds", "cloud_api.duties", "port_range")
+
+# Ports of the internal services, as offsets in `port_range`.
+CONTROL = 0
+REGISTRY = 1
+PROXY = 2  # where a proxy takes a hand-over
+RING = 3  # heartbeats between proxies, by UDP
+PORT_COUNT = 4
+MAX_PORT = 65535
 
 
 class InvalidSettingError(ValueError):
-    """One field of a settings file that cannot be used: which, what was found, what was expected."""
+    """One field of a settings file that cannot be used: which, what was expected, what was found."""
 
 
 class Binds(NamedTuple):
-    """Where a process listens for the outside, `host:port`; empty where it serves nothing of the kind."""
+    """Where a process listens for the outside, as `host:port`; empty where it does not serve that."""
 
     front: str = ""
     ready: str = ""
@@ -35,7 +36,7 @@
 
 
 class Limits(NamedTuple):
-    """The machine: `cpu_share` of a core, memory in MB, descriptors, link in Mbit/s, disk in MB."""
+    """The machine's limits: `cpu_share` of a core, memory in MB, file descriptors, link in Mbit/s, disk in MB."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
@@ -46,7 +47,7 @@
 
 
 class Cloud(NamedTuple):
-    """The platform: address, calls a second that all may make together, and by how many ms its list lags."""
+    """The platform: its address, its rate limit for all callers together, and by how many ms its list lags."""
 
     address: str = ""
     rate_per_s: float = 10.0
@@ -54,7 +55,7 @@
 
 
 class Tolerance(NamedTuple):
-    """What may be lost at once while all rules still hold."""
+    """What may be lost at once while every guarantee still holds."""
 
     machines: int = 1
     zones: int = 0
@@ -62,7 +63,7 @@
 
 
 class Bounds(NamedTuple):
-    """Figures of the rules, in the unit that their names end with."""
+    """The figures of the service's guarantees, in the unit with which their names end."""
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -85,7 +86,7 @@
 
 
 class NodeSettings(NamedTuple):
-    """All that a process is told at its start."""
+    """The settings of one process."""
 
     node_name: str
     ip: str
@@ -106,36 +107,34 @@
     bounds: Bounds = Bounds()
     cloud_api: Cloud = Cloud()
 
-    def port(self, place: int) -> int:
-        """The port of what ingresses say to each other, by its place in the range."""
-        return self.port_range[0] + place
+    def port(self, offset: int) -> int:
+        """Return a port of the internal services, by its offset in the range (`CONTROL`, ...)."""
+        return self.port_range[0] + offset
 
     @property
     def core_ips(self) -> list[str]:
-        """The addresses of the seeds' machines, in order, each once."""
+        """Return the addresses of the seeds' machines, in order, each once."""
         return sorted({read_address(seed)[0] for seed in self.seed_nodes})
 
     def region_of(self, zone: str) -> str:
-        """A zone's region; the zone itself where the settings do not name it."""
+        """Return a zone's region; the zone itself where the settings do not name it."""
         return self.zones.get(zone, zone)
 
 
-def nested(text: str) -> dict[str, Any]:
-    """Lines `a.b=value` as nested tables. Costs a look at each line; BadSetting for one that is none."""
+def parse_lines(text: str) -> dict[str, Any]:
+    """Return lines `a.b=value` as nested tables. Raise InvalidSettingError for a line that is no such thing.
+
+    Empty lines and those that begin with `#` are skipped. Cost: one step a line.
+    """
     tables: dict[str, Any] = {}
-    for number, line in enumerate(text.splitlines(), 1):
-        line = line.strip()
+    for number, raw_line in enumerate(text.splitlines(), 1):
+        line = raw_line.strip()
         if not line or line.startswith("#"):
             continue
-        name, sep, value = line.partition("=")
-        if not sep:
+        name, separator, value = line.partition("=")
+        if not separator:
             raise InvalidSettingError(f"line {number}: expected name=value, found {line[:60]!r}")
         name = name.strip()
-        if name in LISTS:
-            parts = [part.strip() for part in value.split(",") if part.strip()]
-            read: Any = parts if name != "bounds" else {n: v for n, _, v in (part.partition("=") for part in parts)}
-        else:
-            read = value.strip()
         table = tables
         *path, last = name.split(".", 1)  # a zone's name may hold dots
         for step in path:
@@ -143,10 +142,21 @@
             if not isinstance(inner, dict):
                 raise InvalidSettingError(f"line {number}: {step} is both a value and a table")
             table = inner
-        table[last] = read
+        table[last] = _parse_value(name, value)
     return tables
 
 
+def _parse_value(name: str, value: str) -> Any:
+    """Return a field's value: a list or table where the field is one (see `LIST_FIELDS`), else a text."""
+    if name not in LIST_FIELDS:
+        return value.strip()
+    parts = [part.strip() for part in value.split(",") if part.strip()]
+    if name != "bounds":
+        return parts
+    return {bound: figure for bound, _, figure in (part.partition("=") for part in parts)}
+
+
+REQUIRED = ("node_name", "ip", "zone", "seed_nodes")
 MORE_THAN_0 = ("limits.cpu_share", "limits.cores", "limits.mem_mb", "limits.link_mbps", "cloud_api.rate_per_s")
 AT_LEAST = {
     "limits.fd_limit": 64,
@@ -158,15 +168,15 @@
 }
 
 
-def faults_of(boot: NodeSettings) -> Iterable[str]:
-    """What is wrong with settings that have all fields and types: one line each."""
+def semantic_faults(settings: NodeSettings) -> Iterable[str]:
+    """Yield what is wrong with settings whose fields all exist and have their types: one line a fault."""
 
     def value(name: str) -> Any:
         part, _, field = name.partition(".")
-        return getattr(getattr(boot, part), field)
+        return getattr(getattr(settings, part), field)
 
-    for name in ("node_name", "ip", "zone", "seed_nodes"):
-        if not getattr(boot, name):
+    for name in REQUIRED:
+        if not getattr(settings, name):
             yield f"{name}: expected one at least, found none"
     for name in MORE_THAN_0:
         if not value(name) > 0:
@@ -174,36 +184,17 @@
     for name, least in AT_LEAST.items():
         if not value(name) >= least:
             yield f"{name}: expected {least} or more, found {value(name):g}"
-    for name, address in [("seed_nodes", s) for s in boot.seed_nodes] + [
-        (f"binds.{n}", v) for n, v in boot.binds._asdict().items() if v
-    ]:
+    yield from _address_faults(settings)
+    low, high = settings.port_range
+    if not 0 < low <= high - (PORT_COUNT - 1) <= MAX_PORT - (PORT_COUNT - 1):
+        yield f"port_range: expected {PORT_COUNT} ports at least, found {low},{high}"
+
+
+def _address_faults(settings: NodeSettings) -> Iterator[str]:
+    addresses = [("seed_nodes", seed) for seed in settings.seed_nodes]
+    addresses += [(f"binds.{name}", address) for name, address in settings.binds._asdict().items() if address]
+    for name, address in addresses:
         try:
             read_address(address)
         except ValueError as error:
             yield f"{name}: {error}"
-    low, high = boot.port_range
-    if not 0 < low <= high - RING <= 65535 - RING:
-        yield f"port_range: expected {RING + 1} ports at least, found {low},{high}"
-
-
-def read_node_settings(text: str) -> NodeSettings:
-    """A settings file's text as a record. ExceptionGroup of `BadSetting` with all that is wrong."""
-    try:
-        boot = record(NodeSettings, nested(text))
-    except InvalidSettingError as error:
-        raise ExceptionGroup("settings", [error]) from None
-    except InvalidTableError:
-        from thistleusher.common.validation import (
-            explain_node_settings,  # takes a while to load, and is not needed otherwise
-        )
-
-        raise ExceptionGroup("settings", explain_node_settings(nested(text))) from None
-    wrong = [InvalidSettingError(text) for text in faults_of(boot)]
-    if wrong:
-        raise ExceptionGroup("settings", wrong)
-    return boot
-
-
-def node_settings_path() -> Path:
-    """Where the settings file is."""
-    return Path(os.environ.get(VARIABLE, USUAL))
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -1,4 +1,4 @@
-"""What the three programs have in common: settings that are followed, signals, ticks, an end in order."""
+"""What the three programs have in common: a watched settings file, signals, the tick loop, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -11,36 +11,39 @@
 from pathlib import Path
 
 from thistleusher.common.events import Event, log_event
-from thistleusher.common.node_settings import node_settings_path, read_node_settings
+from thistleusher.common.settings_reader import node_settings_path, read_node_settings
 
 TICK_S = 0.06
-LOOK_S = 1.0  # between looks at the settings file, which may change without a signal
+SETTINGS_CHECK_S = 1.0  # between looks at the settings file, which may change without a signal
 
 
 class SettingsFile:
-    """The settings file, followed."""
+    """The settings file of this process, read again when it changes."""
 
     def __init__(self, path: Path | None = None) -> None:
-        """ExceptionGroup where the file cannot be used; OSError where there is none."""
+        """Read the file at `path`, or at the usual place.
+
+        Raise an ExceptionGroup of InvalidSettingError where it cannot be used, OSError where it cannot be read.
+        """
         self.path = path or node_settings_path()
         self.text = self.path.read_text()
-        self.boot = read_node_settings(self.text)
+        self.node_settings = read_node_settings(self.text)
 
-    def look(self) -> bool:
-        """Whether the file has changed to something that can be used, which is taken."""
+    def reload(self) -> bool:
+        """Read the file again; return whether it has changed to usable settings, which are then in effect."""
         try:
             text = self.path.read_text()
             if text == self.text:
                 return False
             self.text = text
-            self.boot = read_node_settings(text)
+            self.node_settings = read_node_settings(text)
         except OSError as error:
             log_event(Event.SETTINGS_REJECTED, error)
             return False
         except ExceptionGroup as group:
-            log_event(Event.SETTINGS_REJECTED, "; ".join(str(e) for e in group.exceptions))
+            log_event(Event.SETTINGS_REJECTED, "; ".join(str(error) for error in group.exceptions))
             return False
-        log_event(Event.SETTINGS_RELOADED, ",".join(self.boot.seed_nodes))
+        log_event(Event.SETTINGS_RELOADED, ",".join(self.node_settings.seed_nodes))
         return True
 
 
@@ -48,48 +51,48 @@
     name: str,
     settings: SettingsFile,
     tick: Callable[[], object],
-    changed: Callable[[], object],
-    leave: Callable[[], Awaitable[object]],
+    settings_changed: Callable[[], object],
+    shut_down: Callable[[], Awaitable[object]],
 ) -> None:
-    """Run until SIGTERM or SIGINT, then `leave` in order; `tick` each `TICK_S`, `changed` after new settings."""
+    """Run until SIGTERM or SIGINT, then `shut_down`; `tick` each `TICK_S`, `settings_changed` after new settings."""
     loop = asyncio.get_running_loop()
-    over: asyncio.Future[str] = loop.create_future()
+    stopped: asyncio.Future[str] = loop.create_future()
 
-    def end(why: str) -> None:
-        if not over.done():
-            over.set_result(why)
+    def stop(reason: str) -> None:
+        if not stopped.done():
+            stopped.set_result(reason)
 
-    def look() -> None:
-        if settings.look():
-            changed()
+    def reload() -> None:
+        if settings.reload():
+            settings_changed()
 
-    loop.add_signal_handler(signal.SIGTERM, end, "SIGTERM")
-    loop.add_signal_handler(signal.SIGINT, end, "SIGINT")
-    loop.add_signal_handler(signal.SIGHUP, look)
-    log_event(Event.STARTED, settings.boot.node_name, name)
-    gc.freeze()
+    loop.add_signal_handler(signal.SIGTERM, stop, "SIGTERM")
+    loop.add_signal_handler(signal.SIGINT, stop, "SIGINT")
+    loop.add_signal_handler(signal.SIGHUP, reload)
+    log_event(Event.STARTED, settings.node_settings.node_name, name)
+    gc.freeze()  # what was loaded at the start stays; the launcher had switched the collector off
     gc.enable()
 
-    async def beat() -> None:
-        next_look = loop.time() + LOOK_S
+    async def run_ticks() -> None:
+        next_check = loop.time() + SETTINGS_CHECK_S
         while True:
             await asyncio.sleep(TICK_S)
             try:
                 tick()
-            except Exception as error:  # one tick's fault is not the program's end
+            except Exception as error:  # a fault in one tick does not end the program
                 log_event(Event.FAULT, f"{name}: tick", repr(error))
-            if loop.time() >= next_look:
-                next_look = loop.time() + LOOK_S
-                look()
+            if loop.time() >= next_check:
+                next_check = loop.time() + SETTINGS_CHECK_S
+                reload()
 
-    beating = loop.create_task(beat())
-    why = await over
-    log_event(Event.STOPPING, settings.boot.node_name, why)
-    await leave()
-    beating.cancel()
-    log_event(Event.STOPPED, settings.boot.node_name)
+    ticking = loop.create_task(run_ticks())
+    reason = await stopped
+    log_event(Event.STOPPING, settings.node_settings.node_name, reason)
+    await shut_down()
+    ticking.cancel()
+    log_event(Event.STOPPED, settings.node_settings.node_name)
 
 
 def new_incarnation() -> str:
-    """A name for this life of a process, that no other has."""
+    """Return a name for this incarnation of a process, which no other one has."""
     return f"{time.time_ns():x}{os.urandom(4).hex()}"
--- a/thistleusher/common/process_start.py
+++ b/thistleusher/common/process_start.py
@@ -1,5 +1,5 @@
-"""When this process began, in seconds on the steady clock: imported before all else."""
+"""When this process started, in seconds on the steady clock. Imported before anything else."""
 
 import time
 
-BORN = time.monotonic()
+PROCESS_STARTED_AT = time.monotonic()
--- a/thistleusher/common/record_reader.py
+++ b/thistleusher/common/record_reader.py
@@ -1,8 +1,8 @@
-"""Records out of tables that were read: the fields that a record has, as the types that it names, nothing else.
+"""Reads records out of tables (JSON, settings): the fields that a record has, as the types that it names, no others.
 
 This is how a process that starts while clients wait reads its settings, and how a proxy reads what a control node has
-checked. The library of `thistleusher.common.validation` takes 0.13 s of a front machine to load. For every table that
-passes its checks, both give the same record (`tests/system/test_configuration.py`).
+checked: the library of `thistleusher.common.validation` takes 0.13 s of a front machine to load. For every table that
+passes its checks, both give the same record (`tests/common/test_configuration.py`).
 
 Pure. Cost: one step a field.
 """
@@ -15,80 +15,81 @@
 from typing import Any, TypeVar, Union, cast, get_args, get_origin, get_type_hints
 
 R = TypeVar("R")
-TRUE = ("true", "1", "yes", "on", "t", "y")
-FALSE = ("false", "0", "no", "off", "f", "n")
+TRUE_WORDS = ("true", "1", "yes", "on", "t", "y")
+FALSE_WORDS = ("false", "0", "no", "off", "f", "n")
+MAX_SHOWN = 60  # characters of a wrong value that its error shows
 
 
 class InvalidTableError(ValueError):
-    """A field that is missing or cannot be read as what its record names: where, and what was found."""
+    """A field that is missing or cannot be read as the type that its record names: where, expected, found."""
 
 
 @functools.cache
 def fields_of(kind: type) -> Mapping[str, Any]:
-    """A record's fields and their types; empty where `kind` is none."""
+    """Return a record's fields and their types; empty where `kind` is no record."""
     return get_type_hints(kind) if issubclass(kind, tuple) and hasattr(kind, "_fields") else {}
 
 
-def _inner(kind: Any) -> tuple[str, tuple[Any, ...]]:
-    """What a type is made of: 'record', 'maybe', 'list' (of any length), 'pair', 'table', or 'plain'."""
+def _uncached_shape(kind: Any) -> tuple[str, tuple[Any, ...]]:
+    """Return a type's shape ('record', 'optional', 'list' of any length, 'tuple', 'table', 'plain') and inner types."""
     origin = get_origin(kind)
     if origin in (Union, types.UnionType):
-        return "maybe", tuple(a for a in get_args(kind) if a is not type(None))
+        return "optional", tuple(arg for arg in get_args(kind) if arg is not type(None))
     if origin is tuple:
         args = get_args(kind)
-        return ("list", args[:1]) if args[-1] is Ellipsis else ("pair", args)
+        return ("list", args[:1]) if args[-1] is Ellipsis else ("tuple", args)
     if origin is dict:
         return "table", get_args(kind)[1:]
     return ("record", ()) if isinstance(kind, type) and fields_of(kind) else ("plain", ())
 
 
-_shape = functools.cache(_inner)
+_shape = functools.cache(_uncached_shape)
 
 
 @functools.cache
-def _holding_records(kind: type) -> frozenset[str]:
-    """The fields of a record whose values hold records themselves, at any depth."""
-    return frozenset(name for name, of in fields_of(kind).items() if _holds_record(of))
+def _fields_with_records(kind: type) -> frozenset[str]:
+    """Return the fields of a record whose values contain records themselves, at any depth."""
+    return frozenset(name for name, of in fields_of(kind).items() if _contains_record(of))
 
 
-def _holds_record(kind: Any) -> bool:
+def _contains_record(kind: Any) -> bool:
     shape, inner = _shape(kind)
-    return shape == "record" or any(map(_holds_record, inner))
+    return shape == "record" or any(map(_contains_record, inner))
 
 
-def known(kind: Any, found: Any) -> Any:
-    """The same table without the fields that its record does not have; what is no table stays as it is."""
+def known_fields_only(kind: Any, found: Any) -> Any:
+    """Return a table without the fields that its record does not have; what is no table stays as it is."""
     shape, inner = _shape(kind)
     if shape == "record" and isinstance(found, dict):
-        fields, nested = fields_of(kind), _holding_records(kind)
+        fields, nested = fields_of(kind), _fields_with_records(kind)
         return {
-            name: known(fields[name], value) if name in nested else value
+            name: known_fields_only(fields[name], value) if name in nested else value
             for name, value in found.items()
             if name in fields
         }
-    if shape == "maybe" and found is not None:
-        return known(inner[0], found)
+    if shape == "optional" and found is not None:
+        return known_fields_only(inner[0], found)
     if shape == "list" and isinstance(found, list):
-        return [known(inner[0], value) for value in found]
+        return [known_fields_only(inner[0], value) for value in found]
     if shape == "table" and isinstance(found, dict):
-        return {name: known(inner[0], value) for name, value in found.items()}
+        return {name: known_fields_only(inner[0], value) for name, value in found.items()}
     return found
 
 
-Reader = Callable[[Any, str], Any]  # of what was found, and where
+Reader = Callable[[Any, str], Any]  # takes what was found, and where
 
 
-def record(kind: type[R], found: Any, where: str = "") -> R:
-    """A record of a kind out of a table. BadTable for what is missing or of another type."""
+def read_record(kind: type[R], found: Any, where: str = "") -> R:
+    """Return a record of a kind out of a table. Raise InvalidTableError for what is missing or of another type."""
     made: R = _reader(cast(Any, kind))(found, where)
     return made
 
 
 @functools.cache
 def _reader(kind: Any) -> Reader:
-    """What reads a type, made once."""
+    """Return what reads a type; made once for each."""
     shape, inner = _shape(kind)
-    read = _MAKERS[shape](kind, inner)
+    read = _READER_MAKERS[shape](kind, inner)
 
     def guarded(found: Any, where: str) -> Any:
         try:
@@ -97,7 +98,7 @@
             raise
         except (ValueError, TypeError, AttributeError, OverflowError):
             expected = getattr(kind, "__name__", kind)
-            raise InvalidTableError(f"{where}: expected {expected}, found {str(found)[:60]!r}") from None
+            raise InvalidTableError(f"{where}: expected {expected}, found {str(found)[:MAX_SHOWN]!r}") from None
 
     return guarded
 
@@ -112,7 +113,7 @@
             if name in found
         }
         if len(values) < len(fields):
-            _refuse_lacking(kind, values, where)
+            _check_complete(kind, values, where)
         return kind(**values)
 
     return read
@@ -127,16 +128,16 @@
     read, of = _reader(inner[0]), inner[0]
 
     def read_all(found: Any, where: str) -> Any:
-        return tuple([value if type(value) is of else read(value, where) for value in _listed(found)])
+        return tuple([value if type(value) is of else read(value, where) for value in _as_list(found)])
 
     return read_all
 
 
-def _pair_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
+def _tuple_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     reads = [_reader(of) for of in inner]
 
     def read_each(found: Any, where: str) -> Any:
-        return tuple([read(value, where) for read, value in zip(reads, _listed(found), strict=True)])
+        return tuple([read(value, where) for read, value in zip(reads, _as_list(found), strict=True)])
 
     return read_each
 
@@ -150,23 +151,23 @@
     return lambda found, where: _plain(kind, found)
 
 
-_MAKERS: dict[str, Callable[[Any, tuple[Any, ...]], Reader]] = {
+_READER_MAKERS: dict[str, Callable[[Any, tuple[Any, ...]], Reader]] = {
     "record": _record_reader,
-    "maybe": _optional_reader,
+    "optional": _optional_reader,
     "list": _list_reader,
-    "pair": _pair_reader,
+    "tuple": _tuple_reader,
     "table": _table_reader,
     "plain": _plain_reader,
 }
 
 
-def _refuse_lacking(kind: Any, values: Mapping[str, Any], where: str) -> None:
-    lacking = [name for name in kind._fields if name not in values and name not in kind._field_defaults]
-    if lacking:
-        raise InvalidTableError(f"{where or 'table'}: {', '.join(lacking)} missing")
+def _check_complete(kind: Any, values: Mapping[str, Any], where: str) -> None:
+    missing = [name for name in kind._fields if name not in values and name not in kind._field_defaults]
+    if missing:
+        raise InvalidTableError(f"{where or 'table'}: {', '.join(missing)} missing")
 
 
-def _listed(found: Any) -> Any:
+def _as_list(found: Any) -> Any:
     if not isinstance(found, list | tuple):
         raise TypeError
     return found
@@ -175,9 +176,9 @@
 def _plain(kind: Any, found: Any) -> Any:
     if kind is bool:
         word = str(found).lower()
-        if word not in TRUE and word not in FALSE:
+        if word not in TRUE_WORDS and word not in FALSE_WORDS:
             raise ValueError
-        return word in TRUE
+        return word in TRUE_WORDS
     if kind is str:
         if not isinstance(found, str):
             raise TypeError
--- /dev/null
+++ b/thistleusher/common/settings_reader.py
@@ -0,0 +1,40 @@
+"""Reads the settings file of a process into its record, and says what is wrong with one that cannot be used.
+
+A usable file is read without the library that explains what is wrong with an unusable one
+(`thistleusher.common.validation`), as that takes a while to load and a process may start while clients wait.
+"""
+
+from __future__ import annotations
+
+import os
+from pathlib import Path
+
+from thistleusher.common.node_settings import InvalidSettingError, NodeSettings, parse_lines, semantic_faults
+from thistleusher.common.record_reader import InvalidTableError, read_record
+
+ENVIRONMENT_VARIABLE = "THISTLEUSHER_NODE_FILE"
+DEFAULT_PATH = "/etc/thistleusher/boot.conf"
+
+
+def read_node_settings(text: str) -> NodeSettings:
+    """Return a settings file's text as a record.
+
+    Raise an ExceptionGroup with one InvalidSettingError for each fault.
+    """
+    try:
+        settings = read_record(NodeSettings, parse_lines(text))
+    except InvalidSettingError as error:
+        raise ExceptionGroup("settings", [error]) from None
+    except InvalidTableError:
+        from thistleusher.common.validation import explain_node_settings
+
+        raise ExceptionGroup("settings", explain_node_settings(parse_lines(text))) from None
+    faults = [InvalidSettingError(line) for line in semantic_faults(settings)]
+    if faults:
+        raise ExceptionGroup("settings", faults)
+    return settings
+
+
+def node_settings_path() -> Path:
+    """Return where the settings file is: as the environment says, or the usual place."""
+    return Path(os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH))
--- a/thistleusher/common/validation.py
+++ b/thistleusher/common/validation.py
@@ -1,7 +1,8 @@
-"""Validity of settings files and of the operator's configurations, checked whole by pydantic.
+"""Validity of settings files and of the operator's configurations, checked completely by pydantic.
 
-All faults are told at once, one line each: which field, what was expected, what was found. What makes a configuration
-valid is stated here once, for the control node that acknowledges and for the command that checks offline.
+All faults are reported at once, one line each: which field, what was expected, what was found. What makes a
+configuration valid is stated here once, for the control node that acknowledges one and for the command that checks one
+offline.
 
 JSON is read strictly: a name that stands twice in one object, a number that is not finite and text that is not Unicode
 are faults, also in fields that this release does not know, as two readers would read them as two configurations.
@@ -20,13 +21,14 @@
 from thistleusher.common.config_items import canonical
 from thistleusher.common.configuration import Configuration, Route, Service, Tenant
 from thistleusher.common.node_settings import InvalidSettingError, NodeSettings
-from thistleusher.common.record_reader import known
+from thistleusher.common.record_reader import known_fields_only
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
 TARGET_EXCESS_MS = 60_000.0  # by which a route's target_ms may not exceed its deadline_ms
-MOST_NESTING = 64  # well under what a reader's stack bears
-MOST_NAME_BYTES = 400  # of a route, service or tenant: names are keys on the disk, which bounds them at 511
-BOOT: TypeAdapter[NodeSettings] = TypeAdapter(NodeSettings)
+MAX_NESTING = 64  # well under what a reader's stack bears
+MAX_NAME_BYTES = 400  # of a route, service or tenant: names are keys on the disk, which bounds them at 511
+MAX_SHOWN = 60  # characters of a wrong value that its fault shows
+NODE_SETTINGS: TypeAdapter[NodeSettings] = TypeAdapter(NodeSettings)
 CONFIGURATION: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
 
 
@@ -35,46 +37,48 @@
 
 
 def explain_node_settings(table: dict[str, Any]) -> list[InvalidSettingError]:
-    """What is wrong with the table of a settings file, by field."""
+    """Return what is wrong with the table of a settings file, by field."""
     try:
-        BOOT.validate_python(known(NodeSettings, table))
+        NODE_SETTINGS.validate_python(known_fields_only(NodeSettings, table))
     except ValidationError as error:
         return [InvalidSettingError(line) for line in _lines(error, "file")]
     return []
 
 
 def _lines(error: ValidationError, whole: str) -> Iterable[str]:
-    """One line a fault."""
-    for e in error.errors(include_url=False):
-        at = ".".join(str(p) for p in e["loc"]) or whole
-        missing = e["type"].startswith("missing")
-        yield f"{at}: Field required" if missing else f"{at}: {e['msg']}, found {str(e.get('input'))[:60]!r}"
+    """Yield one line a fault; `whole` names what a fault is in that is in no field."""
+    for fault in error.errors(include_url=False):
+        at = ".".join(str(step) for step in fault["loc"]) or whole
+        if fault["type"].startswith("missing"):
+            yield f"{at}: Field required"
+        else:
+            yield f"{at}: {fault['msg']}, found {str(fault.get('input'))[:MAX_SHOWN]!r}"
 
 
 class ReadJson(NamedTuple):
-    """Bytes read as JSON, and what a strict reader finds wrong with them."""
+    """Bytes parsed as JSON, and what a strict reader finds wrong with them."""
 
     value: Any
     faults: list[str]
 
 
 def read_json(body: bytes) -> ReadJson:
-    """Bytes as JSON, as a lenient reader takes them, with the faults that a strict one finds.
+    """Parse bytes as JSON, as a lenient reader does; return the faults that a strict one finds with them.
 
-    ExceptionGroup of `BadConfiguration` where even a lenient reader finds no JSON.
+    Raise an ExceptionGroup of InvalidConfigurationError where even a lenient reader finds no JSON.
     """
     faults: list[str] = []
 
     def table(members: list[tuple[str, Any]]) -> dict[str, Any]:
         found = dict(members)
         if len(found) < len(members):
-            faults.append(f"body: a name stands twice in one object, among {', '.join(found)[:60]!r}")
+            faults.append(f"body: a name stands twice in one object, among {', '.join(found)[:MAX_SHOWN]!r}")
         return found
 
     def number(text: str) -> float:
         found = float(text)
         if not math.isfinite(found):
-            faults.append(f"body: {text[:60]} is no finite number")
+            faults.append(f"body: {text[:MAX_SHOWN]} is no finite number")
         return found
 
     try:
@@ -85,33 +89,39 @@
 
 
 def read_configuration(body: bytes) -> Configuration:
-    """A configuration's bytes (JSON), checked whole. ExceptionGroup of `BadConfiguration`. Cost: one step a field."""
+    """Return a configuration from its bytes (JSON), checked completely. Cost: one step a field.
+
+    Raise an ExceptionGroup with one InvalidConfigurationError for each fault.
+    """
     return check_configuration(read_json(body))
 
 
 def check_configuration(document: ReadJson) -> Configuration:
-    """A configuration that was read as JSON, checked whole. ExceptionGroup of `BadConfiguration`."""
+    """Return a configuration from a parsed document, checked completely.
+
+    Raise an ExceptionGroup with one InvalidConfigurationError for each fault.
+    """
     faults = [*document.faults, *_not_writable(document.value)]
     if faults:
-        raise _refusal(faults)
+        raise _rejection(faults)
     try:
-        config = CONFIGURATION.validate_python(known(Configuration, document.value))
+        config = CONFIGURATION.validate_python(known_fields_only(Configuration, document.value))
     except ValidationError as error:
-        raise _refusal(_lines(error, "body")) from None
+        raise _rejection(_lines(error, "body")) from None
     faults = list(_faults(config))
     if faults:
-        raise _refusal(faults)
+        raise _rejection(faults)
     return config
 
 
-def _refusal(faults: Iterable[str]) -> ExceptionGroup[InvalidConfigurationError]:
+def _rejection(faults: Iterable[str]) -> ExceptionGroup[InvalidConfigurationError]:
     return ExceptionGroup("configuration", [InvalidConfigurationError(text) for text in faults])
 
 
 def _not_writable(value: Any) -> Iterable[str]:
-    """Why a value that was read cannot be written again as JSON in UTF-8, or read again by a process in any state."""
-    if _nested_deeper(value, MOST_NESTING):
-        yield f"body: nested more than {MOST_NESTING} deep"
+    """Yield why a value cannot be written again as JSON in UTF-8, or parsed again by a process in any state."""
+    if _nested_deeper(value, MAX_NESTING):
+        yield f"body: nested more than {MAX_NESTING} deep"
         return
     try:
         canonical(value).encode()
@@ -120,7 +130,7 @@
 
 
 def _nested_deeper(value: Any, most: int) -> bool:
-    """Whether objects and lists stand in one another more than `most` deep."""
+    """Return whether objects and lists are nested more than `most` deep."""
     level = [value] if isinstance(value, dict | list) else []
     for _ in range(most):
         level = [
@@ -135,7 +145,7 @@
 
 
 def _faults(config: Configuration) -> Iterable[str]:
-    """What is wrong with a configuration whose fields are each of their type."""
+    """Yield what is wrong with a configuration whose fields each have their type."""
     if VERSION.fullmatch(config.version) is None:
         yield "version: expected eight hexadecimal digits"
     for field, value in config.limits._asdict().items():
@@ -144,7 +154,7 @@
     yield from _name_faults(config)
     for name, route in config.routes.items():
         yield from _route_faults(f"routes.{name}", route, config.services)
-    yield from _place_faults(config.routes)
+    yield from _duplicate_route_faults(config.routes)
     for name, service in config.services.items():
         if service.cold_per_s < 0 or service.warmup_s < 0 or service.max_conns < 0:
             yield f"services.{name}: expected figures of 0 or more"
@@ -154,8 +164,8 @@
 def _name_faults(config: Configuration) -> Iterable[str]:
     for field, table in (("routes", config.routes), ("services", config.services), ("tenants", config.tenants)):
         for name in table:
-            if len(name.encode()) > MOST_NAME_BYTES:
-                yield f"{field}.{name[:20]}...: a name of over {MOST_NAME_BYTES} bytes"
+            if len(name.encode()) > MAX_NAME_BYTES:
+                yield f"{field}.{name[:20]}...: a name of over {MAX_NAME_BYTES} bytes"
 
 
 def _route_faults(at: str, route: Route, services: Mapping[str, Service]) -> Iterable[str]:
@@ -179,20 +189,20 @@
         yield f"{at}: path_prefix {route.path_prefix!r}, expected a slash at both ends"
 
 
-def _place_faults(routes: Mapping[str, Route]) -> Iterable[str]:
-    """Two routes of the same host, in any case of its letters, and the same prefix."""
-    places: dict[tuple[str, str], str] = {}
+def _duplicate_route_faults(routes: Mapping[str, Route]) -> Iterable[str]:
+    """Yield routes with the same host, in any case of its letters, and the same prefix as another."""
+    first: dict[tuple[str, str], str] = {}  # host and prefix -> the first route with them
     for name, route in routes.items():
-        place = (route.hostname.lower(), route.path_prefix)
-        if places.setdefault(place, name) != name:
-            yield f"routes.{name}: the same host and prefix as routes.{places[place]}"
+        match = (route.hostname.lower(), route.path_prefix)
+        if first.setdefault(match, name) != name:
+            yield f"routes.{name}: the same host and prefix as routes.{first[match]}"
 
 
 def _tenant_faults(tenants: Mapping[str, Tenant]) -> Iterable[str]:
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}  # API key -> the first tenant with it
     for name, tenant in tenants.items():
         if not (tenant.rate_per_s >= 0 and tenant.burst >= 0):
             yield f"tenants.{name}: expected a rate and a burst of 0 or more"
         for key in tenant.api_keys:
-            if holders.setdefault(key, name) != name:
-                yield f"tenants.{name}: a key that tenants.{holders[key]} holds too"
+            if owners.setdefault(key, name) != name:
+                yield f"tenants.{name}: a key that tenants.{owners[key]} holds too"
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -26,16 +26,16 @@
 from typing import Any, NamedTuple
 
 from thistleusher.common.config_items import (
+    DocumentParts,
     Identity,
-    Split,
     assemble,
     difference,
     digest_of,
     identity_of,
     is_kept_document,
     number_of,
-    split,
-    was_taken,
+    split_document,
+    was_accepted,
 )
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.interface import Change, DeferredChange, Read
@@ -50,7 +50,7 @@
     """A configuration that may be kept: valid, or a repeat (`parts` is None) of one that was taken."""
 
     identity: Identity
-    parts: Split | None
+    parts: DocumentParts | None
 
 
 class Standing(Enum):
@@ -77,9 +77,9 @@
         return ParsedOrder(held, None)
     read = checks().read_json(document)
     identity = _identity(read.value) if state is not None and not read.faults else None
-    if state is not None and identity is not None and was_taken(state, identity):
+    if state is not None and identity is not None and was_accepted(state, identity):
         return ParsedOrder(identity, None)
-    parts = split(checks().check_configuration(read).number, read.value)
+    parts = split_document(checks().check_configuration(read).number, read.value)
     return ParsedOrder(parts.identity, parts)
 
 
@@ -95,7 +95,7 @@
     """How an order stands to the configuration in force, for the log."""
     if order.identity.number > number_of(state):
         return Standing.NEWER
-    if was_taken(state, order.identity):
+    if was_accepted(state, order.identity):
         return Standing.REPEAT
     held = identity_of(state)
     same_number = held is not None and held.number == order.identity.number
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -51,7 +51,7 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        boot = self.boot = settings.boot
+        boot = self.boot = settings.node_settings
         self.loop = asyncio.get_running_loop()
         self.storage = Storage(Path(boot.data_dir or "."), boot.limits.disk_mb, self._written)
         stored = self.storage.read()
@@ -104,7 +104,7 @@
         self.storage.close()
 
     def _changed(self) -> None:
-        self.boot = self.settings.boot
+        self.boot = self.settings.node_settings
         self.service.node.add_seeds(self.boot.core_ips)
 
     def tick(self) -> None:
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -118,7 +118,7 @@
     route = found.route
     return ClassSettings(
         found.name,
-        Effect.SAFE if route.repeatable else Effect.UNSAFE,
+        Effect.SAFE if route.idempotent else Effect.UNSAFE,
         max(0.05, route.target_ms / 1000),
         route.deadline_ms / 1000,
     )
@@ -392,7 +392,7 @@
     def _again(self, now: float, flight: Flight) -> bool:
         """Whether one more try is allowed: by its route, its time, and the budget of all."""
         route = flight.found.route
-        if flight.ran and not route.repeatable:
+        if flight.ran and not route.idempotent:
             return False
         if flight.sends >= MOST_SENDS or flight.arrived >= max(1, route.tries) or now >= flight.aim:
             return False
@@ -449,7 +449,7 @@
             for b in fleet.silent(now, SILENT_X):
                 for name in b.out:
                     flight = self.flights.get(name)
-                    if flight is None or not flight.found.route.repeatable or flight.backend != b.entry.backend:
+                    if flight is None or not flight.found.route.idempotent or flight.backend != b.entry.backend:
                         continue
                     late = now - flight.sent > 2 * fleet.latency[flight.cls.name]
                     if late and self._again(now, flight) and self._other(now, fleet, flight):
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -184,7 +184,7 @@
         """One attempt. It is not sent if its client has gone, its time is up, or its backend may not be sent to any
         more by then."""
         call: Call = held.context
-        repeatable = call.asked.found.route.repeatable
+        repeatable = call.asked.found.route.idempotent
 
         def message() -> bytes:
             return call.message(max(0.001, held.deadline - self.driver.scheduler.time()), backend)
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -16,7 +16,7 @@
 from thistleusher.common.events import Event, log_event
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import SettingsFile, new_incarnation, serve
-from thistleusher.common.process_start import BORN
+from thistleusher.common.process_start import PROCESS_STARTED_AT
 from thistleusher.net.backend_connection import UpstreamOptions
 from thistleusher.net.connection_pool import Endpoint
 from thistleusher.net.request_buffer import ClientLimits
@@ -90,10 +90,12 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        boot = self.boot = settings.boot
+        boot = self.boot = settings.node_settings
         loop = self.loop = asyncio.get_running_loop()
         now = time.monotonic()
-        self.decisions = Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, BORN)
+        self.decisions = Decisions(
+            boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, PROCESS_STARTED_AT
+        )
         share = max(32, (boot.limits.fd_limit - 200 - SPARE) // 2)
         self.upstream = Upstream(
             loop, CONNECT_S, IDLE_S, share, UpstreamOptions(BODY_MOST, ATTEMPT, SILENT_S, outcome_of)
@@ -164,7 +166,7 @@
         self.upstream.close()
 
     def _changed(self) -> None:
-        self.boot = self.settings.boot
+        self.boot = self.settings.node_settings
         self._meet(self.boot.core_ips)
 
     def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -31,7 +31,7 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        self.boot = settings.boot
+        self.boot = settings.node_settings
         self.loop = asyncio.get_running_loop()
         platform = self.boot.cloud_api
         self.platform = PlatformClient(read_address(platform.address)) if platform.address else None
@@ -76,7 +76,7 @@
         self.peers.close()
 
     def _settings_changed(self) -> None:
-        self.boot = self.settings.boot
+        self.boot = self.settings.node_settings
         self._connect_to(self.boot.core_ips)
 
     def _connect_to(self, addresses: Iterable[str]) -> None:
