--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -182,7 +182,7 @@
     Wrong(
         2,
         "a repeat is checked again",
-        "if state is not None and identity is not None and was_taken(state, identity):",
+        "if state is not None and identity is not None and was_accepted(state, identity):",
         "if False:",
     ),
     Wrong(
