--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -23,7 +23,7 @@
 from thistleusher import wirehost
 from thistleusher.common import config_items
 from thistleusher.common.events import Event
-from thistleusher.common.node_settings import read_node_settings
+from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.common.validation import read_configuration
 from thistleusher.core.settings_parser import read_settings
 from thistleusher.net.config import read_config
