--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -27,7 +27,7 @@
     "control/test_control.py",
     "control/test_orders.py",
     "control/test_leases.py",
-    "system/test_news.py",
+    "transport/test_state_updates.py",
     "system/test_search.py",
     "control/test_service.py",
     "control/test_copies.py",
