--- /dev/null
+++ b/tests/proxy/caller_world.py
@@ -0,0 +1,254 @@
+"""The proxy's real server, driver, decisions and upstream on transports in memory, and the checks of every run."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import re
+from collections.abc import Callable
+from typing import Any
+
+from tests.proxy.simulated_peers import REQUEST, Backend, Client, Run
+from tests.scripted_loop import ScriptedLoop, Wire
+from thistleusher.common.configuration import Configuration, Index
+from thistleusher.common.node_settings import Bounds
+from thistleusher.common.record_reader import read_record
+from thistleusher.net.backend_connection import BackendConnection, UpstreamOptions
+from thistleusher.net.connection_pool import ConnectionPool, Endpoint
+from thistleusher.net.upstream import Upstream
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
+from thistleusher.proxy.placement import Place
+
+TRIES = 3
+DEADLINE_MS = 1500
+FREEZE_S = 20.0
+SETTLE_S = 40.0  # after the last event, in which all must have come to its end
+PROMISES = (408, 421, 429, 503)
+ROUTE = {"hostname": "h", "deadline_ms": DEADLINE_MS, "target_ms": 400, "target": "s", "tries": TRIES, "public": True}
+
+
+class ScriptedUpstream(Upstream):
+    """Connects to the backends of a world."""
+
+    world: World
+
+    async def connect(self, pool: ConnectionPool) -> BackendConnection:
+        return await self.world.connect(pool)
+
+
+class World:
+    """One proxy between drawn clients and drawn backends."""
+
+    def __init__(self, loop: ScriptedLoop, seed: int, backends: int = 3) -> None:
+        self.loop, self.rng = loop, random.Random(seed)
+        self.trouble = self.rng.random()
+        self.frozen = False
+        self.thawed = float("-inf")
+        self.runs: dict[bytes, list[Run]] = {}
+        self.given: dict[bytes, tuple[bytes, int, bytes]] = {}  # seal: id, status, body
+        self.wires: list[Wire] = []
+        self.clients: list[Client] = []
+        self.serial = 0
+        self.steps: list[str] = []  # what backends do, where it is not drawn
+        self.again: list[bytes] = []  # effectful ids that were sent a second time without a proof
+        self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(seed), loop.time())
+        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream.world = self
+        self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
+        self.server = ProxyServer(loop, self.ingress, 50)
+        self.follow("effectful")
+        self.decisions.ingresses = ["me"]
+        self.serve([f"b{n}" for n in range(backends)])
+        self.server.known = True
+
+    def follow(self, variant: str, *, routes: bool = True) -> None:
+        """A configuration is in force: route `e` is of this variant."""
+        self.variant = variant
+        table = {
+            "p": {**ROUTE, "path_prefix": "/p/", "variant": "pure"},
+            "e": {**ROUTE, "path_prefix": "/e/", "variant": variant},
+        }
+        config = read_record(
+            Configuration,
+            {"version": "00000001", "routes": table if routes else {}, "services": {"s": {}}, "tenants": {}},
+        )
+        self.decisions.configured(self.loop.time(), config)
+        self.server.follow(Index(config))
+
+    def serve(self, names: list[str]) -> None:
+        """These are the backends."""
+        places = {name: Place(name, "s", ("10.0.0.1", n + 1), "z", "r", 6, False) for n, name in enumerate(names)}
+        for name in self.upstream.pools.keys() - places.keys():
+            self.upstream.update(name, None)
+        for name, place in places.items():
+            self.upstream.update(name, Endpoint(place.address, 0.0))
+        self.decisions.listed(self.loop.time(), places)
+        self.ingress.serving.clear()
+        self.ingress.serving |= places.keys()
+
+    # What happens.
+
+    def later(self, act: Callable[..., None], *args: Any) -> None:
+        self.loop.call_later(self.rng.choice((0.0, 0.001, 0.02, 0.3, 1.37)), act, *args)
+
+    def draw_steps(self) -> list[str]:
+        """What a connection's backend does, with its share of trouble."""
+        good = ["answers"] * 6
+        bad = [
+            "full",
+            "stranger",
+            "fails",
+            "claims",
+            "claims 429",
+            "gone",
+            "silent",
+            "reset",
+            "cut",
+            "twice",
+            "late surplus",
+            "nameless",
+            "nameless promise",
+            "strange",
+            "noise",
+        ]
+        return good + [step for step in bad if self.rng.random() < self.trouble]
+
+    async def connect(self, pool: ConnectionPool) -> BackendConnection:
+        await asyncio.sleep(0.0 if self.steps else self.rng.choice((0.0, 0.001, 0.05, 0.3)))
+        if not self.steps and self.rng.random() < self.trouble * 0.2:
+            raise ConnectionRefusedError
+        connection = BackendConnection(pool, None)  # type: ignore[arg-type]
+        backend = Backend(self, pool.backend, connection)
+        connection.sock = backend.wire  # type: ignore[assignment]
+        self.upstream.connections.add(connection)
+        connection.connection_made(backend.wire)
+        self.wires.append(backend.wire)
+        return connection
+
+    def arrived(self, name: bytes) -> Run:
+        """A request has come whole to a backend."""
+        runs = self.runs.setdefault(name, [])
+        if name.startswith(b"e") and not all(run.proved for run in runs):
+            self.again.append(name)
+        runs.append(Run(name))
+        return runs[-1]
+
+    def answer(self, run: Run, backend: str, status: int, step: str) -> bytes:
+        seal = b"%s-%d" % (backend.encode(), len(self.given))
+        body = b"" if status in (429, 503) else b"of " + run.name + b" " + seal
+        self.given[seal] = (run.name, status, body)
+        proof = b"X-Not-Run: 1\r\n" if step == "full" else b""
+        return b"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
+            status,
+            run.name,
+            seal,
+            proof,
+            len(body),
+            body,
+        )
+
+    def strange_answer(self) -> bytes:
+        return self.answer(Run(b"e-nobody"), "other", 200, "answers")
+
+    def client(self) -> Client:
+        client = Client(self)
+        self.clients.append(client)
+        self.wires.append(client.wire)
+        return client
+
+    def ask(self, client: Client) -> None:
+        if not client.wire.ended and not client.wire.cut:
+            self.serial += 1
+            path = b"p" if self.rng.random() < 0.4 else b"e"
+            once = path == b"e" and self.variant == "effectful"
+            client.ask(b"%s%d" % (b"e" if once else b"p", self.serial), path)
+
+    def freeze(self) -> None:
+        """The process stands still for a while; what was due and what has come meets it in one turn, in any order."""
+        self.frozen = True
+        for client in self.clients:
+            if self.rng.random() < 0.3:
+                self.ask(client)
+        self.loop.script.now += self.rng.choice((0.3, 1.4, FREEZE_S))
+        if self.rng.random() < 0.5:
+            self.thaw()  # reads before timers, as one kind of loop has it
+        else:
+            self.loop.call_at(self.loop.time(), self.thaw)
+
+    def thaw(self) -> None:
+        self.frozen = False
+        self.thawed = self.loop.time()
+        wires = [wire for wire in self.wires if wire.unread]
+        self.rng.shuffle(wires)
+        for wire in wires:
+            wire.read()
+
+    async def play(self, events: int = 60) -> None:
+        for _ in range(events):
+            kind = self.rng.random()
+            if kind < 0.2 or not self.clients:
+                self.ask(self.client())
+            elif kind < 0.75:
+                self.ask(self.rng.choice(self.clients[-4:]))
+            elif kind < 0.8:
+                self.rng.choice(self.clients).wire.deliver(None)
+            elif kind < 0.85 and self.trouble > 0.3:
+                self.freeze()
+            elif kind < 0.9:
+                self.follow(self.rng.choice(("effectful", "pure")))
+            elif kind < 0.94:
+                self.serve([f"b{self.rng.randrange(6)}" for _ in range(3)])
+            await asyncio.sleep(self.rng.choice((0.0, 0.0, 0.005, 0.05, 0.4, 1.3)))
+        self.follow("effectful")
+        await self.settle()
+
+    async def settle(self) -> None:
+        await asyncio.sleep(SETTLE_S)
+        self.server.close()
+        self.ingress.driver.close()
+        self.upstream.close()
+        await asyncio.sleep(SETTLE_S)
+
+    # What must hold.
+
+    def check(self) -> None:
+        assert not self.again, f"sent again without a proof: {self.again}"
+        for name, runs in self.runs.items():
+            ran = sum(run.ran for run in runs)
+            assert ran <= (1 if name.startswith(b"e") else TRIES), f"{name!r} ran {ran} times"
+        for client in self.clients:
+            answers = client.answers()
+            assert len(answers) <= len(client.asked), "more answers than requests"
+            for (name, _), (status, head, body) in zip(client.asked, answers, strict=False):
+                self.check_answer(name, status, head, body)
+            for _, head, _ in answers[:-1]:
+                assert b"Connection: close" not in head, "an answer after the last one"
+
+    def check_answer(self, name: bytes, status: int, head: bytes, body: bytes) -> None:
+        if status == 0:
+            return  # visibly cut
+        seal = re.search(rb"x-server-seal: (\S+)", head)
+        if seal is not None:
+            assert (name, status, body) == self.given[seal[1]], f"{name!r} got {self.given[seal[1]]}"
+            marked = REQUEST.search(head + b"\r\n")
+            assert marked is not None and marked[1] == name
+        else:
+            assert not 200 <= status < 300, f"{name!r}: a success without a seal"
+        if status in PROMISES and name.startswith(b"e"):
+            assert not any(run.ran for run in self.runs.get(name, [])), f"{name!r}: {status}, and it ran"
+
+
+def play(scenario: Callable[[World], Any], seed: int = 1, backends: int = 3) -> World:
+    """Run a scenario on a scripted loop, and check what must always hold."""
+    loop = ScriptedLoop()
+    with asyncio.Runner(loop_factory=lambda: loop) as runner:
+
+        async def main() -> World:
+            world = World(loop, seed, backends)
+            await scenario(world)
+            return world
+
+        world = runner.run(main())
+    world.check()
+    return world
--- /dev/null
+++ b/tests/proxy/simulated_peers.py
@@ -0,0 +1,163 @@
+"""Simulated backends and clients of a proxy: each does what it draws."""
+
+from __future__ import annotations
+
+import re
+from typing import TYPE_CHECKING
+
+from tests.scripted_loop import Wire
+from thistleusher.net.backend_connection import BackendConnection
+from thistleusher.net.client_connection import ClientConnection
+
+if TYPE_CHECKING:
+    from tests.proxy.caller_world import World
+
+REQUEST = re.compile(rb"X-Attempt-Id: (\S+)\r\n", re.IGNORECASE)
+LENGTH = re.compile(rb"Content-Length: (\d+)\r\n", re.IGNORECASE)
+
+
+class SimClient(ClientConnection):
+    """The server's connection, with its look at the socket from the wire."""
+
+    def has_unread_bytes(self) -> bool:
+        return bool(self.transport.unread)
+
+    def unacknowledged_bytes(self) -> int:
+        return 0
+
+
+class Run:
+    """A request that has come whole to a backend."""
+
+    def __init__(self, name: bytes) -> None:
+        self.name = name
+        self.ran = True
+        self.proved = False  # that it has not run, by an answer that has been handed over whole
+
+
+class Backend:
+    """One backend's connection: does what it draws with each request."""
+
+    def __init__(self, world: World, name: str, connection: BackendConnection) -> None:
+        self.world, self.name = world, name
+        self.wire = Wire(world, connection, self.heard)
+        self.buffer = b""
+        self.sending: list[tuple[bytes | None, Run | None]] = []  # pieces, and the request that one is the last for
+        self.before = b""  # the answer before, which may come again
+        self.steps = world.steps or world.draw_steps()
+        if world.rng.random() < world.trouble * 0.1:
+            world.later(self.cut)
+
+    def cut(self) -> None:
+        self.wire.deliver(None)
+
+    def heard(self, data: bytes) -> None:
+        self.buffer += data
+        head, found, rest = self.buffer.partition(b"\r\n\r\n")
+        if not found:
+            return
+        length = LENGTH.search(head + b"\r\n")
+        size = int(length[1]) if length else 0
+        if len(rest) < size:
+            return
+        self.buffer = rest[size:]
+        marked = REQUEST.search(head + b"\r\n")
+        assert marked is not None
+        self.serve(self.world.arrived(marked[1]))
+
+    def serve(self, run: Run) -> None:
+        world, rng = self.world, self.world.rng
+        step = rng.choice(self.steps)
+        if step in ("full", "stranger"):
+            run.ran = False
+        if step == "silent":
+            return
+        if step == "stops":
+            self.wire.deliver(world.answer(run, self.name, 200, step)[:-1])
+            return
+        if step == "reset":
+            world.later(self.cut)
+            return
+        answer = world.answer(
+            run,
+            self.name,
+            {"full": 503, "stranger": 421, "fails": 500, "claims": 503, "claims 429": 429, "gone": 404}.get(step, 200),
+            step,
+        )
+        before, self.before = self.before, answer
+        cuts = sorted(rng.randrange(1, len(answer)) for _ in range(rng.choice((0, 0, 1, 3))))
+        pieces = [answer[a:b] for a, b in zip([0, *cuts], [*cuts, len(answer)], strict=True)]
+        if step == "late surplus" and before:
+            pieces.insert(0, before)
+        if step == "nameless":
+            pieces.insert(0, REQUEST.sub(b"", before or world.strange_answer()))
+        if step == "nameless promise":
+            pieces.insert(0, b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+        if step == "strange":
+            pieces.insert(0, world.strange_answer())
+        if step == "noise":
+            pieces.insert(0, b"\x00\x01 no answer\r\n\r\n")
+        if step == "cut":
+            pieces[-1] = pieces[-1][:-1]
+        if step == "twice":
+            pieces.append(answer)
+        idle = not self.sending
+        self.sending += [(piece, None) for piece in pieces[:-1]]
+        self.sending.append((pieces[-1], run))
+        if step == "cut":
+            self.sending.append((None, None))
+        if idle:
+            self.send()
+
+    def send(self) -> None:
+        """The next piece; several may come in one read."""
+        piece, run = self.sending[0]
+        if run is not None:  # its answer is whole
+            run.proved = not run.ran
+        self.wire.deliver(piece)
+        self.sending.pop(0)
+        if self.sending:
+            self.world.loop.call_later(self.world.rng.choice((0.0, 0.0, 0.01, 0.1, 0.6)), self.send)
+
+
+class Client:
+    """One client's connection, and what it has been answered."""
+
+    def __init__(self, world: World) -> None:
+        self.world = world
+        self.connection = SimClient(world.server)
+        self.wire = Wire(world, self.connection, self.heard)
+        self.asked: list[tuple[bytes, float]] = []  # id (`e`: may run once, `p`: may be repeated), when it was sent
+        self.got = b""
+        self.times: list[float] = []
+        self.connection.connection_made(self.wire)
+
+    def heard(self, data: bytes) -> None:
+        assert not self.wire.eof, "bytes after the end"
+        self.got += data
+        self.times.append(self.world.loop.time())
+
+    def ask(self, name: bytes, path: bytes) -> None:
+        body = b"b" * self.world.rng.choice((0, 5))
+        data = (
+            b"POST /%s/ HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 1400\r\n"
+            b"Content-Length: %d\r\n\r\n%s" % (path, name, len(body), body)
+        )
+        cut = self.world.rng.randrange(len(data)) if self.world.rng.random() < 0.3 else 0
+        self.wire.deliver(data[:cut])
+        self.wire.deliver(data[cut:])
+        self.asked.append((name, self.world.loop.time()))
+
+    def answers(self) -> list[tuple[int, bytes, bytes]]:
+        """Status, head and body of each answer; the last may be visibly cut, which is told by status 0."""
+        found, rest = [], self.got
+        while rest:
+            head, whole, rest = rest.partition(b"\r\n\r\n")
+            length = LENGTH.search(head + b"\r\n")
+            assert head.startswith(b"HTTP/1.1 "), head
+            if not whole or length is None or len(rest) < int(length[1]):
+                found.append((0, head, rest))
+                break
+            found.append((int(head[9:12]), head, rest[: int(length[1])]))
+            rest = rest[int(length[1]) :]
+        return found
--- /dev/null
+++ b/tests/proxy/test_callers.py
@@ -0,0 +1,122 @@
+"""Each answer reaches its own caller, and nothing unproven is sent again.
+
+A seeded run draws what clients and backends do; the clock is scripted, so that nothing sleeps and no socket is opened.
+The checks of every run are in `caller_world.World.check`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from tests.proxy.caller_world import FREEZE_S, World, play
+from thistleusher.core import actions
+from thistleusher.core.events import AttemptEnded, TimerFired
+
+SEEDS = 120
+
+
+@pytest.mark.parametrize("seed", range(SEEDS))
+def test_each_answer_reaches_its_caller_and_nothing_unproven_is_sent_again(seed: int) -> None:
+    play(World.play, seed)
+
+
+def test_a_client_that_takes_nothing_is_let_go_and_one_that_reads_on_is_not() -> None:
+    async def scenario(world: World) -> None:
+        clients = [world.client() for _ in range(2)]
+        for client in clients:
+            client.wire.buffered = 1000
+            client.connection.pause_writing()
+        for _ in range(20):
+            await asyncio.sleep(0.5)
+            clients[0].wire.taken(1)
+        assert [client.wire.ended for client in clients] == [False, True]
+
+    play(scenario)
+
+
+def test_no_byte_goes_out_once_a_request_is_overdue() -> None:
+    """Its last byte was held back when the process stood still."""
+
+    async def scenario(world: World) -> None:
+        client = world.client()
+        world.upstream.guard.connection_broke(world.loop.time())
+        client.ask(b"e1", b"e")
+        while not any(c.exchange is not None for c in world.upstream.connections):
+            await asyncio.sleep(0.001)
+        world.loop.script.now += FREEZE_S
+        await asyncio.sleep(0.1)
+        assert not world.runs and client.answers()[0][0] == 503
+
+    play(scenario)
+
+
+@pytest.mark.parametrize("path, leaving, runs", [(b"e", False, 1), (b"p", False, 2), (b"p", True, 1)])
+def test_an_answer_that_stops_midway_is_waited_for_where_no_other_may_come(
+    path: bytes, leaving: bool, runs: int
+) -> None:
+    async def scenario(world: World) -> None:
+        world.steps = ["stops"]
+        client = world.client()
+        client.ask(path + b"1", path)
+        await asyncio.sleep(0.4)
+        world.server.shutting_down = leaving
+        held = world.ingress.in_flight[path.decode() + "1"]
+        assert held.attempts == 1 and not client.got
+        await asyncio.sleep(0.8)
+        assert held.attempts == runs and (runs > 1 or not client.got)
+        await asyncio.sleep(1.0)
+        ((status, _, _),) = client.answers()
+        assert status == 502
+
+    play(scenario, backends=2)
+
+
+@pytest.mark.parametrize("unread, leaving, runs", [(False, False, 2), (True, False, 1), (False, True, 1)])
+def test_a_silent_backend_is_left_for_another_unless_its_answer_is_here(unread: bool, leaving: bool, runs: int) -> None:
+    async def scenario(world: World) -> None:
+        world.steps = ["silent"]
+        client = world.client()
+        client.ask(b"p1", b"p")
+        while not world.runs:
+            await asyncio.sleep(0.001)
+        wire = next(w for w in world.wires if w is not client.wire)
+        wire.unread += [b"HTTP/1.1 200 X\r\n"] * unread  # that nobody has got round to reading
+        world.server.shutting_down = leaving
+        world.ingress.cancel(actions.CancelAttempt("p1", 0))
+        await asyncio.sleep(0.5)
+        assert len(world.runs[b"p1"]) == runs
+
+    play(scenario)
+
+
+def test_whoever_decides_it_nothing_is_promised_for_what_may_have_run() -> None:
+    async def scenario(world: World) -> None:
+        world.steps = ["silent"]
+        client = world.client()
+        client.ask(b"e1", b"e")
+        while not world.runs:
+            await asyncio.sleep(0.001)
+        world.decisions.acts.append(actions.Refuse("e1", 0.2))
+        world.ingress.submit(TimerFired(0))
+        ((status, _, _),) = client.answers()
+        assert status == 502
+
+    play(scenario)
+
+
+def test_a_request_read_ahead_of_its_route_s_end_is_answered() -> None:
+    async def scenario(world: World) -> None:
+        world.steps = ["silent"]
+        client = world.client()
+        client.ask(b"e1", b"e")
+        client.ask(b"p2", b"p")
+        await asyncio.sleep(0.5)
+        world.follow("effectful", routes=False)
+        world.decisions.take.pop(AttemptEnded)  # the second is held until its time is up
+        world.ingress.serving.clear()
+        await asyncio.sleep(4.0)
+        assert len(client.answers()) == 2
+
+    play(scenario)
--- /dev/null
+++ b/tests/transport/test_call_server.py
@@ -0,0 +1,77 @@
+"""The call server and its clients: each answer goes to its own call, complete, and only once."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from tests.proxy.caller_world import FREEZE_S, World, play
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Readiness
+
+NOT_READY = ServiceError(ErrorKind.STARTING)
+
+
+class Doors:
+    """A door for calls whose handler keeps what it is handed."""
+
+    def __init__(self, world: World) -> None:
+        self.done: list[Callable[[Any], None]] = []
+        world.server = CallServer(
+            world.loop, [Handler(Readiness, lambda call, done: self.done.append(done))], world.server.limits
+        )
+        self.client = world.client()
+
+    def ask(self, more: bytes = b"") -> None:
+        self.client.wire.deliver(b"GET /readiness HTTP/1.1\r\nHost: h\r\n%s\r\n" % more)
+        self.client.asked.append((b"p", 0.0))
+
+
+def test_a_handler_that_answers_twice_answers_nobody_else() -> None:
+    async def scenario(world: World) -> None:
+        doors = Doors(world)
+        doors.ask()
+        doors.ask()
+        doors.done[0](NOT_READY)
+        await asyncio.sleep(0.01)
+        doors.done[0](NOT_READY)
+        assert len(doors.client.answers()) == 1
+        doors.done[1](NOT_READY)
+
+    play(scenario)
+
+
+def test_a_last_answer_goes_out_whole_to_a_client_that_takes_it_slowly() -> None:
+    async def scenario(world: World) -> None:
+        doors = Doors(world)
+        wire = doors.client.wire
+        doors.ask(b"Connection: close\r\n")
+        wire.buffered = 40
+        doors.done[0](NOT_READY)
+        for _ in range(39):
+            await asyncio.sleep(0.5)
+            wire.taken(1)
+            assert not wire.ended
+        world.loop.script.now += FREEZE_S  # what the client takes meanwhile shows only afterwards
+        await asyncio.sleep(0.1)
+        assert not wire.ended
+        wire.taken(1)
+        assert wire.ended
+
+    play(scenario)
+
+
+def test_a_connection_with_unread_requests_is_not_reset_under_its_last_answer() -> None:
+    async def scenario(world: World) -> None:
+        doors = Doors(world)
+        doors.ask()
+        doors.ask(b"X: read ahead\r\n")
+        world.server.draining = True
+        doors.done[0](NOT_READY)
+        assert doors.client.wire.eof and not doors.client.wire.closing
+        await asyncio.sleep(1.0)
+        assert doors.client.wire.ended
+
+    play(scenario)
