--- a/tests/common/test_config_items.py
+++ b/tests/common/test_config_items.py
@@ -64,21 +64,21 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(strategies.data())
 def test_an_index_that_follows_changes_is_the_one_built_whole(data):
-    """Also where news are missed, the first state is of release 0.1, or a core is founded anew with a low number."""
-    kept, follower, config = State(), Subscriber(), ConfigurationFollower()
+    """Also where updates are missed, the first state is of release 0.1, or a core is founded anew with a low number."""
+    published, subscriber, config = State(), Subscriber(), ConfigurationFollower()
     number = data.draw(strategies.integers(0, 3))
     for step in range(data.draw(strategies.integers(1, 8))):
         sent = json.dumps({"version": f"{number:08x}", **data.draw(documents())}).encode()
         if step == 0 and data.draw(strategies.booleans()):
             changed = {"config": {"v": number, "z": zlib.compress(sent)}}
         else:
-            changed = changes(kept, number, sent)
-        kept.apply(kept.number + 1, changed)
-        assert json.loads(assemble(kept)) == json.loads(sent) and number_of(kept) == number
-        assert was_accepted(kept, Identity(number, digest_of(json.loads(sent))))
+            changed = changes(published, number, sent)
+        published.apply(published.number + 1, changed)
+        assert json.loads(assemble(published)) == json.loads(sent) and number_of(published) == number
+        assert was_accepted(published, Identity(number, digest_of(json.loads(sent))))
         if data.draw(strategies.integers(0, 3)):
-            before, heard = config.number, follower.apply(kept.update_since(follower.state.number))
-            assert config.update(follower.state, heard.changed or {}) == (number > before)
+            before, result = config.number, subscriber.apply(published.update_since(subscriber.state.number))
+            assert config.update(subscriber.state, result.changed or {}) == (number > before)
             if number > before:
                 whole = Index(read_checked_configuration(sent))
                 assert (config.index.config, config.index.hosts, config.index.keys) == (
@@ -87,18 +87,18 @@
                     whole.keys,
                 )
         if data.draw(strategies.integers(0, 5)) == 0:
-            kept = State(kept.number + 1, floor=kept.number + 1)
+            published = State(published.number + 1, floor=published.number + 1)
             number = max(0, number - 4)
         number += data.draw(strategies.integers(1, 3))
 
 
 def test_an_item_that_cannot_be_read_leaves_the_index_as_it_was_and_the_next_configuration_whole():
-    kept, config = State(), ConfigurationFollower()
+    published, config = State(), ConfigurationFollower()
 
     def follow(number, sent):
-        changed = changes(kept, number, sent)
-        kept.apply(kept.number + 1, changed)
-        return config.update(kept, changed)
+        changed = changes(published, number, sent)
+        published.apply(published.number + 1, changed)
+        return config.update(published, changed)
 
     assert follow(7, body())
     with pytest.raises(InvalidTableError):
--- a/tests/common/test_configuration.py
+++ b/tests/common/test_configuration.py
@@ -1,4 +1,4 @@
-"""Settings and configurations: read, checked whole, told where they are wrong; routes and keys looked up."""
+"""Configurations: read, checked completely, and rejected with each fault and its place."""
 
 import json
 
@@ -16,7 +16,7 @@
     return [str(e) for e in caught.value.exceptions]
 
 
-def test_a_sound_one_is_taken_with_fields_of_later_ignored():
+def test_a_valid_configuration_is_read_with_unknown_fields_ignored():
     config = read_configuration(body())
     assert config.number == 7 and config.routes["r1"].shares[0].weight == 90 and config.tenants["t2"].rate_per_s == 0
 
@@ -70,8 +70,8 @@
     ],
     ids=lambda v: v if isinstance(v, str) else "",
 )
-def test_each_invalid_one_is_refused_and_says_where(change, told):
-    assert any(told in fault for fault in faults_of(body(change)))
+def test_each_invalid_one_is_refused_and_says_where(change, expected):
+    assert any(expected in fault for fault in faults_of(body(change)))
 
 
 @pytest.mark.parametrize(
@@ -88,10 +88,10 @@
         ('"a_field_of_later": 1', '"a_field_of_later": ' + "9" * 5000, "no JSON"),
     ],
 )
-def test_what_two_readers_would_read_in_two_ways_is_refused(old, new, told):
+def test_what_two_readers_would_read_in_two_ways_is_refused(old, new, expected):
     sent = body().decode().replace(old, new, 1)
     assert sent != body().decode()
-    assert any(told in fault for fault in faults_of(sent.encode()))
+    assert any(expected in fault for fault in faults_of(sent.encode()))
 
 
 def test_the_deepest_nesting_that_is_sound():
@@ -108,7 +108,7 @@
     assert faults_of(whole[: int(len(whole) * part)])
 
 
-def test_all_faults_are_told_at_once():
+def test_all_faults_are_reported_at_once():
     def spoil(table):
         table["routes"]["r1"]["deadline_ms"] = 0
         table["routes"]["r2"]["target"] = "nobody"
--- a/tests/common/test_node_settings.py
+++ b/tests/common/test_node_settings.py
@@ -38,8 +38,8 @@
         ("7560,7575", "7560,7561", "expected 4 ports"),
     ],
 )
-def test_what_is_wrong_with_settings_is_told_in_one_line(old, new, told):
+def test_each_fault_of_settings_is_reported_in_one_line(old, new, expected):
     with pytest.raises(ExceptionGroup) as caught:
         read_node_settings(BOOT.replace(old, new))
     lines = [str(e) for e in caught.value.exceptions]
-    assert any(told in line for line in lines) and all("\n" not in line for line in lines)
+    assert any(expected in line for line in lines) and all("\n" not in line for line in lines)
--- a/tests/registry/test_backend_poller.py
+++ b/tests/registry/test_backend_poller.py
@@ -64,7 +64,7 @@
         b"\xff\xfe",
     ],
 )
-def test_garbage_leaves_the_list_as_it_was(body):
+def test_an_unreadable_answer_leaves_the_list_as_it_was(body):
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1), entry(2)))
     while poller.next_call(now) is None:
@@ -76,7 +76,7 @@
     assert changes == {}
 
 
-def test_half_a_list_is_no_list():
+def test_an_incomplete_reading_is_no_list():
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(poller, now + 1, page(entry(1), token="p"))
@@ -108,7 +108,7 @@
     assert poller.next_call(now + 1.9) is None and poller.next_call(now + 2.1) is not None
 
 
-def test_a_cold_backend_is_told_of_once_and_again_when_it_is_warm():
+def test_a_warming_backend_is_published_once_and_again_when_it_is_warm():
     poller = BackendPoller(0.0, 47.0)
     now, changes = read(poller, 0.0, page(entry(1, cold=3000)))
     assert changes["i1"]["cold"] == 3000
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -40,24 +40,24 @@
         self.now = 100.0
         self.names = ["p", "q", "r"]
         self.proxies = {}
-        self.lives = self.requests = self.counters = 0
+        self.incarnations = self.requests = self.counters = 0
         self.to_counter, self.to_proxy = [], []
         self.open = {}  # request -> its proxy
         self.let_in = {}  # request -> counter, window
-        self.counted = {}  # the model: (life, number) -> window, of the present counter
+        self.counted = {}  # the model: (incarnation, number) -> window, of the present counter
         self.given_back = set()
         for name in self.names:
             self.restart(name)
         self.take_over()
 
     def take_over(self):
-        self.ledger = counter_of(self.now, self.names)
+        self.table = counter_of(self.now, self.names)
         self.counters += 1
         self.counted, self.given_back = {}, set()
 
     def restart(self, name):
-        self.lives += 1
-        self.proxies[name] = proxy_of(name, f"life {self.lives}", self.now)
+        self.incarnations += 1
+        self.proxies[name] = proxy_of(name, f"life {self.incarnations}", self.now)
         self.proxies[name].counter = "c"
         self.open = {request: proxy for request, proxy in self.open.items() if proxy.me != name}
 
@@ -107,13 +107,13 @@
 
     def at_counter(self, name, message):
         if isinstance(message, ProxyHeartbeat):
-            if self.ledger.counter.record_heartbeat(self.now, name, message.incarnation, self.now):
-                self.ledger.counter.ingresses[name].in_contact_since = float("-inf")
+            if self.table.counter.record_heartbeat(self.now, name, message.incarnation, self.now):
+                self.table.counter.ingresses[name].in_contact_since = float("-inf")
             return
-        result = self.ledger.receive(self.now, name, message)
+        result = self.table.receive(self.now, name, message)
         key = message.incarnation, message.number
         if message.amount < 0:
-            if self.ledger.counter.ingresses[name].incarnation == message.incarnation:
+            if self.table.counter.ingresses[name].incarnation == message.incarnation:
                 self.given_back.add(key)
         elif result is not None:
             first = self.counted.setdefault(key, result.window)
@@ -142,7 +142,7 @@
         self.now += 0.01 * self.rng.random()
 
     def check(self):
-        window = self.ledger.counter.windows.get("t")
+        window = self.table.counter.windows.get("t")
         if window is not None:
             charged = {key for key, number in self.counted.items() if number == window.number}
             assert window.count == len(charged - self.given_back)
@@ -167,28 +167,28 @@
     assert let_in > 100 and given_back > 100  # it is no empty run
 
 
-def known(ledger, name="p", incarnation="x", now=2.0):
+def known(table, name="p", incarnation="x", now=2.0):
     """A proxy that is counted."""
-    ledger.counter.record_heartbeat(now, name, incarnation, now)
-    ledger.counter.ingresses[name].in_contact_since = 0.0
-    return ledger
+    table.counter.record_heartbeat(now, name, incarnation, now)
+    table.counter.ingresses[name].in_contact_since = 0.0
+    return table
 
 
 def test_memory_is_bounded_and_a_forgotten_charge_counts_no_second_time(monkeypatch):
     monkeypatch.setattr(charges, "REMEMBERED_CHARGES", 8)
-    ledger = known(counter_of(0.0))
+    table = known(counter_of(0.0))
     for number in range(1, 20):
-        ledger.receive(2.0, "p", Charge("x", number, "t", 1, -1))
-    count = ledger.counter.windows["t"].count
-    assert count == 19 and len(ledger.senders["p"].charges) == 8
-    assert ledger.receive(2.1, "p", Charge("x", 3, "t", 1, -1)) is None
-    ledger.receive(2.1, "p", Charge("x", 3, "t", -1, -1))
-    assert ledger.counter.windows["t"].count == count
+        table.receive(2.0, "p", Charge("x", number, "t", 1, -1))
+    count = table.counter.windows["t"].count
+    assert count == 19 and len(table.senders["p"].charges) == 8
+    assert table.receive(2.1, "p", Charge("x", 3, "t", 1, -1)) is None
+    table.receive(2.1, "p", Charge("x", 3, "t", -1, -1))
+    assert table.counter.windows["t"].count == count
 
 
 def test_a_new_counter_gives_no_charge_of_another_back():
-    ledger = known(counter_of(0.0))
-    first = ledger.receive(2.0, "p", Charge("x", 1, "t", 1, -1))
+    table = known(counter_of(0.0))
+    first = table.receive(2.0, "p", Charge("x", 1, "t", 1, -1))
     later = known(counter_of(0.0))
     for number in range(2, 6):
         later.take(2.0, "p", Charge("x", number, "t", 1, -1))
@@ -197,18 +197,18 @@
 
 
 def test_a_charge_that_comes_after_it_was_given_back_is_not_counted():
-    ledger = known(counter_of(0.0))
-    ledger.receive(2.0, "p", Charge("x", 2, "t", 1, -1))
-    ledger.receive(2.0, "p", Charge("x", 1, "t", -1, -1))
-    assert ledger.receive(2.0, "p", Charge("x", 1, "t", 1, -1)) is None
-    assert ledger.counter.windows["t"].count == 1
+    table = known(counter_of(0.0))
+    table.receive(2.0, "p", Charge("x", 2, "t", 1, -1))
+    table.receive(2.0, "p", Charge("x", 1, "t", -1, -1))
+    assert table.receive(2.0, "p", Charge("x", 1, "t", 1, -1)) is None
+    assert table.counter.windows["t"].count == 1
 
 
 def test_a_message_of_a_former_life_neither_counts_nor_brings_it_back():
-    ledger = known(known(counter_of(0.0), incarnation="old"), incarnation="new")
-    assert ledger.receive(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
-    assert not ledger.counter.record_heartbeat(2.1, "p", "old", 2.1)
-    assert ledger.receive(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == ALLOWED
+    table = known(known(counter_of(0.0), incarnation="old"), incarnation="new")
+    assert table.receive(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
+    assert not table.counter.record_heartbeat(2.1, "p", "old", 2.1)
+    assert table.receive(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == ALLOWED
 
 
 @pytest.mark.parametrize("amount", [0.0, float("nan"), float("inf"), float("-inf")])
--- a/tests/registry/test_members.py
+++ b/tests/registry/test_members.py
@@ -3,14 +3,14 @@
 from thistleusher.registry.members import SILENT_ALONE_S, SILENT_S, Members
 
 
-def test_a_verdict_needs_more_than_one_word():
+def test_a_verdict_needs_more_than_one_report():
     members = Members()
     for node in "abcd":
         members.record_report(0.0, node, {"front": node}, "1", True, [])
     for at in (0.5, 1.0):
         for node in "abcd" if at == 0.5 else "bcd":
             members.record_report(at, node, {"front": node}, "1", True, ["a"] if node == "b" else [])
-    assert members.entries(1.0)["a"]["up"]  # one watcher's word
+    assert members.entries(1.0)["a"]["up"]  # one watcher's report
     members.record_report(1.1, "c", {"front": "c"}, "1", True, ["a"])
     assert not members.entries(1.1)["a"]["up"]  # two watchers'
     members.record_report(1.2, "a", {"front": "a"}, "1", True, [])
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""What the registry knows: the platform's list read whole or not at all, and who is up by more than one word."""
+"""The registry's state machine: what it does while it holds the singleton role, and stops doing without its lease."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 def grant(registry, now):
-    """The registry asks for the duty, and all three control processes grant it."""
+    """The registry asks for the lease, and all three control processes grant it."""
     requests = []
     while not requests:
         asked = [out.message for out in registry.tick(now) if isinstance(out, SendToControl)]
@@ -37,7 +37,7 @@
 
 
 def holding_role(now=10.0):
-    """A registry that holds the duty by three grants, with control state, and the follower `d`."""
+    """A registry that holds the role by three grants, with control state, and the subscriber `d`."""
     registry = Registry("m/1", "1", now, random.Random(1), 50.0, True)
     registry.receive_from_control(now, "1", CoreInfo(("1", "2", "3"), 1, "2"))
     registry.receive_from_control(now, "1", StateUpdate(1, 0, {"share:d": (1, 0.1)}))
@@ -51,31 +51,31 @@
 CHARGE = Charge("x", 1, "t", 1, -1)
 
 
-def told(outputs):
+def sent_types(outputs):
     return [type(out.message) for out in outputs if isinstance(out, SendToSubscriber)]
 
 
-def test_a_registry_that_was_stopped_beyond_its_lease_counts_and_echoes_nothing_before_its_next_tick():
+def test_a_registry_paused_beyond_its_lease_counts_and_echoes_nothing_before_its_next_tick():
     registry = holding_role()
-    assert told(registry.receive_from_subscriber(10.1, "d", PRESENCE)) == [HeartbeatEcho]
-    assert len(told(registry.receive_from_subscriber(10.1, "d", CHARGE))) == 1
+    assert sent_types(registry.receive_from_subscriber(10.1, "d", PRESENCE)) == [HeartbeatEcho]
+    assert len(sent_types(registry.receive_from_subscriber(10.1, "d", CHARGE))) == 1
     assert (
-        told(registry.receive_from_subscriber(12.0, "d", CHARGE))
-        == told(registry.receive_from_subscriber(12.0, "d", PRESENCE))
+        sent_types(registry.receive_from_subscriber(12.0, "d", CHARGE))
+        == sent_types(registry.receive_from_subscriber(12.0, "d", PRESENCE))
         == []
     )
     assert not registry.holds_role
 
 
-def test_a_registry_that_was_stopped_beyond_its_lease_hands_out_no_list_to_one_that_comes():
+def test_a_registry_paused_beyond_its_lease_sends_no_list_to_a_new_subscriber():
     registry = holding_role()
     registry.tick(10.05)
     registry.platform_answered(10.06, 200, page(entry(1)))
-    assert told(registry.receive_from_subscriber(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
+    assert sent_types(registry.receive_from_subscriber(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
     assert (
-        told(registry.receive_from_subscriber(12.0, "f", SubscribeRequest("f", 0))) == []
+        sent_types(registry.receive_from_subscriber(12.0, "f", SubscribeRequest("f", 0))) == []
     )  # on the clock of that very input
-    now = grant(registry, 12.5)  # the duty is held anew: those who came meanwhile are told
+    now = grant(registry, 12.5)  # the role is held anew: those who came meanwhile get the list
     assert registry.holds_role
     outputs = registry.tick(now + 0.1)
     assert {
--- a/tests/transport/test_call_server.py
+++ b/tests/transport/test_call_server.py
@@ -14,8 +14,8 @@
 NOT_READY = ServiceError(ErrorKind.STARTING)
 
 
-class Doors:
-    """A door for calls whose handler keeps what it is handed."""
+class CallServerClient:
+    """A client of a call server whose handler keeps the calls that it is given."""
 
     def __init__(self, world: World) -> None:
         self.done: list[Callable[[Any], None]] = []
@@ -31,25 +31,25 @@
 
 def test_a_handler_that_answers_twice_answers_nobody_else() -> None:
     async def scenario(world: World) -> None:
-        doors = Doors(world)
-        doors.ask()
-        doors.ask()
-        doors.done[0](NOT_READY)
+        calls = CallServerClient(world)
+        calls.ask()
+        calls.ask()
+        calls.done[0](NOT_READY)
         await asyncio.sleep(0.01)
-        doors.done[0](NOT_READY)
-        assert len(doors.client.answers()) == 1
-        doors.done[1](NOT_READY)
+        calls.done[0](NOT_READY)
+        assert len(calls.client.answers()) == 1
+        calls.done[1](NOT_READY)
 
     play(scenario)
 
 
 def test_a_last_answer_goes_out_whole_to_a_client_that_takes_it_slowly() -> None:
     async def scenario(world: World) -> None:
-        doors = Doors(world)
-        wire = doors.client.wire
-        doors.ask(b"Connection: close\r\n")
+        calls = CallServerClient(world)
+        wire = calls.client.wire
+        calls.ask(b"Connection: close\r\n")
         wire.buffered = 40
-        doors.done[0](NOT_READY)
+        calls.done[0](NOT_READY)
         for _ in range(39):
             await asyncio.sleep(0.5)
             wire.taken(1)
@@ -65,13 +65,13 @@
 
 def test_a_connection_with_unread_requests_is_not_reset_under_its_last_answer() -> None:
     async def scenario(world: World) -> None:
-        doors = Doors(world)
-        doors.ask()
-        doors.ask(b"X: read ahead\r\n")
+        calls = CallServerClient(world)
+        calls.ask()
+        calls.ask(b"X: read ahead\r\n")
         world.server.draining = True
-        doors.done[0](NOT_READY)
-        assert doors.client.wire.eof and not doors.client.wire.closing
+        calls.done[0](NOT_READY)
+        assert calls.client.wire.eof and not calls.client.wire.closing
         await asyncio.sleep(1.0)
-        assert doors.client.wire.ended
+        assert calls.client.wire.ended
 
     play(scenario)
--- a/tests/transport/test_heartbeat_ring.py
+++ b/tests/transport/test_heartbeat_ring.py
@@ -4,7 +4,7 @@
 from thistleusher.transport.heartbeat_ring import UPDATE_WAIT_S, HeartbeatRing
 
 
-def test_each_ingress_is_watched_by_a_few_that_its_place_names():
+def test_each_ingress_is_watched_by_a_few_that_its_position_determines():
     names = [f"n{k}" for k in range(9)]
     rings = {name: HeartbeatRing(name, 0.0) for name in names}
     for ring in rings.values():
@@ -19,8 +19,8 @@
     mine = (7, 9)
     assert not watcher.needs_hand_over(6.0, "n0", (0, 0), mine)  # the core may bring it itself
     assert watcher.needs_hand_over(6.01 + UPDATE_WAIT_S, "n0", (0, 0), mine)  # it did not
-    assert not watcher.needs_hand_over(6.1 + UPDATE_WAIT_S, "n0", (0, 0), mine)  # not at every beat
-    for n in range(20):  # news that come all the time: it is a beat behind, and lacks nothing
+    assert not watcher.needs_hand_over(6.1 + UPDATE_WAIT_S, "n0", (0, 0), mine)  # not at every heartbeat
+    for n in range(20):  # updates come all the time: it is one heartbeat behind, and lacks nothing
         assert not watcher.needs_hand_over(7.0 + UPDATE_WAIT_S * n / 2, "n0", (n, n), (n + 1, n + 1))
     assert not watcher.needs_hand_over(9.0, "n0", mine, mine) and not watcher.needs_hand_over(
         9.0, "nobody", (0, 0), mine
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -1,4 +1,4 @@
-"""Held connections over loopback: whom to try again, and when; what is refused."""
+"""Links over loopback: when to connect again; which messages are rejected."""
 
 import asyncio
 import struct
@@ -13,7 +13,7 @@
 from thistleusher.transport.messages import Hello, KeepAlive, Message, StateUpdateAck
 
 
-def test_a_dial_that_waits_is_tried_at_once_when_the_other_side_shows(monkeypatch):
+def test_a_link_that_waits_is_retried_at_once_when_the_other_side_shows(monkeypatch):
     monkeypatch.setattr(links, "RECONNECT_S", 60.0)
 
     async def play() -> Message:
@@ -23,16 +23,16 @@
         await listener.listen("127.0.0.1", 0)
         port = listener.server.sockets[0].getsockname()[1]
         listener.close()
-        dial = ReconnectingLink(loop, "127.0.0.1", port, lambda: Hello("x"), lambda dial, message: None)
-        while dial.opening is None or not dial.opening.done():  # refused: nobody listens there
+        link = ReconnectingLink(loop, "127.0.0.1", port, lambda: Hello("x"), lambda link, message: None)
+        while link.opening is None or not link.opening.done():  # refused: nobody listens there
             await asyncio.sleep(0)
         await listener.listen("127.0.0.1", port)
-        dial.retry_now()
+        link.retry_now()
         try:
             async with asyncio.timeout(5.0):
                 return await came
         finally:
-            dial.close()
+            link.close()
             listener.close()
 
     assert asyncio.run(play()) == Hello("x")
@@ -65,7 +65,7 @@
     ],
     ids=["no message", "too long", "wrong type", "not taken"],
 )
-def test_what_is_no_message_or_not_taken_is_refused_logged_and_ends_its_connection(monkeypatch, data):
+def test_what_is_malformed_or_not_accepted_is_logged_and_closes_its_connection(monkeypatch, data):
     said, came = [], []
     monkeypatch.setattr(links, "log_event", lambda event, *fields: said.append(event.name))
 
@@ -94,7 +94,7 @@
 
 
 def test_a_connection_that_stands_as_it_is_given_up_says_nothing_more():
-    """A poke cancels an attempt that has just come to stand: the loop closes it and tells nobody."""
+    """`retry_now` cancels an attempt that has just connected: the loop closes it and calls nobody back."""
 
     async def play() -> list[str]:
         loop = asyncio.get_running_loop()
@@ -110,10 +110,10 @@
             raise asyncio.CancelledError
 
         loop.create_connection = stands_and_is_cancelled
-        dial = ReconnectingLink(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda dial, message: None)
+        link = ReconnectingLink(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda link, message: None)
         while not links_made:
             await asyncio.sleep(0)
-        dial.close()
+        link.close()
         for _ in range(5):
             await asyncio.sleep(0)
         assert not links_made[0].open
--- a/tests/transport/test_state_updates.py
+++ b/tests/transport/test_state_updates.py
@@ -1,4 +1,4 @@
-"""Numbered news: gaps, whole states, and numbers that never fall."""
+"""Numbered state updates: gaps, complete states, and numbers that never fall."""
 
 import random
 
@@ -7,66 +7,66 @@
 
 
 def test_a_follower_gets_what_changed_and_acknowledges_it():
-    publisher, follower = Publisher(State()), Subscriber()
+    publisher, subscriber = Publisher(State()), Subscriber()
     publisher.state.apply(1, {"a": 1})
     ((name, message),) = publisher.subscribe("f", 0)
-    changed, reply = follower.apply(message)
+    changed, reply = subscriber.apply(message)
     assert (changed, reply) == ({"a": 1}, StateUpdateAck(1))
     publisher.acknowledge(name, 1)
     publisher.state.apply(2, {"b": 2, "a": None})
     ((_, message),) = publisher.updates_due()
-    assert follower.apply(message)[0] == {"a": None, "b": 2}
+    assert subscriber.apply(message)[0] == {"a": None, "b": 2}
     assert publisher.acknowledged_count() == (0, 1)
     publisher.acknowledge("f", 2)
     assert publisher.acknowledged_count() == (1, 1) and publisher.updates_due() == []
 
 
 def test_a_gap_is_answered_by_the_whole():
-    publisher, follower = Publisher(State()), Subscriber("f")
+    publisher, subscriber = Publisher(State()), Subscriber("f")
     for number in range(1, 4):
         publisher.state.apply(number, {f"k{number}": number})
     late = publisher.state.update_since(2)
-    changed, reply = follower.apply(late)
+    changed, reply = subscriber.apply(late)
     assert changed is None and reply == SubscribeRequest("f", 0)
     ((_, message),) = publisher.subscribe("f", reply.number)
-    assert follower.apply(message)[0] == {"k1": 1, "k2": 2, "k3": 3}
+    assert subscriber.apply(message)[0] == {"k1": 1, "k2": 2, "k3": 3}
 
 
 def test_an_older_publisher_changes_nothing():
-    follower = Subscriber("f", State(9, {"a": (9, "new")}))
+    subscriber = Subscriber("f", State(9, {"a": (9, "new")}))
     old = Publisher(State(5, {"a": (5, "old")}))
     for _, message in old.subscribe("f", 9):
-        assert follower.apply(message)[0] is None
-    assert follower.state.value("a") == "new" and follower.state.number == 9
+        assert subscriber.apply(message)[0] is None
+    assert subscriber.state.value("a") == "new" and subscriber.state.number == 9
 
 
 def test_what_is_missing_from_a_whole_state_is_gone():
-    follower = Subscriber("f", State(3, {"a": (1, 1), "b": (3, 2)}))
+    subscriber = Subscriber("f", State(3, {"a": (1, 1), "b": (3, 2)}))
     whole = State(8, {"b": (3, 2)}, floor=8).update_since(3)
     assert whole.previous is None
-    assert follower.apply(whole)[0] == {"a": None}
-    assert follower.state.values("") == {"b": 2}
+    assert subscriber.apply(whole)[0] == {"a": None}
+    assert subscriber.state.values("") == {"b": 2}
 
 
 def test_followers_agree_with_the_publisher_whatever_is_lost():
     rng = random.Random(5)
     for _ in range(200):
-        publisher, follower = Publisher(State()), Subscriber()
+        publisher, subscriber = Publisher(State()), Subscriber()
         publisher.subscribe("f", 0)
         for number in range(1, 40):
             publisher.state.apply(number, {rng.choice("abcde"): rng.choice([None, rng.random()])})
             for _, message in publisher.updates_due():
                 if rng.random() < 0.4:
                     continue  # lost with the connection
-                before = follower.state.number
-                _, reply = follower.apply(message)
-                assert follower.state.number >= before
+                before = subscriber.state.number
+                _, reply = subscriber.apply(message)
+                assert subscriber.state.number >= before
                 if isinstance(reply, SubscribeRequest):
                     for _, again in publisher.subscribe("f", reply.number):
-                        follower.apply(again)
+                        subscriber.apply(again)
             if rng.random() < 0.3:
-                for _, again in publisher.subscribe("f", follower.state.number):
-                    follower.apply(again)
-        for _, again in publisher.subscribe("f", follower.state.number):
-            follower.apply(again)
-        assert follower.state.values("") == publisher.state.values("")
+                for _, again in publisher.subscribe("f", subscriber.state.number):
+                    subscriber.apply(again)
+        for _, again in publisher.subscribe("f", subscriber.state.number):
+            subscriber.apply(again)
+        assert subscriber.state.values("") == publisher.state.values("")
--- a/thistleusher/common/config_items.py
+++ b/thistleusher/common/config_items.py
@@ -46,7 +46,7 @@
 
 
 class Identity(NamedTuple):
-    """What tells one configuration from another."""
+    """What distinguishes one configuration from another."""
 
     number: int
     digest: str
@@ -109,7 +109,7 @@
     return Identity(header["v"], header["digest"])
 
 
-def is_kept_document(state: State, document: bytes) -> bool:
+def is_stored_document(state: State, document: bytes) -> bool:
     """Return whether a state has these very bytes, in the form of release 0.1, which checked less."""
     header = state.value(HEADER)
     return header is not None and COMPRESSED in header and assemble(state) == document
@@ -120,7 +120,7 @@
     if identity == identity_of(state):
         return True
     remembered = (state.value(f"{ACCEPTED}{slot}") for slot in range(REMEMBERED_DIGESTS))
-    return list(identity) in (list(kept) for kept in remembered if kept is not None)
+    return list(identity) in (list(pair) for pair in remembered if pair is not None)
 
 
 def changes(state: State, number: int, document: bytes) -> dict[str, Any]:
--- a/thistleusher/common/node_settings.py
+++ b/thistleusher/common/node_settings.py
@@ -1,7 +1,7 @@
 """The settings of a process (`boot.conf`): the record, the lines `a.b=value` that make it, and what is valid.
 
 Unknown fields are ignored, as the users' page asks. Every fault is reported at once, one line each.
-`thistleusher.common.settings_reader` reads a whole file.
+`thistleusher.common.settings_reader` reads a complete file.
 """
 
 from __future__ import annotations
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -32,7 +32,7 @@
     difference,
     digest_of,
     identity_of,
-    is_kept_document,
+    is_stored_document,
     number_of,
     split_document,
     was_accepted,
@@ -72,7 +72,7 @@
 
     `state`: the state in force; what was taken into it is not checked again. Cost: one step a field.
     """
-    held = identity_of(state) if state is not None and is_kept_document(state, document) else None
+    held = identity_of(state) if state is not None and is_stored_document(state, document) else None
     if held is not None:
         return ParsedOrder(held, None)
     read = checks().read_json(document)
--- a/thistleusher/registry/quota_counter.py
+++ b/thistleusher/registry/quota_counter.py
@@ -73,7 +73,7 @@
 
 
 class QuotaCounter:
-    """All counts; kept by whoever holds the singleton role, and begun anew with it."""
+    """All counts of one holder of the singleton role; the next holder begins with new ones."""
 
     def __init__(self, now: float) -> None:
         self.started_at = now
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -324,15 +324,15 @@
         if result is not None:
             self._send_to_subscriber(name, result)
 
-    def _receive_heartbeat(self, now: float, name: str, beat: ProxyHeartbeat | ProxyStatusReport) -> None:
-        if isinstance(beat, ProxyStatusReport):
-            silent = list(beat.silent_peers)
-            self.members.record_report(now, name, beat.attributes, beat.incarnation, beat.ready, silent)
+    def _receive_heartbeat(self, now: float, name: str, heartbeat: ProxyHeartbeat | ProxyStatusReport) -> None:
+        if isinstance(heartbeat, ProxyStatusReport):
+            silent = list(heartbeat.silent_peers)
+            self.members.record_report(now, name, heartbeat.attributes, heartbeat.incarnation, heartbeat.ready, silent)
         else:
-            self.members.record_heartbeat(now, name, beat.incarnation)
+            self.members.record_heartbeat(now, name, heartbeat.incarnation)
         if self.counter is None:
             return
-        echoed = beat.echo[1] if beat.echo is not None and beat.echo[0] == self.name else None
-        if self.counter.record_heartbeat(now, name, beat.incarnation, echoed):
+        echoed = heartbeat.echo[1] if heartbeat.echo is not None and heartbeat.echo[0] == self.name else None
+        if self.counter.record_heartbeat(now, name, heartbeat.incarnation, echoed):
             share = self.counter.ingresses[name].share
-            self._send_to_subscriber(name, HeartbeatEcho(self.name, beat.sent, now, share))
+            self._send_to_subscriber(name, HeartbeatEcho(self.name, heartbeat.sent, now, share))
