--- a/tests/common/test_configuration.py
+++ b/tests/common/test_configuration.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    "change, expected",
     [
         (lambda t: t["routes"]["r2"].update(target="nobody"), "unknown service 'nobody'"),
         (lambda t: t["routes"]["r2"].update(path_prefix="/x/"), "the same host and prefix as routes.r1"),
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, told",
+    "old, new, expected",
     [
         ('"rank": 2', '"rank": 2, "rank": 2', "stands twice"),
         ('"a_field_of_later": 1', '"a_field_of_later": {"x": 1, "x": 2}', "stands twice"),
--- a/tests/common/test_node_settings.py
+++ b/tests/common/test_node_settings.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, told",
+    "old, new, expected",
     [
         ("zone=z-1.a\n", "", "zone"),
         ("port_range=7560,7575", "port_range=7560", "port_range"),
