--- a/tests/proxy/test_decisions.py
+++ b/tests/proxy/test_decisions.py
@@ -7,7 +7,7 @@
 from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, VERDICT_WAIT_S
-from thistleusher.common.record_reader import record
+from thistleusher.common.record_reader import read_record
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
 from thistleusher.proxy.decisions import Decisions
@@ -16,7 +16,7 @@
 from thistleusher.proxy.requests import ChargeAnswered, ChargeTenant, RequestContext
 from thistleusher.proxy.routing import allowed_regions
 
-CONFIG = record(
+CONFIG = read_record(
     Configuration,
     {
         "version": "00000001",
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.system.test_registry import PRESENCE, holding_role
+from tests.registry.test_registry import PRESENCE, holding_role
 from thistleusher.common.node_settings import Bounds
 from thistleusher.proxy import program as proxy_program
 from thistleusher.proxy.cluster_view import ClusterView
@@ -28,7 +28,7 @@
 class RecordedLink:
     """A connection that records what is sent on it."""
 
-    name, peer, host = "d", "ip-d", "c"
+    name, peer_address, host = "d", "ip-d", "c"
 
     def __init__(self):
         self.messages = []
@@ -39,21 +39,21 @@
 
 def test_a_registry_that_stood_still_answers_by_the_present_clock(monkeypatch):
     program, link = RegistryProgram.__new__(RegistryProgram), RecordedLink()
-    program.loop, program.registry, program.followers = StoppedLoop(), holding_role(), {"d": link}
+    program.loop, program.registry, program.subscribers = StoppedLoop(), holding_role(), {"d": link}
     clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
     monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
-    program._from_follower(link, PRESENCE)
+    program._from_subscriber(link, PRESENCE)
     assert [type(message) for message in link.messages] == [HeartbeatEcho]
-    program._from_follower(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
-    program._from_follower(link, PRESENCE)
+    program._from_subscriber(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
+    program._from_subscriber(link, PRESENCE)
     assert len(link.messages) == 1 and not program.registry.holds_role
 
 
 def test_a_message_on_a_replaced_connection_is_ignored():
     program, old, new = RegistryProgram.__new__(RegistryProgram), RecordedLink(), RecordedLink()
-    program.registry, program.followers = holding_role(), {"d": new}
-    program._from_follower(old, PRESENCE)
-    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].incarnation == ""
+    program.registry, program.subscribers = holding_role(), {"d": new}
+    program._from_subscriber(old, PRESENCE)
+    assert old.messages == new.messages == [] and program.registry.counter.ingresses["d"].incarnation == ""
 
 
 def test_a_proxy_that_stood_still_handles_messages_by_the_present_clock(monkeypatch):
--- a/tests/proxy/test_quota.py
+++ b/tests/proxy/test_quota.py
@@ -14,7 +14,7 @@
     VERDICT_WAIT_S,
 )
 from thistleusher.proxy.quota import Echo, LocalQuota, RateLimit
-from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.quota_counter import QuotaCounter
 
 RATE = BURST = 100.0
 SLACK = 20.0
@@ -61,12 +61,12 @@
     def replace_counter(self):
         self.term += 1
         self.counter = QuotaCounter(self.clock.now)
-        self.counter.follow({"t": (RATE, BURST)}, self.shares)
+        self.counter.configure({"t": (RATE, BURST)}, self.shares)
 
     def persist_shares(self):
         if self.counter is not None:
-            self.shares.update(self.counter.wanted(self.clock.now))
-            self.counter.follow({"t": (RATE, BURST)}, self.shares)
+            self.shares.update(self.counter.missing_shares(self.clock.now))
+            self.counter.configure({"t": (RATE, BURST)}, self.shares)
         self.clock.later(0.1, self.persist_shares)
 
     def deliver(self, sender, receiver, receive):
@@ -86,7 +86,7 @@
         if counter is None:
             return
         own_echo = echo[1] if echo is not None and echo[0] == str(self.term) else None
-        counter.here(self.clock.now, ingress.name, ingress.incarnation, own_echo)
+        counter.record_heartbeat(self.clock.now, ingress.name, ingress.incarnation, own_echo)
         share, new_echo = counter.ingresses[ingress.name].share, Echo(str(self.term), self.clock.now)
         self.deliver("c", ingress.name, lambda: ingress.quota.record_echo(self.clock.now, new_echo, sent_at, share))
 
@@ -100,7 +100,7 @@
     def charge(self, request):
         if self.counter is not None:
             name = request.ingress.name
-            answer = self.counter.add(self.clock.now, name, "t", 1)
+            answer = self.counter.charge(self.clock.now, name, "t", 1)
             self.deliver("c", name, lambda: self.decide(request, *answer))
 
     def decide(self, request, verdict, left, window):
@@ -128,7 +128,7 @@
 
     def refund(self, window):
         if self.counter is not None:
-            self.counter.give_back(self.clock.now, "t", 1, window)
+            self.counter.refund(self.clock.now, "t", 1, window)
 
     def restart(self, name):
         self.ingresses[name] = Ingress(name, self.clock.now)
@@ -217,32 +217,32 @@
 
 def test_a_late_refund_adds_nothing_to_the_next_window():
     counts = QuotaCounter(0.0)
-    counts.follow({"t": (10.0, 10.0)}, {"i": 0.1})
-    counts.here(0.1, "i", "x", 0.1)
-    assert counts.add(0.5, "i", "t", 1)[0] == DECIDE_LOCALLY  # no window has begun yet
-    counts.here(0.9, "i", "x", 0.9)
-    counts.ingresses["i"].since = 0.1
-    number = counts.add(1.0, "i", "t", 1)[2]
+    counts.configure({"t": (10.0, 10.0)}, {"i": 0.1})
+    counts.record_heartbeat(0.1, "i", "x", 0.1)
+    assert counts.charge(0.5, "i", "t", 1)[0] == DECIDE_LOCALLY  # no window has begun yet
+    counts.record_heartbeat(0.9, "i", "x", 0.9)
+    counts.ingresses["i"].in_contact_since = 0.1
+    number = counts.charge(1.0, "i", "t", 1)[2]
     for _ in range(20):
-        counts.here(1.0, "i", "x", 1.0)
-        counts.add(1.0, "i", "t", 1)
-    counts.here(2.0, "i", "x", 2.0)
-    counts.ingresses["i"].since = 0.1
+        counts.record_heartbeat(1.0, "i", "x", 1.0)
+        counts.charge(1.0, "i", "t", 1)
+    counts.record_heartbeat(2.0, "i", "x", 2.0)
+    counts.ingresses["i"].in_contact_since = 0.1
     verdicts = []
     for _ in range(10):
-        counts.give_back(2.1, "t", 1, number)
-        verdicts.append(counts.add(2.1, "i", "t", 1)[0])
+        counts.refund(2.1, "t", 1, number)
+        verdicts.append(counts.charge(2.1, "i", "t", 1)[0])
     assert verdicts.count(0) == 6  # COUNTED_PART of ten, whatever was refunded from the window before
 
 
 def test_a_share_is_deducted_from_the_count_before_it_may_be_spent_locally():
     assert SHARE_DEDUCTED_S + 0.25 <= LOCAL_QUOTA_FROM_S
     counts = QuotaCounter(0.0)
-    counts.follow({"t": (10.0, 10.0)}, {"i": 0.3, "j": 0.3})
+    counts.configure({"t": (10.0, 10.0)}, {"i": 0.3, "j": 0.3})
     for name in "ij":
-        counts.here(1.0, name, "x", 1.0)
-    assert counts.part(1.1, 1.05) == 1.0
-    counts.here(1.6, "j", "x", 1.6)
+        counts.record_heartbeat(1.0, name, "x", 1.0)
+    assert counts.countable_part(1.1, 1.05) == 1.0
+    counts.record_heartbeat(1.6, "j", "x", 1.6)
     # j was out of touch for a while, and counts anew.
-    assert counts.part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(0.4)
-    assert counts.part(1.7, 1.65) == pytest.approx(0.7)
+    assert counts.countable_part(1.0 + SHARE_DEDUCTED_S, 1.05) == pytest.approx(0.4)
+    assert counts.countable_part(1.7, 1.65) == pytest.approx(0.7)
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -240,7 +240,7 @@
         Silence alone ends no attempt: its answer may still come, and nothing better can be had elsewhere.
         """
         request = self.requests.get(attempt.request)
-        if request is None or not request.match.route.repeatable:
+        if request is None or not request.match.route.idempotent:
             return
         if request.backend != attempt.backend.entry.backend:
             return
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -101,7 +101,7 @@
         It is not sent if by then its client has gone, its time is up, or its backend may not be sent to any more.
         """
         call: ClientRequest = held.context
-        repeatable = call.context.match.route.repeatable
+        repeatable = call.context.match.route.idempotent
 
         def message() -> bytes:
             return call.message(max(MIN_LEFT_S, held.deadline - self.driver.scheduler.time()), backend)
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -17,7 +17,7 @@
 from thistleusher.common.events import Event, log_event
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import SettingsFile, new_incarnation, serve
-from thistleusher.common.process_start import BORN
+from thistleusher.common.process_start import PROCESS_STARTED_AT
 from thistleusher.net.backend_connection import UpstreamOptions
 from thistleusher.net.connection_pool import Endpoint
 from thistleusher.net.request_buffer import ClientLimits
@@ -73,10 +73,12 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        boot = self.boot = settings.boot
+        boot = self.boot = settings.node_settings
         loop = self.loop = asyncio.get_running_loop()
         now = time.monotonic()
-        self.decisions = Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, BORN)
+        self.decisions = Decisions(
+            boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, PROCESS_STARTED_AT
+        )
         free = boot.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
         connections = max(MIN_CONNECTIONS, free // 2)
         terms = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
@@ -152,7 +154,7 @@
         self.upstream.close()
 
     def _settings_changed(self) -> None:
-        self.boot = self.settings.boot
+        self.boot = self.settings.node_settings
         self._connect_to_core(self.boot.core_ips)
 
     def tick(self) -> None:
--- a/thistleusher/proxy/retries.py
+++ b/thistleusher/proxy/retries.py
@@ -47,7 +47,7 @@
     def allowed(self, now: float, request: RequestState) -> bool:
         """Return whether one more attempt is allowed. One after attempts that never arrived needs no budget."""
         route = request.match.route
-        if request.may_have_run and not route.repeatable:
+        if request.may_have_run and not route.idempotent:
             return False
         if request.attempts >= MAX_ATTEMPTS or now >= request.deadline:
             return False
--- a/thistleusher/proxy/routing.py
+++ b/thistleusher/proxy/routing.py
@@ -16,7 +16,7 @@
     route = match.route
     return ClassSettings(
         match.name,
-        Effect.SAFE if route.repeatable else Effect.UNSAFE,
+        Effect.SAFE if route.idempotent else Effect.UNSAFE,
         max(MIN_OBJECTIVE_S, route.target_ms / 1000),
         route.deadline_ms / 1000,
     )
