--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -28,7 +28,7 @@
     "control/test_orders.py",
     "control/test_leases.py",
     "transport/test_state_updates.py",
-    "system/test_search.py",
+    "simnet/test_search.py",
     "control/test_service.py",
     "control/test_copies.py",
     "control/test_guards.py",
--- a/simnet/__main__.py
+++ b/simnet/__main__.py
@@ -10,9 +10,9 @@
 from simnet.core import days as core_days
 from simnet.errors import RuleViolationError
 from simnet.search.search import BEGINNINGS, search
-from simnet.system import world as system_world
+from simnet.system import days as system_days
 
-WORLDS = {"core": core_days, "system": system_world}
+WORLDS = {"core": core_days, "system": system_days}
 
 
 def main() -> int:
--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -1,77 +1,121 @@
-"""Simulated backends, and a proxy's attempts to have one work on a request."""
+"""Simulated backends, and a proxy's attempts to have one of them work on a request."""
 
 from __future__ import annotations
 
+import random
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from simnet.system.topology import PLACES, way
+from simnet.clock import Clock
+from simnet.system.process import Process, ProcessScheduler
+from simnet.system.topology import BACKEND_ZONES, MACHINES, one_way_delay
 from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Ended
 
-if TYPE_CHECKING:
-    from simnet.system.processes import ProxyProcess
+REFUSED_SHARE = 0.01  # of connections that a backend refuses
+FULL_SHARE = 0.01  # of requests that find its queue full
+LOST_SHARE = 0.3  # of answers, while a backend loses them
+WORK_S, WORK_SPREAD_S = 0.05, 0.15  # for a request: at least, and by how much it varies
 
 
 class Backend:
-    """One life of a backend."""
+    """One backend."""
 
     def __init__(self, name: str, zone: str) -> None:
-        self.name, self.zone = name, zone
-        self.listed_draining: float | None = None  # since when the platform's list shows it
-        self.drains = self.dead = False
+        self.name = name
+        self.zone = zone
+        self.draining_since: float | None = None  # when the platform's list first shows it as draining
+        self.crashed = False
         self.loses_answers = False
 
 
+class Observer(Protocol):
+    """Whoever is to know which requests arrive where."""
+
+    def request_arrived(self, name: str, route: str, tenant: str, backend: Backend) -> None:
+        """A backend begins to work on a request."""
+
+
+class Backends:
+    """All backends of the one service."""
+
+    def __init__(self, clock: Clock, rng: random.Random, scheduler: ProcessScheduler, observer: Observer) -> None:
+        self.by_name = {f"i{n}": Backend(f"i{n}", zone) for n, zone in enumerate(BACKEND_ZONES)}
+        self.observer = observer
+        self.clock = clock
+        self.rng = rng
+        self.scheduler = scheduler
+
+
 class Attempt:
-    """One attempt: a connection, the request, an answer; each may fail."""
+    """One attempt: a connection, the request, an answer; each may fail.
+
+    `serves`: whether the proxy has the backend on its list.
+    """
 
     def __init__(
-        self, proxy: ProxyProcess, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]
+        self,
+        backends: Backends,
+        proxy: Process,
+        request: InFlightRequest,
+        backend: str,
+        serves: Callable[[str], bool],
+        on_end: Callable[[Ended], None],
     ) -> None:
-        self.proxy, self.held, self.backend, self.on_end = proxy, held, backend, on_end
-        self.written = self.over = False
-        self.life = proxy.life
-
-    def end(self, outcome: Outcome) -> None:
-        if not self.over and self.proxy.life == self.life:
-            self.over = True
-            self.proxy.world.when_running(self.proxy, lambda: self.on_end(Ended(outcome)))
+        self.written = False
+        self._backends = backends
+        self._proxy = proxy
+        self._incarnation = proxy.incarnation
+        self._request = request
+        self._backend = backends.by_name[backend]
+        self._serves = serves
+        self._on_end = on_end
+        self._ended = False
 
     def start(self, timeout: float) -> None:
-        world = self.proxy.world
-        backend = world.backends[self.backend]
-        delay = way(PLACES[self.proxy.machine][0], backend.zone)
-        if self.backend not in self.proxy.serving:
-            world.clock.later(0.0, lambda: self.end(Outcome.MOOT))
-        elif backend.dead or world.rng.random() < 0.01:
-            world.clock.later(2 * delay, lambda: self.end(Outcome.CONNECT_FAILED))
+        """Send the request, to be answered within some seconds."""
+        clock, backend = self._backends.clock, self._backend
+        delay = one_way_delay(MACHINES[self._proxy.machine].zone, backend.zone)
+        if not self._serves(backend.name):
+            self._end_later(0.0, Outcome.MOOT)
+        elif backend.crashed or self._backends.rng.random() < REFUSED_SHARE:
+            self._end_later(2 * delay, Outcome.CONNECT_FAILED)
         else:
             self.written = True
-            world.clock.later(delay, lambda: self.arrive(backend, delay))
-        world.clock.later(timeout, lambda: self.end(Outcome.TIMEOUT))
+            clock.later(delay, lambda: self._arrive(delay))
+        self._end_later(timeout, Outcome.TIMEOUT)
 
-    def arrive(self, backend: Backend, delay: float) -> None:
-        world = self.proxy.world
-        if backend.dead:
-            world.clock.later(delay, lambda: self.end(Outcome.RESET))
+    def _arrive(self, delay: float) -> None:
+        backend, rng = self._backend, self._backends.rng
+        if backend.crashed:
+            self._end_later(delay, Outcome.RESET)
             return
-        if world.rng.random() < 0.01:  # its queue is full: turned away, with proof
-            world.clock.later(delay, lambda: self.end(Outcome.FULL))
+        if rng.random() < FULL_SHARE:  # rejected, with proof that it never ran
+            self._end_later(delay, Outcome.FULL)
             return
-        route, tenant = self.held.context
-        world.arrived(self.proxy, self.held.request.id, route, tenant, backend)
-        took = 0.05 + 0.15 * world.rng.random()
+        route, tenant = self._request.context
+        self._backends.observer.request_arrived(self._request.request.id, route, tenant, backend)
+        duration = WORK_S + WORK_SPREAD_S * rng.random()
 
-        def done() -> None:
-            broken = backend.dead or (backend.loses_answers and world.rng.random() < 0.3)
-            world.clock.later(delay, lambda: self.end(Outcome.RESET if broken else Outcome.OK))
+        def complete() -> None:
+            broken = backend.crashed or (backend.loses_answers and rng.random() < LOST_SHARE)
+            self._end_later(delay, Outcome.RESET if broken else Outcome.OK)
 
-        world.clock.later(took, done)
+        self._backends.clock.later(duration, complete)
 
     def expire(self) -> None:
-        self.end(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
+        """End the attempt, as its time is up."""
+        self._end(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        self.end(Outcome.CANCELLED if self.written else Outcome.MOOT)
+        """End the attempt, as nobody waits for it."""
+        self._end(Outcome.CANCELLED if self.written else Outcome.MOOT)
+
+    def _end_later(self, delay_s: float, outcome: Outcome) -> None:
+        self._backends.clock.later(delay_s, lambda: self._end(outcome))
+
+    def _end(self, outcome: Outcome) -> None:
+        if not self._ended and self._proxy.incarnation == self._incarnation:
+            self._ended = True
+            self._backends.scheduler.run(self._proxy, lambda: self._on_end(Ended(outcome)))
--- /dev/null
+++ b/simnet/system/control_process.py
@@ -0,0 +1,99 @@
+"""A control process of the simulated system: the service that ships, with a simulated disk."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from simnet.disk import Disk
+from simnet.system.environment import Environment
+from simnet.system.process import Process
+from simnet.system.topology import CORES, MACHINES, TOLERANCE
+from thistleusher.control.interface import Answer, Change, Send, SendToClient, ServiceOutput, Write
+from thistleusher.control.leases import LeaseGrantor
+from thistleusher.control.node import ControlNode
+from thistleusher.control.service import ControlService
+from thistleusher.transport.messages import AnyMessage, Hello
+
+
+class ControlProcess(Process):
+    """One control process; its disk outlives its incarnations."""
+
+    service: ControlService
+
+    def __init__(self, environment: Environment, machine: str) -> None:
+        super().__init__("control", machine)
+        self.disk = Disk(environment.rng)
+        self._environment = environment
+        self._pending_calls: dict[int, Callable[[Any], None]] = {}
+
+    def _now(self) -> float:
+        return self._environment.steady_time(self.machine)
+
+    def begin(self) -> None:
+        """Begin a new incarnation with what is on the disk; the first one founds the core."""
+        stored = self.disk.stored()
+        now = self._now()
+        rng = random.Random(self._environment.rng.random())
+        zone, bootstrap = MACHINES[self.machine].zone, self.incarnation == 1
+        node = ControlNode(self.machine, zone, sorted(CORES), bootstrap, stored, now, rng, TOLERANCE)
+        self.service = ControlService(node, LeaseGrantor(now, stored.leases))
+        self._pending_calls = {}
+
+    def end(self, power_lost: bool, disk_lost: bool) -> None:
+        """End with the process or its machine's power, and lose the disk too if so."""
+        if power_lost:
+            self.disk.lose_process()
+        while self.disk.pending:
+            self.disk.end()
+        if disk_lost:
+            self.disk.wipe()
+
+    def tick(self) -> None:
+        """Let the service see that time has passed."""
+        self._execute(self.service.tick(self._now()))
+
+    def connected(self, listener: str) -> None:
+        """Tell the service that a connection to another machine of the core stands."""
+        self._execute(self.service.connected(self._now(), listener.partition("@")[2]))
+
+    def receive(self, client: str, message: AnyMessage) -> None:
+        """Take a message of another control process, a registry or a proxy."""
+        if not isinstance(message, Hello):
+            self._execute(self.service.receive(self._now(), client, message))
+
+    def disconnected(self, client: str) -> None:
+        """Tell the service that a client's connection has ended."""
+        self.service.disconnected(client)
+
+    def call(self, make: Callable[[int], Change], on_answer: Callable[[Any], None]) -> None:
+        """Submit an operator's change; `on_answer` gets its answer, if any comes."""
+        number, outputs = self.service.submit(self._now(), make)
+        self._pending_calls[number] = on_answer
+        self._execute(outputs)
+
+    def _execute(self, outputs: Sequence[ServiceOutput]) -> None:
+        network = self._environment.network
+        for out in outputs:
+            if isinstance(out, Send):
+                network.send(self, f"control@{out.to}", out.message)
+            elif isinstance(out, SendToClient):
+                network.reply(self, out.name, out.message)
+            elif isinstance(out, Write):
+                self._write(out)
+            elif isinstance(out, Answer) and out.call_id in self._pending_calls:
+                self._pending_calls.pop(out.call_id)(out.answer)
+
+    def _write(self, write: Write) -> None:
+        clock, incarnation = self._environment.clock, self.incarnation
+
+        def end() -> None:
+            if self.incarnation == incarnation and self.running:
+                ok = self.disk.end()
+                self._environment.scheduler.run(self, lambda: self._write_completed(write.token, ok))
+
+        clock.at(self.disk.begin(clock.now, write.records), end)
+
+    def _write_completed(self, token: int, ok: bool) -> None:
+        self._execute(self.service.write_completed(self._now(), token, ok))
--- /dev/null
+++ b/simnet/system/days.py
@@ -0,0 +1,125 @@
+"""Drawn days of the simulated system: faults and planned work at times that a seed draws, then calm and a verdict."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+from functools import partial
+from typing import NamedTuple
+
+from simnet.errors import RuleViolationError
+from simnet.system.clients import CALM_LIMITED_SHARE
+from simnet.system.faults import Fault, FaultInjector, FaultKind
+from simnet.system.rules import CONTACT_S
+from simnet.system.world import World
+
+FIRST_CONFIGURATION_S = 2.0
+FIRST_CHECK_S = 3.0
+FIRST_FAULT_S = 5.0
+SHORTEST_DAY_S = 6.0
+CALM_S = 5.0  # after the last fault and `CONTACT_S`, before requests are counted
+COUNTED_S = 4.0  # for which requests are counted
+FEWEST_ANSWERS = 100  # in that time
+LEAST_SERVED = 0.9  # the share of answers
+AFTER_WIPE_S = 6.0  # without another fault
+KINDS: tuple[FaultKind, ...] = tuple(FaultKind)
+
+
+class PlannedWork(NamedTuple):
+    """What the operator does at a time: 'put', 'drain', 'begin ZONE' or 'end ZONE'."""
+
+    at: float
+    what: str
+
+
+class Day(NamedTuple):
+    """What a seed draws."""
+
+    faults: list[Fault]
+    planned: list[PlannedWork]
+
+
+def draw(seed: int) -> Day:
+    """Draw a seed's day. A disk is lost only when no other machine of the core has a fault."""
+    rng = random.Random(seed * 7907 + 3)
+    at = FIRST_FAULT_S
+    faults: list[Fault] = []
+    for _ in range(rng.randint(1, 4)):
+        at += rng.choice((0.1, 1.0, 3.0)) * (0.5 + rng.random())
+        kind = rng.choice(KINDS)
+        wipe_before = bool(faults) and faults[-1].kind is FaultKind.CORE_WIPE
+        if kind is FaultKind.CORE_WIPE or wipe_before:
+            at = max([at, *(fault.at + fault.duration_s + AFTER_WIPE_S for fault in faults)])
+        faults.append(Fault(at, kind, rng.choice((0.4, 1.2, 3.0)) * (0.5 + rng.random())))
+    planned: list[PlannedWork] = []
+    for _ in range(rng.randint(1, 5)):
+        when = 5.0 + rng.random() * (at - 2.0)
+        planned.append(PlannedWork(when, rng.choice(("put", "put", "drain", "begin a1", "end a1"))))
+    return Day(faults, sorted(planned))
+
+
+def play(world: World, day: Day) -> None:
+    """Play a day: founding, a configuration, traffic with faults and planned work, calm, a verdict."""
+    world.clock.at(FIRST_CONFIGURATION_S, partial(world.operator.put_configuration, 1))
+    world.clock.at(FIRST_CHECK_S, world.check_overdue)
+    injector = FaultInjector(world)
+    for at, kind, duration_s in day.faults:
+        world.clock.at(at, partial(injector.inject, kind, duration_s))
+    _schedule(world, day.planned)
+    ends = [fault.at + fault.duration_s for fault in day.faults]
+    times = [work.at for work in day.planned]
+    calm_from = max([SHORTEST_DAY_S, *ends, *times]) + CONTACT_S + CALM_S
+    world.clock.run(calm_from)
+    world.clients.limited_share = CALM_LIMITED_SHARE
+    world.rules.reset_counts()
+    world.clock.run(calm_from + COUNTED_S)
+    _check_recovery(world)
+
+
+def _schedule(world: World, planned: Sequence[PlannedWork]) -> None:
+    version = 1
+    for at, what in planned:
+        action, _, zone = what.partition(" ")
+        if action == "put":
+            version += 1
+            world.clock.at(at, partial(world.operator.put_configuration, version))
+        elif action == "drain":
+            world.clock.at(at, world.drain_backend)
+        else:
+            world.clock.at(at, partial(world.operator.evacuate, zone, action == "begin"))
+
+
+def _check_recovery(world: World) -> None:
+    served, answered = world.rules.served_count, world.rules.answered_count
+    if answered < FEWEST_ANSWERS or served < LEAST_SERVED * answered:
+        raise RuleViolationError(f"calm does not bring service back: {served} of {answered} served")
+    if world.rules.acknowledged.version < 1:
+        raise RuleViolationError("no configuration was ever acknowledged")
+
+
+def run(seed: int, faults: Sequence[Fault] | None = None) -> World:
+    """Play a seed's day, with its own faults or fewer. RuleViolationError says which rule is broken."""
+    day = draw(seed)
+    if faults is not None:
+        day = day._replace(faults=list(faults))
+    world = World(seed)
+    try:
+        play(world, day)
+    except RuleViolationError as violation:
+        violation.add_note("\n".join([*world.log, f"at {world.clock.now:.3f}"]))
+        raise
+    return world
+
+
+def shrink(seed: int) -> list[Fault]:
+    """Return the fewest of a seed's faults that still break a rule, each tried without."""
+    faults = draw(seed).faults
+    at = 0
+    while at < len(faults):
+        fewer = faults[:at] + faults[at + 1 :]
+        try:
+            run(seed, fewer)
+            at += 1
+        except RuleViolationError:
+            faults = fewer
+    return faults
--- /dev/null
+++ b/simnet/system/platform.py
@@ -0,0 +1,57 @@
+"""The simulated platform: the list of backends, over HTTP, in pages."""
+
+from __future__ import annotations
+
+import json
+import random
+from typing import Any
+
+from simnet.clock import Clock
+from simnet.system.backends import Backend, Backends
+from simnet.system.topology import SERVICE
+
+LIST_LAG_S = 0.8  # from a change until the list shows it
+PAGE_ROWS = 3
+CAPACITY = 6
+BAD_SHARE = 0.03  # of answers that are of no use
+BAD_ANSWERS = ((429, b""), (200, b'{"instances": ['), (500, b""))
+NO_ANSWER = (0, b"")
+
+
+class Platform:
+    """Answers calls for the list of backends."""
+
+    def __init__(self, clock: Clock, rng: random.Random, backends: Backends) -> None:
+        self.down_until = 0.0
+        self._clock = clock
+        self._rng = rng
+        self._backends = backends
+
+    def is_up(self) -> bool:
+        """Return whether calls are answered."""
+        return self._clock.now >= self.down_until
+
+    def respond(self, target: str) -> tuple[int, bytes]:
+        """Return status and body for a path with its query; status 0 while the platform is down.
+
+        Now and then there were too many calls, or the bytes are no list.
+        """
+        if not self.is_up():
+            return NO_ANSWER
+        if self._rng.random() < BAD_SHARE:
+            return self._rng.choice(BAD_ANSWERS)
+        rows = [self._row(number, backend) for number, backend in enumerate(self._backends.by_name.values(), 1)]
+        is_last = "page_token" in target
+        page = {"instances": rows[PAGE_ROWS:] if is_last else rows[:PAGE_ROWS], "next_token": None if is_last else "2"}
+        return 200, json.dumps(page).encode()
+
+    def _row(self, number: int, backend: Backend) -> dict[str, Any]:
+        since = backend.draining_since
+        return {
+            "target": SERVICE,
+            "id": backend.name,
+            "address": f"10.9.0.{number}:80",
+            "zone": backend.zone,
+            "capacity": CAPACITY,
+            "phase": "draining" if since is not None and self._clock.now >= since else "ready",
+        }
--- /dev/null
+++ b/simnet/system/proxy_process.py
@@ -0,0 +1,168 @@
+"""A proxy process of the simulated system: cluster view, decisions and driver that ship, with simulated backends."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from simnet.system.backends import Attempt, Backends
+from simnet.system.environment import Environment
+from simnet.system.process import Process
+from simnet.system.topology import BOUNDS, CORES, MACHINES, REGIONS
+from thistleusher.common.configuration import RouteMatch
+from thistleusher.core import events
+from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.ports import Ended, Final
+from thistleusher.proxy import cluster_view
+from thistleusher.proxy.cluster_view import ClusterView, InForce, Serving, ToPeer, ToRegistry, ToRing
+from thistleusher.proxy.decisions import Asked, Charge, Decisions
+from thistleusher.transport.messages import AnyMessage, HandOver, RingHeartbeat
+
+
+class ProxyProcess(Process):
+    """One proxy process; it is also its driver's port to backends."""
+
+    def __init__(self, environment: Environment, backends: Backends, machine: str) -> None:
+        super().__init__("proxy", machine)
+        self.request_count = 0
+        self.version = -1  # of the configuration in force
+        self._environment = environment
+        self._backends = backends
+
+    def now(self) -> float:
+        """Return what the machine's steady clock shows."""
+        return self._environment.steady_time(self.machine)
+
+    def begin(self) -> None:
+        """Begin a new incarnation that knows nothing."""
+        zone, region = MACHINES[self.machine]
+        now = self.now()
+        rng = random.Random(self._environment.rng.random())
+        self.decisions = Decisions(self.machine, zone, region, BOUNDS, rng, now, now)
+        self.cluster_view = ClusterView(
+            self.machine,
+            f"{self.machine}/{self.incarnation}",
+            region,
+            REGIONS.__getitem__,
+            {"front": f"{self.machine}:80", "ip": self.machine, "zone": zone, "region": region},
+            self.decisions,
+            now,
+        )
+        scheduler = DriverScheduler(self, self._environment)
+        self.driver = Driver(self.decisions.settings, self.decisions, self, scheduler, self.now)
+        self.driver.carry[Charge] = lambda action: self._execute(self.cluster_view.charge(self.now(), action))
+        self.serving: set[str] = set()
+        self.version = -1
+
+    def ready(self) -> bool:
+        """Return whether the proxy takes requests."""
+        return self.cluster_view.index is not None and self.cluster_view.known and bool(self.serving)
+
+    def tick(self) -> None:
+        """Let the cluster view see that time has passed."""
+        self._execute(self.cluster_view.tick(self.now(), self.ready()))
+
+    def connected(self, listener: str) -> None:
+        """Subscribe to what the listener publishes."""
+        view = self.cluster_view
+        request = view.follow_control() if listener.startswith("control") else view.follow_list()
+        self._environment.network.send(self, listener, request)
+
+    def receive_reply(self, listener: str, message: AnyMessage) -> None:
+        """Take a message of a control process or a registry."""
+        if listener.startswith("control"):
+            outputs, reply = self.cluster_view.from_control(self.now(), message)
+        else:
+            address = listener.partition("@")[2]
+            outputs, reply = self.cluster_view.from_registry(self.now(), address, message)
+        self._execute(outputs)
+        if reply is not None:
+            self._environment.network.send(self, listener, reply)
+
+    def receive_datagram(self, sender: str, message: AnyMessage) -> None:
+        """Take a heartbeat of the ring, or a copy of the configuration and the list."""
+        if isinstance(message, RingHeartbeat):
+            self._execute(self.cluster_view.beat(self.now(), message, sender))
+        elif isinstance(message, HandOver):
+            self._execute(self.cluster_view.handed(self.now(), message))
+
+    def _execute(self, outputs: Sequence[cluster_view.Output]) -> None:
+        network = self._environment.network
+        for out in outputs:
+            if isinstance(out, ToRegistry):
+                for address in CORES:
+                    if out.ip in ("", address):
+                        network.send(self, f"registry@{address}", out.message)
+            elif isinstance(out, ToRing | ToPeer):
+                network.send_datagram(self, out.ip, out.message)
+            elif isinstance(out, InForce):
+                self._apply(out)
+            elif isinstance(out, Serving):
+                self.serving = out.names
+            elif isinstance(out, cluster_view.Verdict):
+                counted: Any = out.counted
+                self.driver.submit(counted)
+
+    def _apply(self, in_force: InForce) -> None:
+        version = in_force.lookup.config.number
+        self._environment.rules.configuration_applied(self.name, self.version, version)
+        self.version = version
+        self.driver.classes |= self.decisions.classes
+
+    def take(self, name: str, route: str, tenant: str, deadline_s: float, on_final: Callable[[Final], None]) -> None:
+        """Take a client's request; the proxy is ready."""
+        index = self.cluster_view.index
+        assert index is not None
+        self.decisions.expect(name, Asked(RouteMatch(route, index.config.routes[route]), tenant))
+        self._environment.rules.request_sent(name, self)
+        self.driver.take(events.Request(name, route, "all", 0, deadline_s, 1.0), on_final, (route, tenant))
+
+    # The driver's port to backends.
+
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Attempt:
+        """Return an attempt that is yet to start."""
+        return Attempt(self._backends, self, held, backend, lambda name: name in self.serving, on_end)
+
+    def probe(self, backend: str) -> None:
+        """Do nothing: simulated backends have no health checks."""
+
+    def close_idle(self, backend: str) -> None:
+        """Do nothing: there are no idle connections."""
+
+
+class DriverScheduler:
+    """The driver's timers; those of an earlier incarnation never fire."""
+
+    def __init__(self, proxy: ProxyProcess, environment: Environment) -> None:
+        self._proxy = proxy
+        self._environment = environment
+
+    def time(self) -> float:
+        """Return what the machine's steady clock shows."""
+        return self._proxy.now()
+
+    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call back after some seconds."""
+        timer = Timer()
+
+        def fire() -> None:
+            if not timer.cancelled:
+                callback(*args)
+
+        self._environment.scheduler.later(self._proxy, max(0.0, delay), fire)
+        return timer
+
+    def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call back at a time of the machine's steady clock."""
+        return self.call_later(when - self.time(), callback, *args)
+
+
+class Timer:
+    """A call that is due."""
+
+    cancelled = False
+
+    def cancel(self) -> None:
+        """Keep the call from being made."""
+        self.cancelled = True
--- /dev/null
+++ b/simnet/system/registry_process.py
@@ -0,0 +1,98 @@
+"""A registry process of the simulated system: the registry that ships, with a simulated platform to ask."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+
+from simnet.system.environment import Environment
+from simnet.system.platform import Platform
+from simnet.system.process import Process
+from simnet.system.topology import CORES
+from thistleusher.registry.outputs import CallPlatform, Output, SendToControl, SendToSubscriber
+from thistleusher.registry.registry import Registry
+from thistleusher.transport.messages import AnyMessage
+
+PLATFORM_CALLS_PER_S = 50.0
+ANSWER_S = 0.002  # for a call to the platform
+TIMEOUT_S = 1.0  # for one that has no answer
+
+
+class RegistryProcess(Process):
+    """One registry process."""
+
+    registry: Registry
+
+    def __init__(self, environment: Environment, platform: Platform, machine: str) -> None:
+        super().__init__("registry", machine)
+        self._environment = environment
+        self._platform = platform
+
+    @property
+    def client_name(self) -> str:
+        """The name by which control processes and other registries know this incarnation."""
+        return self.registry.name
+
+    def _now(self) -> float:
+        return self._environment.steady_time(self.machine)
+
+    def holds_lease(self) -> bool:
+        """Return whether this registry's lease on its singleton role stands."""
+        return self.registry.lease.holds_lease(self._now())
+
+    def begin(self) -> None:
+        """Begin a new incarnation that knows nothing."""
+        name = f"{self.machine}/{self.incarnation}"
+        rng = random.Random(self._environment.rng.random())
+        self.registry = Registry(name, self.machine, self._now(), rng, PLATFORM_CALLS_PER_S, True)
+
+    def tick(self) -> None:
+        """Let the registry see that time has passed."""
+        self._execute(self.registry.tick(self._now()))
+
+    def connected(self, listener: str) -> None:
+        """Subscribe to what the listener publishes."""
+        subscriber = self.registry.control_state if listener.startswith("control") else self.registry.list
+        self._environment.network.send(self, listener, subscriber.subscribe_request())
+
+    def receive_reply(self, listener: str, message: AnyMessage) -> None:
+        """Take a message of a control process or of another registry."""
+        if listener.startswith("control"):
+            address = listener.partition("@")[2]
+            outputs, reply = self.registry.receive_from_control(self._now(), address, message)
+        else:
+            outputs, reply = self.registry.receive_from_peer(self._now(), message)
+        self._execute(outputs)
+        if reply is not None:
+            self._environment.network.send(self, listener, reply)
+
+    def receive(self, client: str, message: AnyMessage) -> None:
+        """Take a message of a proxy or of another registry."""
+        self._execute(self.registry.receive_from_subscriber(self._now(), client, message))
+
+    def disconnected(self, client: str) -> None:
+        """Tell the registry that a subscriber's connection has ended."""
+        self.registry.subscriber_gone(client)
+
+    def _execute(self, outputs: Sequence[Output]) -> None:
+        network = self._environment.network
+        for out in outputs:
+            if isinstance(out, SendToSubscriber):
+                if not self.holds_lease():
+                    kind = type(out.message).__name__
+                    self._environment.rules.report(f"LEASE: {self.name} sends {out.name} {kind} without one")
+                network.reply(self, out.name, out.message)
+            elif isinstance(out, SendToControl):
+                for address in CORES:
+                    if out.address in ("", address):
+                        network.send(self, f"control@{address}", out.message)
+            elif isinstance(out, CallPlatform):
+                self._call_platform(out.target)
+
+    def _call_platform(self, target: str) -> None:
+        def answered() -> None:
+            status, body = self._platform.respond(target)
+            self._execute(self.registry.platform_answered(self._now(), status, body))
+
+        delay_s = ANSWER_S if self._platform.is_up() else TIMEOUT_S
+        self._environment.scheduler.later(self, delay_s, answered)
--- a/simnet/system/topology.py
+++ b/simnet/system/topology.py
@@ -1,48 +1,69 @@
-"""Where the simulated system stands, what its bounds are, and the configuration that its operator puts."""
+"""Machines, zones and regions of the simulated system, the bounds of its rules, and its operator's documents."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from typing import Any, NamedTuple
 
 from thistleusher.common.node_settings import Bounds
 
-RATE = BURST = 40.0  # of the one limited tenant
 BOUNDS = Bounds()
-CORES = {"c1": ("a1", "a"), "c2": ("a1", "a"), "c3": ("a2", "a")}
-PROXIES = {"d1": ("a1", "a"), "d2": ("a2", "a"), "d3": ("b1", "b"), "d4": ("b2", "b")}
-PLACES = {**CORES, **PROXIES}  # machine -> zone, region
-ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}  # zone -> region
-DEADLINE_S = 2.0
+RATE_PER_S = BURST = 40.0  # of the one tenant that has a limit
+LIMITED_TENANT, UNLIMITED_TENANT = "t", "free"
+PURE_ROUTE, EFFECTFUL_ROUTE = "pure", "once"
+SERVICE = "s"
+DEADLINE_S = 2.0  # of a client's request
+TOLERANCE = 1  # machines of the core that may be lost at a time
 
+SAME_ZONE_S, SAME_REGION_S, OTHER_REGION_S = 0.0002, 0.0014, 0.055  # one way
 
-def way(a: str, b: str) -> float:
-    """Seconds from one zone to another."""
-    if a == b:
-        return 0.0002
-    return 0.0014 if ZONES[a] == ZONES[b] else 0.055
 
+class Location(NamedTuple):
+    """Where a machine stands."""
 
-def document(version: int) -> bytes:
-    """A configuration: two routes, one limited tenant and one that is not."""
+    zone: str
+    region: str
 
-    def route(name: str, variant: str) -> dict[str, Any]:
+
+CORES = {"c1": Location("a1", "a"), "c2": Location("a1", "a"), "c3": Location("a2", "a")}
+PROXIES = {
+    "d1": Location("a1", "a"),
+    "d2": Location("a2", "a"),
+    "d3": Location("b1", "b"),
+    "d4": Location("b2", "b"),
+}
+MACHINES = {**CORES, **PROXIES}
+REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}  # by zone
+BACKEND_ZONES = ("a1", "a1", "a2", "b1", "b1", "b2")  # in the order of the backends' names
+
+
+def one_way_delay(sender_zone: str, receiver_zone: str) -> float:
+    """Return the seconds that a message takes from one zone to another."""
+    if sender_zone == receiver_zone:
+        return SAME_ZONE_S
+    return SAME_REGION_S if REGIONS[sender_zone] == REGIONS[receiver_zone] else OTHER_REGION_S
+
+
+def configuration_document(version: int) -> bytes:
+    """Return a configuration with two routes, one tenant that has a limit and one that has none."""
+
+    def route(path: str, variant: str) -> dict[str, Any]:
         return {
             "hostname": "h",
-            "path_prefix": f"/{name}/",
+            "path_prefix": f"/{path}/",
             "variant": variant,
             "deadline_ms": 2000,
             "target_ms": 600,
-            "target": "s",
+            "target": SERVICE,
             "tries": 2,
         }
 
     return json.dumps(
         {
             "version": f"{version:08x}",
-            "routes": {"pure": route("p", "pure"), "once": route("o", "x")},
-            "services": {"s": {"max_conns": 100}},
+            "routes": {PURE_ROUTE: route("p", "pure"), EFFECTFUL_ROUTE: route("o", "x")},
+            "services": {SERVICE: {"max_conns": 100}},
             "limits": {},
-            "tenants": {"t": {"rate_per_s": RATE, "burst": BURST}, "free": {}},
+            "tenants": {LIMITED_TENANT: {"rate_per_s": RATE_PER_S, "burst": BURST}, UNLIMITED_TENANT: {}},
         }
     ).encode()
--- a/tests/compatibility/test_simulated_runs.py
+++ b/tests/compatibility/test_simulated_runs.py
@@ -15,13 +15,13 @@
 import pytest
 
 import simnet.core.days
-import simnet.system.world
+import simnet.system.days
 from tests.compatibility.fixtures import load, positional
 from thistleusher.control.interface import LogEvent
 from thistleusher.transport import codec
 
 SEEDS = range(10)
-WORLDS = {"core": simnet.core.days, "system": simnet.system.world}
+WORLDS = {"core": simnet.core.days, "system": simnet.system.days}
 
 
 class Recorder:
--- a/tests/system/test_world.py
+++ b/tests/simnet/test_system.py
@@ -1,4 +1,4 @@
-"""The whole system on the simulated network: drawn days, a proxy started in the dark, and that the rules are seen."""
+"""The simulated system: drawn days, a proxy that starts while the core is down, and that broken rules are seen."""
 
 import os
 import subprocess
@@ -7,7 +7,10 @@
 import pytest
 
 from simnet.errors import RuleViolationError
-from simnet.system.world import CORES, World, draw, run
+from simnet.system.days import Day, PlannedWork, draw, play, run
+from simnet.system.faults import Fault, FaultInjector, FaultKind
+from simnet.system.topology import CORES
+from simnet.system.world import World
 from thistleusher.common.configuration import Route
 from thistleusher.control.interface import Change
 from thistleusher.proxy import decisions
@@ -24,40 +27,40 @@
 
 def test_a_day_is_the_same_each_time():
     first, again = run(5), run(5)
-    assert (first.log, first.ran, first.clock.now) == (again.log, again.ran, again.clock.now)
+    assert (first.log, first.rules.runs, first.clock.now) == (again.log, again.rules.runs, again.clock.now)
     assert draw(5) == draw(5)
 
 
 def calm(seed: int = 1) -> World:
-    """In service, with one configuration in force everywhere."""
+    """Return a world in service, with one configuration in force everywhere."""
     world = World(seed)
-    world.clock.at(2.0, lambda: world.put(1))
+    world.clock.at(2.0, lambda: world.operator.put_configuration(1))
     world.clock.run(6.0)
-    assert all(p.ready() for p in world.processes.values() if p.kind == "proxy")
+    assert all(process.ready() for process in world.processes.values() if process.kind == "proxy")
     return world
 
 
-def test_a_proxy_that_starts_while_the_core_is_dark_is_handed_what_it_needs():
+def test_a_proxy_that_starts_while_the_core_is_down_is_handed_what_it_needs():
     world = calm()
     for process in list(world.processes.values()):
         if process.machine in CORES:
             world.stop(process, 60.0)
     proxy = world.processes["proxy@d3"]
-    world.stop(proxy, 0.5, power=True)
+    world.stop(proxy, 0.5, power_lost=True)
     world.clock.run(world.clock.now + 3.5)
-    assert proxy.up and proxy.ready() and proxy.version == 1
-    world.served = world.ended = 0
+    assert proxy.running and proxy.ready() and proxy.version == 1
+    world.rules.reset_counts()
     world.clock.run(world.clock.now + 2.0)
-    assert world.served > 30  # those without a limit; it has no share of the limited tenant's
+    assert world.rules.served_count > 30  # those without a limit; it has no share of the limited tenant's
 
 
 def test_a_region_that_is_cut_off_serves_on_by_its_shares():
     world = calm()
-    world.trouble("region cut", 8.0)
+    FaultInjector(world).inject(FaultKind.REGION_CUT, 8.0)
     world.clock.run(world.clock.now + 3.0)
-    world.served = world.ended = 0
+    world.rules.reset_counts()
     world.clock.run(world.clock.now + 3.0)
-    assert world.served > 0.8 * world.ended > 100
+    assert world.rules.served_count > 0.8 * world.rules.answered_count > 100
 
 
 def test_changes_that_follow_each_other_at_once_reach_every_proxy_whole():
@@ -71,7 +74,7 @@
     assert len(kept.values("evac:far")) == 8
     for process in world.processes.values():
         if process.kind == "proxy":
-            assert process.knowledge.control.state.items == kept.items
+            assert process.cluster_view.control.state.items == kept.items
 
 
 def open_to_all(self, now, tenant):
@@ -91,20 +94,24 @@
     return name, {**entry, "p": "ready"}
 
 
+ANSWERS_LOST = Day([Fault(6.0, FaultKind.ANSWERS_LOST, 6.0)], [])
+HOT = Day([Fault(6.0, FaultKind.HOT, 9.0)], [])
+CORE_FREEZES = Day([Fault(6.0 + 0.5 * n, FaultKind.CORE_FREEZE, 2.0) for n in range(6)], [])
+
+
 @pytest.mark.parametrize(
-    "patch, troubles, plan, rule",
+    "patch, day, rule",
     [
-        ((Route, "idempotent", property(lambda self: True)), [(6.0, "answers lost", 6.0)], [], "TWICE"),
+        ((Route, "idempotent", property(lambda self: True)), ANSWERS_LOST, "TWICE"),
         (
             (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.Outcome.RESET)),
-            [(6.0, "answers lost", 6.0)],
-            [],
+            ANSWERS_LOST,
             "(TWICE|REFUSED)",
         ),
-        ((Quota, "spend", open_to_all), [(6.0, "hot", 9.0)], [], "QUOTA"),
-        ((backend_poller, "read_backend", always_ready), [], [(6.0, "drain")], "DRAIN"),
-        ((decisions.Decisions, "evacuated", nothing), [], [(6.0, "begin a1")], "EVAC"),
-        ((Registry, "_check_lease", nothing_now), [(6.0 + 0.5 * n, "core freeze", 2.0) for n in range(6)], [], "LEASE"),
+        ((Quota, "spend", open_to_all), HOT, "QUOTA"),
+        ((backend_poller, "read_backend", always_ready), Day([], [PlannedWork(6.0, "drain")]), "DRAIN"),
+        ((decisions.Decisions, "evacuated", nothing), Day([], [PlannedWork(6.0, "begin a1")]), "EVAC"),
+        ((Registry, "_check_lease", nothing_now), CORE_FREEZES, "LEASE"),
     ],
     ids=[
         "repeats what may not be",
@@ -115,20 +122,21 @@
         "a thawed registry answers",
     ],
 )
-def test_the_rules_are_seen(monkeypatch, patch, troubles, plan, rule):
+def test_the_rules_are_seen(monkeypatch, patch, day, rule):
     monkeypatch.setattr(*patch)
     with pytest.raises(RuleViolationError, match=rule):
         for seed in range(6):
-            World(seed).play(troubles, plan)
+            play(World(seed), day)
 
 
 def test_a_seed_plays_the_same_day_in_every_process():
     """Also where sets of names come in another order."""
     program = (
-        "from simnet.core import days; from simnet.system import world; w = world.run(2); c = days.run(2); "
-        "print(__import__('zlib').crc32(str((w.ran, w.log, c.log)).encode()))"
+        "from simnet.core import days as core; from simnet.system import days as system; "
+        "w = system.run(2); c = core.run(2); "
+        "print(__import__('zlib').crc32(str((w.rules.runs, w.log, c.log)).encode()))"
     )
-    said = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", program],
             env={**os.environ, "PYTHONHASHSEED": seed},
@@ -138,4 +146,4 @@
         ).stdout
         for seed in "12"
     }
-    assert len(said) == 1
+    assert len(outputs) == 1
