--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -34,7 +34,7 @@
     """Whoever is to know which requests arrive where."""
 
     def request_arrived(self, name: str, route: str, tenant: str, backend: Backend) -> None:
-        """A backend begins to work on a request."""
+        """Take note that a backend begins to work on a request."""
 
 
 class Backends:
--- a/simnet/system/process.py
+++ b/simnet/system/process.py
@@ -32,7 +32,7 @@
         """Let the process see that time has passed."""
 
     def connected(self, listener: str) -> None:
-        """A connection that this process opened stands."""
+        """Take note that a connection that this process opened stands."""
 
     def receive(self, client: str, message: AnyMessage) -> None:
         """Take a message on a connection that another process opened; `client` is its name."""
@@ -44,7 +44,7 @@
         """Take a datagram of another machine."""
 
     def disconnected(self, client: str) -> None:
-        """A connection that another process opened has ended."""
+        """Take note that a connection that another process opened has ended."""
 
 
 class ProcessScheduler:
--- a/simnet/system/rules.py
+++ b/simnet/system/rules.py
@@ -76,11 +76,11 @@
     # Requests.
 
     def request_sent(self, name: str, proxy: Process) -> None:
-        """A client has sent a request to a proxy that takes requests."""
+        """Record that a client has sent a request to a proxy that takes requests."""
         self._open[name] = OpenRequest(proxy, proxy.incarnation, self._clock.now + DEADLINE_S)
 
     def request_arrived(self, name: str, route: str, tenant: str, backend: Backend) -> None:
-        """A backend begins to work on a request."""
+        """Check a request as a backend begins to work on it."""
         self._check_repeat(name, route, backend)
         if tenant == LIMITED_TENANT:
             self._check_quota()
@@ -118,7 +118,7 @@
             self.report(f"EVAC: {backend.name} gets {name} {now - at:.2f} s after the zone was to be left")
 
     def request_answered(self, name: str, route: str, final: Final, sent: float) -> None:
-        """A client has its one answer."""
+        """Check a client's one answer as it arrives."""
         if name not in self._open:
             self.report(f"LOST: {name} is answered twice")
             return
@@ -148,17 +148,17 @@
     # Configurations.
 
     def configuration_applied(self, proxy: str, before: int, version: int) -> None:
-        """A proxy goes from one version of the configuration to another."""
+        """Check that a proxy goes up, from one version of the configuration to another."""
         if version <= before:
             self.report(f"CONFIG: {proxy} goes back from {before} to {version}")
 
     def configuration_acknowledged(self, version: int) -> None:
-        """An operator has the answer that a version is stored."""
+        """Record that an operator has the answer that a version is stored."""
         if version > self.acknowledged.version:
             self.acknowledged = Acknowledgement(version, self._clock.now)
 
     def evacuation_acknowledged(self, zone: str, on: bool) -> None:
-        """An operator has the answer that an evacuation has begun or ended."""
+        """Record that an operator has the answer that an evacuation has begun or ended."""
         self.evacuations[zone] = Evacuation(on, self._clock.now)
 
     def version_due(self) -> int:
