--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -191,8 +191,8 @@
     first = table.receive(2.0, "p", Charge("x", 1, "t", 1, -1))
     later = known(counter_of(0.0))
     for number in range(2, 6):
-        later.take(2.0, "p", Charge("x", number, "t", 1, -1))
-    later.take(2.1, "p", Charge("x", 1, "t", -1, first.window))  # its windows have the same numbers
+        later.receive(2.0, "p", Charge("x", number, "t", 1, -1))
+    later.receive(2.1, "p", Charge("x", 1, "t", -1, first.window))  # its windows have the same numbers
     assert later.counter.windows["t"].count == 4
 
 
@@ -204,7 +204,7 @@
     assert table.counter.windows["t"].count == 1
 
 
-def test_a_message_of_a_former_life_neither_counts_nor_brings_it_back():
+def test_a_message_of_a_former_incarnation_neither_counts_nor_brings_it_back():
     table = known(known(counter_of(0.0), incarnation="old"), incarnation="new")
     assert table.receive(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
     assert not table.counter.record_heartbeat(2.1, "p", "old", 2.1)
@@ -214,10 +214,10 @@
 @pytest.mark.parametrize("amount", [0.0, float("nan"), float("inf"), float("-inf")])
 def test_an_amount_that_is_none_is_refused(amount):
     with pytest.raises(UnexpectedMessageError):
-        known(counter_of(0.0)).take(2.0, "p", Charge("x", 1, "t", amount, -1))
+        known(counter_of(0.0)).receive(2.0, "p", Charge("x", 1, "t", amount, -1))
 
 
-def test_an_answer_for_an_earlier_life_or_a_request_that_was_given_up_reaches_nobody():
+def test_an_answer_for_an_earlier_incarnation_or_a_request_that_was_given_up_reaches_nobody():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
     proxy.charge(5.0, decided.Charge("r1", "t", 1))
