--- a/tests/proxy/caller_world.py
+++ b/tests/proxy/caller_world.py
@@ -20,12 +20,19 @@
 from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.proxy.placement import Place
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 DEADLINE_MS = 1500
 FREEZE_S = 20.0
 SETTLE_S = 40.0  # after the last event, in which all must have come to its end
 PROMISES = (408, 421, 429, 503)
-ROUTE = {"hostname": "h", "deadline_ms": DEADLINE_MS, "target_ms": 400, "target": "s", "tries": TRIES, "public": True}
+ROUTE = {
+    "hostname": "h",
+    "deadline_ms": DEADLINE_MS,
+    "target_ms": 400,
+    "target": "s",
+    "tries": MAX_ATTEMPTS,
+    "public": True,
+}
 
 
 class ScriptedUpstream(Upstream):
@@ -42,16 +49,16 @@
 
     def __init__(self, loop: ScriptedLoop, seed: int, backends: int = 3) -> None:
         self.loop, self.rng = loop, random.Random(seed)
-        self.trouble = self.rng.random()
+        self.fault_rate = self.rng.random()
         self.frozen = False
         self.thawed = float("-inf")
         self.runs: dict[bytes, list[Run]] = {}
-        self.given: dict[bytes, tuple[bytes, int, bytes]] = {}  # seal: id, status, body
+        self.answers_by_seal: dict[bytes, tuple[bytes, int, bytes]] = {}  # seal: id, status, body
         self.wires: list[Wire] = []
         self.clients: list[Client] = []
         self.serial = 0
         self.steps: list[str] = []  # what backends do, where it is not drawn
-        self.again: list[bytes] = []  # effectful ids that were sent a second time without a proof
+        self.unproven_repeats: list[bytes] = []  # effectful ids that were sent a second time without a proof
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(seed), loop.time())
         self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT, 1.0, outcome_of))
         self.upstream.world = self
@@ -112,11 +119,11 @@
             "strange",
             "noise",
         ]
-        return good + [step for step in bad if self.rng.random() < self.trouble]
+        return good + [step for step in bad if self.rng.random() < self.fault_rate]
 
     async def connect(self, pool: ConnectionPool) -> BackendConnection:
         await asyncio.sleep(0.0 if self.steps else self.rng.choice((0.0, 0.001, 0.05, 0.3)))
-        if not self.steps and self.rng.random() < self.trouble * 0.2:
+        if not self.steps and self.rng.random() < self.fault_rate * 0.2:
             raise ConnectionRefusedError
         connection = BackendConnection(pool, None)  # type: ignore[arg-type]
         backend = Backend(self, pool.backend, connection)
@@ -129,15 +136,15 @@
     def arrived(self, name: bytes) -> Run:
         """A request has come whole to a backend."""
         runs = self.runs.setdefault(name, [])
-        if name.startswith(b"e") and not all(run.proved for run in runs):
-            self.again.append(name)
+        if name.startswith(b"e") and not all(run.proven_not_run for run in runs):
+            self.unproven_repeats.append(name)
         runs.append(Run(name))
         return runs[-1]
 
     def answer(self, run: Run, backend: str, status: int, step: str) -> bytes:
-        seal = b"%s-%d" % (backend.encode(), len(self.given))
+        seal = b"%s-%d" % (backend.encode(), len(self.answers_by_seal))
         body = b"" if status in (429, 503) else b"of " + run.name + b" " + seal
-        self.given[seal] = (run.name, status, body)
+        self.answers_by_seal[seal] = (run.name, status, body)
         proof = b"X-Not-Run: 1\r\n" if step == "full" else b""
         return b"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
             status,
@@ -193,7 +200,7 @@
                 self.ask(self.rng.choice(self.clients[-4:]))
             elif kind < 0.8:
                 self.rng.choice(self.clients).wire.deliver(None)
-            elif kind < 0.85 and self.trouble > 0.3:
+            elif kind < 0.85 and self.fault_rate > 0.3:
                 self.freeze()
             elif kind < 0.9:
                 self.follow(self.rng.choice(("effectful", "pure")))
@@ -213,10 +220,10 @@
     # What must hold.
 
     def check(self) -> None:
-        assert not self.again, f"sent again without a proof: {self.again}"
+        assert not self.unproven_repeats, f"sent again without a proof: {self.unproven_repeats}"
         for name, runs in self.runs.items():
             ran = sum(run.ran for run in runs)
-            assert ran <= (1 if name.startswith(b"e") else TRIES), f"{name!r} ran {ran} times"
+            assert ran <= (1 if name.startswith(b"e") else MAX_ATTEMPTS), f"{name!r} ran {ran} times"
         for client in self.clients:
             answers = client.answers()
             assert len(answers) <= len(client.asked), "more answers than requests"
@@ -230,7 +237,9 @@
             return  # visibly cut
         seal = re.search(rb"x-server-seal: (\S+)", head)
         if seal is not None:
-            assert (name, status, body) == self.given[seal[1]], f"{name!r} got {self.given[seal[1]]}"
+            assert (name, status, body) == self.answers_by_seal[
+                seal[1]
+            ], f"{name!r} got {self.answers_by_seal[seal[1]]}"
             marked = REQUEST.search(head + b"\r\n")
             assert marked is not None and marked[1] == name
         else:
--- a/tests/proxy/simulated_peers.py
+++ b/tests/proxy/simulated_peers.py
@@ -14,6 +14,8 @@
 
 REQUEST = re.compile(rb"X-Attempt-Id: (\S+)\r\n", re.IGNORECASE)
 LENGTH = re.compile(rb"Content-Length: (\d+)\r\n", re.IGNORECASE)
+NOT_RUN = ("full", "stranger")  # steps that do not execute the request
+STATUSES = {"full": 503, "stranger": 421, "fails": 500, "claims": 503, "claims 429": 429, "gone": 404}
 
 
 class SimClient(ClientConnection):
@@ -32,7 +34,7 @@
     def __init__(self, name: bytes) -> None:
         self.name = name
         self.ran = True
-        self.proved = False  # that it has not run, by an answer that has been handed over whole
+        self.proven_not_run = False  # that it has not run, by an answer that has been handed over whole
 
 
 class Backend:
@@ -43,9 +45,9 @@
         self.wire = Wire(world, connection, self.heard)
         self.buffer = b""
         self.sending: list[tuple[bytes | None, Run | None]] = []  # pieces, and the request that one is the last for
-        self.before = b""  # the answer before, which may come again
+        self.previous_answer = b""  # which may come again
         self.steps = world.steps or world.draw_steps()
-        if world.rng.random() < world.trouble * 0.1:
+        if world.rng.random() < world.fault_rate * 0.1:
             world.later(self.cut)
 
     def cut(self) -> None:
@@ -66,10 +68,10 @@
         self.serve(self.world.arrived(marked[1]))
 
     def serve(self, run: Run) -> None:
-        world, rng = self.world, self.world.rng
-        step = rng.choice(self.steps)
-        if step in ("full", "stranger"):
-            run.ran = False
+        """Do with a request what is drawn."""
+        world = self.world
+        step = world.rng.choice(self.steps)
+        run.ran = step not in NOT_RUN
         if step == "silent":
             return
         if step == "stops":
@@ -78,29 +80,8 @@
         if step == "reset":
             world.later(self.cut)
             return
-        answer = world.answer(
-            run,
-            self.name,
-            {"full": 503, "stranger": 421, "fails": 500, "claims": 503, "claims 429": 429, "gone": 404}.get(step, 200),
-            step,
-        )
-        before, self.before = self.before, answer
-        cuts = sorted(rng.randrange(1, len(answer)) for _ in range(rng.choice((0, 0, 1, 3))))
-        pieces = [answer[a:b] for a, b in zip([0, *cuts], [*cuts, len(answer)], strict=True)]
-        if step == "late surplus" and before:
-            pieces.insert(0, before)
-        if step == "nameless":
-            pieces.insert(0, REQUEST.sub(b"", before or world.strange_answer()))
-        if step == "nameless promise":
-            pieces.insert(0, b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-        if step == "strange":
-            pieces.insert(0, world.strange_answer())
-        if step == "noise":
-            pieces.insert(0, b"\x00\x01 no answer\r\n\r\n")
-        if step == "cut":
-            pieces[-1] = pieces[-1][:-1]
-        if step == "twice":
-            pieces.append(answer)
+        answer = world.answer(run, self.name, STATUSES.get(step, 200), step)
+        pieces = self.pieces(step, answer)
         idle = not self.sending
         self.sending += [(piece, None) for piece in pieces[:-1]]
         self.sending.append((pieces[-1], run))
@@ -109,11 +90,38 @@
         if idle:
             self.send()
 
+    def pieces(self, step: str, answer: bytes) -> list[bytes]:
+        """Return an answer in pieces of drawn lengths, with what a faulty step adds or takes away."""
+        previous, self.previous_answer = self.previous_answer, answer
+        rng = self.world.rng
+        cuts = sorted(rng.randrange(1, len(answer)) for _ in range(rng.choice((0, 0, 1, 3))))
+        pieces = [answer[a:b] for a, b in zip([0, *cuts], [*cuts, len(answer)], strict=True)]
+        extra = self.extra_before(step, previous)
+        if extra:
+            pieces.insert(0, extra)
+        if step == "cut":
+            pieces[-1] = pieces[-1][:-1]
+        if step == "twice":
+            pieces.append(answer)
+        return pieces
+
+    def extra_before(self, step: str, previous: bytes) -> bytes:
+        """Return what a step sends before the answer."""
+        if step == "late surplus":
+            return previous
+        if step == "nameless":
+            return REQUEST.sub(b"", previous or self.world.strange_answer())
+        if step == "nameless promise":
+            return b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+        if step == "strange":
+            return self.world.strange_answer()
+        return b"\x00\x01 no answer\r\n\r\n" if step == "noise" else b""
+
     def send(self) -> None:
         """The next piece; several may come in one read."""
         piece, run = self.sending[0]
         if run is not None:  # its answer is whole
-            run.proved = not run.ran
+            run.proven_not_run = not run.ran
         self.wire.deliver(piece)
         self.sending.pop(0)
         if self.sending:
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -1,5 +1,7 @@
-"""Charges on a network that loses, repeats and reorders, between sides that begin anew: each counts once, and what is
-let in stays within the allowance. A model beside it counts with sets."""
+"""Charges on a network that loses, repeats and reorders, between sides that begin anew.
+
+Each counts once, and what is admitted stays within the allowance. A model beside it counts with sets.
+"""
 
 import random
 
