--- a/tests/proxy/caller_world.py
+++ b/tests/proxy/caller_world.py
@@ -100,7 +100,7 @@
         self.loop.call_later(self.rng.choice((0.0, 0.001, 0.02, 0.3, 1.37)), act, *args)
 
     def draw_steps(self) -> list[str]:
-        """What a connection's backend does, with its share of trouble."""
+        """What a connection's backend does, by the world's fault rate."""
         good = ["answers"] * 6
         bad = [
             "full",
@@ -237,9 +237,8 @@
             return  # visibly cut
         seal = re.search(rb"x-server-seal: (\S+)", head)
         if seal is not None:
-            assert (name, status, body) == self.answers_by_seal[
-                seal[1]
-            ], f"{name!r} got {self.answers_by_seal[seal[1]]}"
+            answered = self.answers_by_seal[seal[1]]
+            assert (name, status, body) == answered, f"{name!r} got {answered}"
             marked = REQUEST.search(head + b"\r\n")
             assert marked is not None and marked[1] == name
         else:
