--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from thistleusher.common.config_items import ConfigurationFollower, assemble, changes, difference
+from thistleusher.configuration.items import ConfigurationFollower, assemble, changes, difference
 from thistleusher.control import orders
 from thistleusher.transport.state_updates import State
 
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from benchmarks.scale.inputs import PAGE, backends, changed, configuration, settings
-from thistleusher.common import config_items
 from thistleusher.common.settings_reader import read_node_settings
+from thistleusher.configuration import items as config_items
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.placement import Place
 from thistleusher.registry.backend_poller import BackendPoller
@@ -92,7 +92,7 @@
     whole_s = timed(lambda: proxy.take(whole))
     proxy_mb = resident_mb() - before
     change_s = timed(lambda: proxy.take(change))
-    from thistleusher.common.validation import (
+    from thistleusher.configuration.validation import (
         read_configuration,  # after the proxy's figures, as a proxy does not load it
     )
 
--- a/simnet/system/operator.py
+++ b/simnet/system/operator.py
@@ -10,8 +10,8 @@
 from simnet.system.control_process import ControlProcess
 from simnet.system.rules import Rules
 from simnet.system.topology import CORES, configuration_document
-from thistleusher.common import config_items
 from thistleusher.common.errors import ServiceError
+from thistleusher.configuration import items as config_items
 from thistleusher.control.interface import Change
 
 PATIENCE_S = 1.0  # with one control process
--- a/simnet/system/proxy_process.py
+++ b/simnet/system/proxy_process.py
@@ -10,7 +10,7 @@
 from simnet.system.environment import Environment
 from simnet.system.process import Process
 from simnet.system.topology import BOUNDS, CORES, MACHINES, REGIONS
-from thistleusher.common.configuration import RouteMatch
+from thistleusher.configuration.index import RouteMatch
 from thistleusher.core import events
 from thistleusher.core.driver import Driver, InFlightRequest
 from thistleusher.core.ports import Ended, Final
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.fit import fit, quantile, table
 from benchmarks.scale.inputs import CHANGED_ROUTES, address_of, changed, configuration, settings
 from thistleusher.common.settings_reader import read_node_settings
-from thistleusher.common.validation import read_configuration
+from thistleusher.configuration.validation import read_configuration
 
 
 def test_a_line_is_found_again_and_errors_around_it_cancel():
--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -21,10 +21,10 @@
 import thistleusher.embed
 from tests.compatibility.fixtures import FOLDER, as_json, load, named, positional
 from thistleusher import wirehost
-from thistleusher.common import config_items
 from thistleusher.common.events import Event
 from thistleusher.common.settings_reader import read_node_settings
-from thistleusher.common.validation import read_configuration
+from thistleusher.configuration import items as config_items
+from thistleusher.configuration.validation import read_configuration
 from thistleusher.core.settings_parser import read_settings
 from thistleusher.net.config import read_config
 from thistleusher.operator_file.reader import read_operator_file
--- a/tests/common/test_index.py
+++ b/tests/configuration/test_index.py
@@ -1,8 +1,8 @@
 """The look-up tables of a configuration: routes by host and path, tenants by key."""
 
-from tests.common.documents import body
-from thistleusher.common.configuration import Index
-from thistleusher.common.validation import read_configuration
+from tests.configuration.documents import body
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.validation import read_configuration
 
 
 def test_the_longest_prefix_wins_among_a_hundred_routes_of_one_host():
--- a/tests/common/test_config_items.py
+++ b/tests/configuration/test_items.py
@@ -6,8 +6,10 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from tests.common.documents import body
-from thistleusher.common.config_items import (
+from tests.configuration.documents import body
+from thistleusher.common.record_reader import InvalidTableError
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.items import (
     ConfigurationFollower,
     Identity,
     assemble,
@@ -16,8 +18,7 @@
     number_of,
     was_accepted,
 )
-from thistleusher.common.configuration import Index, read_checked_configuration
-from thistleusher.common.record_reader import InvalidTableError
+from thistleusher.configuration.records import read_checked_configuration
 from thistleusher.transport.state_updates import State, Subscriber
 
 NAMES = ["r", "r:1", "", 'é"\\', "a/b\n", "route:r", "\U0001f600"]
--- a/tests/common/test_configuration.py
+++ b/tests/configuration/test_validation.py
@@ -5,9 +5,9 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from tests.common.documents import body
-from thistleusher.common.configuration import read_checked_configuration
-from thistleusher.common.validation import read_configuration
+from tests.configuration.documents import body
+from thistleusher.configuration.records import read_checked_configuration
+from thistleusher.configuration.validation import read_configuration
 
 
 def faults_of(data):
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleusher.common import validation as checks
-from thistleusher.common.config_items import NO_CONFIGURATION, REMEMBERED_DIGESTS, assemble, changes, number_of
 from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.configuration import validation as checks
+from thistleusher.configuration.items import NO_CONFIGURATION, REMEMBERED_DIGESTS, assemble, changes, number_of
 from thistleusher.control import orders
 from thistleusher.control.orders import Standing
 from thistleusher.transport.state_updates import State
--- a/tests/proxy/caller_world.py
+++ b/tests/proxy/caller_world.py
@@ -10,9 +10,10 @@
 
 from tests.proxy.simulated_peers import REQUEST, Backend, Client, Run
 from tests.scripted_loop import ScriptedLoop, Wire
-from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.record_reader import read_record
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.records import Configuration
 from thistleusher.net.backend_connection import BackendConnection, UpstreamOptions
 from thistleusher.net.connection_pool import ConnectionPool, Endpoint
 from thistleusher.net.upstream import Upstream
--- a/tests/simnet/test_system.py
+++ b/tests/simnet/test_system.py
@@ -11,7 +11,7 @@
 from simnet.system.faults import Fault, FaultInjector, FaultKind
 from simnet.system.topology import CORES
 from simnet.system.world import World
-from thistleusher.common.configuration import Route
+from thistleusher.configuration.records import Route
 from thistleusher.control.interface import Change
 from thistleusher.proxy import decisions
 from thistleusher.proxy.quota import Quota
--- a/tests/system/test_decisions.py
+++ b/tests/system/test_decisions.py
@@ -4,10 +4,11 @@
 
 import pytest
 
-from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.common.record_reader import read_record
+from thistleusher.configuration.index import RouteMatch
+from thistleusher.configuration.records import Configuration
 from thistleusher.core import actions, events
 from thistleusher.core.events import Outcome
 from thistleusher.proxy.budgets import Colds, Tries
--- a/tests/system/test_front.py
+++ b/tests/system/test_front.py
@@ -7,9 +7,10 @@
 import pytest
 
 from standins.http import read_message
-from thistleusher.common.configuration import Configuration, Index
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.record_reader import read_record
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.records import Configuration
 from thistleusher.net.backend_connection import UpstreamOptions
 from thistleusher.net.connection_pool import Endpoint
 from thistleusher.net.upstream import Upstream
--- a/thistleusher/common/commands.py
+++ b/thistleusher/common/commands.py
@@ -12,11 +12,11 @@
 
 import cappa
 
-from thistleusher.common.configuration import summary
 from thistleusher.common.events import page
 from thistleusher.common.launcher import start
 from thistleusher.common.settings_reader import read_node_settings
-from thistleusher.common.validation import read_configuration
+from thistleusher.configuration.records import summary
+from thistleusher.configuration.validation import read_configuration
 
 
 @dataclass
--- a/thistleusher/common/record_reader.py
+++ b/thistleusher/common/record_reader.py
@@ -1,8 +1,8 @@
 """Reads records out of tables (JSON, settings): the fields that a record has, as the types that it names, no others.
 
 This is how a process that starts while clients wait reads its settings, and how a proxy reads what a control node has
-checked: the library of `thistleusher.common.validation` takes 0.13 s of a front machine to load. For every table that
-passes its checks, both give the same record (`tests/common/test_configuration.py`).
+checked: pydantic, which checks, takes 0.13 s of a front machine to load. For every table that passes its checks, both
+give the same record (`tests/configuration/test_validation.py`).
 
 Pure. Cost: one step a field.
 """
--- a/thistleusher/common/settings_reader.py
+++ b/thistleusher/common/settings_reader.py
@@ -1,7 +1,7 @@
 """Reads the settings file of a process into its record, and says what is wrong with one that cannot be used.
 
 A usable file is read without the library that explains what is wrong with an unusable one
-(`thistleusher.common.validation`), as that takes a while to load and a process may start while clients wait.
+(`thistleusher.common.settings_validation`), as that takes a while to load and a process may start while clients wait.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     except InvalidSettingError as error:
         raise ExceptionGroup("settings", [error]) from None
     except InvalidTableError:
-        from thistleusher.common.validation import explain_node_settings
+        from thistleusher.common.settings_validation import explain_node_settings
 
         raise ExceptionGroup("settings", explain_node_settings(parse_lines(text))) from None
     faults = [InvalidSettingError(line) for line in semantic_faults(settings)]
--- /dev/null
+++ b/thistleusher/common/settings_validation.py
@@ -0,0 +1,35 @@
+"""What is wrong with a settings file that cannot be read into its record, explained by pydantic.
+
+Loaded only to explain a faulty file: the library takes a while to load, and a process may start while clients wait.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
+
+from pydantic import TypeAdapter, ValidationError
+
+from thistleusher.common.node_settings import InvalidSettingError, NodeSettings
+from thistleusher.common.record_reader import MAX_SHOWN, known_fields_only
+
+NODE_SETTINGS: TypeAdapter[NodeSettings] = TypeAdapter(NodeSettings)
+
+
+def explain_node_settings(table: dict[str, Any]) -> list[InvalidSettingError]:
+    """Return what is wrong with the table of a settings file, by field."""
+    try:
+        NODE_SETTINGS.validate_python(known_fields_only(NodeSettings, table))
+    except ValidationError as error:
+        return [InvalidSettingError(line) for line in fault_lines(error, "file")]
+    return []
+
+
+def fault_lines(error: ValidationError, whole: str) -> Iterable[str]:
+    """Yield one line for each fault that pydantic found; `whole` names the place of one that is in no field."""
+    for fault in error.errors(include_url=False):
+        at = ".".join(str(step) for step in fault["loc"]) or whole
+        if fault["type"].startswith("missing"):
+            yield f"{at}: Field required"
+        else:
+            yield f"{at}: {fault['msg']}, found {str(fault.get('input'))[:MAX_SHOWN]!r}"
--- a/thistleusher/common/config_items.py
+++ b/thistleusher/configuration/items.py
@@ -31,8 +31,9 @@
 
 import msgspec
 
-from thistleusher.common.configuration import Configuration, Index, Limits, Route, Service, Tenant
 from thistleusher.common.record_reader import read_record
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.records import Configuration, Limits, Route, Service, Tenant
 from thistleusher.transport.state_updates import State
 
 NO_CONFIGURATION = -1  # the number of no configuration
--- a/thistleusher/common/validation.py
+++ b/thistleusher/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Validity of settings files and of the operator's configurations, checked completely by pydantic.
+"""Validity of the operator's configurations, checked completely by pydantic.
 
 All faults are reported at once, one line each: which field, what was expected, what was found. What makes a
 configuration valid is stated here once, for the control node that acknowledges one and for the command that checks one
@@ -18,17 +18,15 @@
 
 from pydantic import ConfigDict, TypeAdapter, ValidationError
 
-from thistleusher.common.config_items import canonical
-from thistleusher.common.configuration import Configuration, Route, Service, Tenant
-from thistleusher.common.node_settings import InvalidSettingError, NodeSettings
-from thistleusher.common.record_reader import known_fields_only
+from thistleusher.common.record_reader import MAX_SHOWN, known_fields_only
+from thistleusher.common.settings_validation import fault_lines
+from thistleusher.configuration.items import canonical
+from thistleusher.configuration.records import Configuration, Route, Service, Tenant
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
 TARGET_EXCESS_MS = 60_000.0  # by which a route's target_ms may not exceed its deadline_ms
 MAX_NESTING = 64  # well under what a reader's stack bears
 MAX_NAME_BYTES = 400  # of a route, service or tenant: names are keys on the disk, which bounds them at 511
-MAX_SHOWN = 60  # characters of a wrong value that its fault shows
-NODE_SETTINGS: TypeAdapter[NodeSettings] = TypeAdapter(NodeSettings)
 CONFIGURATION: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
 
 
@@ -36,25 +34,6 @@
     """One fault of a configuration: where, what was found, what was expected."""
 
 
-def explain_node_settings(table: dict[str, Any]) -> list[InvalidSettingError]:
-    """Return what is wrong with the table of a settings file, by field."""
-    try:
-        NODE_SETTINGS.validate_python(known_fields_only(NodeSettings, table))
-    except ValidationError as error:
-        return [InvalidSettingError(line) for line in _lines(error, "file")]
-    return []
-
-
-def _lines(error: ValidationError, whole: str) -> Iterable[str]:
-    """Yield one line a fault; `whole` names what a fault is in that is in no field."""
-    for fault in error.errors(include_url=False):
-        at = ".".join(str(step) for step in fault["loc"]) or whole
-        if fault["type"].startswith("missing"):
-            yield f"{at}: Field required"
-        else:
-            yield f"{at}: {fault['msg']}, found {str(fault.get('input'))[:MAX_SHOWN]!r}"
-
-
 class ReadJson(NamedTuple):
     """Bytes parsed as JSON, and what a strict reader finds wrong with them."""
 
@@ -107,7 +86,7 @@
     try:
         config = CONFIGURATION.validate_python(known_fields_only(Configuration, document.value))
     except ValidationError as error:
-        raise _rejection(_lines(error, "body")) from None
+        raise _rejection(fault_lines(error, "body")) from None
     faults = list(_faults(config))
     if faults:
         raise _rejection(faults)
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -25,7 +25,8 @@
 from types import ModuleType
 from typing import Any, NamedTuple
 
-from thistleusher.common.config_items import (
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.configuration.items import (
     DocumentParts,
     Identity,
     assemble,
@@ -37,7 +38,6 @@
     split_document,
     was_accepted,
 )
-from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.interface import Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
@@ -64,7 +64,7 @@
 
 def checks() -> ModuleType:
     """The module that checks configurations: loaded late, as a start must not wait for it."""
-    return importlib.import_module("thistleusher.common.validation")
+    return importlib.import_module("thistleusher.configuration.validation")
 
 
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from thistleusher.common.config_items import ConfigurationFollower
-from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
 from thistleusher.common.quota_timing import LOCAL_QUOTA_FROM_S, OVER_LIMIT
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.items import ConfigurationFollower
 from thistleusher.proxy import decisions as decided
 from thistleusher.proxy.decisions import Counted, Decisions
 from thistleusher.proxy.placement import Place
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -17,9 +17,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import DECIDE_LOCALLY, OVER_LIMIT, VERDICT_WAIT_S
+from thistleusher.configuration.index import RouteMatch
+from thistleusher.configuration.records import Configuration
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from thistleusher.common.configuration import Index
 from thistleusher.common.errors import RESPONSES, ErrorKind, ServiceError, retry_after_header
+from thistleusher.configuration.index import Index
 from thistleusher.core import actions, events
 from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -14,8 +14,8 @@
 import random
 from typing import Any
 
-from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.events import Event
+from thistleusher.configuration.items import ConfigurationFollower
 from thistleusher.control.leases import LeaseHolder
 from thistleusher.registry.backend_poller import BackendPoller, UnreadableAnswerError
 from thistleusher.registry.charges import ChargeTable
