--- a/benchmarks/take_over.py
+++ b/benchmarks/take_over.py
@@ -83,7 +83,7 @@
 
 def whole(core: Cluster, old: Machine) -> bool:
     """Whether the core bears as many losses as ever."""
-    leader = core.holder()
+    leader = core.lease_holder()
     if leader is None or leader.node is None or leader.node.view is None:
         return False
     view = leader.node.view
--- a/simnet/core/cluster.py
+++ b/simnet/core/cluster.py
@@ -81,7 +81,7 @@
         """Return the machines that are not gone for good."""
         return [machine for machine in self.machines.values() if not machine.gone]
 
-    def holder(self) -> Machine | None:
+    def lease_holder(self) -> Machine | None:
         """Return the leader whose lease stands."""
         return next((machine for machine in self.running() if machine.holds_lease(self.clock.now)), None)
 
@@ -104,12 +104,12 @@
         """Add a line to the log of what happened."""
         self.log.append(f"{self.clock.now:8.3f} {text}")
 
-    def trouble(self, until: float) -> None:
+    def disturb(self, until: float) -> None:
         """Count as calm only from some time on."""
         self.calm_since = max(self.calm_since, until)
 
     def _check_calm(self) -> None:
-        self.rules.check_calm(self.holder(), self.clock.now - self.calm_since)
+        self.rules.check_calm(self.lease_holder(), self.clock.now - self.calm_since)
         self.clock.later(CALM_CHECK_S, self._check_calm)
 
     # Starts.
@@ -154,8 +154,8 @@
         zones = sorted({machine.zone for machine in self.machines.values()})
         machine = self._new_machine(f"10.0.1.{len(self.machines) + 1}", zone or self.rng.choice(zones))
         self.note(f"{machine.address} is new, in zone {machine.zone}")
-        self.trouble(self.clock.now)
-        self.reseed()
+        self.disturb(self.clock.now)
+        self.change_seeds()
         self.start(machine)
         return machine
 
@@ -163,7 +163,7 @@
 
     def end(self, machine: Machine, power: bool = False, wipe: bool = False, back_s: float | None = None) -> None:
         """End a process at once, with or without its machine's power and disk; start it again after `back_s`."""
-        self.trouble(self.clock.now + (back_s or 0.0))
+        self.disturb(self.clock.now + (back_s or 0.0))
         if machine.node is None:
             return
         self.note(f"{machine.address} ends{' without power' * power}{', its disk is lost' * wipe}")
@@ -183,7 +183,7 @@
             return
         incarnation = machine.incarnation
         machine.terminating = True
-        self.trouble(self.clock.now)
+        self.disturb(self.clock.now)
         self.note(f"{machine.address} is terminated")
 
         def end() -> None:
@@ -207,13 +207,13 @@
 
     # Settings.
 
-    def reseed(self, first: Sequence[Machine] = ()) -> None:
+    def change_seeds(self, first: Sequence[Machine] = ()) -> None:
         """Have the settings name other seeds: those given, then the newest machines."""
         present = sorted((machine.address for machine in self.present()), reverse=True)
         named = [machine.address for machine in first]
         self.seeds = [*named, *(address for address in present if address not in named)][:3]
 
-    def hang_up(self, machine: Machine) -> None:
+    def reload_settings(self, machine: Machine) -> None:
         """Send SIGHUP: a process reads its settings again."""
         seeds = list(self.seeds)
 
--- a/simnet/core/faults/context.py
+++ b/simnet/core/faults/context.py
@@ -23,7 +23,7 @@
         """Log a fault, and count nothing as calm while it lasts."""
         names = ", ".join(machine.address for machine in machines)
         self.cluster.note(f"FAULT {fault.kind} {' '.join(fault.how)} {names} for {duration_s:.2f}")
-        self.cluster.trouble(self.clock.now + duration_s)
+        self.cluster.disturb(self.clock.now + duration_s)
 
     def end(self, machine: Machine, back_s: float, power: bool = False, wipe: bool = False) -> None:
         """End a machine's process, and count the machine as lost until it is back."""
--- a/simnet/core/faults/injector.py
+++ b/simnet/core/faults/injector.py
@@ -61,7 +61,7 @@
             "replace_core": replacements.replace_machine,
             "returns": replacements.bring_back,
             "seed_turnover": surroundings.change_seeds,
-            "hup": surroundings.hang_up,
+            "hup": surroundings.reload_settings,
             "clock_step": surroundings.step_clock,
             "ack_lost": surroundings.lose_answers,
             "client_kill": surroundings.kill_client,
--- a/simnet/core/faults/losses.py
+++ b/simnet/core/faults/losses.py
@@ -1,7 +1,7 @@
 """Which machines count as lost, and whether one more may be lost now.
 
 A machine is lost while it is down, frozen, slowed or partitioned and for `catch_up_s` after that; one that is gone for
-good, until `catch_up_s` after its successor's start. The pages do not count disks in trouble; here a loss beside one
+good, until `catch_up_s` after its successor's start. The pages do not count faults of disks; here a loss beside one
 lasts as long as that, and `catch_up_s` more, as with one of three voters gone and another that can not write nobody
 could decide about the successor.
 """
--- a/simnet/core/faults/partitions.py
+++ b/simnet/core/faults/partitions.py
@@ -36,7 +36,7 @@
             self._cut_off(machine, others, fault)
             self._context.send_changes_to(fault, machine, 0.5 * fault.duration_s)
         if "seeds" in fault.how:
-            self._cluster.reseed(machines)
+            self._cluster.change_seeds(machines)
         if "both" in fault.how:
             self._restart_both_sides(machines, others, fault)
         return True
@@ -83,7 +83,7 @@
         outgoing = "out" in fault.how or fault.lot % 2
         for other in others:
             sender, receiver = (machine, other) if outgoing else (other, machine)
-            self._cluster.links.cut(sender.address, receiver.address, fault.duration_s, both=both)
+            self._cluster.links.partition(sender.address, receiver.address, fault.duration_s, both=both)
             self._reconnect(sender, receiver, fault.duration_s)
 
     def _reconnect(self, a: Machine, b: Machine, after_s: float) -> None:
--- a/simnet/core/faults/processes.py
+++ b/simnet/core/faults/processes.py
@@ -47,7 +47,7 @@
 
     def _terminate(self, machine: Machine) -> None:
         self._context.losses.lose(machine, self._cluster.clock.now + RESTART_S)
-        self._cluster.trouble(self._cluster.clock.now + RESTART_S)
+        self._cluster.disturb(self._cluster.clock.now + RESTART_S)
         self._cluster.terminate(machine)
 
     def kill_herd(self, fault: Fault) -> bool:
--- a/simnet/core/faults/replacements.py
+++ b/simnet/core/faults/replacements.py
@@ -31,7 +31,7 @@
         else:
             self._context.losses.lose_for_good(old)
             self._cluster.remove(old)
-            self._cluster.reseed()
+            self._cluster.change_seeds()
             self._cluster.clock.later(fault.successor_s, partial(self._start_successor, old, zone))
         return True
 
@@ -39,19 +39,19 @@
         new = self._cluster.add(zone)
         self._context.losses.lose(old, self._cluster.clock.now)
         overlap_s = fault.successor_s if fault.lot % 2 else SHORT_OVERLAP_S
-        self._cluster.trouble(self._cluster.clock.now + overlap_s)
+        self._cluster.disturb(self._cluster.clock.now + overlap_s)
         self._cluster.clock.later(overlap_s, partial(self._terminate, old, new))
 
     def _terminate(self, old: Machine, new: Machine) -> None:
         self._cluster.note(f"{old.address} leaves, {new.address} succeeds it")
         old.gone = True
         self._cluster.terminate(old, back_s=None)
-        self._cluster.reseed()
+        self._cluster.change_seeds()
 
     def _start_successor(self, old: Machine, zone: str | None) -> None:
         self._cluster.add(zone)
         self._context.losses.succeeded(old)
-        self._cluster.trouble(self._cluster.clock.now)
+        self._cluster.disturb(self._cluster.clock.now)
 
     def bring_back(self, fault: Fault) -> bool:
         """Start a machine that was gone, with its old disk."""
--- a/simnet/core/faults/surroundings.py
+++ b/simnet/core/faults/surroundings.py
@@ -22,13 +22,13 @@
     def change_seeds(self, fault: Fault) -> bool:
         """Let the settings name other seeds."""
         self._context.announce(fault, [], 0.0)
-        self._cluster.reseed(self._context.choose(fault))
+        self._cluster.change_seeds(self._context.choose(fault))
         return True
 
-    def hang_up(self, fault: Fault) -> bool:
+    def reload_settings(self, fault: Fault) -> bool:
         """Have all processes read their settings again, at times of their own."""
         for machine in self._cluster.running():
-            self._cluster.clock.later(self._cluster.rng.random(), partial(self._cluster.hang_up, machine))
+            self._cluster.clock.later(self._cluster.rng.random(), partial(self._cluster.reload_settings, machine))
         return True
 
     def step_clock(self, fault: Fault) -> bool:
--- a/simnet/core/links.py
+++ b/simnet/core/links.py
@@ -35,7 +35,7 @@
         self._last_arrival: dict[tuple[str, str], float] = {}
         self._resets: dict[tuple[str, str], int] = {}  # how often each connection was reset
 
-    def cut(self, a: str, b: str, duration_s: float, both: bool = True) -> None:
+    def partition(self, a: str, b: str, duration_s: float, both: bool = True) -> None:
         """Let nothing pass from a to b for a while, nor back where `both`."""
         for pair in ((a, b), (b, a)) if both else ((a, b),):
             self.partitions[pair] = max(self.partitions.get(pair, 0.0), self._clock.now + duration_s)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -104,8 +104,8 @@
 
 def test_two_that_both_believe_they_found_end_in_one_electorate():
     core = Cluster(3)
-    core.links.cut("10.0.0.1", "10.0.0.2", 5.0)
-    core.links.cut("10.0.0.1", "10.0.0.3", 5.0)
+    core.links.partition("10.0.0.1", "10.0.0.2", 5.0)
+    core.links.partition("10.0.0.1", "10.0.0.3", 5.0)
     core.clock.run(5.0)
     assert core.leader() is None  # with all seeds or not at all
     end(core)
@@ -143,9 +143,9 @@
     core.end(replica)  # stays away
     core.end(witness, wipe=True, back_s=0.5)
     run_for(core, 4.0)
-    assert witness.node.state_lost and core.holder() is None  # one voter is no majority
+    assert witness.node.state_lost and core.lease_holder() is None  # one voter is no majority
     core.start(replica)
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     end(core)
 
 
@@ -211,7 +211,7 @@
     run_for(core, 0.2)  # it has asked, and nobody was there
     core.start(witness)
     core.start(replica)
-    assert wait(core, lambda: core.holder() is not None) < 0.1
+    assert wait(core, lambda: core.lease_holder() is not None) < 0.1
     core.calm_since = core.clock.now
     end(core)
 
@@ -238,7 +238,7 @@
     put(core, [first.address])
     run_for(core, 4.0)
     assert replica.disk.item("config")["v"] == 2
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     end(core)
 
 
@@ -261,8 +261,8 @@
 def test_a_cut_in_one_direction_only(pair):
     core = calm()
     roles = by_role(core)
-    core.links.cut(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
-    core.trouble(core.clock.now + 5.0)
+    core.links.partition(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
+    core.disturb(core.clock.now + 5.0)
     run_for(core, 2.5)
     acknowledged(core, put(core), most=3.0)  # two of three that hear each other are enough
     end(core)
@@ -272,7 +272,7 @@
     core = calm()
     first, _, _ = by_role(core)
     first.disk.stalled_until = core.clock.now + 3.0
-    core.trouble(core.clock.now + 3.0)
+    core.disturb(core.clock.now + 3.0)
     core.version = 3
     core.operators.put(2, "x2", [first.address])
     run_for(core, 2.0)
@@ -286,8 +286,8 @@
     core = calm()
     first, replica, witness = by_role(core)
     for other in (replica, witness):
-        core.links.cut(first.address, other.address, 4.0)
-    core.trouble(core.clock.now + 4.0)
+        core.links.partition(first.address, other.address, 4.0)
+    core.disturb(core.clock.now + 4.0)
     run_for(core, 2.0)
     acknowledged(core, put(core, [replica.address, witness.address]), most=1.0)
     core.operators.read([first.address])  # it answers nothing, or the check finds an old number
@@ -303,8 +303,8 @@
     others = [m for m in core.machines.values() if m is not first]
     for other in others:
         a, b = (other, first) if direction == "in" else (first, other)
-        core.links.cut(a.address, b.address, 20.0, both=direction == "both")
-    core.trouble(core.clock.now + 20.0)
+        core.links.partition(a.address, b.address, 20.0, both=direction == "both")
+    core.disturb(core.clock.now + 20.0)
     begin = core.clock.now
     for number in range(2, 20):
         core.version = number
@@ -323,7 +323,7 @@
     core = calm(machines)
     first = core.leader()
     first.frozen_until = core.clock.now + 20.0
-    core.trouble(first.frozen_until)
+    core.disturb(first.frozen_until)
     others = [m.address for m in core.machines.values() if m is not first]
     for number in range(2, 20):
         core.version = number
@@ -345,9 +345,9 @@
     replica.disk.stalled_until = core.clock.now + 0.75
     wait(core, lambda: replica.node.leadership is not None)
     assert not core.in_contact(replica)
-    assert core.holder() is None  # until they have answered its heartbeat
+    assert core.lease_holder() is None  # until they have answered its heartbeat
     run_for(core, 0.1)
-    assert core.holder() is replica
+    assert core.lease_holder() is replica
     end(core)
 
 
@@ -356,8 +356,8 @@
     core = calm(machines)
     first = core.leader()
     for other in core.machines.values():
-        core.links.cut(first.address, other.address, 3.0)
-    core.trouble(core.clock.now + 3.0)
+        core.links.partition(first.address, other.address, 3.0)
+    core.disturb(core.clock.now + 3.0)
     for _ in range(40):
         core.operators.read([first.address])  # the rules see who answers without contact
         run_for(core, 0.05)
@@ -371,7 +371,7 @@
         first = core.leader()
         run_for(core, 0.01 * step)
         first.frozen_until = core.clock.now + 0.85 + 0.05 * step
-        core.trouble(first.frozen_until)
+        core.disturb(first.frozen_until)
         core.operators.read([first.address])
         run_for(core, 0.5)
         core.operators.read([first.address])
@@ -386,7 +386,7 @@
         put(core, [first.address])
         run_for(core, 0.001)  # on its way to the replica
         first.frozen_until = core.clock.now + 0.72 + 0.01 * step
-        core.trouble(first.frozen_until)
+        core.disturb(first.frozen_until)
         run_for(core, 1.0)  # the rules see who confirms without contact
         end(core)
 
@@ -409,7 +409,7 @@
     wait(core, lambda: witness.disk.position.epoch == 2)
     replica.disk.stalled_until = core.clock.now + 0.75
     wait(core, lambda: replica.node.leadership is not None)
-    assert core.holder() is None
+    assert core.lease_holder() is None
     run_for(core, 0.3)
     assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [2, 2]
     end(core)
@@ -419,7 +419,7 @@
     core = calm()
     first, replica, _ = by_role(core)
     first.frozen_until = core.clock.now + 2.5
-    core.trouble(first.frozen_until)
+    core.disturb(first.frozen_until)
     core.version = 2
     core.operators.put(2, "c2", [first.address])
     core.operators.put(2, "c2", [replica.address])
@@ -431,7 +431,7 @@
     core = calm()
     first, _, _ = by_role(core)
     first.disk.full_until = core.clock.now + 4.0
-    core.trouble(first.disk.full_until)
+    core.disturb(first.disk.full_until)
     number = put(core)
     run_for(core, 4.0)
     assert core.history.acknowledged == number and core.leader() is not first
@@ -485,17 +485,19 @@
     core = calm()
     first = core.leader()
     core.terminate(first)
-    core.trouble(core.clock.now + 1.0)
+    core.disturb(core.clock.now + 1.0)
     run_for(core, 0.5)
-    assert core.holder() not in (None, first)
+    assert core.lease_holder() not in (None, first)
     end(core)
 
 
 def test_a_voter_that_has_promised_more_votes_again():
     core = calm()
     first, replica, _ = by_role(core)
-    core.links.cut(first.address, replica.address, 3.0)  # it asks, and the witness guards the leader that it hears
-    core.trouble(core.clock.now + 3.0)
+    core.links.partition(
+        first.address, replica.address, 3.0
+    )  # it asks, and the witness guards the leader that it hears
+    core.disturb(core.clock.now + 3.0)
     run_for(core, 8.0)
     view = core.leader().node.view
     assert {m.node.promised for m in core.machines.values()} == {view.epoch}
@@ -615,7 +617,7 @@
     core.remove(witness)
     new = core.add(witness.zone)
     new.disk.stalled_until = core.clock.now + 6.0
-    core.trouble(core.clock.now + 6.0)
+    core.disturb(core.clock.now + 6.0)
     run_for(core, 5.5)
     assert new.address not in voters(core)
     run_for(core, 2.0)
@@ -636,10 +638,10 @@
     run_for(core, core.catch_up_s + gap)
     assert gone.address not in voters(core)
     core.remove(core.leader())
-    core.reseed()
+    core.change_seeds()
     run_for(core, 1.0)
     core.add()
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     acknowledged(core, number, most=0.1)
     acknowledged(core, put(core), most=6.0)
     run_for(core, core.catch_up_s + gap)
@@ -660,7 +662,7 @@
     lost = core.leader()
     if loss == "gone":
         core.remove(lost)
-        core.trouble(core.clock.now + 3.0)
+        core.disturb(core.clock.now + 3.0)
         core.clock.later(3.0, core.add)
     else:
         core.end(lost, power=True, wipe=loss == "wipe", back_s=3.0)
@@ -678,12 +680,12 @@
     run_for(core, 1.0)
     core.terminate(old, back_s=None)
     old.gone = True
-    core.reseed()
+    core.change_seeds()
     number = put(core)
     took = wait(core, lambda: old.node is None, most=6.5)
     assert took < 5.5 and old.address not in voters(core) and new.address in voters(core)
     assert voters(core) <= {m.address for m in core.running()}
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     acknowledged(core, number, most=4.0)
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.node is not None for m in holders)
@@ -698,7 +700,7 @@
         core.add()
         run_for(core, 4.0)
         core.remove(core.machines[name])
-        core.reseed()
+        core.change_seeds()
         run_for(core, 4.0)
         core.operators.read()
         run_for(core, 1.0)
@@ -742,8 +744,8 @@
     spare = core.add(first.zone)
     for other in core.machines.values():
         if other is not first:
-            core.links.cut(first.address, other.address, 12.0)
-    core.trouble(core.clock.now + 12.0)
+            core.links.partition(first.address, other.address, 12.0)
+    core.disturb(core.clock.now + 12.0)
     run_for(core, 12.0)
     for _ in range(40):
         put(core, ["10.0.0.2"])
@@ -751,7 +753,7 @@
     assert voters(core) == {"10.0.0.2", "10.0.0.3", spare.address}
     assert first.node.promised > core.leader().node.view.epoch  # it stood again and again
     core.remove(core.machines["10.0.0.3"])
-    core.reseed()
+    core.change_seeds()
     run_for(core, 4.0)
     assert voters(core) == {"10.0.0.2", first.address, spare.address}
     end(core)
@@ -761,8 +763,8 @@
     for seed in range(6):
         core = calm(5, seed=seed)
         core.terminate(core.leader())
-        core.trouble(core.clock.now + 1.0)
-        assert wait(core, lambda c=core: c.holder() not in (None, c.machines["10.0.0.1"])) < 0.15
+        core.disturb(core.clock.now + 1.0)
+        assert wait(core, lambda c=core: c.lease_holder() not in (None, c.machines["10.0.0.1"])) < 0.15
 
 
 def test_a_voter_that_is_told_to_end_stays_to_vote_where_nobody_leads():
@@ -771,8 +773,8 @@
     core.end(first, power=True, back_s=20.0)
     wait(core, lambda: not witness.node._role.guarded())  # the replica is about to stand
     core.terminate(witness, back_s=20.0)
-    wait(core, lambda: core.holder() is replica, most=2.0)
-    core.trouble(core.clock.now + 20.0)
+    wait(core, lambda: core.lease_holder() is replica, most=2.0)
+    core.disturb(core.clock.now + 20.0)
     run_for(core, 22.0)
     end(core)
 
@@ -780,14 +782,14 @@
 def test_an_exchange_needs_a_majority_of_the_voters_before_it():
     core = calm()
     first, replica, witness = by_role(core)
-    core.links.cut(first.address, replica.address, 12.0)
-    core.trouble(core.clock.now + 12.0)
+    core.links.partition(first.address, replica.address, 12.0)
+    core.disturb(core.clock.now + 12.0)
     new = core.add(replica.zone)
     wait(core, lambda: new.disk.position.epoch == 3)  # the witness has voted for the epoch that exchanges the replica
     for machine in (first, new):  # each half has one that holds a copy
         for other in (replica, witness):
-            core.links.cut(machine.address, other.address, 8.0)
-    wait(core, lambda: core.holder() is witness, most=4.0)  # with the vote of the replica, which has not lost it
+            core.links.partition(machine.address, other.address, 8.0)
+    wait(core, lambda: core.lease_holder() is witness, most=4.0)  # with the vote of the replica, which has not lost it
     run_for(core, 2.0)  # the rules see whether both lead
     end(core)
 
@@ -800,7 +802,7 @@
     wait(core, lambda: new.disk.position.epoch == 3)  # it holds a copy for the epoch that gives it a vote
     assert new.disk.view is not None and new.address not in new.disk.view.voters
     core.end(new, back_s=0.2)
-    wait(core, lambda: core.holder() is not None and new.address in voters(core), most=6.0)
+    wait(core, lambda: core.lease_holder() is not None and new.address in voters(core), most=6.0)
     end(core)
 
 
@@ -816,8 +818,8 @@
     _, _, witness = by_role(core)
     assert witness.service.receive(core.time(witness), "f9", REQUEST) != []
     for other in core.machines.values():
-        core.links.cut(witness.address, other.address, 5.0, both=direction == "both")
-    core.trouble(core.clock.now + 5.0)
+        core.links.partition(witness.address, other.address, 5.0, both=direction == "both")
+    core.disturb(core.clock.now + 5.0)
     run_for(core, 2.5)
     assert witness.service.receive(core.time(witness), "f9", REQUEST) == []
     end(core)
@@ -921,19 +923,19 @@
     core = calm(5)
     first = core.leader()
     one, other = (core.machines[a] for a in first.node.view.replicas)
-    core.links.cut(first.address, other.address, 1.0, both=False)
+    core.links.partition(first.address, other.address, 1.0, both=False)
     core.operators.evacuate("q", True)
     wait(core, lambda: one.disk.item("evac:q") is not None)
     core.operators._evacuations[-1].done = True  # its operator gives up
     core.end(first, power=True, back_s=30.0)
     one.frozen_until = core.clock.now + 2.0
-    wait(core, lambda: core.holder() is other)  # which has never heard of it
+    wait(core, lambda: core.lease_holder() is other)  # which has never heard of it
     core.operators.evacuate("r", True)  # takes its number
     wait(core, lambda: core.history.evacuated.get("r") is True)
     run_for(core, 2.0)
     for replica in other.node.view.replicas:
         core.end(core.machines[replica], power=True, back_s=8.0)
-    wait(core, lambda: core.holder() is other and one.address in other.node.view.replicas)
+    wait(core, lambda: core.lease_holder() is other and one.address in other.node.view.replicas)
     assert one.disk.items == other.disk.items
     end(core)
 
