--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -77,7 +77,7 @@
         "return ImmediateResponse(400, str(error), closes=True)",
         "return ImmediateResponse(500, str(error), closes=True)",
     ),
-    Wrong("a total need only begin like a number", "services/counter_client.py", "TOTAL.fullmatch", "TOTAL.match"),
+    Wrong("a total need only begin like a number", "services/counter_connection.py", "TOTAL.fullmatch", "TOTAL.match"),
     Wrong(
         "requests are answered after their time",
         "core/driver.py",
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -35,7 +35,7 @@
 from thistleusher.net.ingress_server import IngressServer
 from thistleusher.quota.escrow import ROW, SETTLED
 from thistleusher.quota.incarnations import HELLO, HELLO_MARK
-from thistleusher.services.counter_client import CounterConnection, PendingAdd
+from thistleusher.services.counter_connection import CounterConnection, PendingAdd
 from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseReader
 
 Check = Callable[[bytes, random.Random], Hashable]
@@ -172,39 +172,38 @@
     return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
 
 
-class _Line:
-    """What a counter's connection tells its line."""
+class _Channel:
+    """What a counter's connection reports to its channel."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.counter = self
-        self.told: list[tuple[int, Outcome, float]] = []
+        self.reports: list[tuple[int, Outcome, float]] = []
 
-    def tell(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
-        self.told.append((add.name, outcome, total))
+    def report(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
+        self.reports.append((add.name, outcome, total))
 
-    def stands(self, link: Any) -> None: ...
+    def connection_ready(self, link: Any) -> None: ...
 
-    def lost(self, link: Any) -> None: ...
+    def connection_ended(self, link: Any) -> None: ...
 
 
 def counter(data: bytes, rng: random.Random) -> Hashable:
     """The counter's bytes: each call has one verdict in the end, and a total is a number."""
 
     async def main() -> Hashable:
-        line = _Line()
-        link, transport = CounterConnection(line), Transport()  # type: ignore[arg-type]
+        channel = _Channel()
+        link, transport = CounterConnection(channel), Transport()
         link.connection_made(transport)  # type: ignore[arg-type]
         for n in range(3):
             link.write(PendingAdd(n, b"", 0.0, 0.0))
         for part in chunks(data, rng):
             link.data_received(part)
         link.connection_lost(None)
-        if sorted(name for name, _, _ in line.told) != [0, 1, 2]:
-            raise Broken(f"three calls, verdicts {line.told}")
-        if any(not abs(total) < 1e100 for _, _, total in line.told):
-            raise Broken(f"no total: {line.told}")
-        return tuple(outcome for _, outcome, _ in line.told)
+        if sorted(name for name, _, _ in channel.reports) != [0, 1, 2]:
+            raise Broken(f"three calls, verdicts {channel.reports}")
+        if any(not abs(total) < 1e100 for _, _, total in channel.reports):
+            raise Broken(f"no total: {channel.reports}")
+        return tuple(outcome for _, outcome, _ in channel.reports)
 
     return _loop().run_until_complete(main())
 
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -118,7 +118,7 @@
         for number, service in enumerate(services[1:]):
             assert {int(n) for n in service.totals()} >= {n for n in NAMES[:60] if placed.of(n) == number}
         counters.close()
-        assert not counters.leaving
+        assert not counters.removed
         for service in services:
             await service.stop()
 
--- a/tests/services/test_services.py
+++ b/tests/services/test_services.py
@@ -13,7 +13,8 @@
 from thistleusher.net import discovery as discovery_module
 from thistleusher.net.backend_list import parse_backend_list
 from thistleusher.net.discovery import DiscoveryClient
-from thistleusher.services import counter_client as counter_module
+from thistleusher.services import counter_channel as channel_module
+from thistleusher.services import counter_client as client_module
 from thistleusher.services.counter_client import CounterClient
 from thistleusher.services.peers import PeerDatagrams
 
@@ -71,7 +72,7 @@
         w.counter.add(2, 5.0, 3.0)
         go.set()
         assert [(r.outcome, r.total) for r in (await w.some(2))[1:]] == [(Outcome.OK, 222.0)]
-        assert service.connections == counter_module.LINES  # the connection was kept
+        assert service.connections == client_module.CHANNELS  # the connection was kept
 
     run(main())
 
@@ -95,7 +96,7 @@
     async def main():
         service = await Peer.start(answer)
         w = Watching(service.port)
-        await until(lambda: w.counter.lines[0].link)
+        await until(lambda: w.counter.channels[0].connection)
         w.counter.add(4, 1.0, 3.0)
         assert (await w.some(1))[0].outcome is outcome
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
@@ -110,22 +111,22 @@
         w = Watching(closed_port(), 0.05)
         w.counter.add(4, 1.0, 3.0)
         assert (await w.some(1))[0].outcome is Outcome.CONNECT_FAILED
-        assert not w.counter.lines[0].unsent
+        assert not w.counter.channels[0].unsent
 
     run(main())
 
 
 def test_a_stuck_connection_is_replaced(monkeypatch):
-    monkeypatch.setattr(counter_module, "STUCK_S", 0.05)
-    monkeypatch.setattr(counter_module, "RETRY_S", 0.01)
+    monkeypatch.setattr(channel_module, "STUCK_S", 0.05)
+    monkeypatch.setattr(channel_module, "RETRY_S", 0.01)
 
     async def main():
         service = await Peer.start(None)
         w = Watching(service.port, 0.1)
-        await until(lambda: w.counter.lines[0].link)
+        await until(lambda: w.counter.channels[0].connection)
         w.counter.add(4, 1.0, 3.0)
         assert (await w.some(1))[0].outcome is Outcome.TIMEOUT
-        await until(lambda: service.connections > counter_module.LINES)
+        await until(lambda: service.connections > client_module.CHANNELS)
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
         w.counter.timeout = LONG
         w.counter.add(4, 1.0, 3.0)
@@ -138,7 +139,7 @@
     async def main():
         service = await Peer.start(b"HTTP/1.1 20x\r\n\r\n")
         w = Watching(service.port)
-        await until(lambda: w.counter.lines[0].link)
+        await until(lambda: w.counter.channels[0].connection)
         w.counter.add(4, 1.0, 3.0)
         w.counter.add(8, 1.0, 3.0)
         assert [r.outcome for r in await w.some(2)] == [Outcome.ERROR, Outcome.TIMEOUT]
@@ -152,18 +153,18 @@
     async def main():
         service = await Peer.start(None)
         w = Watching(service.port)
-        line = w.counter.lines[0]
-        await until(lambda: line.link)
+        channel = w.counter.channels[0]
+        await until(lambda: channel.connection)
         w.counter.add(4, 1.0, 3.0)
-        old = line.link
-        old.served = True  # so that it is replaced at once
+        old = channel.connection
+        old.has_served = True  # so that it is replaced at once
         old.end("a test")
-        await until(lambda: line.link not in (None, old))
-        new = line.link
+        await until(lambda: channel.connection not in (None, old))
+        new = channel.connection
         w.counter.add(4, 2.0, 3.0)
         old.data_received(ok(b"111"))
         old.connection_lost(None)
-        assert line.link is new and len(w.replies) == 1 and len(new.owed) == 1
+        assert channel.connection is new and len(w.replies) == 1 and len(new.pending) == 1
 
     run(main())
 
@@ -178,21 +179,21 @@
 
         old, new = await Peer(act).listen(), await Peer.start(ok(b"2"))
         w = Watching(old.port)
-        line = w.counter.lines[0]
-        await until(lambda: line.link)
+        channel = w.counter.channels[0]
+        await until(lambda: channel.connection)
         w.counter.add(4, 1.0, 3.0)
         await until(lambda: old.seen)
-        first = line.link
+        first = channel.connection
         w.counter.move((HOST, new.port))
         w.counter.add(8, 1.0, 3.0)  # the new one does not stand yet: the old one takes it
-        await until(lambda: line.link is not first)
+        await until(lambda: channel.connection is not first)
         w.counter.add(4, 1.0, 3.0)
-        await until(lambda: new.seen and line.link.served)
+        await until(lambda: new.seen and channel.connection.has_served)
         assert not w.replies  # the new one's answer waits for the one before it
         go.set()
         assert [(r.name, r.total) for r in await w.some(3)] == [(4, 1.0), (4, 2.0), (8, 1.0)]
         await until(lambda: first.closed)
-        assert not w.counter.calls
+        assert not w.counter.pending
 
     run(main())
 
@@ -360,20 +361,20 @@
         addresses = [n.transport.get_extra_info("sockname") for n in nodes]
         for node in nodes:
             node.peers, node.numbers = addresses, {a: i for i, a in enumerate(addresses)}
-        nodes[0].tell(2, b"one")
-        nodes[1].tell(None, b"all")
-        nodes[1].tell(0, b"x" * 257)  # too long: not sent
-        nodes[1].tell(9, b"nobody")
+        nodes[0].send(2, b"one")
+        nodes[1].send(None, b"all")
+        nodes[1].send(0, b"x" * 257)  # too long: not sent
+        nodes[1].send(9, b"nobody")
         stranger = PeerDatagrams(addresses, None, 0, got[0].append)
         await loop.create_datagram_endpoint(lambda: stranger, local_addr=(HOST, 0))
-        stranger.tell(0, b"from nowhere")
-        nodes[2].tell(0, b"last")
+        stranger.send(0, b"from nowhere")
+        nodes[2].send(0, b"last")
         await until(lambda: len(got[0]) == 2 and len(got[2]) == 2)
         assert sorted(got[0]) == [events.PeerMessage(1, b"all"), events.PeerMessage(2, b"last")]
         assert sorted(got[2]) == [events.PeerMessage(0, b"one"), events.PeerMessage(1, b"all")]
         assert not got[1]
         nodes[2].everyone = addresses[1]
-        nodes[2].tell(None, b"by one address")
+        nodes[2].send(None, b"by one address")
         await until(lambda: got[1])
 
     run(main())
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -144,7 +144,7 @@
 
     def _tell(self, a: actions.SendToPeer) -> None:
         if self.peers is not None:
-            self.peers.tell(a.peer, a.payload)
+            self.peers.send(a.peer, a.payload)
 
     def _set_timer(self, a: actions.SetTimer) -> None:
         if self.closed:
--- a/thistleusher/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -42,7 +42,7 @@
 class PeerPort(Protocol):
     """Messages to other ingresses; they may be lost."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None: ...
+    def send(self, peer: int | None, payload: bytes) -> None: ...
 
 
 class Verdict(Enum):
--- a/thistleusher/services/__init__.py
+++ b/thistleusher/services/__init__.py
@@ -1,4 +1,4 @@
 """Clients of what all ingresses share: the counter service, and datagrams between ingresses.
 
-Each call has one verdict in time; neither knows of clients' HTTP nor of backends.
+Each call to the counter has exactly one outcome, in time; nothing here knows of clients' requests or of backends.
 """
--- /dev/null
+++ b/thistleusher/services/counter_connection.py
@@ -0,0 +1,147 @@
+"""One connection to the counter service: adds go out, totals come back in their order."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import re
+from collections import deque
+from collections.abc import Callable
+from typing import Any, Protocol, cast
+
+from thistleusher.core import events
+from thistleusher.core.events import Outcome
+from thistleusher.services.http_responses import Response, ResponseReader
+
+log = logging.getLogger(__name__)
+
+RESPONSE_STALL_S = 0.05  # without a byte in the middle of a response, after which a connection is replaced
+RETIRE_S = 1.5  # for the pending responses of a connection that another has taken over from
+TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # not nan or inf; below 0 is possible by settling
+NOTHING_ADDED_STATUSES = (400, 404)
+
+
+class PendingAdd:
+    """One call to the counter, with the loop time by which it needs an outcome."""
+
+    __slots__ = ("name", "request", "started_at", "due_at", "reply")
+
+    def __init__(self, name: int, request: bytes, started_at: float, due_at: float) -> None:
+        self.name = name
+        self.request = request
+        self.started_at = started_at
+        self.due_at = due_at
+        self.reply: events.CounterReply | None = None  # its outcome, once there is one
+
+
+class ConnectionOwner(Protocol):
+    """What a connection asks of its channel."""
+
+    loop: asyncio.AbstractEventLoop
+
+    @property
+    def report(self) -> Callable[..., Any]:
+        """The call `report(add, outcome, total)`, which takes the outcome of an add; only the first one counts."""
+
+    def connection_ready(self, connection: CounterConnection) -> None:
+        """Send over this connection from now on."""
+
+    def connection_ended(self, connection: CounterConnection) -> None:
+        """Open another connection if this is the present one."""
+
+
+class CounterConnection(asyncio.Protocol):
+    """One connection to the counter, from its start to its end. Responses come in the order of the calls."""
+
+    def __init__(self, channel: ConnectionOwner) -> None:
+        self.channel = channel
+        self.loop = channel.loop
+        self.transport: asyncio.Transport | None = None
+        self.reader = ResponseReader()
+        # Written and not answered. They stay beyond their time, so that late responses find their call.
+        self.pending: deque[PendingAdd] = deque()
+        self.last_heard = 0.0
+        self.has_served = False
+        self.retired = False
+        self.closed = False
+        self.stall_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the channel."""
+        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        self.channel.connection_ready(self)
+
+    def write(self, add: PendingAdd) -> None:
+        """Send a call."""
+        assert self.transport is not None
+        if not self.pending:
+            self.last_heard = self.loop.time()
+        self.pending.append(add)
+        self.transport.write(add.request)
+
+    def data_received(self, data: bytes) -> None:
+        """Give each complete response to its call; a spoilt or unfinished one ends the connection."""
+        if self.closed:
+            return
+        self.last_heard = self.loop.time()
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+        for response in self.reader.feed(data):
+            self._take(response)
+        if self.reader.error:
+            self.end(f"spoilt: {self.reader.error}", spoilt=True)
+        elif self.reader.partial and not self.closed:
+            self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.end, "spoilt: it stops midway", True)
+
+    def _take(self, response: Response) -> None:
+        """Report the outcome of the oldest pending call."""
+        if self.closed:
+            return
+        if not self.pending:
+            self.end("a response to no call")
+            return
+        if response.status == 200 and TOTAL.fullmatch(response.body) is None:
+            self.end("spoilt: not a total", spoilt=True)
+            return
+        add = self.pending.popleft()
+        self.has_served = True
+        if response.status == 200:
+            self.channel.report(add, Outcome.OK, float(response.body))
+        elif response.status == 503:
+            self.channel.report(add, Outcome.FULL)
+        else:
+            nothing_added = response.status in NOTHING_ADDED_STATUSES
+            log.warning("counter: status %d", response.status)
+            self.channel.report(add, Outcome.CONNECT_FAILED if nothing_added else Outcome.TIMEOUT)
+        if not response.keep_alive or (self.retired and not self.pending):
+            self.end("done")
+
+    def retire(self) -> None:
+        """Wait a while for pending responses, and end: another connection has taken over."""
+        self.retired = True
+        if self.pending:
+            self.loop.call_later(RETIRE_S, self.end, "retired")
+        else:
+            self.end("retired")
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End."""
+        self.end("closed")
+
+    def end(self, reason: str, spoilt: bool = False) -> None:
+        """Close it, and report what is pending: it may have been added; a spoilt response says that the first was.
+
+        The channel is informed first: an outcome may bring about the next call, which must not be written here.
+        """
+        if self.closed:
+            return
+        self.closed = True
+        log.debug("counter: %s", reason)
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+        if self.transport is not None:
+            self.transport.abort()
+        self.channel.connection_ended(self)
+        for position, add in enumerate(self.pending):
+            self.channel.report(add, Outcome.ERROR if spoilt and position == 0 else Outcome.TIMEOUT)
+        self.pending.clear()
--- a/thistleusher/services/counter_group.py
+++ b/thistleusher/services/counter_group.py
@@ -1,4 +1,4 @@
-"""Several counters that share the names; each is a client of its own, so a lost one holds up nobody else."""
+"""Several counters that share the names; each has a client of its own, so that a lost one holds up nobody else."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from thistleusher.services.addresses import read_address
 from thistleusher.services.counter_client import CounterClient
 
-LEAVE_S = 2.0  # for the answers that a counter taken out still owes
+REMOVAL_S = 2.0  # for the pending responses of a counter that was taken out
 
 
 class CounterGroup:
-    """Calls go to the counter that holds their name. `place` changes the set in service."""
+    """Calls go to the counter that has their name. `place` changes the set in service."""
 
     def __init__(
         self,
@@ -24,14 +24,18 @@
         on_reply: Callable[[events.CounterReply], None],
         time: Callable[[], float] | None = None,
     ) -> None:
-        self.loop, self.timeout, self.on_reply, self.time = loop, timeout, on_reply, time
+        """Take the same parameters as `CounterClient`, with a placement for the address."""
+        self.loop = loop
+        self.timeout = timeout
+        self.on_reply = on_reply
+        self.time = time
         self.clients: dict[str, CounterClient] = {}
-        self.leaving: dict[CounterClient, asyncio.TimerHandle] = {}
+        self.removed: dict[CounterClient, asyncio.TimerHandle] = {}
         self.placement = placement
         self.place(placement)
 
     def place(self, placement: Placement) -> None:
-        """Follow another set: new ones are connected to, those taken out may still answer for a while."""
+        """Follow another set: connect to new counters; those that were taken out may still answer for a while."""
         self.placement = placement
         for address in placement.addresses:
             if address not in self.clients:
@@ -40,17 +44,20 @@
                 )
         for address in self.clients.keys() - set(placement.addresses):
             client = self.clients.pop(address)
-            self.leaving[client] = self.loop.call_later(LEAVE_S, self.drop, client)
+            self.removed[client] = self.loop.call_later(REMOVAL_S, self._drop, client)
 
-    def drop(self, client: CounterClient) -> None:
-        self.leaving.pop(client).cancel()
+    def _drop(self, client: CounterClient) -> None:
+        """Close a client that was taken out."""
+        self.removed.pop(client).cancel()
         client.close()
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
+        """Add to a name at its counter."""
         self.clients[self.placement.addresses[self.placement.of(name)]].add(name, amount, lifetime)
 
     def close(self) -> None:
-        for client in list(self.leaving):
-            self.drop(client)
+        """Close all clients."""
+        for client in list(self.removed):
+            self._drop(client)
         for client in self.clients.values():
             client.close()
--- a/thistleusher/services/options.py
+++ b/thistleusher/services/options.py
@@ -25,5 +25,5 @@
             raise ValueError(f"addresses: {error}") from error
 
     def placement(self) -> Placement:
-        """Which of them holds a name."""
+        """Return which of them has which names."""
         return Placement(list(self.addresses))
