--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -1,4 +1,4 @@
-"""One ingress on real sockets: start-up and signals."""
+"""The command `python -m thistleusher`: one ingress on real sockets, start-up and signals."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 log = logging.getLogger("thistleusher")
 
-NOTICE_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
-
+NOTICE_S = 0.5  # after SIGTERM; new connections come for up to 0.4 s
+FILE_OPTIONS = ("--counters", "--state")
 
 USAGE = """usage: python -m thistleusher              serve as PROXY_CONFIG says
        python -m thistleusher --counters FILE   the same, with several counters
@@ -34,25 +34,25 @@
 """
 
 
-def command(argv: list[str]) -> int:
-    """The commands beside serving; each is imported only when it is asked for."""
-    if argv[0] == "bound":
+def run_command(arguments: list[str]) -> int:
+    """Run one of the commands beside serving, and return its exit code; each is imported only when it is asked for."""
+    if arguments[0] == "bound":
         from thistleusher.cli import bound
 
-        return bound.main(argv[1:])
-    if argv[0] not in ("-h", "--help"):
-        try:
-            from thistleusher.cli.main import main as others
-        except ImportError:
-            print(USAGE, end="", file=sys.stderr)
-            return 2
-        return others(argv)
-    print(USAGE, end="")
-    return 0
+        return bound.main(arguments[1:])
+    if arguments[0] in ("-h", "--help"):
+        print(USAGE, end="")
+        return 0
+    try:
+        from thistleusher.cli.main import main as operator_main
+    except ImportError:
+        print(USAGE, end="", file=sys.stderr)
+        return 2
+    return operator_main(arguments)
 
 
 class Extras(NamedTuple):
-    """What an operator adds to the platform's configuration. `counters` reads them anew, at each reload."""
+    """What an operator adds to the platform's configuration. `counters` reads its file anew, at each reload."""
 
     environ: Mapping[str, str]
     counters: Callable[[], Placement | None] | None = None
@@ -60,22 +60,21 @@
 
 
 def make_snapshotter(config: Config, options: StateOptions) -> Snapshotter:
-    """The state folder; BadConfiguration says what keeps it from being used."""
+    """Return the snapshotter of a state folder. Raises InvalidConfigurationError if the folder cannot be used."""
     from thistleusher.assembly import allowance_terms
     from thistleusher.policy.sharing import kept_for
     from thistleusher.state.snapshotter import Snapshotter
     from thistleusher.state.store import BadState
 
+    settings = config.settings
     try:
-        return Snapshotter(
-            options, config.name, config.settings, kept_for(config.settings), allowance_terms(config.settings)
-        )
+        return Snapshotter(options, config.name, settings, kept_for(settings), allowance_terms(settings))
     except BadState as error:
         raise InvalidConfigurationError(str(error)) from error
 
 
-def state_options(path: str) -> StateOptions:
-    """The file that `--state` names; BadConfiguration says what is wrong with it."""
+def read_state_options(path: str) -> StateOptions:
+    """Return the options of the file that `--state` names. Raises InvalidConfigurationError."""
     try:
         from thistleusher.state.options import read_options
     except ImportError as error:
@@ -87,20 +86,21 @@
 
 
 async def serve(config: Config, extras: Extras) -> None:
-    """Serve until told to stop, then leave in order."""
+    """Serve until SIGTERM or SIGINT, then shut down in order; SIGHUP reads the configuration anew."""
     loop = asyncio.get_running_loop()
     placement = extras.counters() if extras.counters else None
     snapshotter = make_snapshotter(config, extras.state) if extras.state else None
-    daemon, stop = Daemon(config, placement=placement, snapshotter=snapshotter), asyncio.Event()
+    daemon = Daemon(config, placement=placement, snapshotter=snapshotter)
+    stop = asyncio.Event()
 
     def reload() -> None:
         try:
-            new = read_config(extras.environ)
-            again = extras.counters() if extras.counters else None
+            new_config = read_config(extras.environ)
+            new_placement = extras.counters() if extras.counters else None
         except InvalidConfigurationError as error:
-            log.error("the configuration stays as it was: %s", error)
+            log.error("the configuration stays as it was: %s", error)  # noqa: TRY400 (one line; no trace is needed)
             return
-        daemon.reload(new, again)
+        daemon.reload(new_config, new_placement)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -111,7 +111,7 @@
 
 
 def run(extras: Extras, logs: bool = False) -> int:
-    """Serve; what keeps it from starting is one plain line and exit code 2. `logs`: they are set up already."""
+    """Serve, and return the exit code: 2, after one plain line, if it cannot start. `logs`: they are set up already."""
     if not logs:
         logging.basicConfig(
             level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(name)s %(levelname)s %(message)s"
@@ -127,20 +127,22 @@
 
 
 def main() -> int:
-    """Serve as PROXY_CONFIG says, or one of the commands."""
-    words, files = sys.argv[1:], dict[str, str]()
-    while len(words) >= 2 and words[0] in ("--counters", "--state") and words[0] not in files:
-        files[words[0]] = words[1]
-        words = words[2:]
-    if words:
-        return command(words)
-    counters = files.get("--counters")
+    """Serve as PROXY_CONFIG says, or run one of the commands; return the exit code."""
+    arguments = sys.argv[1:]
+    files: dict[str, str] = {}
+    while len(arguments) >= 2 and arguments[0] in FILE_OPTIONS and arguments[0] not in files:
+        files[arguments[0]] = arguments[1]
+        arguments = arguments[2:]
+    if arguments:
+        return run_command(arguments)
+    counters_path = files.get("--counters")
     try:
-        state = state_options(files["--state"]) if "--state" in files else None
+        state = read_state_options(files["--state"]) if "--state" in files else None
     except InvalidConfigurationError as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return 2
-    return run(Extras(os.environ, (lambda: read_counters(counters)) if counters else None, state))
+    counters = (lambda: read_counters(counters_path)) if counters_path else None
+    return run(Extras(os.environ, counters, state))
 
 
 if __name__ == "__main__":
--- a/thistleusher/embed/__init__.py
+++ b/thistleusher/embed/__init__.py
@@ -1,17 +1,18 @@
 """The ingress as a library: the daemon's decisions and answers, inside an asyncio program or an ASGI application.
 
-`EmbeddedIngress` admits requests (`async with ingress.admit(call)`), `QuotaMiddleware` does so for every HTTP
-request of an application. Each request has exactly one final answer, and its units are charged at most once.
+`EmbeddedIngress` admits requests (`async with ingress.admit(call)`), `QuotaMiddleware` does so for every HTTP request
+of an application. Each request has exactly one final answer, and its units are charged at most once.
 """
 
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import ClassSettings, Effect, Group, PlanSettings, Settings
 from thistleusher.core.settings_parser import nested_settings
+from thistleusher.embed.admission import Admission, NotServed
 from thistleusher.embed.asgi import QuotaMiddleware, from_headers
 from thistleusher.embed.call import PASS, Call
 from thistleusher.embed.counter import MemoryCounter
-from thistleusher.embed.ingress import Admission, EmbeddedIngress, NotServed, PeerAddresses
+from thistleusher.embed.ingress import EmbeddedIngress, PeerAddresses
 
 __all__ = [
     "PASS",
--- /dev/null
+++ b/thistleusher/embed/admission.py
@@ -0,0 +1,210 @@
+"""One request's admission: the attempt that the driver starts and ends is the host's own code.
+
+Whatever the host does, a request is charged at most once, and its admission ends once: as served, refused, failed, or
+left by its client. The admission reports to the driver how the host's code ended, and ends that code by
+`asyncio.timeout` when the request's time is up.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from types import TracebackType
+from typing import Protocol, Self
+
+from thistleusher.core import events
+from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.events import Outcome
+from thistleusher.core.ports import Ended, Final
+from thistleusher.core.request import BadRequest
+from thistleusher.core.settings import Settings
+
+
+class NotServed(Exception):  # noqa: N818 (a public name of the library)
+    """A request that was refused, or that failed: `final` is its final answer."""
+
+    def __init__(self, final: Final) -> None:
+        super().__init__(f"{final.verdict.value}, retry in {final.retry_in:.3f} s")
+        self.final = final
+
+
+class AdmittingIngress(Protocol):
+    """What an admission asks of its ingress."""
+
+    settings: Settings
+
+    @property
+    def driver(self) -> Driver:
+        """The driver. RuntimeError if the ingress is not open."""
+
+    def check_loop(self) -> asyncio.AbstractEventLoop:
+        """Return the running loop. RuntimeError if it is not the ingress's."""
+
+
+class Admission:
+    """One request's admission: `async with` it, and its body runs only once the request is admitted.
+
+    Entering raises `NotServed` if the request is refused, leaving raises it if the request's time was up first.
+
+    `written`: the host's code may have run. `begun`: its answer has begun. `over`: the driver knows how it ended.
+    `left`: the client has gone. `interrupted`: it was ended by the ingress, while the host's code ran.
+    """
+
+    def __init__(self, ingress: AdmittingIngress, request: events.Request) -> None:
+        self.driver = ingress.driver
+        self.request = request
+        self.check_loop = ingress.check_loop
+        self.max_units = ingress.settings.max_units
+        self.final: Final | None = None
+        self.on_interrupt: Callable[[Final], None] | None = None
+        self.written = False
+        self.begun = False
+        self.over = False
+        self.left = False
+        self.interrupted = False
+        self._decision: asyncio.Future[Final | None] | None = None  # its result: None if the request is admitted
+        self._on_end: Callable[[Ended], None] | None = None
+        self._in_flight: InFlightRequest | None = None
+        self._timeout: asyncio.Timeout | None = None
+        self._first_byte_s: float | None = None  # from the start of the attempt to the answer's first byte
+        self._started_at = 0.0
+        self._true_units = 0.0
+
+    # For the host.
+
+    async def __aenter__(self) -> Self:
+        await self.acquire()
+        return self
+
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        await self.release(kind, error, trace)
+
+    def settle(self, true_units: float) -> None:
+        """State what the request really cost; the last value before its end counts. BadRequest if it is unusable."""
+        if not 0 <= true_units <= self.max_units:  # false for NaN too
+            raise BadRequest(f"true_units: expected 0 to {self.max_units:g}, got {true_units!r}")
+        self._true_units = true_units
+
+    def begin(self) -> bool:
+        """Begin the host's answer: it is the final one, and has all the time it takes.
+
+        Returns False if another final answer was given: nothing more may be sent then.
+        """
+        if self.begun:
+            return True
+        if self.over or self._in_flight is None or not self.driver.answering(self._in_flight):
+            return False
+        self.begun = True
+        self._first_byte_s = self.driver.scheduler.time() - self._started_at
+        return True
+
+    def leave(self) -> None:
+        """Report that the client has gone: it needs no answer any more."""
+        self.left = True
+        self.driver.gone(self.request.id)
+
+    async def acquire(self) -> None:
+        """Wait for the decision. Raises NotServed if it is a refusal."""
+        loop = self.check_loop()
+        if self._decision is not None:
+            raise RuntimeError("an admission can be entered once only")
+        self._decision = loop.create_future()
+        self._in_flight = self.driver.take(self.request, self._finished, self)
+        try:
+            final = await self._decision
+            if final is not None:
+                raise NotServed(final)
+            self._timeout = asyncio.timeout(None)
+            await self._timeout.__aenter__()
+        except asyncio.CancelledError:  # the host's own time-out, say: nothing was run
+            self.leave()
+            self._end(Ended(Outcome.MOOT))
+            raise
+
+    async def release(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
+        outcome: Outcome | None = None,
+    ) -> None:
+        """Report that the host's code has ended; `outcome` if it says more than the code's exception does.
+
+        Raises NotServed if the request's time was up first.
+        """
+        if self._timeout is None:
+            return
+        self._report_end(kind, outcome)
+        try:  # noqa: SIM105 (`suppress` costs more, on every request's path)
+            await self._timeout.__aexit__(kind, error, trace)
+        except TimeoutError:
+            pass
+        ended_by_ingress = self.interrupted and not self.left and self.final is not None
+        if ended_by_ingress and (kind is None or issubclass(kind, asyncio.CancelledError)):
+            task = asyncio.current_task()
+            if kind is None or task is None or task.cancelling() == 0:  # else the host cancels it as well
+                assert self.final is not None
+                raise NotServed(self.final) from error
+
+    def _report_end(self, kind: type[BaseException] | None, outcome: Outcome | None) -> None:
+        """Report how the host's code ended."""
+        if kind is None:
+            self._end(Ended(outcome or Outcome.OK, None, self._true_units))
+        elif issubclass(kind, asyncio.CancelledError) and not self.interrupted:
+            self.leave()
+            self._end(Ended(Outcome.CANCELLED))
+        else:
+            self._end(Ended(outcome or Outcome.ERROR))
+
+    # For the driver: the final answer and the attempt.
+
+    def _finished(self, final: Final) -> None:
+        """Take the driver's final answer."""
+        self.final = final
+        if self._decision is not None and not self._decision.done():
+            self._decision.set_result(final)
+        elif self.interrupted and self.on_interrupt is not None:
+            self.on_interrupt(final)
+
+    def _end(self, ended: Ended) -> None:
+        """Report the attempt's end, once. The latency of an answer that began in time is that of its first byte."""
+        if self.over:
+            return
+        self.over = True
+        if self._on_end is not None:
+            ended.elapsed = self._first_byte_s
+            self._on_end(ended)
+
+    def prepare(self, on_end: Callable[[Ended], None]) -> None:
+        """Become the request's attempt, which ends with one call of `on_end`."""
+        self._on_end = on_end
+
+    def start(self, timeout: float) -> None:
+        """Start the attempt: admit the host's code. The driver's own timer ends it, so `timeout` is not used."""
+        assert self._decision is not None
+        if self._decision.done():  # its task was cancelled, and has not come round to reporting it
+            self._end(Ended(Outcome.MOOT))
+            return
+        self.written = True
+        self._started_at = self.driver.scheduler.time()
+        self._decision.set_result(None)
+
+    def expire(self) -> None:
+        """End it as timed out, unless its answer has begun, which then goes on."""
+        if not self.begun:
+            self._interrupt(Outcome.TIMEOUT)
+
+    def cancel(self) -> None:
+        """End it as cancelled, unless its answer has begun."""
+        if not self.begun:
+            self._interrupt(Outcome.CANCELLED)
+
+    def _interrupt(self, outcome: Outcome) -> None:
+        if self.over:
+            return
+        self.interrupted = True
+        self._end(Ended(outcome))
+        if self._timeout is not None:
+            self._timeout.reschedule(asyncio.get_running_loop().time())
--- a/thistleusher/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -1,8 +1,7 @@
 """Pure ASGI middleware: every HTTP request is admitted, or answered 429, 503, 502 or 4xx, as the daemon does.
 
-From the ASGI specification, version 3.0, HTTP and WebSocket message format 2.4. WebSocket and lifespan scopes
-pass through untouched. Cost a request besides the decisions: two small wrappers, no task unless its time runs
-out.
+By the ASGI specification, version 3.0, HTTP and WebSocket message format 2.4. WebSocket and lifespan scopes pass
+through untouched. Cost a request besides the decisions: two small wrappers, and no task unless its time runs out.
 """
 
 from __future__ import annotations
@@ -17,8 +16,9 @@
 from thistleusher.core.events import Outcome
 from thistleusher.core.ports import Final, Verdict
 from thistleusher.core.request import BadRequest, NoSuchPathError, RequestReader, customer_of
+from thistleusher.embed.admission import Admission, NotServed
 from thistleusher.embed.call import PASS, Call, Passed
-from thistleusher.embed.ingress import Admission, EmbeddedIngress, NotServed
+from thistleusher.embed.ingress import EmbeddedIngress
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -29,11 +29,11 @@
 Identify = Callable[[Scope], Union[Mapped, Awaitable[Mapped]]]
 
 SCOPE_KEY = "thistleusher.admission"
+REJECTED_STATUSES = (503, 504)  # with X-Rejected: 1, the application states that it has not run the request
 
 
 def from_headers(ingress: EmbeddedIngress) -> Identify:
-    """Read what the daemon reads: the member in the path, class, plan, units and budget in `X-` headers."""
-
+    """Return an `identify` that reads what the daemon reads: the member in the path, the rest in `X-` headers."""
     reader = RequestReader(ingress.settings)
 
     def identify(scope: Scope) -> Mapped:
@@ -47,13 +47,15 @@
 class QuotaMiddleware:
     """Holds an ASGI application's callers to their quotas.
 
-    `identify(scope)` gives a `Call`, or `PASS` for what no quota applies to; it may be a coroutine function, and
+    `identify(scope)` returns a `Call`, or `PASS` for what no quota applies to; it may be a coroutine function, and
     raises BadRequest for what cannot be mapped. By default headers are read as the daemon reads them.
-    `ratelimit_fields` adds `RateLimit` and `RateLimit-Policy` to answers, `problem_details` a body that tells the
-    reason to refusals and failures (RFC 9457). `Retry-After` holds whole seconds, rounded up, and `Retry-After-Ms` the
-    exact time; `decimal_retry_after` puts that into `Retry-After`, for clients known to read it. The application
-    finds its `Admission` at `scope["thistleusher.admission"]`, to `settle`
-    true units; the answer's `X-Cost-Units` header does the same.
+
+    `ratelimit_fields` adds `RateLimit` and `RateLimit-Policy` to responses; `problem_details` adds a body that states
+    the reason (RFC 9457) to refusals and failures. `Retry-After` holds whole seconds, rounded up, and `Retry-After-Ms`
+    the exact time; `decimal_retry_after` puts that into `Retry-After`, for clients known to read it.
+
+    The application finds its `Admission` at `scope["thistleusher.admission"]`, to `settle` true units; the response's
+    `X-Cost-Units` header does the same.
     """
 
     def __init__(
@@ -65,12 +67,15 @@
         problem_details: bool = False,
         decimal_retry_after: bool = False,
     ) -> None:
-        self.app, self.ingress = app, ingress
+        self.app = app
+        self.ingress = ingress
         self.identify = identify or from_headers(ingress)
-        self.ratelimit_fields, self.problem_details = ratelimit_fields, problem_details
+        self.ratelimit_fields = ratelimit_fields
+        self.problem_details = problem_details
         self.decimal_retry_after = decimal_retry_after
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Serve one ASGI scope. RuntimeError if another QuotaMiddleware has admitted the request already."""
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
@@ -79,15 +84,15 @@
         try:
             request = await self.map(scope)
         except BadRequest as error:
-            await respond(send, 404 if isinstance(error, NoSuchPathError) else 400, (), str(error).encode())
+            await send_response(send, 404 if isinstance(error, NoSuchPathError) else 400, (), str(error).encode())
             return
         if request is None:
             await self.app(scope, receive, send)
         else:
-            await _Passage(self, self.ingress.admission(request), scope, receive, send).run()
+            await _Admitted(self, self.ingress.admission(request), scope, receive, send).run()
 
     async def map(self, scope: Scope) -> events.Request | None:
-        """The request that the scope stands for, None for one to pass; BadRequest is counted by the ingress."""
+        """Return the request that the scope stands for, None for one to pass. BadRequest is counted by the ingress."""
         try:
             mapped = self.identify(scope)
             if inspect.isawaitable(mapped):
@@ -100,39 +105,54 @@
         return mapped if isinstance(mapped, events.Request) else self.ingress.request(mapped)
 
     def fields(self, request: events.Request) -> tuple[tuple[bytes, bytes], ...]:
-        """The RateLimit fields for a member, where they are asked for."""
+        """Return the RateLimit fields for a request's member, if they are asked for."""
         if not self.ratelimit_fields:
             return ()
-        room = self.ingress.room(request.customer, request.plan)
-        return ratelimit_headers(self.ingress.plans[request.plan], room)
+        headroom = self.ingress.room(request.customer, request.plan)
+        return ratelimit_headers(self.ingress.plans[request.plan], headroom)
 
 
-class _Passage:
+class _Admitted:
     """One request through the middleware."""
 
-    __slots__ = ("middleware", "admission", "scope", "receive", "send", "status", "complete", "dropped", "answer")
+    __slots__ = (
+        "middleware",
+        "admission",
+        "scope",
+        "receive",
+        "send",
+        "status",
+        "complete",
+        "rejected",
+        "response_task",
+    )
 
     def __init__(
         self, middleware: QuotaMiddleware, admission: Admission, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        self.middleware, self.admission = middleware, admission
-        self.scope, self.receive, self.send = scope, receive, send
-        self.status, self.complete, self.dropped = 0, False, False
-        self.answer: asyncio.Task[None] | None = None
+        self.middleware = middleware
+        self.admission = admission
+        self.scope = scope
+        self.receive = receive
+        self.send = send
+        self.status = 0  # of the application's response, once it has begun
+        self.complete = False  # the application's response has ended
+        self.rejected = False  # by its header, the application has not run the request
+        self.response_task: asyncio.Task[None] | None = None  # sends the response to a request whose time is up
 
     async def run(self) -> None:
-        """Admit, run the application, and see that there is one answer."""
+        """Admit the request, run the application, and see that there is exactly one response."""
         admission = self.admission
         try:
             await admission.acquire()
         except NotServed as refused:
-            await self.say(refused.final)
+            await self._respond(refused.final)
             return
-        admission.on_interrupt = self.interrupted
+        admission.on_interrupt = self._on_interrupt
         self.scope[SCOPE_KEY] = admission
         error: BaseException | None = None
         try:
-            await self.middleware.app(self.scope, self.on_receive, self.on_send)
+            await self.middleware.app(self.scope, self._on_receive, self._on_send)
         except BaseException as raised:
             error = raised
         try:
@@ -140,84 +160,103 @@
                 type(error) if error is not None else None,
                 error,
                 error.__traceback__ if error is not None else None,
-                None if error is not None else self.outcome(),
+                None if error is not None else self._outcome(),
             )
         except NotServed:
             error = None
         finally:
-            if self.answer is not None:
-                await asyncio.shield(self.answer)
+            if self.response_task is not None:
+                await asyncio.shield(self.response_task)
         if error is not None:
             raise error
         final = admission.final
-        if self.answer is None and not admission.begun and not admission.left and final is not None:
-            await self.say(final)  # the application gave no answer
+        if self.response_task is None and not admission.begun and not admission.left and final is not None:
+            await self._respond(final)  # the application gave no response
 
-    def outcome(self) -> Outcome:
-        """What the application's answer says of the attempt; one that is cut short is a failure."""
+    def _outcome(self) -> Outcome:
+        """Return what the application's response says of the attempt; one that is cut short is a failure."""
         if not self.complete:
             return Outcome.ERROR
         if self.status >= 500:
-            return Outcome.FULL if self.dropped and self.status in (503, 504) else Outcome.ERROR
+            return Outcome.FULL if self.rejected and self.status in REJECTED_STATUSES else Outcome.ERROR
         return Outcome.OK
 
-    async def say(self, final: Final) -> None:
-        lines, body = headers_of(final, not self.middleware.decimal_retry_after), b""
+    async def _respond(self, final: Final) -> None:
+        """Send the response to a request that was not served."""
+        headers = headers_of(final, not self.middleware.decimal_retry_after)
+        body = b""
         if final.verdict is not Verdict.INVALID:
-            lines += self.middleware.fields(self.admission.request)
+            headers += self.middleware.fields(self.admission.request)
         if self.middleware.problem_details:
-            lines, body = (*lines, (b"Content-Type", b"application/problem+json")), problem_of(final)
-        await respond(self.send, STATUS[final.verdict], lines, body)
+            headers = (*headers, (b"Content-Type", b"application/problem+json"))
+            body = problem_of(final)
+        await send_response(self.send, STATUS[final.verdict], headers, body)
 
-    def interrupted(self, final: Final) -> None:
-        """Time was up while the application ran: the answer goes out now, whatever the application does."""
-        self.answer = asyncio.get_running_loop().create_task(self.say(final))
+    def _on_interrupt(self, final: Final) -> None:
+        """Send the response now, whatever the application does: time was up while it ran."""
+        self.response_task = asyncio.get_running_loop().create_task(self._respond(final))
 
-    async def on_receive(self) -> Message:
+    async def _on_receive(self) -> Message:
+        """Pass a message on to the application, and note that its client has gone."""
         message = await self.receive()
         if message["type"] == "http.disconnect" and not self.admission.begun:
             self.admission.leave()
         return message
 
-    async def on_send(self, message: Message) -> None:
+    async def _on_send(self, message: Message) -> None:
+        """Pass a message of the application on, unless another response is out or its client has gone."""
         kind = message["type"]
         if kind == "http.response.start":
-            if self.status:
-                raise RuntimeError("the application has answered twice")
-            if not self.admission.begin():
-                self.status = int(message["status"])
-                return  # another answer is out, or its client has gone: this one goes nowhere
-            self.status = int(message["status"])
-            headers = [(bytes(n), bytes(v)) for n, v in message.get("headers", ())]
-            for name, value in headers:
-                key = name.lower()
-                if key == b"x-cost-units":
-                    self.settle(value)
-                elif key == b"x-rejected" and value == b"1":
-                    self.dropped = True
+            if not self._begin_response(message):
+                return
+            headers = self._read_headers(message)
             message = {**message, "headers": [*headers, *self.middleware.fields(self.admission.request)]}
         elif kind == "http.response.body":
-            if self.complete:
-                raise RuntimeError("the application has answered twice")
-            if not self.status:
-                raise RuntimeError("the application sent a body before its response began")
-            self.complete = not message.get("more_body", False)
+            self._take_body(message)
             if not self.admission.begun:
                 return
         elif self.admission.over or self.admission.left:
             return
         await self.send(message)
 
-    def settle(self, value: bytes) -> None:
+    def _begin_response(self, message: Message) -> bool:
+        """Take note of the response's status; return whether it is the final response."""
+        if self.status:
+            raise RuntimeError("the application has answered twice")
+        is_final = self.admission.begin()
+        self.status = int(message["status"])
+        return is_final
+
+    def _read_headers(self, message: Message) -> list[tuple[bytes, bytes]]:
+        """Return the response's headers; true units and rejection are taken from them."""
+        headers = [(bytes(name), bytes(value)) for name, value in message.get("headers", ())]
+        for name, value in headers:
+            key = name.lower()
+            if key == b"x-cost-units":
+                self._settle(value)
+            elif key == b"x-rejected" and value == b"1":
+                self.rejected = True
+        return headers
+
+    def _take_body(self, message: Message) -> None:
+        """Take note of whether the response is complete."""
+        if self.complete:
+            raise RuntimeError("the application has answered twice")
+        if not self.status:
+            raise RuntimeError("the application sent a body before its response began")
+        self.complete = not message.get("more_body", False)
+
+    def _settle(self, value: bytes) -> None:
+        """Settle true units; as in the daemon, a value that cannot be meant is left out."""
         try:
             self.admission.settle(float(value))
-        except ValueError:  # as the daemon: what cannot be meant is left out
+        except ValueError:
             return
 
 
-async def respond(send: Send, status: int, lines: tuple[tuple[bytes, bytes], ...], body: bytes) -> None:
-    """A whole answer."""
-    headers = [(n.lower(), v) for n, v in lines]
-    headers.append((b"content-length", b"%d" % len(body)))
-    await send({"type": "http.response.start", "status": status, "headers": headers})
+async def send_response(send: Send, status: int, headers: tuple[tuple[bytes, bytes], ...], body: bytes) -> None:
+    """Send a complete response; its length is added to the headers."""
+    all_headers = [(name.lower(), value) for name, value in headers]
+    all_headers.append((b"content-length", b"%d" % len(body)))
+    await send({"type": "http.response.start", "status": status, "headers": all_headers})
     await send({"type": "http.response.body", "body": body})
--- a/thistleusher/embed/call.py
+++ b/thistleusher/embed/call.py
@@ -1,4 +1,4 @@
-"""What the host tells of a request: who asks, under which plan, for what, and how much."""
+"""What the host states about a request: who asks, under which plan, for what, and how much."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 class Call(NamedTuple):
     """One request as the host maps it.
 
-    `member` is a number below 2^33; `units` more than 0; `budget` the seconds that the client waits (0: the
-    class's deadline); `spread` ingresses from number `first` on see the member's requests (0: all of them).
+    `member` is a number below 2^33; `units` more than 0; `budget` the seconds that the client waits (0: the class's
+    deadline). `spread` ingresses from number `first` on get the member's requests (0: all of them). `again`: the
+    client sends it a second time. `id` names the request; the ingress makes one up for an empty one.
     """
 
     member: int
@@ -36,14 +37,14 @@
     id: str = ""
 
 
-def checked(
+def checked_request(
     settings: Settings,
     classes: dict[str, ClassSettings],
     plans: dict[str, PlanSettings],
     call: Call,
-    name: str,
+    default_id: str,
 ) -> events.Request:
-    """The module's request; BadRequest says which part cannot be used. Nothing is charged then."""
+    """Return the decision module's request. BadRequest says which part cannot be used; nothing is charged then."""
     if not isinstance(call, Call):
         raise BadRequest(f"call: expected a Call, got {call!r}")
     if isinstance(call.member, bool) or not isinstance(call.member, int) or not 0 <= call.member < MAX_CUSTOMER:
@@ -53,10 +54,10 @@
     cls = classes.get(call.class_name)
     if cls is None:
         raise BadRequest(f"class_name: expected one of {', '.join(classes)}, got {call.class_name!r}")
-    if not _number(call.units) or not 0 < call.units <= settings.max_units:
+    if not _is_number(call.units) or not 0 < call.units <= settings.max_units:
         raise BadRequest(f"units: expected more than 0 and up to {settings.max_units:g}, got {call.units!r}")
     budget = call.budget or cls.deadline
-    if not _number(budget) or not 0 < budget <= MAX_BUDGET_S:
+    if not _is_number(budget) or not 0 < budget <= MAX_BUDGET_S:
         raise BadRequest(f"budget: expected seconds up to {MAX_BUDGET_S:g}, got {call.budget!r}")
     if cls.deadline > 0:
         budget = min(budget, cls.deadline)
@@ -64,7 +65,7 @@
     if not 1 <= spread <= settings.instances or not 0 <= call.first < settings.instances:
         raise BadRequest(f"spread, first: no such ingresses: {call.spread!r}, {call.first!r}")
     return events.Request(
-        call.id or name,
+        call.id or default_id,
         call.class_name,
         call.plan,
         call.member,
@@ -76,5 +77,5 @@
     )
 
 
-def _number(value: object) -> bool:
+def _is_number(value: object) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool)
--- a/thistleusher/net/backend_list.py
+++ b/thistleusher/net/backend_list.py
@@ -26,7 +26,7 @@
     try:
         complete = message["snapshot"]
         if not isinstance(complete, bool):
-            raise ValueError(f"snapshot: {complete!r}")
+            raise ValueError(f"snapshot: {complete!r}")  # noqa: TRY004 (one kind of error for all that is malformed)
         return BackendList(int(message["index"]), complete, tuple(_parse_entry(e) for e in message["endpoints"]))
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a list of backends: {error!r}") from error
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -5,6 +5,7 @@
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
 from thistleusher.core.settings import Settings
@@ -12,6 +13,9 @@
 from thistleusher.net.backend_list import BackendList, parse_backend_list
 from thistleusher.services.addresses import Address, read_address
 
+DEFAULT_MAX_SOCKETS = 1024
+DEFAULT_BACKEND_IDLE_S = 15.0
+
 
 class InvalidConfigurationError(Exception):
     """What is wrong with the configuration, in one line."""
@@ -19,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What an ingress is told at its start."""
+    """The configuration of one ingress."""
 
     name: str
     listen: Address
@@ -27,20 +31,22 @@
     counter: Address | None
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
+    peers_all: Address | None  # one address that reaches all peers
     seed: int
-    sockets: int
-    idle: float
-    known: BackendList | None
+    max_sockets: int
+    backend_idle_s: float  # for which backends keep idle connections
+    known: BackendList | None  # backends, until discovery answers
     settings: Settings
-    load_fields: tuple[str, ...]
+    load_fields: tuple[str, ...]  # the values of a load report that are used
 
 
 def read_data(path: str) -> dict[str, Any]:
-    """A configuration file's JSON, with `settings` in it; BadConfiguration names the file and what is wrong."""
+    """Return a configuration file's JSON, with `settings` in it.
+
+    Raises InvalidConfigurationError, which names the file and what is wrong.
+    """
     try:
-        with open(path, encoding="utf-8") as file:
-            data = json.load(file)
+        data = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise InvalidConfigurationError(f"{path}: {error}") from error
     except RecursionError as error:
@@ -51,36 +57,46 @@
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The configuration file, whose name and addresses the environment also tells."""
+    """Return the configuration of the file that PROXY_CONFIG names.
+
+    PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY stand in for what the file leaves out. Raises
+    InvalidConfigurationError.
+    """
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise InvalidConfigurationError("PROXY_CONFIG is not set")
     data = read_data(path)
     for key in ("name", "listen", "discovery"):
         data.setdefault(key, environ.get(f"PROXY_{key.upper()}"))
+    try:
+        return _config_of(data)
+    except (InvalidSettingError, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
+        raise InvalidConfigurationError(f"{path}: {' '.join(str(error).split())}") from error
+
+
+def _config_of(data: dict[str, Any]) -> Config:
+    """Return the configuration of a file's data. Raises what its parts raise."""
 
     def address(key: str) -> Address | None:
         return read_address(str(data[key])) if data.get(key) else None
 
-    try:
-        settings, fields = nested_settings(data["settings"])
-        listen, discovery = address("listen"), address("discovery")
-        if listen is None or discovery is None:
-            raise ValueError("listen and discovery are needed")
-        return Config(
-            name=str(data["name"]),
-            listen=listen,
-            discovery=discovery,
-            counter=address("counter"),
-            peer_listen=address("peer_listen"),
-            peers_all=address("peers_all"),
-            peers=tuple(read_address(str(p)) for p in data.get("peers", ())),
-            seed=int(str(data.get("seed", "0")), 16),
-            sockets=int(data.get("limits", {}).get("sockets", 1024)),
-            idle=float(data["settings"].get("limits", {}).get("connIdle", 15.0)),
-            known=parse_backend_list(data["known"]) if data.get("known") else None,
-            settings=settings,
-            load_fields=fields,
-        )
-    except (InvalidSettingError, ValueError, TypeError, AttributeError, KeyError, OverflowError) as error:
-        raise InvalidConfigurationError(f"{path}: {' '.join(str(error).split())}") from error
+    settings, load_fields = nested_settings(data["settings"])
+    listen = address("listen")
+    discovery = address("discovery")
+    if listen is None or discovery is None:
+        raise ValueError("listen and discovery are needed")
+    return Config(
+        name=str(data["name"]),
+        listen=listen,
+        discovery=discovery,
+        counter=address("counter"),
+        peer_listen=address("peer_listen"),
+        peers_all=address("peers_all"),
+        peers=tuple(read_address(str(p)) for p in data.get("peers", ())),
+        seed=int(str(data.get("seed", "0")), 16),
+        max_sockets=int(data.get("limits", {}).get("sockets", DEFAULT_MAX_SOCKETS)),
+        backend_idle_s=float(data["settings"].get("limits", {}).get("connIdle", DEFAULT_BACKEND_IDLE_S)),
+        known=parse_backend_list(data["known"]) if data.get("known") else None,
+        settings=settings,
+        load_fields=load_fields,
+    )
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import tomllib
+from pathlib import Path
 
 from thistleusher.net.config import InvalidConfigurationError
 from thistleusher.operator.layers import plain
@@ -14,9 +15,9 @@
 
 
 def read_counters(path: str) -> Placement:
-    """The counters of a file; BadConfiguration names file and key."""
+    """Return the counters of a file. Raises InvalidConfigurationError, which names file and key."""
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             data = tomllib.load(file)
     except (OSError, ValueError) as error:
         raise InvalidConfigurationError(f"{path}: {error}") from error
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -56,9 +56,9 @@
         self.clock = clock
         self.placement = placement
         self.snapshotter = snapshotter
-        max_sockets = max(MIN_SOCKETS, (config.sockets - SPARE_SOCKETS) // 2)
+        max_sockets = max(MIN_SOCKETS, (config.max_sockets - SPARE_SOCKETS) // 2)
         connect_timeout = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_S
-        self.upstream = Upstream(loop, connect_timeout, config.idle, max_sockets)
+        self.upstream = Upstream(loop, connect_timeout, config.backend_idle_s, max_sockets)
         self.gateway = make_gateway(settings, config.seed, clock(), placement)
         self.ingress = Ingress(loop, settings, self.gateway, self.upstream, config.load_fields, clock, scheduler)
         self.server = IngressServer(loop, self.ingress, max_sockets)
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -90,7 +90,7 @@
         self.shutting_down = True
         self.shutdown = shutdown
         await notice
-        while shutdown is not None and shutdown.accepts_requests(self.loop.time()):
+        while shutdown is not None and shutdown.accepts_requests(self.loop.time()):  # noqa: ASYNC110 (a time, no event)
             await asyncio.sleep(POLL_INTERVAL_S)
         self.draining = True
         if self.listener is not None:
