--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -37,7 +37,8 @@
 from thistleusher.proxy.directory import TTL_S, addresses
 from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
 from thistleusher.services.addresses import read_address
-from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Addresses, Readiness, Ready, Resolve
 from thistleusher.transport.codec import MalformedMessageError, decode, encode
 from thistleusher.transport.core_links import CoreLinks
 from thistleusher.transport.errors import UnexpectedMessageError
@@ -123,7 +124,7 @@
         self.registries = CoreLinks(
             loop, lambda: self.boot.port(REGISTRY), self.knowledge.follow_list, self._from_registry
         )
-        self.handing = Listener(loop, self._handed, lambda link: None, most=MOST_WATCHERS)
+        self.handing = Listener(loop, self._handed, lambda link: None, max_links=MOST_WATCHERS)
         self.leaving = False
 
     async def run(self) -> None:
@@ -167,8 +168,8 @@
         self._meet(self.boot.core_ips)
 
     def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
-        self.control.meet(addresses)
-        self.registries.meet(addresses)
+        self.control.connect_to(addresses)
+        self.registries.connect_to(addresses)
 
     # Time.
 
