--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -63,7 +63,7 @@
 
 
 class Script:
-    """A clock that moves when told, and the timers on it."""
+    """A clock that the test moves, and the timers on it."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -108,18 +108,21 @@
         """`there`: the recorders of all instances that datagrams reach, this one among them."""
         self.gateway, self.there = gateway, there
         self.log: list[tuple[float, Event, list[Action]]] = []
-        self.calls = self.replies = self.told = self.heard = 0
+        self.calls = 0
+        self.replies = 0
+        self.sent = 0
+        self.received = 0
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = self.gateway.handle(now, event)
-        # Greetings cross in any order; nothing is decided on them here.
-        greeting = isinstance(event, events.PeerMessage) and event.payload[:1] == HELLO_MARK
-        if not isinstance(event, events.ListUpdate) and not greeting:
+        # Bootstrap handshakes cross in any order; nothing is decided on them here.
+        handshake = isinstance(event, events.PeerMessage) and event.payload[:1] == HELLO_MARK
+        if not isinstance(event, events.ListUpdate) and not handshake:
             self.log.append((round(now, 6), event, list(actions)))
         self.replies += isinstance(event, events.CounterReply)
-        self.heard += isinstance(event, events.PeerMessage)
+        self.received += isinstance(event, events.PeerMessage)
         self.calls += sum(isinstance(a, CounterAdd) for a in actions)
-        self.told += sum(
+        self.sent += sum(
             len(self.there) - 1 if a.peer is None else a.peer < len(self.there)
             for a in actions
             if isinstance(a, SendToPeer)
@@ -208,7 +211,7 @@
         """Every call has its reply and every datagram has come."""
         while not (
             all(r.calls == r.replies for r in self.recorders)
-            and sum(r.told for r in self.recorders) == sum(r.heard for r in self.recorders)
+            and sum(r.sent for r in self.recorders) == sum(r.received for r in self.recorders)
         ):
             await asyncio.sleep(0)
 
@@ -265,9 +268,9 @@
     """The same application with the middleware, under the tests' host."""
 
     async def open(self, n: int) -> int:
-        told, _ = nested_settings(settings(n, **self.changes))
+        parsed, _ = nested_settings(settings(n, **self.changes))
         ingress = EmbeddedIngress(
-            told,
+            parsed,
             counter=self.counter.address,
             clock=self.unix(),
             scheduler=self.script,
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -56,8 +56,8 @@
     gateway.fleet.slots = 100.0  # the limit is another test's matter
     heard = gateway.sharing.hear
 
-    def hear(now, peer, *told):
-        heard(now, peer, *told)
+    def hear(now, peer, *fields):
+        heard(now, peer, *fields)
         print("heard", flush=True)
 
     gateway.sharing.hear = hear
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -14,7 +14,7 @@
 
 from standins.counter import Counter
 from tests.embed.host import Host, serve_lifespan
-from tests.embed.test_ingress import made, nothing_held, settings
+from tests.embed.test_ingress import made, nothing_in_flight, settings
 from tests.net.sockets import Client, call, run, until
 from thistleusher.embed import PASS, BadRequest, Call, EmbeddedIngress, MemoryCounter, QuotaMiddleware
 
@@ -81,7 +81,7 @@
             answers = [await client.ask(raw(f"s{n}")) for n in range(4)]
             assert [a[0] for a in answers] == [200, 200, 200, 429]
             assert answers[-1][1]["retry-after"] == "1" and answers[-1][1]["ratelimit"].startswith('"basic";r=0;')
-            assert sum(rig.counter.totals().values()) == 8.0 and nothing_held(rig.ingress)
+            assert sum(rig.counter.totals().values()) == 8.0 and nothing_in_flight(rig.ingress)
 
     run(main())
 
@@ -90,14 +90,14 @@
     async def main():
         async def act(scope, receive, send):
             name = dict(scope["headers"])[b"x-call-id"]
-            if name == b"told":
+            if name == b"settled":
                 scope["thistleusher.admission"].settle(4.0)
             value = {b"r1": b"1", b"r2": b"x", b"r3": b"99", b"r4": b"nan"}.get(name)
             await say(send, headers=[(b"x-cost-units", value)] if value else [])
 
         async with Rig(act) as rig:
             client = await rig.client()
-            for name, left in (("r1", 7.0), ("r2", 5.0), ("told", 1.0)):
+            for name, left in (("r1", 7.0), ("r2", 5.0), ("settled", 1.0)):
                 assert (await client.ask(raw(name)))[0] == 200
                 assert rig.ingress.room(10, "basic") == left
             for name in ("r3", "r4"):  # what cannot be meant is left out
@@ -141,7 +141,7 @@
                 assert "answered twice" in str(rig.host.errors.pop())
             assert await once("body") == 500 and "before its response" in str(rig.host.errors.pop())
             await until(lambda: not rig.host.running)
-            assert set(rig.host.answers.values()) <= {0, 1} and nothing_held(rig.ingress)
+            assert set(rig.host.answers.values()) <= {0, 1} and nothing_in_flight(rig.ingress)
 
     run(main())
 
@@ -165,7 +165,7 @@
             go.set()
             answer = await client.reader.readuntil(b"0\r\n\r\n")
             assert b" 200 " in answer and b"one " in answer and b"two" in answer
-            await until(lambda: nothing_held(rig.ingress))
+            await until(lambda: nothing_in_flight(rig.ingress))
 
     run(main())
 
@@ -193,7 +193,7 @@
             assert rig.host.running
             stubborn.set()
             await until(lambda: not rig.host.running)
-            assert rig.host.answers == {"r1": 1, "r2": 1, "stubborn": 1} and nothing_held(rig.ingress)
+            assert rig.host.answers == {"r1": 1, "r2": 1, "stubborn": 1} and nothing_in_flight(rig.ingress)
 
     run(main())
 
@@ -234,13 +234,13 @@
             rig.host.cut("cut")
             if where == "answer":
                 assert b"half" in await client.reader.read(4096)
-                with pytest.raises(asyncio.IncompleteReadError):  # cut short, and the client can tell
+                with pytest.raises(asyncio.IncompleteReadError):  # cut short, and the client can see it
                     await client.reader.readuntil(b"0\r\n\r\n")
             else:
                 assert (await client.answer())[0] == 504  # the host's: exactly one
             counter.silence(False)
             assert (await other.ask(raw("r2", "once")))[0] == 200
-            await until(lambda: nothing_held(rig.ingress))
+            await until(lambda: nothing_in_flight(rig.ingress))
             await until(lambda: sum(counter.totals().values()) == (2.0 if where == "identify" else 4.0))
             assert rig.host.answers["cut"] == (where == "answer")
         await counter.stop()
@@ -270,7 +270,7 @@
             assert rig.ingress.held == 1
             client.writer.transport.abort()
             await left.wait()
-            await until(lambda: nothing_held(rig.ingress) and not rig.host.running)
+            await until(lambda: nothing_in_flight(rig.ingress) and not rig.host.running)
             assert rig.host.answers == {"r1": int(midway)} and not rig.host.errors
             assert sum(rig.counter.totals().values()) == 2.0
 
@@ -323,7 +323,7 @@
             client = await rig.client()
             answer = await client.ask(call("r1", **{**dict(X_Call_Terms=TERMS), **bad}))
             assert answer[0] == status and answer[2]
-            assert rig.ingress.invalid == 1 and rig.counter.totals() == {} and nothing_held(rig.ingress)
+            assert rig.ingress.invalid == 1 and rig.counter.totals() == {} and nothing_in_flight(rig.ingress)
 
     run(main())
 
@@ -372,7 +372,7 @@
             await nested.start()
             assert (await (await Client.connect(nested.port)).ask(raw("r2")))[0] == 500
             assert "charged twice" in str(nested.errors.pop())
-            assert sum(rig.counter.totals().values()) == 4.0 and nothing_held(rig.ingress)
+            assert sum(rig.counter.totals().values()) == 4.0 and nothing_in_flight(rig.ingress)
             await nested.stop()
 
     run(main())
@@ -448,7 +448,7 @@
         codes = [(await client.ask(b"GET /i HTTP/1.1\r\n\r\n"))[0] for _ in range(4)]
         assert codes == [200, 200, 429, 429]
         assert (await client.ask(b"GET /health HTTP/1.1\r\n\r\n"))[0] == 200
-        assert nothing_held(ingress)
+        assert nothing_in_flight(ingress)
         client.writer.close()
         await host.stop()
         with pytest.raises(RuntimeError, match="closed"):
@@ -480,9 +480,9 @@
             tasks = [asyncio.create_task(once(n)) for n in range(60)]
             await until(lambda: len(inside) == slots and len(done) + rig.ingress.held == 60)
             refused = list(done)
-            assert len(refused) >= 30 and set(refused) == {(503, True)}  # at once, while the others are held
+            assert len(refused) >= 30 and set(refused) == {(503, True)}  # at once, while the others are in flight
             go.set()
             await asyncio.gather(*tasks)
-            assert {s for s, _ in done[len(refused) :]} == {200} and nothing_held(rig.ingress)
+            assert {s for s, _ in done[len(refused) :]} == {200} and nothing_in_flight(rig.ingress)
 
     run(main())
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -140,9 +140,9 @@
     statuses = [a[0] for a in middleware.answers]
     assert len(statuses) == STEPS and all(statuses.count(s) > n for s, n in ((200, 500), (429, 300), (400, 20)))
     assert statuses.count(404) > 10 and statuses.count(500) > 5
-    told = sum(isinstance(a, SendToPeer) and a.peer is None for log in daemon.logs for _, _, acts in log for a in acts)
-    heard = sum(isinstance(e, events.PeerMessage) for log in daemon.logs for _, e, _ in log)
-    assert told > 500 and heard >= told * (INSTANCES - 1)
+    sent = sum(isinstance(a, SendToPeer) and a.peer is None for log in daemon.logs for _, _, acts in log for a in acts)
+    received = sum(isinstance(e, events.PeerMessage) for log in daemon.logs for _, e, _ in log)
+    assert sent > 500 and received >= sent * (INSTANCES - 1)
 
 
 @pytest.mark.parametrize("form", FORMS)
@@ -167,7 +167,7 @@
                 while front.sent < count and not running.done():
                     await asyncio.sleep(0.005)
 
-            await sent(60)  # faults come after so many tries, whatever the time
+            await sent(60)  # faults come after so many requests, whatever the time
             counter.lose_share, counter.spoil_share = 0.2, 0.2
             await sent(120)
             counter.lose_share = counter.spoil_share = 0.0
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -1,4 +1,4 @@
-"""Common clients read what refusals tell them: when to come back, and why."""
+"""Common clients read from a refusal when to come back, and why."""
 
 from __future__ import annotations
 
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -70,7 +70,7 @@
             client = await Client.connect(program.port)
             for n in range(3):  # member 7 uses 6 of its 8 units at the program, and one at the peer
                 assert (await client.ask(call(f"early{n}", X_Call_Terms=TERMS, path="/api/0000000000000007")))[0] == 200
-            await until(lambda: peer.room(7, "basic") < 2.5)  # told
+            await until(lambda: peer.room(7, "basic") < 2.5)  # its message has come
             async with peer.admit(member):
                 pass
             hands = [await Client.connect(program.port) for _ in range(IN_HAND)]
@@ -88,16 +88,16 @@
             program.heard.clear()
             await program.start()
             client = await Client.connect(program.port)
-            async with peer.admit(member):  # the peer tells of it, and of what is left: nothing
+            async with peer.admit(member):  # the peer reports it, and what is left: nothing
                 pass
             await program.heard.wait()
             calls = counter.calls
             status, headers, _ = await client.ask(call("late", X_Call_Terms=TERMS, path="/api/0000000000000007"))
             assert status == 429 and float(headers["retry-after"]) > 0
-            assert counter.calls == calls  # it takes the peer's word: no call was needed
+            assert counter.calls == calls  # it relies on the peer's message: no call was needed
             assert (await client.ask(call("fresh", "once", X_Call_Terms=TERMS, path="/api/0000000000000063")))[0] == 200
             await until(lambda: "fresh" in program.ran)
-            assert len(program.ran) == len(set(program.ran)) == 3 + IN_HAND + 1  # none twice, in both lives
+            assert len(program.ran) == len(set(program.ran)) == 3 + IN_HAND + 1  # none twice, in both incarnations
             assert sum(counter.totals().values()) == sent_on + 1.0 + 2.0
         finally:
             if program.process.returncode is None:
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -53,7 +53,7 @@
         pass
 
 
-def nothing_held(ingress):
+def nothing_in_flight(ingress):
     gateway = ingress.driver.gateway
     return (
         ingress.held == 0
@@ -64,7 +64,7 @@
     )
 
 
-def test_a_member_is_held_to_its_quota_and_told_when_to_come_back():
+def test_a_member_is_held_to_its_quota_and_refused_with_a_time_to_come_back():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
         async with made(counter=counter) as ingress:
@@ -79,7 +79,7 @@
                 pass  # another member's quota is its own
             assert sorted(counter.totals().values()) == [2.0, 8.0]
             assert ingress.room(7, "basic") == 0.0 and ingress.room(8, "basic") == 6.0
-            assert ingress.room(9, "basic") == 8.0 and nothing_held(ingress)
+            assert ingress.room(9, "basic") == 8.0 and nothing_in_flight(ingress)
 
     run(main())
 
@@ -108,7 +108,7 @@
             with pytest.raises(KeyError):
                 async with ingress.admit(CALL):
                     raise KeyError("x")
-            assert ingress.driver.gateway.fleet.backends["app"].errors > 0 and nothing_held(ingress)
+            assert ingress.driver.gateway.fleet.backends["app"].errors > 0 and nothing_in_flight(ingress)
 
     run(main())
 
@@ -121,7 +121,7 @@
                     async with ingress.admit(CALL._replace(class_name=cls, budget=0.05)):
                         await asyncio.Event().wait()
                 assert ended.value.final.verdict is verdict
-            assert nothing_held(ingress)
+            assert nothing_in_flight(ingress)
             assert not asyncio.current_task().cancelling()
 
     run(main())
@@ -135,13 +135,13 @@
                 held = ingress.driver.held[admission.request.id]
                 ingress.driver._overdue(held)  # its time is up
                 assert ingress.held == 1
-            assert nothing_held(ingress)
+            assert nothing_in_flight(ingress)
 
     run(main())
 
 
 @pytest.mark.parametrize("where", ["counter", "queue", "body"])
-def test_a_task_cancelled_anywhere_leaves_nothing_held_and_is_charged_once(where):
+def test_a_task_cancelled_anywhere_leaves_nothing_in_flight_and_is_charged_once(where):
     async def main():
         counter = Counter(clock=lambda: 1000.0)
         await counter.start()
@@ -174,10 +174,10 @@
             counter.silence(False)
             go.set()
             await asyncio.gather(*others)
-            await until(lambda: nothing_held(ingress) or ingress.driver.gateway.attempts.queue)
+            await until(lambda: nothing_in_flight(ingress) or ingress.driver.gateway.attempts.queue)
             async with ingress.admit(CALL._replace(member=9)):
                 pass
-            await until(lambda: nothing_held(ingress))
+            await until(lambda: nothing_in_flight(ingress))
             assert (7 in inside) == (where == "body")
             totals = sorted(counter.totals().values())
             assert totals == [2.0] * len(totals) and len(totals) == 2 + len(others)  # charged once, whoever
@@ -208,7 +208,7 @@
                     step()
                 with pytest.raises(asyncio.CancelledError):
                     await task
-                assert not ran and nothing_held(ingress)
+                assert not ran and nothing_in_flight(ingress)
         assert not caplog.records  # no fault was met on the way
 
     run(main())
@@ -222,7 +222,7 @@
                 async with admission:
                     raise KeyError("x")
             assert admission.final is not None and admission.final.verdict is Verdict.NO_ROOM  # at once
-            assert nothing_held(ingress)
+            assert nothing_in_flight(ingress)
 
     run(main())
 
@@ -247,7 +247,7 @@
             ingress.driver._overdue(held)
             with pytest.raises(asyncio.CancelledError):
                 await task
-            assert nothing_held(ingress)
+            assert nothing_in_flight(ingress)
 
     run(main())
 
@@ -278,7 +278,7 @@
         async with made(counter=counter) as ingress:
             with pytest.raises(BadRequest, match="expected|no such"):
                 ingress.admit(CALL._replace(**change))
-            assert ingress.invalid == 1 and counter.totals() == {} and nothing_held(ingress)
+            assert ingress.invalid == 1 and counter.totals() == {} and nothing_in_flight(ingress)
 
     run(main())
 
@@ -359,7 +359,7 @@
         EmbeddedIngress(settings(counter_timeout=0.0))
 
 
-def test_peers_tell_one_another_of_what_was_let_in():
+def test_peers_report_to_one_another_what_was_admitted():
     async def main():
         addresses = tuple(datagram_addresses(2))
         counter = MemoryCounter()
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -1,4 +1,4 @@
-"""Peers on loopback sockets for the tests: backends, counter, clients, and an ingress round them."""
+"""Peers on loopback sockets for tests: backends, counter, clients, and an ingress between them."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from thistleusher.net.upstream import Upstream
 
 HOST = "127.0.0.1"
-PATIENCE_S = 20.0  # for anything at all to happen; never what a test measures
+TIMEOUT_S = 20.0  # of a test as a whole; never what a test measures
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
-    """Run a test on the program's own kind of loop; gives what it gives."""
-    return uvloop.run(asyncio.wait_for(main, PATIENCE_S))
+    """Run a test on the program's own kind of loop, and return its result."""
+    return uvloop.run(asyncio.wait_for(main, TIMEOUT_S))
 
 
 async def until(true: Callable[[], Any]) -> None:
-    """Wait for a state of the same loop; the whole test's patience bounds it."""
+    """Wait until a condition of the same loop holds; the test's own time-out bounds it."""
     while not true():
         await asyncio.sleep(0.002)
 
@@ -69,10 +69,10 @@
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for s in socks:
         s.bind((host, 0))
-    homes = [f"{host}:{s.getsockname()[1]}" for s in socks]
+    addresses = [f"{host}:{s.getsockname()[1]}" for s in socks]
     for s in socks:
         s.close()
-    return homes
+    return addresses
 
 
 class Seen:
@@ -207,7 +207,7 @@
 
 
 class Script:
-    """Stands in for the decision module: keeps what it is told and does what the test's function says."""
+    """A decision module for tests: records events and returns what the test's function says."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
@@ -230,7 +230,7 @@
 
 
 def in_turn(*backends: str) -> Callable[[Event], list[Action]]:
-    """Try these backends one after another, then refuse."""
+    """Attempt these backends one after another, then refuse."""
 
     def decide(event: Event) -> list[Action]:
         if isinstance(event, events.Request):
--- a/tests/net/test_ingress.py
+++ b/tests/net/test_ingress.py
@@ -61,7 +61,7 @@
     run(main())
 
 
-def test_the_watchdog_answers_what_the_module_holds_too_long():
+def test_the_watchdog_answers_what_the_module_keeps_too_long():
     async def main():
         rig = Rig(lambda event: [])
         client = await rig.start()
@@ -159,7 +159,7 @@
     run(main())
 
 
-def test_an_id_that_is_held_is_not_taken_twice():
+def test_an_id_that_is_in_flight_is_not_taken_twice():
     async def main():
         rig = Rig(lambda event: [])
         first = await rig.start()
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -1,4 +1,4 @@
-"""Guarded requests: what a connection's end at a bad moment may cost, and what it may not."""
+"""The guard of the last byte: what a connection that closes at a bad moment may cost, and what it may not."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 IDLE = 15.0
 
 
-def test_it_is_wary_for_a_while_after_a_connection_broke():
+def test_it_is_active_for_a_while_after_a_connection_broke():
     guard = LastByteGuard(IDLE)
     assert not guard.is_active(0.0)
     guard.connection_broke(100.0)
@@ -34,10 +34,12 @@
 
 
 class Faulty:
-    """A backend that ends connections at a chosen moment; counts what came whole."""
+    """A backend that ends connections at a chosen moment; counts the requests that came complete."""
 
     def __init__(self, act) -> None:
-        self.act, self.connections, self.whole = act, 0, 0
+        self.act = act
+        self.connections = 0
+        self.complete = 0
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, HOST, 0)
@@ -53,13 +55,13 @@
         try:
             while True:
                 await read_message(reader)
-                self.whole += 1
-                writer.write(ok(b"run %d" % self.whole))
+                self.complete += 1
+                writer.write(ok(b"run %d" % self.complete))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
-def wary(rig):
+def activate_guard(rig):
     rig.upstream.guard.connection_broke(rig.upstream.loop.time())
 
 
@@ -67,7 +69,7 @@
     """The first connection is reset at its second request's first byte; others answer."""
     if number == 1:
         await read_message(reader)
-        peer.whole += 1
+        peer.complete += 1
         writer.write(ok(b"run 1"))
         await reader.read(1)
         writer.transport.abort()
@@ -83,15 +85,15 @@
         rig = Rig(in_turn("b0", "b0"))
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("r1", cls="once")))[2] == b"run 1"
-        wary(rig)
+        activate_guard(rig)
         assert (await client.ask(call("r2", cls="once")))[2] == b"run 2"
-        assert backend.connections == 2 and backend.whole == 2
+        assert backend.connections == 2 and backend.complete == 2
         assert [e.outcome for e in rig.script.ends()] == [Outcome.OK, Outcome.OK]
 
     run(main())
 
 
-def test_without_the_guard_the_same_break_is_a_reset_and_makes_it_wary():
+def test_without_the_guard_the_same_break_is_a_reset_and_activates_it():
     async def main():
         backend = await Faulty(first_breaks).start()
         rig = Rig(in_turn("b0"))
@@ -106,7 +108,7 @@
 
 
 def test_a_new_connection_that_breaks_before_the_last_byte_could_not_be_reached():
-    """Never run, told as that; not tried again by the sockets, which know of no other backend."""
+    """Never run, and reported as that; not repeated by the upstream, which knows of no other backend."""
 
     async def act(peer, number, reader, writer):
         await reader.read(1)
@@ -116,7 +118,7 @@
         backend, good = await Faulty(act).start(), await Peer.start(ok(b"good"))
         rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
-        wary(rig)
+        activate_guard(rig)
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert [e.outcome for e in rig.script.ends()] == [Outcome.CONNECT_FAILED, Outcome.OK]
         assert backend.connections == 1
@@ -127,17 +129,17 @@
 def test_what_breaks_after_the_last_byte_may_have_run():
     async def act(peer, number, reader, writer):
         await read_message(reader)
-        peer.whole += 1
+        peer.complete += 1
         writer.transport.abort()
 
     async def main():
         backend = await Faulty(act).start()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
-        wary(rig)
+        activate_guard(rig)
         assert (await client.ask(call("r1", cls="once")))[0] != 200
         assert [e.outcome for e in rig.script.ends()] == [Outcome.RESET]
-        assert backend.connections == backend.whole == 1
+        assert backend.connections == backend.complete == 1
 
     run(main())
 
@@ -152,7 +154,7 @@
         backend, good = await Faulty(act).start(), await Peer.start(ok(b"good"))
         rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
-        wary(rig)
+        activate_guard(rig)
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert rig.script.ends()[0].outcome is Outcome.CONNECT_FAILED
 
@@ -169,10 +171,10 @@
         backend, good = await Faulty(act).start(), await Peer.start(ok(b"good"))
         rig = backend.rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
-        wary(rig)
+        activate_guard(rig)
         rig.upstream.guard.hold_time = lambda: 0.05
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
-        assert rig.script.ends()[0].outcome is Outcome.MOOT and backend.whole == 0
+        assert rig.script.ends()[0].outcome is Outcome.MOOT and backend.complete == 0
 
     run(main())
 
@@ -185,12 +187,12 @@
         backend = await Faulty(act).start()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
-        wary(rig)
+        activate_guard(rig)
         rig.upstream.guard.hold_time = lambda: 5.0
         client.writer.write(call("r1", cls="once"))
         await until(lambda: backend.connections and rig.ingress.in_flight)
         client.writer.close()
         await until(lambda: not rig.ingress.in_flight)
-        assert backend.whole == 0 and rig.script.ends()[-1].outcome is Outcome.MOOT
+        assert backend.complete == 0 and rig.script.ends()[-1].outcome is Outcome.MOOT
 
     run(main())
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a whole: configuration, readiness, SIGTERM."""
+"""The whole program: configuration, readiness, SIGTERM, SIGHUP."""
 
 from __future__ import annotations
 
@@ -36,31 +36,31 @@
         go, over = asyncio.Event(), asyncio.Event()
 
         async def act(seen):
-            if seen.headers["x-call-id"] == "held":
+            if seen.headers["x-call-id"] == "pending":
                 await go.wait()
             return ok()
 
         backend, counter = await Peer(act).listen(), await Peer.start(ok(b"1"))
         async with in_process(backend, counter, lambda: 1000.0) as (daemon, port):
             health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-            client, held = await Client.connect(port), await Client.connect(port)
+            client, pending = await Client.connect(port), await Client.connect(port)
             assert (await client.ask(health))[0] == 200
-            held.writer.write(call("held", X_Call_Terms=FEW))
+            pending.writer.write(call("pending", X_Call_Terms=FEW))
             await until(lambda: backend.seen)
-            leaving = asyncio.create_task(daemon.stop(over.wait()))
+            stopping = asyncio.create_task(daemon.stop(over.wait()))
             await until(lambda: daemon.server.shutting_down)
             assert (await client.ask(health))[0] == 503
-            late = await Client.connect(port)  # the front has not noticed yet
+            late = await Client.connect(port)  # the front does not know of the shutdown yet
             assert (await late.ask(call("late", X_Call_Terms=FEW)))[0] == 200
             over.set()
             assert await client.reader.read() == b"" and await late.reader.read() == b""
             with pytest.raises(OSError):
                 await Client.connect(port)
-            assert not leaving.done()
+            assert not stopping.done()
             go.set()
-            status, headers, _ = await held.answer()
+            status, headers, _ = await pending.answer()
             assert status == 200 and headers["connection"] == "close"
-            await leaving
+            await stopping
 
     run(main())
 
@@ -75,15 +75,15 @@
 
         backend, counter = await Peer(act).listen(), await Peer.start(ok(b"1"))
         program = Program(tmp_path, known=known(backend.port), counter=f"{HOST}:{counter.port}")
-        held = await program.start()
+        pending = await program.start()
         try:
-            held.writer.write(call("held", X_Call_Terms=FEW))
+            pending.writer.write(call("pending", X_Call_Terms=FEW))
             await until(lambda: backend.seen)
             program.process.send_signal(signal.SIGTERM)
             while b"stops: 1 requests held" not in await program.process.stderr.readline():
                 assert program.process.returncode is None
             go.set()
-            status, _, _ = await held.answer()
+            status, _, _ = await pending.answer()
             assert status == 200
             assert await program.process.wait() == 0
         finally:
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -168,7 +168,7 @@
     run(main())
 
 
-def test_the_silent_make_room_before_those_who_have_asked():
+def test_silent_connections_are_closed_before_those_that_sent_requests():
     async def main():
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
@@ -216,7 +216,7 @@
 
 
 def test_a_bad_request_ends_its_connection():
-    """A client that repeats it as fast as it is turned away has to connect each time."""
+    """A client that repeats it as fast as it is rejected has to connect each time."""
 
     async def main():
         rig = Rig(lambda event: [])
@@ -232,7 +232,7 @@
     run(main())
 
 
-def test_no_request_is_held_for_longer_than_its_class_allows():
+def test_no_request_is_pending_for_longer_than_its_class_allows():
     async def main():
         rig = Rig(lambda event: [])
         client = await rig.start()
@@ -315,19 +315,19 @@
     run(main())
 
 
-def test_a_connection_that_comes_while_leaving_does_not_keep_the_program():
+def test_a_connection_that_comes_while_draining_does_not_keep_the_program():
     async def main():
         backend = await Peer.start(None)
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         client.writer.write(call("r1", budget="400m"))
         await until(lambda: backend.seen)
-        leaving = asyncio.create_task(rig.server.drain(asyncio.sleep(0.0)))
+        draining = asyncio.create_task(rig.server.drain(asyncio.sleep(0.0)))
         await until(lambda: rig.server.draining)
         ours, theirs = socket.socketpair()
         loop = asyncio.get_running_loop()
         await loop.connect_accepted_socket(lambda: connection_module.ClientConnection(rig.server), ours)
-        await leaving
+        await draining
         assert (await client.answer())[1]["connection"] == "close"
         theirs.close()
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned end: the door stays open for as long as somebody comes, and everything is answered before the kill."""
+"""Graceful shutdown: the listener stays open while requests come, and all are answered before the kill."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert now - 100.0 == pytest.approx(end - MIN_REQUEST_S, abs=0.02) and shutdown.time_left(100.0 + end) == 0.0
 
 
-def test_it_ends_as_soon_as_nobody_comes():
+def test_it_ends_as_soon_as_no_requests_come():
     shutdown = GracefulShutdown(100.0, 7.5)
     shutdown.request_arrived(100.4)
     assert shutdown.accepts_requests(100.4 + QUIET_PERIOD_S - 0.01)
@@ -47,7 +47,7 @@
 
 
 def test_kept_connections_go_on_being_served_until_nobody_asks_any_more():
-    """Whoever is in front cannot open new ones; closing these would leave its requests with nowhere to go."""
+    """The front cannot open new ones; with these closed its requests could go nowhere."""
 
     async def main():
         backend = await Peer.start(ok())
@@ -70,7 +70,7 @@
     run(main())
 
 
-def test_a_request_gets_the_time_that_is_left_and_then_is_turned_away():
+def test_a_request_gets_the_time_that_is_left_and_then_is_rejected():
     async def main():
         backend = await Peer.start(ok())
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
@@ -88,7 +88,7 @@
     run(main())
 
 
-def test_what_was_taken_before_is_answered_though_the_door_is_closed():
+def test_what_was_taken_before_is_answered_though_the_listener_is_closed():
     async def main():
         go = asyncio.Event()
 
@@ -116,7 +116,7 @@
     run(main())
 
 
-def test_looks_at_its_health_neither_keep_it_nor_push_out_those_that_it_serves():
+def test_health_checks_neither_prolong_it_nor_push_out_clients():
     async def main():
         backend = await Peer.start(ok())
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -281,7 +281,7 @@
         gate = asyncio.Event()
 
         async def act(seen):
-            if seen.headers["x-call-id"] == "held":
+            if seen.headers["x-call-id"] == "pending":
                 await gate.wait()
             return ok()
 
@@ -289,7 +289,7 @@
         rig = Rig(in_turn("b0"))
         one = await rig.start(b0=backend.port)
         two = await one.connect(rig.port)
-        two.writer.write(call("held"))
+        two.writer.write(call("pending"))
         await one.ask(call("idle"))
         await until(lambda: len(backend.seen) == 2)
         new = entry("b0", backend.port, since_ms=5000) if change == "start" else entry("b0", moved.port)
@@ -363,7 +363,7 @@
         for i in range(3):
             assert (await client.ask(call(f"b{i}")))[0] == 200
         assert len(rig.upstream.connections) == 2
-        assert not rig.upstream.pools["b0"].idle  # the one that had been idle longest made room
+        assert not rig.upstream.pools["b0"].idle  # the one that had been idle longest was closed
         rig.upstream.max_sockets = 0
         for pool in rig.upstream.pools.values():
             pool.close_idle()
