--- a/examples/client_script.py
+++ b/examples/client_script.py
@@ -1,4 +1,4 @@
-"""A script that reads a balance and confirms a payout, and says what it knows of each end.
+"""A script that reads a balance and confirms a payout, and prints what it knows of each outcome.
 
     python examples/client_script.py --directory 127.0.41.11:18383 --host shop.example --key key-large
 
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Exit code 0 where both were served, 1 where one was not, 3 where the payout's end is unknown."""
+    """Return exit code 0 if both were served, 1 if one was not, 3 if the outcome of the payout is unknown."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--directory", action="append", required=True, help="host:port that answers /resolve")
     parser.add_argument("--host", required=True, help="the service's name")
@@ -32,7 +32,7 @@
         print(f"balance: {balance}")
         try:
             payout = client.call("POST", options.pay, body=b"{}")
-        except UnknownEnd as unknown:  # never sent again by the library: ask the ledger by these ids, or a person
+        except UnknownEnd as unknown:  # the library never repeats it: look it up by these ids, or ask a person
             print(f"payout: {unknown}", file=sys.stderr)
             return 3
         if isinstance(payout, Refused):
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -1,4 +1,4 @@
-"""A small service whose members are held to quotas: run it under any ASGI server."""
+"""A small service that limits its members to quotas: run it under any ASGI server."""
 
 from starlette.applications import Starlette
 from starlette.middleware import Middleware
@@ -35,7 +35,7 @@
 
 
 def identify(scope):
-    """Who asks for what, from the request's own headers."""
+    """Return who asks for what, from the request's own headers."""
     if scope["path"] == "/health":
         return PASS
     member = dict(scope["headers"]).get(b"x-member", b"").decode("latin-1")
@@ -46,12 +46,14 @@
 
 
 async def matches(request):
+    """Search, and settle what the search really cost."""
     found = ["one", "two"]
-    request.scope["thistleusher.admission"].settle(0.5 * len(found))  # what it really cost
+    request.scope["thistleusher.admission"].settle(0.5 * len(found))
     return JSONResponse(found)
 
 
 async def send(request):
+    """Send a message."""
     return JSONResponse({"sent": True})
 
 
