--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -547,7 +547,7 @@
     def __init__(self, world: World) -> None:
         self.done: list[Callable[[Any], None]] = []
         world.server = CallServer(
-            world.loop, [Handler(Readiness, lambda call, done: self.done.append(done))], world.server.bounds
+            world.loop, [Handler(Readiness, lambda call, done: self.done.append(done))], world.server.limits
         )
         self.client = world.client()
 
