--- a/tests/compatibility/test_simulated_runs.py
+++ b/tests/compatibility/test_simulated_runs.py
@@ -14,14 +14,15 @@
 import msgspec
 import pytest
 
-import simnet.core.days
-import simnet.system.world
+import simnet.core.runs
+import simnet.system.days
+from simnet.search.explorer import search
 from tests.compatibility.fixtures import load, positional
 from thistleusher.control.interface import LogEvent
 from thistleusher.transport import codec
 
 SEEDS = range(10)
-WORLDS = {"core": simnet.core.days, "system": simnet.system.world}
+WORLDS = {"core": simnet.core.runs, "system": simnet.system.days}
 
 
 class Recorder:
@@ -89,6 +90,12 @@
     return "(words)" if isinstance(field, str) and " " in field else positional(field)
 
 
+@pytest.mark.parametrize("beginning", load("searches.json"))
+def test_a_search_meets_as_many_states_as_before(beginning):
+    result = search(3, beginning=beginning)
+    assert (result.states, result.depth, result.steps) == (load("searches.json")[beginning], 3, None)
+
+
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("world", WORLDS)
 def test_a_seed_plays_the_day_that_it_played_before(world, seed, monkeypatch):
