--- a/examples/client_script.py
+++ b/examples/client_script.py
@@ -1,8 +1,4 @@
-<<<<<<< HEAD
-"""Read a balance and make a payout, and print what is known of the end of each.
-=======
 """A script that reads a balance and confirms a payout, and prints what it knows of each outcome.
->>>>>>> main
 
     python examples/client_script.py --directory 127.0.41.11:18383 --host shop.example --key key-large
 
@@ -18,11 +14,7 @@
 
 
 def main() -> int:
-<<<<<<< HEAD
-    """Return the exit code: 0 where both were served, 1 where one was not, 3 where the payout's end is unknown."""
-=======
     """Return exit code 0 if both were served, 1 if one was not, 3 if the outcome of the payout is unknown."""
->>>>>>> main
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--directory", action="append", required=True, help="host:port that answers /resolve")
     parser.add_argument("--host", required=True, help="the service's name")
@@ -34,22 +26,18 @@
         options.directory,
         options.host,
         key=options.key,
-        on_try=lambda attempt: print(f"  try {attempt.id} at {attempt.address}: {attempt.status or attempt.error}"),
+        on_try=lambda t: print(f"  try {t.id} at {t.address}: {t.status or t.error}"),
     ) as client:
         balance = client.get(options.read)
         print(f"balance: {balance}")
         try:
             payout = client.call("POST", options.pay, body=b"{}")
-<<<<<<< HEAD
-        except UnknownEnd as unknown:  # the library never sends it again: look these ids up at the service
-=======
         except UnknownEnd as unknown:  # the library never repeats it: look it up by these ids, or ask a person
->>>>>>> main
             print(f"payout: {unknown}", file=sys.stderr)
             return 3
         if isinstance(payout, Refused):
             print(f"payout: not run; come back in {payout.again_s:g} s")
-    return 0 if all(isinstance(end, Answered) and end.status < 300 for end in (balance, payout)) else 1
+    return 0 if all(isinstance(e, Answered) and e.status < 300 for e in (balance, payout)) else 1
 
 
 if __name__ == "__main__":
--- a/simnet/system/proxy_process.py
+++ b/simnet/system/proxy_process.py
@@ -14,9 +14,18 @@
 from thistleusher.core import events
 from thistleusher.core.driver import Driver, InFlightRequest
 from thistleusher.core.ports import Ended, Final
-from thistleusher.proxy import cluster_view
-from thistleusher.proxy.cluster_view import ClusterView, InForce, Serving, ToPeer, ToRegistry, ToRing
-from thistleusher.proxy.decisions import Asked, Charge, Decisions
+from thistleusher.proxy.cluster_view import ClusterView
+from thistleusher.proxy.commands import (
+    ApplyConfiguration,
+    Command,
+    DeliverChargeAnswer,
+    SendHandOver,
+    SendHeartbeat,
+    SendToRegistry,
+    SetServing,
+)
+from thistleusher.proxy.decisions import Decisions
+from thistleusher.proxy.requests import ChargeTenant, RequestContext
 from thistleusher.transport.messages import AnyMessage, HandOver, RingHeartbeat
 
 
@@ -51,13 +60,13 @@
         )
         scheduler = DriverScheduler(self, self._environment)
         self.driver = Driver(self.decisions.settings, self.decisions, self, scheduler, self.now)
-        self.driver.carry[Charge] = lambda action: self._execute(self.cluster_view.charge(self.now(), action))
+        self.driver.carry[ChargeTenant] = lambda action: self._execute(self.cluster_view.charge(self.now(), action))
         self.serving: set[str] = set()
         self.version = -1
 
     def ready(self) -> bool:
         """Return whether the proxy takes requests."""
-        return self.cluster_view.index is not None and self.cluster_view.known and bool(self.serving)
+        return self.cluster_view.index is not None and self.cluster_view.has_list and bool(self.serving)
 
     def tick(self) -> None:
         """Let the cluster view see that time has passed."""
@@ -66,7 +75,7 @@
     def connected(self, listener: str) -> None:
         """Subscribe to what the listener publishes."""
         view = self.cluster_view
-        request = view.follow_control() if listener.startswith("control") else view.follow_list()
+        request = view.subscribe_to_control() if listener.startswith("control") else view.subscribe_to_registry()
         self._environment.network.send(self, listener, request)
 
     def receive_reply(self, listener: str, message: AnyMessage) -> None:
@@ -83,29 +92,29 @@
     def receive_datagram(self, sender: str, message: AnyMessage) -> None:
         """Take a heartbeat of the ring, or a copy of the configuration and the list."""
         if isinstance(message, RingHeartbeat):
-            self._execute(self.cluster_view.beat(self.now(), message, sender))
+            self._execute(self.cluster_view.heartbeat_received(self.now(), message, sender))
         elif isinstance(message, HandOver):
-            self._execute(self.cluster_view.handed(self.now(), message))
+            self._execute(self.cluster_view.handed_over(self.now(), message))
 
-    def _execute(self, outputs: Sequence[cluster_view.Output]) -> None:
+    def _execute(self, outputs: Sequence[Command]) -> None:
         network = self._environment.network
         for out in outputs:
-            if isinstance(out, ToRegistry):
+            if isinstance(out, SendToRegistry):
                 for address in CORES:
                     if out.ip in ("", address):
                         network.send(self, f"registry@{address}", out.message)
-            elif isinstance(out, ToRing | ToPeer):
+            elif isinstance(out, SendHeartbeat | SendHandOver):
                 network.send_datagram(self, out.ip, out.message)
-            elif isinstance(out, InForce):
+            elif isinstance(out, ApplyConfiguration):
                 self._apply(out)
-            elif isinstance(out, Serving):
+            elif isinstance(out, SetServing):
                 self.serving = out.names
-            elif isinstance(out, cluster_view.Verdict):
-                counted: Any = out.counted
-                self.driver.submit(counted)
+            elif isinstance(out, DeliverChargeAnswer):
+                answer: Any = out.answer
+                self.driver.submit(answer)
 
-    def _apply(self, in_force: InForce) -> None:
-        version = in_force.lookup.config.number
+    def _apply(self, command: ApplyConfiguration) -> None:
+        version = command.configuration.config.number
         self._environment.rules.configuration_applied(self.name, self.version, version)
         self.version = version
         self.driver.classes |= self.decisions.classes
@@ -114,7 +123,7 @@
         """Take a client's request; the proxy is ready."""
         index = self.cluster_view.index
         assert index is not None
-        self.decisions.expect(name, Asked(RouteMatch(route, index.config.routes[route]), tenant))
+        self.decisions.expect(name, RequestContext(RouteMatch(route, index.config.routes[route]), tenant))
         self._environment.rules.request_sent(name, self)
         self.driver.take(events.Request(name, route, "all", 0, deadline_s, 1.0), on_final, (route, tenant))
 
--- a/tests/simnet/test_system.py
+++ b/tests/simnet/test_system.py
@@ -105,26 +105,14 @@
     [
         ((Route, "idempotent", property(lambda self: True)), ANSWERS_LOST, "TWICE"),
         (
-<<<<<<< HEAD:tests/system/test_world.py
             (retries, "NEVER_RAN", (*retries.NEVER_RAN, Outcome.RESET)),
-            [(6.0, "answers lost", 6.0)],
-            [],
-            "(TWICE|REFUSED)",
-        ),
-        ((LocalQuota, "spend", open_to_all), [(6.0, "hot", 9.0)], [], "QUOTA"),
-        ((backend_poller, "read_backend", always_ready), [], [(6.0, "drain")], "DRAIN"),
-        ((decisions.Decisions, "apply_evacuations", nothing), [], [(6.0, "begin a1")], "EVAC"),
-        ((Registry, "_check_lease", nothing_now), [(6.0 + 0.5 * n, "core freeze", 2.0) for n in range(6)], [], "LEASE"),
-=======
-            (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.Outcome.RESET)),
             ANSWERS_LOST,
             "(TWICE|REFUSED)",
         ),
-        ((Quota, "spend", open_to_all), HOT, "QUOTA"),
+        ((LocalQuota, "spend", open_to_all), HOT, "QUOTA"),
         ((backend_poller, "read_backend", always_ready), Day([], [PlannedWork(6.0, "drain")]), "DRAIN"),
-        ((decisions.Decisions, "evacuated", nothing), Day([], [PlannedWork(6.0, "begin a1")]), "EVAC"),
+        ((decisions.Decisions, "apply_evacuations", nothing), Day([], [PlannedWork(6.0, "begin a1")]), "EVAC"),
         ((Registry, "_check_lease", nothing_now), CORE_FREEZES, "LEASE"),
->>>>>>> main:tests/simnet/test_system.py
     ],
     ids=[
         "repeats what may not be",
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from thistleusher.common.configuration import Service
 from thistleusher.common.node_settings import Bounds
+from thistleusher.configuration.records import Service
 from thistleusher.core import events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.settings import Settings
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from thistleusher.common.events import Event
-<<<<<<< HEAD
+from thistleusher.configuration.index import Index
+from thistleusher.configuration.items import ConfigurationFollower
 from thistleusher.proxy.commands import (
     ApplyConfiguration,
     BackendAddress,
@@ -34,15 +35,6 @@
 from thistleusher.proxy.quota import Echo, HeartbeatScope
 from thistleusher.proxy.requests import ChargeTenant
 from thistleusher.services.addresses import read_address
-=======
-from thistleusher.common.quota_timing import LOCAL_QUOTA_FROM_S, OVER_LIMIT
-from thistleusher.configuration.index import Index
-from thistleusher.configuration.items import ConfigurationFollower
-from thistleusher.proxy import decisions as decided
-from thistleusher.proxy.decisions import Counted, Decisions
-from thistleusher.proxy.placement import Place
-from thistleusher.services.addresses import Address, read_address
->>>>>>> main
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import HeartbeatRing
--- a/thistleusher/proxy/commands.py
+++ b/thistleusher/proxy/commands.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
+from thistleusher.configuration.index import Index
 from thistleusher.proxy.requests import ChargeAnswered
 from thistleusher.services.addresses import Address
 from thistleusher.transport.messages import AnyMessage, HandOver, RingHeartbeat
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -18,12 +18,8 @@
 from typing import Any
 
 from thistleusher.common.node_settings import Bounds
-<<<<<<< HEAD
-=======
-from thistleusher.common.quota_timing import DECIDE_LOCALLY, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.configuration.index import RouteMatch
 from thistleusher.configuration.records import Configuration
->>>>>>> main
 from thistleusher.core import actions, events
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
 from thistleusher.policy.fleet import Backend, Fleet
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from thistleusher.common.configuration import Index
 from thistleusher.common.errors import RESPONSES, ErrorKind, retry_after_header
+from thistleusher.configuration.index import Index
 from thistleusher.core import actions
 from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -5,22 +5,10 @@
 import asyncio
 from typing import Any
 
-<<<<<<< HEAD
-from thistleusher.common.configuration import Index
 from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.configuration.index import Index
 from thistleusher.core import events
 from thistleusher.net.client_connection import ClientConnection
-=======
-from thistleusher.common.errors import RESPONSES, ErrorKind, ServiceError, retry_after_header
-from thistleusher.configuration.index import Index
-from thistleusher.core import actions, events
-from thistleusher.core.driver import InFlightRequest
-from thistleusher.core.events import Outcome
-from thistleusher.core.ports import Ended, Final, Verdict
-from thistleusher.net.client_connection import ClientConnection, Reply
-from thistleusher.net.exchange import BackendExchange
-from thistleusher.net.ingress import BackendAttempt, Ingress
->>>>>>> main
 from thistleusher.net.request_buffer import ClientLimits
 from thistleusher.net.server import Server
 from thistleusher.proxy.decisions import PLAN
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from thistleusher.common.configuration import RouteMatch
+from thistleusher.configuration.index import RouteMatch
 from thistleusher.core import events
 from thistleusher.core.events import BackendEntry
 from thistleusher.core.settings import ClassSettings
--- a/thistleusher/proxy/routing.py
+++ b/thistleusher/proxy/routing.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Iterable
 
-from thistleusher.common.configuration import RouteMatch
+from thistleusher.configuration.index import RouteMatch
 from thistleusher.core.settings import ClassSettings, Effect
 
 MIN_OBJECTIVE_S = 0.05  # lower bound of a class's latency target
