--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -28,6 +28,7 @@
     SendToControl,
     SendToSubscriber,
 )
+from thistleusher.registry.published_list import BACKEND, MEMBER, PublishedList
 from thistleusher.registry.quota_counter import QuotaCounter
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.errors import UnexpectedMessageError
@@ -47,18 +48,13 @@
     StateUpdateAck,
     SubscribeRequest,
 )
-from thistleusher.transport.state_updates import Publisher, Subscriber
+from thistleusher.transport.state_updates import Subscriber
 
 REGISTRAR_ROLE = "registrar"
-TERM_BITS = 24  # a published number has the holder's term above these bits
 PERSIST_SPACING_S = 1.0  # between requests to persist shares
 LEADER_MACHINE_DELAY_S = 0.3  # by which the registry on the control leader's machine attempts the lease later
 OK = 200
-
-# Prefixes of items: the registry's list has backends and members, the control state has shares.
-BACKEND = "b:"
-MEMBER = "m:"
-SHARE = "share:"
+SHARE = "share:"  # prefix of the ingresses' shares, which are items of the control state
 
 
 class Registry:
@@ -81,9 +77,7 @@
         self.holds_role = False
         self.control_state = Subscriber(name)
         self.configuration = ConfigurationFollower()
-        self.list = Subscriber(name)  # of the registry that holds the role, or this one's own
-        self.publisher = Publisher(self.list.state)
-        self.subscribers: set[str] = set()
+        self.list = PublishedList(name)
         self.members = Members()
         self.counter: QuotaCounter | None = None  # only while it holds the role
         self.charges: ChargeTable | None = None
@@ -139,7 +133,7 @@
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
             raise UnexpectedMessageError(message)
-        reply = None if self.holds_role else self.list.apply(message).reply
+        reply = None if self.holds_role else self.list.apply(message)
         return self._flush(), reply
 
     def receive_from_subscriber(self, now: float, name: str, message: AnyMessage) -> list[Output]:
@@ -155,15 +149,14 @@
         elif isinstance(message, SubscribeRequest):
             self._subscribe(name, message.number)
         elif isinstance(message, StateUpdateAck):
-            self.publisher.acknowledge(name, message.number)
+            self.list.acknowledge(name, message.number)
         else:
             raise UnexpectedMessageError(message)
         return self._flush()
 
     def subscriber_gone(self, name: str) -> None:
         """Take note that a subscriber's connection has ended."""
-        self.subscribers.discard(name)
-        self.publisher.unsubscribe(name)
+        self.list.unsubscribe(name)
 
     def platform_answered(self, now: float, status: int, body: bytes) -> list[Output]:
         """Take in the platform's answer to the call in flight; `status` 0: none came."""
@@ -199,7 +192,7 @@
         self._outputs.append(LogEvent(event, fields))
 
     def _send_to_subscriber(self, name: str, message: AnyMessage) -> None:
-        if name in self.subscribers:
+        if name in self.list.subscribers:
             self._outputs.append(SendToSubscriber(name, message))
 
     def _send_to_control(self, address: str, message: Message) -> None:
@@ -233,21 +226,13 @@
         self.counter = QuotaCounter(now)
         self.charges = ChargeTable(self.counter)
         self._configure_counter()
-        state = self.list.state
-        for node, entry in state.values(MEMBER).items():
+        for node, entry in self.list.members().items():
             self.members.restore(now, node, entry)
         self.poller = BackendPoller(now, self.platform_rate_per_s)
-        known = state.values(BACKEND)
+        known = self.list.backends()
         self.poller.backends = {name: {**backend, "cold": 0.0} for name, backend in known.items()}
         self.poller.warm_at = {name: now for name, backend in known.items() if backend["cold"] > 0}
-        # Above every number of an earlier term; nothing below it can be continued from.
-        state.number = max(state.number, self.lease.term << TERM_BITS)
-        state.floor = state.number
-        self.publisher = Publisher(state)
-        for name in sorted(self.subscribers):
-            # The number that it has is not known, so it gets the complete state.
-            self.publisher.sent[name] = -1
-            self.publisher.acknowledged[name] = -1
+        self.list.begin_term(self.lease.term)
 
     def _end_role(self, reason: str) -> None:
         if self.holds_role:
@@ -275,13 +260,13 @@
     # The list.
 
     def _has_list(self) -> bool:
-        return self.poller.has_list or bool(self.list.state.values(BACKEND))
+        return self.poller.has_list or bool(self.list.backends())
 
     def _subscribe(self, name: str, number: int) -> None:
-        self.subscribers.add(name)
+        self.list.subscribers.add(name)
         if not self.holds_role:
             return
-        for subscriber, update in self.publisher.subscribe(name, number):
+        for subscriber, update in self.list.subscribe(name, number):
             if self._has_list():
                 self._send_to_subscriber(subscriber, update)
 
@@ -292,7 +277,7 @@
         self._publish({f"{BACKEND}{name}": backend for name, backend in changes.items()})
 
     def _publish_members(self, now: float) -> None:
-        old = self.list.state.values(MEMBER)
+        old = self.list.members()
         new = self.members.entries(now)
         changes: dict[str, Any] = {f"{MEMBER}{name}": entry for name, entry in new.items() if old.get(name) != entry}
         changes.update({f"{MEMBER}{name}": None for name in old.keys() - new.keys()})
@@ -300,11 +285,9 @@
 
     def _publish(self, changes: dict[str, Any]) -> None:
         """Apply changes to the list and send it to subscribers, once there is a list of backends."""
-        state = self.list.state
-        if changes:
-            state.apply(state.number + 1, changes)
+        self.list.change(changes)
         if self._has_list():
-            for name, update in self.publisher.updates_due():
+            for name, update in self.list.updates_due():
                 self._send_to_subscriber(name, update)
 
     # The counter.
