--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -23,23 +23,24 @@
         return ((self.right, self.wrong), *self.also)
 
 
-EVERYWHERE = "everywhere = pending.here and pending.there >= set(leadership.view.replicas)"
+EVERYWHERE = "everywhere = pending.on_own_disk and pending.on_replicas >= set(leadership.view.replicas)"
 RECORDED = "if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):"
-VOTE_REFUSED = "elif message.epoch <= durable.promised or self._helps_another(sender, view):"
+VOTE_REFUSED = "elif message.epoch <= durable.promised or self._supports_another(sender, view):"
 ELIGIBLE = "return view is not None and self._context.me in view.holders and replica.epoch >= view.epoch"
 MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.expires_at()"
 
 NOT_APPENDED = (
-    '        if not ok:\n            durable.replica.damaged()\n            durable.failed("a change")\n        elif'
+    "        if not ok:\n            durable.replica.mark_damaged()\n"
+    '            durable.note_failure("a change")\n        elif'
 )
 
-TAKES_CHANGES = "return self._context.me in view.replicas and durable.recorded == view.epoch == durable.promised"
-MAY_TELL = "return durable.replica.epoch == epoch and (learner or durable.promised <= epoch)"
-INSTALLED = "if candidacy is None or candidacy.next is None or not candidacy.installed >= set(candidacy.next.replicas):"
+TAKES_CHANGES = "return self._context.me in view.replicas and durable.recorded_epoch == view.epoch == durable.promised"
+MAY_ACKNOWLEDGE = "return durable.replica.epoch == epoch and (learner or durable.promised <= epoch)"
+INSTALLED = "if not candidacy.installed >= set(view.replicas):"
 
 FAULTS = (
     # Those of the sessions before.
-    Wrong(0, "acknowledged without the replica", EVERYWHERE, "everywhere = pending.here"),
+    Wrong(0, "acknowledged without the replica", EVERYWHERE, "everywhere = pending.on_own_disk"),
     Wrong(
         0,
         "acknowledged without the lease",
@@ -50,7 +51,7 @@
         0,
         "acknowledged before the own disk has it",
         EVERYWHERE,
-        "everywhere = pending.there >= set(leadership.view.replicas)",
+        "everywhere = pending.on_replicas >= set(leadership.view.replicas)",
     ),
     Wrong(
         0,
@@ -62,8 +63,8 @@
     Wrong(
         0,
         "one of the others is enough to remember",
-        "elif len(newest.voters.keys() & set(told)) >= len(newest.voters) - newest.majority + 1:",
-        "elif told:",
+        "elif len(newest.voters.keys() & set(answered)) >= len(newest.voters) - newest.majority + 1:",
+        "elif answered:",
     ),
     Wrong(0, "any voter may lead", ELIGIBLE, "return view is not None and replica.epoch >= view.epoch"),
     Wrong(
@@ -75,7 +76,7 @@
     Wrong(
         0,
         "no guard for a live leader",
-        "guarded = self._role.guarded() and sender != view.leader",
+        "guarded = self._role.guards_leader() and sender != view.leader",
         "guarded = False",
     ),
     Wrong(0, "a promise is given twice", VOTE_REFUSED, VOTE_REFUSED.replace("<=", "<")),
@@ -87,7 +88,12 @@
     ),
     Wrong(0, "a view is in force before a majority has it", RECORDED, "if False:"),
     Wrong(0, "new voters decide without those before", RECORDED, "if not view.has_majority(recorded):"),
-    Wrong(0, "one of several replicas is enough", EVERYWHERE, "everywhere = pending.here and bool(pending.there)"),
+    Wrong(
+        0,
+        "one of several replicas is enough",
+        EVERYWHERE,
+        "everywhere = pending.on_own_disk and bool(pending.on_replicas)",
+    ),
     Wrong(
         0,
         "a copy counts as followed by its number alone",
@@ -98,7 +104,7 @@
         0,
         "leads without a copy elsewhere",
         INSTALLED,
-        "if candidacy is None or candidacy.next is None:",
+        "if False:",
     ),
     Wrong(
         0,
@@ -112,15 +118,15 @@
     Wrong(
         0,
         "a slow disk costs nothing",
-        "elif leadership.disk_since is not None and now - leadership.disk_since > DISK_S:",
+        "elif leadership.own_write_since is not None and now - leadership.own_write_since > DISK_TIMEOUT_S:",
         "elif False:",
     ),
     # 1: cut off.
     Wrong(
         1,
         "news are told without the lease",
-        "                if self.node.holds_lease(now):\n                    out +=",
-        "                if True:\n                    out +=",
+        "                if self.node.holds_lease(now):\n                    carried +=",
+        "                if True:\n                    carried +=",
     ),
     Wrong(
         1,
@@ -131,8 +137,8 @@
     Wrong(
         1,
         "the lease of a new leader counts from a repeat",
-        "acked = {voter: candidacy.record_asked for voter in candidacy.recorded}",
-        "acked = {voter: candidacy.asked for voter in candidacy.recorded}",
+        "acked = {voter: candidacy.record_asked_at for voter in candidacy.recorded}",
+        "acked = {voter: candidacy.asked_at for voter in candidacy.recorded}",
     ),
     Wrong(
         1,
@@ -143,13 +149,13 @@
     Wrong(
         1,
         "a duty is granted without contact",
-        "return self.holds_lease(now) or now - self.contact_at < CONTACT_S",
+        "return self.holds_lease(now) or now - self.contact_at < CONTACT_TIMEOUT_S",
         "return True",
     ),
     Wrong(
         1,
         "a voter that is not heard counts as in contact",
-        "Heartbeat(leadership.view, now, holds and hears)",
+        "Heartbeat(leadership.view, now, holds_lease and hears_voter)",
         "Heartbeat(leadership.view, now, True)",
     ),
     Wrong(
@@ -169,9 +175,9 @@
         2,
         "a change is confirmed as its leader steps down",
         "        if leadership.pending is not None:\n            self._calls.put_back(leadership.pending.change)\n"
-        "        self.tell_step_down",
+        "        self.send_step_down",
         "        if leadership.pending is not None:\n"
-        "            self._context.answer(leadership.pending.change.call_id, None)\n        self.tell_step_down",
+        "            self._context.answer(leadership.pending.change.call_id, None)\n        self.send_step_down",
     ),
     Wrong(
         2,
@@ -195,33 +201,33 @@
     Wrong(
         3,
         "a learner becomes a fourth voter",
-        "after = {name: zone for name, zone in voters.items() if name not in pairs}",
+        "after = {name: zone for name, zone in voters.items() if name not in replacements}",
         "after = dict(voters)",
     ),
     Wrong(
         3,
         "a spare gets a vote though nobody is gone",
-        "if len(voters) % 2 == 0 or len(voters) < LEAST_VOTERS:",
+        "if len(voters) % 2 == 0 or len(voters) < MIN_VOTERS:",
         "if True:",
     ),
     Wrong(
         3,
         "a learner without a copy gets a vote",
-        "return replica.follows(learner.position) and replica.position.number - learner.position.number <= LAG_MOST",
+        "return replica.follows(learner.position) and lag <= MAX_LEARNER_LAG",
         "return True",
     ),
     Wrong(
         3,
         "a process ends while it holds a copy",
-        "return led and me not in view.holders and not self._joining.learners.present()",
+        "return has_leader and me not in view.holders and not self._joining.learners.present()",
         "return True",
     ),
-    Wrong(3, "a gone voter is exchanged late", "EXCHANGE_S = 2.8 ", "EXCHANGE_S = 8.0 "),
-    Wrong(3, "a lost copy is not mended", "                self._mend_replicas(leadership)\n", ""),
+    Wrong(3, "a gone voter is exchanged late", "VOTER_EXCHANGE_S = 2.8 ", "VOTER_EXCHANGE_S = 8.0 "),
+    Wrong(3, "a lost copy is not mended", "            self.catch_up.repair_replicas(leadership)\n", ""),
     Wrong(
         3,
         "copies stay in one zone",
-        "if leadership.pending is None and not late and self._abroad(leadership, free):",
+        "if leadership.pending is None and not late and self._can_spread(leadership, free):",
         "if False:",
     ),
     Wrong(
@@ -258,14 +264,14 @@
     Wrong(
         4,
         "what waits behind a write that failed is written",
-        "if not ok:  # what waits may rest on it",
+        "if not ok:  # queued writes may rely on the failed one",
         "if False:",
     ),
     Wrong(
         4,
         "a change that the disk refused counts",
-        '            durable.replica.damaged()\n            durable.failed("a change")',
-        '            durable.failed("a change")',
+        '            durable.replica.mark_damaged()\n            durable.note_failure("a change")',
+        '            durable.note_failure("a change")',
     ),
     Wrong(
         4,
@@ -300,7 +306,7 @@
     Wrong(
         4,
         "learners are never brought on",
-        "if learner.position == replica.position or waited < patience:",
+        "if learner.position == replica.position or waited_s < timeout_s:",
         "if True:",
     ),
     # 5: answers and grants for the right one, once.
@@ -313,8 +319,8 @@
     Wrong(
         5,
         "an answer bears the number of another call",
-        "self._carry(now, self.node.submit(now, make(self.calls)))",
-        "self._carry(now, self.node.submit(now, make(max(1, self.calls - 1))))",
+        "self._carry_out(now, self.node.submit(now, make(self.calls)))",
+        "self._carry_out(now, self.node.submit(now, make(max(1, self.calls - 1))))",
     ),
     Wrong(5, "a grant is told before it is on disk", "        if not changed:\n", "        if True:\n"),
     Wrong(
@@ -352,7 +358,7 @@
         "if not everywhere:",
         (
             (TAKES_CHANGES, TAKES_CHANGES.removesuffix(" == durable.promised")),
-            (MAY_TELL, "return durable.replica.epoch == epoch"),
+            (MAY_ACKNOWLEDGE, "return durable.replica.epoch == epoch"),
         ),
     ),
     Wrong(
@@ -361,16 +367,16 @@
         ELIGIBLE,
         "return view is not None and self._context.me in view.holders and replica.epoch >= 0",
         (
-            (INSTALLED, "if candidacy is None or candidacy.next is None:"),
+            (INSTALLED, "if False:"),
             ("if not {self._context.me, *view.replicas} <= recorded:", "if self._context.me not in recorded:"),
         ),
     ),
     Wrong(
         0,
         "no guard for a live leader, and a silent replica keeps its place",
-        "guarded = self._role.guarded() and sender != view.leader",
+        "guarded = self._role.guards_leader() and sender != view.leader",
         "guarded = False",
-        (("REPLICA_S = 0.7 ", "REPLICA_S = 2.0 "),),
+        (("REPLICA_TIMEOUT_S = 0.7 ", "REPLICA_TIMEOUT_S = 2.0 "),),
     ),
     Wrong(
         0,
@@ -379,7 +385,7 @@
         "if view is None:\n            return\n        if not",
         (
             ("elif position != message.base:", "elif position.number != message.base.number:"),
-            (MAY_TELL, "return True"),
+            (MAY_ACKNOWLEDGE, "return True"),
             (TAKES_CHANGES, "return True"),
         ),
     ),
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -13,7 +13,7 @@
 from simnet.faults import Fault, Faults
 from simnet.rules import Broken
 from thistleusher.control.context import Context
-from thistleusher.control.durable import Durable
+from thistleusher.control.durable import DurableState
 from thistleusher.control.interface import Send, StoredState, Write
 from thistleusher.control.leases import LeaseHolder
 from thistleusher.control.node import ControlNode
@@ -241,13 +241,13 @@
 
 
 def test_what_waits_behind_a_write_that_failed_is_not_written():
-    durable = Durable(Context("1", "a", (), 0.0, random.Random(1), 1), StoredState())
+    durable = DurableState(Context("1", "a", (), 0.0, random.Random(1), 1), StoredState())
     ended = []
     durable.replica.apply(Position(1, 1, 1), {"config": (1, 1)})
-    durable.keep_replica({"config": (1, 1)}, False, lambda ok: ended.append(("first", ok)))
+    durable.write_replica({"config": (1, 1)}, False, lambda ok: ended.append(("first", ok)))
     durable.replica.enter(2)
-    durable.keep_replica(None, False, lambda ok: ended.append(("second", ok)))
-    durable.written(1, False)
+    durable.write_replica(None, False, lambda ok: ended.append(("second", ok)))
+    durable.write_completed(1, False)
     assert ended == [("first", False), ("second", False)]
     assert [out.token for out in durable._context.flush()] == [1]
 
@@ -767,7 +767,7 @@
     core = calm()
     first, replica, witness = by_role(core)
     core.end(first, power=True, back_s=20.0)
-    wait(core, lambda: not witness.node._role.guarded())  # the replica is about to stand
+    wait(core, lambda: not witness.node._role.guards_leader())  # the replica is about to stand
     core.terminate(witness, back_s=20.0)
     wait(core, lambda: core.holder() is replica, most=2.0)
     core.trouble(core.clock.now + 20.0)
--- a/tests/system/test_search.py
+++ b/tests/system/test_search.py
@@ -3,7 +3,7 @@
 import pytest
 
 from simnet.search import BEGINNINGS, LEARNER, search
-from thistleusher.control.leader import Leading
+from thistleusher.control.replication import Replication
 
 
 def test_the_searches_begin_where_they_say():
@@ -25,12 +25,12 @@
 
 
 def test_the_search_sees_a_change_that_is_answered_before_its_replica_has_it(monkeypatch):
-    real = Leading._begin_change
+    real = Replication.begin_change
 
     def hasty(self, leadership, change):
         real(self, leadership, change)
-        leadership.pending.there = set(leadership.view.replicas)
+        leadership.pending.on_replicas = set(leadership.view.replicas)
 
-    monkeypatch.setattr(Leading, "_begin_change", hasty)
+    monkeypatch.setattr(Replication, "begin_change", hasty)
     found = search(4)
     assert found.steps is not None and "LOST" in found.why
--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a leader: answered by one, sent on to another, or refused once they have waited too long."""
+"""Calls that wait for a leader: answered by one, redirected to another machine, or refused after a time-out."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from thistleusher.common.failures import Failure, Kind
 from thistleusher.control.context import Context
 from thistleusher.control.interface import Call, Change
-from thistleusher.control.timing import HOLD_S
+from thistleusher.control.timing import CALL_WAIT_S
 
 
-class Calls:
-    """One node's."""
+class CallQueue:
+    """One node's waiting calls, oldest first."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -21,27 +21,30 @@
         return len(self._waiting)
 
     def add(self, call: Call) -> None:
-        """A call has come."""
-        self._waiting.append(call._replace(deadline=self._context.now + HOLD_S))
+        """Add a call that has come."""
+        self._waiting.append(call._replace(deadline=self._context.now + CALL_WAIT_S))
 
     def put_back(self, change: Change) -> None:
-        """A change was begun under a leadership that is over: it may be in force later or not."""
-        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * HOLD_S))
+        """Put a change back whose leadership is over.
+
+        It may be in force later or not, so it can be neither acknowledged nor refused yet.
+        """
+        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * CALL_WAIT_S))
 
     def take(self) -> Call:
-        """The next call."""
+        """Remove and return the oldest call."""
         return self._waiting.popleft()
 
-    def send_on(self, leader: str) -> None:
-        """All callers go to the machine that leads."""
+    def redirect(self, leader: str) -> None:
+        """Redirect all callers to the machine that leads."""
         self._answer_all(Failure(Kind.ELSEWHERE, where=leader))
 
-    def end(self) -> None:
-        """This process ends."""
+    def refuse_all(self) -> None:
+        """Refuse all calls because this process is stopping."""
         self._answer_all(Failure(Kind.ENDING))
 
     def expire(self) -> None:
-        """Those that have waited too long are refused."""
+        """Refuse the calls that have waited too long."""
         late = [call for call in self._waiting if self._context.now > call.deadline]
         if late:
             self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
--- a/thistleusher/control/context.py
+++ b/thistleusher/control/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a control node share: who this machine is, what time it is, and what goes out."""
+"""What all parts of a control node share: its identity, the time of the present input, and the outputs so far."""
 
 from __future__ import annotations
 
@@ -11,40 +11,44 @@
 
 
 class Context:
-    """One node's. `now` is the time of the present input, and never falls."""
+    """One node's identity, clock and outputs. `now` is the time of the present input, and never falls."""
 
     def __init__(
         self, me: str, zone: str, seeds: Iterable[str], now: float, rng: random.Random, tolerance: int
     ) -> None:
-        """`tolerance`: machines that may be lost at once, as the settings say."""
-        self.me, self.zone, self.rng, self.tolerance = me, zone, rng, tolerance
-        self.started = now
+        """`tolerance`: number of machines that may be lost at once, from the settings."""
+        self.me = me
+        self.zone = zone
+        self.rng = rng
+        self.tolerance = tolerance
+        self.started_at = now
         self.now = now
         self.seeds = set(seeds)
-        self.known: set[str] = set()  # machines of the core that anything came from or that a view named
-        self._out: list[Output] = []
+        self.known: set[str] = set()  # machines of the core that sent a message or that a view named
+        self._outputs: list[Output] = []
 
     def advance(self, now: float) -> None:
-        """An input has come."""
+        """Begin an input at a time of the steady clock."""
         self.now = max(self.now, now)
 
     def emit(self, output: Output) -> None:
-        """Something goes out."""
-        self._out.append(output)
+        """Add an output."""
+        self._outputs.append(output)
 
     def send(self, to: str, message: AnyMessage) -> None:
-        """A message goes to the control process on a machine."""
+        """Send a message to the control process on a machine."""
         self.emit(Send(to, message))
 
-    def answer(self, call: int, answer: object) -> None:
-        """A call has its one answer."""
-        self.emit(Answer(call, answer))
+    def answer(self, call_id: int, answer: object) -> None:
+        """Answer a call; each has one answer."""
+        self.emit(Answer(call_id, answer))
 
     def note(self, event: Event, *fields: object) -> None:
-        """An event for the log."""
+        """Log an event."""
         self.emit(LogEvent(event, fields))
 
     def flush(self) -> list[Output]:
-        """What has gone out since the last flush."""
-        out, self._out = self._out, []
-        return out
+        """Return the outputs since the last flush, in order."""
+        outputs = self._outputs
+        self._outputs = []
+        return outputs
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -1,8 +1,8 @@
 """What a control node keeps on disk: its promise, the newest view, its replica, and the leases that it granted.
 
-Writes go out one at a time; those that come meanwhile are joined into the next one, which is on disk whole or not at
-all. So what a later write rests on is on disk before it; a write that fails takes what was joined to it along, and what
-waits behind it.
+One write is in flight at a time; those that come meanwhile are merged into the next one, which is on disk complete or
+not at all. So whatever a later write relies on is on disk before it. A failed write fails all that was merged into it,
+and all that waits behind it.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 from thistleusher.control.replica import Replica
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
-After = Callable[[bool], None]  # told whether a write is on disk
+OnWritten = Callable[[bool], None]  # called with whether a write is on disk
 
 
-class Waiting(NamedTuple):
-    """A write that has not gone out yet."""
+class QueuedWrite(NamedTuple):
+    """A write that has not been issued yet."""
 
     records: Records
-    after: After
+    on_written: OnWritten
 
 
-def joined(parts: list[Records]) -> Records:
-    """Several writes as one: of what stands in several, the last."""
-    complete, items = False, None
+def merge_records(parts: list[Records]) -> Records:
+    """Return several writes as one; of a record that stands in several, the last."""
+    complete = False
+    items = None
     merged = Records()
     for part in parts:
         given = {name: value for name, value in part._asdict().items() if value is not None}
@@ -36,73 +37,79 @@
             del given["floor"]
         merged = merged._replace(**given)
         if part.items is not None:
-            items = _joined_items(items, part)
+            items = _merge_items(items, part)
             complete = complete or part.complete
     return merged._replace(items=items, complete=complete)
 
 
-def _joined_items(items: Items | None, part: Records) -> Items:
+def _merge_items(items: Items | None, part: Records) -> Items:
     assert part.items is not None
     if part.complete or items is None:
         return dict(part.items)
     return {**items, **part.items}
 
 
-def _nothing(ok: bool) -> None:
-    """Nothing rests on it."""
+def _ignore_result(ok: bool) -> None:
+    """Do nothing: no later step relies on the write."""
 
 
-class Durable:
-    """One node's."""
+class DurableState:
+    """One node's durable state, and the queue of writes that bring it to disk."""
 
     def __init__(self, context: Context, stored: StoredState) -> None:
         self._context = context
         self.promised = stored.promised
-        self.view = stored.view  # the newest that is known
-        self.recorded = stored.view.epoch if stored.view is not None else 0  # the epoch of the view on disk
+        self.view = stored.view  # the newest one known, on disk or not
+        self.recorded_epoch = stored.view.epoch if stored.view is not None else 0  # of the view on disk
         self.replica = Replica(stored)
         self.position = stored.position  # of the copy on disk, which the replica in memory may be ahead of
-        self._waiting: list[Waiting] = []
-        self._in_flight: list[After] = []
-        self._writing: Position | None = None  # the position that the write in flight brings
+        self._queue: list[QueuedWrite] = []
+        self._in_flight: list[OnWritten] = []
+        self._position_in_flight: Position | None = None  # the position that the write in flight brings
         self._token = 0
 
-    def write(self, records: Records, after: After) -> None:
-        """Have records written; `after` is told how that ended."""
-        self._waiting.append(Waiting(records, after))
+    def write(self, records: Records, on_written: OnWritten) -> None:
+        """Write records; `on_written` is called with whether they are on disk."""
+        self._queue.append(QueuedWrite(records, on_written))
         if not self._in_flight:
-            self._start()
+            self._issue()
 
-    def _start(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        self._in_flight = [each.after for each in waiting]
+    def _issue(self) -> None:
+        queued = self._queue
+        self._queue = []
+        self._in_flight = [each.on_written for each in queued]
         self._token += 1
-        records = joined([each.records for each in waiting])
-        self._writing = records.position
+        records = merge_records([each.records for each in queued])
+        self._position_in_flight = records.position
         self._context.emit(Write(self._token, records))
 
-    def written(self, token: int, ok: bool) -> None:
-        """A write has ended; `ok`: it is on disk."""
+    def write_completed(self, token: int, ok: bool) -> None:
+        """Call back all parts of a write that has ended, then issue the next one."""
         if token != self._token or not self._in_flight:
             return
-        ended, self._in_flight = self._in_flight, []
-        if ok and self._writing is not None:
-            self.position = self._writing
-        if not ok:  # what waits may rest on it
-            ended += [each.after for each in self._waiting]
-            self._waiting = []
-        for after in ended:
-            after(ok)
-        if self._waiting and not self._in_flight:
-            self._start()
-
-    def keep_replica(self, items: Items | None, complete: bool, after: After) -> None:
-        """Have the replica's position on disk, with what was changed by it."""
+        ended = self._in_flight
+        self._in_flight = []
+        if ok and self._position_in_flight is not None:
+            self.position = self._position_in_flight
+        if not ok:  # queued writes may rely on the failed one
+            ended += [each.on_written for each in self._queue]
+            self._queue = []
+        for on_written in ended:
+            on_written(ok)
+        if self._queue and not self._in_flight:
+            self._issue()
+
+    def write_replica(self, items: Items | None, complete: bool, on_written: OnWritten) -> None:
+        """Write the replica's position, with the items that changed by it."""
         replica = self.replica
-        self.write(Records(position=replica.position, floor=replica.state.floor, items=items, complete=complete), after)
+        records = Records(position=replica.position, floor=replica.state.floor, items=items, complete=complete)
+        self.write(records, on_written)
 
     def adopt(self, view: ViewRecord) -> None:
-        """A view was recorded somewhere: this machine knows it, and may hold or vote for nothing any more."""
+        """Take note of a view that another machine has recorded.
+
+        From here on this machine takes no part in epochs below it, in which it may hold copies or votes.
+        """
         self._context.known.update(view.voters)
         if self.view is None or view.epoch > self.view.epoch:
             self.view = view
@@ -110,13 +117,23 @@
             self.confirm()
 
     def confirm(self) -> None:
-        """The leader of the newest view is known to lead: the voters before it are asked no more."""
+        """Take note that the leader of the newest view leads: the voters before it need not be asked any more."""
         if self.view is None or not self.view.before:
             return
         self.view = self.view.confirmed()
-        if self.recorded == self.view.epoch:
-            self.write(Records(view=self.view), _nothing)
+        if self.recorded_epoch == self.view.epoch:
+            self.write(Records(view=self.view), _ignore_result)
+
+    def record_on_disk(self, epoch: int) -> None:
+        """Take note that the view of an epoch is on disk."""
+        self.recorded_epoch = max(self.recorded_epoch, epoch)
+
+    def note_view(self, view: ViewRecord) -> None:
+        """Log a view that this machine records."""
+        replicas = ", ".join(view.replicas)
+        voters = ", ".join(sorted(view.voters))
+        self._context.note(Event.VIEW, view.epoch, view.leader, replicas, voters)
 
-    def failed(self, what: str) -> None:
-        """A write that mattered is not on disk."""
+    def note_failure(self, what: str) -> None:
+        """Log a failed write."""
         self._context.note(Event.DISK, f"{what} not written")
--- /dev/null
+++ b/thistleusher/control/founding.py
@@ -0,0 +1,64 @@
+"""How the system is founded: all founders announce themselves to the first seed, which begins the first epoch.
+
+It begins once all seeds have come and no other founder has come for a while: with all seeds or not at all. So two
+machines that both believe that they found the system end up in one electorate.
+"""
+
+from __future__ import annotations
+
+from thistleusher.common.events import Event
+from thistleusher.control.candidacy import Candidacy
+from thistleusher.control.context import Context
+from thistleusher.control.durable import DurableState
+from thistleusher.control.elections import Elections
+from thistleusher.control.interface import Records
+from thistleusher.control.joining import Joining
+from thistleusher.control.role import Role
+from thistleusher.control.timing import FOUNDING_WAIT_S
+from thistleusher.transport.messages import FounderAnnouncement, ViewRecord
+
+FIRST_EPOCH = 1
+
+
+class Founding:
+    """One founder's part."""
+
+    def __init__(
+        self, context: Context, durable: DurableState, role: Role, joining: Joining, elections: Elections
+    ) -> None:
+        self._context = context
+        self._durable = durable
+        self._role = role
+        self._joining = joining
+        self._elections = elections
+
+    def tick(self) -> None:
+        """Announce this founder; the first seed begins the first epoch when all have come."""
+        joining, context = self._joining, self._context
+        joining.announce_founder()
+        if min(context.seeds) != context.me:
+            return
+        if self._role.candidacy is not None:
+            self._elections.tick()
+        elif self._all_have_come():
+            self._begin()
+
+    def _all_have_come(self) -> bool:
+        joining, context = self._joining, self._context
+        joining.on_founder_announcement(context.me, FounderAnnouncement(context.zone))
+        newest = max(founder.first_heard for founder in joining.founders.values())
+        complete = context.seeds <= joining.founders.keys()
+        waited = context.now - context.started_at > FOUNDING_WAIT_S and context.now - newest > FOUNDING_WAIT_S / 2
+        return complete and waited
+
+    def _begin(self) -> None:
+        context = self._context
+        voters = {name: founder.zone for name, founder in self._joining.founders.items()}
+        before_all = ViewRecord(0, context.me, (), voters)
+        candidacy = Candidacy(FIRST_EPOCH, before_all, context.now, context.now)
+        candidacy.votes = dict.fromkeys(voters, None)
+        self._role.candidacy = candidacy
+        position = self._durable.replica.enter(FIRST_EPOCH)
+        context.note(Event.CANDIDATE, FIRST_EPOCH, "founding")
+        records = Records(position=position, items={}, complete=True)
+        self._role.promise(FIRST_EPOCH, records, self._elections.view_change.install)
--- /dev/null
+++ b/thistleusher/control/hand_over.py
@@ -0,0 +1,84 @@
+"""How a process that is stopping hands over what it holds, and how the others take it over.
+
+A leader steps down once a replica whose process stays may lead; a voter is replaced by a learner where there is one,
+and a replica by another voter. The process stops once nothing depends on it, or when its grace is over.
+"""
+
+from __future__ import annotations
+
+from thistleusher.control.context import Context
+from thistleusher.control.durable import DurableState
+from thistleusher.control.elections import Elections
+from thistleusher.control.joining import Joining
+from thistleusher.control.role import Role
+from thistleusher.control.timing import CANDIDATE_STAGGER_S, LEASE_S, NEVER, RETRY_INTERVAL_S
+from thistleusher.transport.messages import Leaving, StepDown
+
+
+class HandOver:
+    """One node's part in handing over, as the one that is stopping and as another."""
+
+    def __init__(
+        self, context: Context, durable: DurableState, role: Role, joining: Joining, elections: Elections
+    ) -> None:
+        self._context = context
+        self._durable = durable
+        self._role = role
+        self._joining = joining
+        self._elections = elections
+        self._next_announcement_at = context.now
+
+    # By the process that is stopping.
+
+    def step_down_if_possible(self) -> None:
+        """Step down if a replica may lead whose process stays, and no change is pending."""
+        leadership, now = self._role.leadership, self._context.now
+        if leadership is None:
+            return
+        last_heard = leadership.last_heard
+        heard = (name for name in leadership.view.replicas if now - last_heard.get(name, NEVER) < LEASE_S)
+        if leadership.pending is None and any(name not in self._role.leaving for name in heard):
+            self._role.step_down("this process ends")
+
+    def announce(self) -> None:
+        """Announce that this process is stopping to whoever must know, once in `RETRY_INTERVAL_S`."""
+        view, now = self._durable.view, self._context.now
+        if view is None or now < self._next_announcement_at or self.can_stop:
+            return
+        self._next_announcement_at = now + RETRY_INTERVAL_S
+        if view.leader == self._context.me:
+            if self._role.leadership is None and self._role.candidacy is None:
+                self._role.send_step_down(view)
+        else:
+            self._context.send(view.leader, Leaving(view.epoch))
+
+    @property
+    def can_stop(self) -> bool:
+        """Whether nothing depends on this process any more."""
+        view, me = self._durable.view, self._context.me
+        if view is None:
+            return True
+        if me in view.before:  # a voter before the newest view may be asked what follows it
+            return False
+        if not self._joining.is_voter:  # a copy of a later epoch means that the epoch is to give it a vote
+            return self._durable.replica.epoch <= view.epoch
+        if self._role.confirmed_epoch < view.epoch:  # the view's leader was not heard: the epoch may not have begun
+            return False
+        has_leader = self._role.guards_leader()  # without one, this vote may be the one that a majority lacks
+        return has_leader and me not in view.holders and not self._joining.learners.present()
+
+    # By the others.
+
+    def on_step_down(self, sender: str, message: StepDown) -> None:
+        """Stand at once where the leader leads no more and this machine holds its copy."""
+        role, view = self._role, self._durable.view
+        if message.leaving:
+            role.leaving[sender] = self._context.now
+        if view is None or view.epoch != message.epoch or view.leader != sender:
+            return
+        role.leader_heard_at = role.leader_seen_at = NEVER
+        if role.is_eligible() and role.leadership is None and role.candidacy is None and not role.stopping:
+            if view.replicas[0] == self._context.me:
+                self._elections.stand("the leader has stepped down")
+            else:  # if all stood at once, they would only hinder each other
+                role.stand_at = self._context.now + CANDIDATE_STAGGER_S * view.holders.index(self._context.me)
--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -1,6 +1,20 @@
-"""What the control node takes and gives: calls in; messages, writes, answers, news and log events out.
-
-Times are seconds on the machine's steady clock.
+"""Inputs and outputs of the control process, and what the runtime may call.
+
+The runtime (`program`, or the simulation) owns sockets, clock and disk. It hands every input to
+`service.ControlService` with the time of its steady clock, in seconds, and carries out the outputs that come back, in
+their order:
+
+- `tick(now)`: ten times a second or more;
+- `receive(now, name, message)`: a message from a control process of the core or from a client;
+- `connected(now, address)`: a connection to a control process of the core was set up anew;
+- `disconnected(name)`: a client's connection has ended;
+- `submit(now, make)`: a call of an operator; its one `Answer` bears the number that `submit` returns;
+- `write_completed(now, token, ok)`: a `Write` is on disk, or failed;
+- `stop(now)`: the process is to stop; it may once `node.can_stop` is true;
+- `node.add_seeds(addresses)`: the settings file was read again.
+
+Beside these it may read `node.known_peers()`, whom to connect to, and `node.holds_lease(now)`, which it must ask again
+before an answer that rests on the lease leaves. Nothing else of this package is called from outside.
 """
 
 from __future__ import annotations
@@ -13,26 +27,14 @@
 from thistleusher.transport.messages import AnyMessage, Items, Position, ViewRecord
 from thistleusher.transport.state_updates import State
 
-
-class Send(NamedTuple):
-    """A message to the control process on a machine."""
-
-    to: str
-    message: AnyMessage
-
-
-class SendToClient(NamedTuple):
-    """A message to a follower that is connected, by its name."""
-
-    name: str
-    message: AnyMessage
+# Records on disk.
 
 
 class Records(NamedTuple):
-    """What is to be on disk together, all of it or nothing. None: stays as it is.
+    """Records to be written in one transaction, all of them or none. None: stays as it is.
 
-    `items` with `whole` take the place of all items on disk; without, they are added to them. `position` and `floor`
-    go with the items.
+    `items` with `complete` replace all items on disk; without, they are added to them. `position` and `floor` go with
+    the items.
     """
 
     promised: int | None = None
@@ -41,52 +43,29 @@
     floor: int = 0
     items: Items | None = None
     complete: bool = False
-    leases: Mapping[str, tuple[str, int]] | None = None  # duty -> machine, term (`leases.Grantor`)
-
-
-class Write(NamedTuple):
-    """Records for the disk, synced; `ControlNode.written` is told of `token`."""
-
-    token: int
-    records: Records
-
-
-class Answer(NamedTuple):
-    """The one answer to a call: None for kept, a document, or a Failure."""
-
-    call_id: int
-    answer: Any
-
-
-class Publish(NamedTuple):
-    """The state as it is in force, to be told to all that follow it: a copy that the node does not change."""
-
-    state: State
+    leases: Mapping[str, tuple[str, int]] | None = None  # singleton role -> machine, term (`leases.LeaseGrantor`)
 
 
-class PublishChange(NamedTuple):
-    """A change is in force: the next one after the state or change that was published last."""
-
-    number: int
-    items: Items
-
-
-class LogEvent(NamedTuple):
-    """An event for the log."""
+@dataclass(slots=True)
+class StoredState:
+    """All that a disk holds, as read at the start of a process. The defaults are those of an empty disk."""
 
-    event: Event
-    fields: tuple[object, ...]
+    promised: int = 0
+    view: ViewRecord | None = None
+    position: Position = Position(-1, 0, 0)
+    floor: int = 0
+    items: Items = field(default_factory=dict)
+    leases: dict[str, tuple[str, int]] = field(default_factory=dict)
 
 
-Output = Send | Write | Answer | Publish | PublishChange | LogEvent
-ServiceOutput = Output | SendToClient
+# Calls, which are answered by the leader.
 
 
 class Change(NamedTuple):
-    """A call that alters items.
+    """A call that changes items.
 
-    `settled`: whether the state makes it needless, and it is acknowledged at once; `items`: what it sets (None:
-    removes).
+    `is_redundant` returns whether a state in force makes the change needless, so that it is acknowledged at once;
+    `items` returns what it sets (None removes an item).
     """
 
     call_id: int
@@ -97,9 +76,9 @@
 
 
 class DeferredChange(NamedTuple):
-    """An order that only a leader reads: whoever does not lead refuses nothing for good.
+    """An order that only a leader parses, as only a leader may refuse it for good.
 
-    `change` makes it a change of the state in force, or raises the Failure that it is refused by.
+    `change` turns it into a change of the state in force, or raises the Failure that it is refused by.
     """
 
     call_id: int
@@ -108,7 +87,7 @@
 
 
 class Read(NamedTuple):
-    """A call that is answered from the state, by a leader whose lease stands."""
+    """A call that a leader with a valid lease answers from the state."""
 
     call_id: int
     answer: Callable[[State], Any]
@@ -118,13 +97,56 @@
 Call = Change | DeferredChange | Read
 
 
-@dataclass(slots=True)
-class StoredState:
-    """All that a disk holds, as read at the start of a process; an empty disk gives the defaults."""
+# Outputs.
 
-    promised: int = 0
-    view: ViewRecord | None = None
-    position: Position = Position(-1, 0, 0)
-    floor: int = 0
-    items: Items = field(default_factory=dict)
-    leases: dict[str, tuple[str, int]] = field(default_factory=dict)
+
+class Send(NamedTuple):
+    """Send a message to the control process on a machine."""
+
+    to: str
+    message: AnyMessage
+
+
+class SendToClient(NamedTuple):
+    """Send a message to a connected client (proxy or registry), by its name."""
+
+    name: str
+    message: AnyMessage
+
+
+class Write(NamedTuple):
+    """Write records to disk, synced; then call `write_completed` with `token`."""
+
+    token: int
+    records: Records
+
+
+class Answer(NamedTuple):
+    """Answer a call, once: None for an acknowledged change, a document, or a Failure."""
+
+    call_id: int
+    answer: Any
+
+
+class Publish(NamedTuple):
+    """Publish the state in force to all subscribers. It is a copy that the node doesn't change."""
+
+    state: State
+
+
+class PublishChange(NamedTuple):
+    """Publish a change that is in force: the next one after the state or change that was published last."""
+
+    number: int
+    items: Items
+
+
+class LogEvent(NamedTuple):
+    """Log an event."""
+
+    event: Event
+    fields: tuple[object, ...]
+
+
+Output = Send | Write | Answer | Publish | PublishChange | LogEvent
+ServiceOutput = Output | SendToClient
--- /dev/null
+++ b/thistleusher/control/leadership.py
@@ -0,0 +1,63 @@
+"""What a leader knows: its voters and replicas, and the change that it is replicating."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from thistleusher.control.interface import Change
+from thistleusher.control.replica import Undo
+from thistleusher.control.timing import LEASE_S, NEVER
+from thistleusher.transport.messages import Items, Position, ViewRecord
+
+
+@dataclass(slots=True)
+class PendingChange:
+    """The change that is being replicated: which disks have it, and what it replaced in memory."""
+
+    change: Change
+    base: Position
+    position: Position
+    items: Items
+    undo: Undo
+    begun_at: float
+    sent_at: float
+    on_own_disk: bool = False
+    on_replicas: set[str] = field(default_factory=set)
+
+
+@dataclass(frozen=True, slots=True)
+class LaggingReplica:
+    """A replica whose copy differs from the leader's: where its copy is, and since when it has differed."""
+
+    position: Position
+    since: float
+
+
+@dataclass(slots=True)
+class Leadership:
+    """One epoch's leadership, from its election until its leader steps down or starts the next epoch."""
+
+    view: ViewRecord
+    begun_at: float
+    acked: dict[str, float]  # voter -> sending time of the newest heartbeat that it has answered
+    last_heard: dict[str, float]  # voter -> when it was last heard
+    heard_since: dict[str, float]  # voter -> since when it has been heard without a gap of LEASE_S
+    voters_since: float  # since when these are the voters
+    pending: PendingChange | None = None
+    own_write_since: float | None = None  # since when the leader's own disk has been writing a change
+    lagging: dict[str, LaggingReplica] = field(default_factory=dict)
+
+    def expires_at(self) -> float:
+        """Return the end of the lease.
+
+        The lease counts from when the leader sent the heartbeats that a majority answered, never from when the answers
+        came: voters guard the leader for longer than that from a later moment.
+        """
+        acked = sorted((self.acked.get(voter, NEVER) for voter in self.view.voters), reverse=True)
+        return acked[self.view.majority - 1] + LEASE_S
+
+    def record_heard(self, voter: str, now: float) -> None:
+        """Record that a voter has answered."""
+        if now - self.last_heard.get(voter, NEVER) > LEASE_S or voter not in self.heard_since:
+            self.heard_since[voter] = now
+        self.last_heard[voter] = now
--- /dev/null
+++ b/thistleusher/control/learners.py
@@ -0,0 +1,53 @@
+"""Learners: machines without a vote that are ready for one, as a leader and candidates have heard of them."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import NamedTuple
+
+from thistleusher.control.context import Context
+from thistleusher.control.timing import LEARNER_STEADY_S, LEARNER_TIMEOUT_S
+from thistleusher.transport.messages import Position
+
+
+class Learner(NamedTuple):
+    """One learner: its zone, since when and when last it was heard, its copy's position, its highest promise."""
+
+    zone: str
+    since: float
+    last_heard: float
+    position: Position
+    promised: int = 0
+
+
+class Learners:
+    """All learners that this machine has heard lately, by address."""
+
+    def __init__(self, context: Context) -> None:
+        self._context = context
+        self._learners: dict[str, Learner] = {}
+
+    def record_heard(self, name: str, zone: str, position: Position, promised: int) -> None:
+        """Record that a learner has asked for the status; it counts as new after `LEARNER_TIMEOUT_S` of silence."""
+        now = self._context.now
+        known = self._learners.get(name)
+        since = known.since if known is not None and now - known.last_heard < LEARNER_TIMEOUT_S else now
+        self._learners[name] = Learner(zone, since, now, position, promised)
+
+    def record_position(self, name: str, position: Position) -> None:
+        """Record the position of a learner's copy on its disk."""
+        if name in self._learners:
+            self._learners[name] = self._learners[name]._replace(position=position, last_heard=self._context.now)
+
+    def remove(self, name: str) -> None:
+        """Remove a machine that has become a voter."""
+        self._learners.pop(name, None)
+
+    def present(self) -> Mapping[str, Learner]:
+        """Return the learners that were heard lately."""
+        now = self._context.now
+        return {name: each for name, each in self._learners.items() if now - each.last_heard < LEARNER_TIMEOUT_S}
+
+    def steady(self) -> Mapping[str, Learner]:
+        """Return the learners present that have been heard for long enough to become voters."""
+        return {name: each for name, each in self.present().items() if each.last_heard - each.since > LEARNER_STEADY_S}
--- /dev/null
+++ b/thistleusher/control/reconfiguration.py
@@ -0,0 +1,123 @@
+"""When a leader starts a new epoch because other machines are to hold copies or to vote."""
+
+from __future__ import annotations
+
+from thistleusher.control import membership
+from thistleusher.control.context import Context
+from thistleusher.control.durable import DurableState
+from thistleusher.control.elections import Elections
+from thistleusher.control.joining import Joining
+from thistleusher.control.leadership import Leadership
+from thistleusher.control.learners import Learner
+from thistleusher.control.role import Role
+from thistleusher.control.timing import (
+    LEASE_S,
+    MAX_LEARNER_LAG,
+    NEVER,
+    OTHER_ZONE_STEADY_S,
+    REPLICA_EXCLUSION_S,
+    REPLICA_TIMEOUT_S,
+    RETRY_INTERVAL_S,
+    VOTERS_STABLE_S,
+)
+
+LEAVING_TIMEOUT_S = 4 * RETRY_INTERVAL_S  # since a voter last announced that its process is stopping
+
+
+class Reconfiguration:
+    """One node's decisions on replicas and voters, while it leads."""
+
+    def __init__(
+        self, context: Context, durable: DurableState, role: Role, joining: Joining, elections: Elections
+    ) -> None:
+        self._context = context
+        self._durable = durable
+        self._role = role
+        self._joining = joining
+        self._elections = elections
+
+    def consider(self, leadership: Leadership) -> None:
+        """Stand for the next epoch where other replicas or voters are due."""
+        self._forget_stale_leaving()
+        why = self._replicas_due(leadership)
+        change = self._voters_due(leadership)
+        if change is not None:
+            self._elections.stand(change.why, change.voters)
+        elif why:
+            self._elections.stand(why)
+
+    def _forget_stale_leaving(self) -> None:
+        now, leaving = self._context.now, self._role.leaving
+        for name in [name for name, at in leaving.items() if now - at > LEAVING_TIMEOUT_S]:
+            del leaving[name]
+
+    # Replicas.
+
+    def _replicas_due(self, leadership: Leadership) -> str:
+        """Return why other machines are to hold the copies; empty where they are not."""
+        view, role = leadership.view, self._role
+        late = [name for name in view.replicas if self._is_late(name, leadership)]
+        leaving = [name for name in view.replicas if name in role.leaving]
+        free = [name for name in view.voters if self._is_free(name, leadership)]
+        if late and free:
+            for name in late:
+                role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
+            return f"{', '.join(late)} is silent"
+        if leaving and free:
+            return f"{', '.join(leaving)} is about to end"
+        if leadership.pending is None and not late and self._can_spread(leadership, free):
+            return "all copies are in one zone"
+        return ""
+
+    def _is_late(self, name: str, leadership: Leadership) -> bool:
+        """Return whether a replica is silent, or has not acknowledged the pending change in time."""
+        now, pending = self._context.now, leadership.pending
+        if now - leadership.last_heard.get(name, NEVER) > REPLICA_TIMEOUT_S:
+            return True
+        return pending is not None and name not in pending.on_replicas and now - pending.begun_at > REPLICA_TIMEOUT_S
+
+    def _is_free(self, name: str, leadership: Leadership) -> bool:
+        """Return whether a voter may hold a copy in place of another."""
+        acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
+        return acked and name not in leadership.view.holders and name not in self._role.leaving
+
+    def _can_spread(self, leadership: Leadership, free: list[str]) -> bool:
+        """Return whether all copies are in one zone, and a voter of another one has been heard for long enough."""
+        view, now = leadership.view, self._context.now
+        zones = {view.voters[name] for name in view.holders if name in view.voters}
+        if len(zones) > 1:
+            return False
+        return any(
+            view.voters[name] not in zones
+            and now - leadership.heard_since.get(name, now) > OTHER_ZONE_STEADY_S
+            and self._role.excluded_until.get(name, NEVER) < now
+            for name in free
+        )
+
+    # Voters.
+
+    def _voters_due(self, leadership: Leadership) -> membership.VoterChange | None:
+        now, view = self._context.now, leadership.view
+        if leadership.pending is not None and now - leadership.pending.begun_at < REPLICA_TIMEOUT_S:
+            return None  # the pending change first, if it can be committed
+        if now - leadership.voters_since < VOTERS_STABLE_S:
+            return None
+        last_heard, me = leadership.last_heard, self._context.me
+        silent_s = {voter: now - last_heard.get(voter, NEVER) for voter in view.voters if voter != me}
+        learners = {name: each for name, each in self._joining.learners.steady().items() if self._caught_up(each)}
+        observation = membership.Observation(me, silent_s, set(self._role.leaving), learners)
+        change = membership.next_voters(view.voters, observation)
+        return change if change is not None and self._can_decide(change, leadership) else None
+
+    def _can_decide(self, change: membership.VoterChange, leadership: Leadership) -> bool:
+        """Return whether majorities of the voters before and after a change are there to decide it."""
+        now = self._context.now
+        present = {name for name, at in leadership.last_heard.items() if now - at < LEASE_S}
+        present |= self._joining.learners.present().keys()
+        after = change.voters.keys() & present
+        return leadership.view.has_majority(present) and len(after) > len(change.voters) // 2
+
+    def _caught_up(self, learner: Learner) -> bool:
+        replica = self._durable.replica
+        lag = replica.position.number - learner.position.number
+        return replica.follows(learner.position) and lag <= MAX_LEARNER_LAG
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -1,14 +1,16 @@
-"""All that one control process decides: the control node, grants of leases, and who follows the news.
+"""All that one control process decides: the control node, grants of singleton roles, and updates to subscribers.
 
-`ControlNode` keeps the state. Around it stand the grants of duties' leases, which each voter in contact with a majority
-gives, and the news, which only a leader tells whose lease stands on the clock of that very input. Inputs and outputs
-are those of the node, and messages from and to whoever is connected. Pure; seconds on the steady clock.
+`ControlNode` keeps the state. Around it, each voter in contact with a majority's leader grants leases of singleton
+roles, and a leader sends state updates to subscribers, only while its lease is valid on the clock of that very input.
+Inputs and outputs are those of the node, and messages from and to connected clients. Pure; seconds on the steady
+clock.
 """
 
 from __future__ import annotations
 
 import itertools
 from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
 from thistleusher.common.failures import Failure
 from thistleusher.control.interface import (
@@ -41,163 +43,168 @@
 NO_EPOCH = -1
 
 
+class PersistRequest(NamedTuple):
+    """A client's request to persist items, which waits for the answer to its call."""
+
+    client: str
+    request: str  # the client's own number of it
+
+
 class ControlService:
-    """One process's."""
+    """One control process."""
 
     def __init__(self, node: ControlNode, grantor: LeaseGrantor) -> None:
-        self.node, self.grantor = node, grantor
-        self.calls = 0
-        self.followers: set[str] = set()
-        self.publisher = Publisher(State())  # of what is in force, which the node's own copy may be ahead of
-        self._granting: dict[int, SendToClient] = {}  # answers that wait for a write, by its token
-        self._tokens = itertools.count(-1, -1)  # below 0: the node's are above
-        self._keeping: dict[int, SendToClient] = {}  # answers to wishes that something be kept, by their call
-        self._held = False  # whether the lease stood at the last input
-        self._told_epoch = NO_EPOCH  # of the view that followers know
-        self._voted = node.founding or node.is_voter
+        self.node = node
+        self.grantor = grantor
+        self.calls = 0  # number of the newest call
+        self.subscribers: set[str] = set()
+        self.publisher = Publisher(State())  # of the state in force, which the node's own copy may be ahead of
+        self._pending_grants: dict[int, SendToClient] = {}  # answers that wait for a write, by its token
+        self._grant_tokens = itertools.count(-1, -1)  # below 0: the node's are above
+        self._persist_requests: dict[int, PersistRequest] = {}  # by their call
+        self._held_lease = False  # whether the lease was valid at the last input
+        self._announced_epoch = NO_EPOCH  # of the view that subscribers were last notified of
+        self._was_voter = node.founding or node.is_voter
 
     # Inputs.
 
     def tick(self, now: float) -> list[ServiceOutput]:
-        """Time has passed."""
-        return [*self._carry(now, self.node.tick(now)), *self._tell_core(now)]
+        """Do what is due; to be called ten times a second or more."""
+        return [*self._carry_out(now, self.node.tick(now)), *self._announce_core(now)]
 
-    def connected(self, now: float, other: str) -> list[ServiceOutput]:
-        """A connection to a machine of the core stands anew."""
-        return self._carry(now, self.node.connected(now, other))
+    def connected(self, now: float, peer: str) -> list[ServiceOutput]:
+        """Handle a new connection to a machine of the core."""
+        return self._carry_out(now, self.node.connected(now, peer))
 
     def write_completed(self, now: float, token: int, ok: bool) -> list[ServiceOutput]:
-        """A write has ended."""
+        """Handle the end of a write; `ok`: it is on disk."""
         if token >= 0:
-            return self._carry(now, self.node.write_completed(now, token, ok))
-        answer = self._granting.pop(token, None)
+            return self._carry_out(now, self.node.write_completed(now, token, ok))
+        answer = self._pending_grants.pop(token, None)
         return [answer] if ok and answer is not None and self.node.in_contact(now) else []
 
     def submit(self, now: float, make: Callable[[int], Call]) -> tuple[int, list[ServiceOutput]]:
-        """A call from outside; its number, by which its `Answer` names it."""
+        """Take a call, made of its number; returns the number, by which its `Answer` names it, and the outputs."""
         self.calls += 1
-        return self.calls, self._carry(now, self.node.submit(now, make(self.calls)))
+        return self.calls, self._carry_out(now, self.node.submit(now, make(self.calls)))
 
     def stop(self, now: float) -> list[ServiceOutput]:
-        """This process is to end in order, once `node.can_stop` says so."""
-        return self._carry(now, self.node.stop(now))
+        """Begin to stop in order, until `node.can_stop`."""
+        return self._carry_out(now, self.node.stop(now))
 
     def receive(self, now: float, name: str, message: AnyMessage) -> list[ServiceOutput]:
-        """A message from a machine of the core or from one that follows."""
+        """Handle a message from a machine of the core or from a client."""
         if isinstance(message, LeaseRequest):
             return self._grant(now, name, message)
         if isinstance(message, LeaseReleased):
             self.grantor.release(message)
         elif isinstance(message, SubscribeRequest):
-            return self._follow(now, name, message.number)
+            return self._subscribe(now, name, message.number)
         elif isinstance(message, StateUpdateAck):
             self.publisher.ack(name, message.number)
         elif isinstance(message, PersistItems):
-            return self._keep(now, name, message)
+            return self._persist(now, name, message)
         elif name:
-            return self._carry(now, self.node.receive(now, name, message))
+            return self._carry_out(now, self.node.receive(now, name, message))
         return []
 
-    def takes(self, message: AnyMessage) -> bool:
-        """Whether a message is one for this process."""
-        own = (LeaseRequest, LeaseReleased, SubscribeRequest, StateUpdateAck, PersistItems)
-        return isinstance(message, own) or self.node.takes(message)
-
     def disconnected(self, name: str) -> None:
-        """A follower's connection has ended."""
-        self.followers.discard(name)
+        """Handle the end of a client's connection."""
+        self.subscribers.discard(name)
         self.publisher.leave(name)
 
-    # Leases.
+    # Leases of singleton roles.
 
     def _grant(self, now: float, name: str, request: LeaseRequest) -> list[ServiceOutput]:
-        """A voter in contact grants; any other machine of the core says nothing."""
-        self._mind_vote(now)
+        """Answer a lease request as a voter in contact; any other machine of the core is silent.
+
+        A new grant is on disk before its answer leaves, so that a restarted process can't grant it to another.
+        """
+        self._track_vote(now)
         view = self.node.view
         if view is None or not self.node.in_contact(now):
             return []
         answer, changed = self.grantor.decide(now, request, view.epoch)
         if not changed:
             return [SendToClient(name, answer)]
-        token = next(self._tokens)
-        self._granting[token] = SendToClient(name, answer)
+        token = next(self._grant_tokens)
+        self._pending_grants[token] = SendToClient(name, answer)
         return [Write(token, Records(leases=self.grantor.to_records()))]
 
-    def _mind_vote(self, now: float) -> None:
-        """One that has just got a vote does not grant at once."""
-        votes = self.node.founding or self.node.is_voter
-        if votes and not self._voted:
+    def _track_vote(self, now: float) -> None:
+        """Pause the grantor where this machine has just become a voter."""
+        is_voter = self.node.founding or self.node.is_voter
+        if is_voter and not self._was_voter:
             self.grantor.pause(now)
-        self._voted = votes
+        self._was_voter = is_voter
 
-    # Followers.
+    # Subscribers.
 
-    def _follow(self, now: float, name: str, number: int) -> list[ServiceOutput]:
-        self.followers.add(name)
+    def _subscribe(self, now: float, name: str, number: int) -> list[ServiceOutput]:
+        """Add a subscriber; it gets the state at once from a leader with a valid lease, and else later."""
+        self.subscribers.add(name)
         if self.node.holds_lease(now):
-            return [SendToClient(name, self._core()), *self._news(self.publisher.follow(name, number))]
+            return [SendToClient(name, self._core_info()), *self._updates(self.publisher.follow(name, number))]
         self.publisher.leave(name)
         self.publisher.sent[name] = self.publisher.acked[name] = number
-        return [SendToClient(name, self._core())]
+        return [SendToClient(name, self._core_info())]
 
-    def _keep(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
+    def _persist(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
+        """Make a change of a client's items; the client gets `ItemsPersisted` with the answer."""
         items = message.items
-        self._keeping[self.calls + 1] = SendToClient(name, ItemsPersisted(message.request, True))
+        self._persist_requests[self.calls + 1] = PersistRequest(name, message.request)
 
-        def kept(state: State) -> bool:
+        def persisted(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
 
-        return self.submit(now, lambda call: Change(call, kept, lambda state: items, "the registry's items"))[1]
+        _, outputs = self.submit(now, lambda call: Change(call, persisted, lambda state: items, "the registry's items"))
+        return outputs
 
-    def _core(self) -> CoreInfo:
+    def _core_info(self) -> CoreInfo:
         view = self.node.view
         if view is None:
             return CoreInfo((), 0, "")
         return CoreInfo(tuple(sorted(view.voters)), view.epoch, view.leader)
 
-    def _tell_core(self, now: float) -> list[ServiceOutput]:
-        """Followers are told of a new view, and by a leader that begins."""
-        self._mind_vote(now)
-        view, holds = self.node.view, self.node.holds_lease(now)
-        begun = holds and not self._held
-        self._held = holds
-        if not begun and (view is None or view.epoch == self._told_epoch):
+    def _announce_core(self, now: float) -> list[ServiceOutput]:
+        """Notify subscribers of a new view, and of a lease that begins."""
+        self._track_vote(now)
+        view, holds_lease = self.node.view, self.node.holds_lease(now)
+        begun = holds_lease and not self._held_lease
+        self._held_lease = holds_lease
+        if not begun and (view is None or view.epoch == self._announced_epoch):
             return []
-        self._told_epoch = view.epoch if view is not None else NO_EPOCH
-        told: list[ServiceOutput] = [SendToClient(name, self._core()) for name in sorted(self.followers)]
-        if begun:  # what came into force before the lease stood
-            told += self._news(self.publisher.tell())
-        return told
-
-    def _news(self, messages: Iterable[tuple[str, StateUpdate]]) -> list[ServiceOutput]:
-        return [SendToClient(name, message) for name, message in messages if name in self.followers]
-
-    # Outputs.
-
-    def _carry(self, now: float, outputs: Iterable[Output]) -> list[ServiceOutput]:
-        out: list[ServiceOutput] = []
-        for each in outputs:
-            if isinstance(each, Publish | PublishChange):
-                self._publish(each)
-                out += self._tell_core(now)
+        self._announced_epoch = view.epoch if view is not None else NO_EPOCH
+        outputs: list[ServiceOutput] = [SendToClient(name, self._core_info()) for name in sorted(self.subscribers)]
+        if begun:  # what came into force before the lease was valid
+            outputs += self._updates(self.publisher.tell())
+        return outputs
+
+    def _updates(self, messages: Iterable[tuple[str, StateUpdate]]) -> list[ServiceOutput]:
+        return [SendToClient(name, message) for name, message in messages if name in self.subscribers]
+
+    # Outputs of the node.
+
+    def _carry_out(self, now: float, outputs: Iterable[Output]) -> list[ServiceOutput]:
+        """Turn the node's outputs into those of the process, in their order."""
+        carried: list[ServiceOutput] = []
+        for output in outputs:
+            if isinstance(output, Publish | PublishChange):
+                self._publish(output)
+                carried += self._announce_core(now)
                 if self.node.holds_lease(now):
-                    out += self._news(self.publisher.tell())
-            elif isinstance(each, Answer) and each.call_id in self._keeping:
-                tell = self._keeping.pop(each.call_id)
-                kept = not isinstance(each.answer, Failure)
-                out.append(SendToClient(tell.name, ItemsPersisted(_request_of(tell), kept)))
+                    carried += self._updates(self.publisher.tell())
+            elif isinstance(output, Answer) and output.call_id in self._persist_requests:
+                request = self._persist_requests.pop(output.call_id)
+                persisted = not isinstance(output.answer, Failure)
+                carried.append(SendToClient(request.client, ItemsPersisted(request.request, persisted)))
             else:
-                out.append(each)
-        return out
+                carried.append(output)
+        return carried
 
     def _publish(self, publish: Publish | PublishChange) -> None:
-        """Keep what is in force, which the node's own copy may be ahead of."""
+        """Keep the state in force, which the node's own copy may be ahead of."""
         if isinstance(publish, Publish):
             self.publisher.state = publish.state
         else:
             self.publisher.state.merge(publish.number, publish.items)
-
-
-def _request_of(tell: SendToClient) -> str:
-    assert isinstance(tell.message, ItemsPersisted)
-    return tell.message.request
--- /dev/null
+++ b/thistleusher/control/serving.py
@@ -0,0 +1,58 @@
+"""How a leader serves waiting calls: reads from the state in force, and changes one at a time.
+
+Guaranteed: a read is answered only from what is on the disks of the leader and all its replicas, while the lease is
+valid on the clock of that very input. So no call is served while a change is pending: the leader's own copy is then
+ahead of what is in force.
+"""
+
+from __future__ import annotations
+
+from thistleusher.common.events import Event
+from thistleusher.common.failures import Failure
+from thistleusher.control.calls import CallQueue
+from thistleusher.control.context import Context
+from thistleusher.control.durable import DurableState
+from thistleusher.control.interface import Call, Change, DeferredChange, Read
+from thistleusher.control.joining import Joining
+from thistleusher.control.leadership import Leadership
+from thistleusher.control.replication import Replication
+from thistleusher.control.role import Role
+
+
+class Serving:
+    """One node's serving of calls, while it leads."""
+
+    def __init__(self, context: Context, durable: DurableState, role: Role, joining: Joining, calls: CallQueue) -> None:
+        self._context = context
+        self._durable = durable
+        self._role = role
+        self._calls = calls
+        self.replication = Replication(context, durable, role, joining, self.serve)
+
+    def serve(self) -> None:
+        """Serve waiting calls until one has begun a change."""
+        leadership = self._role.leadership
+        while leadership is not None and self._calls and self._may_serve(leadership):
+            self._serve_one(leadership, self._calls.take())
+
+    def _may_serve(self, leadership: Leadership) -> bool:
+        current = self._role.leadership is leadership and not self._role.stopping
+        return current and leadership.pending is None and self._context.now < leadership.expires_at()
+
+    def _serve_one(self, leadership: Leadership, call: Call) -> None:
+        state = self._durable.replica.state
+        try:
+            if isinstance(call, Read):
+                self._context.answer(call.call_id, call.answer(state))
+            else:
+                self._serve_change(leadership, call.change(state) if isinstance(call, DeferredChange) else call)
+        except Failure as failure:
+            self._context.answer(call.call_id, failure)
+
+    def _serve_change(self, leadership: Leadership, change: Change) -> None:
+        """Begin a change, or acknowledge one that the state in force makes needless."""
+        if change.is_redundant(self._durable.replica.state):
+            self._context.note(Event.UNALTERED, change.description)
+            self._context.answer(change.call_id, None)
+        else:
+            self.replication.begin_change(leadership, change)
