--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.context import Context
 from thistleusher.control.interface import Call, Change
 from thistleusher.control.timing import CALL_WAIT_S
@@ -37,11 +37,11 @@
 
     def redirect(self, leader: str) -> None:
         """Redirect all callers to the machine that leads."""
-        self._answer_all(Failure(Kind.ELSEWHERE, where=leader))
+        self._answer_all(ServiceError(ErrorKind.REDIRECTED, where=leader))
 
     def refuse_all(self) -> None:
         """Refuse all calls because this process is stopping."""
-        self._answer_all(Failure(Kind.ENDING))
+        self._answer_all(ServiceError(ErrorKind.SHUTTING_DOWN))
 
     def expire(self) -> None:
         """Refuse the calls that have waited too long."""
@@ -49,8 +49,8 @@
         if late:
             self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
         for call in late:
-            self._context.answer(call.call_id, Failure(Kind.NO_LEADER))
+            self._context.answer(call.call_id, ServiceError(ErrorKind.NO_LEADER))
 
-    def _answer_all(self, failure: Failure) -> None:
+    def _answer_all(self, failure: ServiceError) -> None:
         while self._waiting:
             self._context.answer(self._waiting.popleft().call_id, failure)
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -113,12 +113,12 @@
         self._context.known.update(view.voters)
         if self.view is None or view.epoch > self.view.epoch:
             self.view = view
-        elif view.epoch == self.view.epoch and not view.before:
+        elif view.epoch == self.view.epoch and not view.previous_voters:
             self.confirm()
 
     def confirm(self) -> None:
         """Take note that the leader of the newest view leads: the voters before it need not be asked any more."""
-        if self.view is None or not self.view.before:
+        if self.view is None or not self.view.previous_voters:
             return
         self.view = self.view.confirmed()
         if self.recorded_epoch == self.view.epoch:
@@ -132,8 +132,8 @@
         """Log a view that this machine records."""
         replicas = ", ".join(view.replicas)
         voters = ", ".join(sorted(view.voters))
-        self._context.note(Event.VIEW, view.epoch, view.leader, replicas, voters)
+        self._context.note(Event.VIEW_ADOPTED, view.epoch, view.leader, replicas, voters)
 
     def note_failure(self, what: str) -> None:
         """Log a failed write."""
-        self._context.note(Event.DISK, f"{what} not written")
+        self._context.note(Event.DISK_FAILED, f"{what} not written")
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -61,7 +61,7 @@
         durable, role = self._durable, self._role
         assert durable.view is not None
         epoch = max(durable.promised, durable.view.epoch, self._promised_by(voters or {})) + 1
-        self._context.note(Event.CANDIDATE, epoch, why)
+        self._context.note(Event.CANDIDACY_STARTED, epoch, why)
         if role.leadership is not None:  # its voters still guard it, and vote for the leader that they guard
             role.start_renewal()
         else:
@@ -92,7 +92,7 @@
         if candidacy is None or candidacy.epoch != self._durable.promised:
             return
         candidacy.votes[self._context.me] = self._durable.view
-        for voter in candidacy.view.deciders:
+        for voter in candidacy.view.electorate:
             if voter not in candidacy.votes:
                 self._context.send(voter, VoteRequest(candidacy.epoch, candidacy.view))
 
@@ -124,7 +124,7 @@
             candidacy.view = newest
             candidacy.voters = None
             self._ask()
-        if not newest.decided_by(candidacy.votes):
+        if not newest.has_quorum(candidacy.votes):
             return
         if not self._role.is_eligible():
             self._role.candidacy = None
--- a/thistleusher/control/founding.py
+++ b/thistleusher/control/founding.py
@@ -59,6 +59,6 @@
         candidacy.votes = dict.fromkeys(voters, None)
         self._role.candidacy = candidacy
         position = self._durable.replica.enter(FIRST_EPOCH)
-        context.note(Event.CANDIDATE, FIRST_EPOCH, "founding")
+        context.note(Event.CANDIDACY_STARTED, FIRST_EPOCH, "founding")
         records = Records(position=position, items={}, complete=True)
         self._role.promise(FIRST_EPOCH, records, self._elections.view_change.install)
--- a/thistleusher/control/hand_over.py
+++ b/thistleusher/control/hand_over.py
@@ -58,14 +58,14 @@
         view, me = self._durable.view, self._context.me
         if view is None:
             return True
-        if me in view.before:  # a voter before the newest view may be asked what follows it
+        if me in view.previous_voters:  # a voter before the newest view may be asked what follows it
             return False
         if not self._joining.is_voter:  # a copy of a later epoch means that the epoch is to give it a vote
             return self._durable.replica.epoch <= view.epoch
         if self._role.confirmed_epoch < view.epoch:  # the view's leader was not heard: the epoch may not have begun
             return False
         has_leader = self._role.guards_leader()  # without one, this vote may be the one that a majority lacks
-        return has_leader and me not in view.holders and not self._joining.learners.present()
+        return has_leader and me not in view.replica_set and not self._joining.learners.present()
 
     # By the others.
 
@@ -81,4 +81,4 @@
             if view.replicas[0] == self._context.me:
                 self._elections.stand("the leader has stepped down")
             else:  # if all stood at once, they would only hinder each other
-                role.stand_at = self._context.now + CANDIDATE_STAGGER_S * view.holders.index(self._context.me)
+                role.stand_at = self._context.now + CANDIDATE_STAGGER_S * view.replica_set.index(self._context.me)
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -111,10 +111,10 @@
     def _consider_statuses(self) -> None:
         """Become ready to vote, or a voter again, once enough machines have sent their status."""
         newest = max((status.view for status in self._statuses.values()), key=lambda view: view.epoch)
-        answered = [name for name in self._statuses if name in newest.deciders and name != self._context.me]
+        answered = [name for name in self._statuses if name in newest.electorate and name != self._context.me]
         if self._context.me not in newest.voters:
             self._durable.adopt(newest)
-            if newest.decided_by(answered):
+            if newest.has_quorum(answered):
                 self.ready_to_vote = True
                 self._durable.promised = max(self._durable.promised, self._highest_promise())
                 self._statuses = {}
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -58,7 +58,7 @@
         self._role.leadership = leadership
         self._heartbeats.restart()
         self.catch_up.restart()
-        self._context.note(Event.LEADS, view.epoch, ", ".join(view.replicas))
+        self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
         # A copy, as the node's own state goes ahead of what is in force with the next change.
         self._context.emit(Publish(self._durable.replica.state.copied()))
         self._heartbeats.send(leadership)
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -32,7 +32,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.calls import CallQueue
 from thistleusher.control.context import Context
 from thistleusher.control.durable import DurableState
@@ -166,7 +166,7 @@
         """Take a call; its `Answer` comes now, or within about `CALL_WAIT_S` where nobody leads."""
         self._context.advance(now)
         if self._role.stopping:
-            self._context.answer(call.call_id, Failure(Kind.ENDING))
+            self._context.answer(call.call_id, ServiceError(ErrorKind.SHUTTING_DOWN))
         else:
             self._calls.add(call)
             self._leader.serving.serve()
@@ -265,7 +265,7 @@
         it does come: it may be the only one left that holds the copy.
         """
         view = self._durable.view
-        stagger = CANDIDATE_STAGGER_S * view.holders.index(self._context.me) if view is not None else 0.0
+        stagger = CANDIDATE_STAGGER_S * view.replica_set.index(self._context.me) if view is not None else 0.0
         return stagger + (STOPPING_STAGGER_S if self._role.stopping else 0.0)
 
     def _redirect_calls(self) -> None:
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -79,12 +79,12 @@
     def _is_free(self, name: str, leadership: Leadership) -> bool:
         """Return whether a voter may hold a copy in place of another."""
         acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
-        return acked and name not in leadership.view.holders and name not in self._role.leaving
+        return acked and name not in leadership.view.replica_set and name not in self._role.leaving
 
     def _can_spread(self, leadership: Leadership, free: list[str]) -> bool:
         """Return whether all copies are in one zone, and a voter of another one has been heard for long enough."""
         view, now = leadership.view, self._context.now
-        zones = {view.voters[name] for name in view.holders if name in view.voters}
+        zones = {view.voters[name] for name in view.replica_set if name in view.voters}
         if len(zones) > 1:
             return False
         return any(
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -80,7 +80,7 @@
     def is_eligible(self) -> bool:
         """Return whether this machine has everything that was acknowledged in the newest epoch that it knows."""
         view, replica = self._durable.view, self._durable.replica
-        return view is not None and self._context.me in view.holders and replica.epoch >= view.epoch
+        return view is not None and self._context.me in view.replica_set and replica.epoch >= view.epoch
 
     def is_current(self, candidacy: Candidacy) -> bool:
         """Return whether a candidacy goes on: nothing higher was promised since."""
@@ -149,7 +149,7 @@
         self.candidacy = None
         if leadership is None:
             return
-        self._context.note(Event.STEPPED_DOWN, leadership.view.epoch, why)
+        self._context.note(Event.LEADERSHIP_LOST, leadership.view.epoch, why)
         if leadership.pending is not None:
             self._calls.put_back(leadership.pending.change)
         self.send_step_down(leadership.view)
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from thistleusher.common.failures import Failure
+from thistleusher.common.errors import ServiceError
 from thistleusher.control.interface import (
     Answer,
     Call,
@@ -152,7 +152,7 @@
     def _persist(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
         """Make a change of a client's items; the client gets `ItemsPersisted` with the answer."""
         items = message.items
-        self._persist_requests[self.calls + 1] = PersistRequest(name, message.request)
+        self._persist_requests[self.calls + 1] = PersistRequest(name, message.request_id)
 
         def persisted(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
@@ -196,7 +196,7 @@
                     carried += self._updates(self.publisher.tell())
             elif isinstance(output, Answer) and output.call_id in self._persist_requests:
                 request = self._persist_requests.pop(output.call_id)
-                persisted = not isinstance(output.answer, Failure)
+                persisted = not isinstance(output.answer, ServiceError)
                 carried.append(SendToClient(request.client, ItemsPersisted(request.request, persisted)))
             else:
                 carried.append(output)
--- a/thistleusher/control/serving.py
+++ b/thistleusher/control/serving.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
+from thistleusher.common.errors import ServiceError
 from thistleusher.common.events import Event
-from thistleusher.common.failures import Failure
 from thistleusher.control.calls import CallQueue
 from thistleusher.control.context import Context
 from thistleusher.control.durable import DurableState
@@ -46,13 +46,13 @@
                 self._context.answer(call.call_id, call.answer(state))
             else:
                 self._serve_change(leadership, call.change(state) if isinstance(call, DeferredChange) else call)
-        except Failure as failure:
+        except ServiceError as failure:
             self._context.answer(call.call_id, failure)
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Begin a change, or acknowledge one that the state in force makes needless."""
         if change.is_redundant(self._durable.replica.state):
-            self._context.note(Event.UNALTERED, change.description)
+            self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
         else:
             self.replication.begin_change(leadership, change)
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -55,8 +55,8 @@
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
         candidacy.chosen |= set(replicas)
         same_voters = voters.keys() == candidacy.view.voters.keys()
-        # The voters before an exchange stay deciders until the leader of the new epoch is heard.
-        before = candidacy.view.before if same_voters else candidacy.view.voters
+        # The voters before an exchange stay in the electorate until the leader of the new epoch is heard.
+        before = candidacy.view.previous_voters if same_voters else candidacy.view.voters
         candidacy.next_view = ViewRecord(candidacy.epoch, context.me, replicas, dict(voters), before)
         for replica in replicas:
             if replica not in candidacy.installed:
@@ -117,7 +117,7 @@
             self._count_records(candidacy)
 
     def _ask_to_record(self, candidacy: Candidacy, view: ViewRecord) -> None:
-        for voter in {**candidacy.view.deciders, **view.voters}:
+        for voter in {**candidacy.view.electorate, **view.voters}:
             if voter not in candidacy.recorded and voter != self._context.me:
                 self._context.send(voter, RecordView(view))
 
@@ -135,12 +135,12 @@
         assert view is not None
         if not {self._context.me, *view.replicas} <= recorded:
             return
-        if not (view.has_majority(recorded) and candidacy.view.decided_by(recorded)):
+        if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):
             return
         if self._joining.founding:
             if self._context.now - candidacy.begun_at < CANDIDACY_TIMEOUT_S and len(recorded) < len(view.voters):
                 return
-            self._context.note(Event.FOUNDED, ", ".join(sorted(view.voters)))
+            self._context.note(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
         self._durable.view = view
         self._durable.confirm()
         self._joining.record_membership(True)
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -46,7 +46,7 @@
             return
         durable.adopt(message.view)
         view = durable.view
-        if self._context.me not in view.deciders or sender not in view.voters:
+        if self._context.me not in view.electorate or sender not in view.voters:
             self._reject(sender, message, view)
         elif message.epoch == durable.promised and sender == role.voted_for:
             if role.vote_on_disk:  # its first answer was lost; otherwise the answer follows the write
@@ -120,7 +120,7 @@
         if self._joining.state_lost:
             return self._joining.ready_to_vote and self._context.me in view.voters
         known = self._durable.view
-        was_voter = known is not None and self._context.me in known.deciders
+        was_voter = known is not None and self._context.me in known.electorate
         return was_voter or self._context.me in view.voters
 
     # Heartbeats.
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -18,10 +18,10 @@
 from collections.abc import Callable
 from typing import cast
 
-from thistleusher.common.events import Event, say
-from thistleusher.net.upstream import watch
-from thistleusher.transport.codec import Deframer, MalformedMessage, frame
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.common.events import Event, log_event
+from thistleusher.net.socket_state import enable_dead_peer_detection
+from thistleusher.transport.codec import Deframer, MalformedMessageError, frame
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
 
 BEAT_S = 0.4
@@ -57,7 +57,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        watch(sock, SILENT_S)
+        enable_dead_peer_detection(sock, SILENT_S)
         self.open = True
         self.beater = self.loop.call_later(BEAT_S, self._beat)
         self.on_open(self)
@@ -70,11 +70,11 @@
                     return
                 if not isinstance(message, KeepAlive):
                     self.on_message(self, message)
-        except (MalformedMessage, UnexpectedMessage) as error:
-            say(Event.REFUSED_MESSAGE, self.name or self.peer, error)
+        except (MalformedMessageError, UnexpectedMessageError) as error:
+            log_event(Event.MESSAGE_REJECTED, self.name or self.peer, error)
             self.close(str(error))
         except (ValueError, KeyError, TypeError) as error:
-            say(Event.FAULT, f"a message of {self.name or self.peer}", repr(error))
+            log_event(Event.FAULT, f"a message of {self.name or self.peer}", repr(error))
             self.close(repr(error))
 
     def send(self, message: Message) -> None:
@@ -130,7 +130,7 @@
             self.on_end(self, self.why)
 
 
-class Dial:
+class ReconnectingLink:
     """A connection to one address that is opened again for as long as it is wanted."""
 
     def __init__(
@@ -139,8 +139,8 @@
         host: str,
         port: int,
         hello: Callable[[], Message],
-        on_message: Callable[[Dial, AnyMessage], None],
-        on_end: Callable[[Dial], None] | None = None,
+        on_message: Callable[[ReconnectingLink, AnyMessage], None],
+        on_end: Callable[[ReconnectingLink], None] | None = None,
     ) -> None:
         """`hello`: the first message on each connection."""
         self.loop, self.host, self.port, self.hello, self.on_message = loop, host, port, hello, on_message
@@ -263,7 +263,7 @@
 
     def _message(self, link: Link, message: AnyMessage) -> None:
         if not link.name and isinstance(message, Hello | SubscribeRequest | HandOver):
-            link.name = message.me
+            link.name = message.sender
         self.on_message(link, message)
 
     def _ended(self, link: Link, why: str) -> None:
