--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 
-class Wrong(NamedTuple):
-    """One fault: the point it is about (0: all of them), the text as it is, and as it must not be.
+class DeliberateFault(NamedTuple):
+    """One fault: the point that it is about (0: all of them), the source text as it is, and as it must not be.
 
     `also`: further places, for a fault that a second guard makes harmless: all of it is taken out.
     """
@@ -40,138 +40,140 @@
 
 FAULTS = (
     # Those of the sessions before.
-    Wrong(0, "acknowledged without the replica", EVERYWHERE, "everywhere = pending.on_own_disk"),
-    Wrong(
+    DeliberateFault(0, "acknowledged without the replica", EVERYWHERE, "everywhere = pending.on_own_disk"),
+    DeliberateFault(
         0,
         "acknowledged without the lease",
         "if not everywhere or self._context.now >= leadership.expires_at():",
         "if not everywhere:",
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "acknowledged before the own disk has it",
         EVERYWHERE,
         "everywhere = pending.on_replicas >= set(leadership.view.replicas)",
     ),
-    Wrong(
+    DeliberateFault(
         0,
-        "a machine that has forgotten votes",
+        "a machine that has lost its state votes",
         "self.state_lost = durable.view is None and not self.founding",
         "self.state_lost = False\n        if durable.view is None and not self.founding:\n"
         "            durable.view = ViewRecord(1, min(context.seeds), (), dict.fromkeys(context.seeds, ''))",
     ),
-    Wrong(
+    DeliberateFault(
         0,
-        "one of the others is enough to remember",
+        "one status is enough to vote again",
         "elif len(newest.voters.keys() & set(answered)) >= len(newest.voters) - newest.majority + 1:",
         "elif answered:",
     ),
-    Wrong(0, "any voter may lead", ELIGIBLE, "return view is not None and replica.epoch >= view.epoch"),
-    Wrong(
+    DeliberateFault(0, "any voter may lead", ELIGIBLE, "return view is not None and replica.epoch >= view.epoch"),
+    DeliberateFault(
         0,
-        "an old copy counts as whole",
+        "an old copy counts as complete",
         ELIGIBLE,
         "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "no guard for a live leader",
         "guarded = self._role.guards_leader() and sender != view.leader",
         "guarded = False",
     ),
-    Wrong(0, "a promise is given twice", VOTE_REFUSED, VOTE_REFUSED.replace("<=", "<")),
-    Wrong(
+    DeliberateFault(0, "a promise is given twice", VOTE_REFUSED, VOTE_REFUSED.replace("<=", "<")),
+    DeliberateFault(
         0,
         "a replica takes changes of another epoch",
         "if view is None or view.epoch != message.epoch or view.leader != sender:\n            return\n        if not",
         "if view is None:\n            return\n        if not",
     ),
-    Wrong(0, "a view is in force before a majority has it", RECORDED, "if False:"),
-    Wrong(0, "new voters decide without those before", RECORDED, "if not view.has_majority(recorded):"),
-    Wrong(
+    DeliberateFault(0, "a view is in force before a majority has it", RECORDED, "if False:"),
+    DeliberateFault(0, "new voters decide without those before", RECORDED, "if not view.has_majority(recorded):"),
+    DeliberateFault(
         0,
         "one of several replicas is enough",
         EVERYWHERE,
         "everywhere = pending.on_own_disk and bool(pending.on_replicas)",
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "a copy counts as followed by its number alone",
         "known = self._history.get(position.number) == position.change_epoch",
         "known = position.number in self._history",
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "leads without a copy elsewhere",
         INSTALLED,
         "if False:",
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "leads before its replicas have the view",
         "if not {self._context.me, *view.replicas} <= recorded:",
         "if self._context.me not in recorded:",
     ),
-    Wrong(0, "a read is answered without the lease", MAY_SERVE, "return current and leadership.pending is None"),
-    Wrong(0, "promises are not written", "records._replace(promised=epoch)", "records"),
-    Wrong(0, "the lease is longer than the guard", "LEASE_S = 0.6 ", "LEASE_S = 1.6 "),
-    Wrong(
+    DeliberateFault(
+        0, "a read is answered without the lease", MAY_SERVE, "return current and leadership.pending is None"
+    ),
+    DeliberateFault(0, "promises are not written", "records._replace(promised=epoch)", "records"),
+    DeliberateFault(0, "the lease is longer than the guard", "LEASE_S = 0.6 ", "LEASE_S = 1.6 "),
+    DeliberateFault(
         0,
         "a slow disk costs nothing",
         "elif leadership.own_write_since is not None and now - leadership.own_write_since > DISK_TIMEOUT_S:",
         "elif False:",
     ),
     # 1: cut off.
-    Wrong(
+    DeliberateFault(
         1,
-        "news are told without the lease",
+        "state updates are sent without the lease",
         "                if self.node.holds_lease(now):\n                    carried +=",
         "                if True:\n                    carried +=",
     ),
-    Wrong(
+    DeliberateFault(
         1,
-        "one that comes to follow is told without the lease",
+        "a new subscriber gets updates without the lease",
         "        if self.node.holds_lease(now):\n            return [SendToClient",
         "        if True:\n            return [SendToClient",
     ),
-    Wrong(
+    DeliberateFault(
         1,
         "the lease of a new leader counts from a repeat",
         "acked = {voter: candidacy.record_asked_at for voter in candidacy.recorded}",
         "acked = {voter: candidacy.asked_at for voter in candidacy.recorded}",
     ),
-    Wrong(
+    DeliberateFault(
         1,
         "the lease counts from the answer",
         "leadership.acked[sender] = max(leadership.acked.get(sender, NEVER), message.sent)",
         "leadership.acked[sender] = self._context.now",
     ),
-    Wrong(
+    DeliberateFault(
         1,
-        "a duty is granted without contact",
+        "a singleton role is granted without contact",
         "return self.holds_lease(now) or now - self.contact_at < CONTACT_TIMEOUT_S",
         "return True",
     ),
-    Wrong(
+    DeliberateFault(
         1,
         "a voter that is not heard counts as in contact",
         "Heartbeat(leadership.view, now, holds_lease and hears_voter)",
         "Heartbeat(leadership.view, now, True)",
     ),
-    Wrong(
+    DeliberateFault(
         1,
         "a leader with a majority against it goes on",
         "if message.view.epoch > leadership.view.epoch:",
         "if False:",
     ),
     # 2: orders.
-    Wrong(
+    DeliberateFault(
         2,
-        "an order is judged by a change that is being kept",
+        "an order is judged by a pending change",
         MAY_SERVE,
         MAY_SERVE.replace("leadership.pending is None and ", ""),
     ),
-    Wrong(
+    DeliberateFault(
         2,
         "a change is confirmed as its leader steps down",
         "        if leadership.pending is not None:\n            self._calls.put_back(leadership.pending.change)\n"
@@ -179,179 +181,177 @@
         "        if leadership.pending is not None:\n"
         "            self._context.answer(leadership.pending.change.call_id, None)\n        self.send_step_down",
     ),
-    Wrong(
+    DeliberateFault(
         2,
         "a lower number takes the place of a higher",
         "return number_of(state) >= number",
         "return number_of(state) == number",
     ),
-    Wrong(
+    DeliberateFault(
         2,
-        "a repeat is checked again",
+        "a repeat is validated again",
         "if state is not None and identity is not None and was_taken(state, identity):",
         "if False:",
     ),
-    Wrong(
+    DeliberateFault(
         2,
         "the end of an evacuation is taken for a repeat",
-        'return (held is not None and bool(held["on"])) == begin',
-        "return held is not None",
+        'return (current is not None and bool(current["on"])) == begin',
+        "return current is not None",
     ),
     # 3: a second loss, and members that leave.
-    Wrong(
+    DeliberateFault(
         3,
         "a learner becomes a fourth voter",
         "after = {name: zone for name, zone in voters.items() if name not in replacements}",
         "after = dict(voters)",
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "a spare gets a vote though nobody is gone",
         "if len(voters) % 2 == 0 or len(voters) < MIN_VOTERS:",
         "if True:",
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "a learner without a copy gets a vote",
         "return replica.follows(learner.position) and lag <= MAX_LEARNER_LAG",
         "return True",
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "a process ends while it holds a copy",
         "return has_leader and me not in view.replica_set and not self._joining.learners.present()",
         "return True",
     ),
-    Wrong(3, "a gone voter is exchanged late", "VOTER_EXCHANGE_S = 2.8 ", "VOTER_EXCHANGE_S = 8.0 "),
-    Wrong(3, "a lost copy is not mended", "            self.catch_up.repair_replicas(leadership)\n", ""),
-    Wrong(
+    DeliberateFault(3, "a gone voter is exchanged late", "VOTER_EXCHANGE_S = 2.8 ", "VOTER_EXCHANGE_S = 8.0 "),
+    DeliberateFault(3, "a lost copy is not repaired", "            self.catch_up.repair_replicas(leadership)\n", ""),
+    DeliberateFault(
         3,
         "copies stay in one zone",
         "if leadership.pending is None and not late and self._can_spread(leadership, free):",
         "if False:",
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "one without a vote is voted for",
         "if self._context.me not in view.electorate or sender not in view.voters:",
         "if self._context.me not in view.electorate:",
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "a silent replica is not replaced",
         "if late and free:",
         "if False:",
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "new seeds take the place of the old",
         "self._context.seeds |= set(seeds)",
         "self._context.seeds = set(seeds)",
     ),
     # 4: changes, snapshots, disks.
-    Wrong(
+    DeliberateFault(
         4,
         "a change is taken after another than its base",
         "elif position != message.base:",
         "elif position.number != message.base.number:",
     ),
-    Wrong(
+    DeliberateFault(
         4,
         "changes are installed on another copy than their base",
         "elif replica.position == message.base:",
         "elif replica.position.number >= 0:",
     ),
-    Wrong(
+    DeliberateFault(
         4,
         "what waits behind a write that failed is written",
         "if not ok:  # queued writes may rely on the failed one",
         "if False:",
     ),
-    Wrong(
+    DeliberateFault(
         4,
         "a change that the disk refused counts",
         '            durable.replica.mark_damaged()\n            durable.note_failure("a change")',
         '            durable.note_failure("a change")',
     ),
-    Wrong(
+    DeliberateFault(
         4,
-        "a change is told as kept though the disk refused it",
+        "a change is acknowledged though the disk refused it",
         NOT_APPENDED,
         "        if",
     ),
-    Wrong(
+    DeliberateFault(
         4,
-        "a change is told before it is kept",
+        "a change is published before it is in force",
         "Publish(self._durable.replica.state.copied())",
         "Publish(self._durable.replica.state)",
     ),
-    Wrong(
+    DeliberateFault(
         4,
         "a copy of another change counts as the leader's",
         "if message.position.same_change(self._durable.replica.position):",
         "if True:",
     ),
-    Wrong(
+    DeliberateFault(
         4,
         "the answer to an earlier change counts",
         "if message.number == self._durable.replica.position.number:",
         "if True:",
     ),
-    Wrong(
+    DeliberateFault(
         4,
-        "each change costs the whole state",
+        "each change sends the complete state",
         "append = Append(leadership.view.epoch, pending.base, pending.position, pending.items)",
         "append = Append(leadership.view.epoch, pending.base, pending.position, self._durable.replica.state.items)",
     ),
-    Wrong(
+    DeliberateFault(
         4,
-        "learners are never brought on",
+        "learners are never brought up to date",
         "if learner.position == replica.position or waited_s < timeout_s:",
         "if True:",
     ),
     # 5: answers and grants for the right one, once.
-    Wrong(
+    DeliberateFault(
         5,
         "a call that waited too long is answered twice",
         "            self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)\n",
         "            pass\n",
     ),
-    Wrong(
+    DeliberateFault(
         5,
         "an answer bears the number of another call",
         "self._carry_out(now, self.node.submit(now, make(self.calls)))",
         "self._carry_out(now, self.node.submit(now, make(max(1, self.calls - 1))))",
     ),
-    Wrong(5, "a grant is told before it is on disk", "        if not changed:\n", "        if True:\n"),
-    Wrong(
-        5, "one that has just got a vote grants at once", "            self.grantor.pause(now)\n", "            pass\n"
-    ),
-    Wrong(
+    DeliberateFault(5, "a grant is answered before it is on disk", "        if not changed:\n", "        if True:\n"),
+    DeliberateFault(5, "a new voter grants at once", "            self.grantor.pause(now)\n", "            pass\n"),
+    DeliberateFault(
         5,
-        "a duty is granted to two",
+        "a singleton role is granted to two",
         "free = now >= grant.until or (request.holder != grant.holder and same_machine)",
         "free = True",
     ),
-    Wrong(
+    DeliberateFault(
         5,
         "a grant of an earlier term counts",
-        "if message.term == self.term and self.begun is not None:",
-        "if self.begun is not None:",
+        "if message.term == self.term and self.attempt_since is not None:",
+        "if self.attempt_since is not None:",
     ),
-    Wrong(
+    DeliberateFault(
         5,
         "a holder counts on a grant for too long",
-        "return asked[majority - 1] + GRANT_S - MARGIN_S",
-        "return asked[majority - 1] + GRANT_S + MARGIN_S",
+        "return requested[majority - 1] + GRANT_S - MARGIN_S",
+        "return requested[majority - 1] + GRANT_S + MARGIN_S",
     ),
-    Wrong(
+    DeliberateFault(
         5,
         "a process that starts grants at once",
         'Grant(f"{machine}/", term, now + GRANT_S) for role',
         'Grant(f"{machine}/", term, now) for role',
     ),
     # Faults of both guards, where one alone makes the other's loss harmless.
-    Wrong(
+    DeliberateFault(
         0,
         "acknowledged without the lease, by replicas that promised more",
         "if not everywhere or self._context.now >= leadership.expires_at():",
@@ -361,9 +361,9 @@
             (MAY_ACKNOWLEDGE, "return durable.replica.epoch == epoch"),
         ),
     ),
-    Wrong(
+    DeliberateFault(
         0,
-        "an old copy counts as whole, and a view names replicas that have none",
+        "an old copy counts as complete, and a view names replicas that have none",
         ELIGIBLE,
         "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
         (
@@ -371,14 +371,14 @@
             ("if not {self._context.me, *view.replicas} <= recorded:", "if self._context.me not in recorded:"),
         ),
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "no guard for a live leader, and a silent replica keeps its place",
         "guarded = self._role.guards_leader() and sender != view.leader",
         "guarded = False",
         (("REPLICA_TIMEOUT_S = 0.7 ", "REPLICA_TIMEOUT_S = 2.0 "),),
     ),
-    Wrong(
+    DeliberateFault(
         0,
         "a replica takes changes of another epoch after another than their base",
         "if view is None or view.epoch != message.epoch or view.leader != sender:\n            return\n        if not",
@@ -389,14 +389,14 @@
             (TAKES_CHANGES, "return True"),
         ),
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "a view that the voters before it have not agreed to is a base",
         "if not newest.has_quorum(candidacy.votes):",
         "if not newest.has_majority(candidacy.votes):",
         ((RECORDED, "if not (view.has_majority(recorded) and candidacy.view.has_majority(recorded)):"),),
     ),
-    Wrong(
+    DeliberateFault(
         3,
         "a view counts as agreed to once it is recorded",
         "        durable.view = view\n        self._context.known.update(view.voters)",
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -11,7 +11,7 @@
 from thistleusher.common.config_items import NONE, REMEMBERED, assemble, changes, number_of
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control import orders
-from thistleusher.control.orders import Standing
+from thistleusher.control.orders import OrderStatus
 from thistleusher.transport.state_updates import State
 
 
@@ -41,7 +41,7 @@
             order = orders.parse(body, self.state)
         except ExceptionGroup:
             return None
-        return self.call(lambda call: orders.replace(call, order))
+        return self.call(lambda call: orders.configuration_change(call, order))
 
     def call(self, make) -> int:
         self.calls += 1
@@ -85,24 +85,24 @@
 
 
 @pytest.mark.parametrize(
-    "sent, standing",
+    "sent, status",
     [
-        (document(7), Standing.REPEAT),
-        (json.dumps(json.loads(document(7)), indent=1, sort_keys=True).encode(), Standing.REPEAT),
-        (document(7, "b"), Standing.OTHER_CONTENTS),
-        (document(6, "b"), Standing.PASSED_OVER),
-        (document(8, "b"), Standing.NEWER),
+        (document(7), OrderStatus.REPEAT),
+        (json.dumps(json.loads(document(7)), indent=1, sort_keys=True).encode(), OrderStatus.REPEAT),
+        (document(7, "b"), OrderStatus.CONFLICTING_CONTENTS),
+        (document(6, "b"), OrderStatus.SUPERSEDED),
+        (document(8, "b"), OrderStatus.NEWER),
     ],
 )
-def test_the_highest_number_prevails_and_one_no_higher_alters_nothing(sent, standing):
+def test_the_highest_number_prevails_and_one_no_higher_alters_nothing(sent, status):
     leader = holding(7)
-    assert orders.standing(leader.state, orders.parse(sent)) is standing
+    assert orders.classify(leader.state, orders.parse(sent)) is status
     call = leader.send(sent)
-    if standing is Standing.NEWER:
+    if status is OrderStatus.NEWER:
         assert call not in leader.acked
         leader.kept()
     assert call in leader.acked
-    assert in_force(leader) == json.loads(sent if standing is Standing.NEWER else document(7))
+    assert in_force(leader) == json.loads(sent if status is OrderStatus.NEWER else document(7))
 
 
 @pytest.mark.parametrize("number", [6, 7, 8])
@@ -142,8 +142,8 @@
     successor.kept()
     assert in_force(successor) == json.loads(document(8, "b"))
     late = orders.parse(document(8, "a"), successor.state)
-    assert orders.standing(successor.state, late) is Standing.OTHER_CONTENTS
-    assert orders.replace(1, late).is_redundant(successor.state)
+    assert orders.classify(successor.state, late) is OrderStatus.CONFLICTING_CONTENTS
+    assert orders.configuration_change(1, late).is_redundant(successor.state)
 
 
 def stricter(monkeypatch):
@@ -185,9 +185,9 @@
 
 
 def test_reading_gives_the_document_or_says_that_there_is_none():
-    none = orders.read(1).answer(State())
+    none = orders.read_configuration(1).answer(State())
     assert isinstance(none, ServiceError) and none.kind is ErrorKind.NO_LEADER
-    assert json.loads(orders.read(1).answer(holding(7).state)) == json.loads(document(7))
+    assert json.loads(orders.read_configuration(1).answer(holding(7).state)) == json.loads(document(7))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -215,8 +215,8 @@
             if call in confirmed and int(confirmed[call]["version"], 16) >= number:
                 wanted = confirmed[call]
                 assert int(wanted["version"], 16) == number
-                second = orders.standing(leader.state, orders.parse(json.dumps(wanted).encode()))
-                assert wanted == held or second is Standing.OTHER_CONTENTS
+                second = orders.classify(leader.state, orders.parse(json.dumps(wanted).encode()))
+                assert wanted == held or second is OrderStatus.CONFLICTING_CONTENTS
 
 
 def evacuated(leader: Leader, zone: str) -> bool:
@@ -226,7 +226,7 @@
 
 def order_evacuation(leader: Leader, begin: bool, zone: str = "z") -> bool:
     """Whether it was acknowledged without a change; else it is kept."""
-    call = leader.call(lambda number: orders.evacuate(number, zone, begin))
+    call = leader.call(lambda number: orders.evacuation_change(number, zone, begin))
     acknowledged = call in leader.acked
     if not acknowledged:
         leader.kept()
@@ -247,8 +247,8 @@
 def test_a_begin_that_comes_while_a_finish_is_being_kept_is_in_force_when_acknowledged():
     leader = Leader(State())
     order_evacuation(leader, True)
-    leader.call(lambda number: orders.evacuate(number, "z", False))
-    begin = leader.call(lambda number: orders.evacuate(number, "z", True))
+    leader.call(lambda number: orders.evacuation_change(number, "z", False))
+    begin = leader.call(lambda number: orders.evacuation_change(number, "z", True))
     leader.kept()
     assert begin not in leader.acked and not evacuated(leader, "z")
     leader.kept()
@@ -258,7 +258,7 @@
 @pytest.mark.parametrize("zone", ["", "a/b", "z" * 401])
 def test_what_can_be_no_zone_is_refused(zone):
     with pytest.raises(ServiceError) as caught:
-        orders.evacuate(1, zone, True)
+        orders.evacuation_change(1, zone, True)
     assert caught.value.kind is ErrorKind.INVALID_CONFIGURATION
 
 
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -249,14 +249,19 @@
 
     def _tick_voter(self) -> None:
         """Lead, continue a candidacy, or stand where the leader is silent."""
-        role, now = self._role, self._context.now
+        role = self._role
         if role.leadership is not None:
             self._leader.tick()
         elif role.candidacy is not None:
             self._elections.tick()
-        elif role.is_eligible() and now >= role.stand_at:
-            if now - role.leader_heard_at > VOTER_GUARD_S + self._stagger():
-                self._elections.stand("the leader is silent")
+        elif self._may_stand():
+            self._elections.stand("the leader is silent")
+
+    def _may_stand(self) -> bool:
+        role, now = self._role, self._context.now
+        if not role.is_eligible() or now < role.stand_at:
+            return False
+        return now - role.leader_heard_at > VOTER_GUARD_S + self._stagger()
 
     def _stagger(self) -> float:
         """Return the time by which this holder stands later than the first one, in seconds.
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -1,7 +1,7 @@
-"""The control program as a process: its service's connections, its disk, its API, ticks.
+"""The control program: the runtime that connects `ControlService` to sockets, clock, disk and the operators' API.
 
-Each input is taken at the time that the clock shows then, not at the event loop's, which stands still while a batch of
-events is worked off: what lay in the sockets of a process that stood still must meet a lease that is over.
+Each input is handled at the time that the clock shows then, not at the event loop's, which stands still while a batch
+of events is handled: what lay in the sockets of a stopped process has to meet a lease that is over.
 """
 
 from __future__ import annotations
@@ -38,180 +38,190 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, Hello
 
-BODY_MOST = 64 * 1024 * 1024
-LAST_WORDS_S = 0.15  # for last messages to go out
-HAND_OVER_S = 0.03  # between looks at whether this process may end
-GRACE_LEFT_S = 0.8  # of the grace that the platform gives, for the end itself
-LOAD_S = 2.0  # after its start, when this process loads what configurations are checked by, if none has come
+MAX_BODY_BYTES = 64 * 1024 * 1024
+READ_TIMEOUT_S = 10.0
+IDLE_TIMEOUT_S = 30.0
+FLUSH_S = 0.15  # for the last messages to go out before the sockets are closed
+HAND_OVER_POLL_S = 0.03  # between checks whether this process may stop
+CLOSING_RESERVE_S = 0.8  # of the platform's grace period, left for closing
+PRELOAD_DELAY_S = 2.0  # after its start, when this process imports the validation of configurations
 
-Done = Callable[[Any], None]
+OnAnswer = Callable[[Any], None]
 
 
 class ControlProgram:
-    """One process on a core machine."""
+    """One control process on a machine of the core."""
 
     def __init__(self, settings: SettingsFile) -> None:
+        """Read the disk; nothing is sent before `run`."""
         self.settings = settings
         boot = self.boot = settings.boot
         self.loop = asyncio.get_running_loop()
-        self.storage = Storage(Path(boot.data_dir or "."), boot.limits.disk_mb, self._written)
+        self.storage = Storage(Path(boot.data_dir or "."), boot.limits.disk_mb, self._write_completed)
         stored = self.storage.read()
         now = time.monotonic()
         node = ControlNode(
             boot.ip, boot.zone, boot.core_ips, boot.bootstrap, stored, now, random.Random(), boot.tolerance.machines
         )
         self.service = ControlService(node, LeaseGrantor(now, stored.leases))
-        self.dials: dict[str, ReconnectingLink] = {}
-        self.links: dict[str, Link] = {}  # those that came, by name
-        self.listener = Listener(self.loop, self._heard, self._gone)
+        # Each control process opens its own connection to each other one, and sends on that one only.
+        self.outgoing: dict[str, ReconnectingLink] = {}  # by address
+        self.incoming: dict[str, Link] = {}  # by the name in their Hello
+        self.listener = Listener(self.loop, self._received, self._disconnected)
         self.api = CallServer(
             self.loop,
             self._handlers(),
-            ClientLimits(max_body_bytes=BODY_MOST, read_timeout_s=10.0, idle_timeout_s=30.0),
+            ClientLimits(max_body_bytes=MAX_BODY_BYTES, read_timeout_s=READ_TIMEOUT_S, idle_timeout_s=IDLE_TIMEOUT_S),
         )
-        self.waiting: dict[int, Done] = {}
+        self.pending_calls: dict[int, OnAnswer] = {}
         self.control_port = read_address(boot.binds.control)[1] if boot.binds.control else 0
 
     def _handlers(self) -> list[Handler[Any]]:
         return [
             Handler(ReplaceConfiguration, self.replace),
             Handler(ReadConfiguration, self.read),
-            Handler(BeginEvacuation, lambda call, done: self.evacuate(call.zone, True, done)),
-            Handler(FinishEvacuation, lambda call, done: self.evacuate(call.zone, False, done)),
+            Handler(BeginEvacuation, lambda call, on_answer: self.evacuate(call.zone, True, on_answer)),
+            Handler(FinishEvacuation, lambda call, on_answer: self.evacuate(call.zone, False, on_answer)),
         ]
 
     async def run(self) -> None:
-        """Until it is told to end."""
+        """Run until the process gets a signal to stop."""
         boot = self.boot
         await self.listener.listen(boot.ip, boot.port(CONTROL))
         if boot.binds.control:
             await self.api.listen(*read_address(boot.binds.control))
         self.tick()
-        self.loop.call_later(LOAD_S, orders.checks)
-        await serve("control", self.settings, self.tick, self._changed, self.leave)
+        self.loop.call_later(PRELOAD_DELAY_S, orders.validation_module)
+        await serve("control", self.settings, self.tick, self._settings_changed, self.shut_down)
 
-    async def leave(self) -> None:
-        """Hand over what this machine holds, answer what waits, close."""
+    async def shut_down(self) -> None:
+        """Hand over what this machine holds, answer waiting calls, and close.
+
+        It closes when nothing depends on it any more, or when the grace period is nearly over.
+        """
         self.api.shutting_down = self.api.draining = True
-        self._carry(self.service.stop(time.monotonic()))
-        until = time.monotonic() + self.boot.bounds.grace_s - GRACE_LEFT_S
-        while not self.service.node.can_stop and time.monotonic() < until:
-            await asyncio.sleep(HAND_OVER_S)
-        await asyncio.sleep(LAST_WORDS_S)
+        self._carry_out(self.service.stop(time.monotonic()))
+        deadline = time.monotonic() + self.boot.bounds.grace_s - CLOSING_RESERVE_S
+        while not self.service.node.can_stop and time.monotonic() < deadline:  # noqa: ASYNC110 (the node is pure)
+            await asyncio.sleep(HAND_OVER_POLL_S)
+        await asyncio.sleep(FLUSH_S)
         self.api.close()
         self.listener.close()
-        for dial in self.dials.values():
-            dial.close()
+        for link in self.outgoing.values():
+            link.close()
         self.storage.close()
 
-    def _changed(self) -> None:
+    def _settings_changed(self) -> None:
         self.boot = self.settings.boot
         self.service.node.add_seeds(self.boot.core_ips)
 
     def tick(self) -> None:
-        """A tick of the service; connections to all of the core that is known."""
+        """Connect to all known machines of the core, and do what is due."""
         for ip in self.service.node.known_peers():
-            if ip not in self.dials:
-                self.dials[ip] = self._dial(ip)
-        self._carry(self.service.tick(time.monotonic()))
+            if ip not in self.outgoing:
+                self.outgoing[ip] = self._connect(ip)
+        self._carry_out(self.service.tick(time.monotonic()))
 
-    def _dial(self, ip: str) -> ReconnectingLink:
-        return ReconnectingLink(self.loop, ip, self.boot.port(CONTROL), lambda: self._hello(ip), self._from_dial)
+    def _connect(self, ip: str) -> ReconnectingLink:
+        port = self.boot.port(CONTROL)
+        return ReconnectingLink(self.loop, ip, port, lambda: self._hello(ip), self._received_on_outgoing)
 
     def _hello(self, ip: str) -> Hello:
-        self.loop.call_soon(lambda: self._carry(self.service.connected(time.monotonic(), ip)))
+        """Return the first message on a new connection; the service learns of it after that was sent."""
+        self.loop.call_soon(lambda: self._carry_out(self.service.connected(time.monotonic(), ip)))
         return Hello(self.boot.ip)
 
     # Messages.
 
-    def _from_dial(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        """Nothing comes back on a connection that this side opened: each opens its own."""
+    def _received_on_outgoing(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        """Ignore the message: the other side sends on a connection of its own."""
 
-    def _heard(self, link: Link, message: AnyMessage) -> None:
+    def _received(self, link: Link, message: AnyMessage) -> None:
         if isinstance(message, Hello):
-            if link.name in self.dials:
-                self.dials[link.name].poke()
+            if link.name in self.outgoing:  # the machine is back: connect to it at once
+                self.outgoing[link.name].poke()
             return
         if link.name:
-            self.links[link.name] = link
-            self._carry(self.service.receive(time.monotonic(), link.name, message))
+            self.incoming[link.name] = link
+            self._carry_out(self.service.receive(time.monotonic(), link.name, message))
 
-    def _gone(self, link: Link) -> None:
-        if self.links.get(link.name) is link:
-            del self.links[link.name]
+    def _disconnected(self, link: Link) -> None:
+        if self.incoming.get(link.name) is link:  # not an older connection of a client that is connected again
+            del self.incoming[link.name]
             self.service.disconnected(link.name)
 
-    def _written(self, token: int, ok: bool) -> None:
-        self.loop.call_soon_threadsafe(self._ended, token, ok)
+    def _write_completed(self, token: int, ok: bool) -> None:
+        """Pass the end of a write from the storage's thread to the event loop."""
+        self.loop.call_soon_threadsafe(self._handle_write_completed, token, ok)
 
-    def _ended(self, token: int, ok: bool) -> None:
-        self._carry(self.service.write_completed(time.monotonic(), token, ok))
+    def _handle_write_completed(self, token: int, ok: bool) -> None:
+        self._carry_out(self.service.write_completed(time.monotonic(), token, ok))
 
     # Outputs.
 
-    def _carry(self, outputs: Iterable[ServiceOutput]) -> None:
-        for out in outputs:
-            if isinstance(out, Send):
-                dial = self.dials.get(out.to)
-                if dial is not None:
-                    dial.send(out.message)
-            elif isinstance(out, SendToClient):
-                link = self.links.get(out.name)
-                if link is not None:
-                    link.send(out.message)
-            elif isinstance(out, Write):
-                self.storage.write(out.token, out.records)
-            elif isinstance(out, Answer):
-                done = self.waiting.pop(out.call_id, None)
-                if done is not None:
-                    done(out.answer)
-            elif isinstance(out, LogEvent):
-                log_event(out.event, *out.fields)
+    def _carry_out(self, outputs: Iterable[ServiceOutput]) -> None:
+        for output in outputs:
+            if isinstance(output, Send):
+                outgoing = self.outgoing.get(output.to)
+                if outgoing is not None:
+                    outgoing.send(output.message)
+            elif isinstance(output, SendToClient):
+                incoming = self.incoming.get(output.name)
+                if incoming is not None:
+                    incoming.send(output.message)
+            elif isinstance(output, Write):
+                self.storage.write(output.token, output.records)
+            elif isinstance(output, Answer):
+                on_answer = self.pending_calls.pop(output.call_id, None)
+                if on_answer is not None:
+                    on_answer(output.answer)
+            elif isinstance(output, LogEvent):
+                log_event(output.event, *output.fields)
 
     # Calls.
 
-    def _call(self, make: Callable[[int], Call], done: Done) -> None:
-        number = self.service.calls + 1
-        self.waiting[number] = self._answered(done)
+    def _submit(self, make: Callable[[int], Call], on_answer: OnAnswer) -> None:
+        # The answer may be among the outputs, so the call is registered first.
+        self.pending_calls[self.service.calls + 1] = self._answered(on_answer)
         _, outputs = self.service.submit(time.monotonic(), make)
-        self._carry(outputs)
+        self._carry_out(outputs)
 
-    def _answered(self, done: Done) -> Done:
-        """What a leader says of an order or its state counts only while its lease stands as the answer leaves."""
+    def _answered(self, on_answer: OnAnswer) -> OnAnswer:
+        """Return `on_answer` with a last check: an answer that relies on the lease leaves only while it is valid."""
 
-        def tell(answer: Any) -> None:
+        def check_and_answer(answer: Any) -> None:
             if isinstance(answer, ServiceError) and answer.kind is ErrorKind.REDIRECTED:
                 answer = ServiceError(ErrorKind.REDIRECTED, where=f"{answer.where}:{self.control_port}")
-            elif self._rests_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
+            elif self._relies_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
                 answer = ServiceError(ErrorKind.NO_LEADER)
-            done(Kept() if answer is None else answer)
+            on_answer(Kept() if answer is None else answer)
 
-        return tell
+        return check_and_answer
 
     @staticmethod
-    def _rests_on_lease(answer: Any) -> bool:
-        """What is kept stays kept; a refusal for good or a document may be out of date."""
-        return isinstance(answer, bytes) or (
-            isinstance(answer, ServiceError) and answer.kind is ErrorKind.INVALID_CONFIGURATION
-        )
+    def _relies_on_lease(answer: Any) -> bool:
+        """Return whether an answer may be out of date: a document or a refusal for good, not an acknowledgement."""
+        if isinstance(answer, ServiceError):
+            return answer.kind is ErrorKind.INVALID_CONFIGURATION
+        return isinstance(answer, bytes)
 
-    def replace(self, call: ReplaceConfiguration, done: Done) -> None:
-        """Checked whole before anything else, by the leader; INVALID with all faults in one line."""
-        self._call(lambda number: orders.replace_unread(number, call.document), done)
+    def replace(self, call: ReplaceConfiguration, on_answer: OnAnswer) -> None:
+        """Replace the configuration; the leader answers INVALID_CONFIGURATION with all faults in one line."""
+        self._submit(lambda number: orders.deferred_configuration_change(number, call.document), on_answer)
 
-    def read(self, call: ReadConfiguration, done: Done) -> None:
-        """The newest configuration, from the leader."""
+    def read(self, call: ReadConfiguration, on_answer: OnAnswer) -> None:
+        """Read the configuration in force from the leader."""
 
-        def told(answer: Any) -> None:
-            done(Document(answer) if isinstance(answer, bytes) else answer)
+        def answer_document(answer: Any) -> None:
+            on_answer(Document(answer) if isinstance(answer, bytes) else answer)
 
-        self._call(orders.read, told)
+        self._submit(orders.read_configuration, answer_document)
 
-    def evacuate(self, zone: str, begin: bool, done: Done) -> None:
-        """A zone is to be left, or taken back."""
-        self._call(lambda number: orders.evacuate_unread(number, zone, begin), done)
+    def evacuate(self, zone: str, begin: bool, on_answer: OnAnswer) -> None:
+        """Begin or finish the evacuation of a zone."""
+        self._submit(lambda number: orders.deferred_evacuation_change(number, zone, begin), on_answer)
 
 
 async def main(settings: SettingsFile) -> None:
-    """What `python -m thistleusher.system control` runs."""
+    """Run the control program; `python -m thistleusher.system control` calls this."""
     await ControlProgram(settings).run()
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -1,9 +1,9 @@
-"""The disk: records in lmdb, written by one thread, each write in one synced transaction.
+"""The control process's disk: records in LMDB, written by one thread, each write in one synced transaction.
 
-A write that hangs holds up those behind it and nothing else; who waits for it decides how long. Errors are told as a
-failed write, of which nothing is on disk. The state is a record an item, so that a change writes its own size and a
-whole copy takes the place of all items in one transaction: it is there whole or not at all. The map is small and opened
-without `writemap`, which would sync all of it at each commit.
+A write that hangs delays those behind it and nothing else; who waits for it decides for how long. An error is reported
+as a failed write, of which nothing is on disk. Each item of the state is a record, so that a change writes its own
+size and a complete copy replaces all items in one transaction. The map is small and opened without `writemap`, which
+would sync all of it at each commit.
 """
 
 from __future__ import annotations
@@ -22,40 +22,53 @@
 from thistleusher.control.interface import Records, StoredState
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
-MAP_MB = 96
-PART = 0.5  # of the disk, that the map may take
-ITEM = b"i:"  # before an item's name in its key
-PROMISE, VIEW, POSITION, LEASES = b"promise", b"view", b"position", b"leases"
-OLD_COPY = b"copy"  # where releases before 0.2 kept the whole state under one key
-UNREADABLE = (ValueError, KeyError, TypeError, msgpack.exceptions.UnpackException, msgspec.ValidationError)
+MIN_MAP_MB = 4.0
+MAX_MAP_MB = 96
+MAP_FRACTION = 0.5  # of the disk's limit that the map may take
+BYTES_PER_MB = 1024 * 1024
 
-Raw = dict[bytes, bytes]
+# Keys. These and the records' forms stay: a later release reads what an earlier one wrote.
+PROMISE_KEY = b"promise"
+VIEW_KEY = b"view"
+POSITION_KEY = b"position"
+LEASES_KEY = b"leases"
+ITEM_PREFIX = b"i:"  # before an item's name
+OLD_COPY_KEY = b"copy"  # where releases before 0.2 kept the whole state
+
+DECODE_ERRORS = (ValueError, KeyError, TypeError, msgpack.exceptions.UnpackException, msgspec.ValidationError)
+
+OnCompleted = Callable[[int, bool], None]
 
 
 class Storage:
-    """One folder. `done(token, ok)` is called from the writer's thread."""
+    """One data folder."""
 
-    def __init__(self, folder: Path, disk_mb: float, done: Callable[[int, bool], None]) -> None:
+    def __init__(self, folder: Path, disk_mb: float, completed: OnCompleted) -> None:
+        """`completed(token, ok)` is called from the writer's thread at the end of each write."""
         folder.mkdir(parents=True, exist_ok=True)
-        size = int(min(MAP_MB, max(4.0, disk_mb * PART)) * 1024 * 1024)
-        self._environment = lmdb.open(str(folder), map_size=size, max_dbs=0, metasync=True, sync=True, lock=False)
-        self._done = done
+        map_bytes = int(min(MAX_MAP_MB, max(MIN_MAP_MB, disk_mb * MAP_FRACTION)) * BYTES_PER_MB)
+        self._environment = lmdb.open(str(folder), map_size=map_bytes, max_dbs=0, metasync=True, sync=True, lock=False)
+        self._completed = completed
         self._jobs: queue.SimpleQueue[tuple[int, Records] | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
 
     def read(self) -> StoredState:
-        """What an earlier life kept. What cannot be read counts as forgotten: nothing, rather than half."""
+        """Return what earlier incarnations wrote.
+
+        What can't be decoded counts as lost, all of it: a machine that has lost its state is safe, one that remembers
+        half of its promises is not.
+        """
         with self._environment.begin() as transaction:
             raw = {bytes(key): bytes(value) for key, value in transaction.cursor()}
         try:
-            return _stored(raw)
-        except UNREADABLE as error:
+            return _decode(raw)
+        except DECODE_ERRORS as error:
             log_event(Event.DISK_FAILED, f"not readable, counts as lost: {error!r}")
             return StoredState()
 
     def write(self, token: int, records: Records) -> None:
-        """Have records written together."""
+        """Write records in one transaction, after those of earlier calls."""
         self._jobs.put((token, records))
 
     def _run(self) -> None:
@@ -68,68 +81,68 @@
             except (lmdb.Error, OSError) as error:
                 log_event(Event.DISK_FAILED, repr(error))
                 ok = False
-            self._done(token, ok)
+            self._completed(token, ok)
 
     def close(self) -> None:
-        """End the writer; what it has begun is finished first, for as long as the caller waits."""
+        """End the writer's thread; writes that it has begun are finished first, for as long as the caller waits."""
         self._jobs.put(None)
 
 
 def _put(transaction: Any, records: Records) -> None:
     if records.promised is not None:
-        transaction.put(PROMISE, msgpack.packb(records.promised))
+        transaction.put(PROMISE_KEY, msgpack.packb(records.promised))
     if records.view is not None:
-        transaction.put(VIEW, msgspec.msgpack.encode(records.view))
+        transaction.put(VIEW_KEY, msgspec.msgpack.encode(records.view))
     if records.leases is not None:
-        transaction.put(LEASES, msgpack.packb({role: list(pair) for role, pair in records.leases.items()}))
+        transaction.put(LEASES_KEY, msgpack.packb({role: list(pair) for role, pair in records.leases.items()}))
     if records.position is not None:
-        transaction.put(POSITION, msgpack.packb([msgspec.to_builtins(records.position), records.floor]))
+        transaction.put(POSITION_KEY, msgpack.packb([msgspec.to_builtins(records.position), records.floor]))
     if records.items is not None:
         _put_items(transaction, records.items, records.complete)
 
 
-def _put_items(transaction: Any, items: Items, whole: bool) -> None:
-    if whole:
-        transaction.delete(OLD_COPY)
-        stale = [bytes(key) for key, _ in transaction.cursor() if bytes(key).startswith(ITEM)]
+def _put_items(transaction: Any, items: Items, complete: bool) -> None:
+    if complete:
+        transaction.delete(OLD_COPY_KEY)
+        stale = [bytes(key) for key, _ in transaction.cursor() if bytes(key).startswith(ITEM_PREFIX)]
         for key in stale:
             transaction.delete(key)
     for name, item in items.items():
-        transaction.put(ITEM + name.encode(), msgpack.packb(item))
+        transaction.put(ITEM_PREFIX + name.encode(), msgpack.packb(item))
 
 
-def _stored(raw: Raw) -> StoredState:
+def _decode(raw: dict[bytes, bytes]) -> StoredState:
     stored = StoredState()
-    if PROMISE in raw:
-        promise = msgpack.unpackb(raw[PROMISE])
-        stored.promised = promise["e"] if isinstance(promise, dict) else promise
-    if VIEW in raw:
-        stored.view = _view(raw[VIEW])
-    if LEASES in raw:
-        leases = msgpack.unpackb(raw[LEASES])
+    if PROMISE_KEY in raw:
+        promise = msgpack.unpackb(raw[PROMISE_KEY])
+        stored.promised = promise["e"] if isinstance(promise, dict) else promise  # a map before 0.2
+    if VIEW_KEY in raw:
+        stored.view = _decode_view(raw[VIEW_KEY])
+    if LEASES_KEY in raw:
+        leases = msgpack.unpackb(raw[LEASES_KEY])
         stored.leases = {role: (pair[0], pair[1]) for role, pair in leases.items()}
-    if POSITION in raw:
-        position, stored.floor = msgpack.unpackb(raw[POSITION])
+    if POSITION_KEY in raw:
+        position, stored.floor = msgpack.unpackb(raw[POSITION_KEY])
         stored.position = msgspec.convert(position, Position)
-    elif OLD_COPY in raw:
-        _read_old_copy(raw[OLD_COPY], stored)
+    elif OLD_COPY_KEY in raw:
+        _decode_old_copy(raw[OLD_COPY_KEY], stored)
     for key, value in raw.items():
-        if key.startswith(ITEM):
+        if key.startswith(ITEM_PREFIX):
             number, item = msgpack.unpackb(value, strict_map_key=False)
-            stored.items[key[len(ITEM) :].decode()] = number, item
+            stored.items[key[len(ITEM_PREFIX) :].decode()] = number, item
     return stored
 
 
-def _view(raw: bytes) -> ViewRecord:
-    """A view; releases before 0.2 wrote a table."""
+def _decode_view(raw: bytes) -> ViewRecord:
+    """Return a view; releases before 0.2 wrote a map."""
     table = msgpack.unpackb(raw)
     if isinstance(table, dict):
         return ViewRecord(table["e"], table["p"], tuple(table["b"]), dict(table["v"]))
     return msgspec.convert(table, ViewRecord)
 
 
-def _read_old_copy(raw: bytes, stored: StoredState) -> None:
-    """The whole state under one key, as releases before 0.2 wrote it."""
+def _decode_old_copy(raw: bytes, stored: StoredState) -> None:
+    """Fill in the whole state from one record, as releases before 0.2 wrote it."""
     table = msgpack.unpackb(raw, strict_map_key=False)
     state = table["s"]
     stored.position = Position(table["e"], state["n"], 0)
