--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -284,7 +284,7 @@
     DeliberateFault(
         4,
         "a change is published before it is in force",
-        "Publish(self._durable.replica.state.copied())",
+        "Publish(self._durable.replica.state.copy())",
         "Publish(self._durable.replica.state)",
     ),
     DeliberateFault(
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -25,13 +25,12 @@
 from thistleusher.control.storage import Storage
 from thistleusher.net.request_buffer import ClientLimits
 from thistleusher.services.addresses import read_address
-from thistleusher.transport.call_server import (
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import (
     BeginEvacuation,
-    CallServer,
-    Document,
+    ChangeCommitted,
+    ConfigurationDocument,
     FinishEvacuation,
-    Handler,
-    Kept,
     ReadConfiguration,
     ReplaceConfiguration,
 )
@@ -139,7 +138,7 @@
     def _received(self, link: Link, message: AnyMessage) -> None:
         if isinstance(message, Hello):
             if link.name in self.outgoing:  # the machine is back: connect to it at once
-                self.outgoing[link.name].poke()
+                self.outgoing[link.name].retry_now()
             return
         if link.name:
             self.incoming[link.name] = link
@@ -194,7 +193,7 @@
                 answer = ServiceError(ErrorKind.REDIRECTED, where=f"{answer.where}:{self.control_port}")
             elif self._relies_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
                 answer = ServiceError(ErrorKind.NO_LEADER)
-            on_answer(Kept() if answer is None else answer)
+            on_answer(ChangeCommitted() if answer is None else answer)
 
         return check_and_answer
 
@@ -213,7 +212,7 @@
         """Read the configuration in force from the leader."""
 
         def answer_document(answer: Any) -> None:
-            on_answer(Document(answer) if isinstance(answer, bytes) else answer)
+            on_answer(ConfigurationDocument(answer) if isinstance(answer, bytes) else answer)
 
         self._submit(orders.read_configuration, answer_document)
 
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -101,7 +101,7 @@
         elif isinstance(message, SubscribeRequest):
             return self._subscribe(now, name, message.number)
         elif isinstance(message, StateUpdateAck):
-            self.publisher.ack(name, message.number)
+            self.publisher.acknowledge(name, message.number)
         elif isinstance(message, PersistItems):
             return self._persist(now, name, message)
         elif name:
@@ -111,7 +111,7 @@
     def disconnected(self, name: str) -> None:
         """Handle the end of a client's connection."""
         self.subscribers.discard(name)
-        self.publisher.leave(name)
+        self.publisher.unsubscribe(name)
 
     # Leases of singleton roles.
 
@@ -144,9 +144,9 @@
         """Add a subscriber; it gets the state at once from a leader with a valid lease, and else later."""
         self.subscribers.add(name)
         if self.node.holds_lease(now):
-            return [SendToClient(name, self._core_info()), *self._updates(self.publisher.follow(name, number))]
-        self.publisher.leave(name)
-        self.publisher.sent[name] = self.publisher.acked[name] = number
+            return [SendToClient(name, self._core_info()), *self._updates(self.publisher.subscribe(name, number))]
+        self.publisher.unsubscribe(name)
+        self.publisher.sent[name] = self.publisher.acknowledged[name] = number
         return [SendToClient(name, self._core_info())]
 
     def _persist(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
@@ -177,7 +177,7 @@
         self._announced_epoch = view.epoch if view is not None else NO_EPOCH
         outputs: list[ServiceOutput] = [SendToClient(name, self._core_info()) for name in sorted(self.subscribers)]
         if begun:  # what came into force before the lease was valid
-            outputs += self._updates(self.publisher.tell())
+            outputs += self._updates(self.publisher.updates_due())
         return outputs
 
     def _updates(self, messages: Iterable[tuple[str, StateUpdate]]) -> list[ServiceOutput]:
@@ -193,7 +193,7 @@
                 self._publish(output)
                 carried += self._announce_core(now)
                 if self.node.holds_lease(now):
-                    carried += self._updates(self.publisher.tell())
+                    carried += self._updates(self.publisher.updates_due())
             elif isinstance(output, Answer) and output.call_id in self._persist_requests:
                 request = self._persist_requests.pop(output.call_id)
                 persisted = not isinstance(output.answer, ServiceError)
