--- a/tests/control/test_leases.py
+++ b/tests/control/test_leases.py
@@ -69,7 +69,8 @@
     if seed % 2:
         role.cut = {(gone, ip) for ip in IPS}
     else:
-        role.holders[gone] = LeaseHolder("d", f"{gone}/2", now, random.Random(seed))  # a new incarnation that knows nothing
+        # A new incarnation, which knows nothing.
+        role.holders[gone] = LeaseHolder("d", f"{gone}/2", now, random.Random(seed))
     role.clock.run(now + 3.5)
     assert any(h.holds_lease(role.clock.now) for h in role.holders.values())
 
@@ -105,7 +106,8 @@
 def test_one_that_knows_no_term_has_a_free_role_within_two_ticks():
     role = SimulatedRole(1)
     role.clock.run(3.0)
-    role.grantors = {ip: LeaseGrantor(0.0, {"d": ("a", 9 << 20)}) for ip in IPS}  # of an earlier incarnation, and long over
+    # Grants of an earlier incarnation, long over.
+    role.grantors = {ip: LeaseGrantor(0.0, {"d": ("a", 9 << 20)}) for ip in IPS}
     role.rng = random.Random(5)
     for n, ip in enumerate(IPS):
         role.holders[ip] = LeaseHolder("d", f"{ip}/2", role.clock.now, random.Random(n))
