--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -26,16 +26,16 @@
 from typing import Any, NamedTuple
 
 from thistleusher.common.config_items import (
+    DocumentParts,
     Identity,
-    Split,
     assemble,
     difference,
     digest_of,
     identity_of,
     is_kept_document,
     number_of,
-    split,
-    was_taken,
+    split_document,
+    was_accepted,
 )
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.interface import Change, DeferredChange, Read
@@ -50,7 +50,7 @@
     """A configuration that may be accepted: valid, or a repeat (`parts` is None) of one that was."""
 
     identity: Identity
-    parts: Split | None
+    parts: DocumentParts | None
 
 
 class OrderStatus(Enum):
@@ -82,9 +82,9 @@
     validation = validation_module()
     read = validation.read_json(document)
     identity = _unvalidated_identity(read.value) if state is not None and not read.faults else None
-    if state is not None and identity is not None and was_taken(state, identity):
+    if state is not None and identity is not None and was_accepted(state, identity):
         return ParsedOrder(identity, None)
-    parts = split(validation.check_configuration(read).number, read.value)
+    parts = split_document(validation.check_configuration(read).number, read.value)
     return ParsedOrder(parts.identity, parts)
 
 
@@ -100,7 +100,7 @@
     """Return how an order compares with the configuration in force, for the log."""
     if order.identity.number > number_of(state):
         return OrderStatus.NEWER
-    if was_taken(state, order.identity):
+    if was_accepted(state, order.identity):
         return OrderStatus.REPEAT
     in_force = identity_of(state)
     same_number = in_force is not None and in_force.number == order.identity.number
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -54,13 +54,20 @@
     def __init__(self, settings: SettingsFile) -> None:
         """Read the disk; nothing is sent before `run`."""
         self.settings = settings
-        boot = self.boot = settings.boot
+        node_settings = self.node_settings = settings.node_settings
         self.loop = asyncio.get_running_loop()
-        self.storage = Storage(Path(boot.data_dir or "."), boot.limits.disk_mb, self._write_completed)
+        self.storage = Storage(Path(node_settings.data_dir or "."), node_settings.limits.disk_mb, self._write_completed)
         stored = self.storage.read()
         now = time.monotonic()
         node = ControlNode(
-            boot.ip, boot.zone, boot.core_ips, boot.bootstrap, stored, now, random.Random(), boot.tolerance.machines
+            node_settings.ip,
+            node_settings.zone,
+            node_settings.core_ips,
+            node_settings.bootstrap,
+            stored,
+            now,
+            random.Random(),
+            node_settings.tolerance.machines,
         )
         self.service = ControlService(node, LeaseGrantor(now, stored.leases))
         # Each control process opens its own connection to each other one, and sends on that one only.
@@ -73,7 +80,7 @@
             ClientLimits(max_body_bytes=MAX_BODY_BYTES, read_timeout_s=READ_TIMEOUT_S, idle_timeout_s=IDLE_TIMEOUT_S),
         )
         self.pending_calls: dict[int, OnAnswer] = {}
-        self.control_port = read_address(boot.binds.control)[1] if boot.binds.control else 0
+        self.control_port = read_address(node_settings.binds.control)[1] if node_settings.binds.control else 0
 
     def _handlers(self) -> list[Handler[Any]]:
         return [
@@ -85,10 +92,10 @@
 
     async def run(self) -> None:
         """Run until the process gets a signal to stop."""
-        boot = self.boot
-        await self.listener.listen(boot.ip, boot.port(CONTROL))
-        if boot.binds.control:
-            await self.api.listen(*read_address(boot.binds.control))
+        node_settings = self.node_settings
+        await self.listener.listen(node_settings.ip, node_settings.port(CONTROL))
+        if node_settings.binds.control:
+            await self.api.listen(*read_address(node_settings.binds.control))
         self.tick()
         self.loop.call_later(PRELOAD_DELAY_S, orders.validation_module)
         await serve("control", self.settings, self.tick, self._settings_changed, self.shut_down)
@@ -100,7 +107,7 @@
         """
         self.api.shutting_down = self.api.draining = True
         self._carry_out(self.service.stop(time.monotonic()))
-        deadline = time.monotonic() + self.boot.bounds.grace_s - CLOSING_RESERVE_S
+        deadline = time.monotonic() + self.node_settings.bounds.grace_s - CLOSING_RESERVE_S
         while not self.service.node.can_stop and time.monotonic() < deadline:  # noqa: ASYNC110 (the node is pure)
             await asyncio.sleep(HAND_OVER_POLL_S)
         await asyncio.sleep(FLUSH_S)
@@ -111,8 +118,8 @@
         self.storage.close()
 
     def _settings_changed(self) -> None:
-        self.boot = self.settings.boot
-        self.service.node.add_seeds(self.boot.core_ips)
+        self.node_settings = self.settings.node_settings
+        self.service.node.add_seeds(self.node_settings.core_ips)
 
     def tick(self) -> None:
         """Connect to all known machines of the core, and do what is due."""
@@ -122,13 +129,13 @@
         self._carry_out(self.service.tick(time.monotonic()))
 
     def _connect(self, ip: str) -> ReconnectingLink:
-        port = self.boot.port(CONTROL)
+        port = self.node_settings.port(CONTROL)
         return ReconnectingLink(self.loop, ip, port, lambda: self._hello(ip), self._received_on_outgoing)
 
     def _hello(self, ip: str) -> Hello:
         """Return the first message on a new connection; the service learns of it after that was sent."""
         self.loop.call_soon(lambda: self._carry_out(self.service.connected(time.monotonic(), ip)))
-        return Hello(self.boot.ip)
+        return Hello(self.node_settings.ip)
 
     # Messages.
 
