--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -190,7 +190,7 @@
     DeliberateFault(
         2,
         "a repeat is validated again",
-        "if state is not None and identity is not None and was_taken(state, identity):",
+        "if state is not None and identity is not None and was_accepted(state, identity):",
         "if False:",
     ),
     DeliberateFault(
