--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -3,7 +3,7 @@
 import random
 
 from simnet.core.cluster import Cluster
-from simnet.core.days import finish
+from simnet.core.runs import finish
 from thistleusher.control.interface import Send, StoredState
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import (
--- a/tests/control/test_drawn_days.py
+++ b/tests/control/test_drawn_days.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from simnet.core.days import draw, run
+from simnet.core.days import draw
+from simnet.core.runs import run
 from simnet.errors import RuleViolationError
 from tests.control.helpers import VIEW, acknowledged, calm, end, put
 from thistleusher.control.interface import StoredState
--- a/tests/control/test_founding.py
+++ b/tests/control/test_founding.py
@@ -17,8 +17,8 @@
 
 def test_two_that_both_believe_they_found_end_in_one_electorate():
     core = Cluster(3)
-    core.links.cut("10.0.0.1", "10.0.0.2", 5.0)
-    core.links.cut("10.0.0.1", "10.0.0.3", 5.0)
+    core.links.partition("10.0.0.1", "10.0.0.2", 5.0)
+    core.links.partition("10.0.0.1", "10.0.0.3", 5.0)
     core.clock.run(5.0)
     assert core.leader() is None  # with all seeds or not at all
     end(core)
--- a/tests/control/test_losses.py
+++ b/tests/control/test_losses.py
@@ -34,9 +34,9 @@
     core.end(replica)  # stays away
     core.end(witness, wipe=True, back_s=0.5)
     run_for(core, 4.0)
-    assert witness.node.state_lost and core.holder() is None  # one voter is no majority
+    assert witness.node.state_lost and core.lease_holder() is None  # one voter is no majority
     core.start(replica)
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     end(core)
 
 
@@ -102,7 +102,7 @@
     run_for(core, 0.2)  # it has asked, and nobody was there
     core.start(witness)
     core.start(replica)
-    assert wait(core, lambda: core.holder() is not None) < 0.1
+    assert wait(core, lambda: core.lease_holder() is not None) < 0.1
     core.calm_since = core.clock.now
     end(core)
 
@@ -129,5 +129,5 @@
     put(core, [first.address])
     run_for(core, 4.0)
     assert replica.disk.item("config")["v"] == 2
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     end(core)
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -47,7 +47,7 @@
     core.remove(witness)
     new = core.add(witness.zone)
     new.disk.stalled_until = core.clock.now + 6.0
-    core.trouble(core.clock.now + 6.0)
+    core.disturb(core.clock.now + 6.0)
     run_for(core, 5.5)
     assert new.address not in voters(core)
     run_for(core, 2.0)
@@ -68,10 +68,10 @@
     run_for(core, core.catch_up_s + gap)
     assert gone.address not in voters(core)
     core.remove(core.leader())
-    core.reseed()
+    core.change_seeds()
     run_for(core, 1.0)
     core.add()
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     acknowledged(core, number, most=0.1)
     acknowledged(core, put(core), most=6.0)
     run_for(core, core.catch_up_s + gap)
@@ -92,7 +92,7 @@
     lost = core.leader()
     if loss == "gone":
         core.remove(lost)
-        core.trouble(core.clock.now + 3.0)
+        core.disturb(core.clock.now + 3.0)
         core.clock.later(3.0, core.add)
     else:
         core.end(lost, power=True, wipe=loss == "wipe", back_s=3.0)
@@ -110,12 +110,12 @@
     run_for(core, 1.0)
     core.terminate(old, back_s=None)
     old.gone = True
-    core.reseed()
+    core.change_seeds()
     number = put(core)
     took = wait(core, lambda: old.node is None, most=6.5)
     assert took < 5.5 and old.address not in voters(core) and new.address in voters(core)
     assert voters(core) <= {m.address for m in core.running()}
-    core.trouble(core.clock.now)
+    core.disturb(core.clock.now)
     acknowledged(core, number, most=4.0)
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.node is not None for m in holders)
@@ -130,7 +130,7 @@
         core.add()
         run_for(core, 4.0)
         core.remove(core.machines[name])
-        core.reseed()
+        core.change_seeds()
         run_for(core, 4.0)
         core.operators.read()
         run_for(core, 1.0)
@@ -174,8 +174,8 @@
     spare = core.add(first.zone)
     for other in core.machines.values():
         if other is not first:
-            core.links.cut(first.address, other.address, 12.0)
-    core.trouble(core.clock.now + 12.0)
+            core.links.partition(first.address, other.address, 12.0)
+    core.disturb(core.clock.now + 12.0)
     run_for(core, 12.0)
     for _ in range(40):
         put(core, ["10.0.0.2"])
@@ -183,7 +183,7 @@
     assert voters(core) == {"10.0.0.2", "10.0.0.3", spare.address}
     assert first.node.promised > core.leader().node.view.epoch  # it stood again and again
     core.remove(core.machines["10.0.0.3"])
-    core.reseed()
+    core.change_seeds()
     run_for(core, 4.0)
     assert voters(core) == {"10.0.0.2", first.address, spare.address}
     end(core)
@@ -193,8 +193,8 @@
     for seed in range(6):
         core = calm(5, seed=seed)
         core.terminate(core.leader())
-        core.trouble(core.clock.now + 1.0)
-        assert wait(core, lambda c=core: c.holder() not in (None, c.machines["10.0.0.1"])) < 0.15
+        core.disturb(core.clock.now + 1.0)
+        assert wait(core, lambda c=core: c.lease_holder() not in (None, c.machines["10.0.0.1"])) < 0.15
 
 
 def test_a_voter_that_is_stopped_stays_to_vote_where_nobody_leads():
@@ -203,8 +203,8 @@
     core.end(first, power=True, back_s=20.0)
     wait(core, lambda: not witness.node._role.guards_leader())  # the replica is about to stand
     core.terminate(witness, back_s=20.0)
-    wait(core, lambda: core.holder() is replica, most=2.0)
-    core.trouble(core.clock.now + 20.0)
+    wait(core, lambda: core.lease_holder() is replica, most=2.0)
+    core.disturb(core.clock.now + 20.0)
     run_for(core, 22.0)
     end(core)
 
@@ -212,14 +212,14 @@
 def test_an_exchange_needs_a_majority_of_the_voters_before_it():
     core = calm()
     first, replica, witness = by_role(core)
-    core.links.cut(first.address, replica.address, 12.0)
-    core.trouble(core.clock.now + 12.0)
+    core.links.partition(first.address, replica.address, 12.0)
+    core.disturb(core.clock.now + 12.0)
     new = core.add(replica.zone)
     wait(core, lambda: new.disk.position.epoch == 3)  # the witness has voted for the epoch that exchanges the replica
     for machine in (first, new):  # each half has one that holds a copy
         for other in (replica, witness):
-            core.links.cut(machine.address, other.address, 8.0)
-    wait(core, lambda: core.holder() is witness, most=4.0)  # with the vote of the replica, which has not lost it
+            core.links.partition(machine.address, other.address, 8.0)
+    wait(core, lambda: core.lease_holder() is witness, most=4.0)  # with the vote of the replica, which has not lost it
     run_for(core, 2.0)  # the rules see whether both lead
     end(core)
 
@@ -232,5 +232,5 @@
     wait(core, lambda: new.disk.position.epoch == 3)  # it holds a copy for the epoch that gives it a vote
     assert new.disk.view is not None and new.address not in new.disk.view.voters
     core.end(new, back_s=0.2)
-    wait(core, lambda: core.holder() is not None and new.address in voters(core), most=6.0)
+    wait(core, lambda: core.lease_holder() is not None and new.address in voters(core), most=6.0)
     end(core)
--- a/tests/control/test_partitions.py
+++ b/tests/control/test_partitions.py
@@ -13,8 +13,8 @@
 def test_a_cut_in_one_direction_only(pair):
     core = calm()
     roles = by_role(core)
-    core.links.cut(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
-    core.trouble(core.clock.now + 5.0)
+    core.links.partition(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
+    core.disturb(core.clock.now + 5.0)
     run_for(core, 2.5)
     acknowledged(core, put(core), most=3.0)  # two of three that hear each other are enough
     end(core)
@@ -24,7 +24,7 @@
     core = calm()
     first, _, _ = by_role(core)
     first.disk.stalled_until = core.clock.now + 3.0
-    core.trouble(core.clock.now + 3.0)
+    core.disturb(core.clock.now + 3.0)
     core.version = 3
     core.operators.put(2, "x2", [first.address])
     run_for(core, 2.0)
@@ -38,8 +38,8 @@
     core = calm()
     first, replica, witness = by_role(core)
     for other in (replica, witness):
-        core.links.cut(first.address, other.address, 4.0)
-    core.trouble(core.clock.now + 4.0)
+        core.links.partition(first.address, other.address, 4.0)
+    core.disturb(core.clock.now + 4.0)
     run_for(core, 2.0)
     acknowledged(core, put(core, [replica.address, witness.address]), most=1.0)
     core.operators.read([first.address])  # it answers nothing, or the check finds an old number
@@ -55,8 +55,8 @@
     others = [m for m in core.machines.values() if m is not first]
     for other in others:
         a, b = (other, first) if direction == "in" else (first, other)
-        core.links.cut(a.address, b.address, 20.0, both=direction == "both")
-    core.trouble(core.clock.now + 20.0)
+        core.links.partition(a.address, b.address, 20.0, both=direction == "both")
+    core.disturb(core.clock.now + 20.0)
     begin = core.clock.now
     for number in range(2, 20):
         core.version = number
@@ -75,7 +75,7 @@
     core = calm(machines)
     first = core.leader()
     first.frozen_until = core.clock.now + 20.0
-    core.trouble(first.frozen_until)
+    core.disturb(first.frozen_until)
     others = [m.address for m in core.machines.values() if m is not first]
     for number in range(2, 20):
         core.version = number
@@ -97,9 +97,9 @@
     replica.disk.stalled_until = core.clock.now + 0.75
     wait(core, lambda: replica.node.leadership is not None)
     assert not core.in_contact(replica)
-    assert core.holder() is None  # until they have answered its heartbeat
+    assert core.lease_holder() is None  # until they have answered its heartbeat
     run_for(core, 0.1)
-    assert core.holder() is replica
+    assert core.lease_holder() is replica
     end(core)
 
 
@@ -108,8 +108,8 @@
     core = calm(machines)
     first = core.leader()
     for other in core.machines.values():
-        core.links.cut(first.address, other.address, 3.0)
-    core.trouble(core.clock.now + 3.0)
+        core.links.partition(first.address, other.address, 3.0)
+    core.disturb(core.clock.now + 3.0)
     for _ in range(40):
         core.operators.read([first.address])  # the rules see who answers without contact
         run_for(core, 0.05)
@@ -123,7 +123,7 @@
         first = core.leader()
         run_for(core, 0.01 * step)
         first.frozen_until = core.clock.now + 0.85 + 0.05 * step
-        core.trouble(first.frozen_until)
+        core.disturb(first.frozen_until)
         core.operators.read([first.address])
         run_for(core, 0.5)
         core.operators.read([first.address])
@@ -138,7 +138,7 @@
         put(core, [first.address])
         run_for(core, 0.001)  # on its way to the replica
         first.frozen_until = core.clock.now + 0.72 + 0.01 * step
-        core.trouble(first.frozen_until)
+        core.disturb(first.frozen_until)
         run_for(core, 1.0)  # the rules see who confirms without contact
         end(core)
 
@@ -157,13 +157,13 @@
     put(core, [first.address])
     wait(core, lambda: replica.disk.item("config")["v"] == 2)
     core.end(first, back_s=10.0)  # before it could publish it
-    assert [c.follower.state.value("config")["v"] for c in core.clients.clients.values()] == [1, 1]
+    assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [1, 1]
     wait(core, lambda: witness.disk.position.epoch == 2)
     replica.disk.stalled_until = core.clock.now + 0.75
     wait(core, lambda: replica.node.leadership is not None)
-    assert core.holder() is None
+    assert core.lease_holder() is None
     run_for(core, 0.3)
-    assert [c.follower.state.value("config")["v"] for c in core.clients.clients.values()] == [2, 2]
+    assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [2, 2]
     end(core)
 
 
@@ -171,7 +171,7 @@
     core = calm()
     first, replica, _ = by_role(core)
     first.frozen_until = core.clock.now + 2.5
-    core.trouble(first.frozen_until)
+    core.disturb(first.frozen_until)
     core.version = 2
     core.operators.put(2, "c2", [first.address])
     core.operators.put(2, "c2", [replica.address])
@@ -183,7 +183,7 @@
     core = calm()
     first, _, _ = by_role(core)
     first.disk.full_until = core.clock.now + 4.0
-    core.trouble(first.disk.full_until)
+    core.disturb(first.disk.full_until)
     number = put(core)
     run_for(core, 4.0)
     assert core.history.acknowledged == number and core.leader() is not first
--- a/tests/control/test_replication.py
+++ b/tests/control/test_replication.py
@@ -110,19 +110,19 @@
     core = calm(5)
     first = core.leader()
     one, other = (core.machines[a] for a in first.node.view.replicas)
-    core.links.cut(first.address, other.address, 1.0, both=False)
+    core.links.partition(first.address, other.address, 1.0, both=False)
     core.operators.evacuate("q", True)
     wait(core, lambda: one.disk.item("evac:q") is not None)
     core.operators._evacuations[-1].done = True  # its operator gives up
     core.end(first, power=True, back_s=30.0)
     one.frozen_until = core.clock.now + 2.0
-    wait(core, lambda: core.holder() is other)  # which has never heard of it
+    wait(core, lambda: core.lease_holder() is other)  # which has never heard of it
     core.operators.evacuate("r", True)  # takes its number
     wait(core, lambda: core.history.evacuated.get("r") is True)
     run_for(core, 2.0)
     for replica in other.node.view.replicas:
         core.end(core.machines[replica], power=True, back_s=8.0)
-    wait(core, lambda: core.holder() is other and one.address in other.node.view.replicas)
+    wait(core, lambda: core.lease_holder() is other and one.address in other.node.view.replicas)
     assert one.disk.items == other.disk.items
     end(core)
 
--- a/tests/control/test_singleton_roles.py
+++ b/tests/control/test_singleton_roles.py
@@ -22,8 +22,8 @@
     _, _, witness = by_role(core)
     assert witness.service.receive(core.time(witness), "f9", REQUEST) != []
     for other in core.machines.values():
-        core.links.cut(witness.address, other.address, 5.0, both=direction == "both")
-    core.trouble(core.clock.now + 5.0)
+        core.links.partition(witness.address, other.address, 5.0, both=direction == "both")
+    core.disturb(core.clock.now + 5.0)
     run_for(core, 2.5)
     assert witness.service.receive(core.time(witness), "f9", REQUEST) == []
     end(core)
