--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -48,8 +48,8 @@
     Wrong(
         "a server that drains goes on being used",
         "policy/fleet.py",
-        "entry.phase is io.Phase.RUNNING",
-        "entry.phase is not io.Phase.DELETED",
+        "entry.phase is Phase.RUNNING",
+        "entry.phase is not Phase.DELETED",
     ),
     Wrong(
         "a total far over the allowance admits",
@@ -57,14 +57,14 @@
         "good = c.room(now) - f.req.units >= 0",
         "good = c.room(now) - f.req.units >= -200",
     ),
-    Wrong("a share that is given is kept as well", "ledger/escrow.py", "self.share -= share\n", "self.share -= 0\n"),
+    Wrong("a share that is given is kept as well", "quota/escrow.py", "self.share -= share\n", "self.share -= 0\n"),
     Wrong(
-        "an earlier life is listened to",
-        "ledger/beginning.py",
+        "an earlier incarnation is listened to",
+        "quota/incarnations.py",
         "            self.earlier.add(peer)\n            return None\n",
         "            self.earlier.add(peer)\n            return False\n",
     ),
-    Wrong("an idle allowance sweeps itself", "ledger/escrow.py", "found.turn(now)  # touched", "pass  # touched"),
+    Wrong("an idle allowance sweeps itself", "quota/escrow.py", "found.turn(now)  # touched", "pass  # touched"),
     Wrong(
         "a reset attempt counts as never written",
         "net/backend_connection.py",
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -12,18 +12,17 @@
 import tempfile
 import time
 from pathlib import Path
-from typing import Literal, NamedTuple
+from typing import NamedTuple
 
 from tests.quota.world import World
 from tests.quota.world import settings as world_settings
 from thistleusher.state.options import StateOptions
 from thistleusher.state.snapshotter import PORTION, Snapshotter
+from thistleusher.state.store import SYNCS
 
 START_TIME = 5000.0
 KEPT_S = 1e9  # for which quiet members are kept
 FLUSH_S = 600.0
-SyncPolicy = Literal["off", "normal", "full"]
-SYNC_POLICIES: tuple[SyncPolicy, ...] = ("off", "normal", "full")
 
 
 class NoTimer:
@@ -50,7 +49,7 @@
         return 1000 * self.pauses[int(share * (len(self.pauses) - 1))]
 
 
-def write_members(folder: str, sync: SyncPolicy, members: int) -> tuple[list[float], float]:
+def write_members(folder: str, sync: str, members: int) -> tuple[list[float], float]:
     """Commit the state of so many members; return the portions' pauses and the seconds until all was committed."""
     world = World(1, 2)
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
@@ -75,7 +74,7 @@
     return sorted(pauses), committed_s
 
 
-def read_members(folder: str, sync: SyncPolicy, members: int) -> float:
+def read_members(folder: str, sync: str, members: int) -> float:
     """Start again with the state of so many members; return the seconds until the ingress is ready."""
     began = time.perf_counter()
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
@@ -86,7 +85,7 @@
     return ready_s
 
 
-def measure(members: int, sync: SyncPolicy) -> Costs:
+def measure(members: int, sync: str) -> Costs:
     """Measure one number of members under one sync policy."""
     with tempfile.TemporaryDirectory(prefix="state-") as folder:
         pauses, committed_s = write_members(folder, sync, members)
@@ -102,7 +101,7 @@
     print("| members | sync | portion, median ms | 99.9% ms | all committed, s | ready again, s | MB |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for members in parser.parse_args().members:
-        for sync in SYNC_POLICIES:
+        for sync in SYNCS:
             costs = measure(members, sync)
             print(
                 f"| {members} | {sync} | {costs.pause_ms(0.5):.2f} | {costs.pause_ms(0.999):.2f} |"
