--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,5 @@
-"""Scale run: hollow proxies beside real core processes, and what their slopes give at the target size."""
+"""How the system's costs grow with its size: hollow proxies beside real core processes, and the slopes of the figures.
+
+Promises that the core's processes run as they ship, and that hollow proxies differ from real ones only by what they
+serve.
+"""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -29,67 +29,100 @@
 CHARGE_PROXIES = 100
 CHARGE_RATES = [2, 10, 30]  # a second and proxy
 
+Results = list[tuple[int, Figures]]  # by size
 
-def read_arguments() -> argparse.Namespace:
-    """The command's options."""
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__)
-    parser.add_argument("--sizes", type=int, nargs="*", default=SIZES)
-    parser.add_argument("--each", type=int, default=50, help="hollow proxies of one process")
-    parser.add_argument("--parts", nargs="*", default=["sizes", "charges", "state", "content"])
-    parser.add_argument("--out", type=Path, default=Path(tempfile.gettempdir()) / "scale.json")
-    return parser.parse_args()
+
+class Report:
+    """What was measured so far: printed as tables, and written as JSON after each part."""
+
+    def __init__(self, path: Path) -> None:
+        self._path = path
+        self._parts: dict[str, Results] = {}
+
+    def add(self, part: str, results: Results, target: int) -> None:
+        """Print a part's figures with their slopes up to a target, and write all that there is."""
+        self._parts[part] = results
+        print("\n".join(["", part, *table(results, target)]), flush=True)
+        content = {"cores": os.cpu_count(), "load": os.getloadavg(), "parts": self._parts}
+        self._path.write_text(json.dumps(content, indent=1) + "\n")
 
 
-def split(results: list[tuple[int, Figures]], prefixes: tuple[str, ...]) -> tuple[list[tuple[int, Figures]], ...]:
-    """Results of the figures whose names begin so, and of the others."""
+def split(results: Results, prefixes: tuple[str, ...]) -> tuple[Results, Results]:
+    """Return the results of the figures whose names begin so, and those of the others."""
     chosen = [(size, {n: v for n, v in figures.items() if n.startswith(prefixes)}) for size, figures in results]
     others = [(size, {n: v for n, v in figures.items() if not n.startswith(prefixes)}) for size, figures in results]
     return chosen, others
 
 
+def measure_sizes(report: Report, options: argparse.Namespace) -> None:
+    """Measure the system by its number of proxies."""
+    results: Results = []
+    for size in options.sizes:
+        began = time.monotonic()
+        with tempfile.TemporaryDirectory(prefix="scale-") as folder:
+            results.append((size, uvloop.run(measure(Path(folder), size, options.each))))
+        print(f"{size} proxies: {time.monotonic() - began:.0f} s, load {os.getloadavg()[0]:.1f}", flush=True)
+        report.add("by proxies", results, TARGET_PROXIES)
+
+
+def measure_charge_rates(report: Report, options: argparse.Namespace) -> None:
+    """Measure the system by the charges a second."""
+    with tempfile.TemporaryDirectory(prefix="scale-") as folder:
+        charges = uvloop.run(measure_charges(Path(folder), CHARGE_PROXIES, options.each, CHARGE_RATES))
+    core, proxy = split(charges, ("control", "registry"))
+    by_charges = [(rate * CHARGE_PROXIES, figures) for rate, figures in core]
+    report.add("core, by charges a second", by_charges, TARGET_CHARGES)
+    report.add("proxy, by its charges a second", proxy, round(TARGET_CHARGES / TARGET_PROXIES))
+
+
+def measure_state_sizes(report: Report, options: argparse.Namespace) -> None:
+    """Measure single processes by the size of their state."""
+    for name, (results, target) in measure_states().items():
+        report.add(name, results, target)
+
+
+def measure_contents(report: Report, options: argparse.Namespace) -> None:
+    """Measure the system by the size of its configuration and list."""
+    by_tenants: Results = []
+    for part in CONTENT_PARTS:
+        content = Content(ROUTES // part, SERVICES, TENANTS // part, BACKENDS // part)
+        with tempfile.TemporaryDirectory(prefix="scale-") as folder:
+            try:
+                figures = uvloop.run(measure(Path(folder), FEW_PROXIES, 1, content))
+            except TimeoutError as error:
+                print(f"{content}: {error}", flush=True)
+                figures = {"given up: an order was not acknowledged": 1.0}
+        by_tenants.append((content.tenants, figures))
+        report.add(f"content, by tenants, {FEW_PROXIES} proxies", by_tenants, TENANTS)
+
+
+PARTS = {
+    "sizes": measure_sizes,
+    "charges": measure_charge_rates,
+    "state": measure_state_sizes,
+    "content": measure_contents,
+}
+
+
+def read_options() -> argparse.Namespace:
+    """Return the command's options."""
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__)
+    parser.add_argument("--sizes", type=int, nargs="*", default=SIZES)
+    parser.add_argument("--each", type=int, default=50, help="hollow proxies of one process")
+    parser.add_argument("--parts", nargs="*", default=list(PARTS))
+    parser.add_argument("--out", type=Path, default=Path(tempfile.gettempdir()) / "scale.json")
+    return parser.parse_args()
+
+
 def main() -> int:
     """Run the parts."""
-    options = read_arguments()
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    options = read_options()
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    found: dict[str, list[tuple[int, Figures]]] = {}
-
-    def keep(part: str, results: list[tuple[int, Figures]], target: int) -> None:
-        found[part] = results
-        print("\n".join(["", part, *table(results, target)]), flush=True)
-        options.out.write_text(
-            json.dumps({"cores": os.cpu_count(), "load": os.getloadavg(), "parts": found}, indent=1) + "\n"
-        )
-
-    if "sizes" in options.parts:
-        results: list[tuple[int, Figures]] = []
-        for size in options.sizes:
-            began = time.monotonic()
-            with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-                results.append((size, uvloop.run(measure(Path(folder), size, options.each))))
-            print(f"{size} proxies: {time.monotonic() - began:.0f} s, load {os.getloadavg()[0]:.1f}", flush=True)
-            keep("by proxies", results, TARGET_PROXIES)
-    if "charges" in options.parts:
-        with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-            charges = uvloop.run(measure_charges(Path(folder), CHARGE_PROXIES, options.each, CHARGE_RATES))
-        core, proxy = split(charges, ("control", "registry"))
-        keep("core, by charges a second", [(rate * CHARGE_PROXIES, f) for rate, f in core], TARGET_CHARGES)
-        keep("proxy, by its charges a second", proxy, round(TARGET_CHARGES / TARGET_PROXIES))
-    if "state" in options.parts:
-        for name, (results, target) in measure_states().items():
-            keep(name, results, target)
-    if "content" in options.parts:
-        by_tenants: list[tuple[int, Figures]] = []
-        for part in CONTENT_PARTS:
-            content = Content(ROUTES // part, SERVICES, TENANTS // part, BACKENDS // part)
-            with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-                try:
-                    figures = uvloop.run(measure(Path(folder), FEW_PROXIES, 1, content))
-                except TimeoutError as error:
-                    print(f"{content}: {error}", flush=True)
-                    figures = {"given up: an order was not acknowledged": 1.0}
-            by_tenants.append((content.tenants, figures))
-            keep(f"content, by tenants, {FEW_PROXIES} proxies", by_tenants, TENANTS)
+    report = Report(options.out)
+    for name, measure_part in PARTS.items():
+        if name in options.parts:
+            measure_part(report, options)
     return 0
 
 
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
@@ -13,12 +14,12 @@
     per_proxy: float
 
     def at(self, proxies: float) -> float:
-        """What the line gives at a size."""
+        """Return what the line gives at a size."""
         return self.base + self.per_proxy * proxies
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """The line with the least sum of squared errors. ValueError for fewer than two different sizes."""
+    """Return the line with the least sum of squared errors. ValueError for fewer than two different sizes."""
     if len(sizes) != len(values) or len(set(sizes)) < 2:
         raise ValueError(f"expected a value for each of two different sizes or more, got {len(sizes)}, {len(values)}")
     mean_size = sum(sizes) / len(sizes)
@@ -30,16 +31,16 @@
 
 
 def quantile(values: Sequence[float], part: float) -> float:
-    """The value below which a part of the others lie; NaN where there is none."""
+    """Return the value below which a part of the others lie; NaN where there is none."""
     if not values:
-        return float("nan")
+        return math.nan
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
 def figure(value: float) -> str:
-    """Three significant digits, without an exponent."""
-    if value != value:
+    """Return a value with three significant digits, without an exponent."""
+    if math.isnan(value):
         return "-"
     if abs(value) >= 100:
         return f"{value:.0f}"
@@ -47,7 +48,7 @@
 
 
 def table(results: Sequence[tuple[int, Mapping[str, float]]], target: int) -> list[str]:
-    """One line a figure: its value at each size, its slope, and what the line gives at the target size.
+    """Return one line a figure: its value at each size, its slope, and what the line gives at the target size.
 
     A figure that is missing at a size takes no part there; with one size only it has no slope.
     """
@@ -57,12 +58,9 @@
     head = [f"{'figure':{width}}", *(f"{size:>10}" for size in sizes), f"{'slope':>12}", f"{f'at {target}':>10}"]
     lines = [" ".join(head)]
     for name in names:
-        points = [
-            (size, figures[name])
-            for size, figures in results
-            if figures.get(name, float("nan")) == figures.get(name, float("nan"))
-        ]
-        cells = [f"{figure(figures.get(name, float('nan'))):>10}" for _, figures in results]
+        values = [figures.get(name, math.nan) for _, figures in results]
+        points = [(size, value) for size, value in zip(sizes, values, strict=True) if not math.isnan(value)]
+        cells = [f"{figure(value):>10}" for value in values]
         slope = fit(*zip(*points, strict=True)) if len({size for size, _ in points}) > 1 else None
         ends = ["-", "-"] if slope is None else [f"{slope.per_proxy:.3g}", figure(slope.at(target))]
         lines.append(" ".join([f"{name:{width}}", *cells, f"{ends[0]:>12}", f"{ends[1]:>10}"]))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow proxies: many in one process, each the real proxy program without doors, clients or HTTP.
+"""Hollow proxies: many in one process, each the real proxy program without its listeners, clients or HTTP.
 
 `python -m benchmarks.scale.hollow FOLDER FIRST COUNT`: proxies FIRST to FIRST + COUNT - 1. Each has its own
 connections, its own `Knowledge`, quota and ring, on a loopback address of its own; in place of clients there is a
@@ -58,14 +58,17 @@
         self.where = "peer"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Note which program is at the other end."""
         self.where = self.ports.get(transport.get_extra_info("peername")[1], "peer")
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
+        """Count and take what has come."""
         self.traffic.add(self.where, "in", len(data), 0)
         super().data_received(data)
 
     def write(self, data: bytes) -> None:
+        """Count and send a message."""
         self.traffic.add(self.where, "out", len(data), 1)
         super().write(data)
 
@@ -74,12 +77,13 @@
     """Heartbeats of the ring, counted."""
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Count and take a heartbeat."""
         Measured.traffic.add("ring", "in", len(data), 1)
         super().datagram_received(data, addr)
 
 
 class HollowProxy(ProxyProgram):
-    """The proxy program without doors; it notes when what it learns is in force."""
+    """The proxy program without its listeners; it notes when what it learns is in force."""
 
     def __init__(self, settings: SettingsFile, seed: int) -> None:
         super().__init__(settings)
@@ -95,7 +99,7 @@
         self.tenants: list[str] = []
 
     async def open(self) -> None:
-        """The ports by which other proxies reach it."""
+        """Open the ports by which other proxies reach it."""
         await self.loop.create_datagram_endpoint(lambda: self.beats, local_addr=(self.boot.ip, self.boot.port(RING)))
         await self.handing.listen(self.boot.ip, self.boot.port(PROXY))
 
@@ -152,7 +156,7 @@
         self.proxies: list[HollowProxy] = []
 
     async def run(self) -> None:
-        """Until its input ends."""
+        """Run until its input ends."""
         for number in range(self.first, self.first + self.count):
             path = self.folder / f"proxy-{number}.conf"
             path.write_text(settings(f"proxy-{number}", "proxy", address_of(number), zone_of(number), self.folder))
@@ -181,7 +185,7 @@
             print(json.dumps(self.report()), flush=True)
 
     def report(self) -> dict[str, Any]:
-        """All that was measured so far."""
+        """Return all that was measured so far."""
         times = os.times()
         status = dict(line.split(":", 1) for line in Path("/proc/self/status").read_text().splitlines())
         return {
@@ -199,7 +203,7 @@
 
 
 def main() -> None:
-    """What `python -m benchmarks.scale.hollow` runs."""
+    """Run the hollow proxies that the command line names."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     links.Link = Measured  # type: ignore[misc]
--- a/benchmarks/scale/inputs.py
+++ b/benchmarks/scale/inputs.py
@@ -1,4 +1,4 @@
-"""What a scale run is fed with: addresses and zones, settings, configurations, the platform's list."""
+"""Inputs of a scale run: addresses and zones, settings, configurations, the platform's list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 REGIONS = 10
 CORES = ("127.91.0.1", "127.91.0.2", "127.91.1.1")
 CORE_ZONES = ("z-0", "z-0", "z-10")  # two zones of one region
-DOOR = 18480  # of the control programs
+CONTROL_PORT = 18480  # of the control programs, for calls from outside
 PORTS = "18560,18575"
 PAGE = 50  # backends on a page of the platform's list
 CHANGED_ROUTES = 3  # by one change of the configuration
@@ -23,18 +23,18 @@
 
 
 def zone_of(proxy: int) -> str:
-    """The zone of a proxy, by its number."""
+    """Return the zone of a proxy, by its number."""
     return f"z-{proxy % ZONES}"
 
 
 def address_of(proxy: int) -> str:
-    """A loopback address of its own for each proxy."""
+    """Return a loopback address of its own for each proxy."""
     row, place = divmod(proxy // ZONES, 200)
     return f"127.{100 + proxy % ZONES}.{row}.{place + 1}"
 
 
 def settings(name: str, role: str, ip: str, zone: str, folder: Path, platform: str = "") -> str:
-    """The settings file of one process."""
+    """Return the settings file of one process."""
     lines = [
         f"node_name={name}",
         f"role={role}",
@@ -44,33 +44,33 @@
         f"region=r-{int(zone[2:]) % REGIONS}",
         *(f"zones.z-{z}=r-{z % REGIONS}" for z in range(ZONES)),
         f"port_range={PORTS}",
-        "seed_nodes=" + ",".join(f"{core}:{DOOR}" for core in CORES),
+        "seed_nodes=" + ",".join(f"{core}:{CONTROL_PORT}" for core in CORES),
         f"data_dir={folder}",
         "limits.fd_limit=4096",
         "limits.disk_mb=256",
         "bounds=grace_s=3",
     ]
     if role == "control":
-        lines += [f"binds.control={ip}:{DOOR}"]
+        lines += [f"binds.control={ip}:{CONTROL_PORT}"]
     if platform:
         lines += [f"cloud_api.address={platform}", "cloud_api.rate_per_s=47"]
     return "\n".join(lines) + "\n"
 
 
-def word(rng: random.Random, length: int) -> str:
-    """A drawn name."""
+def drawn_name(rng: random.Random, length: int) -> str:
+    """Draw a name."""
     return "".join(rng.choices("abcdefghijklmnopqrstuvwxyz0123456789", k=length))
 
 
 def configuration(routes: int, services: int, tenants: int, seed: int = 1) -> Table:
-    """A configuration of some size, in the form and with the lengths of names of the users' example; version 1."""
+    """Draw a configuration of some size, in the form and with the lengths of names of the users' example; version 1."""
     rng = random.Random(seed)
-    names = [f"s-{word(rng, 7)}" for _ in range(services)]
+    names = [f"s-{drawn_name(rng, 7)}" for _ in range(services)]
     route_table: Table = {}
     for n in range(routes):
-        route_table[f"r-{word(rng, 5)}{n:x}"] = {
-            "hostname": f"{word(rng, 6)}.example",
-            "path_prefix": f"/{word(rng, 7)}/",
+        route_table[f"r-{drawn_name(rng, 5)}{n:x}"] = {
+            "hostname": f"{drawn_name(rng, 6)}.example",
+            "path_prefix": f"/{drawn_name(rng, 7)}/",
             "variant": rng.choice(("pure", "effectful", "download")),
             "deadline_ms": rng.randrange(1000, 5000, 100),
             "target_ms": rng.randrange(300, 900, 50),
@@ -92,8 +92,8 @@
         for name in names
     }
     tenant_table = {
-        f"{word(rng, 4)}{n:x}": {
-            "api_keys": [word(rng, 20), word(rng, 20)],
+        f"{drawn_name(rng, 4)}{n:x}": {
+            "api_keys": [drawn_name(rng, 20), drawn_name(rng, 20)],
             "rank": rng.randrange(3),
             "rate_per_s": 100_000,
             "burst": 100_000,
@@ -117,7 +117,7 @@
 
 
 def changed(config: Table, version: int) -> Table:
-    """The configuration with a few routes altered, under another version."""
+    """Return the configuration with a few routes altered, under another version."""
     rng = random.Random(version)
     routes = dict(config["routes"])
     for name in rng.sample(sorted(routes), CHANGED_ROUTES):
@@ -126,11 +126,11 @@
 
 
 def backends(count: int, services: Sequence[str]) -> list[Table]:
-    """Lines of the platform's list."""
+    """Draw the entries of the platform's list."""
     rng = random.Random(2)
     return [
         {
-            "id": f"i-{word(rng, 8)}",
+            "id": f"i-{drawn_name(rng, 8)}",
             "target": services[n % len(services)],
             "address": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080",
             "zone": f"z-{n % ZONES}",
@@ -151,6 +151,7 @@
         self.rows = rows
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer with one page of the list."""
         start = int(message.target.partition("page_token=")[2] or 0)
         following = start + PAGE if start + PAGE < len(self.rows) else None
         body = {
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import itertools
 import json
 import os
 import signal
@@ -11,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.inputs import CORE_ZONES, CORES, DOOR, Platform, Table, settings
+from benchmarks.scale.inputs import CONTROL_PORT, CORE_ZONES, CORES, Platform, Table, settings
 from standins.system import Caller
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -23,7 +25,7 @@
 
 
 class Usage:
-    """Processor time and peak memory of a process of our own, as the operating system tells them."""
+    """Processor time and peak memory of a process of our own, by the operating system's account."""
 
     def __init__(self, pid: int) -> None:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -48,7 +50,7 @@
         path = self.folder / "boot.conf"
         path.write_text(text + f"bootstrap={'true' if self.first else 'false'}\n")
         self.first = False
-        with open(self.folder / "log", "ab") as log:
+        with (self.folder / "log").open("ab") as log:  # noqa: ASYNC230  (nothing else runs yet)
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -67,7 +69,7 @@
             await self.process.wait()
 
     def usage(self) -> Usage:
-        """What it has used."""
+        """Return what it has used."""
         assert self.process is not None
         return Usage(self.process.pid)
 
@@ -82,7 +84,7 @@
     async def start(self) -> None:
         """Start it and wait until its ports are open."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        with open(self.folder / f"log-{self.first}", "ab") as log:
+        with (self.folder / f"log-{self.first}").open("ab") as log:  # noqa: ASYNC230
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -106,14 +108,14 @@
         read: Table = json.loads(line)
         return read
 
-    def tell(self, command: str) -> None:
+    def command(self, line: str) -> None:
         """Give it a command."""
         assert self.process is not None and self.process.stdin is not None
-        self.process.stdin.write(command.encode() + b"\n")
+        self.process.stdin.write(line.encode() + b"\n")
 
     async def report(self) -> Table:
-        """What it has measured."""
-        self.tell("report")
+        """Return what it has measured."""
+        self.command("report")
         return await self._line()
 
     async def end(self) -> None:
@@ -158,42 +160,47 @@
         await asyncio.gather(*(core.end() for core in self.core.values()))
         await self.platform.stop()
 
-    def tell(self, command: str) -> None:
+    def command(self, line: str) -> None:
         """Give a command to all hollow proxies."""
         for hollow in self.hollow:
-            hollow.tell(command)
+            hollow.command(line)
 
     async def reports(self) -> list[Table]:
-        """Of all processes of hollow proxies."""
+        """Return the reports of all processes of hollow proxies."""
         return await asyncio.gather(*(hollow.report() for hollow in self.hollow))
 
     async def put(self, config: Table, first: str = "") -> tuple[float, str]:
-        """Send a configuration until it is acknowledged: when it was, and by whom. TimeoutError where it never is."""
+        """Send a configuration until it is acknowledged; return when it was, and by whom.
+
+        Raises TimeoutError where it never is, ValueError where it is refused.
+        """
         body = json.dumps(config).encode()
-        ips = [ip for ip in CORES if ip != first]
-        ips = [first, *ips] if first else ips
+        others = [ip for ip in CORES if ip != first]
+        ips = [first, *others] if first else others
         end = time.monotonic() + ORDER_S
-        turn = 0
-        while time.monotonic() < end:
-            ip = ips[turn % len(ips)]
-            turn += 1
-            try:
-                answer = await self.caller.call(f"{ip}:{DOOR}", "POST", "/Config.Replace", {}, body)
-                if answer.status == 307:
-                    where = answer.headers["location"].removeprefix("http://").partition("/")[0]
-                    ip = where.rpartition(":")[0]
-                    answer = await self.caller.call(where, "POST", "/Config.Replace", {}, body)
-                if answer.status == 200:
-                    return time.monotonic(), ip
-                if answer.status == 400:
-                    raise ValueError(answer.body[:200])
-            except (OSError, EOFError, TimeoutError):
-                pass
+        for ip in itertools.cycle(ips):
+            if time.monotonic() >= end:
+                raise TimeoutError("no configuration acknowledged")
+            with contextlib.suppress(OSError, EOFError, TimeoutError):
+                acknowledged_by = await self._try_put(ip, body)
+                if acknowledged_by:
+                    return time.monotonic(), acknowledged_by
             await asyncio.sleep(ORDER_PAUSE_S)
-        raise TimeoutError("no configuration acknowledged")
+        raise AssertionError("there are machines")
+
+    async def _try_put(self, ip: str, body: bytes) -> str:
+        """Send a configuration to a machine, and to another one after a redirect; return who acknowledged it."""
+        answer = await self.caller.call(f"{ip}:{CONTROL_PORT}", "POST", "/Config.Replace", {}, body)
+        if answer.status == 307:
+            where = answer.headers["location"].removeprefix("http://").partition("/")[0]
+            ip = where.rpartition(":")[0]
+            answer = await self.caller.call(where, "POST", "/Config.Replace", {}, body)
+        if answer.status == 400:
+            raise ValueError(answer.body[:200])
+        return ip if answer.status == 200 else ""
 
     async def kill(self, ip: str) -> float:
-        """Kill both programs of a machine; when."""
+        """Kill both programs of a machine; return when."""
         at = time.monotonic()
         await asyncio.gather(*(self.core[program, ip].end(signal.SIGKILL) for program in PROGRAMS))
         return at
@@ -204,7 +211,7 @@
             await self.core[program, ip].start()
 
     def usages(self) -> dict[tuple[str, str], Usage]:
-        """Of all core programs that run."""
+        """Return the usage of all core programs that run."""
         return {
             key: core.usage()
             for key, core in self.core.items()
@@ -213,7 +220,7 @@
 
 
 def summed(reports: list[Table], name: str) -> dict[str, int]:
-    """The sum of a table of counts over reports."""
+    """Return the sum of a table of counts over reports."""
     total: dict[str, int] = {}
     for report in reports:
         for key, value in report[name].items():
@@ -222,5 +229,5 @@
 
 
 def all_of(reports: list[Table], name: str) -> list[Any]:
-    """One list over all proxies of all reports."""
+    """Return one list over all proxies of all reports."""
     return [value for report in reports for value in report[name]]
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -34,7 +34,7 @@
     backends: int = 200
 
     def configuration(self) -> Table:
-        """The first configuration."""
+        """Return the first configuration."""
         return configuration(self.routes, self.services, self.tenants)
 
 
@@ -52,13 +52,13 @@
 
 
 async def snapshot(deployment: Deployment) -> Snapshot:
-    """Of now."""
+    """Return the counters as they are now."""
     reports = await deployment.reports()
     return Snapshot(deployment.usages(), reports)
 
 
 def busiest(before: Snapshot, after: Snapshot, program: str) -> tuple[float, float]:
-    """Share of a core that the busiest process of a program used between two moments, and the mean of the others."""
+    """Return the share of a core that a program's busiest process used between two moments, and the others' mean."""
     spans = sorted(
         (after.usages[key].cpu_s - usage.cpu_s) / (after.at - before.at)
         for key, usage in before.usages.items()
@@ -68,10 +68,10 @@
 
 
 def loads(before: Snapshot, after: Snapshot, proxies: int) -> Figures:
-    """Processor and traffic between two moments."""
+    """Return processor time and traffic between two moments."""
     span = after.at - before.at
     figures: Figures = {}
-    for program, working in (("control", "leader"), ("registry", "on duty")):
+    for program, working in (("control", "leader"), ("registry", "with the role")):
         most, others = busiest(before, after, program)
         figures[f"{program} {working}: % of a core"] = 100 * most
         figures[f"{program} others: % of a core"] = 100 * others
@@ -90,7 +90,7 @@
 
 
 def peaks(now: Snapshot, proxies: int) -> Figures:
-    """Peak memory."""
+    """Return peak memory."""
     most = {program: max(u.peak_mb for key, u in now.usages.items() if key[0] == program) for program in PROGRAMS}
     return {
         "control: peak MB": most["control"],
@@ -100,7 +100,7 @@
 
 
 async def until(deployment: Deployment, holds: Callable[[list[Table]], bool]) -> list[Table]:
-    """Look until something holds of the reports, `MOST_S` at most."""
+    """Look until something holds of the reports, `MOST_S` at most; return the last ones."""
     end = time.monotonic() + MOST_S
     while True:
         reports = await deployment.reports()
@@ -110,7 +110,7 @@
 
 
 def times_since(at: float, times: list[float | None], name: str) -> Figures:
-    """Median and last of times; a proxy that never got there is told as a count."""
+    """Return median and last of times; proxies that never got there are counted."""
     there = [moment - at for moment in times if moment is not None]
     figures = {f"{name}: median s": quantile(there, 0.5), f"{name}: last s": max(there, default=float("nan"))}
     if len(there) < len(times):
@@ -125,9 +125,9 @@
 
 
 async def herd(deployment: Deployment) -> Figures:
-    """All proxies come at once."""
+    """Let all proxies come at once."""
     at = time.monotonic()
-    deployment.tell("go")
+    deployment.command("go")
     reports = await until(deployment, lambda rs: None not in all_of(rs, "complete"))
     return times_since(at, all_of(reports, "complete"), "all come at once")
 
@@ -146,7 +146,7 @@
 
 
 async def calm(deployment: Deployment) -> Figures:
-    """Loads while nothing happens but charges."""
+    """Return loads while nothing happens but charges."""
     before = await snapshot(deployment)
     await asyncio.sleep(CALM_S)
     after = await snapshot(deployment)
@@ -159,7 +159,7 @@
 
 
 async def changes(deployment: Deployment, config: Table, quiet: Figures) -> Figures:
-    """Some changes of the configuration: when in force, and what a change costs beyond calm."""
+    """Change the configuration some times; return when each is in force, and what it costs beyond calm."""
     before = await snapshot(deployment)
     acknowledged: dict[str, float] = {}
     for version in range(2, 2 + CHANGES):
@@ -177,7 +177,7 @@
         figures["change in force: passed over"] = CHANGES * deployment.proxies - len(since)
     busy, span = loads(before, after, deployment.proxies), after.at - before.at
     figures["change: bytes a proxy"] = (busy["a proxy, all bytes/s"] - quiet["a proxy, all bytes/s"]) * span / CHANGES
-    for name in ("control leader", "registry on duty", "hollow proxy"):
+    for name in ("control leader", "registry with the role", "hollow proxy"):
         extra = busy[f"{name}: % of a core"] - quiet[f"{name}: % of a core"]
         figures[f"change: {name} ms of a core"] = 10 * extra * span / CHANGES
     figures["change: a process of hollow proxies at work s"] = (
@@ -187,7 +187,7 @@
 
 
 async def lose_counter(deployment: Deployment, config: Table) -> Figures:
-    """The machine whose registry counts is killed."""
+    """Kill the machine whose registry counts."""
     counters = Counter(held[1] for held in all_of(await deployment.reports(), "counters") if held)
     lost = counters.most_common(1)[0][0]
     at = await deployment.kill(lost)
@@ -205,7 +205,7 @@
 
 
 async def lose_leader(deployment: Deployment, config: Table, then: Table) -> Figures:
-    """The machine that acknowledges configurations is killed."""
+    """Kill the machine that acknowledges configurations."""
     _, leader = await deployment.put(config)
     at = await deployment.kill(leader)
     acknowledged, _ = await deployment.put(then)
@@ -216,7 +216,7 @@
 
 
 async def measure(folder: Path, proxies: int, each: int, content: Content = SMALL) -> Figures:
-    """All figures of one size."""
+    """Return all figures of one size."""
     config = content.configuration()
     rows = backends(content.backends, list(config["services"]))
     versions = iter(range(2 + CHANGES, 99))
@@ -224,7 +224,7 @@
         began = time.monotonic()
         acknowledged, _ = await deployment.put(config)
         figures = {"first acknowledgement s": acknowledged - began, **await herd(deployment)}
-        deployment.tell(f"rate {CHARGES_PER_S}")
+        deployment.command(f"rate {CHARGES_PER_S}")
         figures |= await settle(deployment)
         quiet = await calm(deployment)
         figures |= quiet
@@ -235,14 +235,14 @@
 
 
 async def measure_charges(folder: Path, proxies: int, each: int, rates: list[int]) -> list[tuple[int, Figures]]:
-    """Loads by the charges a second of each proxy."""
+    """Return loads by the charges a second of each proxy."""
     config = SMALL.configuration()
     results: list[tuple[int, Figures]] = []
     async with Deployment(folder, proxies, each, backends(SMALL.backends, list(config["services"]))) as deployment:
         await deployment.put(config)
         await herd(deployment)
         for rate in rates:
-            deployment.tell(f"rate {rate}")
+            deployment.command(f"rate {rate}")
             await asyncio.sleep(SETTLE_S)
             figures = await calm(deployment)
             results.append((rate, figures))
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -1,4 +1,4 @@
-"""What the state of the target size costs one process: a configuration, a list of backends, a publisher's round."""
+"""What the state of the target size costs one process: a configuration, a list of backends, updates, charges."""
 
 from __future__ import annotations
 
@@ -27,54 +27,54 @@
 
 ROUTES, SERVICES, TENANTS, BACKENDS = 16_000, 360, 160_000, 10_000
 PARTS = (16, 4, 1)  # of the target
-FOLLOWERS = (30, 100, 300, 1000)
+SUBSCRIBERS = (30, 100, 300, 1000)
 SENDERS = (30, 100, 300)
-TARGET_FOLLOWERS = 2800
+TARGET_SUBSCRIBERS = 2800
 MB = 1024 * 1024
 
 Figures = dict[str, float]
 
 
 def resident_mb() -> float:
-    """Memory of this process now."""
+    """Return the memory of this process now."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * 4096 / MB
 
 
 def timed(work: Callable[[], object]) -> float:
-    """Processor seconds of this process."""
+    """Return the processor seconds that some work takes."""
     began = time.process_time()
     work()
     return time.process_time() - began
 
 
 def decisions() -> Decisions:
-    """A proxy's."""
+    """Return a proxy's decisions."""
     boot = read_node_settings(settings("proxy-0", "proxy", "127.0.0.1", "z-0", Path("/")))
     return Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(1), 0.0)
 
 
 class ConfiguredProxy:
-    """What a proxy does with news of the control state, without connections."""
+    """What a proxy does with updates of the control state, without connections."""
 
     def __init__(self) -> None:
-        self.follower = Subscriber("proxy-0")
+        self.subscriber = Subscriber("proxy-0")
         self.configuration = config_items.ConfigurationFollower()
         self.decisions = decisions()
 
     def take(self, data: bytes) -> None:
-        """News as they come from a connection."""
-        news = decode(data)
-        assert isinstance(news, StateUpdate)
-        changed, _ = self.follower.apply(news)
+        """Take an update as it comes from a connection."""
+        update = decode(data)
+        assert isinstance(update, StateUpdate)
+        changed, _ = self.subscriber.apply(update)
         assert changed is not None
-        self.configuration.update(self.follower.state, changed)
+        self.configuration.update(self.subscriber.state, changed)
         assert self.configuration.index is not None
         self.decisions.configured(0.0, self.configuration.index.config)
 
 
 def configuration_state(part: int) -> Figures:
-    """A configuration of a part of the target: sizes, and what it and a change cost the control machine and a proxy."""
+    """Return the sizes of a part of the target's configuration, and what it and a change cost control and a proxy."""
     config = configuration(ROUTES // part, SERVICES, TENANTS // part)
     body = json.dumps(config, separators=(",", ":")).encode()
     size = {name: len(json.dumps(config[name], separators=(",", ":"))) / MB for name in ("routes", "tenants")}
@@ -116,7 +116,7 @@
 
 
 def list_state(part: int) -> Figures:
-    """A list of backends of a part of the target: what a reading costs the registry, and the list a proxy."""
+    """Return what a part of the target's list of backends costs: a reading the registry, and the list a proxy."""
     count = BACKENDS // part
     rows = backends(count, [f"s-{n}" for n in range(SERVICES)])
     pages = [
@@ -160,30 +160,30 @@
     }
 
 
-def publisher_state(followers: int) -> Figures:
-    """One change of the registry's state told to followers; the state holds members and backends as at the target."""
+def publisher_state(subscribers: int) -> Figures:
+    """Return the cost of a change of the registry's state for its followers; the state is as at the target."""
     members = {
         f"m:proxy-{n}": {"front": "127.0.0.1:80", "ip": "127.0.0.1", "zone": "z-0", "region": "r-0", "up": True}
-        for n in range(followers)
+        for n in range(subscribers)
     }
     listed = {
-        f"b:i-{n}": {"s": "s", "a": "127.0.0.1:80"} for n in range(round(followers * BACKENDS / TARGET_FOLLOWERS))
+        f"b:i-{n}": {"s": "s", "a": "127.0.0.1:80"} for n in range(round(subscribers * BACKENDS / TARGET_SUBSCRIBERS))
     }
     state = State()
     state.apply(1, {**members, **listed})
     publisher = Publisher(state)
-    for n in range(followers):
+    for n in range(subscribers):
         publisher.subscribe(f"proxy-{n}", 1)
     state.apply(2, {"m:proxy-0": {**members["m:proxy-0"], "up": False}})
     return {"one change to all: processor s": timed(publisher.updates_due)}
 
 
 def counter_state(senders: int) -> Figures:
-    """The counter's ledger once each sender has sent as many charges as are remembered."""
+    """Return the counter's memory once each sender has sent as many charges as are remembered."""
     counts = QuotaCounter(0.0)
     tenants = [f"t-{n}" for n in range(1000)]
     counts.configure(dict.fromkeys(tenants, (1e6, 1e6)), {})
-    ledger = ChargeTable(counts)
+    charges = ChargeTable(counts)
     names = [f"proxy-{n}" for n in range(senders)]
     for name in names:
         counts.record_heartbeat(0.0, name, "life", None)
@@ -192,11 +192,11 @@
     def charge_all() -> None:
         for number in range(1, REMEMBERED_CHARGES + 1):
             for name in names:
-                ledger.receive(2.0, name, Charge("life", number, tenants[number % len(tenants)], 1, -1))
+                charges.receive(2.0, name, Charge("life", number, tenants[number % len(tenants)], 1, -1))
 
     spent_s = timed(charge_all)
     return {
-        "memory of the ledger MB": resident_mb() - before,
+        "memory of the charge table MB": resident_mb() - before,
         "processor of one charge, without its messages us": 1e6 * spent_s / (REMEMBERED_CHARGES * senders),
     }
 
@@ -204,13 +204,17 @@
 STATES: dict[str, tuple[Callable[[int], Figures], dict[int, int], int]] = {
     "configuration, by tenants": (configuration_state, {TENANTS // part: part for part in PARTS}, TENANTS),
     "list, by backends": (list_state, {BACKENDS // part: part for part in PARTS}, BACKENDS),
-    "publisher, by followers": (publisher_state, {n: n for n in (*FOLLOWERS, TARGET_FOLLOWERS)}, TARGET_FOLLOWERS),
-    "counter, by proxies": (counter_state, {n: n for n in SENDERS}, TARGET_FOLLOWERS),
+    "publisher, by followers": (
+        publisher_state,
+        {n: n for n in (*SUBSCRIBERS, TARGET_SUBSCRIBERS)},
+        TARGET_SUBSCRIBERS,
+    ),
+    "counter, by proxies": (counter_state, {n: n for n in SENDERS}, TARGET_SUBSCRIBERS),
 }
 
 
 def measure_states() -> dict[str, tuple[list[tuple[int, Figures]], int]]:
-    """Each state in a process of its own, as memory is measured."""
+    """Measure each state in a process of its own, as memory is measured."""
     found: dict[str, tuple[list[tuple[int, Figures]], int]] = {}
     for name, (_, sizes, target) in STATES.items():
         results = []
