--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from standins.fleet import free_ports
-from thistleusher.state.store import SYNCS
+from thistleusher.state.store import SYNC_MODES
 
 HOST = "127.0.0.1"
 TICK = os.sysconf("SC_CLK_TCK")
@@ -175,7 +175,7 @@
         path = folder / "config.json"
         path.write_text(json.dumps(config))
         self.forms["daemon"] = (Process("thistleusher", env={"PROXY_CONFIG": str(path)}), ports[1])
-        for sync, port in zip(SYNCS, free_ports(len(SYNCS), 0), strict=True):  # the same with a state folder
+        for sync, port in zip(SYNC_MODES, free_ports(len(SYNC_MODES), 0), strict=True):  # the same with a state folder
             kept = folder / f"config-{sync}.json"
             kept.write_text(json.dumps({**config, "listen": f"{HOST}:{port}"}))
             (folder / f"{sync}.toml").write_text(f'folder = "{folder}/{sync}"\nsync = "{sync}"\n')
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -16,8 +16,8 @@
 from tests.quota.world import World
 from tests.quota.world import settings as told
 from thistleusher.state.options import StateOptions
-from thistleusher.state.snapshotter import PORTION, Snapshotter
-from thistleusher.state.store import SYNCS
+from thistleusher.state.snapshotter import BATCH_SIZE, Snapshotter
+from thistleusher.state.store import SYNC_MODES
 
 
 class Never:
@@ -35,21 +35,21 @@
     print("| members | sync | portion, median ms | 99.9% ms | all committed, s | ready again, s | MB |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for members in parser.parse_args().members:
-        for sync in SYNCS:
+        for sync in SYNC_MODES:
             with tempfile.TemporaryDirectory(prefix="state-") as folder:
                 w = World(1, 2)
                 keeper = Snapshotter(StateOptions(folder, sync), "n0", told(0), 1e9)
                 gateway = w.gateways[0]
-                keeper.begin(gateway, lambda: 5000.0, Never())
+                keeper.start(gateway, lambda: 5000.0, Never())
                 for m in range(members):
                     gateway.sharing.admit(w.now, gateway.sharing.meet(w.now, m, gateway.sharing.plans["plus"]), 2.0)
                 began, pauses = time.perf_counter(), list[float]()
                 while True:
                     at = time.perf_counter()
-                    if not keeper.hand_over(PORTION):
+                    if not keeper.submit_changes(BATCH_SIZE):
                         break
                     pauses.append(time.perf_counter() - at)
-                    if keeper.writer is not None and keeper.writer.room() < 2 * PORTION:
+                    if keeper.writer is not None and keeper.writer.capacity() < 2 * BATCH_SIZE:
                         keeper.writer.flush(600.0)  # in service the next portion waits
                 assert keeper.writer is not None
                 keeper.writer.flush(600.0)
@@ -58,7 +58,7 @@
                 pauses.sort()
                 at = time.perf_counter()
                 again = Snapshotter(StateOptions(folder, sync), "n0", told(0), 1e9)
-                _, found = again.begin(World(2, 2).gateways[0], lambda: 5000.0, Never())
+                _, found = again.start(World(2, 2).gateways[0], lambda: 5000.0, Never())
                 ready = time.perf_counter() - at
                 assert len(found.members) == members
                 again.close()
--- a/tests/operator/test_operator.py
+++ b/tests/operator/test_operator.py
@@ -24,7 +24,7 @@
 from thistleusher.operator.secrets import Secret
 from thistleusher.operator.sections import SECTIONS, Section
 from thistleusher.operator.units import Bytes, Seconds, read_bytes, read_seconds
-from thistleusher.state.records import Member, Room, pack
+from thistleusher.state.records import MemberRecord, ReservationRecord, encode
 from thistleusher.state.store import Store
 
 GOOD = """# an operator's file
@@ -189,8 +189,8 @@
     store.begin("n0", 100.0)
     store.commit(
         [
-            (("member", 7), pack(Member(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
-            (("room", 1), pack(Room("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
+            (("member", 7), encode(MemberRecord(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
+            (("room", 1), encode(ReservationRecord("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
         ]
     )
     assert main(["state", "show", folder]) == 2 and "another process holds it" in capsys.readouterr().err
--- a/tests/quota/test_reserve.py
+++ b/tests/quota/test_reserve.py
@@ -211,7 +211,7 @@
     ledger.restore((), None)
     assert ledger.admit(1000.0, 0, 7, 0, 3, 1.0, 0.0)
     first = ledger.changed_reservations(1000.0, 10)
-    assert [(n.plan, n.customer, n.first, n.width) for n in first] == [(0, 7, 0, 3)] and first[0].room > 0
+    assert [(n.plan, n.customer, n.first, n.width) for n in first] == [(0, 7, 0, 3)] and first[0].units > 0
     ledger.admit(1000.1, 0, 7, 0, 3, 1.0, 0.0)
     assert ledger.changed_reservations(1000.1, 10) == []  # one at a time
     ledger.reservations_committed([(0, 7)])
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -18,14 +18,14 @@
 class Crashing(World):
     """One ingress of two that is killed at its step number `at`, and back a tenth of a second later."""
 
-    def __init__(self, at: int, early: bool, keep: bool = True) -> None:
-        self.crash_at, self.early, self.keep = at, early, keep
+    def __init__(self, at: int, early: bool, restores: bool = True) -> None:
+        self.crash_at, self.early, self.restores = at, early, restores
         self.steps, self.disk, self.done = itertools.count(), {}, ""
         super().__init__(5, 2)
 
     def remind(self, n):
         if n == 0:
-            self.gateways[0].restore(self.now, self.disk.values() if self.keep else [])
+            self.gateways[0].restore(self.now, self.disk.values() if self.restores else [])
 
     def commit(self):
         if self.gateways[0] is not None:
@@ -52,9 +52,9 @@
         return None
 
 
-def played(at, early, keep=True):
+def played(at, early, restores=True):
     """An ordinary second, an outage in which the quota is used up, and the counter back: all is written back."""
-    w = Crashing(at, early, keep)
+    w = Crashing(at, early, restores)
     for n, (when, units) in enumerate(
         [
             (0.0, 2.0),
@@ -76,7 +76,7 @@
     for when, silent in ((0.8, True), (2.5, False)):
         w.at(when, lambda silent=silent: setattr(w.counters[0], "silent", silent))
     w.run(10.0)
-    for _ in range(2):  # a life that was killed as it left leaves its work to the next one
+    for _ in range(2):  # an incarnation that was killed at its shutdown leaves its work to the next one
         if w.gateways[0] is not None:
             w.leave(0)
         w.run(1.0)
@@ -106,5 +106,5 @@
 
 
 def test_without_a_folder_units_are_lost_to_the_count():
-    ends = [played(k, True, keep=False) for k in range(next(played(-1, True)[0].steps))]
+    ends = [played(k, True, restores=False) for k in range(next(played(-1, True)[0].steps))]
     assert min(more for _, more in ends) < -2 * UNITS
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import sqlite3
 import subprocess
@@ -12,8 +13,8 @@
 from standins.counter import Counter
 from tests.sockets import Peer, call, ok, run, until
 from tests.test_program import SETTINGS, TERMS, Program, known
-from thistleusher.state.records import read_member
-from thistleusher.state.store import LISTED
+from thistleusher.state.records import decode_member
+from thistleusher.state.store import ENDPOINT_LIST_KEY
 
 SLOW = {
     **SETTINGS,
@@ -33,7 +34,7 @@
     """Units of each member that are kept as in no count yet."""
     db = sqlite3.connect(f"file:{tmp_path}/state/state.db?mode=ro", uri=True)
     try:
-        return [read_member(body).pending for (body,) in db.execute("SELECT body FROM member")]
+        return [decode_member(body).pending for (body,) in db.execute("SELECT body FROM member")]
     finally:
         db.close()
 
@@ -81,7 +82,7 @@
         client = await program.start()
         try:
             assert (await client.ask(call("a", X_Call_Terms=TERMS)))[0] == 200
-            await until(lambda: read_fact(tmp_path, LISTED) is not None)
+            await until(lambda: read_fact(tmp_path, ENDPOINT_LIST_KEY) is not None)
             await program.end()
             program.path.write_text(
                 json.dumps({k: v for k, v in json.loads(program.path.read_text()).items() if k != "known"})
@@ -102,7 +103,8 @@
         program = with_state(tmp_path, backend, counter)
         await program.start()
         try:
-            second = subprocess.run(
+            second = await asyncio.to_thread(
+                subprocess.run,
                 [sys.executable, "-m", "thistleusher", *program.args],
                 capture_output=True,
                 text=True,
--- /dev/null
+++ b/tests/state/test_restarts.py
@@ -0,0 +1,120 @@
+"""Ingresses killed in an outage in scripted time: what a member gets too much with restored state and without."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.quota.world import World
+from tests.quota.world import settings as settings_of
+from tests.state.helpers import TERMS, ManualScheduler
+from thistleusher.operator.units import Seconds
+from thistleusher.state.options import StateOptions
+from thistleusher.state.snapshotter import Snapshotter
+
+
+def beyond_after_restarts(keep, seed, kills=12):
+    """A member that asks for far more than it may, at an ingress that is killed again and again in an outage."""
+    w = World(seed, 2)
+    w.counters[0].silent = True
+    for g in w.gateways:
+        g.restore(w.now, [])
+    saved = {}
+    for _ in range(kills):
+        w.traffic(0.5, 40.0, lambda at: 0, "basic")
+        saved |= {m.key: m for m in w.gateways[0].saved(1000)}
+        w.kill(0)
+        w.run(0.1)
+        w.restart(0)
+        w.gateways[0].restore(w.now, saved.values() if keep else [])
+    return w.beyond("basic")[0]
+
+
+def test_an_ingress_with_restored_state_admits_nothing_twice():
+    without = max(beyond_after_restarts(False, seed) for seed in range(5))
+    kept = max(beyond_after_restarts(True, seed) for seed in range(5))
+    assert kept <= 4.0 < without, (kept, without)
+
+
+def test_what_peers_admitted_meanwhile_comes_with_their_next_update():
+    w = World(3, 2)
+    w.counters[0].silent = True
+    for g in w.gateways:
+        g.restore(w.now, [])
+    for n in (0, 1):
+        w.ask(n, 0, "basic")
+    w.run(0.5)
+    saved = w.gateways[0].saved(10)
+    w.kill(0)
+    for _ in range(4):
+        w.ask(1, 0, "basic", 2.0)
+        w.run(0.1)
+    w.restart(0)
+    w.gateways[0].restore(w.now, saved)
+    w.ask(1, 0, "basic")  # sends an update
+    w.run(0.3)
+    headrooms = [g.room(w.now, 0, "basic") for g in w.gateways]
+    assert headrooms[0] == pytest.approx(headrooms[1], abs=0.3)
+
+
+class Outage:
+    """Three ingresses in an outage of the counter, each with a folder or without."""
+
+    def __init__(self, tmp_path, with_folders, seed):
+        self.tmp_path, self.with_folders, self.seed = tmp_path, with_folders, seed
+        self.world, self.snapshotters = World(seed), {}
+        self.world.counters[0].silent = True
+        if with_folders:
+            self.world.remind = self.start_snapshotter
+            for n in range(3):
+                self.world.kill(n)
+                self.world.restart(n)
+
+    def start_snapshotter(self, n):
+        options = StateOptions(str(self.tmp_path / f"{self.seed}-{n}"), "off", Seconds(0.005))
+        snapshotter = self.snapshotters[n] = Snapshotter(options, f"n{n}", settings_of(n), 60.0, TERMS)
+        snapshotter.start(self.world.gateways[n], lambda: self.world.now, ManualScheduler())
+
+    def run(self, seconds):
+        w = self.world
+        end = w.now + seconds
+        while w.now < end:
+            w.traffic(0.05, 120.0, lambda at: w.rng.randrange(3), "plus")
+            for snapshotter in self.snapshotters.values():
+                snapshotter.submit_changes(1000)
+                assert snapshotter.writer.flush(10.0)
+
+    def kill_all(self):
+        """A kill leaves a folder without the last batch, and without a record of the shutdown."""
+        for n in range(3):
+            self.world.kill(n)
+            if self.with_folders:
+                self.snapshotters[n].writer.close()
+                self.snapshotters[n].store.close()
+        self.snapshotters.clear()
+
+    def restart_all(self):
+        for n in range(3):
+            self.world.restart(n)
+
+
+def outage_with_kills(tmp_path, with_folders, seed):
+    """All are killed together three times; returns units beyond the ceiling, and requests served since the first."""
+    outage = Outage(tmp_path, with_folders, seed)
+    w = outage.world
+    outage.run(1.0)
+    before = w.served
+    for _ in range(3):
+        outage.kill_all()
+        w.run(0.1)
+        outage.restart_all()
+        outage.run(0.5)
+    for snapshotter in outage.snapshotters.values():
+        snapshotter.close()
+    return w.beyond("plus")[1], w.served - before
+
+
+def test_all_killed_together_in_an_outage_get_no_second_ceiling(tmp_path):
+    with_folders = [outage_with_kills(tmp_path, True, seed) for seed in range(2)]
+    without = [outage_with_kills(tmp_path, False, seed) for seed in range(2)]
+    assert max(over for over, _ in with_folders) <= 0.0 < min(over for over, _ in without), (with_folders, without)
+    assert min(served for _, served in with_folders) > 15, (with_folders, without)  # their rate goes on
--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -64,13 +64,13 @@
     from thistleusher.assembly import room_terms
     from thistleusher.policy.sharing import kept_for
     from thistleusher.state.snapshotter import Snapshotter
-    from thistleusher.state.store import BadState
+    from thistleusher.state.store import StateFolderError
 
     try:
         return Snapshotter(
             options, config.name, config.settings, kept_for(config.settings), room_terms(config.settings)
         )
-    except BadState as error:
+    except StateFolderError as error:
         raise InvalidConfiguration(str(error)) from error
 
 
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -59,14 +59,14 @@
 
 
 class SavedReservation(NamedTuple):
-    """What one ingress leaves alone of a member's allowance for its next life (`ledger.reserve`).
+    """Headroom of a member's allowance that one ingress leaves to its next incarnation (`quota.reserve`).
 
-    `plan`: its number in the settings; `room` in units at Unix time `at`, -inf where it was forgotten.
+    `plan`: its number in the settings; `units` at Unix time `at`, -inf where the allowance was forgotten.
     """
 
     plan: int
     customer: int
     first: int
     width: int
-    room: float
+    units: float
     at: float
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -24,7 +24,7 @@
 from thistleusher.services.peers import Peers
 
 if TYPE_CHECKING:  # imported only where a state folder is given
-    from thistleusher.state.records import Listed, Place
+    from thistleusher.state.records import EndpointListRecord, EndpointRecord
     from thistleusher.state.snapshotter import Snapshotter
 
 log = logging.getLogger("thistleusher")
@@ -62,8 +62,8 @@
         """Open everything, clients' door last. OSError where an address cannot be had."""
         config, ingress, driver = self.config, self.ingress, self.ingress.driver
         if self.keeper is not None:
-            self.keeper.places = self.places
-            self.keeper.begin(self.gateway, self.clock, self.loop)
+            self.keeper.current_endpoints = self.places
+            self.keeper.start(self.gateway, self.clock, self.loop)
         if self.placement is not None:
             driver.counter = self.counter = Counters(
                 self.loop, self.placement, config.settings.counter_timeout, ingress.submit, driver.scheduler.time
@@ -76,7 +76,7 @@
             peers = Peers(config.peers, config.peers_all, config.settings.me, ingress.submit)
             await self.loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
             driver.peers = self.peers = peers
-        kept = self.keeper.list if self.keeper is not None else None
+        kept = self.keeper.endpoint_list if self.keeper is not None else None
         if kept is not None and (config.known is None or kept.version > config.known.version):
             ingress.listed(listing_of(kept), saved=True)
         elif config.known is not None:
@@ -93,13 +93,13 @@
         self.ingress.listed(listing)
         self.version = listing.version
 
-    def places(self) -> tuple[int, tuple[Place, ...]]:
+    def places(self) -> tuple[int, tuple[EndpointRecord, ...]]:
         """The list of backends as it stands, to be kept."""
-        from thistleusher.state.records import Place
+        from thistleusher.state.records import EndpointRecord
 
         entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in self.upstream.pools]
         return self.version, tuple(
-            Place(
+            EndpointRecord(
                 e.backend,
                 e.phase.value,
                 e.weight,
@@ -148,7 +148,7 @@
             self.keeper.close()
 
 
-def listing_of(kept: Listed) -> Listing:
+def listing_of(kept: EndpointListRecord) -> Listing:
     """A kept list of backends, as discovery would have told it."""
     return Listing(
         kept.version,
@@ -158,6 +158,6 @@
                 BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
                 Endpoint((p.host, p.port), p.born),
             )
-            for p in kept.places
+            for p in kept.endpoints
         ),
     )
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -355,7 +355,7 @@
             return None
         if members != self.members(note.first, note.width) or self.me not in members:
             return 0.0
-        return reserve_of(terms, len(members)).restored((note.room, note.at), self.lives.began)
+        return reserve_of(terms, len(members)).restored((note.units, note.at), self.lives.began)
 
     def members(self, first: int, width: int) -> tuple[int, ...]:
         """The ingresses of a set."""
--- a/thistleusher/state/__init__.py
+++ b/thistleusher/state/__init__.py
@@ -1,5 +1,5 @@
-"""What outlives a process, where an operator gives a folder for it: members' stores, and whose life wrote them.
+"""Persistence of one ingress's state, in a folder that an operator gives it.
 
-Promised: the event loop never waits for the disk; a kill loses what changed within `commit_every`; no folder is used by
-two processes, or by another ingress than its own; a spoilt record costs itself only.
+The event loop never waits for the disk; a kill loses at most the changes of the last `commit_every`. No folder is used
+by two processes at once, or by another ingress than its own, and a corrupt record costs only itself.
 """
--- a/thistleusher/state/options.py
+++ b/thistleusher/state/options.py
@@ -1,9 +1,11 @@
-"""The section [state] of the operator's file, and the file of its own that `--state` names:
+"""Options of the state folder: the section `[state]` of the operator's file, and the older file that `--state` names.
 
-folder = "/var/lib/thistleusher"
-sync = "normal"      # off, normal or full: what a loss of power may cost
-commit_ms = 50       # what a kill may cost, 5 to 10,000
-most_mb = 256        # bound of the folder's file, 1 to 65,536
+The older file has units in its keys' names:
+
+    folder = "/var/lib/thistleusher"
+    sync = "normal"      # off, normal or full: what a loss of power may cost
+    commit_ms = 50       # what a kill may cost, 5 to 10,000
+    most_mb = 256        # bound of the folder's file, 1 to 65,536
 """
 
 from __future__ import annotations
@@ -16,15 +18,18 @@
 from thistleusher.operator.layers import one_line
 from thistleusher.operator.units import Bytes, Seconds
 
-COMMIT = Seconds(0.005), Seconds(10.0)
-SIZE = Bytes(1 << 20), Bytes(1 << 36)
+COMMIT_EVERY_RANGE = (Seconds(0.005), Seconds(10.0))
+MAX_SIZE_RANGE = (Bytes(1 << 20), Bytes(1 << 36))
+BYTES_PER_MB = 1 << 20
+MS_PER_S = 1000
 
 
 class StateOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where and how state is kept.
+    """Where and how state is stored.
 
-    folder: of this ingress alone; made if it is not there; held by one process
-    sync: what a loss of power may cost: what the system had not written, commits since the last checkpoint, or nothing
+    folder: used by this ingress alone and locked by one process; created if it does not exist
+    sync: what a loss of power may cost: `off` what the system had not written, `normal` the commits since the last
+        checkpoint, `full` nothing
     commit_every: what a kill may cost, 5ms to 10s
     max_size: bound of the folder's file, 1MiB to 64GiB
     """
@@ -35,12 +40,17 @@
     max_size: Bytes = Bytes(256 << 20)
 
     def __post_init__(self) -> None:
-        for key, value, (low, high) in (("commit_every", self.commit_every, COMMIT), ("max_size", self.max_size, SIZE)):
+        """Raise ValueError where a value is out of its range."""
+        checks = (
+            ("commit_every", self.commit_every, COMMIT_EVERY_RANGE),
+            ("max_size", self.max_size, MAX_SIZE_RANGE),
+        )
+        for key, value, (low, high) in checks:
             if not low <= value <= high:
                 raise ValueError(f"{key}: expected {low} to {high}, got {value}")
 
 
-class StateFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LegacyStateFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The older file, with units in its keys' names."""
 
     folder: Annotated[str, msgspec.Meta(min_length=1)]
@@ -50,11 +60,16 @@
 
 
 def read_options(path: str) -> StateOptions:
-    """The older file's options; ValueError names file, key, what was found and expected, in one line."""
+    """Return the options of the older file.
+
+    Raises ValueError: one line that names the file, the key, what was found and what was expected.
+    """
     try:
-        old = msgspec.toml.decode(Path(path).read_bytes(), type=StateFile)
+        legacy = msgspec.toml.decode(Path(path).read_bytes(), type=LegacyStateFile)
     except (OSError, ValueError) as error:
         raise ValueError(f"{path}: {one_line(error)}") from error
     except RecursionError as error:
         raise ValueError(f"{path}: nested too deeply") from error
-    return StateOptions(old.folder, old.sync, Seconds(old.commit_ms / 1000), Bytes(old.most_mb << 20))
+    commit_every = Seconds(legacy.commit_ms / MS_PER_S)
+    max_size = Bytes(legacy.most_mb * BYTES_PER_MB)
+    return StateOptions(legacy.folder, legacy.sync, commit_every, max_size)
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -1,8 +1,9 @@
-"""What is kept, as bytes: MessagePack arrays with a checksum. Members, rooms, what was learned, the list, lives.
+"""The stored records and their bytes: a CRC-32, then a MessagePack array.
 
-Read one version back and forward: a later version only adds fields at the end, with values that stand in for them where
-they are missing; what an earlier reader does not know it leaves out (msgspec, array-like structs). Units are units of
-quota, times Unix seconds.
+Compatible one version back and forward: a later version only adds fields at the end, with defaults that stand in where
+they are missing, and a reader ignores fields that it does not know (msgspec, array-like structs). The order of fields
+is therefore part of the format. `field(name=...)` gives the name under which `thistleusher state export` prints a
+field. Units are units of quota, times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -12,20 +13,24 @@
 from typing import TypeVar
 
 import msgspec
+from msgspec import field
 
 from thistleusher.core.snapshots import Learned
 
 FORMAT = 1
+CHECKSUM_BYTES = 4  # a CRC-32, before the body
 T = TypeVar("T")
-CHECK = 4  # bytes of CRC-32 before the body
 
 
-class BadRecord(ValueError):
-    """A record that cannot be read: cut, flipped, or of another kind."""
+class RecordError(ValueError):
+    """A record that cannot be read: truncated, corrupt, or of another kind."""
 
 
-class Member(msgspec.Struct, array_like=True, frozen=True):
-    """One ingress's knowledge of a member's count; behind the plan's, the fields of `SavedMember` in order."""
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
+    """What one ingress knows of a member's count.
+
+    Behind the plan's rate and burst, the fields are those of `core.snapshots.SavedMember`, in its order.
+    """
 
     key: int
     plan: str
@@ -34,30 +39,33 @@
     level: float
     at: float  # when `level` was true
     window: int
-    told: float  # own units in the window's count
-    pending: float  # let in, and in no count yet
-    mine: int  # quarter units let in here, all in all
-    theirs: dict[int, int] = {}  # the same of each peer, as last heard
-    heard: float = 0.0  # what peers have told of in the window `heard_in`
-    heard_in: int = -1
-    excess: float = 0.0  # of the last total over all of that
-    doubt: float = 0.0  # of `pending`: on its way to the count, or without an answer, in the window `doubted`
-    doubted: int = -1
+    counted: float = field(name="told")  # own units that the window's count includes
+    pending: float  # units let in that no count includes yet
+    own_total: int = field(name="mine")  # quarter units let in here, running total
+    peer_totals: dict[int, int] = field(name="theirs", default_factory=dict)  # the same of each peer, as last received
+    peer_units: float = field(name="heard", default=0.0)  # reported by peers in the window `peer_units_window`
+    peer_units_window: int = field(name="heard_in", default=-1)
+    excess: float = 0.0  # of the last total over all of these
+    uncertain: float = field(name="doubt", default=0.0)  # of `pending`: sent to the count of `uncertain_window`,
+    uncertain_window: int = field(name="doubted", default=-1)  # and not acknowledged
 
 
-class Life(msgspec.Struct, array_like=True, frozen=True):
-    """One life of an ingress. `began` and `number` rise from life to life; `inode` tells a copied folder."""
+class IncarnationRecord(msgspec.Struct, array_like=True, frozen=True):
+    """One incarnation of an ingress.
 
-    name: str
+    `started_at` and `number` rise from one incarnation to the next; `inode` reveals a copied folder.
+    """
+
+    name: str  # of the ingress
     number: int
-    began: float
+    started_at: float = field(name="began")
     inode: int
     format: int = FORMAT
-    ended: float = 0.0  # when it ended in order, with all committed; 0 while it has not
+    ended_at: float = field(name="ended", default=0.0)  # of an orderly shutdown, with all committed; 0 without one
 
 
-class Room(msgspec.Struct, array_like=True, frozen=True):
-    """What an earlier life left alone of a member's allowance; see `thistleusher.quota.reserve`."""
+class ReservationRecord(msgspec.Struct, array_like=True, frozen=True):
+    """Headroom of an allowance that an incarnation left to the next one; see `thistleusher.quota.reserve`."""
 
     plan: str
     customer: int
@@ -65,12 +73,12 @@
     width: int
     rate: float  # of the allowance as it was
     burst: float
-    room: float
+    units: float = field(name="room")
     at: float
 
 
-class Place(msgspec.Struct, array_like=True, frozen=True):
-    """A server of the last list."""
+class EndpointRecord(msgspec.Struct, array_like=True, frozen=True):
+    """A server of the last endpoint list."""
 
     name: str
     phase: str
@@ -83,61 +91,62 @@
     port: int
 
 
-class Listed(msgspec.Struct, array_like=True, frozen=True):
+class EndpointListRecord(msgspec.Struct, array_like=True, frozen=True):
     """The last list of servers, as it was known at a time."""
 
     at: float
     version: int
-    places: tuple[Place, ...] = ()
+    endpoints: tuple[EndpointRecord, ...] = field(name="places", default=())
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_member: Callable[[bytes], Member] = msgspec.msgpack.Decoder(Member).decode
-_life: Callable[[bytes], Life] = msgspec.msgpack.Decoder(Life).decode
-_room: Callable[[bytes], Room] = msgspec.msgpack.Decoder(Room).decode
-_listed: Callable[[bytes], Listed] = msgspec.msgpack.Decoder(Listed).decode
+_member: Callable[[bytes], MemberRecord] = msgspec.msgpack.Decoder(MemberRecord).decode
+_incarnation: Callable[[bytes], IncarnationRecord] = msgspec.msgpack.Decoder(IncarnationRecord).decode
+_reservation: Callable[[bytes], ReservationRecord] = msgspec.msgpack.Decoder(ReservationRecord).decode
+_endpoint_list: Callable[[bytes], EndpointListRecord] = msgspec.msgpack.Decoder(EndpointListRecord).decode
 _learned: Callable[[bytes], Learned] = msgspec.msgpack.Decoder(Learned).decode
 
 
-def pack(record: Member | Life | Room | Listed | Learned) -> bytes:
-    """A record with its checksum."""
+def encode(record: MemberRecord | IncarnationRecord | ReservationRecord | EndpointListRecord | Learned) -> bytes:
+    """Return a record's bytes, its checksum first."""
     body = _encode(record)
-    return zlib.crc32(body).to_bytes(CHECK) + body
+    return _checksum(body) + body
 
 
-def _body(data: bytes) -> bytes:
-    if not isinstance(data, bytes) or zlib.crc32(data[CHECK:]).to_bytes(CHECK) != data[:CHECK]:
-        raise BadRecord(f"expected a record whose checksum fits, got {data!r:.60}")
-    return data[CHECK:]
+def decode_member(data: bytes) -> MemberRecord:
+    """Return a member's record; raises RecordError where the bytes are not one."""
+    return _decode("a member", _member, data)
 
 
-def _read(what: str, decode: Callable[[bytes], T], data: bytes) -> T:
-    try:
-        return decode(_body(data))
-    except msgspec.MsgspecError as error:
-        raise BadRecord(f"not {what}: {error}") from error
+def decode_incarnation(data: bytes) -> IncarnationRecord:
+    """Return an incarnation's record; raises RecordError where the bytes are not one."""
+    return _decode("an incarnation", _incarnation, data)
 
 
-def read_member(data: bytes) -> Member:
-    """BadRecord where it cannot be one."""
-    return _read("a member", _member, data)
+def decode_reservation(data: bytes) -> ReservationRecord:
+    """Return a reservation's record; raises RecordError where the bytes are not one."""
+    return _decode("a reservation", _reservation, data)
 
 
-def read_life(data: bytes) -> Life:
-    """BadRecord where it cannot be one."""
-    return _read("a life", _life, data)
+def decode_endpoint_list(data: bytes) -> EndpointListRecord:
+    """Return the record of an endpoint list; raises RecordError where the bytes are not one."""
+    return _decode("an endpoint list", _endpoint_list, data)
 
 
-def read_room(data: bytes) -> Room:
-    """BadRecord where it cannot be one."""
-    return _read("a room", _room, data)
+def decode_learned(data: bytes) -> Learned:
+    """Return what was learned of the backends; raises RecordError where the bytes are not that."""
+    return _decode("what was learned", _learned, data)
 
 
-def read_listed(data: bytes) -> Listed:
-    """BadRecord where it cannot be one."""
-    return _read("a list", _listed, data)
+def _checksum(body: bytes) -> bytes:
+    return zlib.crc32(body).to_bytes(CHECKSUM_BYTES)
 
 
-def read_learned(data: bytes) -> Learned:
-    """BadRecord where it cannot be one."""
-    return _read("what was learned", _learned, data)
+def _decode(kind: str, decode: Callable[[bytes], T], data: bytes) -> T:
+    # SQLite's columns are untyped: a corrupt page may hold something else than bytes.
+    if not isinstance(data, bytes) or _checksum(data[CHECKSUM_BYTES:]) != data[:CHECKSUM_BYTES]:
+        raise RecordError(f"expected a record whose checksum fits, got {data!r:.60}")
+    try:
+        return decode(data[CHECKSUM_BYTES:])
+    except msgspec.MsgspecError as error:
+        raise RecordError(f"not {kind}: {error}") from error
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -1,21 +1,20 @@
-"""What is still true of a member's record after an absence: pure, and by rules that are stated here.
-
-1. A store refills while nobody looks: `level` at `at` says it all, as long as the clock has gone on. Where the clock
-   has gone back, it counts as if no time had passed; where it has gone forward, as if it had, which is the clock's
-   fault.
-2. What peers let in meanwhile is in their running totals: with the last ones heard, the next telling makes up for all
-   of it. A level that a peer tells wins over a record only at a member that this ingress knows nothing of.
-3. What is in no count yet is told once: by this life, unless the folder is a copy, whose original may have told it. A
-   unit that was on its way to the count at the kill may be in it: it is in doubt, and the next total of the same window
-   says so where nobody else can have added as much. Elsewhere it is told twice: a member may get that much less, never
-   more.
-4. A plan that has changed keeps the units that were used: they come off the new burst.
-5. A room that was left alone is worth what `ledger.reserve` says, under the terms that it was noted under only; of a
-   copied folder it is worth nothing, as the original may live and spend it.
-6. What was learned of backends ages: speeds for ten minutes, faults and ejections while they could still hold; of a
-   clock that was put back nothing but the speeds is believed. Only the same process of a backend is meant.
-7. A list of servers stands in until discovery speaks, for a minute at most: a drain is kept for a second only.
-8. A record older than the time after which the member would have been forgotten says nothing: its store is full.
+"""What a stored record is still worth after an absence: pure functions, by the rules stated here.
+
+1. A bucket refills while nobody looks: `level` at `at` says it all as long as the clock has gone on. Where the clock
+   was set back, no time counts as passed; where it was set forward, that time counts, which is the clock's fault.
+2. What peers admitted meanwhile is in their running totals: with the last ones received, the next update makes up for
+   all of it. A level that a peer reports replaces a record only for a member that this ingress knows nothing of.
+3. What no count includes yet is written back once, by this incarnation, unless the folder is a copy, whose original
+   may have written it. A unit that was on its way to the count at the kill may be in it: it is uncertain, and the next
+   total of the same window shows it where nobody else can have added as much. Otherwise it is counted twice: the member
+   may get that much less, never more.
+4. Where a plan has changed, the units that were used stay used: they come off the new burst.
+5. A reservation is worth what `quota.reserve` says, and only under the terms that it was noted under; in a copied
+   folder it is worth nothing, as the original may be alive and spend it.
+6. What was learned of backends ages: speeds for ten minutes, faults and ejections while they could still hold. After
+   the clock was set back only the speeds are believed. Only the same process of a backend is meant.
+7. An endpoint list serves until discovery answers, for a minute at most: a drained server is kept for a second only.
+8. A record older than the time after which the member would have been forgotten says nothing: its bucket is full.
 """
 
 from __future__ import annotations
@@ -25,109 +24,173 @@
 from dataclasses import dataclass, field
 
 from thistleusher.core.settings import PlanSettings
-from thistleusher.core.snapshots import Learned, SavedMember, SavedReservation
-from thistleusher.state.records import Life, Listed, Member, Room
+from thistleusher.core.snapshots import Learned, LearnedBackend, SavedMember, SavedReservation
+from thistleusher.state.records import EndpointListRecord, IncarnationRecord, MemberRecord, ReservationRecord
 
-LEARNED_S, FAULTS_S, LIST_S = 600.0, 10.0, 60.0  # for which speeds, faults and a list say something
+SPEEDS_MAX_AGE_S = 600.0  # for which learned speeds say something
+FAULTS_DECAY_S = 10.0  # time constant with which learned faults fade
+ENDPOINT_LIST_MAX_AGE_S = 60.0  # for which an endpoint list and the learned concurrency say something
+MAX_UNITS = 1e12  # of any figure in a record; beyond it the record is not believed
+UNKNOWN_WINDOW = -1
 
 
 @dataclass(slots=True)
-class Recovered:
-    """What goes into the decisions; `left_out` by reason."""
+class RecoveredMembers:
+    """Members to be restored into the decision module, and how many records were skipped, by reason."""
 
     members: list[SavedMember] = field(default_factory=list)
-    left_out: dict[str, int] = field(default_factory=dict)
+    skipped: dict[str, int] = field(default_factory=dict)
 
-    def leave_out(self, why: str) -> None:
-        self.left_out[why] = self.left_out.get(why, 0) + 1
+    def skip(self, reason: str) -> None:
+        """Count a record that is not restored."""
+        self.skipped[reason] = self.skipped.get(reason, 0) + 1
 
 
-def recover(
-    now: float, records: Iterable[Member], plans: Mapping[str, PlanSettings], kept: float, twin: bool = False
-) -> Recovered:
-    """`kept`: seconds after which a quiet member is forgotten; `twin`: the folder is a copy of another's."""
-    out = Recovered()
-    for m in records:
-        plan = plans.get(m.plan)
+def recover_members(
+    now: float,
+    records: Iterable[MemberRecord],
+    plans: Mapping[str, PlanSettings],
+    retention: float,
+    is_copy: bool = False,
+) -> RecoveredMembers:
+    """Return the members that can be restored.
+
+    retention: seconds after which the decision module forgets a quiet member
+    is_copy: the folder is a copy of another ingress's
+    """
+    recovered = RecoveredMembers()
+    for record in records:
+        plan = plans.get(record.plan)
         if plan is None or plan.rate <= 0:
-            out.leave_out("plan is gone")
-        elif m.burst <= 0 or not all(
-            abs(x) < 1e12 for x in (m.level, m.at, m.told, m.pending, m.heard, m.excess, m.doubt)
-        ):
-            out.leave_out("not a number")
-        elif m.at < now - kept and m.pending <= 0:
-            out.leave_out("long full")
+            recovered.skip("plan is gone")
+        elif not _plausible(record):
+            recovered.skip("not a number")
+        elif record.at < now - retention and record.pending <= 0:
+            recovered.skip("long full")
         else:
-            same = (plan.rate, plan.burst) == (m.rate, m.burst)
-            level = min(plan.burst, m.level if same else plan.burst - (m.burst - m.level))
-            # Other windows have other names: what is in an old one's count is in no present one's.
-            out.members.append(
-                SavedMember(
-                    m.key,
-                    m.plan,
-                    level,
-                    min(m.at, now),
-                    m.window if same and m.at <= now else -1,
-                    m.told if same else 0.0,
-                    0.0 if twin else max(0.0, m.pending),
-                    m.mine,
-                    dict(m.theirs),
-                    *((m.heard, m.heard_in, m.excess, m.doubt, m.doubted) if same and m.at <= now else ()),
-                )
-            )
-    return out
-
-
-def active_until(now: float, before: Life | None) -> float | None:
-    """Until when the life before may have been at work: to its end in order, or nobody knows; None without one."""
-    if before is None:
+            recovered.members.append(_recover_member(now, record, plan, is_copy))
+    return recovered
+
+
+def _plausible(record: MemberRecord) -> bool:
+    figures = (
+        record.level,
+        record.at,
+        record.counted,
+        record.pending,
+        record.peer_units,
+        record.excess,
+        record.uncertain,
+    )
+    if record.burst <= 0:
+        return False
+    return all(abs(figure) < MAX_UNITS for figure in figures)  # NaN compares as false
+
+
+def _recover_member(now: float, record: MemberRecord, plan: PlanSettings, is_copy: bool) -> SavedMember:
+    same_plan = (plan.rate, plan.burst) == (record.rate, record.burst)
+    used = record.burst - record.level
+    level = min(plan.burst, record.level if same_plan else plan.burst - used)
+    # Windows of another length have other names: what an old window's count holds is in no present one's. The same
+    # where the clock was set back.
+    window_known = same_plan and record.at <= now
+    member = SavedMember(
+        record.key,
+        record.plan,
+        level,
+        min(record.at, now),
+        record.window if window_known else UNKNOWN_WINDOW,
+        record.counted if same_plan else 0.0,
+        0.0 if is_copy else max(0.0, record.pending),
+        record.own_total,
+        dict(record.peer_totals),
+    )
+    if not window_known:
+        return member
+    # What peers reported and what is uncertain hold for their windows only.
+    return SavedMember(
+        *member[:9],
+        record.peer_units,
+        record.peer_units_window,
+        record.excess,
+        record.uncertain,
+        record.uncertain_window,
+    )
+
+
+def last_active_time(now: float, previous: IncarnationRecord | None) -> float | None:
+    """Return until when the previous incarnation may have been active; None without one.
+
+    That is its shutdown, or `now` where it was killed, as nobody knows when.
+    """
+    if previous is None:
         return None
-    return min(now, before.ended) if before.ended > 0 else now
+    return min(now, previous.ended_at) if previous.ended_at > 0 else now
 
 
-def still_there(
-    rooms: Iterable[Room],
+def recover_reservations(
+    records: Iterable[ReservationRecord],
     plans: Mapping[str, PlanSettings],
     terms: Mapping[str, tuple[float, float]],
-    twin: bool = False,
+    is_copy: bool = False,
 ) -> list[SavedReservation]:
-    """Rooms under the same terms as before; `terms`: rate and burst of each plan's allowance now."""
-    numbers = {name: n for n, name in enumerate(plans)}
-    if twin:
+    """Return the reservations under the same terms as before.
+
+    terms: rate and burst of each plan's allowance now
+    is_copy: the folder is a copy, so nothing in it may be spent
+    """
+    if is_copy:
         return []
+    plan_numbers = {name: number for number, name in enumerate(plans)}
     return [
-        SavedReservation(numbers[r.plan], r.customer, r.first, r.width, r.room, r.at)
-        for r in rooms
-        if r.plan in numbers
+        SavedReservation(plan_numbers[r.plan], r.customer, r.first, r.width, r.units, r.at)
+        for r in records
+        if r.plan in plan_numbers
         and terms.get(r.plan) == (r.rate, r.burst)
-        and 0 <= r.room <= r.burst
+        and 0 <= r.units <= r.burst
         and math.isfinite(r.at)
         and r.width > 0
     ]
 
 
-def still_learned(now: float, learned: Learned | None) -> Learned | None:
-    """What is left of it by now; None where it says nothing any more."""
-    if learned is None or learned.at < now - LEARNED_S or not math.isfinite(learned.at):
+def recover_learned(now: float, learned: Learned | None) -> Learned | None:
+    """Return what is left by now of what was learned; None where it says nothing any more."""
+    if learned is None or learned.at < now - SPEEDS_MAX_AGE_S or not _all_finite(learned):
         return None
-    age, back = max(0.0, now - learned.at), learned.at > now
-    left = math.exp(-age / FAULTS_S)
-    numbers = [x for b in learned.backends.values() for x in b[:5]] + [x for c in learned.classes.values() for x in c]
-    if not all(map(math.isfinite, [learned.slots, learned.rate, *numbers])):
+    age = max(0.0, now - learned.at)
+    clock_set_back = learned.at > now
+    decay = math.exp(-age / FAULTS_DECAY_S)
+    backends = {name: _age_backend(backend, age, decay, clock_set_back) for name, backend in learned.backends.items()}
+    return learned._replace(
+        rate=learned.rate * decay,
+        slots=learned.slots if age < ENDPOINT_LIST_MAX_AGE_S else 0.0,
+        backends=backends,
+    )
+
+
+def _all_finite(learned: Learned) -> bool:
+    figures = [learned.at, learned.slots, learned.rate]
+    for backend in learned.backends.values():
+        figures += backend[:5]
+    for class_figures in learned.classes.values():
+        figures += class_figures
+    return all(map(math.isfinite, figures))
+
+
+def _age_backend(backend: LearnedBackend, age: float, decay: float, clock_set_back: bool) -> LearnedBackend:
+    ratio = 1 + (backend.ratio - 1) * (1 - age / SPEEDS_MAX_AGE_S)
+    if clock_set_back:
+        return backend._replace(ratio=ratio, errors=0.0, proof=0.0, resting=0.0, trial=False)
+    return backend._replace(
+        ratio=ratio,
+        errors=backend.errors * decay,
+        proof=backend.proof * decay,
+        trial=backend.trial and age < FAULTS_DECAY_S,
+    )
+
+
+def recover_endpoint_list(now: float, record: EndpointListRecord | None) -> EndpointListRecord | None:
+    """Return the endpoint list where it is neither too old nor from the future, else None."""
+    if record is None or not now - ENDPOINT_LIST_MAX_AGE_S <= record.at <= now:
         return None
-    backends = {
-        name: b._replace(
-            ratio=1 + (b.ratio - 1) * (1 - age / LEARNED_S),
-            errors=0.0 if back else b.errors * left,
-            proof=0.0 if back else b.proof * left,
-            resting=0.0 if back else b.resting,
-            trial=b.trial and not back and age < FAULTS_S,
-        )
-        for name, b in learned.backends.items()
-    }
-    return learned._replace(rate=learned.rate * left, slots=learned.slots if age < LIST_S else 0.0, backends=backends)
-
-
-def still_listed(now: float, listed: Listed | None) -> Listed | None:
-    """The list, where it is not too old, nor from a time to come."""
-    return listed if listed is not None and now - LIST_S <= listed.at <= now else None
+    return record
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -1,4 +1,4 @@
-"""Keeps one ingress's state while it serves: changes go to the writer in portions, and back at a start."""
+"""Saves one ingress's state while it serves, in batches through the writer, and restores it at the start."""
 
 from __future__ import annotations
 
@@ -6,181 +6,242 @@
 import sqlite3
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from thistleusher.core.decision_ports import Escrow
 from thistleusher.core.settings import Settings
-from thistleusher.core.snapshots import Learned, SavedMember
+from thistleusher.core.snapshots import Learned, SavedMember, SavedReservation
 from thistleusher.state.options import StateOptions
-from thistleusher.state.records import Life, Listed, Member, Place, Room, pack
-from thistleusher.state.recovery import Recovered, active_until, recover, still_learned, still_listed, still_there
-from thistleusher.state.store import LEARNED, LISTED, Store
+from thistleusher.state.records import (
+    EndpointListRecord,
+    EndpointRecord,
+    IncarnationRecord,
+    MemberRecord,
+    ReservationRecord,
+    encode,
+)
+from thistleusher.state.recovery import (
+    RecoveredMembers,
+    last_active_time,
+    recover_endpoint_list,
+    recover_learned,
+    recover_members,
+    recover_reservations,
+)
+from thistleusher.state.store import ENDPOINT_LIST_KEY, LEARNED_KEY, RecordKey, Store
 from thistleusher.state.writer import Writer
 
 log = logging.getLogger(__name__)
 
-PORTION = 150  # members packed at a time: about a millisecond of the loop
-FACTS_S = 2.0  # between looks at what was learned of backends, and at the list
-CLOSE_S = 2.0  # for the last commit
+BATCH_SIZE = 150  # members encoded at a time: about a millisecond of the event loop
+FACTS_INTERVAL_S = 2.0  # between two records of what was learned of backends, and of the endpoint list
+CLOSE_TIMEOUT_S = 2.0  # for the last commit
+PLAN_BITS = 7  # of a reservation's key; the customer's number is above them
 
 
 class Timer(Protocol):
-    def cancel(self) -> object: ...
+    """What `call_later` returns."""
 
+    def cancel(self) -> object:
+        """Keep the callback from being called."""
 
-class Later(Protocol):
-    """The event loop's `call_later`, seconds."""
 
-    def call_later(self, delay: float, callback: Callable[[], None]) -> Timer: ...
+class Scheduler(Protocol):
+    """The event loop's `call_later`; the delay is in seconds."""
 
+    def call_later(self, delay: float, callback: Callable[[], None]) -> Timer:
+        """Call back after the delay."""
 
-class Known(Protocol):
-    """What the keeper asks of the decisions on backends."""
 
-    def learned(self, now: float) -> Learned: ...
+class BackendKnowledge(Protocol):
+    """What the snapshotter asks of the decisions on backends."""
+
+    def learned(self, now: float) -> Learned:
+        """Return what was learned of the backends."""
 
 
 class Decisions(Protocol):
-    """What the keeper asks of the decision module."""
+    """What the snapshotter asks of the decision module."""
 
     @property
-    def escrow(self) -> Escrow | None: ...
+    def escrow(self) -> Escrow | None:
+        """Return the escrowed shares, if ingresses have any."""
 
     @property
-    def fleet(self) -> Known: ...
+    def fleet(self) -> BackendKnowledge:
+        """Return the decisions on backends."""
+
+    def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None) -> None:
+        """Take in what an earlier incarnation knew, and follow changes from now on."""
+
+    def saved(self, most: int) -> list[SavedMember]:
+        """Return up to `most` members that have changed since they were last returned."""
 
-    def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None) -> None: ...
 
-    def saved(self, most: int) -> list[SavedMember]: ...
+class SubmittedReservations(NamedTuple):
+    """Reservations on their way to disk, by plan and customer.
+
+    They are on disk once the writer has committed `last` records.
+    """
+
+    last: int
+    keys: list[tuple[int, int]]
 
 
 class Snapshotter:
-    """The state of the ingress `name`. BadState where its folder cannot be used."""
+    """The persistent state of one ingress."""
 
     def __init__(
         self,
         options: StateOptions,
         name: str,
         settings: Settings,
-        kept: float,
+        member_retention: float,
         terms: dict[str, tuple[float, float]] | None = None,
     ) -> None:
-        """`kept`: seconds after which the decisions forget a quiet member; `terms`: rate and burst that rooms are of,
-        by plan."""
-        self.options, self.name, self.kept, self.terms = options, name, kept, terms or {}
-        self.plans = {p.name: p for p in settings.plans}
-        self.names = list(self.plans)
+        """Open the folder of the ingress `name`; raises StateFolderError where it cannot be used.
+
+        member_retention: seconds after which the decision module forgets a quiet member
+        terms: rate and burst of the allowance that reservations are of, by plan
+        """
+        self.options = options
+        self.name = name
+        self.member_retention = member_retention
+        self.terms = terms or {}
+        self.plans = {plan.name: plan for plan in settings.plans}
+        self.plan_names = list(self.plans)
         self.store = Store(options.folder, name, options.sync, options.max_size)
         self.gateway: Decisions | None = None
         self.writer: Writer | None = None
         self.timer: Timer | None = None
-        self.list: Listed | None = None  # the last one of an earlier life
-        self.places: Callable[[], tuple[int, tuple[Place, ...]]] | None = None  # the present list, where it is kept
-        self.notes = deque[tuple[int, list[tuple[int, int]]]]()  # rooms on their way: records to be on disk by then
-        self.facts_at = 0.0
+        self.endpoint_list: EndpointListRecord | None = None  # the last one of an earlier incarnation
+        # Returns version and endpoints of the present list, where it is to be saved.
+        self.current_endpoints: Callable[[], tuple[int, tuple[EndpointRecord, ...]]] | None = None
+        self._submitted_reservations = deque[SubmittedReservations]()
+        self._facts_submitted_at = 0.0
 
-    def begin(self, gateway: Decisions, clock: Callable[[], float], later: Later) -> tuple[Life, Recovered]:
-        """Put back what was kept, note that this life begins, and keep what changes from now on.
+    def start(
+        self, gateway: Decisions, clock: Callable[[], float], scheduler: Scheduler
+    ) -> tuple[IncarnationRecord, RecoveredMembers]:
+        """Restore what was saved, record that this incarnation starts, and save changes from now on.
 
         `clock` gives Unix time in seconds.
         """
-        now, store = clock(), self.store
-        found = recover(now, store.members(), self.plans, self.kept, store.twin)
-        gateway.restore(now, found.members, still_learned(now, store.learned()))
-        rooms = still_there(store.rooms(), self.plans, self.terms, store.twin)
+        now = clock()
+        store = self.store
+        recovered = recover_members(now, store.members(), self.plans, self.member_retention, store.is_copy)
+        gateway.restore(now, recovered.members, recover_learned(now, store.learned()))
+        reservations = recover_reservations(store.reservations(), self.plans, self.terms, store.is_copy)
         if gateway.escrow is not None:
-            gateway.escrow.restore(rooms, active_until(now, store.before))
-        self.list = still_listed(now, store.listed())
-        life = store.begin(self.name, now)
-        if store.twin:
-            log.warning("state: %s is a copy: what its original had not written back is left out", store.folder)
+            gateway.escrow.restore(reservations, last_active_time(now, store.previous))
+        self.endpoint_list = recover_endpoint_list(now, store.endpoint_list())
+        incarnation = store.start_incarnation(self.name, now)
+        self._log_start(incarnation, recovered, reservations)
+        self.gateway = gateway
+        self.clock = clock
+        self.scheduler = scheduler
+        self.writer = Writer(store, self.options.commit_every)
+        self.timer = scheduler.call_later(self.options.commit_every, self._run_batch)
+        return incarnation, recovered
+
+    def _log_start(
+        self, incarnation: IncarnationRecord, recovered: RecoveredMembers, reservations: list[SavedReservation]
+    ) -> None:
+        if self.store.is_copy:
+            log.warning("state: %s is a copy: what its original had not written back is left out", self.store.folder)
         log.info(
             "state: life %d, %d members put back, %d rooms, %d records spoilt%s",
-            life.number,
-            len(found.members),
-            len(rooms),
-            store.spoilt,
-            "".join(f", {n} {why}" for why, n in found.left_out.items()),
+            incarnation.number,
+            len(recovered.members),
+            len(reservations),
+            self.store.corrupt_records,
+            "".join(f", {count} {reason}" for reason, count in recovered.skipped.items()),
         )
-        self.gateway, self.clock, self.later = gateway, clock, later
-        self.writer = Writer(store, self.options.commit_every)
-        self.timer = later.call_later(self.options.commit_every, self.portion)
-        return life, found
 
-    def portion(self) -> None:
-        """Hand over what has changed; what is left follows at once, after the loop has had its turn."""
-        members = self.hand_over(PORTION)
-        wait = 0.0 if members >= PORTION else self.options.commit_every
-        self.timer = self.later.call_later(wait, self.portion)
+    def _run_batch(self) -> None:
+        """Submit what has changed; what is left follows at once, after the event loop has had its turn."""
+        submitted = self.submit_changes(BATCH_SIZE)
+        delay = 0.0 if submitted >= BATCH_SIZE else self.options.commit_every
+        self.timer = self.scheduler.call_later(delay, self._run_batch)
 
-    def hand_over(self, most: int) -> int:
-        """Members, rooms and, now and then, facts; how many records there were.
+    def submit_changes(self, limit: int) -> int:
+        """Submit members, reservations and, now and then, facts; return how many members and reservations.
 
-        Where the disk is behind, what has changed stays with the decisions until there is room for it.
+        Where the disk lags, what has changed stays with the decision module until the writer has capacity for it.
         """
         assert self.gateway is not None and self.writer is not None
-        most = min(most, self.writer.room() // 2)  # half for members, half for rooms
-        members = self.gateway.saved(most)
-        for m in members:
-            plan = self.plans[m.plan]
-            self.writer.put(("member", m.key), pack(Member(m.key, m.plan, plan.rate, plan.burst, *m[2:])))
-        count = len(members) + self.rooms(most)
+        limit = min(limit, self.writer.capacity() // 2)  # half for members, half for reservations
+        members = self.gateway.saved(limit)
+        for member in members:
+            plan = self.plans[member.plan]
+            record = MemberRecord(member.key, member.plan, plan.rate, plan.burst, *member[2:])
+            self.writer.put(RecordKey("member", member.key), encode(record))
+        submitted = len(members) + self._submit_reservations(limit)
         now = self.clock()
-        if not 0 <= now - self.facts_at < FACTS_S:
-            self.facts_at = now
-            self.facts(now)
-        return count
-
-    def rooms(self, most: int) -> int:
-        """Tell the escrow which notes are on disk, and hand over those that are due."""
+        # A clock that was set back counts as due.
+        if not 0 <= now - self._facts_submitted_at < FACTS_INTERVAL_S:
+            self._facts_submitted_at = now
+            self._submit_facts(now)
+        return submitted
+
+    def _submit_reservations(self, limit: int) -> int:
+        """Report to the escrow which reservations are on disk, and submit those that are due."""
         assert self.gateway is not None and self.writer is not None
         escrow, writer = self.gateway.escrow, self.writer
         if escrow is None:
             return 0
-        while self.notes and self.notes[0][0] <= writer.committed:
-            escrow.reservations_committed(self.notes.popleft()[1])
+        while self._submitted_reservations and self._submitted_reservations[0].last <= writer.committed:
+            escrow.reservations_committed(self._submitted_reservations.popleft().keys)
         keys: list[tuple[int, int]] = []
-        for r in escrow.changed_reservations(self.clock(), most):
-            name = self.names[r.plan]
-            rate, burst = self.terms.get(name, (0.0, 0.0))
-            body = pack(Room(name, r.customer, r.first, r.width, rate, burst, r.room, r.at)) if r.at > 0 else None
-            if writer.put(("room", r.customer << 7 | r.plan), body):
-                keys.append((r.plan, r.customer))
+        for reservation in escrow.changed_reservations(self.clock(), limit):
+            key = (reservation.plan, reservation.customer)
+            record_key = RecordKey("room", reservation.customer << PLAN_BITS | reservation.plan)
+            if writer.put(record_key, self._reservation_body(reservation)):
+                keys.append(key)
             else:
-                escrow.reservation_dropped((r.plan, r.customer))
+                escrow.reservation_dropped(key)
         if keys:
-            self.notes.append((writer.handed, keys))
+            self._submitted_reservations.append(SubmittedReservations(writer.submitted, keys))
         return len(keys)
 
-    def facts(self, now: float) -> None:
-        """What was learned of backends, and the list of them."""
+    def _reservation_body(self, reservation: SavedReservation) -> bytes | None:
+        """Return the record's bytes; None, which deletes it, where the allowance was forgotten."""
+        if reservation.at <= 0:
+            return None
+        r = reservation
+        plan = self.plan_names[r.plan]
+        rate, burst = self.terms.get(plan, (0.0, 0.0))
+        return encode(ReservationRecord(plan, r.customer, r.first, r.width, rate, burst, r.units, r.at))
+
+    def _submit_facts(self, now: float) -> None:
+        """Submit what was learned of backends, and the list of them."""
         assert self.gateway is not None and self.writer is not None
-        self.writer.put(LEARNED, pack(self.gateway.fleet.learned(now)))
-        if self.places is not None:
-            self.writer.put(LISTED, pack(Listed(now, *self.places())))
+        self.writer.put(LEARNED_KEY, encode(self.gateway.fleet.learned(now)))
+        if self.current_endpoints is not None:
+            self.writer.put(ENDPOINT_LIST_KEY, encode(EndpointListRecord(now, *self.current_endpoints())))
 
     def close(self) -> bool:
-        """Keep all that has changed and let the folder go. False where the disk did not take it in time."""
+        """Save all that has changed and release the folder; return False where the disk did not take it in time."""
         done = True
         if self.timer is not None:
             self.timer.cancel()
         if self.writer is not None:
-            while self.writer.room() >= 2 * PORTION or self.writer.flush(CLOSE_S):
-                if not self.hand_over(PORTION):
+            while self.writer.capacity() >= 2 * BATCH_SIZE or self.writer.flush(CLOSE_TIMEOUT_S):
+                if not self.submit_changes(BATCH_SIZE):
                     break
-            done = self.writer.close(CLOSE_S)
+            done = self.writer.close(CLOSE_TIMEOUT_S)
             if not done:
-                log.error("state: %d records were not committed", len(self.writer.waiting))
+                log.error("state: %d records were not committed", len(self.writer.pending))
             else:
-                done = self.ended()
+                done = self._record_shutdown()
         self.store.close()
         return done
 
-    def ended(self) -> bool:
-        """Note the end in order; without that note the next life takes this one for killed, which is safe."""
+    def _record_shutdown(self) -> bool:
+        """Record the orderly shutdown; without the record the next incarnation takes this one for killed: safe."""
         try:
-            self.store.end(self.clock())
+            self.store.record_shutdown(self.clock())
         except sqlite3.Error as error:
-            log.error("state: the end was not noted: %s", error)
+            log.error("state: the end was not noted: %s", error)  # noqa: TRY400  one line, no traceback
             return False
         return True
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -1,10 +1,10 @@
-"""The folder: one SQLite file in WAL mode, held by one process.
+"""The state folder: one SQLite file in WAL mode, locked by one process.
 
-Why SQLite: a torn tail is cut off by its own recovery, a full disk is an error and not a half-written record, the
-size is bounded by `max_page_count`; its pages have no checksums, so records have their own (`records`). How much a
-loss of power may cost is the sync policy: `off` (what the system had not written), `normal` (the commits since the
-last checkpoint), `full` (nothing that was committed). A kill of the process costs the same under all three: what was
-not committed.
+Why SQLite: its own recovery cuts off a torn tail, a full disk is an error and not a half-written record, and
+`max_page_count` bounds the size; its pages have no checksums, so records have their own (`records`). What a loss of
+power may cost is the sync mode: `off` (what the system had not written), `normal` (the commits since the last
+checkpoint), `full` (nothing that was committed). A kill of the process costs the same under all three: what was not
+committed.
 """
 
 from __future__ import annotations
@@ -14,171 +14,214 @@
 import sqlite3
 from collections.abc import Callable, Iterable, Iterator
 from pathlib import Path
-from typing import Literal, TypeVar
+from typing import Literal, NamedTuple, TypeVar
 
 from thistleusher.core.snapshots import Learned
 from thistleusher.state.records import (
     FORMAT,
-    BadRecord,
-    Life,
-    Listed,
-    Member,
-    Room,
-    pack,
-    read_learned,
-    read_life,
-    read_listed,
-    read_member,
-    read_room,
+    EndpointListRecord,
+    IncarnationRecord,
+    MemberRecord,
+    RecordError,
+    ReservationRecord,
+    decode_endpoint_list,
+    decode_incarnation,
+    decode_learned,
+    decode_member,
+    decode_reservation,
+    encode,
 )
 
-SYNCS = ("off", "normal", "full")
-PAGE = 4096
-FILE, LOCK = "state.db", "lock"
-Slot = tuple[Literal["member", "room", "fact"], int]  # table and key of a record
-LEARNED: Slot = ("fact", 1)
-LISTED: Slot = ("fact", 2)
+SYNC_MODES = ("off", "normal", "full")
+PAGE_BYTES = 4096
+MIN_PAGES = 16
+DATABASE_FILE = "state.db"
+LOCK_FILE = "lock"
+INCARNATIONS_KEPT = 8
+INCARNATIONS_READ = 4  # at most, until one is readable
+MIN_INCARNATION_GAP_S = 0.001
 T = TypeVar("T")
 
 
-class BadState(Exception):
+class RecordKey(NamedTuple):
+    """Where a record is stored: its table (the names are part of the format) and its key there."""
+
+    table: Literal["member", "room", "fact"]
+    key: int
+
+
+LEARNED_KEY = RecordKey("fact", 1)
+ENDPOINT_LIST_KEY = RecordKey("fact", 2)
+
+
+class StateFolderError(Exception):
     """Why a folder cannot be used, in one line that names it."""
 
 
 class Store:
-    """`most`: bytes of the file; what does not fit is an error of the commit. Not for use by two threads at once."""
+    """One ingress's state folder, locked while it is open. Not for use by two threads at once.
+
+    `previous` is the last incarnation that the folder knows, `is_copy` whether the folder was copied from another
+    ingress's, `corrupt_records` the number of records that could not be read so far.
+    """
 
-    def __init__(self, folder: str | Path, name: str | None, sync: str = "normal", most: float = 256 << 20) -> None:
-        """Open or make the folder of the ingress `name` (None: of any), and hold it.
+    def __init__(
+        self, folder: str | Path, name: str | None, sync: str = "normal", max_bytes: float = 256 << 20
+    ) -> None:
+        """Open or create the folder of the ingress `name` (None: of any) and lock it.
 
-        BadState says what keeps it from being used.
+        `max_bytes` bounds the file; a commit beyond it fails. Raises StateFolderError where the folder cannot be used.
         """
         self.folder = Path(folder)
-        if sync not in SYNCS:
-            raise BadState(f"{folder}: sync: expected one of {', '.join(SYNCS)}, got {sync!r}")
+        if sync not in SYNC_MODES:
+            raise StateFolderError(f"{folder}: sync: expected one of {', '.join(SYNC_MODES)}, got {sync!r}")
+        self._lock = self._acquire_lock()
         try:
-            self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self._lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
-        except OSError as error:
-            raise BadState(f"{folder}: {error.strerror}") from error
-        owner = os.fstat(self._lock).st_uid
-        if owner != os.geteuid():
-            os.close(self._lock)
-            raise BadState(f"{folder}: it is user {owner}'s, this is user {os.geteuid()}")
-        try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            os.close(self._lock)
-            raise BadState(f"{folder}: another process holds it") from None
-        try:
-            self._open(name, sync, most)
+            self._open(name, sync, max_bytes)
         except BaseException as error:
             self.close()
             if isinstance(error, sqlite3.Error):
-                raise BadState(f"{self.folder / FILE}: {error}") from error
+                raise StateFolderError(f"{self.folder / DATABASE_FILE}: {error}") from error
             raise
 
     @classmethod
     def existing(cls, folder: str | Path) -> Store:
-        """A folder that is there, to be looked at; BadState where there is none."""
-        if not (Path(folder) / FILE).is_file():
-            raise BadState(f"{folder}: no state folder: {FILE} is not there")
+        """Open a folder that exists, of any ingress; raises StateFolderError where there is none."""
+        if not (Path(folder) / DATABASE_FILE).is_file():
+            raise StateFolderError(f"{folder}: no state folder: {DATABASE_FILE} is not there")
         return cls(folder, None)
 
-    def _open(self, name: str | None, sync: str, most: float) -> None:
-        path = self.folder / FILE
+    def _acquire_lock(self) -> int:
+        """Return the descriptor of the lock file, locked by this process."""
+        try:
+            self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
+            lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
+        except OSError as error:
+            raise StateFolderError(f"{self.folder}: {error.strerror}") from error
+        owner = os.fstat(lock).st_uid
+        if owner != os.geteuid():
+            os.close(lock)
+            raise StateFolderError(f"{self.folder}: it is user {owner}'s, this is user {os.geteuid()}")
+        try:
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            os.close(lock)
+            raise StateFolderError(f"{self.folder}: another process holds it") from None
+        return lock
+
+    def _open(self, name: str | None, sync: str, max_bytes: float) -> None:
+        path = self.folder / DATABASE_FILE
         self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=0.0)
         self.db.execute("PRAGMA journal_mode=WAL")
         self.db.execute(f"PRAGMA synchronous={sync}")
-        self.db.execute(f"PRAGMA max_page_count={max(16, int(most / PAGE))}")
+        self.db.execute(f"PRAGMA max_page_count={max(MIN_PAGES, int(max_bytes / PAGE_BYTES))}")
         self.db.execute("CREATE TABLE IF NOT EXISTS life (number INTEGER PRIMARY KEY, body BLOB)")
         for table in ("member", "room", "fact"):
             self.db.execute(f"CREATE TABLE IF NOT EXISTS {table} (key INTEGER PRIMARY KEY, body BLOB)")
-        self.spoilt = 0  # records that could not be read
-        self.life: Life | None = None  # that has begun here
-        self.before = self._last_life()
-        if self.before is not None and self.before.format > FORMAT:
-            raise BadState(f"{path}: format {self.before.format}, this program reads up to {FORMAT}")
-        if self.before is not None and name is not None and self.before.name != name:
-            raise BadState(f"{path}: it is of ingress {self.before.name!r}, this is {name!r}")
-        self.inode = path.stat().st_ino
-        # Copied with all that is in it: the one it was copied from may live, and write back the same units.
-        self.twin = self.before is not None and self.before.inode != self.inode
-
-    def _last_life(self) -> Life | None:
-        for _, body in self.db.execute("SELECT number, body FROM life ORDER BY number DESC LIMIT 4"):
+        self.corrupt_records = 0
+        self.current: IncarnationRecord | None = None  # of this process, once it has started
+        self.previous = self._read_last_incarnation()
+        if self.previous is not None:
+            self._check_previous(self.previous, name)
+        self._inode = path.stat().st_ino
+        # A copy holds all that its original holds: the original may be alive, and write back the same units.
+        self.is_copy = self.previous is not None and self.previous.inode != self._inode
+
+    def _check_previous(self, previous: IncarnationRecord, name: str | None) -> None:
+        path = self.folder / DATABASE_FILE
+        if previous.format > FORMAT:
+            raise StateFolderError(f"{path}: format {previous.format}, this program reads up to {FORMAT}")
+        if name is not None and previous.name != name:
+            raise StateFolderError(f"{path}: it is of ingress {previous.name!r}, this is {name!r}")
+
+    def _read_last_incarnation(self) -> IncarnationRecord | None:
+        newest = f"SELECT number, body FROM life ORDER BY number DESC LIMIT {INCARNATIONS_READ}"
+        for _, body in self.db.execute(newest):
             try:
-                return read_life(body)
-            except BadRecord:
-                self.spoilt += 1
+                return decode_incarnation(body)
+            except RecordError:
+                self.corrupt_records += 1
         return None
 
-    def begin(self, name: str, now: float) -> Life:
-        """Note that a life begins: by number and by time after all before, whatever the clock says.
+    def start_incarnation(self, name: str, now: float) -> IncarnationRecord:
+        """Record that an incarnation has started, and return it.
 
-        Its predecessor's rooms go in the same commit: this life may spend them, and none after it may count on them.
+        Its number and its start are above those of all before, whatever the clock says. Its predecessor's reservations
+        are deleted in the same commit: this incarnation may spend them, and none after it may count on them.
         """
-        last = self.before
-        number = (last.number if last else 0) + self.spoilt + 1
-        life = Life(name, number, max(now, last.began + 0.001 if last else now), self.inode)
-        self._all_or_nothing(
+        previous = self.previous
+        number = (previous.number if previous else 0) + self.corrupt_records + 1
+        started_at = max(now, previous.started_at + MIN_INCARNATION_GAP_S) if previous else now
+        incarnation = IncarnationRecord(name, number, started_at, self._inode)
+        self._transaction(
             [
-                ("INSERT OR REPLACE INTO life VALUES (?, ?)", (number, pack(life))),
-                ("DELETE FROM life WHERE number < ?", (number - 8,)),
+                ("INSERT OR REPLACE INTO life VALUES (?, ?)", (number, encode(incarnation))),
+                ("DELETE FROM life WHERE number < ?", (number - INCARNATIONS_KEPT,)),
                 ("DELETE FROM room", ()),
             ]
         )
-        self.life = life
-        return life
-
-    def end(self, now: float) -> None:
-        """Note that the life has ended in order, with all of its changes committed."""
-        life = self.life
-        if life is not None:
-            ended = Life(life.name, life.number, life.began, life.inode, life.format, max(now, life.began))
-            self._all_or_nothing([("INSERT OR REPLACE INTO life VALUES (?, ?)", (life.number, pack(ended)))])
+        self.current = incarnation
+        return incarnation
+
+    def record_shutdown(self, now: float) -> None:
+        """Record that the current incarnation has ended in order, with all of its changes committed."""
+        current = self.current
+        if current is None:
+            return
+        ended = IncarnationRecord(
+            current.name,
+            current.number,
+            current.started_at,
+            current.inode,
+            current.format,
+            max(now, current.started_at),
+        )
+        self._transaction([("INSERT OR REPLACE INTO life VALUES (?, ?)", (current.number, encode(ended)))])
 
-    def _readable(self, table: str, read: Callable[[bytes], T]) -> Iterator[T]:
+    def _readable(self, table: str, decode: Callable[[bytes], T]) -> Iterator[T]:
         for (body,) in self.db.execute(f"SELECT body FROM {table}"):
             try:
-                yield read(body)
-            except BadRecord:
-                self.spoilt += 1
+                yield decode(body)
+            except RecordError:
+                self.corrupt_records += 1
 
-    def members(self) -> Iterator[Member]:
-        """All that can be read; the rest is counted in `spoilt`."""
-        return self._readable("member", read_member)
+    def members(self) -> Iterator[MemberRecord]:
+        """Yield the members that can be read; the others are counted in `corrupt_records`."""
+        return self._readable("member", decode_member)
 
-    def rooms(self) -> Iterator[Room]:
-        """All that can be read; the rest is counted in `spoilt`. Before `begin`."""
-        return self._readable("room", read_room)
+    def reservations(self) -> Iterator[ReservationRecord]:
+        """Yield the predecessor's reservations that can be read; to be called before `start_incarnation`."""
+        return self._readable("room", decode_reservation)
 
     def learned(self) -> Learned | None:
-        """What an earlier life had learned; None where there is nothing to be read."""
-        return next(self._readable(f"fact WHERE key = {LEARNED[1]}", read_learned), None)
+        """Return what an earlier incarnation had learned of backends; None where nothing can be read."""
+        return next(self._readable(f"fact WHERE key = {LEARNED_KEY.key}", decode_learned), None)
 
-    def listed(self) -> Listed | None:
-        """The last list of servers; None where there is nothing to be read."""
-        return next(self._readable(f"fact WHERE key = {LISTED[1]}", read_listed), None)
+    def endpoint_list(self) -> EndpointListRecord | None:
+        """Return the last list of servers; None where nothing can be read."""
+        return next(self._readable(f"fact WHERE key = {ENDPOINT_LIST_KEY.key}", decode_endpoint_list), None)
 
-    def damage(self) -> str:
-        """What the file's own structure is damaged by, in one line; empty where it is whole. Reads all of it."""
+    def integrity_errors(self) -> str:
+        """Return the damage to the file's own structure in one line; empty where there is none. Reads all of it."""
         try:
             found = "; ".join(row[0] for row in self.db.execute("PRAGMA quick_check(3)"))
         except sqlite3.DatabaseError as error:
             return str(error)
         return "" if found == "ok" else " ".join(found.split())
 
-    def commit(self, bodies: Iterable[tuple[Slot, bytes | None]]) -> None:
-        """Write records, or delete those of None, all or nothing. sqlite3.Error where the disk will not take them."""
-        self._all_or_nothing(
+    def commit(self, bodies: Iterable[tuple[RecordKey, bytes | None]]) -> None:
+        """Write records, or delete those whose body is None, all or nothing.
+
+        Raises sqlite3.Error where the disk does not take them.
+        """
+        self._transaction(
             (f"DELETE FROM {table} WHERE key = ?", (key,))
             if body is None
             else (f"INSERT OR REPLACE INTO {table} VALUES (?, ?)", (key, body))
             for (table, key), body in bodies
         )
 
-    def _all_or_nothing(self, steps: Iterable[tuple[str, tuple[object, ...]]]) -> None:
+    def _transaction(self, steps: Iterable[tuple[str, tuple[object, ...]]]) -> None:
         self.db.execute("BEGIN IMMEDIATE")
         try:
             for statement, values in steps:
@@ -190,8 +233,8 @@
             raise
 
     def close(self) -> None:
-        """Let the folder go. A second time does nothing."""
-        db = getattr(self, "db", None)
+        """Close the file and release the folder. A second call does nothing."""
+        db = getattr(self, "db", None)  # absent where opening it failed
         if db is not None:
             db.close()
         if self._lock >= 0:
