--- a/benchmarks/beginning.py
+++ b/benchmarks/beginning.py
@@ -13,7 +13,7 @@
 
 from tests.quota.test_beginning import AT_ONCE, begun, refused
 from tests.quota.world import BASIC, PLUS
-from thistleusher.quota.escrow import Terms, epoch_length
+from thistleusher.quota.terms import Terms, epoch_length
 
 STARTS = {
     "3 within 50 ms": AT_ONCE,
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -19,7 +19,7 @@
 from standins.fleet import HALLS, Fleet, Options, settings
 from standins.match import Shape
 from standins.records import Answered, Records
-from thistleusher.quota.bound import Assumed, bound_of
+from thistleusher.quota.bound import Assumptions, bound_of
 from thistleusher.settings import nested_settings
 
 LATE_S = 0.15  # that a busy machine may add to a datagram's way
@@ -120,7 +120,7 @@
     delay = sum(f.value for f in o.faults if f.do == "relay.delay") + LATE_S
     cut = any(f.do == "relay.isolate" for f in o.faults)
     lives = restarts(o)
-    assumed = Assumed(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
+    assumed = Assumptions(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
     out = {}
     for plan in told.plans:
         b = bound_of(told, plan, assumed)
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -30,8 +30,7 @@
 from thistleusher.net.counters_file import read_counters
 from thistleusher.net.discovery import Watch, read_listing_text
 from thistleusher.net.server import ClientConnection, IngressServer
-from thistleusher.quota.escrow import ROW, SETTLED
-from thistleusher.quota.incarnations import HELLO, HELLO_MARK
+from thistleusher.quota.messages import BALANCE_FORMAT, HANDSHAKE_FORMAT, HANDSHAKE_MARK, TRANSFER_FORMAT
 from thistleusher.services.counter import Add, Link
 from thistleusher.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
 from thistleusher.settings import nested_settings
@@ -305,7 +304,7 @@
     b'"group":3,"status":"SERVING","weight":1.0,"since_ms":0},{"name":"t","address":"10.1.0.18:8080","status":"DELETED"}]}\n'
 )
 _LIFE = (5000_000).to_bytes(8)
-_ROW = ROW.pack(name_of(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
+_ROW = TRANSFER_FORMAT.pack(name_of(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
 _SCRIPT = b'[[fault]]\nat = 2.0\ndo = "match.slow"\ntarget = 3\nfor = 1.5\nvalue = 0.2\n'
 
 
@@ -361,11 +360,11 @@
             b"\x02" + _LIFE + _ROW,
             b"\x03" + _LIFE + _ROW,
             b"\x05" + _LIFE + _ROW,
-            b"\x06" + _LIFE + SETTLED.pack(name_of(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
+            b"\x06" + _LIFE + BALANCE_FORMAT.pack(name_of(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
             TOLD_MARK,
             b"12345",
-            HELLO_MARK + HELLO.pack(5000_000, 5000_000, 5000_000, 0),
-            HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
+            HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5000_000, 5000_000, 5000_000, 0),
+            HANDSHAKE_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
         ),
     ),
     "config": (_file(_config, InvalidConfiguration), (_config_bytes(),)),
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -21,7 +21,7 @@
 from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
 from thistleusher.net.config import read_config
 from thistleusher.net.daemon import Daemon
-from thistleusher.quota.incarnations import HELLO_MARK
+from thistleusher.quota.messages import HANDSHAKE_MARK
 from thistleusher.settings import nested_settings
 
 INSTANCES = 3
@@ -113,7 +113,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = self.gateway.handle(now, event)
         # Greetings cross in any order; nothing is decided on them here.
-        greeting = isinstance(event, events.PeerMessage) and event.payload[:1] == HELLO_MARK
+        greeting = isinstance(event, events.PeerMessage) and event.payload[:1] == HANDSHAKE_MARK
         if not isinstance(event, events.ListUpdate) and not greeting:
             self.log.append((round(now, 6), event, list(actions)))
         self.replies += isinstance(event, events.CounterReply)
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -9,7 +9,7 @@
 from tests.quota.world import BASIC, CounterModel, World, settings
 from thistleusher.core import events
 from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
-from thistleusher.quota.bound import Assumed, bound_of, table
+from thistleusher.quota.bound import Assumptions, bound_of, format_table
 
 FLEET, WIDE, NARROW = 60, 50, 5
 MEMBERS = 240
@@ -109,7 +109,7 @@
     load(w, 5.0)
     assert vain(w) <= refused
     assert w.beyond("basic")[0] <= wide and w.beyond("plus")[0] <= narrow
-    assert w.beyond("plus")[1] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumed(), NARROW).ceiling
+    assert w.beyond("plus")[1] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).ceiling
 
 
 def test_all_begin_together_without_a_storm():
@@ -123,7 +123,9 @@
     w = fleet()
     load(w, 6.0, hot=0.5)
     assert w.spilt == 0
-    assert w.beyond("plus")[0] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumed(), NARROW).quota_in_touch
+    assert (
+        w.beyond("plus")[0] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).quota_in_touch
+    )
 
 
 def test_a_member_who_moves_to_another_set_keeps_its_quota():
@@ -187,18 +189,18 @@
         w.at(n / 30, lambda n=n: w.ask(n % FLEET, 1, "basic", 4.0, 0, FLEET))  # type: ignore[misc]
     w.run(8.0)
     assert FLEET - 2 <= w.served <= FLEET + FLEET // 10  # and what has refilled meanwhile
-    assert w.beyond("basic")[0] <= bound_of(settings(0, FLEET), BASIC, Assumed()).quota_cut_off
+    assert w.beyond("basic")[0] <= bound_of(settings(0, FLEET), BASIC, Assumptions()).quota_cut_off
 
 
 def test_the_bound_says_what_it_assumes_of_a_large_fleet():
     told = settings(0, 200)
-    wide, narrow = bound_of(told, BASIC, Assumed(), 120), bound_of(told, told.plans[1], Assumed(), 13)
-    few = bound_of(settings(0, 3), told.plans[1], Assumed(), 3)
+    wide, narrow = bound_of(told, BASIC, Assumptions(), 120), bound_of(told, told.plans[1], Assumptions(), 13)
+    few = bound_of(settings(0, 3), told.plans[1], Assumptions(), 3)
     assert wide.quota_in_touch < 4 * BASIC.burst  # as homes are few, not as the set is wide
-    assert narrow.stale > few.stale  # a budget over 24 peers
-    lines = table(told, Assumed())
+    assert narrow.staleness > few.staleness  # a budget over 24 peers
+    lines = format_table(told, Assumptions())
     assert len(lines) < 40 and "inboxes take in 100" in "".join(lines)
-    assert "inboxes" not in "".join(table(settings(0, 3), Assumed()))
+    assert "inboxes" not in "".join(format_table(settings(0, 3), Assumptions()))
 
 
 def test_a_ceiling_is_kept_while_peers_are_deaf_and_a_crowded_counter_answers_few():
@@ -230,8 +232,10 @@
 
 
 def test_a_request_waits_for_shares_that_the_others_have():
-    """One ingress of twelve gets all that a member asks, four units at once. Refused at once, 26 of 30 are served:
-    what peers give comes too late for the others."""
+    """One ingress of twelve gets all that a member asks, four units at once.
+
+    Rejected at once, 26 of 30 are served: what peers give comes too late for the others.
+    """
     w = fleet()
     w.counters[0].silent = True
     for n in range(30):
--- /dev/null
+++ b/tests/gossip/test_outbox.py
@@ -0,0 +1,56 @@
+"""The outbox: updates merged, paced and bounded, and keep-alives."""
+
+from __future__ import annotations
+
+import random
+
+from thistleusher.gossip import Outbox
+from thistleusher.gossip.outbox import BURST_S, CONTACT_S, KEEP_ALIVE_S, LAZY_DELAY_S
+
+
+def test_no_traffic_makes_an_outbox_send_more_than_its_budget():
+    rng, box, sent, now = random.Random(4), Outbox(50.0, 28, 0.0), [], 0.0
+    for _ in range(200):  # 20 s of ticks; 40 peers, all of them told something in each
+        for _ in range(100):
+            box.mark_changed(now, rng.randrange(1000), [rng.randrange(40) for _ in range(5)])
+        sent += [(now, peer) for peer, _ in box.take(now)]
+        now += 0.1
+    assert len(sent) <= 50.0 * (20.0 + BURST_S)
+    assert len(sent) >= 45.0 * 20.0  # and it uses what it has
+    per = [sum(1 for _, peer in sent if peer == p) for p in range(40)]
+    assert max(per) <= min(per) + 2  # the longest waiting first: nobody is left out
+
+
+def test_what_waits_is_merged_and_a_message_holds_so_many():
+    box = Outbox(50.0, 3, 0.0)
+    for _ in range(10):
+        for key in range(4):
+            box.mark_changed(0.0, key, [1])
+    assert box.take(0.0) == [(1, [0, 1, 2])]
+    assert box.take(0.1) == [(1, [3])] and box.take(0.2) == []
+
+
+def test_a_reconciliation_waits_for_others_to_go_with_but_not_for_ever():
+    box = Outbox(50.0, 28, 0.0)
+    box.mark_changed(0.0, 7, [1], lazy=True)
+    assert box.take(0.1) == []
+    box.mark_changed(0.1, 8, [1])
+    assert box.take(0.1) == [(1, [7, 8])]
+    box.mark_changed(0.2, 7, [1], lazy=True)
+    assert box.take(0.2 + LAZY_DELAY_S) == [(1, [7])]
+
+
+def test_peers_with_common_members_get_keep_alives_and_nobody_else():
+    box = Outbox(50.0, 28, 0.0)
+    box.keep_contact(0.0, [1])
+    heard = [n / 10 for n in range(100) if box.take(n / 10)]
+    assert heard[0] == 0.0 and all(b - a <= KEEP_ALIVE_S + 0.11 for a, b in zip(heard, heard[1:], strict=False))
+    assert heard[-1] <= CONTACT_S and not box.has_work()
+
+
+def test_a_peer_that_sends_an_update_is_answered_once_in_a_while():
+    box = Outbox(50.0, 28, 0.0)
+    box.answer_update(0.0, 1)
+    assert box.take(0.0) == [(1, [])]
+    box.answer_update(0.1, 1)
+    assert box.take(0.1) == [] and not box.has_work()
--- a/tests/quota/test_beginning.py
+++ b/tests/quota/test_beginning.py
@@ -12,9 +12,11 @@
 from tests.quota.test_escrow import START, Set
 from tests.quota.world import BASIC, PLUS, TIMEOUT, World, settings
 from thistleusher.core import actions
-from thistleusher.quota.bound import Assumed, bound_of
-from thistleusher.quota.escrow import GIVE_MARK, HEAD, epoch_length
-from thistleusher.quota.incarnations import FORGET_S, HELLO, HELLO_MARK, JOINT_MS, Incarnations
+from thistleusher.quota.bootstrap import JOINT_START_MS, Bootstrap
+from thistleusher.quota.bound import Assumptions, bound_of
+from thistleusher.quota.incarnations import FORGET_AFTER_S
+from thistleusher.quota.messages import HANDSHAKE_FORMAT, HANDSHAKE_MARK, HEADER_BYTES, TRANSFER_MARK
+from thistleusher.quota.terms import epoch_length
 
 FIRST = 6 * int(os.environ.get("SOAK_SEED", "0"))
 SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))
@@ -54,7 +56,7 @@
 def within(w, plan="plus", joint=0, assumed=None):
     """No member has more than is stated, for so many joint restarts."""
     p = PLUS if plan == "plus" else BASIC
-    b = bound_of(settings(0, w.instances), p, assumed or Assumed(0.0, 0.01, outage=SECONDS))
+    b = bound_of(settings(0, w.instances), p, assumed or Assumptions(0.0, 0.01, outage=SECONDS))
     quota, ceiling = w.beyond(plan)
     assert quota <= b.quota_cut_off + joint * b.quota_restart, (quota, b)
     if b.ceiling is not None:
@@ -108,7 +110,7 @@
         w.counters[0].silent = True
         w.loss, w.delay = 0.2, 0.5
         ask_for(w, SECONDS)
-        within(w, assumed=Assumed(0.2, 0.5, skew=0.5, outage=SECONDS))
+        within(w, assumed=Assumptions(0.2, 0.5, skew=0.5, outage=SECONDS))
         assert refused(w) < 0.35, refused(w)  # a greeting and its answer take half a second here, and a gift as long
 
 
@@ -205,7 +207,7 @@
     w.run(0.1)
     book = {g.sharing.escrow.me: g.sharing.escrow.allowances.get((1, 0)) for g in w.gateways if g is not None}
     gained = sum(a.taken.get(1, (0, 0))[0] for a in book.values() if a is not None)
-    assert 0 < gained < share and [a for a in told if isinstance(a, actions.Tell) and a.payload[:1] == GIVE_MARK]
+    assert 0 < gained < share and [a for a in told if isinstance(a, actions.Tell) and a.payload[:1] == TRANSFER_MARK]
 
 
 @pytest.mark.parametrize("part", range(4))
@@ -235,7 +237,7 @@
             ask_for(w, rng.choice((0.05, 0.3, 1.0)), plan, rng.choice((20.0, 80.0)), rng.choice((1, 3)), seed)
         # Who begins while greetings are lost may be one of those that begin together once more.
         joint = ends if lossy else joint
-        assumed = Assumed(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
+        assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         try:
             within(w, plan, joint + (ends if plan == "basic" else 0), assumed)
         except AssertionError as error:
@@ -259,90 +261,108 @@
     s.wire = wants
     s.deliver(0)
     late = [m for m in s.wire if m[0] == 1]  # what the earlier life of 1 gave
-    assert late and late[0][2][:1] == GIVE_MARK
+    assert late and late[0][2][:1] == TRANSFER_MARK
     s.wire = []
     s.now += 0.01
     s.restart(1)
     s.settle()
     a = s.nodes[2].allowances[0, 7]
-    before = a.share, a.room
+    before = a.share, a.headroom
     s.wire = late
     s.settle()
-    assert (a.share, a.room) == before  # it was told to nobody that it had been taken
-    assert 1 in s.nodes[2].lives.earlier
+    assert (a.share, a.headroom) == before  # it was told to nobody that it had been taken
+    assert 1 in s.nodes[2].bootstrap.incarnations.restarted
 
 
-def lives_of(count, began):
-    return [Incarnations(count, n, at, 6.0) for n, at in enumerate(began)]
+def bootstraps_of(count, began):
+    return [Bootstrap(count, n, at, 6.0) for n, at in enumerate(began)]
 
 
-def greet(lives, now, lost=()):
+def greet(bootstraps, now, lost=()):
     """All that is due and its answers go out; greetings from or to `lost` do not come."""
-    wire = [(sender.me, peer, m) for sender in lives for peer, m in sender.greetings(now)]
+    wire = [(sender.me, peer, m) for sender in bootstraps for peer, m in sender.due_handshakes(now)]
     sent = 0
     while wire:
         sender, peer, message = wire.pop(0)
         sent += 1
         if not {sender, peer} & set(lost):
-            answer = lives[peer].heard(now, sender, message)
+            answer = bootstraps[peer].receive(now, sender, message)
             if answer is not None:
                 wire.append((peer, sender, answer))
     return sent
 
 
 def test_all_are_settled_after_one_exchange_and_then_silent():
-    lives = lives_of(5, [100.0, 100.01, 100.02, 100.03, 100.04])
-    greet(lives, 100.1)
+    bootstraps = bootstraps_of(5, [100.0, 100.01, 100.02, 100.03, 100.04])
+    greet(bootstraps, 100.1)
     everybody = tuple(range(5))
-    assert all(x.young(everybody) and x.greet_in(100.2) is None for x in lives)
-    assert greet(lives, 101.0) == 0
+    assert all(x.started_together(everybody) and x.handshake_delay(100.2) is None for x in bootstraps)
+    assert greet(bootstraps, 101.0) == 0
 
 
 def test_one_that_never_comes_is_greeted_less_and_less_and_not_for_ever():
-    lives = lives_of(3, [100.0] * 3)
+    bootstraps = bootstraps_of(3, [100.0] * 3)
     sent, now = 0, 100.0
-    while (wait := lives[0].greet_in(now)) is not None:
-        sent += greet(lives[:1], now, lost=(1, 2))
+    while (wait := bootstraps[0].handshake_delay(now)) is not None:
+        sent += greet(bootstraps[:1], now, lost=(1, 2))
         now += wait
-    assert 40 < sent < 100 and now < 109.0 and not lives[0].young((0, 1, 2)) and lives[0].young((0,))
+    assert (
+        40 < sent < 100
+        and now < 109.0
+        and not bootstraps[0].started_together((0, 1, 2))
+        and bootstraps[0].started_together((0,))
+    )
 
 
 def test_a_life_that_a_peer_has_followed_is_not_young_again():
-    lives = lives_of(3, [100.0] * 3)
-    greet(lives, 100.0)
-    lives[1] = Incarnations(3, 1, 101.0, 6.0)
-    greet(lives, 101.0)
-    assert lives[1].known and not lives[1].young((0, 1, 2)) and lives[0].young((0, 1, 2))
+    bootstraps = bootstraps_of(3, [100.0] * 3)
+    greet(bootstraps, 100.0)
+    bootstraps[1] = Bootstrap(3, 1, 101.0, 6.0)
+    greet(bootstraps, 101.0)
+    assert (
+        bootstraps[1].known_before
+        and not bootstraps[1].started_together((0, 1, 2))
+        and bootstraps[0].started_together((0, 1, 2))
+    )
     for n in (0, 2):  # through the whole fleet, one overlapping the other
-        lives[n] = Incarnations(3, n, 102.0 + n, 6.0)
-        greet(lives, 102.0 + n)
-        assert not lives[n].young((0, 1, 2))
-    lives = lives_of(3, [200.0, 200.0, 200.0 + 2 * JOINT_MS / 1000])  # the last begins long after the others
-    greet(lives[:2] + [Incarnations(3, 2, 0.0, 6.0)], 200.0, lost=(2,))
-    greet(lives, 215.0)
-    assert not lives[2].young((0, 1, 2)) and lives[0].young((0, 1, 2))
+        bootstraps[n] = Bootstrap(3, n, 102.0 + n, 6.0)
+        greet(bootstraps, 102.0 + n)
+        assert not bootstraps[n].started_together((0, 1, 2))
+    bootstraps = bootstraps_of(
+        3, [200.0, 200.0, 200.0 + 2 * JOINT_START_MS / 1000]
+    )  # the last begins long after the others
+    greet(bootstraps[:2] + [Bootstrap(3, 2, 0.0, 6.0)], 200.0, lost=(2,))
+    greet(bootstraps, 215.0)
+    assert not bootstraps[2].started_together((0, 1, 2)) and bootstraps[0].started_together((0, 1, 2))
 
 
 def test_an_earlier_name_is_listened_to_once_the_later_one_has_long_been_silent():
-    a = Incarnations(2, 0, 100.0, 6.0)
-    late, early = Incarnations(2, 1, 100.0, 6.0), Incarnations(2, 1, 40.0, 6.0)  # its clock was put back
-    assert a.heard(100.0, 1, late.hello(100.0, 0)) is not None
-    assert a.heard(101.0, 1, early.hello(101.0, 0)) is None and a.lives[1] == late.life
-    assert a.heard(101.0 + FORGET_S, 1, early.hello(111.0, 0)) is not None and a.lives[1] == early.life
+    a = Bootstrap(2, 0, 100.0, 6.0)
+    late, early = Bootstrap(2, 1, 100.0, 6.0), Bootstrap(2, 1, 40.0, 6.0)  # its clock was put back
+    assert a.receive(100.0, 1, late.handshake(100.0, 0)) is not None
+    assert a.receive(101.0, 1, early.handshake(101.0, 0)) is None and a.incarnations.current[1] == late.incarnation
+    assert (
+        a.receive(101.0 + FORGET_AFTER_S, 1, early.handshake(111.0, 0)) is not None
+        and a.incarnations.current[1] == early.incarnation
+    )
 
 
 @pytest.mark.parametrize(
     "payload",
     [
-        HELLO_MARK,
-        HELLO_MARK + bytes(3),
-        HELLO_MARK + HELLO.pack(5, 0, 0, 0),
-        HELLO_MARK + HELLO.pack(5, 0, 9, 0),
-        HELLO_MARK + bytes(HELLO.size + 1),
-        GIVE_MARK + bytes(HEAD - 2),
+        HANDSHAKE_MARK,
+        HANDSHAKE_MARK + bytes(3),
+        HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5, 0, 0, 0),
+        HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5, 0, 9, 0),
+        HANDSHAKE_MARK + bytes(HANDSHAKE_FORMAT.size + 1),
+        TRANSFER_MARK + bytes(HEADER_BYTES - 2),
     ],
 )
 def test_greetings_that_cannot_be_used_change_nothing(payload):
     node = Set(TERMS).nodes[0]
-    assert node.receive(START, 1, payload) == [] and not node.lives.clean and node.lives.origin == node.lives.life
-    assert node.receive(START, 0, HELLO_MARK + HELLO.pack(5, 0, 5, 0)) == []  # its own
+    assert (
+        node.receive(START, 1, payload) == []
+        and not node.bootstrap.reconciled_at
+        and node.bootstrap.origin == node.bootstrap.incarnation
+    )
+    assert node.receive(START, 0, HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5, 0, 5, 0)) == []  # its own
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -11,32 +11,23 @@
 from hypothesis import strategies as st
 
 from thistleusher.core.datagrams import name_of
-from thistleusher.quota.escrow import (
-    GIVE_MARK,
-    GRAIN,
-    HEAD,
-    KEEP,
-    ROW,
-    WANT_MARK,
-    WHOLE,
-    EscrowTable,
-    Terms,
-    epoch_length,
-)
+from thistleusher.quota.escrow import EscrowTable
+from thistleusher.quota.messages import DEMAND_MARK, HEADER_BYTES, TRANSFER_FORMAT, TRANSFER_MARK
+from thistleusher.quota.terms import GRAINS_PER_UNIT, GUARANTEED_FRACTION, WHOLE_SHARE, Terms, epoch_length
 
 SEED = os.environ.get("SOAK_SEED")  # fresh ones for longer runs; CI has the same examples every time
 EXAMPLES = int(os.environ.get("LEDGER_EXAMPLES", "1200"))  # a longer run: LEDGER_EXAMPLES=20000 python -m pytest
 PLUS = Terms(10.0, 30.0)
-BASIC = Terms(2.0, 8.0, least=4.0)
+BASIC = Terms(2.0, 8.0, min_burst=4.0)
 START = 1000.0
-LIFE = bytes(HEAD - 1)
+LIFE = bytes(HEADER_BYTES - 1)
 
 
 class Store:
     """The allowance itself: what one bucket would have let in."""
 
     def __init__(self, terms: Terms, width: int) -> None:
-        self.rate, self.most = terms.rate, terms.burst + width * terms.least
+        self.rate, self.most = terms.rate, terms.burst + width * terms.min_burst
         self.level, self.at, self.worst = 0.0, START, 0.0
 
     def pour(self, now: float, units: float) -> None:
@@ -83,7 +74,9 @@
         """The shares in effect add up to at most the whole, wherever all are in one epoch."""
         own = [a for node in self.nodes for a in node.allowances.values()]
         if {a.epoch for a in own} == {int(self.now // epoch_length(self.terms))}:
-            assert sum(a.share for a in own) <= WHOLE, [(a.me, a.share, a.given, a.taken, a.open) for a in own]
+            assert sum(a.share for a in own) <= WHOLE_SHARE, [
+                (a.me, a.share, a.given, a.taken, a.unreconciled) for a in own
+            ]
 
     def settle(self) -> None:
         while self.wire:
@@ -199,7 +192,7 @@
         s.now += 0.06
     served = sum(s.ask(1, 1.0) for _ in range(12))
     assert s.served >= 2 + 3 and served >= 2
-    assert s.nodes[1].allowances[0, 7].part() > 0.55
+    assert s.nodes[1].allowances[0, 7].fraction() > 0.55
 
 
 def test_service_follows_a_member_that_moves_and_stays_close_to_one_store():
@@ -226,17 +219,17 @@
     s.deliver(0)
     gift = s.wire.pop()
     a = s.nodes[1].allowances[0, 7]
-    before = a.share, a.room
+    before = a.share, a.headroom
     s.now += 0.06
     s.ask(1, 4.0)
     s.wire = [w for w in s.wire if w[1] == 0]
     s.deliver(0)  # asked again, it tells the same totals
     s.settle()
-    after = a.share, a.room
+    after = a.share, a.headroom
     assert after[0] > before[0] and after[1] > before[1]
     s.wire = [gift, gift]
     s.settle()
-    assert a.share == after[0] and a.room == pytest.approx(after[1])
+    assert a.share == after[0] and a.headroom == pytest.approx(after[1])
 
 
 def test_an_ingress_that_began_within_an_epoch_holds_what_it_cannot_have_given_until_peers_answer():
@@ -244,17 +237,19 @@
     length = epoch_length(PLUS)
     s.now = START - START % length + length + 1.0
     s.restart(1)
-    greetings, s.wire = s.wire, []
-    assert not s.ask(1, 1.0) and s.nodes[1].allowances[0, 7].part() == pytest.approx(KEEP / 3, abs=0.01)
-    s.wire = greetings
+    handshakes, s.wire = s.wire, []
+    assert not s.ask(1, 1.0) and s.nodes[1].allowances[0, 7].fraction() == pytest.approx(
+        GUARANTEED_FRACTION / 3, abs=0.01
+    )
+    s.wire = handshakes
     s.settle()
     s.ask(1, 1.0)
-    assert not s.nodes[1].allowances[0, 7].open and s.nodes[1].allowances[0, 7].part() >= 0.33
+    assert not s.nodes[1].allowances[0, 7].unreconciled and s.nodes[1].allowances[0, 7].fraction() >= 0.33
     s.restart(1)
     s.wire = []  # nobody answers
     s.now += length
     s.ask(1, 1.0)
-    assert s.nodes[1].allowances[0, 7].part() == pytest.approx(1 / 3, abs=0.01)
+    assert s.nodes[1].allowances[0, 7].fraction() == pytest.approx(1 / 3, abs=0.01)
 
 
 def test_room_that_was_spent_before_a_restart_is_not_taken_again():
@@ -266,19 +261,19 @@
     while s.ask(1, 1.0):  # what it was given
         pass
     s.restart(1)
-    left = sum(n.allowances[0, 7].room for n in s.nodes if n is not s.nodes[1])
+    left = sum(n.allowances[0, 7].headroom for n in s.nodes if n is not s.nodes[1])
     s.ask(1, 1.0)
     s.settle()
     a = s.nodes[1].allowances[0, 7]
-    assert a.share > 0 and a.room < left  # peers' room, and nothing else
+    assert a.share > 0 and a.headroom < left  # peers' room, and nothing else
 
 
-def test_what_others_let_in_lowers_the_room_when_it_is_asked_anew():
+def test_what_others_let_in_lowers_the_headroom_when_it_is_asked_anew():
     node = EscrowTable(3, 0, 0.0, (PLUS,))
     assert not node.admit(START, 0, 7, 0, 3, 4.0, spent=20.0)  # a third of the 10 that are left
     assert node.admit(START, 0, 7, 0, 3, 3.0, spent=20.0)
     node.spend(START, 0, 7, 100.0)
-    assert node.allowances[0, 7].room == -PLUS.burst  # not without end
+    assert node.allowances[0, 7].headroom == -PLUS.burst  # not without end
     assert not node.admit(START + 5.0, 0, 7, 0, 3, 1.0, spent=0.0)
 
 
@@ -287,10 +282,10 @@
     s.ask(1, 1.0)
     a = s.nodes[1].allowances[0, 7]
     s.ask(1, 1.0, width=1, first=1)
-    assert a.set == (0, 1, 2)
+    assert a.members == (0, 1, 2)
     s.now += epoch_length(PLUS)
     s.ask(1, 1.0, width=1, first=1)
-    assert a.set == (1,) and a.part() == 1.0
+    assert a.members == (1,) and a.fraction() == 1.0
 
 
 def test_plans_without_terms_are_let_through_and_idle_allowances_forgotten():
@@ -299,7 +294,7 @@
     for member in range(100):
         node.admit(START + member * 0.001, 1, member, 0, 3, 4.0, 0.0)
     assert len(node.allowances) == 100
-    node.admit(START + node.kept + 1, 1, 999, 0, 3, 4.0, 0.0)
+    node.admit(START + node.retention + 1, 1, 999, 0, 3, 4.0, 0.0)
     assert list(node.allowances) == [(1, 999)]
 
 
@@ -308,24 +303,24 @@
     [
         b"",
         b"x",
-        WANT_MARK,
-        GIVE_MARK + b"123",
-        GIVE_MARK + LIFE + b"123",
-        b"\x09" + LIFE + bytes(ROW.size),
-        WANT_MARK + LIFE + ROW.pack(name_of(99, 7), 0, 0, 3, 0, 9),
-        WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 0, 0, 9),
-        WANT_MARK + LIFE + ROW.pack(name_of(0, 7), 0, 0, 9, 0, 9),
-        GIVE_MARK + LIFE + ROW.pack(name_of(0, 7), 77, 0, 3, 4096, 0xFFFF),
+        DEMAND_MARK,
+        TRANSFER_MARK + b"123",
+        TRANSFER_MARK + LIFE + b"123",
+        b"\x09" + LIFE + bytes(TRANSFER_FORMAT.size),
+        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(99, 7), 0, 0, 3, 0, 9),
+        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(0, 7), 0, 0, 0, 0, 9),
+        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(0, 7), 0, 0, 9, 0, 9),
+        TRANSFER_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(0, 7), 77, 0, 3, 4096, 0xFFFF),
     ],
 )
 def test_messages_that_cannot_be_used_change_nothing(payload):
     node = EscrowTable(3, 0, 0.0, (PLUS,))
     node.admit(START, 0, 7, 0, 3, 1.0, 0.0)
     a = node.allowances[0, 7]
-    before = a.share, a.room
+    before = a.share, a.headroom
     answer = node.receive(START, 1, payload)
-    assert (a.share, a.room) == before and not answer
-    assert GRAIN > 0
+    assert (a.share, a.headroom) == before and not answer
+    assert GRAINS_PER_UNIT > 0
 
 
 def test_many_wants_are_told_in_messages_of_256_bytes_each_once():
@@ -338,8 +333,10 @@
         [(_, message)] = wanted
         assert not node.demands(now)  # no more than one at a time, however many want
         messages.append(message)
-        now += 2 * node.want_every
-    assert max(map(len, messages)) <= 256 and sum((len(m) - HEAD) // ROW.size for m in messages) == 100
-    assert not node.wants
+        now += 2 * node.demand_queue.interval
+    assert (
+        max(map(len, messages)) <= 256 and sum((len(m) - HEADER_BYTES) // TRANSFER_FORMAT.size for m in messages) == 100
+    )
+    assert not node.demand_queue.pending
     answer = EscrowTable(3, 1, 0.0, (PLUS,)).receive(START, 0, messages[0])
     assert answer and max(map(len, answer)) <= 256
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -11,7 +11,7 @@
 from thistleusher.core import actions, events
 from thistleusher.policy import health, sharing
 from thistleusher.quota import bound
-from thistleusher.quota.bound import Assumed, bound_of
+from thistleusher.quota.bound import Assumptions, bound_of
 
 LENGTH = 30.0
 
@@ -142,7 +142,7 @@
     w.loss, w.delay, w.cut = 0.0, 0.01, set()
     w.traffic(10.0, rate, home, plan)
     lossy = fault in (silent_with_lossy_peers, everything)
-    assumed = Assumed(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=length)
+    assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=length)
     return w, bound_of(settings(0), PLUS if plan == "plus" else BASIC, assumed)
 
 
@@ -171,7 +171,7 @@
         for n in range(3):
             w.ask(n, plan=plan, units=1.0)
     w.traffic(length, rate, spread(), plan)
-    return w, bound_of(settings(0), p, Assumed(0.0, 0.01, outage=length))
+    return w, bound_of(settings(0), p, Assumptions(0.0, 0.01, outage=length))
 
 
 @pytest.mark.parametrize("fault", [silence, split_in_three], ids=lambda f: f.__name__)
@@ -323,7 +323,7 @@
             rng.choice(steps)()
             home = rng.choice((moving(rng.choice((0.3, 1.0, 3.0))), spread(seed), lambda at: 1))
             w.traffic(rng.choice((0.2, 1.0, 4.0)), rate, home, plan)
-        assumed = Assumed(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
+        assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, assumed)
         quota, ceiling = w.beyond(plan)
         assert quota <= bound.quota_split, (seed, quota, bound)
@@ -343,7 +343,7 @@
     calls = w.counters[0].adds - before
     assert calls <= 450, calls  # no more than requests come: what was let in meanwhile goes with them
     quota, _ = w.beyond("basic")
-    assert quota <= bound_of(settings(0), BASIC, Assumed(outage=5.0)).quota_cut_off
+    assert quota <= bound_of(settings(0), BASIC, Assumptions(outage=5.0)).quota_cut_off
 
 
 def test_peers_are_not_flooded_by_wants_however_many_members_are_held_back():
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -15,7 +15,7 @@
 from standins.fleet import Options, run_fleet, settings
 from standins.match import Shape
 from standins.records import Added, Records
-from thistleusher.quota.bound import Assumed, bound_of
+from thistleusher.quota.bound import Assumptions, bound_of
 from thistleusher.settings import nested_settings
 
 SECONDS = 6.0
@@ -68,7 +68,7 @@
     told, _ = nested_settings(settings(o, 0))
     lossy, away = "lossy" in scenario, "restart" in scenario
     # Everything that the machine adds to a datagram's way is the relay's delay here.
-    assumed = Assumed(0.2 if lossy else 0.0, 0.5 if lossy else 0.1, outage=SECONDS, folders=o.folders)
+    assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.1, outage=SECONDS, folders=o.folders)
     out = {}
     for plan in told.plans:
         b = bound_of(told, plan, assumed)
@@ -160,12 +160,12 @@
     code, out, error = bound(str(path), "--outage", "30")
     assert code == 0 and not error
     told, _ = nested_settings(settings(Options(), 0))
-    b = bound_of(told, told.plans[1], Assumed(0.05, 0.05, outage=30.0))
+    b = bound_of(told, told.plans[1], Assumptions(0.05, 0.05, outage=30.0))
     assert f"ceiling by {b.ceiling_restart:.1f} at most" in out and "36.0 (a full quota: 36.0), 65.0" in out
     row = [line for line in out.splitlines() if line.startswith("plus") and " 3 " in line][0].split()
     assert row == ["plus", "3", *(f"{x:.1f}" for x in (b.quota_in_touch, b.quota_cut_off, b.quota_split, b.ceiling))]
     out = bound(str(path), "--folders")[1]
-    kept = bound_of(told, told.plans[1], Assumed(0.05, 0.05, folders=True))
+    kept = bound_of(told, told.plans[1], Assumptions(0.05, 0.05, folders=True))
     assert kept.ceiling_restart < b.ceiling_restart and f"ceiling by {kept.ceiling_restart:.1f} at most" in out
     assert "counted twice" in out
     assert bound(str(path), "--loss", "1")[0] == 2
@@ -186,16 +186,18 @@
 @pytest.mark.parametrize("assumed", [dict(loss=1.0), dict(loss=-0.1), dict(delay=-1.0), dict(outage=float("nan"))])
 def test_assumptions_that_cannot_be_are_refused(assumed):
     with pytest.raises(ValueError, match="expected"):
-        Assumed(**assumed)
+        Assumptions(**assumed)
 
 
 def test_the_bound_grows_with_what_it_depends_on_and_is_nothing_for_one_ingress():
     told, _ = nested_settings(settings(Options(), 0))
     plus = told.plans[1]
-    base = bound_of(told, plus, Assumed())
-    assert bound_of(told, plus, Assumed(loss=0.2)).quota_in_touch > base.quota_in_touch
-    assert bound_of(told, plus, Assumed(outage=120.0)).quota_cut_off > base.quota_cut_off
-    assert bound_of(told, plus, Assumed(outage=120.0)).ceiling == base.ceiling
-    assert bound_of(told, plus, Assumed(skew=1.0)).ceiling > base.ceiling
-    assert bound_of(told, plus, Assumed(), 2).ceiling < base.ceiling < 104
-    assert bound_of(told, plus, Assumed(), 1).ceiling == 0.0 == bound_of(told, plus, Assumed(), 1).quota_in_touch
+    base = bound_of(told, plus, Assumptions())
+    assert bound_of(told, plus, Assumptions(loss=0.2)).quota_in_touch > base.quota_in_touch
+    assert bound_of(told, plus, Assumptions(outage=120.0)).quota_cut_off > base.quota_cut_off
+    assert bound_of(told, plus, Assumptions(outage=120.0)).ceiling == base.ceiling
+    assert bound_of(told, plus, Assumptions(skew=1.0)).ceiling > base.ceiling
+    assert bound_of(told, plus, Assumptions(), 2).ceiling < base.ceiling < 104
+    assert (
+        bound_of(told, plus, Assumptions(), 1).ceiling == 0.0 == bound_of(told, plus, Assumptions(), 1).quota_in_touch
+    )
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -17,7 +17,7 @@
 from thistleusher.net.config import InvalidConfiguration
 from thistleusher.net.counters_file import read_counters
 from thistleusher.quota import Placement, bound_of
-from thistleusher.quota.bound import Assumed
+from thistleusher.quota.bound import Assumptions
 from thistleusher.services.counters import Counters
 
 ADDRESSES = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
@@ -51,7 +51,7 @@
     assert health[1].down() and not health[0].down() and not health[2].down()
     assert health[0].ask == health[2].ask == 1.0 and health[1].ask < 1.0
     quota, ceiling = w.beyond()
-    bound = bound_of(settings(0), PLUS, Assumed(0.0, 0.01, outage=10.0))
+    bound = bound_of(settings(0), PLUS, Assumptions(0.0, 0.01, outage=10.0))
     assert quota <= bound.quota_in_touch and ceiling <= bound.ceiling and w.kept() > 0.8
 
 
@@ -65,7 +65,7 @@
         w.place(Placement(addresses))
         w.traffic(3.3, rate, spread(), plan)
     quota, ceiling = w.beyond(plan)
-    bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, Assumed(0.0, 0.01, outage=10.0))
+    bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, Assumptions(0.0, 0.01, outage=10.0))
     assert quota <= bound.quota_in_touch and (bound.ceiling is None or ceiling <= bound.ceiling)
     assert w.kept() > 0.7
 
--- a/tests/quota/test_reserve.py
+++ b/tests/quota/test_reserve.py
@@ -12,10 +12,10 @@
 from tests.quota.test_escrow import EXAMPLES, PLUS, SEED, STEP, Set
 from thistleusher.core.snapshots import SavedReservation
 from thistleusher.quota import EscrowTable
-from thistleusher.quota.escrow import epoch_length
-from thistleusher.quota.reserve import KEEP, PART, TOP, Reserve
+from thistleusher.quota.reservations import HEADROOM_FRACTION, RESERVED_FRACTION, Reservation
+from thistleusher.quota.terms import GUARANTEED_FRACTION, epoch_length
 
-FRESH = PLUS._replace(fresh=PLUS.burst)  # what a joint start may have at once, where nothing is remembered
+FRESH = PLUS._replace(joint_start_burst=PLUS.burst)  # what a joint start may have at once, where nothing is remembered
 EPOCH = epoch_length(PLUS)
 
 
@@ -182,7 +182,7 @@
         return sum(s.ask(n, 1.0) for _ in range(20) for n in range(3))
 
     assert after_a_kill(False) == 0
-    assert after_a_kill(True) >= int(TOP * KEEP * PLUS.burst / 3) * 3 > 5
+    assert after_a_kill(True) >= int(RESERVED_FRACTION * GUARANTEED_FRACTION * PLUS.burst / 3) * 3 > 5
 
 
 def test_a_note_costs_a_pressed_member_next_to_nothing_and_a_hung_disk_what_is_left_alone():
@@ -191,49 +191,53 @@
     assert pressed(noted, 10.0) > 0.97 * base
     for n in range(3):
         hung.note(n)  # never lands
-    assert base - pressed(hung, 10.0, keeps=False) <= TOP * KEEP * PLUS.burst + 3
+    assert base - pressed(hung, 10.0, keeps=False) <= RESERVED_FRACTION * GUARANTEED_FRACTION * PLUS.burst + 3
 
 
 def test_a_note_leaves_room_for_a_large_request_and_ages_at_the_rate_that_is_sure():
-    r = Reserve(2.0, 12.0, 4.0)
-    assert r.floor(0.0) == 0.0 and r.note(10.0, 7.9) == 0.0
-    r.landed()
-    assert r.note(10.0, 16.0) == PART * 16 - 4 and r.floor(10.5) == 5.0 and r.floor(99.0) == TOP * 12.0
-    assert r.note(11.0, 100.0) == TOP * 12.0  # beside the one before, until it has landed
-    assert r.note(11.0, 0.0) == 0.0 and r.restored((3.0, 11.0), 5.0) == 3.0
-    assert r.floor(11.5) == max(0.0 + 2.0 * 1.5, 0.0 + 2.0 * 0.5)
-    r.landed()
-    assert r.floor(11.5) == 1.0
+    r = Reservation(2.0, 12.0, 4.0)
+    assert r.reserved(0.0) == 0.0 and r.reserve(10.0, 7.9) == 0.0
+    r.confirm()
+    assert (
+        r.reserve(10.0, 16.0) == HEADROOM_FRACTION * 16 - 4
+        and r.reserved(10.5) == 5.0
+        and r.reserved(99.0) == RESERVED_FRACTION * 12.0
+    )
+    assert r.reserve(11.0, 100.0) == RESERVED_FRACTION * 12.0  # beside the one before, until it has landed
+    assert r.reserve(11.0, 0.0) == 0.0 and r.restored((3.0, 11.0), 5.0) == 3.0
+    assert r.reserved(11.5) == max(0.0 + 2.0 * 1.5, 0.0 + 2.0 * 0.5)
+    r.confirm()
+    assert r.reserved(11.5) == 1.0
 
 
 def test_notes_wait_for_the_one_before_and_outlive_an_allowance_until_they_are_gone():
-    ledger = EscrowTable(3, 0, 0.0, (PLUS,))
-    ledger.restore((), None)
-    assert ledger.admit(1000.0, 0, 7, 0, 3, 1.0, 0.0)
-    first = ledger.changed_reservations(1000.0, 10)
+    escrow = EscrowTable(3, 0, 0.0, (PLUS,))
+    escrow.restore((), None)
+    assert escrow.admit(1000.0, 0, 7, 0, 3, 1.0, 0.0)
+    first = escrow.changed_reservations(1000.0, 10)
     assert [(n.plan, n.customer, n.first, n.width) for n in first] == [(0, 7, 0, 3)] and first[0].units > 0
-    ledger.admit(1000.1, 0, 7, 0, 3, 1.0, 0.0)
-    assert ledger.changed_reservations(1000.1, 10) == []  # one at a time
-    ledger.reservations_committed([(0, 7)])
-    assert len(ledger.changed_reservations(1000.2, 10)) == 1
-    ledger.reservations_committed([(0, 7)])
-    ledger.admit(1000.0 + 4 * EPOCH, 0, 8, 0, 3, 1.0, 0.0)  # the first is forgotten; its note stands
-    assert ledger.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, 0.5, 0.0)
-    room = ledger.allowances[0, 7].room
-    assert not ledger.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, room, 0.0)
-    ledger.allowances.clear()
-    gone = [n for n in ledger.changed_reservations(1000.0 + 4 * EPOCH, 10) if n.customer == 7]
+    escrow.admit(1000.1, 0, 7, 0, 3, 1.0, 0.0)
+    assert escrow.changed_reservations(1000.1, 10) == []  # one at a time
+    escrow.reservations_committed([(0, 7)])
+    assert len(escrow.changed_reservations(1000.2, 10)) == 1
+    escrow.reservations_committed([(0, 7)])
+    escrow.admit(1000.0 + 4 * EPOCH, 0, 8, 0, 3, 1.0, 0.0)  # the first is forgotten; its note stands
+    assert escrow.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, 0.5, 0.0)
+    room = escrow.allowances[0, 7].headroom
+    assert not escrow.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, room, 0.0)
+    escrow.allowances.clear()
+    gone = [n for n in escrow.changed_reservations(1000.0 + 4 * EPOCH, 10) if n.customer == 7]
     assert gone == [SavedReservation(0, 7, 0, 1, 0.0, -math.inf)]
-    ledger.reservations_committed([(0, 7)])
-    assert not ledger.forgotten
+    escrow.reservations_committed([(0, 7)])
+    assert not escrow.reservations.forgotten
 
 
 def test_a_note_of_another_set_or_of_an_epoch_that_is_over_adds_nothing():
     def room(note, active):
-        ledger = EscrowTable(3, 0, 1000.0, (FRESH,))
-        ledger.restore([note], active)
-        ledger.admit(1000.0, 0, 7, 0, 3, 0.0, 0.0)
-        return ledger.allowances[0, 7].room
+        escrow = EscrowTable(3, 0, 1000.0, (FRESH,))
+        escrow.restore([note], active)
+        escrow.admit(1000.0, 0, 7, 0, 3, 0.0, 0.0)
+        return escrow.allowances[0, 7].headroom
 
     good = SavedReservation(0, 7, 0, 3, 2.0, 999.9)
     assert 2.0 < room(good, 1000.0) < 2.5
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -68,14 +68,14 @@
         w.ask(0, 7)
         w.run(0.2)
     snapshotter.submit_changes(1000)
-    (reserve,) = [a.reserve for a in w.gateways[0].escrow.allowances.values()]
-    assert disk.began.wait(10.0) and reserve.written is not None
+    (reservation,) = [a.reservation for a in w.gateways[0].escrow.allowances.values()]
+    assert disk.began.wait(10.0) and reservation.in_flight is not None
     snapshotter.submit_changes(1000)
-    assert reserve.committed is None and reserve.written is not None  # the disk has not answered
+    assert reservation.committed is None and reservation.in_flight is not None  # the disk has not answered
     disk.let.set()
     assert snapshotter.writer.flush(10.0)
     snapshotter.submit_changes(1000)
-    assert reserve.committed is not None and any(table == "room" for b in disk.batches for table, _ in b)
+    assert reservation.committed is not None and any(table == "room" for b in disk.batches for table, _ in b)
     assert snapshotter.close()
 
 
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -7,8 +7,9 @@
 from thistleusher.gossip import Gossip
 from thistleusher.policy import Gateway
 from thistleusher.quota import EscrowTable, Placement
-from thistleusher.quota.bound import fresh_room
-from thistleusher.quota.escrow import WANT_S, Terms
+from thistleusher.quota.bound import joint_start_burst
+from thistleusher.quota.demands import DEMAND_INTERVAL_S
+from thistleusher.quota.terms import Terms
 
 
 def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
@@ -26,10 +27,12 @@
 def terms_of(plan: PlanSettings, most: float) -> Terms | None:
     """What shares are held of; `most`: units of a request. None where a plan has neither ceiling nor quota."""
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
-        return Terms(plan.ceiling_rate, plan.ceiling_burst, fresh=fresh_room(plan), ahead=most)
+        return Terms(
+            plan.ceiling_rate, plan.ceiling_burst, joint_start_burst=joint_start_burst(plan), prefetch_below=most
+        )
     if plan.rate <= 0 or plan.burst <= 0:
         return None
-    return Terms(plan.rate, plan.burst, most, fresh_room(plan), strict=False, ahead=most)
+    return Terms(plan.rate, plan.burst, most, joint_start_burst(plan), strict=False, prefetch_below=most)
 
 
 def room_terms(settings: Settings) -> dict[str, tuple[float, float]]:
@@ -49,5 +52,7 @@
     terms = tuple(terms_of(p, settings.max_units) for p in settings.plans)
     each = 4 / settings.peer_in_per_s
     if settings.large:
-        return EscrowTable(settings.instances, settings.me, now, terms, WANT_S, each)
-    return EscrowTable(settings.instances, settings.me, now, terms, max(WANT_S, each * (settings.instances - 1)))
+        return EscrowTable(settings.instances, settings.me, now, terms, DEMAND_INTERVAL_S, each)
+    return EscrowTable(
+        settings.instances, settings.me, now, terms, max(DEMAND_INTERVAL_S, each * (settings.instances - 1))
+    )
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -8,7 +8,7 @@
 
 from thistleusher.core.settings import Settings
 from thistleusher.net.config import InvalidConfiguration, read_data
-from thistleusher.quota.bound import Assumed, table
+from thistleusher.quota.bound import Assumptions, format_table
 from thistleusher.settings import InvalidSetting, nested_settings
 
 
@@ -33,8 +33,8 @@
     args = parser.parse_args(argv)
     try:
         settings = read(args.config)
-        lines = table(
-            settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
+        lines = format_table(
+            settings, Assumptions(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
         )
     except (InvalidConfiguration, ValueError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
--- /dev/null
+++ b/thistleusher/gossip/messages.py
@@ -0,0 +1,103 @@
+"""Messages between the owner of an account and the ingresses of its member's set, byte by byte.
+
+    07  query           number (2), member and plan (5), set: first (2), width (2), quarter units (2)    14 bytes
+    08  reply           number (2), 1 admitted / 0 not (1), headroom in quarter units, signed (2)         6 bytes
+    09  reconciliation  rows of member and plan (5), quarter units more or less, signed (2)               7 bytes a row
+
+Numbers are big-endian. A message of another length is ignored.
+"""
+
+from __future__ import annotations
+
+import math
+import struct
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from thistleusher.core.datagrams import name_of, plan_of
+
+QUERY_MARK = b"\x07"
+REPLY_MARK = b"\x08"
+RECONCILIATION_MARK = b"\x09"
+QUERY_FORMAT = struct.Struct(">H5sHHH")
+REPLY_FORMAT = struct.Struct(">HBh")
+ROW_FORMAT = struct.Struct(">5sh")
+MAX_MESSAGE_BYTES = 256
+MAX_ROWS = (MAX_MESSAGE_BYTES - 1) // ROW_FORMAT.size
+QUARTERS_PER_UNIT = 4
+MAX_QUARTERS = 0xFFFF  # unsigned
+MIN_SIGNED, MAX_SIGNED = -0x8000, 0x7FFF
+
+
+class Query(NamedTuple):
+    """Asks the owner of an account whether a request may be admitted."""
+
+    number: int
+    plan: int
+    customer: int
+    first: int  # of the member's set
+    width: int
+    units: float
+
+    def encode(self) -> bytes:
+        """Return the message's bytes; units are rounded to quarters."""
+        quarters = min(MAX_QUARTERS, round(QUARTERS_PER_UNIT * self.units))
+        name = name_of(self.plan, self.customer)
+        return QUERY_MARK + QUERY_FORMAT.pack(self.number, name, self.first, self.width, quarters)
+
+
+def decode_query(payload: bytes) -> Query | None:
+    """Return a query; None where the length is wrong."""
+    if len(payload) != 1 + QUERY_FORMAT.size:
+        return None
+    number, name, first, width, quarters = QUERY_FORMAT.unpack_from(payload, 1)
+    return Query(number, *plan_of(name), first, width, quarters / QUARTERS_PER_UNIT)
+
+
+class Reply(NamedTuple):
+    """An owner's verdict on a query, and the headroom of the account."""
+
+    number: int
+    admitted: bool
+    headroom: float  # units; below 0 where more was spent
+
+    def encode(self) -> bytes:
+        """Return the message's bytes; headroom is rounded down: who has none must not be told of enough."""
+        quarters = max(MIN_SIGNED, min(MAX_SIGNED, math.floor(QUARTERS_PER_UNIT * self.headroom)))
+        return REPLY_MARK + REPLY_FORMAT.pack(self.number, self.admitted, quarters)
+
+
+def decode_reply(payload: bytes) -> Reply | None:
+    """Return a reply; None where the length is wrong."""
+    if len(payload) != 1 + REPLY_FORMAT.size:
+        return None
+    number, admitted, quarters = REPLY_FORMAT.unpack_from(payload, 1)
+    return Reply(number, bool(admitted), quarters / QUARTERS_PER_UNIT)
+
+
+class ReconciliationRow(NamedTuple):
+    """Units that a member used more (or less) than its owner was asked for."""
+
+    customer: int
+    plan: int
+    units: float
+
+
+def encode_reconciliations(rows: Sequence[tuple[bytes, float]]) -> list[bytes]:
+    """Return the messages that hold the rows of encoded member and plan, and units rounded to quarters."""
+    encoded = [
+        ROW_FORMAT.pack(name, max(MIN_SIGNED, min(MAX_SIGNED, round(QUARTERS_PER_UNIT * units))))
+        for name, units in rows
+    ]
+    return [RECONCILIATION_MARK + b"".join(encoded[n : n + MAX_ROWS]) for n in range(0, len(encoded), MAX_ROWS)]
+
+
+def decode_reconciliations(payload: bytes) -> list[ReconciliationRow]:
+    """Return the rows of a message; none where the length is wrong."""
+    if (len(payload) - 1) % ROW_FORMAT.size:
+        return []
+    rows: list[ReconciliationRow] = []
+    for name, quarters in ROW_FORMAT.iter_unpack(payload[1:]):
+        plan, customer = plan_of(name)
+        rows.append(ReconciliationRow(customer, plan, quarters / QUARTERS_PER_UNIT))
+    return rows
--- a/thistleusher/gossip/updates.py
+++ b/thistleusher/gossip/updates.py
@@ -1,176 +1,156 @@
-"""The words of homes and their members' ingresses, byte by byte, and what a large fleet's talk consists of.
+"""Gossip of one ingress of a large fleet: updates of usage, queries to owners, reconciliations.
 
-    07  question  number (2), member and plan (5), set: first (2), width (2), quarter units (2)    14 bytes
-    08  answer    number (2), 1 let in / 0 not (1), room in quarter units, signed (2)              6 bytes
-    09  settled   rows of member and plan (5), quarter units more or less, signed (2)              7 bytes a row
-
-Numbers are big-endian. A message of another length is passed over.
+Updates of a member go to the peers of its set (`gossip.outbox`). A member whose set is too wide for that has one
+account, at its owner (`gossip.owners`): each request is a query to it (`gossip.queries`), and what was used more or
+less than it was asked for is reconciled (`gossip.reconciliations`).
 """
 
 from __future__ import annotations
 
-import math
-import struct
-
-from thistleusher.core import decision_ports, events
-from thistleusher.core.datagrams import name_of, plan_of
+from thistleusher.core.decision_ports import OwnerQuery
+from thistleusher.core.events import Request
+from thistleusher.gossip.messages import (
+    Query,
+    Reply,
+    decode_query,
+    decode_reconciliations,
+    decode_reply,
+)
 from thistleusher.gossip.outbox import Outbox
-from thistleusher.gossip.owners import ANSWER_S, Asked, Owners
+from thistleusher.gossip.owners import Owners
 from thistleusher.gossip.pending import PendingRequests
+from thistleusher.gossip.queries import REPLY_TIMEOUT_S, OutstandingQueries, ReplyCache
+from thistleusher.gossip.reconciliations import Reconciliations
 
-ASK, ANSWER, SETTLED = b"\x07", b"\x08", b"\x09"
-QUESTION = struct.Struct(">H5sHHH")
-REPLY = struct.Struct(">HBh")
-ROW = struct.Struct(">5sh")
-ROWS = (256 - 1) // ROW.size
-SETTLE_MOST = 4096  # members whose settlements wait at once; beyond it the oldest are forgotten
-TELL_PART = 0.5  # of the messages that an ingress takes in, that it sends as tellings
+UPDATES_FRACTION = 0.5  # of the messages that an ingress takes in, that it sends as updates
+MIN_TIMER_S = 0.001
 
 
 class Gossip:
-    """What one ingress of a large fleet says: tellings to sets, questions to homes, settlements."""
+    """What one ingress of a large fleet says to the others; implements `core.decision_ports.Gossip`."""
 
     def __init__(self, instances: int, me: int, per_s: float, rows: int, counter_timeout: float, now: float) -> None:
-        """`per_s`: messages a second that an ingress takes in; `rows`: members that a telling holds."""
-        self.instances, self.me = instances, me
-        self.outbox = Outbox(TELL_PART * per_s, rows, now)
-        self.homes = Owners(instances, me, ANSWER_S + counter_timeout)
-        self.known = Asked()
-        self.waiting = PendingRequests()
-        self.settling: dict[int, dict[bytes, float]] = {}  # by home, units by member and plan
-        self.settlings = 0  # rows of all homes
-
-    def peers(self, first: int, width: int) -> list[int]:
-        """The other ingresses of a set."""
-        return [p for n in range(width) if (p := (first + n) % self.instances) != self.me]
-
-    # Tellings.
+        """`per_s`: messages a second that an ingress takes in; `rows`: members that one update holds."""
+        self.instances = instances
+        self.me = me
+        self.outbox = Outbox(UPDATES_FRACTION * per_s, rows, now)
+        self.owners = Owners(instances, me)
+        self.queries = OutstandingQueries(self.owners, REPLY_TIMEOUT_S + counter_timeout)
+        self.replies = ReplyCache()
+        self.pending = PendingRequests()
+        self.reconciliations = Reconciliations()
+
+    def _peers(self, first: int, width: int) -> list[int]:
+        """Return the other ingresses of a set."""
+        members = ((first + n) % self.instances for n in range(width))
+        return [peer for peer in members if peer != self.me]
+
+    # Updates.
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Something of a member has changed; `lazy`: it may wait for company."""
-        peers = self.peers(first, width)
-        self.outbox.note(now, key, peers, lazy)
-        self.outbox.meet(now, peers)
-
-    def record_message(self, now: float, peer: int, telling: bool) -> None:
-        """A peer has sent a message; `telling`: of use by members that are common to both."""
-        self.homes.heard(peer)
-        if telling:
-            self.outbox.owe(now, peer)
-            self.outbox.meet(now, (peer,))
+        """Queue an update of a member to its set; `lazy`: it may wait for others to go with."""
+        peers = self._peers(first, width)
+        self.outbox.mark_changed(now, key, peers, lazy)
+        self.outbox.keep_contact(now, peers)
+
+    def record_message(self, now: float, peer: int, is_update: bool) -> None:
+        """Note that a peer has sent a message; `is_update`: of usage by members that are common to both."""
+        self.owners.record_message(peer)
+        if is_update:
+            self.outbox.answer_update(now, peer)
+            self.outbox.keep_contact(now, (peer,))
 
     def member_seen(self, now: float, first: int, width: int) -> None:
-        """A member of this set was seen."""
-        self.outbox.meet(now, self.peers(first, width))
+        """Keep in contact with a set: a member of it was seen."""
+        self.outbox.keep_contact(now, self._peers(first, width))
 
     def has_work(self) -> bool:
-        """Whether the next tick has anything to say."""
-        return self.outbox.busy() or bool(self.settling)
+        """Return whether the next tick has anything to send."""
+        return self.outbox.has_work() or bool(self.reconciliations.waiting)
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """The tellings that leave now: to whom, of which members."""
+        """Return the updates that leave now: to whom, of which members."""
         return self.outbox.take(now)
 
-    # Questions and their answers.
+    # Queries and their replies.
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """The ingress that keeps a member's account; None where none of its candidates answers."""
-        return self.homes.of(now, customer, first, width)
-
-    def create_query(self, now: float, home: int, r: events.Request, plan: int) -> bytes | None:
-        """A question for a request; None where too many are out."""
-        name, quarters = name_of(plan, r.customer), min(0xFFFF, round(4 * r.units))
-        return self.homes.ask(
-            now,
-            r.id,
-            home,
-            r.customer,
-            plan,
-            r.units,
-            lambda number: (ASK + QUESTION.pack(number, name, r.first, r.width, quarters)),
-        )
+        """Return the ingress that keeps a member's account; None where none of its candidates answers."""
+        return self.owners.owner_of(now, customer, first, width)
+
+    def create_query(self, now: float, owner: int, request: Request, plan: int) -> bytes | None:
+        """Return a query for a request; None where too many are outstanding."""
+        r = request
+
+        def encode(number: int) -> bytes:
+            return Query(number, plan, r.customer, r.first, r.width, r.units).encode()
+
+        return self.queries.add(now, r.id, owner, r.customer, plan, r.units, encode)
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
-        """Questions to be put once more, to whom."""
-        return self.homes.again(now)
+        """Return the queries that are to be sent once more, to whom: they or their replies were likely lost."""
+        return self.queries.due_retransmissions(now)
 
-    def receive_query(self, now: float, peer: int, payload: bytes) -> decision_ports.OwnerQuery | None:
-        """A question of a peer's; None where it cannot be one, or is one that is being decided on."""
-        if len(payload) != 1 + QUESTION.size:
+    def receive_query(self, now: float, peer: int, payload: bytes) -> OwnerQuery | None:
+        """Return a peer's query; None where it cannot be one, or is one that is being decided on."""
+        query = decode_query(payload)
+        if query is None or not 1 <= query.width <= self.instances or query.first >= self.instances:
             return None
-        number, name, first, width, quarters = QUESTION.unpack_from(payload, 1)
-        if not 1 <= width <= self.instances or first >= self.instances:
+        reply = self.replies.receive(now, peer, query.number, payload)
+        if reply == b"":
             return None
-        known = self.known.again(now, peer, number, payload)
-        if known == b"":
-            return None
-        plan, customer = plan_of(name)
-        return decision_ports.OwnerQuery(number, customer, plan, first, width, quarters / 4, known or b"")
+        return OwnerQuery(query.number, query.customer, query.plan, query.first, query.width, query.units, reply or b"")
 
-    def create_reply(self, peer: int, number: int, good: bool, room: float) -> bytes:
-        """The answer to a peer's. Room is rounded down: who has none must not be told of enough."""
-        words = ANSWER + REPLY.pack(number, good, max(-0x8000, min(0x7FFF, math.floor(4 * room))))
-        self.known.said(peer, number, words)
-        return words
+    def create_reply(self, peer: int, number: int, admitted: bool, headroom: float) -> bytes:
+        """Return the reply to a peer's query, and remember it."""
+        message = Reply(number, admitted, headroom).encode()
+        self.replies.record_reply(peer, number, message)
+        return message
 
     def receive_reply(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
-        """Whose request a home has decided on, how, and the room that it told; None where nobody waits for it."""
-        if len(payload) != 1 + REPLY.size:
-            return None
-        number, good, quarters = REPLY.unpack_from(payload, 1)
-        found = self.homes.answered(peer, number)
-        if found is None:
-            return None
-        question, in_time = found
-        if not in_time:
-            if good:  # it went another way meanwhile
-                self.reconcile(peer, question.customer, question.plan, -question.units)
+        """Return whose request an owner has decided on, how, and the headroom; None where nobody waits for it."""
+        reply = decode_reply(payload)
+        found = self.queries.resolve(peer, reply.number) if reply is not None else None
+        if reply is None or found is None:
             return None
-        return question.request, bool(good), quarters / 4
+        query, in_time = found
+        if in_time:
+            return query.request, reply.admitted, reply.headroom
+        if reply.admitted:  # the request was decided on otherwise meanwhile: give the units back
+            self.reconcile(peer, query.customer, query.plan, -query.units)
+        return None
 
-    def add_pending(self, request: str, due: float) -> bool:
-        """Keep a request until then, or until a peer has given anything; whether there is room for it."""
-        return self.waiting.hold(request, due)
+    # Requests that wait.
+
+    def add_pending(self, request: str, deadline: float) -> bool:
+        """Keep a request until then, or until a peer has given anything; return whether it can be kept."""
+        return self.pending.add(request, deadline)
 
     def take_pending(self) -> list[str]:
-        """All that are kept; they are kept no longer."""
-        return self.waiting.take()
+        """Return all that are pending; they are so no longer."""
+        return self.pending.take()
 
     def expired_requests(self, now: float) -> list[str]:
-        """Requests whose home has not answered in time, or that were held until now."""
-        return self.homes.overdue(now) + self.waiting.overdue(now)
+        """Return the requests whose owner has not replied in time, or that were pending until now."""
+        return self.queries.expire(now) + self.pending.expire(now)
 
     def timer_delay(self, now: float) -> float | None:
-        """Seconds until a question is to be put again, or a request has waited long enough; None where none does."""
-        dues = [due for due in (self.homes.due(), self.waiting.due()) if due is not None]
-        return max(0.001, min(dues) - now) if dues else None
-
-    # Settlements.
-
-    def reconcile(self, home: int, customer: int, plan: int, units: float) -> None:
-        """Units more (or less) than a home was asked for; they go with the next tick, merged."""
-        name = name_of(plan, customer)
-        if name not in self.settling.get(home, ()):
-            if self.settlings >= SETTLE_MOST:
-                self.settlings -= len(self.settling.pop(next(iter(self.settling))))
-            self.settlings += 1
-        rows = self.settling.setdefault(home, {})
-        rows[name] = rows.get(name, 0.0) + units
+        """Return the seconds until a query is to be sent again or a request expires; None where none does."""
+        deadlines = [self.queries.next_deadline(), self.pending.next_deadline()]
+        known = [deadline for deadline in deadlines if deadline is not None]
+        return max(MIN_TIMER_S, min(known) - now) if known else None
+
+    # Reconciliations.
+
+    def reconcile(self, owner: int, customer: int, plan: int, units: float) -> None:
+        """Tell an owner of units more (or less) than it was asked for; with the next tick, merged."""
+        self.reconciliations.add(owner, customer, plan, units)
 
     def due_reconciliations(self) -> list[tuple[int, bytes]]:
-        """The messages of all that waits, each home's together."""
-        out = []
-        for home, rows in self.settling.items():
-            packed = [ROW.pack(name, max(-0x8000, min(0x7FFF, round(4 * u)))) for name, u in rows.items()]
-            out += [(home, SETTLED + b"".join(packed[n : n + ROWS])) for n in range(0, len(packed), ROWS)]
-        self.settling.clear()
-        self.settlings = 0
-        return out
+        """Return the messages of all that is to be reconciled, to whom."""
+        return self.reconciliations.take()
 
     @staticmethod
     def parse_reconciliations(payload: bytes) -> list[tuple[int, int, float]]:
-        """Members, their plans' numbers, and units, of a peer's settlements."""
-        if (len(payload) - 1) % ROW.size:
-            return []
-        rows = ((plan_of(name), quarters) for name, quarters in ROW.iter_unpack(payload[1:]))
-        return [(customer, plan, quarters / 4) for (plan, customer), quarters in rows]
+        """Return members, their plans' numbers, and units, of a peer's message."""
+        return list(decode_reconciliations(payload))
--- a/thistleusher/quota/__init__.py
+++ b/thistleusher/quota/__init__.py
@@ -1,7 +1,7 @@
-"""What holds a member to its allowance while the counter cannot be trusted: escrowed shares, and a stated bound.
+"""Holds a member to its allowance while the counter cannot be trusted: shares in escrow, with a stated bound.
 
-Pure: no I/O and no clock. The decision module asks it for a verdict through `interface.Escrow`; it never lets the
-ingresses of a member's set have more than the whole allowance between them.
+Pure: no I/O and no clock. The ingresses of a member's set never let in more than the whole allowance between them; the
+decision module asks for verdicts through `core.decision_ports.Escrow`.
 """
 
 from thistleusher.quota.bound import Bound, bound_of
--- /dev/null
+++ b/thistleusher/quota/messages.py
@@ -0,0 +1,168 @@
+"""Messages between ingresses about escrowed shares, byte by byte.
+
+    02  demands           rows: headroom wanted, in grains; share is 0
+    03  transfers         rows: share and headroom given to the receiver in the epoch so far
+    04  handshake         the sender's incarnation (8), the receiver's as known (8), origin of the chain (8), flags (1)
+    05  balance requests  as demands, by an ingress that is not reconciled with the receiver
+    06  balances          receiver's incarnation (8), rows: see `BalanceRow`
+
+All but the handshake begin with the mark (1) and the sender's incarnation (8). Numbers are big-endian; epochs are
+their lowest 8 bits. A message that cannot be read is ignored.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Sequence
+from enum import IntFlag
+from typing import NamedTuple
+
+from thistleusher.core.datagrams import name_of, plan_of
+
+DEMAND_MARK = b"\x02"
+TRANSFER_MARK = b"\x03"
+HANDSHAKE_MARK = b"\x04"
+BALANCE_REQUEST_MARK = b"\x05"
+BALANCE_MARK = b"\x06"
+ROW_MARKS = (DEMAND_MARK, TRANSFER_MARK, BALANCE_REQUEST_MARK)
+
+MAX_MESSAGE_BYTES = 256
+INCARNATION_BYTES = 8
+HEADER_BYTES = 1 + INCARNATION_BYTES
+BALANCE_HEADER_BYTES = HEADER_BYTES + INCARNATION_BYTES
+
+TRANSFER_FORMAT = struct.Struct(">5sBHBHH")  # member and plan; epoch; set: first, width; share, grains
+BALANCE_FORMAT = struct.Struct(">5sBHHHHHH")  # member and plan; epoch; given, taken and new: share, grains each
+HANDSHAKE_FORMAT = struct.Struct(">QQQB")
+MAX_TRANSFER_ROWS = (MAX_MESSAGE_BYTES - HEADER_BYTES) // TRANSFER_FORMAT.size
+MAX_BALANCE_ROWS = (MAX_MESSAGE_BYTES - BALANCE_HEADER_BYTES) // BALANCE_FORMAT.size
+MAX_FIELD = 0xFFFF  # of a share or of grains
+EPOCH_MASK = 0xFF
+
+
+class HandshakeFlag(IntFlag):
+    """What a handshake says besides its numbers."""
+
+    KNEW_EARLIER = 1  # an earlier incarnation of the receiver was known to the sender
+    TRANSFERRED = 2  # shares went between the two in an epoch that is not over
+    SHUTTING_DOWN = 4  # the sender's incarnation is over
+
+
+class Handshake(NamedTuple):
+    """Announces an incarnation to a peer."""
+
+    incarnation: int
+    receiver_incarnation: int  # as known to the sender; 0: none
+    origin: int  # start of the chain of overlapping incarnations that the sender is part of
+    flags: int
+
+    def encode(self) -> bytes:
+        """Return the message's bytes."""
+        return HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(*self)
+
+
+def decode_handshake(payload: bytes) -> Handshake | None:
+    """Return a handshake; None where the length is wrong."""
+    if len(payload) != 1 + HANDSHAKE_FORMAT.size:
+        return None
+    return Handshake(*HANDSHAKE_FORMAT.unpack_from(payload, 1))
+
+
+class TransferRow(NamedTuple):
+    """An allowance, and share and headroom that were given of it or are wanted."""
+
+    plan: int
+    customer: int
+    epoch: int
+    first: int  # of the member's set
+    width: int
+    share: int
+    grains: int
+
+    def encode(self) -> bytes:
+        """Return the row's bytes."""
+        name = name_of(self.plan, self.customer)
+        return TRANSFER_FORMAT.pack(name, self.epoch & EPOCH_MASK, self.first, self.width, self.share, self.grains)
+
+
+class BalanceRow(NamedTuple):
+    """What has gone between the sender and the receiver's incarnations of an allowance in this epoch."""
+
+    plan: int
+    customer: int
+    epoch: int
+    given_share: int  # by the sender, the new part included
+    given_grains: int
+    taken_share: int  # by the sender
+    taken_grains: int
+    new_share: int  # given with this message
+    new_grains: int
+
+    def encode(self) -> bytes:
+        """Return the row's bytes."""
+        name = name_of(self.plan, self.customer)
+        return BALANCE_FORMAT.pack(name, self.epoch & EPOCH_MASK, *self[3:])
+
+
+class RowMessage(NamedTuple):
+    """Demands, transfers or balance requests."""
+
+    mark: bytes
+    incarnation: int  # of the sender
+    rows: list[TransferRow]
+
+
+class BalanceMessage(NamedTuple):
+    """Balances, addressed to one incarnation of the receiver."""
+
+    incarnation: int  # of the sender
+    receiver_incarnation: int
+    rows: list[BalanceRow]
+
+
+def decode_rows(payload: bytes) -> RowMessage | BalanceMessage | None:
+    """Return a message that consists of rows; None where it cannot be one."""
+    mark = payload[:1]
+    if mark == BALANCE_MARK:
+        return _decode_balances(payload)
+    if mark not in ROW_MARKS or not _fits(payload, HEADER_BYTES, TRANSFER_FORMAT):
+        return None
+    rows = [
+        TransferRow(*plan_of(name), *values) for name, *values in TRANSFER_FORMAT.iter_unpack(payload[HEADER_BYTES:])
+    ]
+    return RowMessage(mark, int.from_bytes(payload[1:HEADER_BYTES]), rows)
+
+
+def _decode_balances(payload: bytes) -> BalanceMessage | None:
+    if not _fits(payload, BALANCE_HEADER_BYTES, BALANCE_FORMAT):
+        return None
+    rows = [
+        BalanceRow(*plan_of(name), *values)
+        for name, *values in BALANCE_FORMAT.iter_unpack(payload[BALANCE_HEADER_BYTES:])
+    ]
+    sender = int.from_bytes(payload[1:HEADER_BYTES])
+    receiver = int.from_bytes(payload[HEADER_BYTES:BALANCE_HEADER_BYTES])
+    return BalanceMessage(sender, receiver, rows)
+
+
+def _fits(payload: bytes, header: int, row: struct.Struct) -> bool:
+    return len(payload) >= header and (len(payload) - header) % row.size == 0
+
+
+def encode_rows(mark: bytes, incarnation: int, rows: Sequence[bytes]) -> list[bytes]:
+    """Return the messages that hold the encoded transfer rows, as many rows in each as fit."""
+    return _split(_header(mark, incarnation), rows, MAX_TRANSFER_ROWS)
+
+
+def encode_balances(incarnation: int, receiver_incarnation: int, rows: Sequence[bytes]) -> list[bytes]:
+    """Return the messages that hold the encoded balance rows, as many rows in each as fit."""
+    header = _header(BALANCE_MARK, incarnation) + receiver_incarnation.to_bytes(INCARNATION_BYTES)
+    return _split(header, rows, MAX_BALANCE_ROWS)
+
+
+def _header(mark: bytes, incarnation: int) -> bytes:
+    return mark + incarnation.to_bytes(INCARNATION_BYTES)
+
+
+def _split(header: bytes, rows: Sequence[bytes], most: int) -> list[bytes]:
+    return [header + b"".join(rows[n : n + most]) for n in range(0, len(rows), most)]
--- /dev/null
+++ b/thistleusher/quota/transfers.py
@@ -0,0 +1,117 @@
+"""Transfers of shares and headroom between two ingresses of a set.
+
+Whoever gives lowers its own share and headroom first, and then tells the running totals of what it has given to that
+peer in this epoch; the taker adds what is new in them. So a lost message is made up for by the next, a doubled one
+changes nothing, and one of another epoch is ignored. An ingress that starts asks its peers for their balances: what
+went between them and its earlier incarnations.
+"""
+
+from __future__ import annotations
+
+import math
+
+from thistleusher.quota.allowance import NOTHING, Allowance, Totals
+from thistleusher.quota.messages import EPOCH_MASK, MAX_FIELD, BalanceRow, TransferRow
+from thistleusher.quota.terms import GRAINS_PER_UNIT, WHOLE_SHARE, AllowanceKey
+
+IDLE_S = 0.5  # without a request for it here, after which all of an allowance can be given away
+
+
+def transfer_row(key: AllowanceKey, allowance: Allowance, share: int, grains: int) -> bytes:
+    """Return the encoded row of an allowance: what was given of it, or is wanted."""
+    members = allowance.next_members
+    return TransferRow(*key, allowance.epoch, members[0], len(members), share, grains).encode()
+
+
+def give(
+    allowance: Allowance, now: float, peer: int, wanted: float = math.inf, shutting_down: bool = False
+) -> Totals | None:
+    """Give `peer` of what can be spared: at most `wanted` units of headroom, and share.
+
+    Where the allowance is not in use here, all that can be spared is given. Returns the running totals given to the
+    peer in this epoch; None where there is nothing to tell.
+    """
+    allowance.advance(now)
+    if peer not in allowance.members or peer == allowance.me or allowance.unreconciled:
+        return None
+    given = allowance.given.get(peer, NOTHING)
+    share = _sparable_share(allowance, peer, given, shutting_down)
+    idle = shutting_down or now - allowance.last_used_at > IDLE_S
+    unreserved = allowance.unreserved_headroom(now)
+    headroom = max(0.0, min(unreserved if idle else unreserved / 2, wanted))
+    grains = min(MAX_FIELD - given.grains, int(headroom * GRAINS_PER_UNIT))
+    if share or grains:
+        allowance.share -= share
+        allowance.headroom = min(allowance.headroom - grains / GRAINS_PER_UNIT, allowance.max_headroom())
+        given = allowance.given[peer] = Totals(given.share + share, given.grains + grains)
+        allowance.bootstrap.record_transfer(peer, allowance.epoch_end())
+    return given if given != NOTHING else None
+
+
+def _sparable_share(allowance: Allowance, peer: int, given: Totals, shutting_down: bool) -> int:
+    """Return the share that can be given to a peer.
+
+    Only its own is given on, and what came from the peer goes back: were what came from others given on, the balances
+    of both could be lost, and no share be left to make up for it.
+    """
+    spare = allowance.share - allowance.guaranteed_share()
+    taken = allowance.taken.get(peer, NOTHING).share
+    lent_to_others = sum(
+        max(0, totals.share - allowance.taken.get(other, NOTHING).share)
+        for other, totals in allowance.given.items()
+        if other != peer
+    )
+    own = allowance.even_share() - allowance.guaranteed_share() - lent_to_others - (given.share - taken)
+    wish = spare if shutting_down else max(spare // 2, taken - given.share)
+    return max(0, min(MAX_FIELD - given.share, wish, spare, own))
+
+
+def receive(allowance: Allowance, now: float, peer: int, epoch: int, totals: Totals) -> None:
+    """Take in what `peer` has given in this epoch so far; older totals and other epochs' change nothing."""
+    allowance.advance(now)
+    if not _is_current(allowance, peer, epoch) or peer in allowance.unreconciled:
+        return
+    before = allowance.taken.get(peer, NOTHING)
+    if totals.share < before.share or totals.grains < before.grains or totals == before:
+        return
+    allowance.taken[peer] = totals
+    _add(allowance, peer, totals.share - before.share, totals.grains - before.grains)
+
+
+def balance_for(key: AllowanceKey, allowance: Allowance, now: float, peer: int, wanted: float) -> bytes:
+    """Return the encoded balance with a peer that has started: given and taken so far, and what is given just now."""
+    allowance.advance(now)
+    before = allowance.given.get(peer, NOTHING)
+    given = give(allowance, now, peer, wanted) or before
+    taken = allowance.taken.get(peer, NOTHING)
+    new_share, new_grains = given.share - before.share, given.grains - before.grains
+    return BalanceRow(*key, allowance.epoch, *given, *taken, new_share, new_grains).encode()
+
+
+def reconcile(allowance: Allowance, now: float, peer: int, row: BalanceRow) -> None:
+    """Take in a peer's balance with this ingress's earlier incarnations, and what the peer has just given."""
+    allowance.advance(now)
+    if not _is_current(allowance, peer, row.epoch):
+        return
+    given_by_peer = Totals(row.given_share, row.given_grains)
+    if peer not in allowance.unreconciled:  # reconciled before: only what is new since then counts
+        receive(allowance, now, peer, row.epoch, given_by_peer)
+        return
+    allowance.unreconciled.discard(peer)
+    allowance.taken[peer] = given_by_peer
+    allowance.given[peer] = Totals(row.taken_share, row.taken_grains)
+    allowance.earlier_net_share += row.given_share - row.new_share - row.taken_share
+    allowance.earlier_given_share += row.taken_share
+    _add(allowance, peer, row.new_share, row.new_grains)
+    allowance.settle()
+
+
+def _is_current(allowance: Allowance, peer: int, epoch: int) -> bool:
+    """Return whether a row of this epoch, and from a peer of the set, has come."""
+    return epoch == allowance.epoch & EPOCH_MASK and peer in allowance.members and peer != allowance.me
+
+
+def _add(allowance: Allowance, peer: int, share: int, grains: int) -> None:
+    allowance.share = min(WHOLE_SHARE, allowance.share + share)
+    allowance.headroom = min(allowance.max_headroom(), allowance.headroom + grains / GRAINS_PER_UNIT)
+    allowance.bootstrap.record_transfer(peer, allowance.epoch_end())
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -65,7 +65,7 @@
 
 
 class ReservationRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Headroom of an allowance that an incarnation left to the next one; see `thistleusher.quota.reserve`."""
+    """Headroom of an allowance that an incarnation left to the next one; see `thistleusher.quota.reservations`."""
 
     plan: str
     customer: int
