--- a/soak/readers.py
+++ b/soak/readers.py
@@ -23,17 +23,19 @@
 from standins.records import read_records
 from thistleusher.assembly import make_gateway
 from thistleusher.core import actions, events
-from thistleusher.core.datagrams import TOLD, TOLD_MARK, name_of
+from thistleusher.core.datagrams import USAGE_ENTRY, USAGE_MARK, encode_customer
 from thistleusher.core.events import Outcome, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.net.config import InvalidConfiguration, read_config
+from thistleusher.core.settings_parser import nested_settings
+from thistleusher.net.backend_list import parse_backend_list_text
+from thistleusher.net.client_connection import ClientConnection
+from thistleusher.net.config import InvalidConfigurationError, read_config
 from thistleusher.net.counters_file import read_counters
-from thistleusher.net.discovery import Watch, read_listing_text
-from thistleusher.net.server import ClientConnection, IngressServer
+from thistleusher.net.discovery import DiscoveryConnection
+from thistleusher.net.ingress_server import IngressServer
 from thistleusher.quota.messages import BALANCE_FORMAT, HANDSHAKE_FORMAT, HANDSHAKE_MARK, TRANSFER_FORMAT
-from thistleusher.services.counter import Add, Link
-from thistleusher.services.wire import MAX_BODY, MAX_HEAD, AnswerReader
-from thistleusher.settings import nested_settings
+from thistleusher.services.counter_client import CounterConnection, PendingAdd
+from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseReader
 
 Check = Callable[[bytes, random.Random], Hashable]
 
@@ -88,11 +90,11 @@
         self.scheduler = asyncio.get_running_loop()
         self.taken: list[Any] = []
 
-    def take(self, call: Any, reply: Callable[[int, bytes, bytes], None]) -> None:
+    def handle_request(self, call: Any, reply: Callable[[int, bytes, bytes], None]) -> None:
         self.taken.append(call)
         reply(200, b"", call.request.id.encode())
 
-    def gone(self, call: Any) -> None: ...
+    def client_disconnected(self, call: Any) -> None: ...
 
 
 class _Answers:
@@ -120,9 +122,9 @@
                 break
             connection.data_received(part)
             await asyncio.sleep(0)
-        for _ in range(len(connection.waiting) + 2):
+        for _ in range(len(connection.queue) + 2):
             await asyncio.sleep(0)
-        if len(connection.body) > MAX_BODY or len(connection.url) > MAX_HEAD + 65536:
+        if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
             raise Broken("holds more than its limits")
         client = _Answers()
         try:
@@ -148,7 +150,7 @@
                 raise Broken(f"passed on as another: {call.message(1.0)[:300]!r}")
         connection.connection_lost(None)
         server.close()
-        return tuple(client.statuses[:4]), connection.deaf
+        return tuple(client.statuses[:4]), connection.discarding_input
 
     return _loop().run_until_complete(main())
 
@@ -158,15 +160,15 @@
 
 def answer(data: bytes, rng: random.Random) -> Hashable:
     """A backend's bytes: whole answers, or the reason why none can be read any more."""
-    reader, whole = AnswerReader(), []
+    reader, whole = ResponseReader(), []
     for part in chunks(data, rng):
         whole += reader.feed(part)
     for a in whole:
-        if len(a.body) > MAX_BODY or not 200 <= a.status <= 999:
+        if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
             raise Broken(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
-    if len(reader.body) > MAX_BODY or reader.fed > 3 * MAX_BODY + 3 * MAX_HEAD + 65536:
+    if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
         raise Broken("holds more than its limits")
-    return tuple(a.status for a in whole[:3]), reader.broken[:30], reader.partial
+    return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
 
 
 class _Line:
@@ -177,7 +179,7 @@
         self.counter = self
         self.told: list[tuple[int, Outcome, float]] = []
 
-    def tell(self, add: Add, outcome: Outcome, total: float = 0.0) -> None:
+    def tell(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
         self.told.append((add.name, outcome, total))
 
     def stands(self, link: Any) -> None: ...
@@ -190,10 +192,10 @@
 
     async def main() -> Hashable:
         line = _Line()
-        link, transport = Link(line), Transport()  # type: ignore[arg-type]
+        link, transport = CounterConnection(line), Transport()  # type: ignore[arg-type]
         link.connection_made(transport)  # type: ignore[arg-type]
         for n in range(3):
-            link.write(Add(n, b"", 0.0, 0.0))
+            link.write(PendingAdd(n, b"", 0.0, 0.0))
         for part in chunks(data, rng):
             link.data_received(part)
         link.connection_lost(None)
@@ -213,14 +215,14 @@
         seen: list[int] = []
 
         def on_text(text: bytes) -> int:
-            listing = read_listing_text(text)
+            listing = parse_backend_list_text(text)
             for entry, endpoint in listing.entries:
                 if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
                     raise Broken(f"taken as it cannot be meant: {entry!r}")
             seen.append(len(listing.entries))
             return listing.version
 
-        watch, transport = Watch(on_text, ("127.0.0.1", 1), rng.choice((None, 7))), Transport()
+        watch, transport = DiscoveryConnection(on_text, ("127.0.0.1", 1), rng.choice((None, 7))), Transport()
         watch.connection_made(transport)  # type: ignore[arg-type]
         for part in chunks(data, rng):
             watch.data_received(part)
@@ -242,7 +244,7 @@
         acts += gateway.handle(now, events.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
         acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
-            if isinstance(a, actions.Tell) and len(a.payload) > 256:
+            if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
                 raise Broken(f"a datagram of {len(a.payload)} bytes")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
     for c in gateway.sharing.customers.values():
@@ -304,7 +306,7 @@
     b'"group":3,"status":"SERVING","weight":1.0,"since_ms":0},{"name":"t","address":"10.1.0.18:8080","status":"DELETED"}]}\n'
 )
 _LIFE = (5000_000).to_bytes(8)
-_ROW = TRANSFER_FORMAT.pack(name_of(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
+_ROW = TRANSFER_FORMAT.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
 _SCRIPT = b'[[fault]]\nat = 2.0\ndo = "match.slow"\ntarget = 3\nfor = 1.5\nvalue = 0.2\n'
 
 
@@ -356,19 +358,22 @@
     "datagram": (
         datagram,
         (
-            TOLD_MARK + TOLD.pack(name_of(1, 7), 8, 8, 50),
+            USAGE_MARK + USAGE_ENTRY.pack(encode_customer(1, 7), 8, 8, 50),
             b"\x02" + _LIFE + _ROW,
             b"\x03" + _LIFE + _ROW,
             b"\x05" + _LIFE + _ROW,
-            b"\x06" + _LIFE + BALANCE_FORMAT.pack(name_of(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
-            TOLD_MARK,
+            b"\x06" + _LIFE + BALANCE_FORMAT.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
+            USAGE_MARK,
             b"12345",
             HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5000_000, 5000_000, 5000_000, 0),
             HANDSHAKE_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
         ),
     ),
-    "config": (_file(_config, InvalidConfiguration), (_config_bytes(),)),
-    "counters": (_file(read_counters, InvalidConfiguration), (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',)),
+    "config": (_file(_config, InvalidConfigurationError), (_config_bytes(),)),
+    "counters": (
+        _file(read_counters, InvalidConfigurationError),
+        (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',),
+    ),
     "script": (_file(_script, BadScript), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
     "records": (records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
     "case": (_file(read_case, BadCase), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
--- a/tests/gossip/helpers.py
+++ b/tests/gossip/helpers.py
@@ -10,5 +10,5 @@
     return events.Request(name, "read", "basic", (1 << 33) - 1, 6.0, units, width, first)
 
 
-def talk(me: int = 3, instances: int = 200) -> Gossip:
+def gossip(me: int = 3, instances: int = 200) -> Gossip:
     return Gossip(instances, me, 100.0, 28, 0.08, 0.0)
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from thistleusher.core.datagrams import name_of
+from thistleusher.core.datagrams import encode_customer
 from thistleusher.quota.escrow import EscrowTable
 from thistleusher.quota.messages import DEMAND_MARK, HEADER_BYTES, TRANSFER_FORMAT, TRANSFER_MARK
 from thistleusher.quota.terms import GRAINS_PER_UNIT, GUARANTEED_FRACTION, WHOLE_SHARE, Terms, epoch_length
@@ -307,10 +307,10 @@
         TRANSFER_MARK + b"123",
         TRANSFER_MARK + LIFE + b"123",
         b"\x09" + LIFE + bytes(TRANSFER_FORMAT.size),
-        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(99, 7), 0, 0, 3, 0, 9),
-        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(0, 7), 0, 0, 0, 0, 9),
-        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(0, 7), 0, 0, 9, 0, 9),
-        TRANSFER_MARK + LIFE + TRANSFER_FORMAT.pack(name_of(0, 7), 77, 0, 3, 4096, 0xFFFF),
+        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(encode_customer(99, 7), 0, 0, 3, 0, 9),
+        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(encode_customer(0, 7), 0, 0, 0, 0, 9),
+        DEMAND_MARK + LIFE + TRANSFER_FORMAT.pack(encode_customer(0, 7), 0, 0, 9, 0, 9),
+        TRANSFER_MARK + LIFE + TRANSFER_FORMAT.pack(encode_customer(0, 7), 77, 0, 3, 4096, 0xFFFF),
     ],
 )
 def test_messages_that_cannot_be_used_change_nothing(payload):
--- a/tests/state/helpers.py
+++ b/tests/state/helpers.py
@@ -7,13 +7,13 @@
 
 from tests.quota.world import BASIC, PLUS
 from tests.quota.world import settings as settings_of
-from thistleusher.assembly import room_terms
+from thistleusher.assembly import allowance_terms
 from thistleusher.state.records import MemberRecord
 
 PLANS = {p.name: p for p in (BASIC, PLUS)}
 
 
-TERMS = room_terms(settings_of(0))
+TERMS = allowance_terms(settings_of(0))
 
 
 def member(key=7, **more):
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -11,8 +11,8 @@
 import pytest
 
 from standins.counter import Counter
-from tests.sockets import Peer, call, ok, run, until
-from tests.test_program import SETTINGS, TERMS, Program, known
+from tests.net.program import SETTINGS, TERMS, Program, known
+from tests.net.sockets import Peer, call, ok, run, until
 from thistleusher.state.records import decode_member
 from thistleusher.state.store import ENDPOINT_LIST_KEY
 
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -11,7 +11,7 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.snapshots import SavedReservation
-from thistleusher.net.daemon import listing_of
+from thistleusher.net.daemon import backend_list_of
 from thistleusher.policy import Gateway
 from thistleusher.state.records import (
     EndpointListRecord,
@@ -133,6 +133,6 @@
         recover_endpoint_list(160.1, record) is None is recover_endpoint_list(99.0, record)
         and recover_endpoint_list(1.0, None) is None
     )
-    listing = listing_of(record)
+    listing = backend_list_of(record)
     assert listing.version == 7 and listing.whole and listing.entries[0][1].address == ("127.0.0.1", 80)
     assert listing.entries[0][0] == BackendEntry("b0", Phase.RUNNING, 1.0, "std", 3, 1.5, "z0")
--- a/tests/system/test_links.py
+++ b/tests/system/test_links.py
@@ -8,15 +8,15 @@
 import pytest
 
 from thistleusher.transport import links
-from thistleusher.transport.codec import COMPRESSED, Deframer, MalformedMessage, frame
+from thistleusher.transport.codec import COMPRESSED, Deframer, MalformedMessageError, frame
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Listener, ReconnectingLink
 from thistleusher.transport.messages import CoreInfo, Hello, KeepAlive, Message, StateUpdate, StateUpdateAck
 
 
 def test_a_dial_that_waits_is_tried_at_once_when_the_other_side_shows(monkeypatch):
-    monkeypatch.setattr(links, "REDIAL_S", 60.0)
+    monkeypatch.setattr(links, "RECONNECT_S", 60.0)
 
     async def play() -> Message:
         loop = asyncio.get_running_loop()
@@ -25,11 +25,11 @@
         await listener.listen("127.0.0.1", 0)
         port = listener.server.sockets[0].getsockname()[1]
         listener.close()
-        dial = Dial(loop, "127.0.0.1", port, lambda: Hello("x"), lambda dial, message: None)
+        dial = ReconnectingLink(loop, "127.0.0.1", port, lambda: Hello("x"), lambda dial, message: None)
         while dial.opening is None or not dial.opening.done():  # refused: nobody listens there
             await asyncio.sleep(0)
         await listener.listen("127.0.0.1", port)
-        dial.poke()
+        dial.retry_now()
         try:
             async with asyncio.timeout(5.0):
                 return await came
@@ -69,11 +69,11 @@
 )
 def test_what_is_no_message_or_not_taken_is_refused_logged_and_ends_its_connection(monkeypatch, data):
     said, came = [], []
-    monkeypatch.setattr(links, "say", lambda event, *fields: said.append(event.name))
+    monkeypatch.setattr(links, "log_event", lambda event, *fields: said.append(event.name))
 
     def take(link, message):
         if not isinstance(message, Hello):
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         came.append(message)
 
     async def play() -> bytes:
@@ -92,13 +92,13 @@
             listener.close()
 
     assert asyncio.run(play()) == b""
-    assert came == [Hello("x")] and said == ["REFUSED_MESSAGE"]
+    assert came == [Hello("x")] and said == ["MESSAGE_REJECTED"]
 
 
 def test_an_older_epoch_does_not_replace_newer_voters():
     core = CoreMembers()
-    assert core.learn(CoreInfo(("a", "b", "d"), 7, "d"))
-    assert not core.learn(CoreInfo(("a", "b", "c"), 6, "c")) and not core.learn(CoreInfo((), 9, ""))
+    assert core.update(CoreInfo(("a", "b", "d"), 7, "d"))
+    assert not core.update(CoreInfo(("a", "b", "c"), 6, "c")) and not core.update(CoreInfo((), 9, ""))
     assert (core.epoch, core.voters, core.leader) == (7, ("a", "b", "d"), "d")
 
 
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("body", [b"no such stream", zlib.compress(b"x" * 2000)[:-5], zlib.compress(b"x" * 2000)])
 def test_what_expands_to_no_message_is_refused(body):
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         list(Deframer().feed(struct.pack(">I", len(body) | COMPRESSED) + body))
 
 
@@ -131,11 +131,11 @@
             link = factory()
             links_made.append(link)
             link.open, link.transport = True, None
-            link.beater = loop.call_later(0, faults.append, "the beat of a link that nobody has")
+            link.keep_alive_timer = loop.call_later(0, faults.append, "the beat of a link that nobody has")
             raise asyncio.CancelledError
 
         loop.create_connection = stands_and_is_cancelled
-        dial = Dial(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda dial, message: None)
+        dial = ReconnectingLink(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda dial, message: None)
         while not links_made:
             await asyncio.sleep(0)
         dial.close()
--- a/thistleusher/gossip/messages.py
+++ b/thistleusher/gossip/messages.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from thistleusher.core.datagrams import name_of, plan_of
+from thistleusher.core.datagrams import decode_customer, encode_customer
 
 QUERY_MARK = b"\x07"
 REPLY_MARK = b"\x08"
@@ -42,7 +42,7 @@
     def encode(self) -> bytes:
         """Return the message's bytes; units are rounded to quarters."""
         quarters = min(MAX_QUARTERS, round(QUARTERS_PER_UNIT * self.units))
-        name = name_of(self.plan, self.customer)
+        name = encode_customer(self.plan, self.customer)
         return QUERY_MARK + QUERY_FORMAT.pack(self.number, name, self.first, self.width, quarters)
 
 
@@ -51,7 +51,7 @@
     if len(payload) != 1 + QUERY_FORMAT.size:
         return None
     number, name, first, width, quarters = QUERY_FORMAT.unpack_from(payload, 1)
-    return Query(number, *plan_of(name), first, width, quarters / QUARTERS_PER_UNIT)
+    return Query(number, *decode_customer(name), first, width, quarters / QUARTERS_PER_UNIT)
 
 
 class Reply(NamedTuple):
@@ -98,6 +98,6 @@
         return []
     rows: list[ReconciliationRow] = []
     for name, quarters in ROW_FORMAT.iter_unpack(payload[1:]):
-        plan, customer = plan_of(name)
+        plan, customer = decode_customer(name)
         rows.append(ReconciliationRow(customer, plan, quarters / QUARTERS_PER_UNIT))
     return rows
--- a/thistleusher/gossip/reconciliations.py
+++ b/thistleusher/gossip/reconciliations.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from thistleusher.core.datagrams import name_of
+from thistleusher.core.datagrams import encode_customer
 from thistleusher.gossip.messages import encode_reconciliations
 
 MAX_RECONCILIATIONS = 4096
@@ -21,7 +21,7 @@
 
     def add(self, owner: int, customer: int, plan: int, units: float) -> None:
         """Add units to what waits for an owner."""
-        name = name_of(plan, customer)
+        name = encode_customer(plan, customer)
         if name not in self.waiting.get(owner, ()):
             if self._count >= MAX_RECONCILIATIONS:
                 self._forget_oldest()
--- a/thistleusher/quota/messages.py
+++ b/thistleusher/quota/messages.py
@@ -17,7 +17,7 @@
 from enum import IntFlag
 from typing import NamedTuple
 
-from thistleusher.core.datagrams import name_of, plan_of
+from thistleusher.core.datagrams import decode_customer, encode_customer
 
 DEMAND_MARK = b"\x02"
 TRANSFER_MARK = b"\x03"
@@ -81,7 +81,7 @@
 
     def encode(self) -> bytes:
         """Return the row's bytes."""
-        name = name_of(self.plan, self.customer)
+        name = encode_customer(self.plan, self.customer)
         return TRANSFER_FORMAT.pack(name, self.epoch & EPOCH_MASK, self.first, self.width, self.share, self.grains)
 
 
@@ -100,7 +100,7 @@
 
     def encode(self) -> bytes:
         """Return the row's bytes."""
-        name = name_of(self.plan, self.customer)
+        name = encode_customer(self.plan, self.customer)
         return BALANCE_FORMAT.pack(name, self.epoch & EPOCH_MASK, *self[3:])
 
 
@@ -128,7 +128,8 @@
     if mark not in ROW_MARKS or not _fits(payload, HEADER_BYTES, TRANSFER_FORMAT):
         return None
     rows = [
-        TransferRow(*plan_of(name), *values) for name, *values in TRANSFER_FORMAT.iter_unpack(payload[HEADER_BYTES:])
+        TransferRow(*decode_customer(name), *values)
+        for name, *values in TRANSFER_FORMAT.iter_unpack(payload[HEADER_BYTES:])
     ]
     return RowMessage(mark, int.from_bytes(payload[1:HEADER_BYTES]), rows)
 
@@ -137,7 +138,7 @@
     if not _fits(payload, BALANCE_HEADER_BYTES, BALANCE_FORMAT):
         return None
     rows = [
-        BalanceRow(*plan_of(name), *values)
+        BalanceRow(*decode_customer(name), *values)
         for name, *values in BALANCE_FORMAT.iter_unpack(payload[BALANCE_HEADER_BYTES:])
     ]
     sender = int.from_bytes(payload[1:HEADER_BYTES])
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -10,15 +10,15 @@
 import random
 import time
 
-from thistleusher.common.events import say
+from thistleusher.common.events import log_event
 from thistleusher.common.node_settings import CONTROL, REGISTRY
-from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process import SettingsFile, new_incarnation, serve
 from thistleusher.registry.platform import Platform
 from thistleusher.registry.registry import Call, Core, Output, Registry, Tell, ToControl
-from thistleusher.services.wire import read_address
+from thistleusher.services.addresses import read_address
 from thistleusher.transport.core_links import CoreLinks
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
 LEAVE_S = 0.1
@@ -27,20 +27,24 @@
 class RegistryProgram:
     """One process on a core machine."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
         boot = self.boot = settings.boot
         loop = self.loop = asyncio.get_running_loop()
         self.platform = Platform(read_address(boot.cloud_api.address)) if boot.cloud_api.address else None
-        me = f"{boot.node_name}/{life()}"
+        me = f"{boot.node_name}/{new_incarnation()}"
         rate_per_s, polls = boot.cloud_api.rate_per_s, self.platform is not None
         self.registry = Registry(me, boot.ip, time.monotonic(), random.Random(), rate_per_s, polls)
         self.calling: asyncio.Task[None] | None = None
         self.control = CoreLinks(
-            loop, lambda: self.boot.port(CONTROL), self.registry.control.follow, self._from_control
+            loop, lambda: self.boot.port(CONTROL), self.registry.control.subscribe_request, self._from_control
         )
         self.peers = CoreLinks(
-            loop, lambda: self.boot.port(REGISTRY), self.registry.list.follow, self._from_peer, own=boot.ip
+            loop,
+            lambda: self.boot.port(REGISTRY),
+            self.registry.list.subscribe_request,
+            self._from_peer,
+            own_address=boot.ip,
         )
         self.listener = Listener(loop, self._from_follower, self._gone)
         self.followers: dict[str, Link] = {}
@@ -65,8 +69,8 @@
         self._meet(self.boot.core_ips)
 
     def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
-        self.control.meet(addresses)
-        self.peers.meet(addresses)
+        self.control.connect_to(addresses)
+        self.peers.connect_to(addresses)
 
     def tick(self) -> None:
         """A tick of the state machine."""
@@ -88,7 +92,7 @@
             elif isinstance(out, Core):
                 self._meet(out.addresses)
             else:
-                say(out.event, *out.fields)
+                log_event(out.event, *out.fields)
 
     def _tell(self, out: Tell) -> None:
         """Send what only a holder of the duty may say, if the duty is held still."""
@@ -104,13 +108,13 @@
 
     # Messages.
 
-    def _from_control(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.from_control(time.monotonic(), dial.host, message)
         if reply is not None:
             dial.send(reply)
         self._carry(outputs)
 
-    def _from_peer(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_peer(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.from_peer(time.monotonic(), message)
         if reply is not None:
             dial.send(reply)
@@ -118,11 +122,11 @@
 
     def _from_follower(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
-            raise UnexpectedMessage(message)  # it has not said who it is
+            raise UnexpectedMessageError(message)  # it has not said who it is
         if isinstance(message, SubscribeRequest):
             self.followers[link.name] = link
             for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
-                links.poke(link.peer)
+                links.retry_now(link.peer_address)
         elif self.followers.get(link.name) is not link:
             return  # a newer connection has taken this one's place, maybe of a newer life
         self._carry(self.registry.from_follower(time.monotonic(), link.name, message))
@@ -133,6 +137,6 @@
             self.registry.gone(link.name)
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """What `python -m thistleusher.system registry` runs."""
     await RegistryProgram(settings).run()
