--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -7,7 +7,7 @@
 from tests.quota.world import World
 from tests.quota.world import settings as settings_of
 from tests.state.helpers import TERMS, ManualScheduler
-from thistleusher.operator.units import Seconds
+from thistleusher.operator_file.units import Seconds
 from thistleusher.state.options import StateOptions
 from thistleusher.state.snapshotter import Snapshotter
 
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -5,7 +5,7 @@
 from tests.quota.world import PLUS, World
 from tests.quota.world import settings as settings_of
 from tests.state.helpers import TERMS, ManualScheduler, SlowDisk
-from thistleusher.operator.units import Seconds
+from thistleusher.operator_file.units import Seconds
 from thistleusher.state.options import StateOptions
 from thistleusher.state.snapshotter import Snapshotter
 from thistleusher.state.store import Store
--- a/thistleusher/state/options.py
+++ b/thistleusher/state/options.py
@@ -1,6 +1,6 @@
-"""Options of the state folder: the section `[state]` of the operator's file, and the older file that `--state` names.
+"""Options of the state folder: the section `[state]` of the operator's file, and the earlier file of `--state`.
 
-The older file has units in its keys' names:
+The earlier file has units in its keys' names:
 
     folder = "/var/lib/thistleusher"
     sync = "normal"      # off, normal or full: what a loss of power may cost
@@ -10,21 +10,23 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-from typing import Annotated, Literal
+from dataclasses import dataclass
+from typing import Literal
 
-import msgspec
+from thistleusher.operator_file.errors import InvalidValueError
+from thistleusher.operator_file.reader import read_flat_file
+from thistleusher.operator_file.units import Bytes, Seconds
 
-from thistleusher.operator.layers import one_line
-from thistleusher.operator.units import Bytes, Seconds
-
-COMMIT_EVERY_RANGE = (Seconds(0.005), Seconds(10.0))
-MAX_SIZE_RANGE = (Bytes(1 << 20), Bytes(1 << 36))
+COMMIT_EVERY_LIMITS = Seconds(0.005), Seconds(10.0)
+MAX_SIZE_LIMITS = Bytes(1 << 20), Bytes(1 << 36)
 BYTES_PER_MB = 1 << 20
 MS_PER_S = 1000
+COMMIT_MS_LIMITS = 5, 10_000
+MOST_MB_LIMITS = 1, 65_536
 
 
-class StateOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+@dataclass(frozen=True, slots=True)
+class StateOptions:
     """Where and how state is stored.
 
     folder: used by this ingress alone and locked by one process; created if it does not exist
@@ -34,42 +36,50 @@
     max_size: bound of the folder's file, 1MiB to 64GiB
     """
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]
+    folder: str
     sync: Literal["off", "normal", "full"] = "normal"
     commit_every: Seconds = Seconds(0.05)
     max_size: Bytes = Bytes(256 << 20)
 
     def __post_init__(self) -> None:
-        """Raise ValueError where a value is out of its range."""
-        checks = (
-            ("commit_every", self.commit_every, COMMIT_EVERY_RANGE),
-            ("max_size", self.max_size, MAX_SIZE_RANGE),
-        )
-        for key, value, (low, high) in checks:
-            if not low <= value <= high:
-                raise ValueError(f"{key}: expected {low} to {high}, got {value}")
+        """Check the ranges; raises InvalidValueError."""
+        check_folder(self.folder)
+        check_range("commit_every", self.commit_every, COMMIT_EVERY_LIMITS)
+        check_range("max_size", self.max_size, MAX_SIZE_LIMITS)
 
 
-class LegacyStateFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The older file, with units in its keys' names."""
+@dataclass(frozen=True, slots=True)
+class LegacyStateFile:
+    """The earlier file, with units in its keys' names."""
 
-    folder: Annotated[str, msgspec.Meta(min_length=1)]
+    folder: str
     sync: Literal["off", "normal", "full"] = "normal"
-    commit_ms: Annotated[int, msgspec.Meta(ge=5, le=10_000)] = 50
-    most_mb: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = 256
+    commit_ms: int = 50
+    most_mb: int = 256
 
+    def __post_init__(self) -> None:
+        """Check the ranges; raises InvalidValueError."""
+        check_folder(self.folder)
+        check_range("commit_ms", self.commit_ms, COMMIT_MS_LIMITS)
+        check_range("most_mb", self.most_mb, MOST_MB_LIMITS)
 
-def read_options(path: str) -> StateOptions:
-    """Return the options of the older file.
 
-    Raises ValueError: one line that names the file, the key, what was found and what was expected.
-    """
-    try:
-        legacy = msgspec.toml.decode(Path(path).read_bytes(), type=LegacyStateFile)
-    except (OSError, ValueError) as error:
-        raise ValueError(f"{path}: {one_line(error)}") from error
-    except RecursionError as error:
-        raise ValueError(f"{path}: nested too deeply") from error
-    commit_every = Seconds(legacy.commit_ms / MS_PER_S)
-    max_size = Bytes(legacy.most_mb * BYTES_PER_MB)
-    return StateOptions(legacy.folder, legacy.sync, commit_every, max_size)
+def check_folder(folder: str) -> None:
+    """Raise InvalidValueError where a folder's name is empty."""
+    if not folder:
+        raise InvalidValueError("a folder's name", "''", key="folder")
+
+
+def check_range(key: str, value: float, limits: tuple[float, float]) -> None:
+    """Raise InvalidValueError where a value is outside its limits, both included."""
+    low, high = limits
+    if not low <= value <= high:
+        raise InvalidValueError(f"{low} to {high}", str(value), key=key)
+
+
+def read_options(path: str) -> StateOptions:
+    """Return the earlier file's options. Raises OperatorFileError, a ValueError: file, key, expected and found."""
+    file: LegacyStateFile = read_flat_file(path, LegacyStateFile)
+    commit_every = Seconds(file.commit_ms / MS_PER_S)
+    max_size = Bytes(file.most_mb * BYTES_PER_MB)
+    return StateOptions(file.folder, file.sync, commit_every, max_size)
