--- a/benchmarks/beginning.py
+++ b/benchmarks/bootstrap.py
@@ -1,6 +1,6 @@
 """How a fleet begins with the counter silent from the first request, at many moments of an epoch, in scripted time.
 
-    python -m benchmarks.beginning --moments 50
+    python -m benchmarks.bootstrap --moments 50
 
 For each way of starting: share of the tries of the first five seconds that came with half of the quota or more unused
 and were refused (worst and mean of the moments), and the most units that a member had beyond quota and ceiling.
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -202,7 +202,7 @@
         assert w.kept() > 0.8 and quota < 8.0 and ceiling <= 0.0
 
 
-def test_a_replaced_counter_is_noticed_and_told_anew_what_it_lost():
+def test_a_replaced_counter_is_noticed_and_gets_again_what_it_lost():
     w = World()
     while w.now % 2.25 > 0.01 or not w.served:  # some way into nothing in particular
         w.traffic(0.01, 40.0, lambda at: 1)
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("counted", [True, False])
-def test_a_doubtful_add_is_told_again_only_if_it_did_not_count(counted):
+def test_an_uncertain_add_is_repeated_only_if_it_did_not_count(counted):
     w = World()
     c = within_a_window(w)
     w.counters[1].lose, w.counters[1].silent = float(counted), not counted
@@ -245,7 +245,7 @@
     assert total + c.pending == pytest.approx(7.0)  # what was let in, in the count or on its way
 
 
-def test_what_a_replaced_counter_lost_is_told_anew_once():
+def test_what_a_replaced_counter_lost_is_written_back_once():
     w = World()
     c = within_a_window(w)
     for _ in range(3):
