--- a/thistleusher/gossip/messages.py
+++ b/thistleusher/gossip/messages.py
@@ -62,7 +62,7 @@
     headroom: float  # units; below 0 where more was spent
 
     def encode(self) -> bytes:
-        """Return the message's bytes; headroom is rounded down: who has none must not be told of enough."""
+        """Return the message's bytes; headroom is rounded down, as none must not become enough."""
         quarters = max(MIN_SIGNED, min(MAX_SIGNED, math.floor(QUARTERS_PER_UNIT * self.headroom)))
         return REPLY_MARK + REPLY_FORMAT.pack(self.number, self.admitted, quarters)
 
--- a/thistleusher/gossip/outbox.py
+++ b/thistleusher/gossip/outbox.py
@@ -1,9 +1,9 @@
-"""What each peer is to be told of, merged while it waits and paced, with keep-alives where there is nothing to tell.
+"""Updates to peers, merged while they wait and paced, with keep-alives where there is none.
 
-Guaranteed, for any traffic: at most `per_s` messages a second leave, and `BURST_S` times that at once; a peer that has
-something to be told waits behind each other one at most once; a member that changes again while it waits takes no more
-space. Updates of a member go to its set, so an ingress has 2 x (width - 1) peers to tell at most, however large the
-fleet is; and as sets lie evenly, what all others together send it grows as what it sends itself.
+Guaranteed, for any traffic: at most `per_s` messages a second leave, and `BURST_S` times that at once; a peer for
+which an update waits comes behind each other one at most once; a member that changes again while it waits takes no more
+space. Updates of a member go to its set, so an ingress has 2 x (width - 1) peers to update at most, however large
+the fleet is; and as sets lie evenly, what all others together send it grows as what it sends itself.
 
 Cost: a change costs the peers of one set; a look each tick costs the peers in contact.
 """
@@ -15,7 +15,7 @@
 
 BURST_S = 0.2  # of its messages a second, that may leave at once
 LAZY_DELAY_S = 0.4  # that a change which spends nothing (a reconciliation) waits for others to go with
-KEEP_ALIVE_S = 0.5  # without a message, after which a peer in contact is told that this ingress is there
+KEEP_ALIVE_S = 0.5  # without a message, after which a peer in contact gets a keep-alive
 PRESENCE_FRACTION = 0.8  # of KEEP_ALIVE_S, without a message, after which a peer's update is answered
 CONTACT_S = 5.0  # after the last common member was seen, for which two ingresses keep in contact
 
@@ -24,7 +24,7 @@
     """Waiting updates of one ingress, by peer. Times in seconds of one clock; members by their keys."""
 
     def __init__(self, per_s: float, rows: int, now: float) -> None:
-        """`per_s`: messages a second at most; `rows`: members that one message tells of."""
+        """`per_s`: messages a second at most; `rows`: members that one message holds."""
         self.per_s = max(1.0, per_s)
         self.rows = rows
         self.at = now
--- a/thistleusher/quota/allowance.py
+++ b/thistleusher/quota/allowance.py
@@ -1,7 +1,7 @@
 """One ingress's part of one member's allowance: its share, and the headroom that fills by it.
 
 Headroom fills at share x rate up to share x burst. At an epoch's start shares are even again, and no headroom grows by
-that. An ingress that starts within an epoch is not told what its earlier incarnation gave: it is sure of its guaranteed
+that. An ingress that starts within an epoch does not know what its earlier one gave: it is sure of its guaranteed
 share, which nobody gives away, and holds the rest once it is reconciled with each peer of the set. Its headroom fills
 from its start only, as its earlier incarnation may have spent all; a set that starts together has
 `Terms.joint_start_burst` units between its ingresses besides. `quota.transfers` moves shares between ingresses.
@@ -204,7 +204,7 @@
     def unreserved_headroom(self, now: float) -> float:
         """Return the headroom that no record on disk promises to the next incarnation.
 
-        A quota without a ceiling is not held to records.
+        A quota without a ceiling is not bound by records.
         """
         if self.reservation is None or not self.terms.strict:
             return self.headroom
--- a/thistleusher/quota/bootstrap.py
+++ b/thistleusher/quota/bootstrap.py
@@ -7,7 +7,7 @@
 - the headroom with which a fleet starts is granted to an ingress once in an unbroken chain of overlapping incarnations.
 
 How. Whoever starts sends a handshake to all others, again and again until each has answered or the longest epoch is
-over. A handshake tells the own incarnation, the receiver's as known, when the chain of incarnations that the sender is
+over. A handshake holds the own incarnation, the receiver's as known, when the chain of incarnations that the sender is
 part of began (its origin), and flags: an earlier incarnation of the receiver was known, and shares went between the
 two. A pair of which both have started anew starts at nothing on both sides: what one's earlier incarnation gave to the
 other's is lost with both. Where one of the two goes on, its balance is the true one.
@@ -51,7 +51,7 @@
         self.on_demand = on_demand
         self.known_before = False  # a peer knew an earlier incarnation of this ingress
         self.restored = False  # its own folder knows one, of an epoch that is not over
-        # When a peer told this incarnation that nothing had gone between the two; inf: something had.
+        # By peer, when it confirmed to this incarnation that nothing had gone between the two; inf: something had.
         self.reconciled_at: dict[int, float] = {}
         self._others = [n for n in range(instances) if n != me]
         self._transfers_until: dict[int, float] = {}  # by peer, end of the last epoch in which shares went between us
@@ -134,7 +134,7 @@
         return [p for p in self._others if not self.on_demand or p in self.incarnations.current]
 
     def reconciled_by(self, peer: int, time: float) -> bool:
-        """Return whether a peer had told this incarnation by then that no shares had gone between the two."""
+        """Return whether a peer had confirmed to this incarnation by then that no shares had gone between the two."""
         return self.reconciled_at.get(peer, math.inf) <= time
 
     def started_together(self, members: Iterable[int]) -> bool:
--- a/thistleusher/quota/incarnations.py
+++ b/thistleusher/quota/incarnations.py
@@ -1,7 +1,7 @@
 """Which incarnation of each ingress is current.
 
 An incarnation is named by the millisecond in which it started. Of two incarnations of one ingress only the later one
-is listened to, so nothing that an earlier one gave is taken in after its successor was told of what had been taken.
+is listened to, so nothing that an earlier one gave is taken in after its successor has learned what had been taken.
 
 Assumed: an ingress's own clock does not go back between its incarnations. Where it does, the new incarnation is
 listened to once the later-named one has been silent for `FORGET_AFTER_S`. Cost: constant a message.
--- a/thistleusher/quota/reservations.py
+++ b/thistleusher/quota/reservations.py
@@ -4,7 +4,7 @@
 folder it may start with what that incarnation cannot have spent. Recording each unit ahead of its answer would cost a
 commit a request; so a reservation says how much headroom is *left alone*: at most half of what is there less one large
 request, and never more than `RESERVED_FRACTION` of what the ingress is always sure of. What is above it is spent
-without a word to the disk.
+without any write.
 
 Guaranteed: at every moment the headroom of the living allowance is at least what each reservation that may be on disk
 restores, the last committed one and the one in flight. So headroom after a kill is at most what it would have been
--- a/thistleusher/quota/transfers.py
+++ b/thistleusher/quota/transfers.py
@@ -1,6 +1,6 @@
 """Transfers of shares and headroom between two ingresses of a set.
 
-Whoever gives lowers its own share and headroom first, and then tells the running totals of what it has given to that
+Whoever gives lowers its own share and headroom first, and then sends the running totals of what it has given to that
 peer in this epoch; the taker adds what is new in them. So a lost message is made up for by the next, a doubled one
 changes nothing, and one of another epoch is ignored. An ingress that starts asks its peers for their balances: what
 went between them and its earlier incarnations.
@@ -29,7 +29,7 @@
     """Give `peer` of what can be spared: at most `wanted` units of headroom, and share.
 
     Where the allowance is not in use here, all that can be spared is given. Returns the running totals given to the
-    peer in this epoch; None where there is nothing to tell.
+    peer in this epoch; None where nothing was given.
     """
     allowance.advance(now)
     if peer not in allowance.members or peer == allowance.me or allowance.unreconciled:
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -13,7 +13,7 @@
    folder it is worth nothing, as the original may be alive and spend it.
 6. What was learned of backends ages: speeds for ten minutes, faults and ejections while they could still hold. After
    the clock was set back only the speeds are believed. Only the same process of a backend is meant.
-7. An endpoint list serves until discovery answers, for a minute at most: a drained server is kept for a second only.
+7. An endpoint list serves until discovery answers, for a minute at most; a drained server stays in it for a second.
 8. A record older than the time after which the member would have been forgotten says nothing: its bucket is full.
 """
 
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -28,7 +28,7 @@
     recover_members,
     recover_reservations,
 )
-from thistleusher.state.store import ENDPOINT_LIST_KEY, LEARNED_KEY, RecordKey, Store
+from thistleusher.state.store import ENDPOINT_LIST_KEY, LEARNED_KEY, MEMBER_TABLE, RESERVATION_TABLE, RecordKey, Store
 from thistleusher.state.writer import Writer
 
 log = logging.getLogger(__name__)
@@ -175,7 +175,7 @@
         for member in members:
             plan = self.plans[member.plan]
             record = MemberRecord(member.key, member.plan, plan.rate, plan.burst, *member[2:])
-            self.writer.put(RecordKey("member", member.key), encode(record))
+            self.writer.put(RecordKey(MEMBER_TABLE, member.key), encode(record))
         submitted = len(members) + self._submit_reservations(limit)
         now = self.clock()
         # A clock that was set back counts as due.
@@ -195,7 +195,7 @@
         keys: list[tuple[int, int]] = []
         for reservation in escrow.changed_reservations(self.clock(), limit):
             key = (reservation.plan, reservation.customer)
-            record_key = RecordKey("room", reservation.customer << PLAN_BITS | reservation.plan)
+            record_key = RecordKey(RESERVATION_TABLE, reservation.customer << PLAN_BITS | reservation.plan)
             if writer.put(record_key, self._reservation_body(reservation)):
                 keys.append(key)
             else:
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -14,7 +14,7 @@
 import sqlite3
 from collections.abc import Callable, Iterable, Iterator
 from pathlib import Path
-from typing import Literal, NamedTuple, TypeVar
+from typing import Final, Literal, NamedTuple, TypeVar
 
 from thistleusher.core.snapshots import Learned
 from thistleusher.state.records import (
@@ -37,6 +37,11 @@
 MIN_PAGES = 16
 DATABASE_FILE = "state.db"
 LOCK_FILE = "lock"
+# The tables' names are part of the format.
+INCARNATION_TABLE = "life"
+MEMBER_TABLE: Final = "member"
+RESERVATION_TABLE: Final = "room"
+FACT_TABLE: Final = "fact"
 INCARNATIONS_KEPT = 8
 INCARNATIONS_READ = 4  # at most, until one is readable
 MIN_INCARNATION_GAP_S = 0.001
@@ -44,14 +49,14 @@
 
 
 class RecordKey(NamedTuple):
-    """Where a record is stored: its table (the names are part of the format) and its key there."""
+    """Where a record is stored: its table and its key there."""
 
     table: Literal["member", "room", "fact"]
     key: int
 
 
-LEARNED_KEY = RecordKey("fact", 1)
-ENDPOINT_LIST_KEY = RecordKey("fact", 2)
+LEARNED_KEY = RecordKey(FACT_TABLE, 1)
+ENDPOINT_LIST_KEY = RecordKey(FACT_TABLE, 2)
 
 
 class StateFolderError(Exception):
@@ -115,8 +120,8 @@
         self.db.execute("PRAGMA journal_mode=WAL")
         self.db.execute(f"PRAGMA synchronous={sync}")
         self.db.execute(f"PRAGMA max_page_count={max(MIN_PAGES, int(max_bytes / PAGE_BYTES))}")
-        self.db.execute("CREATE TABLE IF NOT EXISTS life (number INTEGER PRIMARY KEY, body BLOB)")
-        for table in ("member", "room", "fact"):
+        self.db.execute(f"CREATE TABLE IF NOT EXISTS {INCARNATION_TABLE} (number INTEGER PRIMARY KEY, body BLOB)")
+        for table in (MEMBER_TABLE, RESERVATION_TABLE, FACT_TABLE):
             self.db.execute(f"CREATE TABLE IF NOT EXISTS {table} (key INTEGER PRIMARY KEY, body BLOB)")
         self.corrupt_records = 0
         self.current: IncarnationRecord | None = None  # of this process, once it has started
@@ -135,7 +140,7 @@
             raise StateFolderError(f"{path}: it is of ingress {previous.name!r}, this is {name!r}")
 
     def _read_last_incarnation(self) -> IncarnationRecord | None:
-        newest = f"SELECT number, body FROM life ORDER BY number DESC LIMIT {INCARNATIONS_READ}"
+        newest = f"SELECT number, body FROM {INCARNATION_TABLE} ORDER BY number DESC LIMIT {INCARNATIONS_READ}"
         for _, body in self.db.execute(newest):
             try:
                 return decode_incarnation(body)
@@ -155,9 +160,9 @@
         incarnation = IncarnationRecord(name, number, started_at, self._inode)
         self._transaction(
             [
-                ("INSERT OR REPLACE INTO life VALUES (?, ?)", (number, encode(incarnation))),
-                ("DELETE FROM life WHERE number < ?", (number - INCARNATIONS_KEPT,)),
-                ("DELETE FROM room", ()),
+                (f"INSERT OR REPLACE INTO {INCARNATION_TABLE} VALUES (?, ?)", (number, encode(incarnation))),
+                (f"DELETE FROM {INCARNATION_TABLE} WHERE number < ?", (number - INCARNATIONS_KEPT,)),
+                (f"DELETE FROM {RESERVATION_TABLE}", ()),
             ]
         )
         self.current = incarnation
@@ -176,7 +181,8 @@
             current.format,
             max(now, current.started_at),
         )
-        self._transaction([("INSERT OR REPLACE INTO life VALUES (?, ?)", (current.number, encode(ended)))])
+        statement = f"INSERT OR REPLACE INTO {INCARNATION_TABLE} VALUES (?, ?)"
+        self._transaction([(statement, (current.number, encode(ended)))])
 
     def _readable(self, table: str, decode: Callable[[bytes], T]) -> Iterator[T]:
         for (body,) in self.db.execute(f"SELECT body FROM {table}"):
@@ -187,19 +193,19 @@
 
     def members(self) -> Iterator[MemberRecord]:
         """Yield the members that can be read; the others are counted in `corrupt_records`."""
-        return self._readable("member", decode_member)
+        return self._readable(MEMBER_TABLE, decode_member)
 
     def reservations(self) -> Iterator[ReservationRecord]:
         """Yield the predecessor's reservations that can be read; to be called before `start_incarnation`."""
-        return self._readable("room", decode_reservation)
+        return self._readable(RESERVATION_TABLE, decode_reservation)
 
     def learned(self) -> Learned | None:
         """Return what an earlier incarnation had learned of backends; None where nothing can be read."""
-        return next(self._readable(f"fact WHERE key = {LEARNED_KEY.key}", decode_learned), None)
+        return next(self._readable(f"{FACT_TABLE} WHERE key = {LEARNED_KEY.key}", decode_learned), None)
 
     def endpoint_list(self) -> EndpointListRecord | None:
         """Return the last list of servers; None where nothing can be read."""
-        return next(self._readable(f"fact WHERE key = {ENDPOINT_LIST_KEY.key}", decode_endpoint_list), None)
+        return next(self._readable(f"{FACT_TABLE} WHERE key = {ENDPOINT_LIST_KEY.key}", decode_endpoint_list), None)
 
     def integrity_errors(self) -> str:
         """Return the damage to the file's own structure in one line; empty where there is none. Reads all of it."""
