--- a/tests/compatibility/test_ingress_state.py
+++ b/tests/compatibility/test_ingress_state.py
@@ -13,17 +13,17 @@
 from tests.compatibility.fixtures import FOLDER, as_json, load, positional
 from thistleusher.core.snapshots import Learned, LearnedBackend, LearnedClass
 from thistleusher.state import records
-from thistleusher.state.records import Listed, Member, Place, Room
-from thistleusher.state.store import FILE, LEARNED, LISTED, Store
+from thistleusher.state.records import EndpointListRecord, EndpointRecord, MemberRecord, ReservationRecord
+from thistleusher.state.store import DATABASE_FILE, ENDPOINT_LIST_KEY, LEARNED_KEY, Store
 
 NAME, BEGAN, ENDED = "n3", 1_700_000_000.25, 1_700_000_100.5
 MEMBERS = (
-    Member(7, "basic", 2.5, 10.0, 3.25, 1_700_000_001.0, 9, 1.5, 0.25, 14, {0: 3, 2: 5}, 2.0, 9, 0.5, 0.75, 9),
-    Member(2**33 - 1, "plus", 16.0, 36.0, 0.0, 1_700_000_002.0, 10, 0.0, 0.0, 0),
+    MemberRecord(7, "basic", 2.5, 10.0, 3.25, 1_700_000_001.0, 9, 1.5, 0.25, 14, {0: 3, 2: 5}, 2.0, 9, 0.5, 0.75, 9),
+    MemberRecord(2**33 - 1, "plus", 16.0, 36.0, 0.0, 1_700_000_002.0, 10, 0.0, 0.0, 0),
 )
 ROOMS = (
-    Room("plus", 7, 2, 3, 16.0, 36.0, 4.5, 1_700_000_003.0),
-    Room("basic", 8, 0, 1, 2.5, 10.0, 0.5, 1_700_000_004.0),
+    ReservationRecord("plus", 7, 2, 3, 16.0, 36.0, 4.5, 1_700_000_003.0),
+    ReservationRecord("basic", 8, 0, 1, 2.5, 10.0, 0.5, 1_700_000_004.0),
 )
 LEARNT = Learned(
     1_700_000_005.0,
@@ -34,46 +34,48 @@
     {"10.0.0.9:80": LearnedBackend(1_699_999_000.0, 1.5, 0.25, 3.0, 0.0, True)},
 )
 PLACES = (
-    Place("10.0.0.9:80", "Running", 1.5, "std", 2, 1_699_999_000.0, "z0", "10.0.0.9", 80),
-    Place("10.0.0.8:81", "Stopping", 1.0, "", 0, 0.0, "", "10.0.0.8", 81),
+    EndpointRecord("10.0.0.9:80", "Running", 1.5, "std", 2, 1_699_999_000.0, "z0", "10.0.0.9", 80),
+    EndpointRecord("10.0.0.8:81", "Stopping", 1.0, "", 0, 0.0, "", "10.0.0.8", 81),
 )
-LIST = Listed(1_700_000_006.0, 41, PLACES)
+LIST = EndpointListRecord(1_700_000_006.0, 41, PLACES)
 EVERY = (*MEMBERS, *ROOMS, LEARNT, LIST)
 READERS = (  # by the order of EVERY
-    records.read_member,
-    records.read_member,
-    records.read_room,
-    records.read_room,
-    records.read_learned,
-    records.read_listed,
+    records.decode_member,
+    records.decode_member,
+    records.decode_reservation,
+    records.decode_reservation,
+    records.decode_learned,
+    records.decode_endpoint_list,
 )
 
 
 def write(folder: Path) -> None:
-    """Write a folder, as an ingress does in one life."""
+    """Write a folder, as an ingress does in one incarnation."""
     store = Store(folder, NAME, "full")
-    store.begin(NAME, BEGAN)
-    store.commit([(("member", m.key), records.pack(m)) for m in MEMBERS])
-    store.commit([(("member", 99), records.pack(MEMBERS[0])), (("room", 5), records.pack(ROOMS[0]))])
-    store.commit([(("member", 99), None), *((("room", n), records.pack(r)) for n, r in enumerate(ROOMS))])
-    store.commit([(("room", 5), None), (LEARNED, records.pack(LEARNT)), (LISTED, records.pack(LIST))])
-    store.end(ENDED)
+    store.start_incarnation(NAME, BEGAN)
+    store.commit([(("member", m.key), records.encode(m)) for m in MEMBERS])
+    store.commit([(("member", 99), records.encode(MEMBERS[0])), (("room", 5), records.encode(ROOMS[0]))])
+    store.commit([(("member", 99), None), *((("room", n), records.encode(r)) for n, r in enumerate(ROOMS))])
+    store.commit(
+        [(("room", 5), None), (LEARNED_KEY, records.encode(LEARNT)), (ENDPOINT_LIST_KEY, records.encode(LIST))]
+    )
+    store.record_shutdown(ENDED)
     store.close()
 
 
 def dump(folder: Path) -> dict[str, Any]:
-    """All tables and rows. A life's record also holds the file's inode, which is left out, with its checksum."""
-    database = sqlite3.connect(f"file:{folder / FILE}?immutable=1", uri=True)
+    """All tables and rows. An incarnation's record also holds the file's inode, which is left out, with its checksum."""
+    database = sqlite3.connect(f"file:{folder / DATABASE_FILE}?immutable=1", uri=True)
     schema = [sql for (sql,) in database.execute("SELECT sql FROM sqlite_master ORDER BY name")]
     rows = {}
     for (table,) in database.execute("SELECT name FROM sqlite_master ORDER BY name").fetchall():
         rows[table] = [[key, body.hex()] for key, body in database.execute(f"SELECT * FROM {table} ORDER BY 1")]
-    rows["life"] = [[key, life_without_inode(bytes.fromhex(body))] for key, body in rows["life"]]
+    rows["life"] = [[key, incarnation_without_inode(bytes.fromhex(body))] for key, body in rows["life"]]
     database.close()
     return as_json({"schema": schema, "rows": rows})
 
 
-def life_without_inode(body: bytes) -> str:
+def incarnation_without_inode(body: bytes) -> str:
     values = msgpack.unpackb(body[4:])
     assert isinstance(values[3], int)
     values[3] = 0
@@ -83,17 +85,17 @@
 def read(folder: Path) -> dict[str, Any]:
     """What an ingress reads at its start, by position, and whether anything was spoilt."""
     store = Store(folder, NAME)
-    assert store.before is not None
-    life = positional(store.before)
-    life[3] = 0
+    assert store.previous is not None
+    incarnation = positional(store.previous)
+    incarnation[3] = 0
     found = {
-        "life": life,
+        "life": incarnation,
         "members": sorted(positional(each) for each in store.members()),
-        "rooms": sorted(positional(each) for each in store.rooms()),
+        "rooms": sorted(positional(each) for each in store.reservations()),
         "learned": positional(store.learned()),
-        "listed": positional(store.listed()),
-        "spoilt": store.spoilt,
-        "damage": store.damage(),
+        "listed": positional(store.endpoint_list()),
+        "spoilt": store.corrupt_records,
+        "damage": store.integrity_errors(),
     }
     store.close()
     return as_json(found)
@@ -101,7 +103,7 @@
 
 def packed() -> list[str]:
     """The bytes of every kind of record, with their checksums."""
-    return [records.pack(record).hex() for record in EVERY]
+    return [records.encode(record).hex() for record in EVERY]
 
 
 @pytest.fixture
@@ -120,15 +122,15 @@
 
 
 def test_a_folder_of_before_is_written_on(folder):
-    before = (folder / FILE).stat().st_ino
+    before = (folder / DATABASE_FILE).stat().st_ino
     store = Store(folder, NAME)
-    life = store.begin(NAME, BEGAN)  # the clock was put back: the life is named after all before it
-    assert positional(life) == [NAME, 2, BEGAN + 0.001, before, 1, 0.0]
+    incarnation = store.start_incarnation(NAME, BEGAN)  # the clock was set back: named after all before it
+    assert positional(incarnation) == [NAME, 2, BEGAN + 0.001, before, 1, 0.0]
     store.close()
 
 
 @pytest.mark.parametrize("number", range(len(EVERY)))
 def test_a_record_is_read_and_written_as_before(number):
     golden = bytes.fromhex(load("ingress_state.json")["packed"][number])
-    assert records.pack(EVERY[number]) == golden
-    assert records.pack(READERS[number](golden)) == golden
+    assert records.encode(EVERY[number]) == golden
+    assert records.encode(READERS[number](golden)) == golden
