--- a/tests/compatibility/test_ingress_state.py
+++ b/tests/compatibility/test_ingress_state.py
@@ -64,7 +64,7 @@
 
 
 def dump(folder: Path) -> dict[str, Any]:
-    """All tables and rows. An incarnation's record also holds the file's inode, which is left out, with its checksum."""
+    """All tables and rows. Left out of an incarnation's record: the file's inode, and so the checksum."""
     database = sqlite3.connect(f"file:{folder / DATABASE_FILE}?immutable=1", uri=True)
     schema = [sql for (sql,) in database.execute("SELECT sql FROM sqlite_master ORDER BY name")]
     rows = {}
