--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -62,9 +62,8 @@
         w.loss, w.delay = 0.2, 0.5
         ask_for(w, SECONDS)
         within(w, assumed=Assumptions(0.2, 0.5, skew=0.5, outage=SECONDS))
-        assert rejected_share(w) < 0.35, rejected_share(
-            w
-        )  # a handshake and its answer take half a second here, and a transfer as long
+        # A handshake and its answer take half a second here, and a transfer as long.
+        assert rejected_share(w) < 0.35, rejected_share(w)
 
 
 @pytest.mark.parametrize("down", [0.1, 1.0])
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -112,9 +112,8 @@
         self.loss, self.delay = 0.0, 0.01
         self.inbox = math.inf  # messages a second that an ingress takes in; what comes beyond it is lost
         self.inboxes = [(0.0, start)] * instances  # how full each is, when
-        self.messages_sent = self.bytes_sent = self.overflowed = (
-            0  # messages sent, as their receivers count them, and lost so
-        )
+        self.messages_sent = self.bytes_sent = 0  # as their receivers count them
+        self.overflowed = 0  # messages lost to full inboxes
         self.cut: set[int] = set()  # ingresses that no datagram goes to or comes from
         self.gateways: list[Any] = []
         self.incarnation = [0] * instances
@@ -134,54 +133,8 @@
         self.let = 0.0  # units that came to the servers
         self.requests: dict[str, events.Request] = {}
         self.began: dict[str, float] = {}  # of requests not decided on yet
-        self.rejected_within_quota: set[str] = (
-            set()
-        )  # requests that came with half of the quota unused, until they are sent on
-        self.slowest = 0.0  # from a request to its first attempt or its rejection
-
-    def join(self, counter: CounterModel) -> None:
-        """One counter for all."""
-        self.counters = [counter] * self.instances
-
-    def split(self) -> None:
-        """Ingress 0 meets another counter than the others, which begins at zero."""
-        self.counters = [CounterModel()] + self.counters[1:]
-
-    def at(self, delay: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), what))
-
-    def run(self, seconds: float) -> None:
-        end = self.now + seconds
-        while self.queue and self.queue[0][0] <= end:
-            when, _, what = heapq.heappop(self.queue)
-            self.now = max(self.now, when)
-            what()
-        self.now = end
-
-    def place(self, placement: Placement) -> None:
-        """Another set of counters, told to all ingresses at once."""
-        self.placement = placement
-        for address in placement.addresses:
-            self.parts.setdefault(address, CounterModel())
-        for gateway in self.gateways:
-            gateway.counters.follow(placement)
-
-    def kill(self, n: int) -> None:
-        """An ingress ends without a message; what it has sent is still on its way."""
-        self.incarnation[n] += 1
-        self.gateways[n] = None
-
-    def leave(self, n: int) -> None:
-        """An ingress ends in order."""
-        self.give(n, events.Leaving())
-        self.kill(n)
-
-    def restart(self, n: int) -> None:
-        """An ingress starts with nothing of its own; what was on its way to it is gone."""
-        self.incarnation[n] += 1
-        self.gateways[n] = make_gateway(
-            settings(n, self.instances), self.rng.getrandbits(32), self.now + self.skews[n], self.placement
-        )
+        # Requests that came with half of the quota unused, until they are sent on.
+        self.rejected_within_quota: set[str] = set()
         self.remind(n)
         self.give(
             n, events.ListUpdate(ListKind.SAVED, 1, tuple(BackendEntry(f"b{i}", Phase.RUNNING) for i in range(10)))
