--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -135,6 +135,51 @@
         self.began: dict[str, float] = {}  # of requests not decided on yet
         # Requests that came with half of the quota unused, until they are sent on.
         self.rejected_within_quota: set[str] = set()
+        self.slowest = 0.0  # from a request to its first attempt or its rejection
+
+    def join(self, counter: CounterModel) -> None:
+        """One counter for all."""
+        self.counters = [counter] * self.instances
+
+    def split(self) -> None:
+        """Ingress 0 meets another counter than the others, which begins at zero."""
+        self.counters = [CounterModel()] + self.counters[1:]
+
+    def at(self, delay: float, what: Callable[[], None]) -> None:
+        heapq.heappush(self.queue, (self.now + delay, next(self.order), what))
+
+    def run(self, seconds: float) -> None:
+        end = self.now + seconds
+        while self.queue and self.queue[0][0] <= end:
+            when, _, what = heapq.heappop(self.queue)
+            self.now = max(self.now, when)
+            what()
+        self.now = end
+
+    def place(self, placement: Placement) -> None:
+        """Another set of counters, told to all ingresses at once."""
+        self.placement = placement
+        for address in placement.addresses:
+            self.parts.setdefault(address, CounterModel())
+        for gateway in self.gateways:
+            gateway.counters.follow(placement)
+
+    def kill(self, n: int) -> None:
+        """An ingress ends without a message; what it has sent is still on its way."""
+        self.incarnation[n] += 1
+        self.gateways[n] = None
+
+    def leave(self, n: int) -> None:
+        """An ingress ends in order."""
+        self.give(n, events.Leaving())
+        self.kill(n)
+
+    def restart(self, n: int) -> None:
+        """An ingress starts with nothing of its own; what was on its way to it is gone."""
+        self.incarnation[n] += 1
+        self.gateways[n] = make_gateway(
+            settings(n, self.instances), self.rng.getrandbits(32), self.now + self.skews[n], self.placement
+        )
         self.remind(n)
         self.give(
             n, events.ListUpdate(ListKind.SAVED, 1, tuple(BackendEntry(f"b{i}", Phase.RUNNING) for i in range(10)))
