--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -21,55 +21,58 @@
 
 
 class Escrow(Protocol):
-    """What holds members to an ingress's own share of their allowance; `thistleusher.quota` is one.
+    """Holds members to an ingress's own share of their allowance; `quota.escrow.EscrowTable` is one.
 
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
-        """Whether a request may be let in; `spent`: what is known to be gone of the whole allowance."""
+        """Return whether a request may be let in; `spent`: units known to be gone of the whole allowance."""
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
-        """Units were let in on another's word."""
+        """Take off units that were let in by another verdict."""
 
     def demands(self, now: float) -> list[tuple[int | None, bytes]]:
-        """Messages that are due, to whom; None: to all peers."""
+        """Return the demands that are due, to whom; None: to all peers."""
 
     def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
-        """A peer's message; the answers to it, if any."""
+        """Take in a peer's message and return the answers to it."""
 
     def handshakes(self, now: float) -> list[tuple[int, bytes]]:
-        """What an ingress that has begun has to say now, to whom."""
+        """Return the handshakes that are due after this ingress's start, to whom."""
 
     def handshake_delay(self, now: float) -> float | None:
-        """Seconds until more of that is due; None where nothing is any more."""
+        """Return the seconds until the next handshake; None where none is due any more."""
 
     def has_shut_down(self, peer: int) -> bool:
-        """Whether a peer has ended in order and not begun again: it lets nothing in."""
+        """Return whether a peer has announced its shutdown and not started again: it lets nothing in."""
 
     def has_restarted(self) -> bool:
-        """Whether a peer has known an earlier life of this ingress."""
+        """Return whether a peer has known an earlier incarnation of this ingress."""
 
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
-        """The last words of an ingress that ends in order, to whom."""
+        """Return the last messages of an ingress that shuts down in order, to whom."""
 
-    def restore(self, notes: Iterable[SavedReservation], active: float | None) -> None:
-        """Keep rooms from now on; `notes` of an earlier life that was at work at `active`, None without one."""
+    def restore(self, reservations: Iterable[SavedReservation], last_active: float | None) -> None:
+        """Record reservations from now on, and start with those of an earlier incarnation.
 
-    def changed_reservations(self, now: float, most: int) -> list[SavedReservation]:
-        """Notes to be written to disk, of allowances that have changed."""
+        `last_active`: until when that incarnation may have been active, None where there was none.
+        """
+
+    def changed_reservations(self, now: float, limit: int) -> list[SavedReservation]:
+        """Return reservations to be written to disk, of up to `limit` allowances that have changed."""
 
     def reservation_dropped(self, key: tuple[int, int]) -> None:
-        """The last note of this (plan, customer) will never be on disk."""
+        """Note that the last reservation of this (plan, customer) will never be on disk."""
 
     def reservations_committed(self, keys: Iterable[tuple[int, int]]) -> None:
-        """The last notes of these (plan, customer) are on disk."""
+        """Note that the last reservations of these (plan, customer) are on disk."""
 
 
 class OwnerQuery(NamedTuple):
     """A peer's query to the owner of an account: its number, member, plan's number, set, and units asked for.
 
-    `answer`: the one that it has had, where it comes again.
+    `answer`: the reply that it has had, where it comes again.
     """
 
     number: int
@@ -82,61 +85,61 @@
 
 
 class Gossip(Protocol):
-    """Who is told and asked what in a large fleet; `thistleusher.gossip` is one. Times in seconds."""
+    """What the ingresses of a large fleet send one another; `gossip.Gossip` is one. Times in seconds."""
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Something of a member has changed; `lazy`: it may wait for company."""
+        """Queue an update of a member to its set; `lazy`: it may wait for others to go with."""
 
-    def record_message(self, now: float, peer: int, telling: bool) -> None:
-        """A peer has sent a message; `telling`: an update of usage by members that are common to both."""
+    def record_message(self, now: float, peer: int, is_update: bool) -> None:
+        """Note that a peer has sent a message; `is_update`: of usage by members that are common to both."""
 
     def member_seen(self, now: float, first: int, width: int) -> None:
-        """A member of this set was seen."""
+        """Keep in contact with a set: a member of it was seen."""
 
     def has_work(self) -> bool:
-        """Whether the next tick has anything to say."""
+        """Return whether the next tick has anything to send."""
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """The tellings that leave now: to whom, of which members."""
+        """Return the updates that leave now: to whom, of which members."""
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """The ingress that keeps a member's account; None where none of its candidates answers."""
+        """Return the ingress that keeps a member's account; None where none of its candidates answers."""
 
-    def create_query(self, now: float, home: int, r: Request, plan: int) -> bytes | None:
-        """A question for a request; None where too many are out."""
+    def create_query(self, now: float, owner: int, request: Request, plan: int) -> bytes | None:
+        """Return a query for a request; None where too many are outstanding."""
 
     def receive_query(self, now: float, peer: int, payload: bytes) -> OwnerQuery | None:
-        """A question of a peer's; None where it cannot be one, or is one that is being decided on."""
+        """Return a peer's query; None where it cannot be one, or is one that is being decided on."""
 
-    def create_reply(self, peer: int, number: int, good: bool, room: float) -> bytes:
-        """The answer to a peer's."""
+    def create_reply(self, peer: int, number: int, admitted: bool, headroom: float) -> bytes:
+        """Return the reply to a peer's query."""
 
     def receive_reply(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
-        """Whose request a home has decided on, how, and the room that it told; None where nobody waits for it."""
+        """Return whose request an owner has decided on, how, and the headroom; None where nobody waits for it."""
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
-        """Questions to be put once more, to whom: they or their answers were likely lost."""
+        """Return the queries that are to be sent once more, to whom: they or their replies were likely lost."""
 
     def expired_requests(self, now: float) -> list[str]:
-        """Requests whose home has not answered in time, or that were held until now."""
+        """Return the requests whose owner has not replied in time, or that were pending until now."""
 
-    def add_pending(self, request: str, due: float) -> bool:
-        """Keep a request until then, or until a peer has given anything; whether there is room for it."""
+    def add_pending(self, request: str, deadline: float) -> bool:
+        """Keep a request until then, or until a peer has given anything; return whether it can be kept."""
 
     def take_pending(self) -> list[str]:
-        """All that are kept; they are kept no longer."""
+        """Return all requests that are pending; they are so no longer."""
 
     def timer_delay(self, now: float) -> float | None:
-        """Seconds until a question is overdue; None where none is out."""
+        """Return the seconds until a query is to be sent again or a request expires; None where none does."""
 
-    def reconcile(self, home: int, customer: int, plan: int, units: float) -> None:
-        """Units more (or less) than a home was asked for."""
+    def reconcile(self, owner: int, customer: int, plan: int, units: float) -> None:
+        """Tell an owner of units more (or less) than it was asked for."""
 
     def due_reconciliations(self) -> list[tuple[int, bytes]]:
-        """The messages of all that waits to be settled."""
+        """Return the messages of all that is to be reconciled, to whom."""
 
     def parse_reconciliations(self, payload: bytes) -> list[tuple[int, int, float]]:
-        """Members, their plans' numbers, and units, of a peer's settlements."""
+        """Return members, their plans' numbers, and units, of a peer's message."""
 
 
 class CounterOf(Protocol):
