--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -20,7 +20,7 @@
 from benchmarks.load import CONNECTIONS, HOST, send_all, wait_for_port
 from benchmarks.measured_process import MeasuredProcess
 from standins.fleet import free_ports
-from thistleusher.state.store import SYNCS
+from thistleusher.state.store import SYNC_MODES
 
 LOAD_MEMBERS = 500  # that ask while CPU is measured
 LEAST_SERVED = 0.99  # the share of requests, or the figures mean nothing
@@ -103,7 +103,7 @@
         path.write_text(json.dumps(config))
         daemon = MeasuredProcess("thistleusher", environment={"PROXY_CONFIG": str(path)})
         self.forms["daemon"] = Form(daemon, self._ports[1])
-        for sync, port in zip(SYNCS, free_ports(len(SYNCS), 0), strict=True):
+        for sync, port in zip(SYNC_MODES, free_ports(len(SYNC_MODES), 0), strict=True):
             path = self._folder / f"config-{sync}.json"
             path.write_text(json.dumps({**config, "listen": f"{HOST}:{port}"}))
             state_file = self._folder / f"{sync}.toml"
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -57,14 +57,24 @@
         "good = c.room(now) - f.req.units >= 0",
         "good = c.room(now) - f.req.units >= -200",
     ),
-    Wrong("a share that is given is kept as well", "quota/escrow.py", "self.share -= share\n", "self.share -= 0\n"),
+    Wrong(
+        "a share that is given is kept as well",
+        "quota/transfers.py",
+        "allowance.share -= share\n",
+        "allowance.share -= 0\n",
+    ),
     Wrong(
         "an earlier incarnation is listened to",
         "quota/incarnations.py",
-        "            self.earlier.add(peer)\n            return None\n",
-        "            self.earlier.add(peer)\n            return False\n",
+        "            self.restarted.add(peer)\n            return Sender.SUPERSEDED\n",
+        "            self.restarted.add(peer)\n            return Sender.CURRENT\n",
+    ),
+    Wrong(
+        "an idle allowance forgets itself",
+        "quota/escrow.py",
+        "allowance.advance(now)  # before",
+        "pass  # before",
     ),
-    Wrong("an idle allowance sweeps itself", "quota/escrow.py", "found.turn(now)  # touched", "pass  # touched"),
     Wrong(
         "a reset attempt counts as never written",
         "net/backend_connection.py",
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -17,8 +17,8 @@
 from tests.quota.world import World
 from tests.quota.world import settings as world_settings
 from thistleusher.state.options import StateOptions
-from thistleusher.state.snapshotter import PORTION, Snapshotter
-from thistleusher.state.store import SYNCS
+from thistleusher.state.snapshotter import BATCH_SIZE, Snapshotter
+from thistleusher.state.store import SYNC_MODES
 
 START_TIME = 5000.0
 KEPT_S = 1e9  # for which quiet members are kept
@@ -54,7 +54,7 @@
     world = World(1, 2)
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
     gateway = world.gateways[0]
-    snapshotter.begin(gateway, lambda: START_TIME, NoTimer())
+    snapshotter.start(gateway, lambda: START_TIME, NoTimer())
     plan = gateway.sharing.plans["plus"]
     for member in range(members):
         gateway.sharing.admit(world.now, gateway.sharing.meet(world.now, member, plan), 2.0)
@@ -63,11 +63,11 @@
     pauses: list[float] = []
     while True:
         at = time.perf_counter()
-        if not snapshotter.hand_over(PORTION):
+        if not snapshotter.submit_changes(BATCH_SIZE):
             break
         pauses.append(time.perf_counter() - at)
-        if snapshotter.writer.room() < 2 * PORTION:
-            snapshotter.writer.flush(FLUSH_S)  # in service the next portion waits
+        if snapshotter.writer.capacity() < 2 * BATCH_SIZE:
+            snapshotter.writer.flush(FLUSH_S)  # in service the next batch waits
     snapshotter.writer.flush(FLUSH_S)
     committed_s = time.perf_counter() - began
     snapshotter.close()
@@ -78,7 +78,7 @@
     """Start again with the state of so many members; return the seconds until the ingress is ready."""
     began = time.perf_counter()
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
-    _, recovered = snapshotter.begin(World(2, 2).gateways[0], lambda: START_TIME, NoTimer())
+    _, recovered = snapshotter.start(World(2, 2).gateways[0], lambda: START_TIME, NoTimer())
     ready_s = time.perf_counter() - began
     assert len(recovered.members) == members
     snapshotter.close()
@@ -101,7 +101,7 @@
     print("| members | sync | portion, median ms | 99.9% ms | all committed, s | ready again, s | MB |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for members in parser.parse_args().members:
-        for sync in SYNCS:
+        for sync in SYNC_MODES:
             costs = measure(members, sync)
             print(
                 f"| {members} | {sync} | {costs.pause_ms(0.5):.2f} | {costs.pause_ms(0.999):.2f} |"
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -33,8 +33,7 @@
 from thistleusher.net.counters_file import read_counters
 from thistleusher.net.discovery import DiscoveryConnection
 from thistleusher.net.ingress_server import IngressServer
-from thistleusher.quota.escrow import ROW, SETTLED
-from thistleusher.quota.incarnations import HELLO, HELLO_MARK
+from thistleusher.quota.messages import BALANCE_FORMAT, HANDSHAKE_FORMAT, HANDSHAKE_MARK, TRANSFER_FORMAT
 from thistleusher.services.counter_connection import CounterConnection, PendingAdd
 from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseReader
 
@@ -252,8 +251,8 @@
             raise Broken(f"a store of {c.room(now)}")
     escrow: Any = gateway.sharing.escrow
     for own in escrow.allowances.values():
-        if not (0 <= own.part() <= 1 and -own.terms.burst - 1e-6 <= own.room <= own.cap() + 1e-6):
-            raise Broken(f"a share of {own.part()}, a room of {own.room}")
+        if not (0 <= own.fraction() <= 1 and -own.terms.burst - 1e-6 <= own.headroom <= own.max_headroom() + 1e-6):
+            raise Broken(f"a share of {own.fraction()}, headroom of {own.headroom}")
     return tuple(shown[:3]), len(gateway.sharing.customers)
 
 
@@ -306,7 +305,7 @@
     b'"group":3,"status":"SERVING","weight":1.0,"since_ms":0},{"name":"t","address":"10.1.0.18:8080","status":"DELETED"}]}\n'
 )
 _LIFE = (5000_000).to_bytes(8)
-_ROW = ROW.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
+_ROW = TRANSFER_FORMAT.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 0, 3, 512, 640)
 _SCRIPT = b'[[fault]]\nat = 2.0\ndo = "match.slow"\ntarget = 3\nfor = 1.5\nvalue = 0.2\n'
 
 
@@ -362,11 +361,11 @@
             b"\x02" + _LIFE + _ROW,
             b"\x03" + _LIFE + _ROW,
             b"\x05" + _LIFE + _ROW,
-            b"\x06" + _LIFE + SETTLED.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
+            b"\x06" + _LIFE + BALANCE_FORMAT.pack(encode_customer(1, 7), 5000 // 4 & 0xFF, 512, 640, 100, 10, 50, 5),
             USAGE_MARK,
             b"12345",
-            HELLO_MARK + HELLO.pack(5000_000, 5000_000, 5000_000, 0),
-            HELLO_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
+            HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5000_000, 5000_000, 5000_000, 0),
+            HANDSHAKE_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
         ),
     ),
     "config": (_file(_config, InvalidConfigurationError), (_config_bytes(),)),
--- a/tests/operator_file/test_operator.py
+++ b/tests/operator_file/test_operator.py
@@ -25,7 +25,7 @@
 from thistleusher.operator_file.secrets import Secret
 from thistleusher.operator_file.sections import SECTIONS, Section
 from thistleusher.operator_file.units import Bytes, Seconds, read_bytes, read_seconds
-from thistleusher.state.records import Member, Room, pack
+from thistleusher.state.records import MemberRecord, ReservationRecord, encode
 from thistleusher.state.store import Store
 
 GOOD = """# an operator's file
@@ -199,15 +199,15 @@
     folder = str(tmp_path / "state")
     assert main(["state", "show", folder]) == 2 and "no state folder" in capsys.readouterr().err
     store = Store(folder, "n0")
-    store.begin("n0", 100.0)
+    store.start_incarnation("n0", 100.0)
     store.commit(
         [
-            (("member", 7), pack(Member(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
-            (("room", 1), pack(Room("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
+            (("member", 7), encode(MemberRecord(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
+            (("room", 1), encode(ReservationRecord("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
         ]
     )
     assert main(["state", "show", folder]) == 2 and "another process holds it" in capsys.readouterr().err
-    store.end(160.0)
+    store.record_shutdown(160.0)
     store.close()
     assert main(["state", "show", folder]) == 0
     out = capsys.readouterr().out
@@ -244,7 +244,7 @@
         assert any("serves on" in x["event"] for x in lines) and all(x["level"] for x in lines)
         assert lines[-1]["event"].endswith("has stopped")
         store = Store.existing(tmp_path / "state")
-        assert store.before.ended > 0 and store.listed().places[0].name == "b0"
+        assert store.previous.ended_at > 0 and store.endpoint_list().endpoints[0].name == "b0"
         store.close()
 
     run(scenario())
--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -64,12 +64,12 @@
     from thistleusher.assembly import allowance_terms
     from thistleusher.policy.sharing import kept_for
     from thistleusher.state.snapshotter import Snapshotter
-    from thistleusher.state.store import BadState
+    from thistleusher.state.store import StateFolderError
 
     settings = config.settings
     try:
         return Snapshotter(options, config.name, settings, kept_for(settings), allowance_terms(settings))
-    except BadState as error:
+    except StateFolderError as error:
         raise InvalidConfigurationError(str(error)) from error
 
 
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -9,7 +9,7 @@
 from thistleusher.core.settings import Settings
 from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
 from thistleusher.net.config import InvalidConfigurationError, read_data
-from thistleusher.quota.bound import Assumed, table
+from thistleusher.quota.bound import Assumptions, format_table
 
 
 def read(path: str) -> Settings:
@@ -33,8 +33,8 @@
     args = parser.parse_args(argv)
     try:
         settings = read(args.config)
-        lines = table(
-            settings, Assumed(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
+        lines = format_table(
+            settings, Assumptions(args.loss, args.delay, outage=args.outage, skew=args.skew, folders=args.folders)
         )
     except (InvalidConfigurationError, ValueError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
