--- a/thistleusher/operator_file/sections.py
+++ b/thistleusher/operator_file/sections.py
@@ -29,7 +29,7 @@
     ),
     "counters": Section(
         "thistleusher.services.options",
-        "CountersOptions",
+        "CounterGroupOptions",
         "Several counters that share the names by rendezvous hashing, in place of the platform's one.",
     ),
     "log": Section(
