--- a/tests/system/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -5,14 +5,14 @@
 import pytest
 
 from benchmarks.control_faults import FAULTS
-from thistleusher.common.commands import invoke
+from thistleusher.cli.main import main
 from thistleusher.common.events import Event, page
 
 ROOT = Path(__file__).resolve().parents[2]
 
 
 def printed(capsys, *argv):
-    code = invoke(list(argv))
+    code = main(list(argv))
     got = capsys.readouterr()
     return code, got.out, got.err
 
@@ -34,10 +34,8 @@
 
 
 def test_help_names_every_program(capsys):
-    with pytest.raises(SystemExit) as caught:
-        invoke(["--help"])
-    assert caught.value.code in (0, None)
-    out = capsys.readouterr().out
+    code, out, _ = printed(capsys, "--help")
+    assert code == 0
     assert all(name in out for name in ("proxy", "control", "registry", "check", "events"))
 
 
--- a/tests/operator_file/test_log.py
+++ b/tests/log/test_queued.py
@@ -10,7 +10,7 @@
 import pytest
 
 from thistleusher.log.options import LogOptions
-from thistleusher.log.setup import Logs
+from thistleusher.log.queued import QueuedLog
 
 
 class Stuck(io.StringIO):
@@ -33,14 +33,14 @@
 
 def test_json_lines_have_stable_fields_and_a_traceback_stays_in_its_line(log):
     out = io.StringIO()
-    logs = Logs(LogOptions("json", "info"), out)
+    queued_log = QueuedLog(LogOptions("json", "info"), out)
     log.debug("not this one")
     log.info("ejected %s: %s", "b1", "failing")
     try:
         raise KeyError("x")
     except KeyError:
         log.exception("deciding")
-    logs.close()
+    queued_log.close()
     first, second = [json.loads(line) for line in out.getvalue().splitlines()]
     assert (
         first["event"] == "ejected b1: failing" and first["level"] == "info" and first["logger"] == "thistleusher.test"
@@ -50,35 +50,35 @@
 
 def test_text_lines_hold_event_and_level(log):
     out = io.StringIO()
-    logs = Logs(LogOptions(), out)
+    queued_log = QueuedLog(LogOptions(), out)
     log.warning("state: %d wait", 3)
-    logs.close()
+    queued_log.close()
     assert "state: 3 wait" in out.getvalue() and "warning" in out.getvalue()
 
 
 def test_a_reader_that_does_not_read_holds_nobody_up_and_what_was_dropped_is_said(log):
     out = Stuck()
-    logs = Logs(LogOptions("json", "info", 16), out)
+    queued_log = QueuedLog(LogOptions("json", "info", 16), out)
     log.info("first")
     assert out.began.wait(20.0)  # the writer hangs; what follows fills the queue
     for n in range(100):
         log.info("line %d", n)
-    assert logs.handler.dropped == 100 - 16
+    assert queued_log.handler.dropped == 100 - 16
     out.go.set()
-    while not logs.handler.queue.empty():
+    while not queued_log.handler.queue.empty():
         pass
     log.info("last")
-    logs.close()
+    queued_log.close()
     lines = [json.loads(line)["event"] for line in out.getvalue().splitlines()]
     assert lines[0] == "first" and lines[16] == "line 15" and lines[-1] == "last (84 lines before it were dropped)"
 
 
 def test_an_end_does_not_wait_for_such_a_reader_either(log, monkeypatch):
-    monkeypatch.setattr("thistleusher.log.setup.CLOSE_S", 0.05)
+    monkeypatch.setattr("thistleusher.log.queued.CLOSE_TIMEOUT_S", 0.05)
     out = Stuck()
-    logs = Logs(LogOptions(queue=16), out)
+    queued_log = QueuedLog(LogOptions(queue=16), out)
     log.info("first")
     assert out.began.wait(20.0)
-    logs.close()
+    queued_log.close()
     assert not out.go.is_set()
     out.go.set()
--- /dev/null
+++ b/tests/operator_file/files.py
@@ -0,0 +1,9 @@
+"""A file of a test's."""
+
+from __future__ import annotations
+
+
+def written(tmp_path, text, name="operator.toml"):
+    path = tmp_path / name
+    path.write_bytes(text if isinstance(text, bytes) else text.encode())
+    return str(path)
--- a/thistleusher/cli/main.py
+++ b/thistleusher/cli/main.py
@@ -1,62 +1,68 @@
-"""The command line, `thistleusher`: each command is imported only when it is asked for.
+"""The entry of the command line, `thistleusher`.
 
-Exit codes: 0 done; 1 ended by a signal or found something wrong in what it looked at; 2 cannot be started as asked, one
+Exit codes: 0 done; 1 ended by a signal or found something wrong in what it looked at; 2 cannot be used as asked, one
 line on standard error.
 """
 
 from __future__ import annotations
 
-import importlib
+import contextlib
 import sys
+from importlib import metadata
+from typing import Any
 
-import click
+import cappa
+from rich.errors import MarkupError
+from rich.text import Text
 
-COMMANDS = {
-    "serve": ("thistleusher.cli.serve", "serve"),
-    "check": ("thistleusher.cli.options", "check"),
-    "show": ("thistleusher.cli.options", "show"),
-    "init": ("thistleusher.cli.options", "init"),
-    "reference": ("thistleusher.cli.options", "reference"),
-    "state": ("thistleusher.cli.state", "state"),
-    "bound": ("thistleusher.cli.main", "bound"),
-}
+from thistleusher.cli.commands import Thistleusher
+from thistleusher.cli.errors import CommandError
 
+EXIT_INTERRUPTED = 1
+EXIT_UNUSABLE = 2
 
-class Lazy(click.Group):
-    """A group whose commands are named here and imported when they are used."""
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        return list(COMMANDS)
+class HelpOutput(cappa.Output):
+    """Prints help and versions; errors are left to `main`, which writes them as one line."""
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        where = COMMANDS.get(cmd_name)
-        return getattr(importlib.import_module(where[0]), where[1]) if where else None
+    def error(self, message: Any, **context: Any) -> None:
+        """Print nothing."""
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
-@click.version_option(package_name="thistleusher", prog_name="thistleusher")
-def thistleusher() -> None:
-    """An ingress that holds customers to quotas which all ingresses share."""
-
-
-@click.command(context_settings={"ignore_unknown_options": True}, add_help_option=False)
-@click.argument("words", nargs=-1, type=click.UNPROCESSED)
-def bound(words: tuple[str, ...]) -> int:
-    """How far quotas and ceilings can be passed while the counter fails."""
-    from thistleusher.cli import bound as command
-
-    return command.main(words)
+def version_text() -> str:
+    """Return the installed version, for `--version`."""
+    try:
+        return f"thistleusher, version {metadata.version('thistleusher')}"
+    except metadata.PackageNotFoundError:
+        return "thistleusher, not installed"
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; what is wrong is one line."""
+    """Carry out one command line and return its exit code."""
+    version: cappa.Arg[Any] = cappa.Arg(value_name=version_text(), long="--version", help="Show the version and exit.")
     try:
-        return int(thistleusher.main(argv, prog_name="thistleusher", standalone_mode=False) or 0)
-    except click.exceptions.Abort:
-        return 1
-    except click.ClickException as error:
-        print(f"thistleusher: {' '.join(error.format_message().split())}", file=sys.stderr)
-        return 2
+        return int(cappa.invoke(Thistleusher, argv=argv, version=version, output=HelpOutput()) or 0)
+    except cappa.Exit as end:
+        return _end(end)
+    except CommandError as error:
+        return _fail(str(error))
+    except KeyboardInterrupt:
+        return EXIT_INTERRUPTED
+
+
+def _end(end: cappa.Exit) -> int:
+    """Return the exit code of a help page, or of a command line that cannot be parsed."""
+    if end.code in (0, None):
+        return 0
+    message = str(end.message)
+    with contextlib.suppress(MarkupError):  # raised where an argument looks like markup: it is shown as it is
+        message = Text.from_markup(message).plain
+    return _fail(message)
+
+
+def _fail(message: str) -> int:
+    print(f"thistleusher: {' '.join(message.split())}", file=sys.stderr)
+    return EXIT_UNUSABLE
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/thistleusher/cli/operator_files.py
@@ -0,0 +1,49 @@
+"""Commands on the operator's file: `show`, `init`, `reference`. They start nothing."""
+
+from __future__ import annotations
+
+import json
+import os
+
+from thistleusher.cli.commands import Init, OperatorFileOptions, Reference, Show
+from thistleusher.cli.errors import CommandError
+from thistleusher.operator_file.errors import OperatorFileError
+from thistleusher.operator_file.reader import OperatorFile, read_operator_file
+
+
+def read_layers(options: OperatorFileOptions) -> OperatorFile:
+    """Return the operator's file with all its layers; raises CommandError."""
+    try:
+        return read_operator_file(options.operator, os.environ, options.assignments)
+    except OperatorFileError as error:
+        raise CommandError(str(error)) from error
+
+
+def show(options: Show) -> int:
+    """Print each effective value and where it comes from."""
+    for key, value, origin in read_layers(options).effective_values():
+        if options.as_json:
+            print(json.dumps({"key": key, "value": value, "from": origin}))
+        else:
+            print(f"{key} = {value}  # {origin}")
+    return 0
+
+
+def write_starting_file(options: Init) -> int:
+    """Write a commented starting file; one that is there is left alone."""
+    from thistleusher.operator_file.reference import starting_file
+
+    try:
+        with options.path.open("x", encoding="utf-8") as file:
+            file.write(starting_file())
+    except OSError as error:
+        raise CommandError(f"{options.path}: {error.strerror}") from error
+    return 0
+
+
+def print_reference(_: Reference) -> int:
+    """Print docs/configuration.md."""
+    from thistleusher.operator_file.reference import reference
+
+    print(reference(), end="")
+    return 0
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -5,48 +5,48 @@
 import os
 from typing import TYPE_CHECKING
 
-import click
-
-from thistleusher.cli.options import layers, read
-from thistleusher.operator_file.reader import OperatorFile
+from thistleusher.cli.commands import Serve
+from thistleusher.cli.errors import CommandError
+from thistleusher.cli.operator_files import read_layers
 
 if TYPE_CHECKING:
     from thistleusher.quota import Placement
     from thistleusher.services.options import CounterGroupOptions
 
 
-@click.command()
-@layers
-@click.option("--config", metavar="FILE", help="The platform's configuration (default: PROXY_CONFIG).")
-def serve(path: str | None, words: tuple[str, ...], config: str | None) -> int:
-    """Serve in the foreground until SIGTERM; SIGHUP reads both files anew."""
-    from thistleusher.__main__ import Extras, run
+def serve(options: Serve) -> int:
+    """Serve in the foreground until SIGTERM; return the exit code. SIGHUP reads both files anew."""
+    from thistleusher.standalone import OperatorExtras, run
 
-    environ = {**os.environ, **({"PROXY_CONFIG": config} if config else {})}
-    first = read(path, words)
+    environ = {**os.environ, **({"PROXY_CONFIG": options.config} if options.config else {})}
+    operator_file = read_layers(options)
 
-    def counters() -> Placement | None:
-        options: CounterGroupOptions | None = read_again(path, words).get("counters")
-        return options.placement() if options is not None else None
+    def read_counters() -> Placement | None:
+        return read_placement(options)
 
-    extras = Extras(environ=environ, counters=counters if first.get("counters") else None, state=first.get("state"))
-    log_options = first.get("log")
+    extras = OperatorExtras(
+        environ=environ,
+        read_counters=read_counters if operator_file.get("counters") else None,
+        state=operator_file.get("state"),
+    )
+    log_options = operator_file.get("log")
     if log_options is None:
         return run(extras)
-    from thistleusher.log.setup import Logs
+    from thistleusher.log.queued import QueuedLog
 
-    logs = Logs(log_options)
+    queued_log = QueuedLog(log_options)
     try:
-        return run(extras, logs=True)
+        return run(extras, log_is_set_up=True)
     finally:
-        logs.close()
+        queued_log.close()
 
 
-def read_again(path: str | None, words: tuple[str, ...]) -> OperatorFile:
-    """The same layers as at the start; BadConfiguration where they cannot be used any more."""
+def read_placement(options: Serve) -> Placement | None:
+    """Read the same layers as at the start; raises InvalidConfigurationError where they cannot be used any more."""
     from thistleusher.net.config import InvalidConfigurationError
 
     try:
-        return read(path, words)
-    except click.ClickException as error:
-        raise InvalidConfigurationError(error.format_message()) from error
+        counters: CounterGroupOptions | None = read_layers(options).get("counters")
+    except CommandError as error:
+        raise InvalidConfigurationError(str(error)) from error
+    return counters.placement() if counters is not None else None
--- /dev/null
+++ b/thistleusher/cli/state_folder.py
@@ -0,0 +1,81 @@
+"""`thistleusher state`: look at a state folder that no process uses. Nothing in it is changed."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterator
+from contextlib import closing, contextmanager
+from typing import Any
+
+import msgspec
+
+from thistleusher.cli.commands import StateExport, StateShow, StateVerify
+from thistleusher.cli.errors import CommandError
+from thistleusher.state.store import BadState, Store
+
+EXIT_SPOILT = 1
+
+
+@contextmanager
+def opened(folder: str) -> Iterator[Store]:
+    """Hold the folder meanwhile; raises CommandError where it cannot be had."""
+    try:
+        store = Store.existing(folder)
+    except BadState as error:
+        raise CommandError(str(error)) from error
+    with closing(store):
+        yield store
+
+
+def show(options: StateShow) -> int:
+    """Print what is in the folder, in a few lines."""
+    with opened(options.folder) as store:
+        process = store.before
+        learned = store.learned()
+        listed = store.listed()
+        pending = [max(0.0, member.pending) for member in store.members()]
+        room_count = sum(1 for _ in store.rooms())
+    if process is not None:
+        end = f"ended in order at {process.ended:.3f}" if process.ended else "did not end in order, or goes on"
+        print(f"ingress {process.name}, life {process.number}, began {process.began:.3f}, {end}")
+    print(f"{len(pending)} members, {sum(pending):.2f} units in no count yet; {room_count} rooms")
+    print(
+        f"{len(learned.backends) if learned else 0} backends known; "
+        f"{len(listed.places) if listed else 0} in the last list"
+    )
+    return 0
+
+
+def verify(options: StateVerify) -> int:
+    """Read every record and print what is wrong; return the exit code."""
+    with opened(options.folder) as store:
+        count = sum(1 for _ in store.members()) + sum(1 for _ in store.rooms())
+        count += sum(record is not None for record in (store.learned(), store.listed(), store.before))
+        damage = store.damage()
+        spoilt = store.spoilt
+    print(f"{count} records read, {spoilt} spoilt{f'; {damage}' if damage else ''}")
+    return EXIT_SPOILT if spoilt or damage else 0
+
+
+def export(options: StateExport) -> int:
+    """Print every record as a JSON line."""
+    with opened(options.folder) as store:
+        single_records: list[tuple[str, Any]] = [
+            ("life", store.before),
+            ("learned", store.learned()),
+            ("list", store.listed()),
+        ]
+        for kind, record in single_records:
+            if record is not None:
+                print(json_line(kind, record))
+        for member in store.members():
+            print(json_line("member", member))
+        for room in store.rooms():
+            print(json_line("room", room))
+    return 0
+
+
+def json_line(kind: str, record: Any) -> str:
+    """Return a record as JSON, with the names of its fields."""
+    fields = record.__struct_fields__ if isinstance(record, msgspec.Struct) else record._fields
+    return json.dumps({"kind": kind, **{name: msgspec.to_builtins(getattr(record, name)) for name in fields}})
--- a/thistleusher/common/launcher.py
+++ b/thistleusher/common/launcher.py
@@ -8,15 +8,14 @@
 from pathlib import Path
 
 import uvloop
-from absl import logging
 
 from thistleusher.common.process import SettingsFile
+from thistleusher.log.setup import use_absl_handler
 
 
 def start(program: str, path: Path | None = None, verbose: bool = False) -> int:
     """Run `thistleusher.<program>.program` with the settings at a path, or at the one the environment names."""
-    logging.use_absl_handler()
-    logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
+    use_absl_handler(verbose)
     try:
         settings = SettingsFile(path)
     except OSError as error:
--- a/thistleusher/log/__init__.py
+++ b/thistleusher/log/__init__.py
@@ -1,5 +1,5 @@
-"""How the program's log goes out, where an operator's file says so: as JSON lines or text, from a thread of its own.
+"""The one set-up of logging: absl's handler for the three programs, lines from a thread where an operator's file asks.
 
-Promised: the event loop never waits for whoever reads standard error; what does not fit into the queue is counted, and
-the count is said in the next line that goes out.
+Promised: with `[log]` the event loop never waits for the reader of standard error; lines that do not fit into the queue
+are counted, and the next line that goes out says how many were dropped.
 """
--- /dev/null
+++ b/thistleusher/standalone.py
@@ -0,0 +1,98 @@
+"""One ingress alone as a process, on real sockets: start-up, signals and its end."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import signal
+import sys
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, NamedTuple
+
+import uvloop
+
+from thistleusher.log.setup import use_plain_handler
+from thistleusher.net.config import Config, InvalidConfigurationError, read_config
+from thistleusher.net.daemon import Daemon
+
+if TYPE_CHECKING:
+    from thistleusher.quota import Placement
+    from thistleusher.state.options import StateOptions
+    from thistleusher.state.snapshotter import Snapshotter
+
+NOTICE_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
+EXIT_INTERRUPTED = 1
+EXIT_UNUSABLE = 2
+
+log = logging.getLogger("thistleusher")
+
+
+class OperatorExtras(NamedTuple):
+    """What an operator adds to the platform's configuration.
+
+    environ: names the configuration's file
+    read_counters: reads the set of counters anew, at the start and at each reload
+    state: the state folder
+    """
+
+    environ: Mapping[str, str]
+    read_counters: Callable[[], Placement | None] | None = None
+    state: StateOptions | None = None
+
+    def placement(self) -> Placement | None:
+        """Return the set of counters as it is now. Raises InvalidConfigurationError."""
+        return self.read_counters() if self.read_counters else None
+
+
+def make_snapshotter(config: Config, options: StateOptions) -> Snapshotter:
+    """Open the state folder. Raises InvalidConfigurationError where it cannot be used."""
+    from thistleusher.assembly import allowance_terms
+    from thistleusher.policy.sharing import kept_for
+    from thistleusher.state.snapshotter import Snapshotter
+    from thistleusher.state.store import BadState
+
+    try:
+        return Snapshotter(
+            options, config.name, config.settings, kept_for(config.settings), allowance_terms(config.settings)
+        )
+    except BadState as error:
+        raise InvalidConfigurationError(str(error)) from error
+
+
+async def serve(config: Config, extras: OperatorExtras) -> None:
+    """Serve until a signal asks for the end, then shut down in order."""
+    loop = asyncio.get_running_loop()
+    placement = extras.placement()
+    snapshotter = make_snapshotter(config, extras.state) if extras.state else None
+    daemon = Daemon(config, placement=placement, snapshotter=snapshotter)
+    stop = asyncio.Event()
+
+    def reload() -> None:
+        try:
+            new_config = read_config(extras.environ)
+            new_placement = extras.placement()
+        except InvalidConfigurationError as error:
+            log.error("the configuration stays as it was: %s", error)  # noqa: TRY400  (a mistake in a file: no traceback)
+            return
+        daemon.reload(new_config, new_placement)
+
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, reload)
+    await daemon.start()
+    await stop.wait()
+    await daemon.stop(asyncio.sleep(NOTICE_S))
+
+
+def run(extras: OperatorExtras, *, log_is_set_up: bool = False) -> int:
+    """Serve and return the exit code; what prevents a start is one line on standard error."""
+    if not log_is_set_up:
+        use_plain_handler()
+    try:
+        uvloop.run(serve(read_config(extras.environ), extras))
+    except (InvalidConfigurationError, OSError) as error:
+        print(f"thistleusher: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
+    except KeyboardInterrupt:
+        return EXIT_INTERRUPTED
+    return 0
--- a/thistleusher/system.py
+++ b/thistleusher/system.py
@@ -18,15 +18,15 @@
 
 
 def main() -> None:
-    """A bare program's name starts it; anything else is the command line's."""
+    """Start the program that a bare name stands for; leave anything else to the command line."""
     if len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
         gc.disable()  # imports make no cycles worth looking for; it is on again once all is loaded
         from thistleusher.common.launcher import start
 
         sys.exit(start(sys.argv[1]))
-    from thistleusher.common.commands import invoke
+    from thistleusher.cli.main import main as run_command
 
-    sys.exit(invoke())
+    sys.exit(run_command())
 
 
 if __name__ == "__main__":
