--- a/thistleusher/cli/checks.py
+++ b/thistleusher/cli/checks.py
@@ -55,7 +55,7 @@
 
 def summary_of_settings(path: Path) -> str:
     """Return what a settings file is for. Raises OSError, or an ExceptionGroup of all faults."""
-    from thistleusher.common.node_settings import read_node_settings
+    from thistleusher.common.settings_reader import read_node_settings
 
     settings = read_node_settings(path.read_text())
     return f"{settings.node_name}, {settings.machine_class or 'no class'}, zone {settings.zone}"
@@ -63,8 +63,8 @@
 
 def summary_of_configuration(path: Path) -> str:
     """Return a configuration's figures. Raises OSError, or an ExceptionGroup of all faults."""
-    from thistleusher.common.configuration import brief
+    from thistleusher.common.configuration import summary
     from thistleusher.common.validation import read_configuration
 
-    figures = brief(read_configuration(path.read_bytes()))
+    figures = summary(read_configuration(path.read_bytes()))
     return ", ".join(f"{name} {value}" for name, value in figures.items())
