--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -47,3 +47,18 @@
 def test_a_word_of_the_command_line_that_cannot_be_used(word, capsys):
     assert main(["show", "--set", word]) == 2
     assert capsys.readouterr().err.count("\n") == 1
+
+
+@pytest.mark.parametrize(
+    "command,library,loaded",
+    [
+        (["show", "--set", "log.form=json"], "pydantic", "thistleusher.log.options"),
+        (["state", "show", "x"], "msgspec", "thistleusher.cli.state_folder"),
+    ],
+)
+def test_a_command_whose_library_is_missing_says_so_in_one_line(command, library, loaded, monkeypatch, capsys):
+    monkeypatch.setitem(sys.modules, library, None)
+    monkeypatch.delitem(sys.modules, loaded, raising=False)
+    assert main(command) == 2
+    error = capsys.readouterr().err
+    assert error.count("\n") == 1 and library in error and "operator" in error
--- a/thistleusher/cli/main.py
+++ b/thistleusher/cli/main.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 import cappa
+from cappa.invoke.types import InvokeResolutionError
 from rich.errors import MarkupError
 from rich.text import Text
 
@@ -46,10 +47,24 @@
         return _end(end)
     except CommandError as error:
         return _fail(str(error))
+    except (ModuleNotFoundError, InvokeResolutionError) as error:
+        library = missing_library(error)
+        if library is None:
+            raise
+        return _fail(f"this command needs {library}, which the extra 'operator' installs")
     except KeyboardInterrupt:
         return EXIT_INTERRUPTED
 
 
+def missing_library(error: BaseException | None) -> str | None:
+    """Return the module outside this package whose absence led to an error, None where something else did."""
+    while error is not None:
+        if isinstance(error, ModuleNotFoundError) and error.name and not error.name.startswith("thistleusher"):
+            return error.name
+        error = error.__cause__ or error.__context__
+    return None
+
+
 def _end(end: cappa.Exit) -> int:
     """Return the exit code of a help page, or of a command line that cannot be parsed."""
     if end.code in (0, None):
