--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -33,7 +33,7 @@
 
 
 def read_list(text: str) -> list[KnownRed]:
-    """The entries of the list; `ListError` where a line is malformed or there are too many."""
+    """Return the entries of the list. Raises ListError where a line is malformed or there are too many."""
     entries = []
     for line in text.splitlines():
         if not line.strip():
@@ -49,19 +49,19 @@
 
 
 class Outcomes:
-    """A pytest plugin that keeps the outcome of each test by its node id."""
+    """A pytest plugin that records the outcome of each test by its node id."""
 
     def __init__(self) -> None:
         self.by_test: dict[str, str] = {}
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Keeps the outcome of the call, and a failure or skip of any other phase."""
+        """Record the outcome of the call, and a failure or skip of any other phase."""
         if report.when == "call" or report.outcome != "passed":
             self.by_test[report.nodeid] = report.outcome
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Leaves the listed tests out: by their whole ids, as `--deselect` would also take out those that begin alike."""
+    """Leave the listed tests out: by their whole ids, as `--deselect` would also take out those that begin alike."""
     listed = {entry.test for entry in read_list(FILE.read_text())}
     left_out = [item for item in items if item.nodeid in listed]
     items[:] = [item for item in items if item.nodeid not in listed]
@@ -69,16 +69,17 @@
 
 
 def run_listed(entries: list[KnownRed]) -> dict[str, str]:
-    """Runs the listed tests; the outcome of each test that ran."""
+    """Run the listed tests in this process, and return the outcome of each test that ran."""
     outcomes = Outcomes()
-    code = pytest.main(["-q", "-p", "no:cacheprovider", *(entry.test for entry in entries)], plugins=[outcomes])
+    arguments = ["-q", "-p", "no:cacheprovider", *(entry.test for entry in entries)]
+    code = pytest.main(arguments, plugins=[outcomes])
     if code in COLLECTED_NOTHING:
         raise ListError("a listed test does not exist")
     return outcomes.by_test
 
 
 def main(path: Path) -> int:
-    """Runs and prints the listed tests; not 0 where the list itself is wrong."""
+    """Run and print the listed tests; return an exit code, not 0 where the list itself is wrong."""
     try:
         entries = read_list(path.read_text())
         outcomes = run_listed(entries) if entries else {}
--- a/Makefile
+++ b/Makefile
@@ -35,6 +35,7 @@
 
 check: $(VENV)/.dev  ## lint and types
 	$(VENV)/bin/ruff check .
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/mypy
 
 $(VENV)/bin/python:
--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -152,7 +152,7 @@
     }
     one = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert set(one) == {"build", "run", "sim", "policy", "node", "packages"}
-    assert all(ours["packages"]) and all(one["packages"])
+    assert ours["packages"] and one["packages"]
 
 
 def test_what_the_deploy_files_name_is_there():
