--- a/thistleusher/cli/checks.py
+++ b/thistleusher/cli/checks.py
@@ -20,7 +20,7 @@
         return check_operator_file(options)
     if options.file is None:
         raise CommandError(f"check {options.kind}: expected a file")
-    return check_file(options.kind, options.file)
+    return check_file(options.kind, Path(options.file))
 
 
 def check_operator_file(options: Check) -> int:
--- a/thistleusher/cli/commands.py
+++ b/thistleusher/cli/commands.py
@@ -1,9 +1,11 @@
-"""The commands and their options. Each names the function that carries it out, imported when it is invoked."""
+"""The commands and their options. Each names the function that carries it out, imported when it is invoked.
+
+File names are text here: cappa would enter a `Path` as a context, which Python deprecates.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from pathlib import Path
 from typing import Annotated
 
 import cappa
@@ -13,7 +15,7 @@
 class ProgramOptions:
     """Options that the three programs share."""
 
-    settings: Annotated[Path | None, cappa.Arg(long=True, help="settings file; else the environment's")] = None
+    settings: Annotated[str | None, cappa.Arg(long=True, help="settings file; else the environment's")] = None
     verbose: Annotated[bool, cappa.Arg(long=True, help="also log what only a search for causes wants")] = False
 
 
@@ -93,7 +95,7 @@
             choices=["settings", "configuration"],
         ),
     ] = None
-    file: Annotated[Path | None, cappa.Arg(help="The file of that kind.")] = None
+    file: Annotated[str | None, cappa.Arg(help="The file of that kind.")] = None
     config: Annotated[
         str | None,
         cappa.Arg(
@@ -121,7 +123,7 @@
 class Init:
     """Write a commented starting file; one that is there is left alone."""
 
-    path: Annotated[Path, cappa.Arg(help="The file to write.")]
+    path: Annotated[str, cappa.Arg(help="The file to write.")]
 
 
 @cappa.command(
--- a/thistleusher/cli/operator_files.py
+++ b/thistleusher/cli/operator_files.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+from pathlib import Path
 
 from thistleusher.cli.commands import Init, OperatorFileOptions, Reference, Show
 from thistleusher.cli.errors import CommandError
@@ -34,7 +35,7 @@
     from thistleusher.operator_file.reference import starting_file
 
     try:
-        with options.path.open("x", encoding="utf-8") as file:
+        with Path(options.path).open("x", encoding="utf-8") as file:
             file.write(starting_file())
     except OSError as error:
         raise CommandError(f"{options.path}: {error.strerror}") from error
