--- a/benchmarks/beginning.py
+++ b/benchmarks/beginning.py
@@ -26,6 +26,7 @@
 
 
 def main() -> None:
+    """Print the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--moments", type=int, default=50)
     moments = parser.parse_args().moments
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -66,6 +66,7 @@
 
 
 def main() -> None:
+    """Print the cost and the quality of choices among all servers and among a few."""
     base = 0.0
     print("| servers | us a choice | to 10 | all looked at, us | mean time over work | all | 99% | all |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -60,20 +60,24 @@
         )
 
     def ready(self) -> str:
+        """Return the line that the process prints once it serves."""
         assert self.process.stdout is not None
         return self.process.stdout.readline().decode().strip()
 
     def cpu(self) -> float:
+        """Return the processor time used so far, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICK
 
     def memory_mb(self) -> float:
+        """Return the resident memory, in MB."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
     def end(self) -> None:
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait()
 
@@ -86,10 +90,12 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: Any) -> None:
+        """Send the first request."""
         self.transport = transport
         self.ask()
 
     def ask(self) -> None:
+        """Send the next request, or finish after the last."""
         if self.next == len(self.requests):
             if not self.done.done():
                 self.done.set_result(None)
@@ -98,19 +104,23 @@
         self.next += 1
 
     def data_received(self, data: bytes) -> None:
+        """Parse an answer's bytes."""
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
+        """Count the answer's status and send the next request."""
         status = self.parser.get_status_code()
         self.statuses[status] = self.statuses.get(status, 0) + 1
         self.ask()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the run where answers are still due."""
         if not self.done.done():
             self.done.set_exception(ConnectionError(f"ended after {self.next} requests"))
 
 
 def request(n: int, member: int) -> bytes:
+    """Return a request's bytes."""
     return (
         f"GET /api/{member:016x} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: r{n}\r\nX-Call-Class: read\r\n"
         f"X-Tier: basic\r\nX-Budget: 6000m\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
@@ -136,6 +146,7 @@
 
 
 async def wait_for(port: int) -> None:
+    """Wait until something listens on a port. Raises TimeoutError."""
     for _ in range(1000):
         try:
             _, writer = await asyncio.open_connection(HOST, port)
@@ -198,6 +209,7 @@
             self.forms[name] = (p, port)
 
     def end(self) -> None:
+        """End all processes."""
         for process in (self.counter, self.backend, *(p for p, _ in self.forms.values())):
             process.end()
 
@@ -236,6 +248,7 @@
 
 
 def main() -> int:
+    """Print the costs of each form."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.cost", description=__doc__)
     parser.add_argument("--quick", action="store_true", help="fewer requests and members")
     parser.add_argument("--members", type=int, default=200_000)
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -15,6 +15,7 @@
 
 
 def main() -> int:
+    """Print the excess of each scenario beside its bound."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.counter_loss", description=__doc__)
     parser.add_argument("--length", type=float, default=60.0, help="seconds that the failure lasts")
     parser.add_argument("--seeds", type=int, default=5)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -51,6 +51,7 @@
 
 
 def main() -> None:
+    """Print the costs of fleets by their size."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--sizes", default="3,16,64,200", help="fleets, by their number of ingresses")
     parser.add_argument("--seconds", type=float, default=4.0, help="of scripted time (default 4)")
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -85,6 +85,7 @@
 
 
 async def main() -> None:
+    """Kill ingresses at drawn moments and print what came of it."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--kills", type=int, default=500)
     parser.add_argument("--at-once", type=int, default=3, help="fleets at a time")
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -45,6 +45,7 @@
         super().__init__(seed, instances)
 
     def let_in(self, r: events.Request) -> None:
+        """Judge a request that was let in, against its member's true quota."""
         p = PLUS if r.plan == "plus" else BASIC
         store = self.judges.setdefault(r.customer, Store(p.rate, p.burst))
         self.sent_units += r.units
@@ -69,8 +70,11 @@
             self.by_plan[m.plan][0] += units
 
     def take(self) -> tuple[float, float, float, float]:
-        """Since the last look: worth served inside quotas of that offered, cost of what went beyond, of the same;
-        units beyond of those sent on; tries refused with half of the quota unused."""
+        """Return the figures since the last look, each as a share.
+
+        Worth served inside quotas of that offered; cost of what went beyond, of the same; units beyond of those
+        forwarded; attempts refused with half of the quota unused.
+        """
         out = (
             self.got / max(1e-9, self.offered),
             self.cost / max(1e-9, self.offered),
@@ -142,6 +146,7 @@
 
 
 def main() -> None:
+    """Print what an outage of the counter costs."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--ingresses", type=int, default=60)
     for name, default in (("before", 6), ("outage", 6), ("after", 10)):
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -58,14 +58,17 @@
         self.where = "peer"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Note where the connection leads, by its port."""
         self.where = self.ports.get(transport.get_extra_info("peername")[1], "peer")
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes that arrive."""
         self.traffic.add(self.where, "in", len(data), 0)
         super().data_received(data)
 
     def write(self, data: bytes) -> None:
+        """Count a message that leaves."""
         self.traffic.add(self.where, "out", len(data), 1)
         super().write(data)
 
@@ -74,6 +77,7 @@
     """Heartbeats of the ring, counted."""
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Count a heartbeat that arrives."""
         Measured.traffic.add("ring", "in", len(data), 1)
         super().datagram_received(data, addr)
 
--- a/benchmarks/scale/inputs.py
+++ b/benchmarks/scale/inputs.py
@@ -151,6 +151,7 @@
         self.rows = rows
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer with a page of the list."""
         start = int(message.target.partition("page_token=")[2] or 0)
         following = start + PAGE if start + PAGE < len(self.rows) else None
         body = {
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -48,7 +48,7 @@
         path = self.folder / "boot.conf"
         path.write_text(text + f"bootstrap={'true' if self.first else 'false'}\n")
         self.first = False
-        with open(self.folder / "log", "ab") as log:
+        with (self.folder / "log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -82,7 +82,7 @@
     async def start(self) -> None:
         """Start it and wait until its ports are open."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        with open(self.folder / f"log-{self.first}", "ab") as log:
+        with (self.folder / f"log-{self.first}").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -109,6 +109,7 @@
 
 
 def main() -> int:
+    """Print what finds each deliberate fault."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--minutes", type=float, default=2.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -24,12 +24,15 @@
     """No timer: portions are taken by hand."""
 
     def call_later(self, delay: float, callback: object) -> Never:
+        """Return a timer that never fires."""
         return self
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Do nothing."""
 
 
 def main() -> None:
+    """Print the costs of a state folder."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--members", type=int, nargs="+", default=[1000, 100_000])
     print("| members | sync | portion, median ms | 99.9% ms | all committed, s | ready again, s | MB |")
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -46,12 +46,14 @@
 
 
 async def matches(request):
+    """Answer with matches; charge by how many were found."""
     found = ["one", "two"]
     request.scope["thistleusher.admission"].settle(0.5 * len(found))  # what it really cost
     return JSONResponse(found)
 
 
 async def send(request):
+    """Accept a message."""
     return JSONResponse({"sent": True})
 
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,6 +14,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the command line's parser."""
     p = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
     p.add_argument("--minutes", type=float, default=5.0, help="for how long new cases begin (default 5)")
     p.add_argument("--seed", type=int, help="of all that is drawn (default: a fresh one, which is printed)")
--- a/soak/mutate.py
+++ b/soak/mutate.py
@@ -118,6 +118,7 @@
         self.inputs, self.seen, self.most = list(given), set[Hashable](), most
 
     def learn(self, data: bytes, shown: Hashable) -> None:
+        """Add an input that showed something new."""
         if shown not in self.seen:
             self.seen.add(shown)
             if len(self.inputs) < self.most and len(data) < 20_000:
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -63,20 +63,25 @@
         self.closed = self.aborted = False
 
     def write(self, data: bytes) -> None:
+        """Collect what is written. Raises Broken after the end."""
         if self.closed:
             raise Broken("written to after its end")
         self.written += data
 
     def close(self) -> None:
+        """End the connection."""
         self.closed = True
 
     abort = write_eof = close
 
-    def pause_reading(self) -> None: ...
+    def pause_reading(self) -> None:
+        """Do nothing: all bytes are there already."""
 
-    def resume_reading(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Do nothing: all bytes are there already."""
 
     def get_extra_info(self, name: str) -> None:
+        """Return None: there is no socket."""
         return None
 
 
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -30,6 +30,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the command line's parser."""
     p = argparse.ArgumentParser(prog="python -m standins", description=__doc__)
     sub = p.add_subparsers(dest="command", required=True)
     f = sub.add_parser(
@@ -100,6 +101,7 @@
 
 
 async def fleet(args: argparse.Namespace) -> int:
+    """Run a fleet and print its verdict; return the exit code."""
     for key, low in (("ingresses", 1), ("servers", 1), ("seconds", 0.1), ("rate", 0.1)):
         if getattr(args, key) < low:
             print(f"standins: --{key}: expected {low} or more, got {getattr(args, key)}", file=sys.stderr)
@@ -136,10 +138,11 @@
 
 def sink_of(path: str | None) -> AbstractContextManager[TextIO | None]:
     """Return the file that records go to, or a context without one."""
-    return open(path, "w", encoding="utf-8", buffering=1) if path else nullcontext()
+    return Path(path).open("w", encoding="utf-8", buffering=1) if path else nullcontext()
 
 
 async def serve(args: argparse.Namespace) -> int:
+    """Run one stand-in until it is interrupted."""
     with sink_of(args.records) as sink:
         records = Records(sink)
         service: Service
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -88,6 +88,7 @@
 
     @property
     def kept(self) -> bool:
+        """Return whether no rule was broken."""
         return not self.breaches
 
     def lines(self) -> list[str]:
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -65,6 +65,7 @@
             connection.reset()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Add to a number and answer with its totals, unless a fault says otherwise."""
         await self.silenced.wait()
         call = self.parse(message)
         if call is None:
@@ -107,6 +108,7 @@
 
     @staticmethod
     def parse(message: Message) -> tuple[str, float, int] | None:
+        """Return name, amount and life in ms of a call, None for what is no call."""
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
         name = path.removeprefix("/v2/numbers/")
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -15,6 +15,7 @@
 
 
 def chunk(text: bytes) -> bytes:
+    """Return a chunk of a streamed answer."""
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
@@ -55,15 +56,18 @@
         self.wake = asyncio.Event()
 
     def listing(self) -> dict[str, Any]:
+        """Return the whole list in discovery's form."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     def silence(self, on: bool) -> None:
+        """Stop answering, or answer again."""
         self.silent = on
         if not on:
             self.wake.set()
             self.wake = asyncio.Event()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer with the list, or stream its changes."""
         path, _, query = message.target.partition("?")
         if path != "/v1/servers":
             return answer(404)
@@ -94,5 +98,6 @@
                     connection.writer.write(chunk(b"\n"))
 
     def tell(self, entries: list[dict[str, Any]]) -> None:
+        """Record the entries that an ingress has been sent."""
         for entry in entries:
             self.records.add(Told(self.clock(), entry["name"], entry["status"]))
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -157,6 +157,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
+        """Start the process and wait until it is ready. Raises TimeoutError."""
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -188,6 +189,7 @@
             raise TimeoutError(f"ingress {self.number} does not come up: {tail}") from None
 
     async def healthy(self) -> bool:
+        """Return whether the ingress says that it is ready."""
         try:
             reader, writer = await asyncio.open_connection(HOST, self.port)
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -250,6 +252,7 @@
         await self.stop()
 
     async def start(self) -> None:
+        """Start the stand-ins, then the ingresses."""
         o = self.o
         await self.counter.start()
         await self.other.start()
@@ -358,6 +361,7 @@
         return None
 
     def counter_fault(self, what: str, f: Fault, on: bool) -> None:
+        """Begin or end a fault of the counter."""
         c = self.counter
         if what == "silence":
             c.silence(on)
@@ -382,6 +386,7 @@
             c.delay = f.value if on else 0.001
 
     def match_fault(self, what: str, f: Fault, on: bool) -> Any:
+        """Begin or end a fault of a match server."""
         s = self.servers[f.target]
         if what == "kill":
             return self.kill(f.target) if on else self.revive(f.target)
@@ -424,6 +429,7 @@
                 await ingress.start()
 
     async def kill(self, number: int) -> None:
+        """Kill a server."""
         await self.servers[number].stop()
 
     async def revive(self, number: int) -> None:
@@ -434,6 +440,7 @@
         self.list(number)
 
     async def ingress_fault(self, what: str, number: int) -> None:
+        """Bring about a fault of an ingress."""
         ingress = self.ingresses[number]
         if what == "kill":
             self.records.add(Crashed(time.time(), str(number)))
@@ -446,6 +453,7 @@
 
     @staticmethod
     async def restart(ingress: IngressProcess) -> None:
+        """Restart an ingress in order."""
         await ingress.end()
         await ingress.start()
 
--- a/standins/front.py
+++ b/standins/front.py
@@ -195,6 +195,7 @@
 
     @staticmethod
     async def once(line: Line, raw: bytes) -> Message | None:
+        """Send a request and return its answer, None where the connection ends first."""
         try:
             line.writer.write(raw)
             return await read_message(line.reader)
@@ -203,12 +204,14 @@
             return None
 
     async def connect(self, number: int) -> Line | None:
+        """Return a new connection to an ingress, None where none can be had."""
         try:
             return Line(*await asyncio.open_connection(*self.ingresses[number], limit=MAX_HEAD))
         except OSError:
             return None
 
     def message(self, plan: Plan, name: str, again: bool) -> bytes:
+        """Return a request's bytes."""
         cls = self.traffic.classes[plan.cls]
         lines = [
             f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{plan.member:016x} HTTP/1.1",
@@ -228,6 +231,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     def close(self) -> None:
+        """Close the idle connections."""
         for lines in self.idle:
             for line in lines:
                 with contextlib.suppress(Exception):
--- a/standins/http.py
+++ b/standins/http.py
@@ -22,10 +22,12 @@
 
     @property
     def target(self) -> str:
+        """Return a request's target."""
         return self.line.split(" ")[1]
 
     @property
     def status(self) -> int:
+        """Return an answer's status."""
         return int(self.line.split(" ")[1])
 
 
@@ -79,6 +81,7 @@
 
     @property
     def address(self) -> str:
+        """Return where the service listens, `host:port`."""
         return f"{self.host}:{self.port}"
 
     async def start(self, port: int = 0) -> None:
--- a/standins/match.py
+++ b/standins/match.py
@@ -77,6 +77,7 @@
         self.awake.set()
 
     async def start(self, port: int = 0) -> None:
+        """Serve; the server is cold from now on."""
         await super().start(port)
         self.born = self.clock()
         self.records.add(Up(self.born, self.name, self.shape.cores, self.shape.cold, self.shape.cold_s))
@@ -98,6 +99,7 @@
         return min(1.0, s.cold + (1 - s.cold) * grown)
 
     async def next(self, connection: Connection) -> Message:
+        """Return the next request, unless the connection is cut instead."""
         first = await connection.reader.readexactly(1)
         if self.cuts.random() < self.cut_share:
             connection.reset()
@@ -105,6 +107,7 @@
         return await read_message(connection.reader, first)
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer a health check, or do a request's work."""
         path = message.target.partition("?")[0]
         if path in ("/healthz", "/load"):
             load = f"TEXT inflight={self.inflight}, queue={self.waiting}"
@@ -127,6 +130,7 @@
             self.inflight -= 1
 
     async def run(self, name: str, key: str, work: float, draw: random.Random, connection: Connection) -> bytes | None:
+        """Wait for a slot, do the work, and return the answer."""
         self.waiting += 1
         try:
             await self.slots.acquire()
--- a/standins/records.py
+++ b/standins/records.py
@@ -109,11 +109,13 @@
         self.sink = sink
 
     def add(self, record: Record) -> None:
+        """Append a record, and write it where there is a file."""
         self.all.append(record)
         if self.sink is not None:
             self.sink.write(json.dumps([type(record).__name__, *record]) + "\n")
 
     def of(self, kind: type[Any]) -> Iterator[Any]:
+        """Return the records of one kind."""
         return (r for r in self.all if type(r) is kind)
 
 
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -22,9 +22,11 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Remember the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Carry a datagram of a known sender."""
         sender = self.relay.numbers.get((addr[0], addr[1]))
         if sender is not None:
             self.relay.carry(sender, self.number, data)
@@ -51,6 +53,7 @@
         return [f"{HOST}:{d.transport.get_extra_info('sockname')[1]}" for d in self.doors if d.transport]
 
     async def start(self) -> None:
+        """Open a door for each ingress."""
         loop = asyncio.get_running_loop()
         for number in range(len(self.homes)):
             door = Door(self, number)
@@ -62,6 +65,7 @@
         (self.cut.add if on else self.cut.discard)(number)
 
     def carry(self, sender: int, target: int, data: bytes) -> None:
+        """Deliver a datagram after its delay, or lose it."""
         draw = self.draws[sender, target]
         lost, late = draw.random() < self.loss, draw.random() * self.delay
         if lost or sender in self.cut or target in self.cut:
@@ -72,12 +76,14 @@
             self.hand_over(sender, target, data)
 
     def hand_over(self, sender: int, target: int, data: bytes) -> None:
+        """Send a datagram to its target."""
         transport = self.doors[sender].transport
         if transport is not None and not transport.is_closing():
             self.carried += 1
             transport.sendto(data, self.homes[target])
 
     def stop(self) -> None:
+        """Close all doors."""
         for door in self.doors:
             if door.transport is not None:
                 door.transport.close()
--- a/standins/system.py
+++ b/standins/system.py
@@ -1,5 +1,6 @@
-"""The whole system on loopback: three core machines, three proxies, and stand-ins for platform, backends, operator,
-clients.
+"""The whole system on loopback: three core machines, three proxies, and stand-ins for what is around them.
+
+The stand-ins are the platform, backends, an operator and clients.
 
 Written from the users' pages. Each machine has an address of its own in 127.0.0.0/8. `run` plays a short story,
 prints what happens, and ends with a verdict: requests served, a backend drained, a configuration changed, a quota
@@ -58,6 +59,7 @@
         }
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer a health check or a request, and record the request."""
         h = message.headers
         known = {"X-Attempt-Id": h.get("x-attempt-id", ""), "X-Instance-Id": self.name}
         if h.get("x-expect-instance", self.name) != self.name:
@@ -77,6 +79,7 @@
         self.backends, self.calls = backends, 0
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer with a page of the list."""
         self.calls += 1
         start = int(message.target.partition("page_token=")[2] or 0)
         rows = [b.entry() for b in self.backends[start : start + 4]]
@@ -169,7 +172,7 @@
         settings = self.folder / "boot.conf"
         settings.write_text("\n".join(lines) + "\n")
         self.began = True
-        with open(self.folder / f"{self.program}.log", "ab") as log:
+        with (self.folder / f"{self.program}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
