--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -35,7 +35,7 @@
 )
 
 
-class Moved(Exception):
+class LineMovedError(Exception):
     """A fault's line is not in the sources, or in several places."""
 
 
@@ -51,7 +51,7 @@
     for right, wrong in fault.edits:
         paths = [path for path in (folder / "thistleusher" / "control").glob("*.py") if right in path.read_text()]
         if len(paths) != 1 or paths[0].read_text().count(right) != 1:
-            raise Moved
+            raise LineMovedError
         paths[0].write_text(paths[0].read_text().replace(right, wrong))
 
 
@@ -107,7 +107,7 @@
     """One fault's line for the table."""
     try:
         return fault, play(fault, tree, minutes) or "NOT FOUND"
-    except Moved:
+    except LineMovedError:
         return fault, "NOT FOUND: the line has moved"
 
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from soak.case import KINDS, BadCase, read_case
+from soak.case import KINDS, CaseError, read_case
 from soak.runner import Soak, play
 
 
@@ -32,7 +32,7 @@
     if args.replay:
         try:
             case = read_case(args.replay)
-        except BadCase as error:
+        except CaseError as error:
             print(f"soak: {error}", file=sys.stderr)
             return 2
         outcome, took = play(case)
--- a/soak/case.py
+++ b/soak/case.py
@@ -13,7 +13,7 @@
 KINDS = ("fleet", "bytes", "suite", "moment")
 
 
-class BadCase(Exception):
+class CaseError(Exception):
     """What is wrong with a case's file: path, key, what was expected."""
 
 
@@ -45,17 +45,17 @@
 
 
 def read_case(path: str | Path) -> Case:
-    """Read a case's file. Raises BadCase."""
+    """Read a case's file. Raises CaseError."""
     try:
         data = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise BadCase(f"{path}: {error}") from error
+        raise CaseError(f"{path}: {error}") from error
     except RecursionError as error:
-        raise BadCase(f"{path}: nested too deeply") from error
+        raise CaseError(f"{path}: nested too deeply") from error
     if not isinstance(data, dict) or data.get("kind") not in KINDS:
         found = data.get("kind") if isinstance(data, dict) else data
-        raise BadCase(f"{path}: kind: expected one of {', '.join(KINDS)}, got {found!r}")
+        raise CaseError(f"{path}: kind: expected one of {', '.join(KINDS)}, got {found!r}")
     seed, size = data.get("seed"), data.get("size", {})
     if isinstance(seed, bool) or not isinstance(seed, int) or not isinstance(size, dict):
-        raise BadCase(f"{path}: seed, size: expected a whole number and a table, got {seed!r}, {size!r}")
+        raise CaseError(f"{path}: seed, size: expected a whole number and a table, got {seed!r}, {size!r}")
     return Case(data["kind"], seed, size)
--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -7,7 +7,7 @@
 
 from soak.case import Case, Outcome
 from soak.mutate import Corpus, cut_down, mutated
-from soak.readers import READERS, Broken
+from soak.readers import READERS, RuleBrokenError
 
 
 def draw(seed: int, count: int = 1500) -> Case:
@@ -43,7 +43,7 @@
 
 def told(error: Exception) -> str:
     """Return the error and where it came from."""
-    if isinstance(error, Broken):
+    if isinstance(error, RuleBrokenError):
         return str(error)
     last = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__}: {str(error)[:200]} at {last.filename.rpartition('/')[2]}:{last.lineno} {last.name}"
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -17,8 +17,8 @@
 
 import httptools
 
-from soak.case import BadCase, read_case
-from standins.faults import BadScript, read_script
+from soak.case import CaseError, read_case
+from standins.faults import ScriptError, read_script
 from standins.fleet import Options, settings
 from standins.records import read_records
 from thistleusher.assembly import make_gateway
@@ -41,7 +41,7 @@
 Check = Callable[[bytes, random.Random], Hashable]
 
 
-class Broken(AssertionError):
+class RuleBrokenError(AssertionError):
     """What a reader did that it must not."""
 
 
@@ -63,9 +63,9 @@
         self.closed = self.aborted = False
 
     def write(self, data: bytes) -> None:
-        """Collect what is written. Raises Broken after the end."""
+        """Collect what is written. Raises RuleBrokenError after the end."""
         if self.closed:
-            raise Broken("written to after its end")
+            raise RuleBrokenError("written to after its end")
         self.written += data
 
     def close(self) -> None:
@@ -81,8 +81,7 @@
         """Do nothing: all bytes are there already."""
 
     def get_extra_info(self, name: str) -> None:
-        """Return None: there is no socket."""
-        return None
+        """Return nothing: there is no socket."""
 
 
 # Clients.
@@ -131,16 +130,17 @@
         for _ in range(len(connection.queue) + 2):
             await asyncio.sleep(0)
         if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
-            raise Broken("holds more than its limits")
+            raise RuleBrokenError("holds more than its limits")
         client = _Answers()
         try:
             client.parser.feed_data(bytes(transport.written))
         except httptools.HttpParserError as error:
-            raise Broken(f"answers that no client can read: {error}: {bytes(transport.written)[-200:]!r}") from error
+            end = bytes(transport.written)[-200:]
+            raise RuleBrokenError(f"answers that no client can read: {error}: {end!r}") from error
         if 500 in client.statuses:
-            raise Broken("a client's bytes were answered 500")
+            raise RuleBrokenError("a client's bytes were answered 500")
         if client.statuses.count(200) < len(ingress.taken) and not connection.closing:
-            raise Broken(f"{len(ingress.taken)} requests taken, answers {client.statuses}")
+            raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {client.statuses}")
         for call in ingress.taken:
             r = call.request
             if not (
@@ -150,10 +150,10 @@
                 and r.plan in {p.name for p in told.plans}
                 and 1 <= r.width <= told.instances
             ):
-                raise Broken(f"taken as it cannot be meant: {r!r}")
+                raise RuleBrokenError(f"taken as it cannot be meant: {r!r}")
             head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
             if rest != call.body or b"\0" in head or b"\n" in head.replace(b"\r\n", b""):
-                raise Broken(f"passed on as another: {call.message(1.0)[:300]!r}")
+                raise RuleBrokenError(f"passed on as another: {call.message(1.0)[:300]!r}")
         connection.connection_lost(None)
         server.close()
         return tuple(client.statuses[:4]), connection.discarding_input
@@ -171,9 +171,9 @@
         whole += reader.feed(part)
     for a in whole:
         if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
-            raise Broken(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
+            raise RuleBrokenError(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
     if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
-        raise Broken("holds more than its limits")
+        raise RuleBrokenError("holds more than its limits")
     return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
 
 
@@ -206,9 +206,9 @@
             link.data_received(part)
         link.connection_lost(None)
         if sorted(name for name, _, _ in line.told) != [0, 1, 2]:
-            raise Broken(f"three calls, verdicts {line.told}")
+            raise RuleBrokenError(f"three calls, verdicts {line.told}")
         if any(not abs(total) < 1e100 for _, _, total in line.told):
-            raise Broken(f"no total: {line.told}")
+            raise RuleBrokenError(f"no total: {line.told}")
         return tuple(outcome for _, outcome, _ in line.told)
 
     return _loop().run_until_complete(main())
@@ -224,7 +224,7 @@
             listing = parse_backend_list_text(text)
             for entry, endpoint in listing.entries:
                 if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
-                    raise Broken(f"taken as it cannot be meant: {entry!r}")
+                    raise RuleBrokenError(f"taken as it cannot be meant: {entry!r}")
             seen.append(len(listing.entries))
             return listing.version
 
@@ -251,15 +251,15 @@
         acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
             if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
-                raise Broken(f"a datagram of {len(a.payload)} bytes")
+                raise RuleBrokenError(f"a datagram of {len(a.payload)} bytes")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
     for c in gateway.sharing.customers.values():
         if not (-1e6 < c.room(now) <= c.plan.burst + 1e-6):
-            raise Broken(f"a store of {c.room(now)}")
+            raise RuleBrokenError(f"a store of {c.room(now)}")
     escrow: Any = gateway.sharing.escrow
     for own in escrow.allowances.values():
         if not (0 <= own.part() <= 1 and -own.terms.burst - 1e-6 <= own.room <= own.cap() + 1e-6):
-            raise Broken(f"a share of {own.part()}, a room of {own.room}")
+            raise RuleBrokenError(f"a share of {own.part()}, a room of {own.room}")
     return tuple(shown[:3]), len(gateway.sharing.customers)
 
 
@@ -275,7 +275,7 @@
         except plain as error:
             text = str(error)
             if "\n" in text.strip() or path.name not in text:
-                raise Broken(f"an error that does not name the file in one line: {text!r}") from error
+                raise RuleBrokenError(f"an error that does not name the file in one line: {text!r}") from error
             return text.rpartition(path.name)[2][:40]
         return "read"
 
@@ -290,7 +290,7 @@
 def _script(path: str) -> None:
     for f in read_script(path):
         if not (0 <= f.at < 1e300 and 0 <= f.lasts < 1e300 and 0 <= f.value < 1e300):
-            raise Broken(f"taken as it cannot be meant: {f!r}")
+            raise RuleBrokenError(f"taken as it cannot be meant: {f!r}")
 
 
 def records(data: bytes, rng: random.Random) -> Hashable:
@@ -380,9 +380,9 @@
         _file(read_counters, InvalidConfigurationError),
         (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',),
     ),
-    "script": (_file(_script, BadScript), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
+    "script": (_file(_script, ScriptError), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
     "records": (records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
-    "case": (_file(read_case, BadCase), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
+    "case": (_file(read_case, CaseError), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
 }
 
 _kept: dict[str, Any] = {}
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -17,7 +17,7 @@
 from standins.counter import Counter
 from standins.deployments import DEPLOYMENTS
 from standins.discovery import Discovery
-from standins.faults import ACTIONS, BadScript, read_script
+from standins.faults import ACTIONS, ScriptError, read_script
 from standins.fleet import HOST, Fleet, Options, run_fleet
 from standins.http import Service
 from standins.match import MatchServer, Shape
@@ -185,7 +185,7 @@
             return uvloop.run(system.run(args.hold))
         with suppress(KeyboardInterrupt):
             return uvloop.run(fleet(args) if args.command == "fleet" else serve(args))
-    except (BadScript, OSError, ValueError) as error:
+    except (ScriptError, OSError, ValueError) as error:
         print(f"standins: {error}", file=sys.stderr)
         return 2
     return 1
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -66,41 +66,41 @@
     value: float = 0.0
 
 
-class BadScript(Exception):
+class ScriptError(Exception):
     """What is wrong with a script: file, fault, key, what was expected."""
 
 
 def read_script(path: str | Path) -> list[Fault]:
-    """Return a script's faults in order of time. Raises BadScript."""
+    """Return a script's faults in order of time. Raises ScriptError."""
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise BadScript(f"{path}: {error}") from error
+        raise ScriptError(f"{path}: {error}") from error
     except RecursionError as error:
-        raise BadScript(f"{path}: nested too deeply") from error
+        raise ScriptError(f"{path}: nested too deeply") from error
     faults = data.get("fault", [])
     if not isinstance(faults, list) or data.keys() - {"fault"}:
-        raise BadScript(f"{path}: expected [[fault]] tables only")
+        raise ScriptError(f"{path}: expected [[fault]] tables only")
     return sorted(_fault(f"{path}: fault {n}", f) for n, f in enumerate(faults, 1))
 
 
 def _fault(where: str, data: dict[str, Any]) -> Fault:
     action = ACTIONS.get(str(data.get("do")))
     if action is None:
-        raise BadScript(f"{where}: do: expected one of {', '.join(ACTIONS)}, got {data.get('do')!r}")
+        raise ScriptError(f"{where}: do: expected one of {', '.join(ACTIONS)}, got {data.get('do')!r}")
     allowed = {"at": True, "do": True, "target": action.target, "for": action.ends, "value": action.value}
     for key in data:
         if not allowed.get(key):
-            raise BadScript(f"{where}: {key if key.isprintable() else repr(key)}: {data['do']} takes no such key")
+            raise ScriptError(f"{where}: {key if key.isprintable() else repr(key)}: {data['do']} takes no such key")
     for key, needed in (("at", True), ("target", action.target), ("value", action.value)):
         if needed and key not in data:
-            raise BadScript(f"{where}: {key}: missing")
+            raise ScriptError(f"{where}: {key}: missing")
     for key in ("at", "for", "value"):
         value = data.get(key, 0)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= LONGEST:
-            raise BadScript(f"{where}: {key}: expected a number of 0 or more, to {LONGEST:g}, got {value!r:.40}")
+            raise ScriptError(f"{where}: {key}: expected a number of 0 or more, to {LONGEST:g}, got {value!r:.40}")
     if isinstance(target := data.get("target", 0), bool) or not isinstance(target, int) or target < 0:
-        raise BadScript(f"{where}: target: expected a whole number of 0 or more, got {target!r}")
+        raise ScriptError(f"{where}: target: expected a whole number of 0 or more, got {target!r}")
     return Fault(float(data["at"]), str(data["do"]), target, float(data.get("for", 0)), float(data.get("value", 0)))
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -21,7 +21,7 @@
 from standins.counter import Counter
 from standins.deployments import MATCHING, Deployment
 from standins.discovery import Discovery
-from standins.faults import BadScript, Fault, play
+from standins.faults import Fault, ScriptError, play
 from standins.front import Front, Traffic
 from standins.match import Keys, MatchServer, Shape
 from standins.records import Crashed, Records
@@ -180,13 +180,20 @@
         """Wait for `GET /healthz` to say 200; TimeoutError, with the end of its log, where it never does."""
         try:
             async with asyncio.timeout(READY_S):
-                while not await self.healthy():
-                    if self.process is not None and self.process.returncode is not None:
-                        raise TimeoutError
-                    await asyncio.sleep(0.02)
+                ready = await self._ready_before_its_end()
         except TimeoutError:
+            ready = False
+        if not ready:
             tail = self.log.read_text(errors="replace")[-500:]
-            raise TimeoutError(f"ingress {self.number} does not come up: {tail}") from None
+            raise TimeoutError(f"ingress {self.number} does not come up: {tail}")
+
+    async def _ready_before_its_end(self) -> bool:
+        """Wait until the ingress is ready or its process has ended; return whether it is ready."""
+        while not await self.healthy():
+            if self.process is not None and self.process.returncode is not None:
+                return False
+            await asyncio.sleep(0.02)
+        return True
 
     async def healthy(self) -> bool:
         """Return whether the ingress says that it is ready."""
@@ -195,9 +202,9 @@
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             line = await reader.readline()
             writer.close()
-            return b" 200 " in line
         except OSError:
             return False
+        return b" 200 " in line
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> None:
         """Signal it and wait; what does not leave in time is killed."""
@@ -232,13 +239,13 @@
         self.check(options.faults)
 
     def check(self, faults: Sequence[Fault]) -> None:
-        """BadScript where a fault's target is not there."""
+        """ScriptError where a fault's target is not there."""
         for f in faults:
             many = (
                 self.o.servers if f.do.startswith("match.") else HALLS if f.do.startswith("hall.") else self.o.ingresses
             )
             if f.target >= many:
-                raise BadScript(f"{f.do}: target: expected a number below {many}, got {f.target}")
+                raise ScriptError(f"{f.do}: target: expected a number below {many}, got {f.target}")
 
     async def __aenter__(self) -> Fleet:
         try:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -12,7 +12,7 @@
 
 from soak import fleets, inputs, moments, readers, suites
 from soak.__main__ import main
-from soak.case import KINDS, BadCase, Case, Outcome, read_case
+from soak.case import KINDS, Case, CaseError, Outcome, read_case
 from soak.mutate import Corpus, cut_down, mutated
 from soak.runner import Soak, play
 from soak.shrink import shrink
@@ -56,7 +56,7 @@
 def test_a_broken_reader_is_found_cut_down_and_replayed(monkeypatch, tmp_path, capsys):
     def check(data, rng):
         if b"\xff" in data and b"0" in data:
-            raise readers.Broken("it holds both")
+            raise readers.RuleBrokenError("it holds both")
         return len(data) % 7
 
     monkeypatch.setitem(readers.READERS, "answer", (check, readers.READERS["answer"][1]))
@@ -96,7 +96,7 @@
     assert fleets.draw(7) == fleets.draw(7) != fleets.draw(8)
     for seed in range(200):
         case = fleets.draw(seed)
-        Fleet(fleets.options_of(case), tmp_path)  # BadScript where a target is not there
+        Fleet(fleets.options_of(case), tmp_path)  # ScriptError where a target is not there
         for other in fleets.smaller(case):
             Fleet(fleets.options_of(other), tmp_path)
             assert other != case
@@ -197,7 +197,7 @@
 def test_a_file_that_is_no_case_is_named(tmp_path, text, capsys):
     path = tmp_path / "case.json"
     path.write_text(text)
-    with pytest.raises(BadCase, match="case.json"):
+    with pytest.raises(CaseError, match="case.json"):
         read_case(path)
     assert main(["--replay", str(path)]) == 2 and capsys.readouterr().err.count("\n") == 1
     assert main(["--workers", "0"]) == 2
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from standins.deployments import MATCHING
-from standins.faults import ACTIONS, BadScript, Fault, play, read_script
+from standins.faults import ACTIONS, Fault, ScriptError, play, read_script
 from standins.fleet import Fleet, Options, run_fleet
 from standins.front import Traffic, draw
 from standins.records import Crashed, Ran, Records
@@ -46,12 +46,12 @@
 def test_a_bad_script_is_named_by_file_fault_and_key(tmp_path, text, error):
     path = tmp_path / "script.toml"
     path.write_text(text)
-    with pytest.raises(BadScript, match=error):
+    with pytest.raises(ScriptError, match=error):
         read_script(path)
 
 
 def test_a_target_that_is_not_there_is_refused_before_the_start(tmp_path):
-    with pytest.raises(BadScript, match="below 2, got 2"):
+    with pytest.raises(ScriptError, match="below 2, got 2"):
         Fleet(Options(servers=2, faults=(Fault(1.0, "match.kill", 2),)), tmp_path)
 
 
