--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -24,6 +24,7 @@
 from standins.faults import Fault, ScriptError, play
 from standins.front import Front, Traffic
 from standins.match import Keys, MatchServer, Shape
+from standins.ports import unused_port
 from standins.records import Crashed, Records
 from standins.relay import Relay
 
@@ -133,7 +134,9 @@
 
 
 def free_ports(count: int, first: int) -> list[int]:
-    """Numbers of such ports, free from now on: somebody else may draw one of them meanwhile."""
+    """Return unused ports, from `first` on where that is not 0. Raises OSError where one of those is taken."""
+    if not first:
+        return [unused_port() for _ in range(count)]
     held = hold_ports(count, first)
     ports = [s.getsockname()[1] for s in held]
     for s in held:
--- a/tests/client/test_loopback.py
+++ b/tests/client/test_loopback.py
@@ -7,6 +7,8 @@
 import sys
 from collections import Counter
 
+import pytest
+
 from standins.system import DIRECTORY, FRONTS, HOST, System, hold
 from thistleusher.client import Answered, Client, UnknownEnd
 from thistleusher.client.client import served
@@ -14,6 +16,7 @@
 SERVERS = [f"{ip}:{DIRECTORY}" for ip in FRONTS]
 
 
+@pytest.mark.usefixtures("system_addresses")
 def test_payments_run_once_at_most_and_every_unknown_end_is_named(tmp_path):
     ends = Counter()
 
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -13,6 +13,7 @@
 import uvloop
 
 from standins.http import read_message
+from standins.ports import unused_port
 from tests.helpers import CEILED, KEYED, PLAN, SAFE, UNSAFE
 from thistleusher.core import actions, events
 from thistleusher.core.actions import Action
@@ -56,10 +57,8 @@
 
 
 def closed_port() -> int:
-    """A port that nothing listens on."""
-    with socket.socket() as s:
-        s.bind((HOST, 0))
-        return int(s.getsockname()[1])
+    """A port that nothing listens on, and that no connection of another test takes meanwhile."""
+    return unused_port()
 
 
 def datagram_addresses(count: int) -> list[str]:
--- a/tests/standins/test_system.py
+++ b/tests/standins/test_system.py
@@ -2,9 +2,12 @@
 
 import asyncio
 
+import pytest
+
 from standins.system import System, story
 
 
+@pytest.mark.usefixtures("system_addresses")
 def test_the_whole_system_serves_drains_and_follows_changes(tmp_path):
     lines = []
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -49,3 +49,11 @@
     done = run(tmp_path, listed, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "known_red")
     assert done.returncode == 0
     assert "1 passed, 1 deselected" in done.stdout
+
+
+def test_the_full_run_leaves_them_out_in_several_processes_too(tmp_path: Path) -> None:
+    listed = "test_sample.py::test_one, slow, issue 7\n"
+    command = ("-m", "pytest", "-q", "-p", "no:cacheprovider", "-n", "2", "--dist", "loadfile", "-p", "known_red")
+    done = run(tmp_path, listed, *command)
+    assert done.returncode == 0, done.stdout + done.stderr
+    assert done.stdout.splitlines()[-1].startswith("1 passed in ")
