--- a/thistleusher/cli/checks.py
+++ b/thistleusher/cli/checks.py
@@ -63,8 +63,8 @@
 
 def summary_of_configuration(path: Path) -> str:
     """Return a configuration's figures. Raises OSError, or an ExceptionGroup of all faults."""
-    from thistleusher.common.configuration import summary
-    from thistleusher.common.validation import read_configuration
+    from thistleusher.configuration.records import summary
+    from thistleusher.configuration.validation import read_configuration
 
     figures = summary(read_configuration(path.read_bytes()))
     return ", ".join(f"{name} {value}" for name, value in figures.items())
