--- a/tests/cli/test_serve.py
+++ b/tests/cli/test_serve.py
@@ -31,7 +31,7 @@
         assert any("serves on" in x["event"] for x in lines) and all(x["level"] for x in lines)
         assert lines[-1]["event"].endswith("has stopped")
         store = Store.existing(tmp_path / "state")
-        assert store.before.ended > 0 and store.listed().places[0].name == "b0"
+        assert store.previous.ended_at > 0 and store.endpoint_list().endpoints[0].name == "b0"
         store.close()
 
     run(scenario())
--- a/tests/cli/test_state_folder.py
+++ b/tests/cli/test_state_folder.py
@@ -6,7 +6,7 @@
 import sqlite3
 
 from thistleusher.cli.main import main
-from thistleusher.state.records import Member, Room, pack
+from thistleusher.state.records import MemberRecord, ReservationRecord, encode
 from thistleusher.state.store import Store
 
 
@@ -14,15 +14,15 @@
     folder = str(tmp_path / "state")
     assert main(["state", "show", folder]) == 2 and "no state folder" in capsys.readouterr().err
     store = Store(folder, "n0")
-    store.begin("n0", 100.0)
+    store.start_incarnation("n0", 100.0)
     store.commit(
         [
-            (("member", 7), pack(Member(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
-            (("room", 1), pack(Room("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
+            (("member", 7), encode(MemberRecord(7, "plus", 16.0, 36.0, 3.0, 100.0, 44, 5.0, 2.5, 40))),
+            (("room", 1), encode(ReservationRecord("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
         ]
     )
     assert main(["state", "show", folder]) == 2 and "another process holds it" in capsys.readouterr().err
-    store.end(160.0)
+    store.record_shutdown(160.0)
     store.close()
     assert main(["state", "show", folder]) == 0
     out = capsys.readouterr().out
--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -22,7 +22,7 @@
 from thistleusher.embed import EmbeddedIngress, PeerAddresses, QuotaMiddleware
 from thistleusher.net.config import read_config
 from thistleusher.net.daemon import Daemon
-from thistleusher.quota.incarnations import HELLO_MARK
+from thistleusher.quota.messages import HANDSHAKE_MARK
 
 INSTANCES = 3
 
@@ -116,7 +116,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = self.gateway.handle(now, event)
         # Bootstrap handshakes cross in any order; nothing is decided on them here.
-        handshake = isinstance(event, events.PeerMessage) and event.payload[:1] == HELLO_MARK
+        handshake = isinstance(event, events.PeerMessage) and event.payload[:1] == HANDSHAKE_MARK
         if not isinstance(event, events.ListUpdate) and not handshake:
             self.log.append((round(now, 6), event, list(actions)))
         self.replies += isinstance(event, events.CounterReply)
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -7,7 +7,7 @@
 from thistleusher.core.settings import Settings
 from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
 from thistleusher.net.config import InvalidConfigurationError, read_data
-from thistleusher.quota.bound import Assumed, table
+from thistleusher.quota.bound import Assumptions, format_table
 
 
 def read_settings(path: str) -> Settings:
@@ -22,11 +22,11 @@
 def print_bound(options: Bound) -> int:
     """Print the table of bounds; raises CommandError where the configuration or an option cannot be used."""
     try:
-        assumed = Assumed(
+        assumptions = Assumptions(
             options.loss, options.delay, outage=options.outage, skew=options.skew, folders=options.folders
         )
         settings = read_settings(options.config)
-        lines = table(settings, assumed)
+        lines = format_table(settings, assumptions)
     except (InvalidConfigurationError, ValueError) as error:
         raise CommandError(str(error)) from error
     print(
--- a/thistleusher/cli/state_folder.py
+++ b/thistleusher/cli/state_folder.py
@@ -11,7 +11,7 @@
 
 from thistleusher.cli.commands import StateExport, StateShow, StateVerify
 from thistleusher.cli.errors import CommandError
-from thistleusher.state.store import BadState, Store
+from thistleusher.state.store import StateFolderError, Store
 
 EXIT_SPOILT = 1
 
@@ -21,7 +21,7 @@
     """Hold the folder meanwhile; raises CommandError where it cannot be had."""
     try:
         store = Store.existing(folder)
-    except BadState as error:
+    except StateFolderError as error:
         raise CommandError(str(error)) from error
     with closing(store):
         yield store
@@ -30,18 +30,18 @@
 def show(options: StateShow) -> int:
     """Print what is in the folder, in a few lines."""
     with opened(options.folder) as store:
-        process = store.before
+        process = store.previous
         learned = store.learned()
-        listed = store.listed()
+        listed = store.endpoint_list()
         pending = [max(0.0, member.pending) for member in store.members()]
-        room_count = sum(1 for _ in store.rooms())
+        reservation_count = sum(1 for _ in store.reservations())
     if process is not None:
-        end = f"ended in order at {process.ended:.3f}" if process.ended else "did not end in order, or goes on"
-        print(f"ingress {process.name}, life {process.number}, began {process.began:.3f}, {end}")
-    print(f"{len(pending)} members, {sum(pending):.2f} units in no count yet; {room_count} rooms")
+        end = f"ended in order at {process.ended_at:.3f}" if process.ended_at else "did not end in order, or goes on"
+        print(f"ingress {process.name}, life {process.number}, began {process.started_at:.3f}, {end}")
+    print(f"{len(pending)} members, {sum(pending):.2f} units in no count yet; {reservation_count} rooms")
     print(
         f"{len(learned.backends) if learned else 0} backends known; "
-        f"{len(listed.places) if listed else 0} in the last list"
+        f"{len(listed.endpoints) if listed else 0} in the last list"
     )
     return 0
 
@@ -49,10 +49,10 @@
 def verify(options: StateVerify) -> int:
     """Read every record and print what is wrong; return the exit code."""
     with opened(options.folder) as store:
-        count = sum(1 for _ in store.members()) + sum(1 for _ in store.rooms())
-        count += sum(record is not None for record in (store.learned(), store.listed(), store.before))
-        damage = store.damage()
-        spoilt = store.spoilt
+        count = sum(1 for _ in store.members()) + sum(1 for _ in store.reservations())
+        count += sum(record is not None for record in (store.learned(), store.endpoint_list(), store.previous))
+        damage = store.integrity_errors()
+        spoilt = store.corrupt_records
     print(f"{count} records read, {spoilt} spoilt{f'; {damage}' if damage else ''}")
     return EXIT_SPOILT if spoilt or damage else 0
 
@@ -61,21 +61,21 @@
     """Print every record as a JSON line."""
     with opened(options.folder) as store:
         single_records: list[tuple[str, Any]] = [
-            ("life", store.before),
+            ("life", store.previous),
             ("learned", store.learned()),
-            ("list", store.listed()),
+            ("list", store.endpoint_list()),
         ]
         for kind, record in single_records:
             if record is not None:
                 print(json_line(kind, record))
         for member in store.members():
             print(json_line("member", member))
-        for room in store.rooms():
-            print(json_line("room", room))
+        for reservation in store.reservations():
+            print(json_line("room", reservation))
     return 0
 
 
 def json_line(kind: str, record: Any) -> str:
-    """Return a record as JSON, with the names of its fields."""
-    fields = record.__struct_fields__ if isinstance(record, msgspec.Struct) else record._fields
-    return json.dumps({"kind": kind, **{name: msgspec.to_builtins(getattr(record, name)) for name in fields}})
+    """Return a record as JSON, with the names that its fields are stored under."""
+    fields = record.__struct_encode_fields__ if isinstance(record, msgspec.Struct) else record._fields
+    return json.dumps({"kind": kind, **dict(zip(fields, msgspec.to_builtins(record), strict=True))})
--- a/thistleusher/standalone.py
+++ b/thistleusher/standalone.py
@@ -49,13 +49,13 @@
     from thistleusher.assembly import allowance_terms
     from thistleusher.policy.sharing import kept_for
     from thistleusher.state.snapshotter import Snapshotter
-    from thistleusher.state.store import BadState
+    from thistleusher.state.store import StateFolderError
 
     try:
         return Snapshotter(
             options, config.name, config.settings, kept_for(config.settings), allowance_terms(config.settings)
         )
-    except BadState as error:
+    except StateFolderError as error:
         raise InvalidConfigurationError(str(error)) from error
 
 
