--- a/standins/counter.py
+++ b/standins/counter.py
@@ -47,7 +47,7 @@
         self.repeat_old = False  # answers tell the total before the one that was true
 
     def totals(self) -> dict[str, float]:
-        """What stands in each name now."""
+        """Return what stands in each name now."""
         now = self.clock()
         return {name: total for name, (total, until) in self.counts.items() if until > now}
 
@@ -65,6 +65,7 @@
             connection.reset()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Add to a number and answer with its totals, unless a fault says otherwise."""
         await self.silenced.wait()
         call = self.parse(message)
         if call is None:
@@ -96,7 +97,7 @@
             await asyncio.sleep(wait)
 
     def add(self, name: str, amount: float, life_ms: int) -> tuple[float, float]:
-        """The totals before and after."""
+        """Return the totals before and after."""
         now = self.clock()
         before, until = self.counts.get(name, (0.0, 0.0))
         if until <= now:
@@ -107,6 +108,7 @@
 
     @staticmethod
     def parse(message: Message) -> tuple[str, float, int] | None:
+        """Return name, amount and life in ms of a call, None for what is no call."""
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
         name = path.removeprefix("/v2/numbers/")
--- a/thistleusher/common/launcher.py
+++ b/thistleusher/common/launcher.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 import uvloop
-from absl import logging
 
 from thistleusher.common.process import SettingsFile
+from thistleusher.log.setup import use_absl_handler
 
 EXIT_OK = 0
 EXIT_CANNOT_SERVE = 1
@@ -23,8 +23,7 @@
     Return the exit code: `EXIT_OK` after a graceful shutdown, `EXIT_CANNOT_SERVE` where a port cannot be opened,
     `EXIT_BAD_SETTINGS` where the settings file is missing or invalid.
     """
-    logging.use_absl_handler()
-    logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
+    use_absl_handler(verbose)
     try:
         settings = SettingsFile(path)
     except OSError as error:
