--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -7,7 +7,7 @@
 
 from soak.case import Case, Outcome
 from soak.mutate import Corpus, cut_down, mutated
-from soak.readers import READERS, Broken
+from soak.readers import READERS, RuleBrokenError
 
 
 def draw(seed: int, count: int = 1500) -> Case:
@@ -33,7 +33,7 @@
 
 
 def fails(target: str, data: bytes, seed: int) -> str:
-    """What one input breaks, or nothing."""
+    """Return the error of one input, or an empty text."""
     try:
         READERS[target][0](data, random.Random(seed))
     except Exception as error:
@@ -42,15 +42,15 @@
 
 
 def told(error: Exception) -> str:
-    """The error and where it came from."""
-    if isinstance(error, Broken):
+    """Return the error and where it came from."""
+    if isinstance(error, RuleBrokenError):
         return str(error)
     last = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__}: {str(error)[:200]} at {last.filename.rpartition('/')[2]}:{last.lineno} {last.name}"
 
 
 def smallest(case: Case, outcome: Outcome) -> Case:
-    """The case of the one input that failed, with as few bytes as still bring about an error of that kind."""
+    """Return the case of the one input that failed, with as few bytes as still bring about an error of that kind."""
     text = outcome.why.rpartition("; data ")[2]
     if "data" in case.size:
         target, data, seed = str(case.size["target"]), bytes.fromhex(str(case.size["data"])), case.seed
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -26,7 +26,7 @@
 from thistleusher.services.peers import PeerDatagrams
 
 if TYPE_CHECKING:  # imported only if a state folder is given
-    from thistleusher.state.records import Listed, Place
+    from thistleusher.state.records import EndpointListRecord, EndpointRecord
     from thistleusher.state.snapshotter import Snapshotter
 
 log = logging.getLogger("thistleusher")
@@ -56,9 +56,9 @@
         self.clock = clock
         self.placement = placement
         self.snapshotter = snapshotter
-        max_sockets = max(MIN_SOCKETS, (config.sockets - SPARE_SOCKETS) // 2)
+        max_sockets = max(MIN_SOCKETS, (config.max_sockets - SPARE_SOCKETS) // 2)
         connect_timeout = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_S
-        self.upstream = Upstream(loop, connect_timeout, config.idle, max_sockets)
+        self.upstream = Upstream(loop, connect_timeout, config.backend_idle_s, max_sockets)
         self.gateway = make_gateway(settings, config.seed, clock(), placement)
         self.ingress = Ingress(loop, settings, self.gateway, self.upstream, config.load_fields, clock, scheduler)
         self.server = IngressServer(loop, self.ingress, max_sockets)
@@ -73,8 +73,8 @@
         """Open everything, the clients' listener last. OSError if an address cannot be had."""
         config = self.config
         if self.snapshotter is not None:
-            self.snapshotter.places = self.places
-            self.snapshotter.begin(self.gateway, self.clock, self.loop)
+            self.snapshotter.current_endpoints = self.places
+            self.snapshotter.start(self.gateway, self.clock, self.loop)
         self._connect_counter()
         await self._open_peers()
         self._take_first_list()
@@ -105,7 +105,7 @@
 
     def _take_first_list(self) -> None:
         """Begin with the newer one of the saved list of backends and the configuration's."""
-        saved = self.snapshotter.list if self.snapshotter is not None else None
+        saved = self.snapshotter.endpoint_list if self.snapshotter is not None else None
         known = self.config.known
         if saved is not None and (known is None or saved.version > known.version):
             self.ingress.update_backends(backend_list_of(saved), saved=True)
@@ -119,14 +119,14 @@
         self.ingress.update_backends(backends)
         self.list_version = backends.version
 
-    def places(self) -> tuple[int, tuple[Place, ...]]:
+    def places(self) -> tuple[int, tuple[EndpointRecord, ...]]:
         """Return the list of backends as it stands, to be saved."""
-        from thistleusher.state.records import Place
+        from thistleusher.state.records import EndpointRecord
 
         pools = self.upstream.pools
         entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in pools]
         places = (
-            Place(
+            EndpointRecord(
                 entry.backend,
                 entry.phase.value,
                 entry.weight,
@@ -178,13 +178,13 @@
             self.snapshotter.close()
 
 
-def backend_list_of(saved: Listed) -> BackendList:
+def backend_list_of(saved: EndpointListRecord) -> BackendList:
     """Return a saved list of backends as discovery would have sent it."""
     entries = (
         (
             BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
             Endpoint((p.host, p.port), p.born),
         )
-        for p in saved.places
+        for p in saved.endpoints
     )
     return BackendList(saved.version, True, tuple(entries))
--- a/thistleusher/state/options.py
+++ b/thistleusher/state/options.py
@@ -1,9 +1,11 @@
-"""The section [state] of the operator's file, and the file of its own that `--state` names.
+"""Options of the state folder: the section `[state]` of the operator's file, and the earlier file of `--state`.
 
-folder = "/var/lib/thistleusher"
-sync = "normal"      # off, normal or full: what a loss of power may cost
-commit_ms = 50       # what a kill may cost, 5 to 10,000
-most_mb = 256        # bound of the folder's file, 1 to 65,536
+The earlier file has units in its keys' names:
+
+    folder = "/var/lib/thistleusher"
+    sync = "normal"      # off, normal or full: what a loss of power may cost
+    commit_ms = 50       # what a kill may cost, 5 to 10,000
+    most_mb = 256        # bound of the folder's file, 1 to 65,536
 """
 
 from __future__ import annotations
@@ -17,6 +19,8 @@
 
 COMMIT_EVERY_LIMITS = Seconds(0.005), Seconds(10.0)
 MAX_SIZE_LIMITS = Bytes(1 << 20), Bytes(1 << 36)
+BYTES_PER_MB = 1 << 20
+MS_PER_S = 1000
 COMMIT_MS_LIMITS = 5, 10_000
 MOST_MB_LIMITS = 1, 65_536
 
@@ -25,8 +29,9 @@
 class StateOptions:
     """Where and how state is stored.
 
-    folder: of this ingress alone; made if it is not there; held by one process
-    sync: what a loss of power may cost: what the system had not written, commits since the last checkpoint, or nothing
+    folder: used by this ingress alone and locked by one process; created if it does not exist
+    sync: what a loss of power may cost: `off` what the system had not written, `normal` the commits since the last
+        checkpoint, `full` nothing
     commit_every: what a kill may cost, 5ms to 10s
     max_size: bound of the folder's file, 1MiB to 64GiB
     """
@@ -44,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StateFile:
+class LegacyStateFile:
     """The earlier file, with units in its keys' names."""
 
     folder: str
@@ -74,5 +79,7 @@
 
 def read_options(path: str) -> StateOptions:
     """Return the earlier file's options. Raises OperatorFileError, a ValueError: file, key, expected and found."""
-    file: StateFile = read_flat_file(path, StateFile)
-    return StateOptions(file.folder, file.sync, Seconds(file.commit_ms / 1000), Bytes(file.most_mb << 20))
+    file: LegacyStateFile = read_flat_file(path, LegacyStateFile)
+    commit_every = Seconds(file.commit_ms / MS_PER_S)
+    max_size = Bytes(file.most_mb * BYTES_PER_MB)
+    return StateOptions(file.folder, file.sync, commit_every, max_size)
