--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -9,11 +9,12 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from soak.case import KINDS, BadCase, read_case
+from soak.case import KINDS, CaseError, read_case
 from soak.runner import Soak, play
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the command line's parser."""
     p = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
     p.add_argument("--minutes", type=float, default=5.0, help="for how long new cases begin (default 5)")
     p.add_argument("--seed", type=int, help="of all that is drawn (default: a fresh one, which is printed)")
@@ -31,7 +32,7 @@
     if args.replay:
         try:
             case = read_case(args.replay)
-        except BadCase as error:
+        except CaseError as error:
             print(f"soak: {error}", file=sys.stderr)
             return 2
         outcome, took = play(case)
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -20,7 +20,7 @@
 from standins.match import Shape
 from standins.records import Answered, Records
 from thistleusher.core.settings_parser import nested_settings
-from thistleusher.quota.bound import Assumed, bound_of
+from thistleusher.quota.bound import Assumptions, bound_of
 
 LATE_S = 0.15  # that a busy machine may add to a datagram's way
 JOINT_S = 2.0  # restarts of ingresses within it may be of all at once
@@ -51,7 +51,7 @@
 
 
 def draw(seed: int, seconds: float = 6.0) -> Case:
-    """A fleet, its traffic and a script that may overlap itself."""
+    """Draw a fleet, its traffic and a script that may overlap itself."""
     rng = random.Random(seed)
     ingresses, servers = rng.randint(3, 7), rng.randint(4, 20)
     faults = []
@@ -88,7 +88,7 @@
 
 
 def options_of(case: Case) -> Options:
-    """The stand-ins' words for a case, with the errors that are stated for it."""
+    """Return the stand-ins' options for a case, with the errors that are stated for it."""
     s = case.size
     faults = tuple(
         Fault(float(at), str(do), int(target), float(lasts), float(value))
@@ -120,7 +120,7 @@
     delay = sum(f.value for f in o.faults if f.do == "relay.delay") + LATE_S
     cut = any(f.do == "relay.isolate" for f in o.faults)
     lives = restarts(o)
-    assumed = Assumed(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
+    assumed = Assumptions(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
     out = {}
     for plan in told.plans:
         b = bound_of(told, plan, assumed)
@@ -225,7 +225,7 @@
 
 
 def smaller(case: Case) -> list[Case]:
-    """What to try in its place, the largest cuts first: fewer faults, a shorter run, a smaller fleet."""
+    """Return smaller cases, the largest cuts first: fewer faults, a shorter run, a smaller fleet."""
     s: dict[str, Any] = case.size
     faults: list[list[Any]] = s["faults"]
     out = []
--- a/standins/records.py
+++ b/standins/records.py
@@ -109,16 +109,18 @@
         self.sink = sink
 
     def add(self, record: Record) -> None:
+        """Append a record, and write it where there is a file."""
         self.all.append(record)
         if self.sink is not None:
             self.sink.write(json.dumps([type(record).__name__, *record]) + "\n")
 
     def of(self, kind: type[Any]) -> Iterator[Any]:
+        """Return the records of one kind."""
         return (r for r in self.all if type(r) is kind)
 
 
 def read_records(lines: Iterable[str], name: str = "records") -> list[Record]:
-    """Records out of JSON lines; ValueError names the line that is none."""
+    """Return the records of JSON lines. Raises ValueError with the line that is none."""
     out: list[Record] = []
     for number, line in enumerate(lines, 1):
         try:
