--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -321,8 +321,8 @@
     DeliberateFault(
         5,
         "an answer bears the number of another call",
-        "self._carry_out(now, self.node.submit(now, make(self.calls)))",
-        "self._carry_out(now, self.node.submit(now, make(max(1, self.calls - 1))))",
+        "self._carry_out(now, self.node.submit(now, make(call_id)))",
+        "self._carry_out(now, self.node.submit(now, make(max(1, call_id - 1))))",
     ),
     DeliberateFault(5, "a grant is answered before it is on disk", "        if not changed:\n", "        if True:\n"),
     DeliberateFault(5, "a new voter grants at once", "            self.grantor.pause(now)\n", "            pass\n"),
--- a/simnet/core/cluster.py
+++ b/simnet/core/cluster.py
@@ -229,7 +229,7 @@
         """Have an operator's call reach a machine's sockets; `taken` gets its id once the process takes it."""
 
         def take(service: ControlService, now: float) -> list[ServiceOutput]:
-            taken(service.calls + 1)
+            taken(service.next_call_id)
             return service.submit(now, make)[1]
 
         self._runner.submit(machine, take)
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -12,8 +12,8 @@
 )
 
 
-def calm(machines: int = 3, seed: int = 1) -> Cluster:
-    """A founded core with one configuration in force."""
+def founded_core(machines: int = 3, seed: int = 1) -> Cluster:
+    """Return a founded core with one configuration in force."""
     core = Cluster(seed, machines)
     core.version = 1
     core.clock.at(2.5, lambda: core.operators.put(1, "c1"))
@@ -22,50 +22,52 @@
     return core
 
 
-def by_role(core: Cluster):
-    """Leader, first replica, first witness."""
+def machines_by_role(core: Cluster):
+    """Return the leader, the first replica and the first witness."""
     first = core.leader()
     view = first.node.view
     witness = next(a for a in view.voters if a not in view.replica_set)
     return first, core.machines[view.replicas[0]], core.machines[witness]
 
 
-def put(core: Cluster, addresses=None) -> int:
+def put_configuration(core: Cluster, addresses=None) -> int:
+    """Have an operator send the next configuration, to some machines or any; returns its number."""
     core.version += 1
     core.operators.put(core.version, f"c{core.version}", addresses)
     return core.version
 
 
-def wait(core: Cluster, so, most: float = 10.0) -> float:
-    """Until something is so; how long it took."""
+def wait_until(core: Cluster, condition, timeout_s: float = 10.0) -> float:
+    """Run until a condition holds; returns how long that took, in seconds."""
     begin = core.clock.now
-    while not so():
-        assert core.clock.now < begin + most, "it did not come to be"
+    while not condition():
+        assert core.clock.now < begin + timeout_s, "it did not come to be"
         core.clock.run(core.clock.now + 0.0005)
     return core.clock.now - begin
 
 
-def acknowledged(core: Cluster, number: int, most: float = 10.0) -> float:
-    return wait(core, lambda: core.history.acknowledged >= number, most)
+def wait_until_acknowledged(core: Cluster, number: int, timeout_s: float = 10.0) -> float:
+    return wait_until(core, lambda: core.history.acknowledged >= number, timeout_s)
 
 
 def run_for(core: Cluster, for_s: float) -> None:
     core.clock.run(core.clock.now + for_s)
 
 
-def end(core: Cluster, quiet: float = 6.0) -> None:
-    core.clock.run(max(core.clock.now, core.calm_since) + quiet)
+def finish_after(core: Cluster, quiet_s: float = 6.0) -> None:
+    """Run until the core has been undisturbed for a while, and check that it has recovered."""
+    core.clock.run(max(core.clock.now, core.calm_since) + quiet_s)
     finish(core)
 
 
-def voters(core: Cluster) -> set[str]:
+def current_voters(core: Cluster) -> set[str]:
     return set(core.leader().node.view.voters)
 
 
 VIEW = ViewRecord(1, "10.0.0.1", ("10.0.0.2",), {"10.0.0.1": "a", "10.0.0.2": "b", "10.0.0.3": "a"})
 
 
-def node(me: str, view: ViewRecord = VIEW) -> ControlNode:
+def started_node(me: str, view: ViewRecord = VIEW) -> ControlNode:
     """A process that starts with the record of a view on its disk."""
     stored = StoredState(promised=view.epoch, view=view)
     if me in view.replica_set:
--- a/tests/control/test_drawn_days.py
+++ b/tests/control/test_drawn_days.py
@@ -8,7 +8,7 @@
 from simnet.core.days import draw
 from simnet.core.runs import run
 from simnet.errors import RuleViolationError
-from tests.control.helpers import VIEW, acknowledged, calm, end, put
+from tests.control.helpers import VIEW, finish_after, founded_core, put_configuration, wait_until_acknowledged
 from thistleusher.control.interface import StoredState
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import (
@@ -59,11 +59,11 @@
         real(self, me, zone, seeds, bootstrap, stored, *rest, **more)
 
     monkeypatch.setattr(ControlNode, "__init__", naive)
-    core = calm()
-    acknowledged(core, put(core))
+    core = founded_core()
+    wait_until_acknowledged(core, put_configuration(core))
     with pytest.raises(RuleViolationError):
         for machine in core.machines.values():
             wiped = machine.address == "10.0.0.1"
             core.end(machine, power=True, wipe=wiped, back_s=30.0 if machine.address == "10.0.0.2" else 0.5)
         core.operators.read()
-        end(core)
+        finish_after(core)
--- a/tests/control/test_founding.py
+++ b/tests/control/test_founding.py
@@ -3,15 +3,15 @@
 import pytest
 
 from simnet.core.cluster import Cluster
-from tests.control.helpers import by_role, calm, end
+from tests.control.helpers import finish_after, founded_core, machines_by_role
 
 
 @pytest.mark.parametrize("machines", [3, 5])
 def test_all_founders_are_in_the_first_electorate(machines):
-    core = calm(machines)
+    core = founded_core(machines)
     views = {m.node.view.epoch: m.node.view for m in core.machines.values()}
     assert list(views) == [1] and set(views[1].voters) == set(core.machines)
-    first, replica, _ = by_role(core)
+    first, replica, _ = machines_by_role(core)
     assert first.zone != replica.zone
 
 
@@ -21,4 +21,4 @@
     core.links.partition("10.0.0.1", "10.0.0.3", 5.0)
     core.clock.run(5.0)
     assert core.leader() is None  # with all seeds or not at all
-    end(core)
+    finish_after(core)
--- a/tests/control/test_leases.py
+++ b/tests/control/test_leases.py
@@ -100,7 +100,8 @@
     assert isinstance(grantor.decide(GRANT_S, request, 1).answer, LeaseGranted)
     assert isinstance(grantor.decide(GRANT_S + 0.2, request, 2).answer, LeaseGranted)
     other = LeaseRequest("d", "y", (1 << 20) + 4, 1.0)
-    assert isinstance(grantor.decide(3 * GRANT_S, other, 2).answer, LeaseRejected)  # a term of an epoch that is over
+    # A term of an epoch that is over.
+    assert isinstance(grantor.decide(3 * GRANT_S, other, 2).answer, LeaseRejected)
 
 
 def test_one_that_knows_no_term_has_a_free_role_within_two_ticks():
--- a/tests/control/test_losses.py
+++ b/tests/control/test_losses.py
@@ -2,132 +2,140 @@
 
 import pytest
 
-from tests.control.helpers import acknowledged, by_role, calm, end, put, run_for, wait
+from tests.control.helpers import (
+    finish_after,
+    founded_core,
+    machines_by_role,
+    put_configuration,
+    run_for,
+    wait_until,
+    wait_until_acknowledged,
+)
 
 
 @pytest.mark.parametrize("how", ["kill", "power", "wipe"])
 @pytest.mark.parametrize("after", [0.0, 0.001, 0.004])
 def test_the_acknowledger_ends_right_after_its_answer(how, after):
-    core = calm()
-    acknowledged(core, put(core, [core.leader().address]))
+    core = founded_core()
+    wait_until_acknowledged(core, put_configuration(core, [core.leader().address]))
     run_for(core, after)
     core.end(core.leader(), power=how != "kill", wipe=how == "wipe", back_s=2.0)
     run_for(core, 1.8)
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("role", [0, 1, 2])
 def test_one_disk_is_lost_while_all_others_lose_power(role):
-    core = calm()
-    acknowledged(core, put(core))
-    wiped = by_role(core)[role]
+    core = founded_core()
+    wait_until_acknowledged(core, put_configuration(core))
+    wiped = machines_by_role(core)[role]
     for machine in core.machines.values():
         core.end(machine, power=True, wipe=machine is wiped, back_s=0.5 + core.rng.random())
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 def test_a_wiped_machine_votes_for_nothing_until_the_others_have_sent_their_status():
-    core = calm()
-    _, replica, witness = by_role(core)
+    core = founded_core()
+    _, replica, witness = machines_by_role(core)
     core.end(replica)  # stays away
     core.end(witness, wipe=True, back_s=0.5)
     run_for(core, 4.0)
     assert witness.node.state_lost and core.lease_holder() is None  # one voter is no majority
     core.start(replica)
     core.disturb(core.clock.now)
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (0, 2, 1), (1, 0, 2), (1, 2, 0), (2, 0, 1), (2, 1, 0)])
 def test_all_are_killed_and_come_back_in_any_order(order):
-    core = calm()
-    roles = by_role(core)
+    core = founded_core()
+    roles = machines_by_role(core)
     for at, number in enumerate(order):
         core.end(roles[number], back_s=0.2 + 0.3 * at)
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 def test_the_dark_zone_holds_two_of_three():
-    core = calm()
+    core = founded_core()
     for machine in [m for m in core.machines.values() if m.zone == "a"]:
         core.end(machine, power=True, back_s=3.0)
-    put(core)
+    put_configuration(core)
     run_for(core, 2.5)
     assert core.history.acknowledged == 1  # one disk is no promise
-    end(core)
+    finish_after(core)
     assert core.history.acknowledged >= 2
 
 
 def test_a_replica_that_is_lost_is_replaced_and_changes_go_on():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     core.end(replica, power=True, back_s=30.0)
     run_for(core, 2.0)
-    acknowledged(core, put(core, [first.address]), most=1.0)
+    wait_until_acknowledged(core, put_configuration(core, [first.address]), timeout_s=1.0)
     assert core.leader().node.view.replicas == (witness.address,)
-    end(core)
+    finish_after(core)
 
 
 def test_five_keep_each_change_on_three_disks_and_bear_the_loss_of_two():
-    core = calm(5)
-    number = put(core)
-    acknowledged(core, number)
+    core = founded_core(5)
+    number = put_configuration(core)
+    wait_until_acknowledged(core, number)
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == 3 and len({m.zone for m in holders}) > 1
     assert all(m.disk.item("config")["v"] == number for m in holders)
     for machine in core.machines.values():  # two of the three lose their disks, and all others power
         core.end(machine, power=True, wipe=machine in holders[:2], back_s=0.5 + core.rng.random())
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 def test_a_machine_that_lost_its_state_asks_also_those_that_no_seed_names():
-    core = calm(5)
+    core = founded_core(5)
     assert "10.0.0.5" not in core.seeds
     core.end(core.machines["10.0.0.3"], wipe=True, power=True, back_s=0.5)
     run_for(core, 2.0)
     assert not core.machines["10.0.0.3"].node.state_lost
-    end(core)
+    finish_after(core)
 
 
 def test_a_voter_that_comes_up_after_the_question_is_asked_at_once():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     for machine in core.machines.values():
         core.end(machine, back_s=60.0)
     core.start(first)
     run_for(core, 0.2)  # it has asked, and nobody was there
     core.start(witness)
     core.start(replica)
-    assert wait(core, lambda: core.lease_holder() is not None) < 0.1
+    assert wait_until(core, lambda: core.lease_holder() is not None) < 0.1
     core.calm_since = core.clock.now
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
 @pytest.mark.parametrize("back_s", [0.05, 0.3])
 def test_a_replica_whose_disk_was_lost_has_its_copy_again_though_no_change_comes(machines, back_s):
-    core = calm(machines)
-    first, replica, _ = by_role(core)
+    core = founded_core(machines)
+    first, replica, _ = machines_by_role(core)
     core.end(replica, power=True, wipe=True, back_s=back_s)
     run_for(core, 3.0)
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.disk.item("config")["v"] == 1 for m in holders)
     core.end(first, power=True, wipe=True, back_s=1.0)
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 def test_a_replica_whose_disk_refused_a_change_has_its_copy_again_though_no_change_comes():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     core.end(witness, back_s=20.0)
     replica.disk.full_until = core.clock.now + 0.5
-    put(core, [first.address])
+    put_configuration(core, [first.address])
     run_for(core, 4.0)
     assert replica.disk.item("config")["v"] == 2
     core.disturb(core.clock.now)
-    end(core)
+    finish_after(core)
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -4,13 +4,23 @@
 
 import pytest
 
-from tests.control.helpers import acknowledged, by_role, calm, end, node, put, run_for, voters, wait
+from tests.control.helpers import (
+    current_voters,
+    finish_after,
+    founded_core,
+    machines_by_role,
+    put_configuration,
+    run_for,
+    started_node,
+    wait_until,
+    wait_until_acknowledged,
+)
 from thistleusher.control.interface import StoredState
 from thistleusher.control.node import ControlNode
 
 
 def test_new_seeds_are_added_to_those_that_were_known():
-    control = node("10.0.0.1")
+    control = started_node("10.0.0.1")
     control.add_seeds(["10.0.9.9"])
     assert {"10.0.0.2", "10.0.0.3", "10.0.9.9"} <= set(control.known_peers())
 
@@ -22,73 +32,73 @@
 
 
 def test_a_spare_stays_a_learner_until_a_voter_is_gone_and_takes_its_place():
-    core = calm()
+    core = founded_core()
     new = core.add()
     run_for(core, 5.0)
-    assert voters(core) == {"10.0.0.1", "10.0.0.2", "10.0.0.3"}
+    assert current_voters(core) == {"10.0.0.1", "10.0.0.2", "10.0.0.3"}
     core.remove(core.machines["10.0.0.3"])
     run_for(core, 4.0)
-    assert voters(core) == {"10.0.0.1", "10.0.0.2", new.address}
-    end(core)
+    assert current_voters(core) == {"10.0.0.1", "10.0.0.2", new.address}
+    finish_after(core)
 
 
 def test_a_voter_that_is_silent_with_nobody_to_take_its_place_keeps_its_vote():
-    core = calm()
-    _, _, witness = by_role(core)
+    core = founded_core()
+    _, _, witness = machines_by_role(core)
     core.end(witness, back_s=40.0)
     run_for(core, 38.0)
-    assert witness.address in voters(core)
-    end(core)
+    assert witness.address in current_voters(core)
+    finish_after(core)
 
 
 def test_a_learner_gets_no_vote_before_it_has_the_copy():
-    core = calm()
-    _, _, witness = by_role(core)
+    core = founded_core()
+    _, _, witness = machines_by_role(core)
     core.remove(witness)
     new = core.add(witness.zone)
     new.disk.stalled_until = core.clock.now + 6.0
     core.disturb(core.clock.now + 6.0)
     run_for(core, 5.5)
-    assert new.address not in voters(core)
+    assert new.address not in current_voters(core)
     run_for(core, 2.0)
-    assert new.address in voters(core)
-    end(core)
+    assert new.address in current_voters(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("role", [0, 1, 2])
 @pytest.mark.parametrize("machines", [3, 5])
 @pytest.mark.parametrize("gap", [0.0, 0.2])
 def test_two_machines_are_exchanged_one_right_after_the_other(machines, role, gap):
-    core = calm(machines)
-    gone = by_role(core)[role]
+    core = founded_core(machines)
+    gone = machines_by_role(core)[role]
     core.remove(gone)
     run_for(core, 2.0)
     core.add(gone.zone)
-    number = put(core)
+    number = put_configuration(core)
     run_for(core, core.catch_up_s + gap)
-    assert gone.address not in voters(core)
+    assert gone.address not in current_voters(core)
     core.remove(core.leader())
     core.change_seeds()
     run_for(core, 1.0)
     core.add()
     core.disturb(core.clock.now)
-    acknowledged(core, number, most=0.1)
-    acknowledged(core, put(core), most=6.0)
+    wait_until_acknowledged(core, number, timeout_s=0.1)
+    wait_until_acknowledged(core, put_configuration(core), timeout_s=6.0)
     run_for(core, core.catch_up_s + gap)
     core.end(core.leader(), power=True, wipe=True, back_s=1.0)
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("loss", ["kill", "wipe", "gone"])
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_loss_right_after_an_exchange(machines, loss):
-    core = calm(machines)
-    core.remove(by_role(core)[1])
+    core = founded_core(machines)
+    core.remove(machines_by_role(core)[1])
     run_for(core, 1.0)
     core.add()
     run_for(core, core.catch_up_s)
-    acknowledged(core, put(core), most=2.0)
+    wait_until_acknowledged(core, put_configuration(core), timeout_s=2.0)
     lost = core.leader()
     if loss == "gone":
         core.remove(lost)
@@ -97,35 +107,35 @@
     else:
         core.end(lost, power=True, wipe=loss == "wipe", back_s=3.0)
     core.operators.read()
-    acknowledged(core, put(core), most=8.0)
-    end(core)
+    wait_until_acknowledged(core, put_configuration(core), timeout_s=8.0)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("role", [0, 1, 2])
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_member_that_is_stopped_hands_over_its_vote_and_its_copy_first(machines, role):
-    core = calm(machines)
-    old = by_role(core)[role]
+    core = founded_core(machines)
+    old = machines_by_role(core)[role]
     new = core.add(old.zone)
     run_for(core, 1.0)
     core.terminate(old, back_s=None)
     old.gone = True
     core.change_seeds()
-    number = put(core)
-    took = wait(core, lambda: old.node is None, most=6.5)
-    assert took < 5.5 and old.address not in voters(core) and new.address in voters(core)
-    assert voters(core) <= {m.address for m in core.running()}
+    number = put_configuration(core)
+    took = wait_until(core, lambda: old.node is None, timeout_s=6.5)
+    assert took < 5.5 and old.address not in current_voters(core) and new.address in current_voters(core)
+    assert current_voters(core) <= {m.address for m in core.running()}
     core.disturb(core.clock.now)
-    acknowledged(core, number, most=4.0)
+    wait_until_acknowledged(core, number, timeout_s=4.0)
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.node is not None for m in holders)
     core.end(core.leader(), power=True, wipe=True, back_s=1.0)
     core.operators.read()
-    end(core)
+    finish_after(core)
 
 
 def test_every_machine_and_every_seed_is_exchanged_and_nothing_is_lost():
-    core = calm()
+    core = founded_core()
     for name in ("10.0.0.1", "10.0.0.2", "10.0.0.3"):
         core.add()
         run_for(core, 4.0)
@@ -134,42 +144,42 @@
         run_for(core, 4.0)
         core.operators.read()
         run_for(core, 1.0)
-    assert all(a.startswith("10.0.1.") for a in (*voters(core), *core.seeds))
+    assert all(a.startswith("10.0.1.") for a in (*current_voters(core), *core.seeds))
     assert core.operators.last_read.value("config")["v"] == 1
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_votes_change_in_the_middle_of_a_change(seed):
-    core = calm(seed=seed)
+    core = founded_core(seed=seed)
     core.add()
     run_for(core, 1.0 + 0.1 * seed)
     core.remove(core.machines["10.0.0.1"])
     for _ in range(60):
-        put(core, [m.address for m in core.running()])
+        put_configuration(core, [m.address for m in core.running()])
         run_for(core, 0.04)
     core.end(core.leader() or core.running()[0], power=True, back_s=1.0)
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_member_that_was_taken_out_and_returns_has_no_vote_and_moves_no_epoch(seed):
-    core = calm(seed=seed)
-    old = by_role(core)[seed % 3]
+    core = founded_core(seed=seed)
+    old = machines_by_role(core)[seed % 3]
     core.remove(old)
     core.add()
     run_for(core, 5.0)
-    assert old.address not in voters(core)
+    assert old.address not in current_voters(core)
     epoch = core.leader().node.view.epoch
     old.gone = False
     core.start(old)
     run_for(core, 5.0)
-    assert core.leader().node.view.epoch == epoch and old.address not in voters(core)
-    end(core)
+    assert core.leader().node.view.epoch == epoch and old.address not in current_voters(core)
+    finish_after(core)
 
 
 def test_a_member_that_stood_for_long_and_lost_its_vote_may_have_one_again():
-    core = calm()
+    core = founded_core()
     first = core.leader()
     spare = core.add(first.zone)
     for other in core.machines.values():
@@ -178,59 +188,63 @@
     core.disturb(core.clock.now + 12.0)
     run_for(core, 12.0)
     for _ in range(40):
-        put(core, ["10.0.0.2"])
+        put_configuration(core, ["10.0.0.2"])
         run_for(core, 0.05)
-    assert voters(core) == {"10.0.0.2", "10.0.0.3", spare.address}
+    assert current_voters(core) == {"10.0.0.2", "10.0.0.3", spare.address}
     assert first.node.promised > core.leader().node.view.epoch  # it stood again and again
     core.remove(core.machines["10.0.0.3"])
     core.change_seeds()
     run_for(core, 4.0)
-    assert voters(core) == {"10.0.0.2", first.address, spare.address}
-    end(core)
+    assert current_voters(core) == {"10.0.0.2", first.address, spare.address}
+    finish_after(core)
 
 
 def test_holders_stand_in_their_turn_when_a_leader_steps_down():
     for seed in range(6):
-        core = calm(5, seed=seed)
+        core = founded_core(5, seed=seed)
         core.terminate(core.leader())
         core.disturb(core.clock.now + 1.0)
-        assert wait(core, lambda c=core: c.lease_holder() not in (None, c.machines["10.0.0.1"])) < 0.15
+        assert wait_until(core, lambda c=core: c.lease_holder() not in (None, c.machines["10.0.0.1"])) < 0.15
 
 
 def test_a_voter_that_is_stopped_stays_to_vote_where_nobody_leads():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     core.end(first, power=True, back_s=20.0)
-    wait(core, lambda: not witness.node._role.guards_leader())  # the replica is about to stand
+    wait_until(core, lambda: not witness.node._role.guards_leader())  # the replica is about to stand
     core.terminate(witness, back_s=20.0)
-    wait(core, lambda: core.lease_holder() is replica, most=2.0)
+    wait_until(core, lambda: core.lease_holder() is replica, timeout_s=2.0)
     core.disturb(core.clock.now + 20.0)
     run_for(core, 22.0)
-    end(core)
+    finish_after(core)
 
 
 def test_an_exchange_needs_a_majority_of_the_voters_before_it():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     core.links.partition(first.address, replica.address, 12.0)
     core.disturb(core.clock.now + 12.0)
     new = core.add(replica.zone)
-    wait(core, lambda: new.disk.position.epoch == 3)  # the witness has voted for the epoch that exchanges the replica
+    wait_until(
+        core, lambda: new.disk.position.epoch == 3
+    )  # the witness has voted for the epoch that exchanges the replica
     for machine in (first, new):  # each half has one that holds a copy
         for other in (replica, witness):
             core.links.partition(machine.address, other.address, 8.0)
-    wait(core, lambda: core.lease_holder() is witness, most=4.0)  # with the vote of the replica, which has not lost it
+    wait_until(
+        core, lambda: core.lease_holder() is witness, timeout_s=4.0
+    )  # with the vote of the replica, which has not lost it
     run_for(core, 2.0)  # the rules see whether both lead
-    end(core)
+    finish_after(core)
 
 
 def test_a_learner_that_restarts_as_it_gets_a_vote_has_lost_nothing():
-    core = calm()
-    first, replica, _ = by_role(core)
+    core = founded_core()
+    first, replica, _ = machines_by_role(core)
     core.remove(replica)
     new = core.add(replica.zone)
-    wait(core, lambda: new.disk.position.epoch == 3)  # it holds a copy for the epoch that gives it a vote
+    wait_until(core, lambda: new.disk.position.epoch == 3)  # it holds a copy for the epoch that gives it a vote
     assert new.disk.view is not None and new.address not in new.disk.view.voters
     core.end(new, back_s=0.2)
-    wait(core, lambda: core.lease_holder() is not None and new.address in voters(core), most=6.0)
-    end(core)
+    wait_until(core, lambda: core.lease_holder() is not None and new.address in current_voters(core), timeout_s=6.0)
+    finish_after(core)
--- a/tests/control/test_partitions.py
+++ b/tests/control/test_partitions.py
@@ -3,7 +3,15 @@
 import msgspec
 import pytest
 
-from tests.control.helpers import acknowledged, by_role, calm, end, put, run_for, wait
+from tests.control.helpers import (
+    finish_after,
+    founded_core,
+    machines_by_role,
+    put_configuration,
+    run_for,
+    wait_until,
+    wait_until_acknowledged,
+)
 from thistleusher.transport.messages import (
     Deposed,
 )
@@ -11,18 +19,20 @@
 
 @pytest.mark.parametrize("pair", [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2)])
 def test_a_cut_in_one_direction_only(pair):
-    core = calm()
-    roles = by_role(core)
+    core = founded_core()
+    roles = machines_by_role(core)
     core.links.partition(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
     core.disturb(core.clock.now + 5.0)
     run_for(core, 2.5)
-    acknowledged(core, put(core), most=3.0)  # two of three that hear each other are enough
-    end(core)
+    wait_until_acknowledged(
+        core, put_configuration(core), timeout_s=3.0
+    )  # two of three that hear each other are enough
+    finish_after(core)
 
 
 def test_a_deposed_leader_whose_disk_answers_late_acknowledges_nothing():
-    core = calm()
-    first, _, _ = by_role(core)
+    core = founded_core()
+    first, _, _ = machines_by_role(core)
     first.disk.stalled_until = core.clock.now + 3.0
     core.disturb(core.clock.now + 3.0)
     core.version = 3
@@ -30,27 +40,27 @@
     run_for(core, 2.0)
     assert core.leader() is not first  # it answers heartbeats, and has lost the lease all the same
     core.operators.put(3, "c3")
-    acknowledged(core, 3, most=3.0)
-    end(core)
+    wait_until_acknowledged(core, 3, timeout_s=3.0)
+    finish_after(core)
 
 
 def test_a_deposed_leader_does_not_answer_reads():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     for other in (replica, witness):
         core.links.partition(first.address, other.address, 4.0)
     core.disturb(core.clock.now + 4.0)
     run_for(core, 2.0)
-    acknowledged(core, put(core, [replica.address, witness.address]), most=1.0)
+    wait_until_acknowledged(core, put_configuration(core, [replica.address, witness.address]), timeout_s=1.0)
     core.operators.read([first.address])  # it answers nothing, or the check finds an old number
     run_for(core, 4.0)
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
 @pytest.mark.parametrize("direction", ["both", "out", "in"])
 def test_the_leader_is_cut_off_for_twenty_seconds_and_both_halves_are_asked(machines, direction):
-    core = calm(machines)
+    core = founded_core(machines)
     first = core.leader()
     others = [m for m in core.machines.values() if m is not first]
     for other in others:
@@ -67,12 +77,12 @@
         run_for(core, 1.0)
         assert core.history.acknowledged >= number - 3  # those that hear each other go on
     assert not [at for at, address in core.operators.confirmations if address == first.address and at > begin + 1.0]
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_leader_thaws_after_twenty_seconds_with_calls_in_its_sockets(machines):
-    core = calm(machines)
+    core = founded_core(machines)
     first = core.leader()
     first.frozen_until = core.clock.now + 20.0
     core.disturb(first.frozen_until)
@@ -86,26 +96,26 @@
     assert core.history.acknowledged >= 16
     run_for(core, 3.0)  # the rules see what it says as it thaws
     assert core.leader() is not first
-    end(core)
+    finish_after(core)
 
 
 def test_the_lease_of_a_new_leader_is_no_longer_than_its_voters_guard_it():
-    core = calm()
-    first, replica, witness = by_role(core)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
     core.end(first, back_s=10.0)
-    wait(core, lambda: witness.disk.position.epoch == 2)  # what it says to that is under way
+    wait_until(core, lambda: witness.disk.position.epoch == 2)  # what it says to that is under way
     replica.disk.stalled_until = core.clock.now + 0.75
-    wait(core, lambda: replica.node.leadership is not None)
+    wait_until(core, lambda: replica.node.leadership is not None)
     assert not core.in_contact(replica)
     assert core.lease_holder() is None  # until they have answered its heartbeat
     run_for(core, 0.1)
     assert core.lease_holder() is replica
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_leader_that_is_cut_off_answers_no_read(machines):
-    core = calm(machines)
+    core = founded_core(machines)
     first = core.leader()
     for other in core.machines.values():
         core.links.partition(first.address, other.address, 3.0)
@@ -113,13 +123,13 @@
     for _ in range(40):
         core.operators.read([first.address])  # the rules see who answers without contact
         run_for(core, 0.05)
-    end(core)
+    finish_after(core)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_leader_thaws_as_another_is_elected_with_reads_and_answers_in_its_sockets(seed):
     for step in range(12):
-        core = calm(seed=seed)
+        core = founded_core(seed=seed)
         first = core.leader()
         run_for(core, 0.01 * step)
         first.frozen_until = core.clock.now + 0.85 + 0.05 * step
@@ -128,63 +138,63 @@
         run_for(core, 0.5)
         core.operators.read([first.address])
         run_for(core, 1.5)  # the rules see whether both hold the lease, and what is answered
-        end(core)
+        finish_after(core)
 
 
 def test_a_leader_that_thaws_after_its_lease_confirms_nothing_by_old_answers():
     for step in range(8):
-        core = calm()
+        core = founded_core()
         first = core.leader()
-        put(core, [first.address])
+        put_configuration(core, [first.address])
         run_for(core, 0.001)  # on its way to the replica
         first.frozen_until = core.clock.now + 0.72 + 0.01 * step
         core.disturb(first.frozen_until)
         run_for(core, 1.0)  # the rules see who confirms without contact
-        end(core)
+        finish_after(core)
 
 
 def test_a_leader_that_hears_of_a_later_epoch_leads_no_more():
-    core = calm()
-    first, _, witness = by_role(core)
+    core = founded_core()
+    first, _, witness = machines_by_role(core)
     later = msgspec.structs.replace(first.node.view, epoch=5, leader=witness.address)
     first.service.receive(core.time(first), witness.address, Deposed(1, 5, later))
     assert first.node.leadership is None
 
 
 def test_what_was_in_force_before_the_lease_was_valid_is_published_once_it_is():
-    core = calm()
-    first, replica, witness = by_role(core)
-    put(core, [first.address])
-    wait(core, lambda: replica.disk.item("config")["v"] == 2)
+    core = founded_core()
+    first, replica, witness = machines_by_role(core)
+    put_configuration(core, [first.address])
+    wait_until(core, lambda: replica.disk.item("config")["v"] == 2)
     core.end(first, back_s=10.0)  # before it could publish it
     assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [1, 1]
-    wait(core, lambda: witness.disk.position.epoch == 2)
+    wait_until(core, lambda: witness.disk.position.epoch == 2)
     replica.disk.stalled_until = core.clock.now + 0.75
-    wait(core, lambda: replica.node.leadership is not None)
+    wait_until(core, lambda: replica.node.leadership is not None)
     assert core.lease_holder() is None
     run_for(core, 0.3)
     assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [2, 2]
-    end(core)
+    finish_after(core)
 
 
 def test_a_change_is_repeated_at_another_machine_while_the_first_hangs():
-    core = calm()
-    first, replica, _ = by_role(core)
+    core = founded_core()
+    first, replica, _ = machines_by_role(core)
     first.frozen_until = core.clock.now + 2.5
     core.disturb(first.frozen_until)
     core.version = 2
     core.operators.put(2, "c2", [first.address])
     core.operators.put(2, "c2", [replica.address])
-    acknowledged(core, 2, most=2.2)
-    end(core)
+    wait_until_acknowledged(core, 2, timeout_s=2.2)
+    finish_after(core)
 
 
 def test_a_full_disk_costs_the_leadership_and_not_the_promise():
-    core = calm()
-    first, _, _ = by_role(core)
+    core = founded_core()
+    first, _, _ = machines_by_role(core)
     first.disk.full_until = core.clock.now + 4.0
     core.disturb(first.disk.full_until)
-    number = put(core)
+    number = put_configuration(core)
     run_for(core, 4.0)
     assert core.history.acknowledged == number and core.leader() is not first
-    end(core)
+    finish_after(core)
--- a/tests/control/test_voting.py
+++ b/tests/control/test_voting.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from simnet.disk import Disk
-from tests.control.helpers import VIEW, by_role, calm, node, sent_types
+from tests.control.helpers import VIEW, founded_core, machines_by_role, sent_types, started_node
 from thistleusher.control.node import ControlNode
 from thistleusher.transport.messages import (
     Vote,
@@ -15,8 +15,8 @@
 
 
 def test_one_that_has_promised_its_vote_does_not_ask_at_once_itself():
-    core = calm()
-    _, replica, _ = by_role(core)
+    core = founded_core()
+    _, replica, _ = machines_by_role(core)
     control, now = replica.node, core.time(replica) + 5.0  # its leader has been silent for long
     [write] = control.receive(now, control.view.leader, VoteRequest(9, control.view))
     control.write_completed(now, write.token, True)
@@ -26,7 +26,7 @@
 
 
 def test_a_vote_whose_answer_was_lost_is_sent_again_to_its_candidate_only():
-    control = node("10.0.0.3")
+    control = started_node("10.0.0.3")
     ask = VoteRequest(2, VIEW)
     [write] = control.receive(1.0, "10.0.0.1", ask)
     assert control.receive(1.01, "10.0.0.1", ask) == []  # not on disk yet: no answer, and no refusal
@@ -36,7 +36,7 @@
 
 
 def test_one_that_lost_its_vote_moves_no_promise_though_nobody_leads():
-    control = node("10.0.0.3", msgspec.structs.replace(VIEW, epoch=2, voters={**VIEW.voters, "10.0.0.4": "b"}))
+    control = started_node("10.0.0.3", msgspec.structs.replace(VIEW, epoch=2, voters={**VIEW.voters, "10.0.0.4": "b"}))
     asked = control.receive(9.0, "10.0.0.9", VoteRequest(7, VIEW))
     assert sent_types(asked) == [VoteRejected] and control.promised == 2
 
--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -8,7 +8,7 @@
 - `receive(now, name, message)`: a message from a control process of the core or from a client;
 - `connected(now, address)`: a connection to a control process of the core was set up anew;
 - `disconnected(name)`: a client's connection has ended;
-- `submit(now, make)`: a call of an operator; its one `Answer` bears the number that `submit` returns;
+- `submit(now, make)`: a call of an operator; its one `Answer` bears the id that `submit` returns;
 - `write_completed(now, token, ok)`: a `Write` is on disk, or failed;
 - `stop(now)`: the process is to stop; it may once `node.can_stop` is true;
 - `node.add_seeds(addresses)`: the settings file was read again.
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -188,7 +188,7 @@
 
     def _submit(self, make: Callable[[int], Call], on_answer: OnAnswer) -> None:
         # The answer may be among the outputs, so the call is registered first.
-        self.pending_calls[self.service.calls + 1] = self._answered(on_answer)
+        self.pending_calls[self.service.next_call_id] = self._answered(on_answer)
         _, outputs = self.service.submit(time.monotonic(), make)
         self._carry_out(outputs)
 
@@ -213,7 +213,7 @@
 
     def replace(self, call: ReplaceConfiguration, on_answer: OnAnswer) -> None:
         """Replace the configuration; the leader answers INVALID_CONFIGURATION with all faults in one line."""
-        self._submit(lambda number: orders.deferred_configuration_change(number, call.document), on_answer)
+        self._submit(lambda call_id: orders.deferred_configuration_change(call_id, call.document), on_answer)
 
     def read(self, call: ReadConfiguration, on_answer: OnAnswer) -> None:
         """Read the configuration in force from the leader."""
@@ -225,7 +225,7 @@
 
     def evacuate(self, zone: str, begin: bool, on_answer: OnAnswer) -> None:
         """Begin or finish the evacuation of a zone."""
-        self._submit(lambda number: orders.deferred_evacuation_change(number, zone, begin), on_answer)
+        self._submit(lambda call_id: orders.deferred_evacuation_change(call_id, zone, begin), on_answer)
 
 
 async def main(settings: SettingsFile) -> None:
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -56,7 +56,7 @@
     def __init__(self, node: ControlNode, grantor: LeaseGrantor) -> None:
         self.node = node
         self.grantor = grantor
-        self.calls = 0  # number of the newest call
+        self.next_call_id = 1
         self.subscribers: set[str] = set()
         self.publisher = Publisher(State())  # of the state in force, which the node's own copy may be ahead of
         self._pending_grants: dict[int, SendToClient] = {}  # answers that wait for a write, by its token
@@ -84,9 +84,13 @@
         return [answer] if ok and answer is not None and self.node.in_contact(now) else []
 
     def submit(self, now: float, make: Callable[[int], Call]) -> tuple[int, list[ServiceOutput]]:
-        """Take a call, made of its number; returns the number, by which its `Answer` names it, and the outputs."""
-        self.calls += 1
-        return self.calls, self._carry_out(now, self.node.submit(now, make(self.calls)))
+        """Take a call, made of its id; returns the id, which its `Answer` bears, and the outputs.
+
+        The answer may be among the outputs: a caller that has to be ready for it reads `next_call_id` before.
+        """
+        call_id = self.next_call_id
+        self.next_call_id += 1
+        return call_id, self._carry_out(now, self.node.submit(now, make(call_id)))
 
     def stop(self, now: float) -> list[ServiceOutput]:
         """Begin to stop in order, until `node.can_stop`."""
@@ -152,7 +156,7 @@
     def _persist(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
         """Make a change of a client's items; the client gets `ItemsPersisted` with the answer."""
         items = message.items
-        self._persist_requests[self.calls + 1] = PersistRequest(name, message.request_id)
+        self._persist_requests[self.next_call_id] = PersistRequest(name, message.request_id)
 
         def persisted(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
