--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -19,7 +19,7 @@
 
 from benchmarks.load import CONNECTIONS, HOST, send_all, wait_for_port
 from benchmarks.measured_process import MeasuredProcess
-from standins.fleet import free_ports
+from standins.ports import free_ports
 from thistleusher.state.store import SYNC_MODES
 
 LOAD_MEMBERS = 500  # that ask while CPU is measured
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -16,7 +16,8 @@
 from standins.auditor import PlanRule
 from standins.deployments import DEPLOYMENTS
 from standins.faults import ACTIONS, Fault
-from standins.fleet import HALLS, Fleet, Options, settings
+from standins.fleet import Fleet
+from standins.fleet_options import HALLS, Options, settings
 from standins.match import Shape
 from standins.records import Answered, Records
 from thistleusher.core.settings_parser import nested_settings
@@ -166,7 +167,7 @@
             verdict = await fleet.run()
             after = memory(fleet)
             ended = [i.number for i in fleet.ingresses if i.process is None or i.process.returncode not in (None, 0)]
-            touched = {f.target for f in restarts(fleet.o)}
+            touched = {f.target for f in restarts(fleet.options)}
             sent = fleet.front.sent if fleet.front else 0
             logs = {i.number: i.log.read_text(errors="replace") for i in fleet.ingresses}
     for number in ended:
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -19,7 +19,7 @@
 
 from soak.case import CaseError, read_case
 from standins.faults import ScriptError, read_script
-from standins.fleet import Options, settings
+from standins.fleet_options import Options, settings
 from standins.records import read_records
 from thistleusher.assembly import make_gateway
 from thistleusher.core import actions, events
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -18,8 +18,10 @@
 from standins.deployments import DEPLOYMENTS
 from standins.discovery import Discovery
 from standins.faults import ACTIONS, ScriptError, read_script
-from standins.fleet import HOST, Fleet, Options, run_fleet
+from standins.fleet import Fleet, run_fleet
+from standins.fleet_options import Options
 from standins.http import Service
+from standins.ingress_process import HOST
 from standins.match import MatchServer, Shape
 from standins.records import Records, read_records
 
--- /dev/null
+++ b/standins/fleet_faults.py
@@ -0,0 +1,184 @@
+"""Faults of a fleet: what a script switches on and off at its stand-ins and ingresses."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import time
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from standins.counter import Counter
+from standins.discovery import Discovery
+from standins.faults import Fault, ScriptError
+from standins.fleet_options import HALLS, Options
+from standins.ingress_process import IngressProcess
+from standins.match import MatchServer
+from standins.records import Crashed, Records
+from standins.relay import Relay
+
+COUNTER_DELAY_S = 0.001
+
+
+def check_targets(options: Options, faults: Sequence[Fault]) -> None:
+    """Raise ScriptError where a fault's target is not there."""
+    counts = {"match": options.servers, "hall": HALLS}
+    for fault in faults:
+        count = counts.get(fault.do.partition(".")[0], options.ingresses)
+        if fault.target >= count:
+            raise ScriptError(f"{fault.do}: target: expected a number below {count}, got {fault.target}")
+
+
+class FaultSwitch:
+    """Switches faults of one fleet on and off."""
+
+    def __init__(
+        self,
+        options: Options,
+        records: Records,
+        counter: Counter,
+        other_counter: Counter,
+        discovery: Discovery,
+        servers: list[MatchServer],
+        ingresses: list[IngressProcess],
+        list_server: Callable[[int, str], None],
+    ) -> None:
+        """`other_counter`: that of a split; `list_server` puts a server on discovery's list with a status."""
+        self.relay: Relay | None = None
+        self.tasks: set[asyncio.Task[Any]] = set()  # restarts in progress
+        self._options = options
+        self._records = records
+        self._counter = counter
+        self._other_counter = other_counter
+        self._discovery = discovery
+        self._servers = servers
+        self._ingresses = ingresses
+        self._list_server = list_server
+
+    def switch(self, fault: Fault, on: bool) -> Any:
+        """Switch one fault on or off; return what takes time, to be waited for."""
+        where, _, what = fault.do.partition(".")
+        if where == "counter":
+            self._switch_counter(what, fault, on)
+        elif where == "match":
+            return self._switch_server(what, fault, on)
+        elif where == "discovery":
+            self._discovery.silence(on)
+        elif where == "relay":
+            self._switch_relay(what, fault, on)
+        elif where == "ingress":
+            return self._end_ingress(what, fault.target)
+        elif where == "hall":
+            return self._lose_hall(fault.target) if on else self._regain_hall(fault.target)
+        return None
+
+    def _switch_relay(self, what: str, fault: Fault, on: bool) -> None:
+        if self.relay is None:
+            return
+        if what == "isolate":
+            self.relay.isolate(fault.target, on)
+        else:
+            setattr(self.relay, what, fault.value if on else getattr(self._options, what))
+
+    # The counter.
+
+    def _switch_counter(self, what: str, fault: Fault, on: bool) -> None:
+        counter = self._counter
+        value = fault.value if on else 0.0
+        switches: dict[str, Callable[[], None]] = {
+            "silence": lambda: counter.silence(on),
+            "refuse": lambda: setattr(counter, "refusing", on),
+            "restart": counter.restart_from_zero,
+            "lose": lambda: setattr(counter, "lose_share", value),
+            "spoil": lambda: setattr(counter, "spoil_share", value),
+            "forget": lambda: setattr(counter, "life_cut", fault.value if on else 1.0),
+            "old": lambda: setattr(counter, "repeat_old", on),
+            "late": lambda: self._delay_counter_of(fault, on),
+            "split": lambda: self._move_counter_of(fault, on),
+            "delay": lambda: setattr(counter, "delay", fault.value if on else COUNTER_DELAY_S),
+        }
+        switches[what]()
+
+    def _delay_counter_of(self, fault: Fault, on: bool) -> None:
+        """Let one ingress meet the same counts, only late."""
+        self._other_counter.counts = self._counter.counts
+        self._other_counter.delay = fault.value if on else COUNTER_DELAY_S
+        self._move_counter_of(fault, on)
+
+    def _move_counter_of(self, fault: Fault, on: bool) -> None:
+        """Let one ingress use the other counter."""
+        counter = self._other_counter if on else self._counter
+        self._ingresses[fault.target].move_counter(counter.address)
+
+    # Match servers.
+
+    def _switch_server(self, what: str, fault: Fault, on: bool) -> Any:
+        if what == "kill":
+            return self._servers[fault.target].stop() if on else self._revive(fault.target)
+        server = self._servers[fault.target]
+        value = fault.value if on else 0.0
+        switches: dict[str, Callable[[], None]] = {
+            "drain": lambda: self._drain(fault.target, on),
+            "silence": lambda: server.silence(on),
+            "slow": lambda: setattr(server, "slow", fault.value if on else 1.0),
+            "errors": lambda: setattr(server, "error_share", value),
+            "resets": lambda: setattr(server, "reset_share", value),
+            "cuts": lambda: setattr(server, "cut_share", value),
+            "close_idle": server.close_idle,
+        }
+        switches[what]()
+        return None
+
+    def _drain(self, number: int, on: bool) -> None:
+        self._servers[number].draining = False
+        self._list_server(number, "DRAINING" if on else "SERVING")
+
+    async def _revive(self, number: int) -> None:
+        """Start the same server anew, cold; one that runs goes on."""
+        server = self._servers[number]
+        if server.server is not None:
+            return
+        await server.start(server.port)
+        self._list_server(number, "SERVING")
+
+    # Halls and ingresses.
+
+    async def _lose_hall(self, hall: int) -> None:
+        """End all that stands in a hall at once: servers, ingresses, and in the first one what the counter knew."""
+        ingresses = self._ingresses[hall::HALLS]
+        self._record_crashes(ingresses)
+        await asyncio.gather(
+            *(ingress.end(signal.SIGKILL) for ingress in ingresses),
+            *(server.stop() for server in self._servers[hall::HALLS]),
+        )
+        self._record_crashes(ingresses)
+        if hall == 0:
+            self._counter.restart_from_zero()
+
+    async def _regain_hall(self, hall: int) -> None:
+        """Start the hall's servers again, cold and with nothing known."""
+        for number in range(hall, len(self._servers), HALLS):
+            await self._revive(number)
+        for ingress in self._ingresses[hall::HALLS]:
+            if ingress.process is None or ingress.process.returncode is not None:
+                await ingress.start()
+
+    def _record_crashes(self, ingresses: Sequence[IngressProcess]) -> None:
+        for ingress in ingresses:
+            self._records.add(Crashed(time.time(), str(ingress.number)))
+
+    async def _end_ingress(self, what: str, number: int) -> None:
+        """Kill an ingress and start it again, or restart it in order while the script goes on."""
+        ingress = self._ingresses[number]
+        if what == "kill":
+            self._record_crashes([ingress])  # before and after: its requests may end at either time
+            await ingress.end(signal.SIGKILL)
+            self._record_crashes([ingress])
+            await ingress.start()
+        else:
+            self.tasks.add(asyncio.create_task(self._restart(ingress)))
+
+    @staticmethod
+    async def _restart(ingress: IngressProcess) -> None:
+        await ingress.end()
+        await ingress.start()
--- /dev/null
+++ b/standins/ingress_process.py
@@ -0,0 +1,95 @@
+"""An ingress of a fleet: one `python -m thistleusher` with its configuration file and log."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import sys
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+HOST = "127.0.0.1"
+READY_S = 20.0
+STOP_S = 10.0
+POLL_S = 0.02
+
+
+class IngressProcess:
+    """One `python -m thistleusher`."""
+
+    def __init__(self, number: int, port: int, config: dict[str, Any], folder: Path, keeps: bool = False) -> None:
+        """Prepare an ingress; with `keeps` it has a state folder of its own."""
+        self.number, self.port, self.words = number, port, list[str]()
+        if keeps:
+            state = folder / f"state-{number}.toml"
+            state.write_text(f'folder = "{folder}/state-{number}"\nsync = "off"\ncommit_ms = 10\n')
+            self.words = ["--state", str(state)]
+        self.path = folder / f"ingress-{number}.json"
+        self.log = folder / f"ingress-{number}.log"
+        self.path.write_text(json.dumps(config))
+        self.process: asyncio.subprocess.Process | None = None
+
+    async def start(self) -> None:
+        """Start the process and wait until it is ready. Raises TimeoutError."""
+        with self.log.open("ab") as log:
+            self.process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "thistleusher",
+                *self.words,
+                env={**os.environ, "PROXY_CONFIG": str(self.path)},
+                stdout=log,
+                stderr=log,
+            )
+
+    def move_counter(self, address: str) -> None:
+        """Have it follow its counter elsewhere, by SIGHUP."""
+        config = json.loads(self.path.read_text())
+        self.path.write_text(json.dumps({**config, "counter": address}))
+        if self.process is not None and self.process.returncode is None:
+            self.process.send_signal(signal.SIGHUP)
+
+    async def ready(self) -> None:
+        """Wait for `GET /healthz` to say 200; TimeoutError, with the end of its log, where it never does."""
+        try:
+            async with asyncio.timeout(READY_S):
+                ready = await self._ready_before_its_end()
+        except TimeoutError:
+            ready = False
+        if not ready:
+            tail = self.log.read_text(errors="replace")[-500:]
+            raise TimeoutError(f"ingress {self.number} does not come up: {tail}")
+
+    async def _ready_before_its_end(self) -> bool:
+        """Wait until the ingress is ready or its process has ended; return whether it is ready."""
+        while not await self.healthy():
+            if self.process is not None and self.process.returncode is not None:
+                return False
+            await asyncio.sleep(POLL_S)
+        return True
+
+    async def healthy(self) -> bool:
+        """Return whether the ingress says that it is ready."""
+        try:
+            reader, writer = await asyncio.open_connection(HOST, self.port)
+            writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+            line = await reader.readline()
+            writer.close()
+        except OSError:
+            return False
+        return b" 200 " in line
+
+    async def end(self, number: signal.Signals = signal.SIGTERM) -> None:
+        """Signal it and wait; what does not leave in time is killed."""
+        if self.process is None or self.process.returncode is not None:
+            return
+        with suppress(ProcessLookupError):
+            self.process.send_signal(number)
+        try:
+            await asyncio.wait_for(self.process.wait(), STOP_S)
+        except TimeoutError:
+            self.process.kill()
+            await self.process.wait()
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -29,3 +29,29 @@
                 continue
         return port
     raise OSError(f"{HOST}: no unused port between {FIRST_PORT} and {FIRST_PORT + PORT_COUNT}")
+
+
+def hold_ports(count: int, first: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[socket.socket]:
+    """Bind sockets to ports of loopback, from `first` on where that is not 0. OSError names a port that is taken."""
+    sockets = []
+    for n in range(count):
+        s = socket.socket(socket.AF_INET, kind)
+        sockets.append(s)
+        if kind is socket.SOCK_STREAM:
+            s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        try:
+            s.bind((HOST, first + n if first else 0))
+        except OSError as error:
+            raise OSError(f"{HOST}:{first + n}: {error.strerror}; choose others with --port") from error
+    return sockets
+
+
+def free_ports(count: int, first: int) -> list[int]:
+    """Return unused ports, from `first` on where that is not 0. Raises OSError where one of those is taken."""
+    if not first:
+        return [unused_port() for _ in range(count)]
+    sockets = hold_ports(count, first)
+    ports = [s.getsockname()[1] for s in sockets]
+    for s in sockets:
+        s.close()
+    return ports
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -7,7 +7,8 @@
 import pytest
 
 from standins.faults import Fault
-from standins.fleet import Fleet, Options, run_fleet
+from standins.fleet import Fleet, run_fleet
+from standins.fleet_options import Options
 
 INGRESSES = 12  # more than send all updates to all
 
--- a/tests/quota/test_bound.py
+++ b/tests/quota/test_bound.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.fleet import Options, settings
+from standins.fleet_options import Options, settings
 from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumptions, bound_of
 
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -9,7 +9,8 @@
 
 from standins.auditor import PlanRule
 from standins.faults import Fault
-from standins.fleet import Options, run_fleet, settings
+from standins.fleet import run_fleet
+from standins.fleet_options import Options, settings
 from standins.match import Shape
 from standins.records import Added, Records
 from thistleusher.core.settings_parser import nested_settings
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -10,7 +10,8 @@
 from benchmarks.soak_faults import FAULTS, ROOT
 from standins.deployments import BILLING, DEPLOYMENTS
 from standins.faults import Fault
-from standins.fleet import Options, run_fleet, settings
+from standins.fleet import run_fleet
+from standins.fleet_options import Options, settings
 from standins.match import Shape
 from standins.records import Answered, Asked, Records
 from thistleusher.core.settings_parser import nested_settings
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -11,7 +11,8 @@
 
 from standins.deployments import MATCHING
 from standins.faults import ACTIONS, Fault, ScriptError, play, read_script
-from standins.fleet import Fleet, Options, run_fleet
+from standins.fleet import Fleet, run_fleet
+from standins.fleet_options import Options
 from standins.front import Traffic, draw
 from standins.records import Crashed, Ran, Records
 from tests.net.sockets import run
