--- a/tests/proxy/caller_world.py
+++ b/tests/proxy/caller_world.py
@@ -18,8 +18,10 @@
 from thistleusher.net.connection_pool import ConnectionPool, Endpoint
 from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.listener import ATTEMPT, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.proxy.placement import Place
+from thistleusher.proxy.forwarding import ProxyIngress
+from thistleusher.proxy.http_messages import ATTEMPT_HEADER, outcome_of
+from thistleusher.proxy.listener import ProxyServer
+from thistleusher.proxy.placement import ListedBackend
 
 MAX_ATTEMPTS = 3
 DEADLINE_MS = 1500
@@ -61,14 +63,14 @@
         self.steps: list[str] = []  # what backends do, where it is not drawn
         self.unproven_repeats: list[bytes] = []  # effectful ids that were sent a second time without a proof
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(seed), loop.time())
-        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream = ScriptedUpstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT_HEADER, 1.0, outcome_of))
         self.upstream.world = self
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow("effectful")
-        self.decisions.ingresses = ["me"]
+        self.decisions.apply_ingresses(["me"])
         self.serve([f"b{n}" for n in range(backends)])
-        self.server.known = True
+        self.server.has_list = True
 
     def follow(self, variant: str, *, routes: bool = True) -> None:
         """A configuration is in force: route `e` is of this variant."""
@@ -81,17 +83,19 @@
             Configuration,
             {"version": "00000001", "routes": table if routes else {}, "services": {"s": {}}, "tenants": {}},
         )
-        self.decisions.configured(self.loop.time(), config)
-        self.server.follow(Index(config))
+        self.decisions.apply_configuration(self.loop.time(), config)
+        self.server.apply_configuration(Index(config))
 
     def serve(self, names: list[str]) -> None:
         """These are the backends."""
-        places = {name: Place(name, "s", ("10.0.0.1", n + 1), "z", "r", 6, False) for n, name in enumerate(names)}
+        places = {
+            name: ListedBackend(name, "s", ("10.0.0.1", n + 1), "z", "r", 6, False) for n, name in enumerate(names)
+        }
         for name in self.upstream.pools.keys() - places.keys():
             self.upstream.update(name, None)
         for name, place in places.items():
             self.upstream.update(name, Endpoint(place.address, 0.0))
-        self.decisions.listed(self.loop.time(), places)
+        self.decisions.apply_backends(self.loop.time(), places)
         self.ingress.serving.clear()
         self.ingress.serving |= places.keys()
 
--- a/tests/simnet/test_system.py
+++ b/tests/simnet/test_system.py
@@ -13,8 +13,9 @@
 from simnet.system.world import World
 from thistleusher.configuration.records import Route
 from thistleusher.control.interface import Change
-from thistleusher.proxy import decisions
-from thistleusher.proxy.quota import Quota
+from thistleusher.core.events import Outcome
+from thistleusher.proxy import decisions, retries
+from thistleusher.proxy.quota import LocalQuota
 from thistleusher.registry import backend_poller
 from thistleusher.registry.registry import Registry
 
@@ -104,13 +105,13 @@
     [
         ((Route, "idempotent", property(lambda self: True)), ANSWERS_LOST, "TWICE"),
         (
-            (decisions, "NEVER_RAN", (*decisions.NEVER_RAN, decisions.Outcome.RESET)),
+            (retries, "NEVER_RAN", (*retries.NEVER_RAN, Outcome.RESET)),
             ANSWERS_LOST,
             "(TWICE|REFUSED)",
         ),
-        ((Quota, "spend", open_to_all), HOT, "QUOTA"),
+        ((LocalQuota, "spend", open_to_all), HOT, "QUOTA"),
         ((backend_poller, "read_backend", always_ready), Day([], [PlannedWork(6.0, "drain")]), "DRAIN"),
-        ((decisions.Decisions, "evacuated", nothing), Day([], [PlannedWork(6.0, "begin a1")]), "EVAC"),
+        ((decisions.Decisions, "apply_evacuations", nothing), Day([], [PlannedWork(6.0, "begin a1")]), "EVAC"),
         ((Registry, "_check_lease", nothing_now), CORE_FREEZES, "LEASE"),
     ],
     ids=[
