--- a/thistleusher/proxy/http_messages.py
+++ b/thistleusher/proxy/http_messages.py
@@ -47,12 +47,12 @@
 
 
 def read_headers(headers: Iterable[tuple[bytes, bytes]]) -> RequestHeaders | ServiceError:
-    """Return a request's headers, or the failure where one that must be single comes twice."""
+    """Return a request's headers, or the error where one that must be single comes twice."""
     values: dict[bytes, bytes] = {}
     forwarded: list[tuple[bytes, bytes]] = []
     for name, value in headers:
         key = name.lower()
-        if key in SINGLE_HEADERS and key in values:
+        if key in values and key in SINGLE_HEADERS:
             return ServiceError(ErrorKind.MALFORMED, f"{key.decode()}: more than one")
         values[key] = value
         if key not in NOT_FORWARDED:
