--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -209,7 +209,7 @@
 
     async def quiet(self) -> None:
         """Every call has its reply and every datagram has come."""
-        while not (
+        while not (  # noqa: ASYNC110 (polls states of the same loop)
             all(r.calls == r.replies for r in self.recorders)
             and sum(r.sent for r in self.recorders) == sum(r.received for r in self.recorders)
         ):
--- a/tests/embed/host.py
+++ b/tests/embed/host.py
@@ -90,7 +90,7 @@
         """Notice the client's leaving; nothing else may come meanwhile."""
         with contextlib.suppress(Exception):
             reader = self.connection.reader
-            while not reader.at_eof() and not self.connection.writer.transport.is_closing():
+            while not reader.at_eof() and not self.connection.writer.transport.is_closing():  # noqa: ASYNC110 (no event says so)
                 await asyncio.sleep(0.005)
         self.gone.set()
 
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -1,9 +1,8 @@
-"""The middleware: what an application, its host and its clients may do, over loopback sockets and without."""
+"""The middleware: what an application gets and answers, over loopback sockets and without."""
 
 from __future__ import annotations
 
 import asyncio
-import math
 
 import pytest
 from fastapi import FastAPI
@@ -12,60 +11,11 @@
 from starlette.responses import PlainTextResponse, StreamingResponse
 from starlette.routing import Route
 
-from standins.counter import Counter
-from tests.embed.host import Host, serve_lifespan
-from tests.embed.test_ingress import made, nothing_in_flight, settings
-from tests.net.sockets import Client, call, run, until
-from thistleusher.embed import PASS, BadRequest, Call, EmbeddedIngress, MemoryCounter, QuotaMiddleware
-
-TERMS = "units=2,spread=1,first=0"
-
-
-def raw(name="r1", cls="read", **more):
-    return call(name, cls, X_Call_Terms=TERMS, **more)
-
-
-class Played:
-    """An application whose HTTP part is the test's."""
-
-    def __init__(self, act):
-        self.act, self.scopes = act, []
-
-    async def __call__(self, scope, receive, send):
-        self.scopes.append(scope)
-        if scope["type"] == "lifespan":
-            await serve_lifespan(receive, send)
-        else:
-            await self.act(scope, receive, send)
-
-
-async def say(send, status=200, body=b"fine", headers=()):
-    await send(
-        {"type": "http.response.start", "status": status, "headers": [(b"content-length", b"%d" % len(body)), *headers]}
-    )
-    await send({"type": "http.response.body", "body": body})
-
-
-class Rig:
-    """An ingress, the middleware, an application and its host."""
-
-    def __init__(self, act, counter=None, identify=None, fields=False):
-        self.counter = counter or MemoryCounter(lambda: 1000.0)
-        self.ingress = made(counter=self.counter)
-        self.app = Played(act)
-        self.host = Host(QuotaMiddleware(self.app, self.ingress, identify, fields))
-
-    async def __aenter__(self):
-        await self.ingress.open()
-        await self.host.start()
-        return self
-
-    async def __aexit__(self, *_):
-        await self.host.stop()
-        await self.ingress.close()
-
-    async def client(self):
-        return await Client.connect(self.host.port)
+from tests.embed.host import Host
+from tests.embed.middleware import Rig, raw, say
+from tests.embed.test_ingress import made, nothing_in_flight
+from tests.net.sockets import Client, run, until
+from thistleusher.embed import PASS, Call, QuotaMiddleware
 
 
 def test_requests_are_served_refused_and_told_what_is_left():
@@ -146,137 +96,6 @@
     run(main())
 
 
-def test_a_stream_goes_on_past_its_time_once_it_has_begun():
-    async def main():
-        go, begun = asyncio.Event(), asyncio.Event()
-
-        async def act(scope, receive, send):
-            await send({"type": "http.response.start", "status": 200, "headers": []})
-            await send({"type": "http.response.body", "body": b"one ", "more_body": True})
-            begun.set()
-            await go.wait()
-            await send({"type": "http.response.body", "body": b"two"})
-
-        async with Rig(act) as rig:
-            client = await rig.client()
-            client.writer.write(raw(budget="50m"))
-            await begun.wait()
-            rig.ingress.driver._overdue(next(iter(rig.ingress.driver.held.values())))
-            go.set()
-            answer = await client.reader.readuntil(b"0\r\n\r\n")
-            assert b" 200 " in answer and b"one " in answer and b"two" in answer
-            await until(lambda: nothing_in_flight(rig.ingress))
-
-    run(main())
-
-
-def test_an_app_that_never_answers_is_answered_for_even_if_it_will_not_end():
-    async def main():
-        stubborn = asyncio.Event()
-
-        async def act(scope, receive, send):
-            if dict(scope["headers"])[b"x-call-id"] == b"stubborn":
-                while not stubborn.is_set():
-                    try:
-                        await stubborn.wait()
-                    except asyncio.CancelledError:
-                        continue
-                await say(send, 200, b"too late")
-            else:
-                await asyncio.Event().wait()
-
-        async with Rig(act) as rig:
-            client = await rig.client()
-            assert (await client.ask(raw("r1", budget="50m")))[0] == 503
-            assert (await client.ask(raw("r2", "once", budget="50m")))[0] == 502
-            assert (await client.ask(raw("stubborn", budget="50m")))[0] == 503  # while it runs on
-            assert rig.host.running
-            stubborn.set()
-            await until(lambda: not rig.host.running)
-            assert rig.host.answers == {"r1": 1, "r2": 1, "stubborn": 1} and nothing_in_flight(rig.ingress)
-
-    run(main())
-
-
-@pytest.mark.parametrize("where", ["identify", "counter", "app", "answer"])
-def test_the_hosts_own_time_out_first(where):
-    async def main():
-        inside, go = asyncio.Event(), asyncio.Event()
-
-        async def act(scope, receive, send):
-            if dict(scope["headers"])[b"x-call-id"] != b"cut":
-                return await say(send)
-            if where == "answer":
-                await send({"type": "http.response.start", "status": 200, "headers": []})
-                await send({"type": "http.response.body", "body": b"half", "more_body": True})
-            inside.set()
-            await go.wait()
-
-        async def identify(scope):
-            if where == "identify" and dict(scope["headers"])[b"x-call-id"] == b"cut":
-                inside.set()
-                await go.wait()
-            return Call(7, "basic", "once", 2.0)
-
-        counter = Counter(clock=lambda: 1000.0)
-        await counter.start()
-        rig = Rig(act, identify=identify)
-        rig.ingress = EmbeddedIngress(settings(), counter=counter.address, clock=lambda: 1000.0, seed=1)
-        rig.host = Host(QuotaMiddleware(rig.app, rig.ingress, identify))
-        async with rig:
-            client, other = await rig.client(), await rig.client()
-            counter.silence(where == "counter")
-            client.writer.write(raw("cut", "once"))
-            if where == "counter":
-                await until(lambda: rig.ingress.driver.gateway.admission.calls)
-            else:
-                await inside.wait()
-            rig.host.cut("cut")
-            if where == "answer":
-                assert b"half" in await client.reader.read(4096)
-                with pytest.raises(asyncio.IncompleteReadError):  # cut short, and the client can see it
-                    await client.reader.readuntil(b"0\r\n\r\n")
-            else:
-                assert (await client.answer())[0] == 504  # the host's: exactly one
-            counter.silence(False)
-            assert (await other.ask(raw("r2", "once")))[0] == 200
-            await until(lambda: nothing_in_flight(rig.ingress))
-            await until(lambda: sum(counter.totals().values()) == (2.0 if where == "identify" else 4.0))
-            assert rig.host.answers["cut"] == (where == "answer")
-        await counter.stop()
-
-    run(main())
-
-
-@pytest.mark.parametrize("midway", [False, True])
-def test_a_client_that_leaves_is_owed_nothing_and_its_slot_comes_back(midway):
-    async def main():
-        inside, left = asyncio.Event(), asyncio.Event()
-
-        async def act(scope, receive, send):
-            await receive()
-            if midway:
-                await send({"type": "http.response.start", "status": 200, "headers": []})
-            inside.set()
-            assert (await receive())["type"] == "http.disconnect"
-            left.set()
-            if not midway:
-                await say(send)  # dropped: nobody is there
-
-        async with Rig(act) as rig:
-            client = await rig.client()
-            client.writer.write(raw())
-            await inside.wait()
-            assert rig.ingress.held == 1
-            client.writer.transport.abort()
-            await left.wait()
-            await until(lambda: nothing_in_flight(rig.ingress) and not rig.host.running)
-            assert rig.host.answers == {"r1": int(midway)} and not rig.host.errors
-            assert sum(rig.counter.totals().values()) == 2.0
-
-    run(main())
-
-
 def test_websocket_and_lifespan_scopes_pass_through_untouched():
     async def main():
         async def act(scope, receive, send):
@@ -300,116 +119,6 @@
     run(main())
 
 
-@pytest.mark.parametrize(
-    "bad,status",
-    [
-        (dict(X_Tier="gold"), 400),
-        (dict(X_Tier=None), 400),
-        (dict(path="/api/x"), 404),
-        (dict(X_Call_Terms="units=0,spread=1,first=0"), 400),
-        (dict(X_Call_Terms="units=nan,spread=1,first=0"), 400),
-        (dict(X_Call_Terms="units=5,spread=1,first=0"), 400),
-        (dict(X_Call_Id=None), 400),
-        (dict(X_Budget="1h"), 400),
-        (dict(path="/api/ffffffffffffffff"), 400),
-    ],
-)
-def test_a_bad_mapping_is_the_daemons_4xx_counted_and_not_charged(bad, status):
-    async def main():
-        async def act(scope, receive, send):
-            pytest.fail("not admitted")
-
-        async with Rig(act) as rig:
-            client = await rig.client()
-            answer = await client.ask(call("r1", **{**dict(X_Call_Terms=TERMS), **bad}))
-            assert answer[0] == status and answer[2]
-            assert rig.ingress.invalid == 1 and rig.counter.totals() == {} and nothing_in_flight(rig.ingress)
-
-    run(main())
-
-
-@pytest.mark.parametrize(
-    "mapped,status",
-    [
-        (Call(7, "gold", "read"), 400),
-        (Call(7, "basic", "read", 0.0), 400),
-        (Call(7, "basic", "read", math.nan), 400),
-        (None, 400),
-        (Call(None, "basic", "read"), 400),
-        (BadRequest("no member"), 400),
-        (PASS, 200),
-        (Call(7, "basic", "read"), 200),
-    ],
-)
-def test_a_hosts_own_mapping_is_checked_the_same(mapped, status):
-    async def main():
-        async def act(scope, receive, send):
-            await say(send)
-
-        def identify(scope):
-            if isinstance(mapped, BadRequest):
-                raise mapped
-            return mapped
-
-        async with Rig(act, identify=identify) as rig:
-            client = await rig.client()
-            assert (await client.ask(raw()))[0] == status
-            assert rig.ingress.invalid == (status == 400)
-            assert sum(rig.counter.totals().values()) == (1.0 if isinstance(mapped, Call) and status == 200 else 0.0)
-
-    run(main())
-
-
-def test_two_middlewares_one_inside_the_other_are_a_plain_error_and_two_beside_each_other_are_not():
-    async def main():
-        async def act(scope, receive, send):
-            await say(send)
-
-        async with Rig(act) as rig, Rig(act) as other:
-            assert (await (await rig.client()).ask(raw()))[0] == 200
-            assert (await (await other.client()).ask(raw()))[0] == 200
-            nested = Host(QuotaMiddleware(QuotaMiddleware(rig.app, rig.ingress), rig.ingress))
-            await nested.start()
-            assert (await (await Client.connect(nested.port)).ask(raw("r2")))[0] == 500
-            assert "charged twice" in str(nested.errors.pop())
-            assert sum(rig.counter.totals().values()) == 4.0 and nothing_in_flight(rig.ingress)
-            await nested.stop()
-
-    run(main())
-
-
-def test_a_closed_ingress_under_a_middleware_is_a_plain_error():
-    async def main():
-        async def act(scope, receive, send):
-            await say(send)
-
-        async with Rig(act) as rig:
-            await rig.ingress.close()
-            assert (await (await rig.client()).ask(raw()))[0] == 500
-            assert isinstance(rig.host.errors[0], RuntimeError) and "closed" in str(rig.host.errors[0])
-
-    run(main())
-
-
-def test_an_id_that_is_still_held_is_turned_away_as_by_the_daemon():
-    async def main():
-        go = asyncio.Event()
-
-        async def act(scope, receive, send):
-            await go.wait()
-            await say(send)
-
-        async with Rig(act) as rig:
-            one, two = await rig.client(), await rig.client()
-            one.writer.write(raw("same"))
-            await until(lambda: rig.ingress.held)
-            assert (await two.ask(raw("same")))[0] == 400
-            go.set()
-            assert (await one.answer())[0] == 200 and sum(rig.counter.totals().values()) == 2.0
-
-    run(main())
-
-
 @pytest.mark.parametrize("framework", ["starlette", "fastapi"])
 def test_under_the_common_frameworks(framework):
     async def main():
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -164,7 +164,7 @@
             running = asyncio.create_task(front.run())
 
             async def sent(count):
-                while front.sent < count and not running.done():
+                while front.sent < count and not running.done():  # noqa: ASYNC110 (polls a state of the same loop)
                     await asyncio.sleep(0.005)
 
             await sent(60)  # faults come after so many requests, whatever the time
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -11,7 +11,7 @@
 import urllib3
 
 from tests.embed.host import Host
-from tests.embed.test_asgi import TERMS, Played, say
+from tests.embed.middleware import TERMS, Played, say
 from tests.embed.test_ingress import made
 from tests.net.sockets import run
 from thistleusher.core.answers import headers_of, problem_of
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -34,7 +34,7 @@
 
 async def until(true: Callable[[], Any]) -> None:
     """Wait until a condition of the same loop holds; the test's own time-out bounds it."""
-    while not true():
+    while not true():  # noqa: ASYNC110 (polls a state of the same loop)
         await asyncio.sleep(0.002)
 
 
