--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -9,7 +9,6 @@
 
 from tests.net.sockets import Client, Peer, Rig, call, entry, in_turn, listing, ok, run, until
 from thistleusher.net import client_connection as connection_module
-from thistleusher.net import request_buffer as limits_module
 from thistleusher.net import server as server_module
 
 BODY = b"x" * (64 * 1024)
@@ -138,7 +137,6 @@
 
 @pytest.mark.parametrize("begun", [b"GET /api/0000", call(cls="pay", body=b"12345")[:-1]])
 def test_a_request_that_does_not_come_whole_is_not_waited_for(monkeypatch, begun):
-    monkeypatch.setattr(limits_module, "READ_TIMEOUT_S", 0.02)
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
@@ -152,8 +150,6 @@
 
 def test_connections_that_say_nothing_or_no_more_are_closed(monkeypatch):
     """Those who never send a byte, and those who ask once and stay, would use up the descriptors."""
-    monkeypatch.setattr(limits_module, "READ_TIMEOUT_S", 0.02)
-    monkeypatch.setattr(limits_module, "IDLE_TIMEOUT_S", 0.04)
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
@@ -185,7 +181,6 @@
 
 
 def test_a_client_that_does_not_read_is_let_go(monkeypatch):
-    monkeypatch.setattr(limits_module, "READ_TIMEOUT_S", 0.1)
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
