--- a/tests/proxy/test_callers.py
+++ b/tests/proxy/test_callers.py
@@ -98,7 +98,7 @@
         client.ask(b"e1", b"e")
         while not world.runs:
             await asyncio.sleep(0.001)
-        world.decisions.acts.append(actions.Refuse("e1", 0.2))
+        world.decisions.pending_actions.append(actions.Refuse("e1", 0.2))
         world.ingress.submit(TimerFired(0))
         ((status, _, _),) = client.answers()
         assert status == 502
@@ -114,7 +114,7 @@
         client.ask(b"p2", b"p")
         await asyncio.sleep(0.5)
         world.follow("effectful", routes=False)
-        world.decisions.take.pop(AttemptEnded)  # the second is held until its time is up
+        world.decisions.handlers.pop(AttemptEnded)  # the second is held until its time is up
         world.ingress.serving.clear()
         await asyncio.sleep(4.0)
         assert len(client.answers()) == 2
