--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 		$(if $(FAULTS),--faults $(FAULTS))
 
 test: $(VENV)/.dev  ## the tests, as CI runs them
-	PATH="$(CURDIR)/$(VENV)/bin:$$PATH" python -m pytest -q
+	PATH="$(CURDIR)/$(VENV)/bin:$$PATH" python -m pytest -q -n auto --dist loadfile
 
 soak: $(VENV)/.dev  ## random failures with fresh seeds: make soak MINUTES=5
 	PATH="$(CURDIR)/$(VENV)/bin:$$PATH" python -m soak --minutes $(MINUTES)
@@ -35,6 +35,7 @@
 
 check: $(VENV)/.dev  ## lint and types
 	$(VENV)/bin/ruff check .
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/mypy
 
 $(VENV)/bin/python:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow proxies: many in one process, each the real proxy program without doors, clients or HTTP.
+"""Hollow proxies: many in one process, each the real proxy program without its listeners, clients or HTTP.
 
 `python -m benchmarks.scale.hollow FOLDER FIRST COUNT`: proxies FIRST to FIRST + COUNT - 1. Each has its own
 connections, its own `Knowledge`, quota and ring, on a loopback address of its own; in place of clients there is a
@@ -23,9 +23,10 @@
 from benchmarks.scale.inputs import address_of, settings, zone_of
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import TICK_S, SettingsFile
-from thistleusher.proxy.cluster_view import InForce, Output, Verdict
-from thistleusher.proxy.decisions import Charge
-from thistleusher.proxy.program import Heartbeats, ProxyProgram
+from thistleusher.proxy.commands import ApplyConfiguration, Command, DeliverChargeAnswer
+from thistleusher.proxy.program import ProxyProgram
+from thistleusher.proxy.requests import ChargeTenant
+from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.transport import links
 
 MOST_TIMES = 200_000  # of verdicts that are remembered
@@ -58,32 +59,36 @@
         self.where = "peer"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Note which program is at the other end."""
         self.where = self.ports.get(transport.get_extra_info("peername")[1], "peer")
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
+        """Count and take what has come."""
         self.traffic.add(self.where, "in", len(data), 0)
         super().data_received(data)
 
     def write(self, data: bytes) -> None:
+        """Count and send a message."""
         self.traffic.add(self.where, "out", len(data), 1)
         super().write(data)
 
 
-class MeasuredHeartbeats(Heartbeats):
+class MeasuredHeartbeats(RingSocket):
     """Heartbeats of the ring, counted."""
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Count and take a heartbeat."""
         Measured.traffic.add("ring", "in", len(data), 1)
         super().datagram_received(data, addr)
 
 
 class HollowProxy(ProxyProgram):
-    """The proxy program without doors; it notes when what it learns is in force."""
+    """The proxy program without its listeners; it notes when what it learns is in force."""
 
     def __init__(self, settings: SettingsFile, seed: int) -> None:
         super().__init__(settings)
-        self.beats = MeasuredHeartbeats(self._beat)
+        self.ring_socket = MeasuredHeartbeats(self._on_heartbeat)
         self.random = random.Random(seed)
         self.rate = 0.0
         self.asked: dict[str, float] = {}
@@ -95,19 +100,21 @@
         self.tenants: list[str] = []
 
     async def open(self) -> None:
-        """The ports by which other proxies reach it."""
-        await self.loop.create_datagram_endpoint(lambda: self.beats, local_addr=(self.boot.ip, self.boot.port(RING)))
-        await self.handing.listen(self.boot.ip, self.boot.port(PROXY))
+        """Open the ports by which other proxies reach it."""
+        await self.loop.create_datagram_endpoint(
+            lambda: self.ring_socket, local_addr=(self.boot.ip, self.boot.port(RING))
+        )
+        await self.hand_over_listener.listen(self.boot.ip, self.boot.port(PROXY))
 
     def begin(self) -> None:
         """Connect to the core; ticks begin at a drawn moment."""
-        self._meet(self.boot.core_ips)
+        self._connect_to_core(self.boot.core_ips)
         self.loop.call_later(TICK_S * self.random.random(), self._turn)
         self.loop.call_later(self.random.random(), self._spend)
 
     def close(self) -> None:
         """End all connections: a task that opens one outlives its loop otherwise."""
-        self.handing.close()
+        self.hand_over_listener.close()
         self.control.close()
         self.registries.close()
 
@@ -122,25 +129,25 @@
         self.number += 1
         request = f"{self.boot.node_name}/{self.number}"
         self.asked[request] = time.monotonic()
-        charge = Charge(request, self.random.choice(self.tenants), 1)
-        self._carry(self.knowledge.charge(time.monotonic(), charge))
+        charge = ChargeTenant(request, self.random.choice(self.tenants), 1)
+        self._execute(self.cluster_view.charge(time.monotonic(), charge))
         self.loop.call_later(self.random.expovariate(self.rate), self._spend)
 
-    def _carry(self, outputs: list[Output]) -> None:
+    def _execute(self, outputs: list[Command]) -> None:
         now = time.monotonic()
         for out in outputs:
-            if isinstance(out, Verdict):
-                sent = self.asked.pop(out.counted.request, None)
+            if isinstance(out, DeliverChargeAnswer):
+                sent = self.asked.pop(out.answer.request, None)
                 if sent is not None and len(self.verdict_times) < MOST_TIMES:
                     self.verdict_times.append(now - sent)
-        super()._carry(outputs)
+        super()._execute(outputs)
         for out in outputs:
-            if isinstance(out, InForce):
-                self.in_force[out.lookup.config.version] = time.monotonic()
-                self.tenants = list(out.lookup.config.tenants)
-        if self.knowledge.counter and (not self.counters or self.counters[-1][1] != self.knowledge.counter):
-            self.counters.append((now, self.knowledge.counter))
-        if self.complete is None and self.knowledge.counter and self.is_ready():
+            if isinstance(out, ApplyConfiguration):
+                self.in_force[out.configuration.config.version] = time.monotonic()
+                self.tenants = list(out.configuration.config.tenants)
+        if self.cluster_view.counter and (not self.counters or self.counters[-1][1] != self.cluster_view.counter):
+            self.counters.append((now, self.cluster_view.counter))
+        if self.complete is None and self.cluster_view.counter and self.is_ready():
             self.complete = now
 
 
@@ -152,7 +159,7 @@
         self.proxies: list[HollowProxy] = []
 
     async def run(self) -> None:
-        """Until its input ends."""
+        """Run until its input ends."""
         for number in range(self.first, self.first + self.count):
             path = self.folder / f"proxy-{number}.conf"
             path.write_text(settings(f"proxy-{number}", "proxy", address_of(number), zone_of(number), self.folder))
@@ -181,7 +188,7 @@
             print(json.dumps(self.report()), flush=True)
 
     def report(self) -> dict[str, Any]:
-        """All that was measured so far."""
+        """Return all that was measured so far."""
         times = os.times()
         status = dict(line.split(":", 1) for line in Path("/proc/self/status").read_text().splitlines())
         return {
@@ -191,7 +198,7 @@
             "traffic": Measured.traffic.counts,
             "complete": [proxy.complete for proxy in self.proxies],
             "counters": [proxy.counters[-1] if proxy.counters else None for proxy in self.proxies],
-            "list_numbers": [proxy.knowledge.list.state.number for proxy in self.proxies],
+            "list_numbers": [proxy.cluster_view.registry.state.number for proxy in self.proxies],
             "in_force": [proxy.in_force for proxy in self.proxies],
             "verdicts": [seconds for proxy in self.proxies for seconds in proxy.verdict_times[-400:]],
             "unanswered": sum(len(proxy.asked) for proxy in self.proxies),
@@ -199,7 +206,7 @@
 
 
 def main() -> None:
-    """What `python -m benchmarks.scale.hollow` runs."""
+    """Run the hollow proxies that the command line names."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     links.Link = Measured  # type: ignore[misc]
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -48,8 +48,8 @@
     Wrong(
         "a server that drains goes on being used",
         "policy/fleet.py",
-        "entry.phase is io.Phase.RUNNING",
-        "entry.phase is not io.Phase.DELETED",
+        "entry.phase is Phase.RUNNING",
+        "entry.phase is not Phase.DELETED",
     ),
     Wrong(
         "a total far over the allowance admits",
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -17,8 +17,8 @@
 
 import httptools
 
-from soak.case import BadCase, read_case
-from standins.faults import BadScript, read_script
+from soak.case import CaseError, read_case
+from standins.faults import ScriptError, read_script
 from standins.fleet import Options, settings
 from standins.records import read_records
 from thistleusher.assembly import make_gateway
@@ -40,12 +40,12 @@
 Check = Callable[[bytes, random.Random], Hashable]
 
 
-class Broken(AssertionError):
+class RuleBrokenError(AssertionError):
     """What a reader did that it must not."""
 
 
 def chunks(data: bytes, rng: random.Random) -> list[bytes]:
-    """The same bytes in reads of random lengths."""
+    """Return the same bytes, in reads of random lengths."""
     out, at = [], 0
     while at < len(data):
         size = rng.choice((1, 7, 100, 1400, 65536)) if len(data) < 4000 else rng.choice((1400, 65536))
@@ -62,21 +62,25 @@
         self.closed = self.aborted = False
 
     def write(self, data: bytes) -> None:
+        """Collect what is written. Raises RuleBrokenError after the end."""
         if self.closed:
-            raise Broken("written to after its end")
+            raise RuleBrokenError("written to after its end")
         self.written += data
 
     def close(self) -> None:
+        """End the connection."""
         self.closed = True
 
     abort = write_eof = close
 
-    def pause_reading(self) -> None: ...
+    def pause_reading(self) -> None:
+        """Do nothing: all bytes are there already."""
 
-    def resume_reading(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Do nothing: all bytes are there already."""
 
     def get_extra_info(self, name: str) -> None:
-        return None
+        """Return nothing: there is no socket."""
 
 
 # Clients.
@@ -109,7 +113,7 @@
 
 
 def request(data: bytes, rng: random.Random) -> Hashable:
-    """A client's bytes, on one connection."""
+    """Read a client's bytes, on one connection; return what came of them."""
     told = _told()
 
     async def main() -> Hashable:
@@ -125,16 +129,17 @@
         for _ in range(len(connection.queue) + 2):
             await asyncio.sleep(0)
         if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
-            raise Broken("holds more than its limits")
+            raise RuleBrokenError("holds more than its limits")
         client = _Answers()
         try:
             client.parser.feed_data(bytes(transport.written))
         except httptools.HttpParserError as error:
-            raise Broken(f"answers that no client can read: {error}: {bytes(transport.written)[-200:]!r}") from error
+            end = bytes(transport.written)[-200:]
+            raise RuleBrokenError(f"answers that no client can read: {error}: {end!r}") from error
         if 500 in client.statuses:
-            raise Broken("a client's bytes were answered 500")
+            raise RuleBrokenError("a client's bytes were answered 500")
         if client.statuses.count(200) < len(ingress.taken) and not connection.closing:
-            raise Broken(f"{len(ingress.taken)} requests taken, answers {client.statuses}")
+            raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {client.statuses}")
         for call in ingress.taken:
             r = call.request
             if not (
@@ -144,10 +149,10 @@
                 and r.plan in {p.name for p in told.plans}
                 and 1 <= r.width <= told.instances
             ):
-                raise Broken(f"taken as it cannot be meant: {r!r}")
+                raise RuleBrokenError(f"taken as it cannot be meant: {r!r}")
             head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
             if rest != call.body or b"\0" in head or b"\n" in head.replace(b"\r\n", b""):
-                raise Broken(f"passed on as another: {call.message(1.0)[:300]!r}")
+                raise RuleBrokenError(f"passed on as another: {call.message(1.0)[:300]!r}")
         connection.connection_lost(None)
         server.close()
         return tuple(client.statuses[:4]), connection.discarding_input
@@ -159,15 +164,15 @@
 
 
 def answer(data: bytes, rng: random.Random) -> Hashable:
-    """A backend's bytes: whole answers, or the reason why none can be read any more."""
+    """Read a backend's bytes; return whole answers, or the reason why none can be read any more."""
     reader, whole = ResponseReader(), []
     for part in chunks(data, rng):
         whole += reader.feed(part)
     for a in whole:
         if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
-            raise Broken(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
+            raise RuleBrokenError(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
     if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
-        raise Broken("holds more than its limits")
+        raise RuleBrokenError("holds more than its limits")
     return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
 
 
@@ -187,7 +192,7 @@
 
 
 def counter(data: bytes, rng: random.Random) -> Hashable:
-    """The counter's bytes: each call has one verdict in the end, and a total is a number."""
+    """Read the counter's bytes: each call has one verdict in the end, and a total is a number."""
 
     async def main() -> Hashable:
         channel = _Channel()
@@ -199,9 +204,9 @@
             link.data_received(part)
         link.connection_lost(None)
         if sorted(name for name, _, _ in channel.reports) != [0, 1, 2]:
-            raise Broken(f"three calls, verdicts {channel.reports}")
+            raise RuleBrokenError(f"three calls, verdicts {channel.reports}")
         if any(not abs(total) < 1e100 for _, _, total in channel.reports):
-            raise Broken(f"no total: {channel.reports}")
+            raise RuleBrokenError(f"no total: {channel.reports}")
         return tuple(outcome for _, outcome, _ in channel.reports)
 
     return _loop().run_until_complete(main())
@@ -217,7 +222,7 @@
             listing = parse_backend_list_text(text)
             for entry, endpoint in listing.entries:
                 if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
-                    raise Broken(f"taken as it cannot be meant: {entry!r}")
+                    raise RuleBrokenError(f"taken as it cannot be meant: {entry!r}")
             seen.append(len(listing.entries))
             return listing.version
 
@@ -244,15 +249,15 @@
         acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
             if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
-                raise Broken(f"a datagram of {len(a.payload)} bytes")
+                raise RuleBrokenError(f"a datagram of {len(a.payload)} bytes")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
     for c in gateway.sharing.customers.values():
         if not (-1e6 < c.room(now) <= c.plan.burst + 1e-6):
-            raise Broken(f"a store of {c.room(now)}")
+            raise RuleBrokenError(f"a store of {c.room(now)}")
     escrow: Any = gateway.sharing.escrow
     for own in escrow.allowances.values():
         if not (0 <= own.fraction() <= 1 and -own.terms.burst - 1e-6 <= own.headroom <= own.max_headroom() + 1e-6):
-            raise Broken(f"a share of {own.fraction()}, headroom of {own.headroom}")
+            raise RuleBrokenError(f"a share of {own.fraction()}, headroom of {own.headroom}")
     return tuple(shown[:3]), len(gateway.sharing.customers)
 
 
@@ -268,7 +273,7 @@
         except plain as error:
             text = str(error)
             if "\n" in text.strip() or path.name not in text:
-                raise Broken(f"an error that does not name the file in one line: {text!r}") from error
+                raise RuleBrokenError(f"an error that does not name the file in one line: {text!r}") from error
             return text.rpartition(path.name)[2][:40]
         return "read"
 
@@ -283,11 +288,11 @@
 def _script(path: str) -> None:
     for f in read_script(path):
         if not (0 <= f.at < 1e300 and 0 <= f.lasts < 1e300 and 0 <= f.value < 1e300):
-            raise Broken(f"taken as it cannot be meant: {f!r}")
+            raise RuleBrokenError(f"taken as it cannot be meant: {f!r}")
 
 
 def records(data: bytes, rng: random.Random) -> Hashable:
-    """A file of records."""
+    """Read a file of records; return how many it has, or the error."""
     try:
         return len(read_records(data.decode("utf-8", "replace").splitlines(), "file"))
     except ValueError as error:
@@ -373,9 +378,9 @@
         _file(read_counters, InvalidConfigurationError),
         (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',),
     ),
-    "script": (_file(_script, BadScript), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
+    "script": (_file(_script, ScriptError), (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n')),
     "records": (records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
-    "case": (_file(read_case, BadCase), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
+    "case": (_file(read_case, CaseError), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
 }
 
 _kept: dict[str, Any] = {}
--- a/standins/system.py
+++ b/standins/system.py
@@ -1,5 +1,6 @@
-"""The whole system on loopback: three core machines, three proxies, and stand-ins for platform, backends, operator,
-clients.
+"""The whole system on loopback: three core machines, three proxies, and stand-ins for what is around them.
+
+The stand-ins are the platform, backends, an operator and clients.
 
 Written from the users' pages. Each machine has an address of its own in 127.0.0.0/8. `run` plays a short story,
 prints what happens, and ends with a verdict: requests served, a backend drained, a configuration changed, a quota
@@ -31,7 +32,7 @@
 
 
 def zone_of(ip: str) -> str:
-    """The zone that an address is in."""
+    """Return the zone that an address is in."""
     return ZONES[ip.rpartition(".")[0]]
 
 
@@ -58,6 +59,7 @@
         }
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer a health check or a request, and record the request."""
         h = message.headers
         known = {"X-Attempt-Id": h.get("x-attempt-id", ""), "X-Instance-Id": self.name}
         if h.get("x-expect-instance", self.name) != self.name:
@@ -77,6 +79,7 @@
         self.backends, self.calls = backends, 0
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer with a page of the list."""
         self.calls += 1
         start = int(message.target.partition("page_token=")[2] or 0)
         rows = [b.entry() for b in self.backends[start : start + 4]]
@@ -85,7 +88,7 @@
 
 
 def configuration(version: int, service: str = "ledger", rate: float = 40.0) -> dict[str, Any]:
-    """A configuration as an operator sends it."""
+    """Return a configuration as an operator sends it."""
     route = {
         "hostname": HOST,
         "variant": "pure",
@@ -169,7 +172,7 @@
         settings = self.folder / "boot.conf"
         settings.write_text("\n".join(lines) + "\n")
         self.began = True
-        with open(self.folder / f"{self.program}.log", "ab") as log:
+        with (self.folder / f"{self.program}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -198,7 +201,7 @@
     async def call(
         self, address: str, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> Message:
-        """The whole answer. OSError, TimeoutError or EOFError where there is none."""
+        """Return the whole answer. Raises OSError, TimeoutError or EOFError where there is none."""
         async with asyncio.timeout(4.0):
             host, _, port = address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -263,7 +266,7 @@
             await asyncio.sleep(0.05)
 
     async def order(self, method: str, target: str, body: bytes = b"") -> Message:
-        """An operator's call, taken from machine to machine until one answers with 200 or says that it is wrong."""
+        """Take an operator's call from machine to machine until one answers with 200 or says that it is wrong."""
         for n in range(60):
             ip = CORES[n % len(CORES)]
             try:
@@ -298,7 +301,7 @@
 
 
 async def story(system: System) -> None:
-    """What `make run` shows; AssertionError where something does not hold."""
+    """Play what `make run` shows. Raises AssertionError where something does not hold."""
     say, runs = system.say, system.runs
 
     async def ready() -> bool:
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -13,6 +13,7 @@
 import uvloop
 
 from standins.http import read_message
+from standins.ports import unused_port
 from tests.helpers import CEILED, KEYED, PLAN, SAFE, UNSAFE
 from thistleusher.core import actions, events
 from thistleusher.core.actions import Action
@@ -34,7 +35,7 @@
 
 async def until(true: Callable[[], Any]) -> None:
     """Wait until a condition of the same loop holds; the test's own time-out bounds it."""
-    while not true():
+    while not true():  # noqa: ASYNC110 (polls a state of the same loop)
         await asyncio.sleep(0.002)
 
 
@@ -56,10 +57,8 @@
 
 
 def closed_port() -> int:
-    """A port that nothing listens on."""
-    with socket.socket() as s:
-        s.bind((HOST, 0))
-        return int(s.getsockname()[1])
+    """A port that nothing listens on, and that no connection of another test takes meanwhile."""
+    return unused_port()
 
 
 def datagram_addresses(count: int) -> list[str]:
--- a/thistleusher/system.py
+++ b/thistleusher/system.py
@@ -25,9 +25,9 @@
         from thistleusher.common.launcher import start
 
         sys.exit(start(sys.argv[1]))
-    from thistleusher.common.commands import invoke
+    from thistleusher.cli.main import main as run_command
 
-    sys.exit(invoke())
+    sys.exit(run_command())
 
 
 if __name__ == "__main__":
