--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -102,13 +102,13 @@
     async def open(self) -> None:
         """Open the ports by which other proxies reach it."""
         await self.loop.create_datagram_endpoint(
-            lambda: self.ring_socket, local_addr=(self.boot.ip, self.boot.port(RING))
+            lambda: self.ring_socket, local_addr=(self.node_settings.ip, self.node_settings.port(RING))
         )
-        await self.hand_over_listener.listen(self.boot.ip, self.boot.port(PROXY))
+        await self.hand_over_listener.listen(self.node_settings.ip, self.node_settings.port(PROXY))
 
     def begin(self) -> None:
         """Connect to the core; ticks begin at a drawn moment."""
-        self._connect_to_core(self.boot.core_ips)
+        self._connect_to_core(self.node_settings.core_ips)
         self.loop.call_later(TICK_S * self.random.random(), self._turn)
         self.loop.call_later(self.random.random(), self._spend)
 
@@ -127,7 +127,7 @@
             self.loop.call_later(0.5, self._spend)
             return
         self.number += 1
-        request = f"{self.boot.node_name}/{self.number}"
+        request = f"{self.node_settings.node_name}/{self.number}"
         self.asked[request] = time.monotonic()
         charge = ChargeTenant(request, self.random.choice(self.tenants), 1)
         self._execute(self.cluster_view.charge(time.monotonic(), charge))
@@ -164,8 +164,8 @@
             path = self.folder / f"proxy-{number}.conf"
             path.write_text(settings(f"proxy-{number}", "proxy", address_of(number), zone_of(number), self.folder))
             self.proxies.append(HollowProxy(SettingsFile(path), number))
-        boot = self.proxies[0].boot
-        Measured.ports = {boot.port(CONTROL): "control", boot.port(REGISTRY): "registry"}
+        node_settings = self.proxies[0].node_settings
+        Measured.ports = {node_settings.port(CONTROL): "control", node_settings.port(REGISTRY): "registry"}
         for proxy in self.proxies:
             await proxy.open()
         reader = asyncio.StreamReader()
--- a/tests/proxy/test_decisions.py
+++ b/tests/proxy/test_decisions.py
@@ -125,9 +125,11 @@
     rig = Rig()
     rig.decisions.quota.started_at, rig.decisions.quota.slack = rig.now, 0.0  # nothing is left of its own share
     name, _ = rig.ask(tenant="t")
-    back, refused = [a for a in rig.do(ChargeAnswered(name, OVER_LIMIT, 0.5, 3)) if not isinstance(a, actions.SetTimer)]
-    assert back == ChargeTenant(name, "t", -1, 3)
-    assert isinstance(refused, actions.Refuse) and 0.5 <= refused.retry_in <= 1.0
+    refund, rejection = [
+        a for a in rig.do(ChargeAnswered(name, OVER_LIMIT, 0.5, 3)) if not isinstance(a, actions.SetTimer)
+    ]
+    assert refund == ChargeTenant(name, "t", -1, 3)
+    assert isinstance(rejection, actions.Refuse) and 0.5 <= rejection.retry_in <= 1.0
 
 
 def test_a_missing_verdict_admits_nothing_and_a_late_one_changes_nothing():
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -163,6 +163,12 @@
             return await read_message(self.reader)
 
 
+async def until(condition):
+    """Let the event loop go on until something holds."""
+    while not condition():  # noqa: ASYNC110 - what is waited for has no event: it is seen from outside
+        await asyncio.sleep(0)
+
+
 def play(scenario, count=2):
     async def main():
         async with Rig(count) as rig:
@@ -213,8 +219,7 @@
         for backend in rig.backends:  # whichever is chosen first does it, the other one answers
             backend.script.append(step)
         first = asyncio.ensure_future(rig.ask(path))
-        while not any(len(b.script) == 0 for b in rig.backends):
-            await asyncio.sleep(0)
+        await until(lambda: any(len(b.script) == 0 for b in rig.backends))
         for backend in rig.backends:
             backend.script.clear()
         got = await first
@@ -278,8 +283,7 @@
         backend.script.append("wait")
         client = await rig.client()
         asked = asyncio.ensure_future(client.ask("/p/", attempt="slow"))
-        while not backend.got:
-            await asyncio.sleep(0)
+        await until(lambda: backend.got)
         rig.follow(config()._replace(routes={}))
         assert (await rig.ask("/p/")).status == 404
         connection = next(iter(rig.upstream.connections))
@@ -310,16 +314,14 @@
         rig.backends[0].script.append(lambda a: answer(a, body=b"x" * (1 << 20)))
         client = await rig.client()
         asked = asyncio.ensure_future(client.ask("/p/"))
-        while not rig.server.connections:
-            await asyncio.sleep(0)
+        await until(lambda: rig.server.connections)
         connection = next(iter(rig.server.connections))
         most = 0
         while not asked.done():
             most = max(most, connection.unacknowledged_bytes())
             await asyncio.sleep(0)
         assert most > 0 and len((await asked).body) == 1 << 20
-        while connection.unacknowledged_bytes():
-            await asyncio.sleep(0)
+        await until(lambda: not connection.unacknowledged_bytes())
 
     play(scenario, 1)
 
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -53,7 +53,7 @@
     def apply_configuration(self, index: Index) -> None:
         """Use this configuration's routes from here on; those of requests in flight stay known."""
         self.driver.classes |= self.decisions.classes
-        used = {held.request.class_name for held in self.in_flight.values()}
+        used = {in_flight.request.class_name for in_flight in self.in_flight.values()}
         for name in self.driver.classes.keys() - index.config.routes.keys() - used:
             del self.driver.classes[name]
 
@@ -71,8 +71,8 @@
         Not during a graceful shutdown, as it may be the last attempt that can be made. Nor one whose answer has come:
         where this process has stood still, timers may be due before the reads of the same moment.
         """
-        held = self.in_flight.get(action.request)
-        attempt = held.context.attempt if held is not None else None
+        in_flight = self.in_flight.get(action.request)
+        attempt = in_flight.context.attempt if in_flight is not None else None
         if not self.is_shutting_down() and (attempt is None or not attempt.has_unread_bytes()):
             self.break_off(action)
 
@@ -95,20 +95,20 @@
         kind = KINDS[verdict]
         reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
         """Return one attempt, to be started by the driver.
 
         It is not sent if by then its client has gone, its time is up, or its backend may not be sent to any more.
         """
-        call: ClientRequest = held.context
+        call: ClientRequest = in_flight.context
         repeatable = call.context.match.route.idempotent
 
         def message() -> bytes:
-            return call.message(max(MIN_LEFT_S, held.deadline - self.driver.scheduler.time()), backend)
+            return call.message(max(MIN_LEFT_S, in_flight.deadline - self.driver.scheduler.time()), backend)
 
         def may_send() -> bool:
-            in_time = self.driver.scheduler.time() < held.deadline
-            return not held.answered and in_time and backend in self.serving
+            in_time = self.driver.scheduler.time() < in_flight.deadline
+            return not in_flight.answered and in_time and backend in self.serving
 
         def stall_s() -> float:
             return STALL_S if repeatable and not self.is_shutting_down() else 0.0
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -62,9 +62,8 @@
 NOTICE_S = 0.4  # between announcing the shutdown and closing the listener at the earliest
 CLOSE_RESERVE_S = 0.3  # of the grace time, for closing all sockets
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-CALL_BOUNDS = ClientLimits(
-    max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0
-)  # of the directory and of readiness checks
+# Of the directory and of readiness checks.
+CALL_LIMITS = ClientLimits(max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0)
 MAX_WATCHERS = 64  # whose copies are taken at once
 
 
@@ -73,37 +72,51 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        boot = self.boot = settings.node_settings
+        node_settings = self.node_settings = settings.node_settings
         loop = self.loop = asyncio.get_running_loop()
         now = time.monotonic()
         self.decisions = Decisions(
-            boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, PROCESS_STARTED_AT
+            node_settings.node_name,
+            node_settings.zone,
+            node_settings.region,
+            node_settings.bounds,
+            random.Random(),
+            now,
+            PROCESS_STARTED_AT,
         )
-        free = boot.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
+        free = node_settings.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
         connections = max(MIN_CONNECTIONS, free // 2)
-        terms = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
-        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, connections, terms)
+        options = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
+        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, connections, options)
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, self._charge)
         self.server = ProxyServer(loop, self.ingress, connections)
-        self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], CALL_BOUNDS)
-        self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], CALL_BOUNDS)
-        attributes = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
+        self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], CALL_LIMITS)
+        self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], CALL_LIMITS)
+        attributes = {
+            "front": node_settings.binds.front,
+            "ip": node_settings.ip,
+            "zone": node_settings.zone,
+            "region": node_settings.region,
+        }
         # Zones are looked up in the settings as they are by then: these are read anew while the process runs.
         self.cluster_view = ClusterView(
-            boot.node_name,
+            node_settings.node_name,
             new_incarnation(),
-            boot.region,
-            lambda zone: self.boot.region_of(zone),
+            node_settings.region,
+            lambda zone: self.node_settings.region_of(zone),
             attributes,
             self.decisions,
             now,
         )
         self.ring_socket = RingSocket(self._on_heartbeat)
         self.control = CoreLinks(
-            loop, lambda: self.boot.port(CONTROL), self.cluster_view.subscribe_to_control, self._from_control
+            loop, lambda: self.node_settings.port(CONTROL), self.cluster_view.subscribe_to_control, self._from_control
         )
         self.registries = CoreLinks(
-            loop, lambda: self.boot.port(REGISTRY), self.cluster_view.subscribe_to_registry, self._from_registry
+            loop,
+            lambda: self.node_settings.port(REGISTRY),
+            self.cluster_view.subscribe_to_registry,
+            self._from_registry,
         )
         self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, max_links=MAX_WATCHERS)
         self.shutting_down = False
@@ -120,17 +133,19 @@
         }
 
     async def run(self) -> None:
-        """Serve until the process is told to end."""
-        boot = self.boot
-        await self.loop.create_datagram_endpoint(lambda: self.ring_socket, local_addr=(boot.ip, boot.port(RING)))
-        await self.hand_over_listener.listen(boot.ip, boot.port(PROXY))
-        if boot.binds.ready:
-            await self.readiness.listen(*read_address(boot.binds.ready))
-        if boot.binds.directory:
-            await self.directory.listen(*read_address(boot.binds.directory))
-        if boot.binds.front:
-            await self.server.listen(*read_address(boot.binds.front))
-        self._connect_to_core(boot.core_ips)
+        """Serve until the process is asked to shut down."""
+        node_settings = self.node_settings
+        await self.loop.create_datagram_endpoint(
+            lambda: self.ring_socket, local_addr=(node_settings.ip, node_settings.port(RING))
+        )
+        await self.hand_over_listener.listen(node_settings.ip, node_settings.port(PROXY))
+        if node_settings.binds.ready:
+            await self.readiness.listen(*read_address(node_settings.binds.ready))
+        if node_settings.binds.directory:
+            await self.directory.listen(*read_address(node_settings.binds.directory))
+        if node_settings.binds.front:
+            await self.server.listen(*read_address(node_settings.binds.front))
+        self._connect_to_core(node_settings.core_ips)
         self.tick()
         await serve("proxy", self.settings, self.tick, self._settings_changed, self.shut_down)
 
@@ -139,7 +154,7 @@
         self.shutting_down = True
         self.server.shutting_down = True
         self._execute(self.cluster_view.report_status(time.monotonic(), self.is_ready()))
-        grace_s = self.boot.bounds.grace_s
+        grace_s = self.node_settings.bounds.grace_s
         shutdown = ProxyGracefulShutdown(self.loop.time(), grace_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s - CLOSE_RESERVE_S):
@@ -154,8 +169,8 @@
         self.upstream.close()
 
     def _settings_changed(self) -> None:
-        self.boot = self.settings.node_settings
-        self._connect_to_core(self.boot.core_ips)
+        self.node_settings = self.settings.node_settings
+        self._connect_to_core(self.node_settings.core_ips)
 
     def tick(self) -> None:
         """Send the heartbeats that are due."""
@@ -183,7 +198,7 @@
         self.ingress.submit(answer)
 
     def _send_heartbeat(self, command: SendHeartbeat) -> None:
-        self.ring_socket.send(command.message, (command.ip, self.boot.port(RING)))
+        self.ring_socket.send(command.message, (command.ip, self.node_settings.port(RING)))
 
     def _start_hand_over(self, command: SendHandOver) -> None:
         self.loop.create_task(self._hand_over(command))
@@ -231,7 +246,7 @@
 
     async def _hand_over(self, command: SendHandOver) -> None:
         copy = command.message
-        if await send_hand_over(self.loop, command.ip, self.boot.port(PROXY), copy):
+        if await send_hand_over(self.loop, command.ip, self.node_settings.port(PROXY), copy):
             log_event(Event.STATE_HANDED_OVER, command.name, copy.control.previous or 0, copy.registry.previous or 0)
 
     def _on_hand_over(self, link: Link, message: AnyMessage) -> None:
@@ -249,13 +264,13 @@
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
         """Answer where a client should go; this proxy's own state counts as it is now, not as last listed."""
         members = self.cluster_view.members()
-        own = members.get(self.boot.node_name)
+        own = members.get(self.node_settings.node_name)
         if own is not None:
-            members[self.boot.node_name] = {**own, "up": self.is_ready()}
+            members[self.node_settings.node_name] = {**own, "up": self.is_ready()}
         silent = self.cluster_view.ring.silent(time.monotonic())
         found = addresses(members, silent, call.region, call.zone)
         done(
-            Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s))
+            Addresses(tuple(found), min(TTL_S, self.node_settings.bounds.ttl_max_s))
             if found
             else ServiceError(ErrorKind.STARTING)
         )
--- a/thistleusher/proxy/shutdown.py
+++ b/thistleusher/proxy/shutdown.py
@@ -12,10 +12,10 @@
 class ProxyGracefulShutdown(GracefulShutdown):
     """A graceful shutdown within `grace_s`: the listener closes early enough for the requests that came last."""
 
-    def __init__(self, told: float, grace_s: float) -> None:
-        super().__init__(told, 0.0)
-        self.closes_at = told + min(MAX_OPEN_S, grace_s / 2)
-        self.deadline = told + max(MIN_DURATION_S, grace_s - RESERVE_S)
+    def __init__(self, announced_at: float, grace_s: float) -> None:
+        super().__init__(announced_at, 0.0)
+        self.closes_at = announced_at + min(MAX_OPEN_S, grace_s / 2)
+        self.deadline = announced_at + max(MIN_DURATION_S, grace_s - RESERVE_S)
 
     def accepts_requests(self, now: float) -> bool:
         """Return whether the listener stays open."""
