--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -27,7 +27,7 @@
 
 
 def merge_records(parts: list[Records]) -> Records:
-    """Return several writes as one; of a record that stands in several, the last."""
+    """Return several writes as one; of a record that several contain, the last."""
     complete = False
     items = None
     merged = Records()
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -1,4 +1,4 @@
-"""How a candidate wins an epoch: it stands, asks the voters, and counts their votes; `view_change` does the rest.
+"""How a candidate wins an epoch: it asks the voters and counts their votes; `view_change` does the rest.
 
 Guaranteed: an epoch begins only when a majority of the voters before it and a majority of its own voters have its view
 on disk, and all of its replicas have its view and its leader's complete copy on disk; and only a holder of the newest
@@ -54,9 +54,9 @@
         self._joining = joining
         self.view_change = ViewChange(context, durable, role, joining, elected)
 
-    # Standing.
+    # Candidacies.
 
-    def stand(self, why: str, voters: Mapping[str, str] | None = None) -> None:
+    def start_candidacy(self, why: str, voters: Mapping[str, str] | None = None) -> None:
         """Become a candidate for the next epoch, with other voters where they are given."""
         durable, role = self._durable, self._role
         assert durable.view is not None
@@ -70,7 +70,7 @@
         role.promise(epoch, Records(), self._begin_asking)
 
     def _promised_by(self, voters: Mapping[str, str]) -> int:
-        """Return the highest promise of the learners among some voters: one that was cut off may have stood often."""
+        """Return the highest promise of the learners among some voters; one that was cut off may have made many."""
         learners = self._joining.learners.present()
         return max((learners[name].promised for name in voters if name in learners), default=0)
 
@@ -105,7 +105,7 @@
         if message.promised >= candidacy.epoch:
             self._role.candidacy = None
             durable.promised = max(durable.promised, message.promised)  # written with the next promise; it is no vote
-            self._role.stand_at = self._context.now + REJECTED_PAUSE_S + self._context.rng.random() * REJECTED_SPREAD_S
+            self._role.postpone_candidacy(REJECTED_PAUSE_S, REJECTED_SPREAD_S)
 
     def on_vote(self, sender: str, message: Vote) -> None:
         """Count a voter's vote."""
@@ -128,7 +128,7 @@
             return
         if not self._role.is_eligible():
             self._role.candidacy = None
-            self._role.stand_at = self._context.now + VOTER_GUARD_S + self._context.rng.random()
+            self._role.postpone_candidacy(VOTER_GUARD_S)
             return
         if self._awaits_replicas(candidacy):
             return
@@ -177,7 +177,7 @@
         assert candidacy is not None
         if not self._joining.founding and now - candidacy.begun_at > CANDIDACY_TIMEOUT_S:
             self._role.candidacy = None
-            self._role.stand_at = now + ABANDONED_PAUSE_S + self._context.rng.random() * ABANDONED_SPREAD_S
+            self._role.postpone_candidacy(ABANDONED_PAUSE_S, ABANDONED_SPREAD_S)
         elif candidacy.stage is Stage.VOTE and now - candidacy.begun_at > REPLICA_WAIT_S:
             self._count_votes(candidacy)
         if self._role.candidacy is candidacy and now - candidacy.asked_at > RETRY_INTERVAL_S:
--- a/thistleusher/control/hand_over.py
+++ b/thistleusher/control/hand_over.py
@@ -70,7 +70,7 @@
     # By the others.
 
     def on_step_down(self, sender: str, message: StepDown) -> None:
-        """Stand at once where the leader leads no more and this machine holds its copy."""
+        """Become a candidate at once where the leader leads no more and this machine holds its copy."""
         role, view = self._role, self._durable.view
         if message.leaving:
             role.leaving[sender] = self._context.now
@@ -79,6 +79,8 @@
         role.leader_heard_at = role.leader_seen_at = NEVER
         if role.is_eligible() and role.leadership is None and role.candidacy is None and not role.stopping:
             if view.replicas[0] == self._context.me:
-                self._elections.stand("the leader has stepped down")
-            else:  # if all stood at once, they would only hinder each other
-                role.stand_at = self._context.now + CANDIDATE_STAGGER_S * view.replica_set.index(self._context.me)
+                self._elections.start_candidacy("the leader has stepped down")
+            else:  # several candidates at once would end each other's attempts
+                role.next_candidacy_at = self._context.now + CANDIDATE_STAGGER_S * view.replica_set.index(
+                    self._context.me
+                )
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -131,7 +131,7 @@
             stable = leadership.pending is None and now - leadership.begun_at > RENEWAL_MIN_AGE_S
             if now > leadership.expires_at() or stable:
                 self._durable.promised = max(self._durable.promised, message.promised)
-                self.elections.stand("a voter has promised more")
+                self.elections.start_candidacy("a voter has promised more")
 
     def on_leaving(self, sender: str, message: Leaving) -> None:
         """Take note that a voter's process is stopping, and replace it at once where that is possible."""
--- a/thistleusher/control/leases.py
+++ b/thistleusher/control/leases.py
@@ -101,7 +101,7 @@
     """A process that would take a singleton role. `me` names its machine and incarnation, separated by a slash.
 
     An attempt is one term: requested from all grantors, and released after `ATTEMPT_S` without a majority. Otherwise
-    each of several minorities would keep its grants from the others for ever. After that it waits for a drawn time.
+    several minorities would keep their grants from each other without end. After that it waits for a drawn time.
     """
 
     def __init__(self, singleton_role: str, me: str, now: float, rng: random.Random) -> None:
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -248,25 +248,25 @@
     # Steps.
 
     def _tick_voter(self) -> None:
-        """Lead, continue a candidacy, or stand where the leader is silent."""
+        """Lead, continue a candidacy, or start one where the leader is silent."""
         role = self._role
         if role.leadership is not None:
             self._leader.tick()
         elif role.candidacy is not None:
             self._elections.tick()
-        elif self._may_stand():
-            self._elections.stand("the leader is silent")
+        elif self._should_be_candidate():
+            self._elections.start_candidacy("the leader is silent")
 
-    def _may_stand(self) -> bool:
+    def _should_be_candidate(self) -> bool:
         role, now = self._role, self._context.now
-        if not role.is_eligible() or now < role.stand_at:
+        if not role.is_eligible() or now < role.next_candidacy_at:
             return False
         return now - role.leader_heard_at > VOTER_GUARD_S + self._stagger()
 
     def _stagger(self) -> float:
-        """Return the time by which this holder stands later than the first one, in seconds.
+        """Return the time by which this holder becomes a candidate later than the first one, in seconds.
 
-        If all holders stood at once, they would only hinder each other. One whose process is stopping comes last, but
+        Several candidates at once would end each other's attempts. A holder whose process is stopping comes last, but
         it does come: it may be the only one left that holds the copy.
         """
         view = self._durable.view
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -1,7 +1,7 @@
 """The control program: the runtime that connects `ControlService` to sockets, clock, disk and the operators' API.
 
-Each input is handled at the time that the clock shows then, not at the event loop's, which stands still while a batch
-of events is handled: what lay in the sockets of a stopped process has to meet a lease that is over.
+Each input is handled at the time that the clock shows then, not at the event loop's, which does not advance while a
+batch of events is handled: what lay in the sockets of a stopped process has to meet a lease that is over.
 """
 
 from __future__ import annotations
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -37,14 +37,14 @@
         self._elections = elections
 
     def consider(self, leadership: Leadership) -> None:
-        """Stand for the next epoch where other replicas or voters are due."""
+        """Start a candidacy for the next epoch where other replicas or voters are due."""
         self._forget_stale_leaving()
         why = self._replicas_due(leadership)
         change = self._voters_due(leadership)
         if change is not None:
-            self._elections.stand(change.why, change.voters)
+            self._elections.start_candidacy(change.why, change.voters)
         elif why:
-            self._elections.stand(why)
+            self._elections.start_candidacy(why)
 
     def _forget_stale_leaving(self) -> None:
         now, leaving = self._context.now, self._role.leaving
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -49,12 +49,13 @@
         self.last_leader_at = NEVER
         self.leaving: dict[str, float] = {}  # voters whose process is stopping -> when they last announced it
         self.excluded_until: dict[str, float] = {}  # machines that failed as replicas
-        self.stand_at = context.now + VOTER_GUARD_S + context.rng.random() * CANDIDATE_STAGGER_S
+        self.next_candidacy_at = NEVER
+        self.postpone_candidacy(VOTER_GUARD_S, CANDIDATE_STAGGER_S)
         view = durable.view
         if view is not None and view.leader == context.me:
             # The leader was an earlier incarnation of this very process: nobody else can hold its lease.
             self.leader_heard_at = NEVER
-            self.stand_at = context.now + RETURNING_LEADER_DELAY_S
+            self.next_candidacy_at = context.now + RETURNING_LEADER_DELAY_S
 
     # Questions.
 
@@ -128,8 +129,15 @@
         elif self._durable.promised == epoch:
             promised()
 
+    def postpone_candidacy(self, minimum_s: float, spread_s: float = 1.0) -> None:
+        """Start no candidacy for `minimum_s` and a drawn time of up to `spread_s`.
+
+        The drawn part keeps two candidates from ending each other's attempts again and again.
+        """
+        self.next_candidacy_at = self._context.now + minimum_s + self._context.rng.random() * spread_s
+
     def start_renewal(self) -> None:
-        """End the leadership because its leader stands for the next epoch; the pending change waits for that."""
+        """End the leadership because its leader is to win the next epoch; the pending change waits for that."""
         self.previous = self.leadership
         self.leadership = None
         if self.previous is not None and self.previous.pending is not None:
@@ -153,7 +161,7 @@
         if leadership.pending is not None:
             self._calls.put_back(leadership.pending.change)
         self.send_step_down(leadership.view)
-        self.stand_at = self._context.now + 2 * VOTER_GUARD_S + self._context.rng.random()
+        self.postpone_candidacy(2 * VOTER_GUARD_S)
         self.leader_seen_at = NEVER
 
     def send_step_down(self, view: ViewRecord) -> None:
--- a/thistleusher/control/timing.py
+++ b/thistleusher/control/timing.py
@@ -15,14 +15,14 @@
 RENEWAL_MIN_AGE_S = 2.0  # of a leadership, from which its leader may start a new epoch to win a voter back
 
 # Elections.
-CANDIDATE_STAGGER_S = 0.15  # by which each holder of a copy stands later than the one before it
-STOPPING_STAGGER_S = 0.5  # by which a holder whose process is stopping stands later than any other
+CANDIDATE_STAGGER_S = 0.15  # between the holders of a copy, which become candidates one after the other
+STOPPING_STAGGER_S = 0.5  # by which a holder whose process is stopping comes after all others
 RETURNING_LEADER_DELAY_S = 0.1  # after its start, in which a returning leader connects to its voters
 VOTE_YIELD_S = 0.4  # to twice that: left to the candidate that was promised a vote
 CANDIDACY_TIMEOUT_S = 1.0  # after which a candidacy is abandoned
-ABANDONED_PAUSE_S = 0.2  # before a candidate stands again after an abandoned candidacy, at least
+ABANDONED_PAUSE_S = 0.2  # after an abandoned candidacy, before the next one, at least
 ABANDONED_SPREAD_S = 0.5  # up to which a drawn time is added to that
-REJECTED_PAUSE_S = 0.1  # before a candidate stands again after a voter had promised more, at least
+REJECTED_PAUSE_S = 0.1  # after a voter had promised more, before the next candidacy, at least
 REJECTED_SPREAD_S = 0.4  # up to which a drawn time is added to that
 REPLICA_WAIT_S = 0.06  # that a candidate with a majority waits for voters that are better replicas
 RENEWAL_REPLICA_WAIT_S = 0.3  # the same, for a leader that starts a new epoch and has heard them just before
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -65,8 +65,8 @@
         role.candidacy = None
         role.promise(epoch, Records(), partial(self._promised, sender, epoch, view))
         role.voted_for = sender
-        # The candidate gets the time that its attempt takes on slow networks and disks: standing at once would end it.
-        role.stand_at = self._context.now + VOTE_YIELD_S + self._context.rng.random() * VOTE_YIELD_S
+        # The candidate gets the time that its attempt takes on slow networks and disks: another at once would end it.
+        role.postpone_candidacy(VOTE_YIELD_S, VOTE_YIELD_S)
 
     def _promised(self, sender: str, epoch: int, view: ViewRecord) -> None:
         self._role.vote_on_disk = True
