--- a/tests/system/test_front.py
+++ b/tests/proxy/test_listener.py
@@ -1,5 +1,4 @@
-"""The proxy's door and its connections to backends over loopback: bytes that end, come twice, or are somebody
-else's."""
+"""The listener and the connections to backends over loopback: bytes that end, come twice, or belong to another."""
 
 import asyncio
 import random
@@ -15,8 +14,11 @@
 from thistleusher.net.connection_pool import Endpoint
 from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.decisions import Decisions
-from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.proxy.placement import Place
+from thistleusher.proxy.forwarding import ProxyIngress
+from thistleusher.proxy.http_messages import ATTEMPT_HEADER, outcome_of
+from thistleusher.proxy.listener import ProxyServer
+from thistleusher.proxy.placement import ListedBackend
+from thistleusher.proxy.shutdown import ProxyGracefulShutdown
 
 ROUTE = {"hostname": "h.example", "deadline_ms": 2000, "target_ms": 500, "target": "s", "tries": 3}
 
@@ -90,7 +92,7 @@
 
 
 class Rig:
-    """A proxy's door with two backends of one service."""
+    """A proxy's listener with two backends of one service."""
 
     def __init__(self, count=2):
         self.backends = [Backend(f"b{n}") for n in range(count)]
@@ -101,24 +103,24 @@
         for backend in self.backends:
             await backend.start()
         self.decisions = Decisions("me", "z", "r", Bounds(retry_slack=60), random.Random(1), loop.time())
-        self.upstream = Upstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT, 1.0, outcome_of))
+        self.upstream = Upstream(loop, 0.5, 10.0, 50, UpstreamOptions(1 << 20, ATTEMPT_HEADER, 1.0, outcome_of))
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow(config())
-        self.decisions.ingresses = ["me"]
-        places = {b.name: Place(b.name, "s", ("127.0.0.1", b.port), "z", "r", 6, False) for b in self.backends}
-        for name, place in places.items():
-            self.upstream.update(name, Endpoint(place.address, 0.0))
-        self.decisions.listed(loop.time(), places)
-        self.ingress.serving |= places.keys()
-        self.server.known = True
+        self.decisions.apply_ingresses(["me"])
+        listed = {b.name: ListedBackend(b.name, "s", ("127.0.0.1", b.port), "z", "r", 6, False) for b in self.backends}
+        for name, backend in listed.items():
+            self.upstream.update(name, Endpoint(backend.address, 0.0))
+        self.decisions.apply_backends(loop.time(), listed)
+        self.ingress.serving |= listed.keys()
+        self.server.has_list = True
         await self.server.listen("127.0.0.1", 0)
         self.port = self.server.listener.sockets[0].getsockname()[1]
         return self
 
     def follow(self, configuration):
-        self.decisions.configured(asyncio.get_running_loop().time(), configuration)
-        self.server.follow(Index(configuration))
+        self.decisions.apply_configuration(asyncio.get_running_loop().time(), configuration)
+        self.server.apply_configuration(Index(configuration))
 
     async def __aexit__(self, *_):
         self.server.close()
@@ -169,7 +171,7 @@
     asyncio.run(main())
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_so():
+def test_a_request_and_its_answer_are_forwarded_unchanged():
     async def scenario(rig):
         got = await rig.ask(
             "/e/x?q=1", body=b"abc", lines="X-Tenant: forged\r\nX-Other: kept\r\nConnection: x-gone\r\n" "X-Gone: 1\r\n"
@@ -198,7 +200,7 @@
         ("/p/", lambda a: answer(a, seal=False), 200, 2),
         ("/e/", lambda a: answer(a, seal=False), 502, 1),
         ("/p/", lambda a: answer(a, 500), 200, 2),
-        ("/e/", lambda a: answer(a, 500), 500, 1),  # the backend's own word
+        ("/e/", lambda a: answer(a, 500), 500, 1),  # the backend's own answer
         ("/p/", lambda a: answer(a, 503, more=b"X-Not-Run: 1\r\n"), 200, 2),
         ("/e/", lambda a: answer(a, 503, more=b"X-Not-Run: 1\r\n"), 200, 2),
         ("/e/", lambda a: answer(a, 421), 200, 2),
@@ -206,7 +208,7 @@
         ("/e/", lambda a: answer(a, 429), 502, 1),  # no proof, no promise
     ],
 )
-def test_what_a_backend_does_to_a_request_ends_by_variant(path, step, status, runs):
+def test_the_end_after_a_backend_fault_depends_on_the_variant(path, step, status, runs):
     async def scenario(rig):
         for backend in rig.backends:  # whichever is chosen first does it, the other one answers
             backend.script.append(step)
@@ -221,7 +223,7 @@
     play(scenario)
 
 
-def test_a_closed_backend_is_passed_over_for_any_variant():
+def test_another_backend_replaces_a_closed_one_for_any_variant():
     async def scenario(rig):
         rig.backends[0].server.close()
         assert [(await rig.ask(p)).status for p in ("/p/", "/e/", "/p/", "/e/")] == [200] * 4
@@ -229,7 +231,7 @@
     play(scenario)
 
 
-def test_a_second_answer_that_comes_late_belongs_to_no_request():
+def test_a_surplus_answer_that_comes_late_belongs_to_no_request():
     async def scenario(rig):
         (backend,) = rig.backends
         backend.script += [
@@ -245,20 +247,20 @@
     play(scenario, 1)
 
 
-def test_a_421_from_a_reused_address_keeps_that_backend_out():
+def test_a_421_from_a_reused_address_excludes_that_backend():
     async def scenario(rig):
-        stranger = rig.backends[0]
-        stranger.script += [lambda a: answer(a, 421)] * 50
+        reused = rig.backends[0]
+        reused.script += [lambda a: answer(a, 421)] * 50
         got = await asyncio.gather(*(rig.ask("/e/") for _ in range(12)))
-        assert [m.status for m in got] == [200] * 12 and stranger.got
-        before = len(stranger.got)
+        assert [m.status for m in got] == [200] * 12 and reused.got
+        before = len(reused.got)
         got = await asyncio.gather(*(rig.ask("/e/") for _ in range(12)))
-        assert [m.status for m in got] == [200] * 12 and len(stranger.got) == before
+        assert [m.status for m in got] == [200] * 12 and len(reused.got) == before
 
     play(scenario)
 
 
-def test_a_key_taken_away_is_gone_on_an_open_connection():
+def test_a_removed_key_is_rejected_on_an_open_connection():
     async def scenario(rig):
         client = await rig.client()
         assert (await client.ask("/p/", key="k2")).status == 200
@@ -270,7 +272,7 @@
     play(scenario)
 
 
-def test_a_route_changed_while_its_request_is_out_ends_in_its_answer():
+def test_a_request_in_flight_is_answered_after_its_route_was_removed():
     async def scenario(rig):
         (backend,) = rig.backends
         backend.script.append("wait")
@@ -287,23 +289,23 @@
     play(scenario, 1)
 
 
-def test_requests_that_cannot_be_served_say_why():
+def test_requests_that_cannot_be_served_are_answered_with_the_reason():
     async def scenario(rig):
         assert (await rig.ask("/q/")).status == 404
         assert (await rig.ask("/p/", key="nobody")).status == 401
         assert (await rig.ask("/p/", lines="X-Attempt-Id: twice\r\n")).status == 400
-        rig.server.known = False
+        rig.server.has_list = False
         got = await rig.ask("/p/")
         assert got.status == 503 and float(got.headers["retry-after"]) > 0
-        rig.server.known = True
+        rig.server.has_list = True
         rig.ingress.serving.clear()
-        rig.decisions.evacuated(0.0, {"z"})
+        rig.decisions.apply_evacuations(0.0, {"z"})
         assert (await rig.ask("/p/")).status == 503
 
     play(scenario)
 
 
-def test_what_a_client_takes_out_of_the_kernel_counts_as_taken():
+def test_what_a_client_reads_from_the_kernel_counts_as_read():
     async def scenario(rig):
         rig.backends[0].script.append(lambda a: answer(a, body=b"x" * (1 << 20)))
         client = await rig.client()
@@ -322,26 +324,26 @@
     play(scenario, 1)
 
 
-def test_an_ending_proxy_answers_what_it_holds_and_closes_its_door_in_time():
+def test_a_shutdown_answers_requests_in_flight_and_closes_the_listener_in_time():
     async def scenario(rig):
         loop = asyncio.get_running_loop()
         client = await rig.client()
         assert (await client.ask("/p/")).status == 200
-        told = loop.time()
-        leaving = asyncio.ensure_future(rig.server.drain(asyncio.sleep(0), ProxyGracefulShutdown(told, 6.0)))
+        began = loop.time()
+        drained = asyncio.ensure_future(rig.server.drain(asyncio.sleep(0), ProxyGracefulShutdown(began, 6.0)))
         assert (await client.ask("/p/")).status == 200  # somebody still comes
-        await leaving
-        assert loop.time() - told < 3.5
+        await drained
+        assert loop.time() - began < 3.5
         with pytest.raises(OSError):
             await rig.client()
 
     play(scenario)
 
 
-def test_the_door_closes_early_enough_for_what_came_last():
-    bye = ProxyGracefulShutdown(100.0, 6.0)
+def test_the_listener_closes_early_enough_for_the_last_requests():
+    shutdown = ProxyGracefulShutdown(100.0, 6.0)
     now = 100.0
-    while bye.accepts_requests(now):
-        bye.request_arrived(now)
+    while shutdown.accepts_requests(now):
+        shutdown.request_arrived(now)
         now += 0.01
-    assert now <= 103.1 and bye.time_left(now) >= 2.0
+    assert now <= 103.1 and shutdown.time_left(now) >= 2.0
