--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from benchmarks.scale.inputs import CONTROL_PORT, CORE_ZONES, CORES, Platform, Table, settings
-from standins.system import Caller
+from standins.caller import Caller
 
 TICKS = os.sysconf("SC_CLK_TCK")
 ROOT = Path(__file__).resolve().parents[2]
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -19,7 +19,8 @@
 from benchmarks import cost
 from benchmarks.load import CONNECTIONS, send_all
 from benchmarks.measured_process import cpu_seconds
-from standins.system import CORES, FRONT, FRONTS, HOST, System, configuration
+from standins.system import System
+from standins.system_topology import CORES, FRONT, FRONTS, HOST, configuration
 
 
 def request(number: int) -> bytes:
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from standins import system
+from standins import system_story
 from standins.auditor import Rules, audit
 from standins.counter import Counter
 from standins.deployments import DEPLOYMENTS
@@ -184,7 +184,7 @@
             print("\n".join(verdict.lines()))
             return 0 if verdict.kept else 1
         if args.command == "system":
-            return uvloop.run(system.run(args.hold))
+            return uvloop.run(system_story.run(args.hold))
         with suppress(KeyboardInterrupt):
             return uvloop.run(fleet(args) if args.command == "fleet" else serve(args))
     except (ScriptError, OSError, ValueError) as error:
--- /dev/null
+++ b/standins/caller.py
@@ -0,0 +1,42 @@
+"""A client's side of HTTP: one request on one new connection."""
+
+from __future__ import annotations
+
+import asyncio
+
+from standins.http import Message, read_message
+from standins.system_topology import FRONT, HOST
+
+ANSWER_S = 4.0
+
+
+class Caller:
+    """Sends requests; `count` names those to proxies."""
+
+    def __init__(self) -> None:
+        self.count = 0
+
+    async def call(
+        self, address: str, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
+    ) -> Message:
+        """Return the whole answer. Raises OSError, TimeoutError or EOFError where there is none."""
+        async with asyncio.timeout(ANSWER_S):
+            host, _, port = address.rpartition(":")
+            reader, writer = await asyncio.open_connection(host, int(port))
+            try:
+                lines = "".join(f"{k}: {v}\r\n" for k, v in {"Host": HOST, **(headers or {})}.items())
+                head = f"{method} {target} HTTP/1.1\r\n{lines}Content-Length: {len(body)}\r\n\r\n"
+                writer.write(head.encode() + body)
+                return await read_message(reader)
+            finally:
+                writer.close()
+
+    async def ask(self, ip: str, target: str = "/read/1", key: str = "key-large", method: str = "GET") -> Message:
+        """Send one request to a proxy; return the answer."""
+        self.count += 1
+        return await self.call(
+            f"{ip}:{FRONT}",
+            method,
+            target,
+            {"X-Attempt-Id": f"a{self.count:08x}", "X-Deadline-Ms": "2500", "Authorization": f"Token {key}"},
+        )
--- /dev/null
+++ b/standins/system_story.py
@@ -0,0 +1,176 @@
+"""A short story of the whole system, step by step, and its verdict: what `make run` shows.
+
+Requests are served, a backend drained, a configuration changed, a quota held and a core machine killed; no request ran
+twice, at the wrong backend or after its route was taken back.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from standins.system import System
+from standins.system_topology import CORES, DIRECTORY, FRONT, FRONTS, HOST, READY, configuration
+
+
+async def story(system: System) -> None:
+    """Play all steps. Raises AssertionError or TimeoutError where something does not hold."""
+    assert (await system.put(configuration(1))).status == 200
+    system.say("configuration 00000001 is acknowledged: it is on two disks")
+    await wait_until_ready(system)
+    await resolve(system)
+    await serve(system)
+    await hold_quota(system)
+    await drain(system)
+    await change_configuration(system)
+    await reject_configuration(system)
+    await lose_core_machine(system)
+    check_payments(system)
+    await end_proxy(system)
+
+
+async def wait_until_ready(system: System) -> None:
+    """Wait until all proxies are ready."""
+
+    async def ready() -> bool:
+        answers = [await system.caller.call(f"{ip}:{READY}", "GET", "/readiness") for ip in FRONTS]
+        return all(answer.status == 200 for answer in answers)
+
+    await system.until("all proxies ready", ready)
+
+
+async def resolve(system: System) -> None:
+    """Ask the directory for a client's proxies."""
+    found: dict[str, Any] = {}
+
+    async def listed() -> bool:
+        target = f"/resolve?name={HOST}&region=r-2&zone=z-3"
+        answer = await system.caller.call(f"{FRONTS[0]}:{DIRECTORY}", "GET", target)
+        found.update(json.loads(answer.body))
+        return bool(found["addresses"] == [f"{FRONTS[2]}:{FRONT}"])
+
+    await system.until("the directory names the proxy of the client's region", listed)
+    system.say(f"/resolve for a client in r-2: {found}")
+
+
+async def serve(system: System) -> None:
+    """Serve requests, and reject what has no tenant or no route."""
+
+    async def served() -> bool:
+        return (await system.served(6)).get(200) == 6
+
+    await system.until("requests are counted and served", served)
+    tally = await system.served(120)
+    system.say(f"120 requests over three proxies: {tally}")
+    assert tally == {200: 120}, tally
+    assert (await system.served(1, key="key-nobody"))[401]
+    assert (await system.served(1, "/nowhere/"))[404]
+    system.say("an unknown key gets 401, a path without a route 404")
+
+
+async def hold_quota(system: System) -> None:
+    """Send far more than a tenant's quota."""
+    tally = await system.served(200, key="key-small")
+    system.say(f"200 at once of a tenant that may send 40: {tally}")
+    assert tally[429] >= 100 and tally.get(200, 0) <= 60, tally
+
+
+async def drain(system: System) -> None:
+    """Drain a backend."""
+    drained = system.backends[0]
+    drained.phase = "draining"
+
+    def runs() -> int:
+        return sum(1 for run in system.runs if run.backend == drained.name)
+
+    async def idle() -> bool:
+        before = runs()
+        await system.served(30, "/pay/1", method="POST")
+        return runs() == before
+
+    await system.until("the draining backend gets nothing", idle)
+    system.say(f"{drained.name} drains: nothing more reaches it")
+
+
+async def change_configuration(system: System) -> None:
+    """Send a route to another service."""
+    assert (await system.put(configuration(2, "pages"))).status == 200
+
+    async def moved() -> bool:
+        mark = len(system.runs)
+        await system.served(30)
+        return all("pages" in run.backend for run in system.runs[mark:])
+
+    await system.until("the changed route is in force", moved)
+    system.say("configuration 00000002 sends /read/ to another service, at all proxies")
+
+
+async def reject_configuration(system: System) -> None:
+    """Send a configuration that is invalid."""
+    invalid = configuration(3)
+    invalid["routes"]["read"]["target"] = "nobody"
+    answer = await system.put(invalid)
+    assert answer.status == 400, answer
+    system.say(f"an invalid one is refused: {json.loads(answer.body)['error']}")
+
+
+async def lose_core_machine(system: System) -> None:
+    """Kill all programs of a core machine, change the configuration, and start them again."""
+    for (program, ip), process in system.processes.items():
+        if ip == CORES[0]:
+            await process.end(signal.SIGKILL)
+            system.say(f"{program} on {ip} is killed")
+    assert (await system.put(configuration(4, "ledger"))).status == 200
+    system.say("configuration 00000004 is acknowledged all the same")
+    stored = json.loads((await system.order("GET", "/Config.Read")).body)
+    assert stored["version"] == "00000004", stored
+
+    async def served_again() -> bool:
+        mark = len(system.runs)
+        tally = await system.served(30)
+        return tally == {200: 30} and all("ledger" in run.backend for run in system.runs[mark:])
+
+    await system.until("served by the new configuration", served_again)
+    for program in ("control", "registry"):
+        await system.processes[program, CORES[0]].start()
+
+
+def check_payments(system: System) -> None:
+    """Check that no payment ran twice."""
+    attempts = [run.attempt for run in system.runs if run.line.startswith("POST")]
+    assert len(attempts) == len(set(attempts)), "a payment ran twice"
+
+
+async def end_proxy(system: System) -> None:
+    """End a proxy in order."""
+    code = await system.processes["proxy", FRONTS[0]].end()
+    assert code == 0, code
+    system.say("a proxy that is terminated ends with exit code 0")
+
+
+async def hold(system: System, seconds: float) -> None:
+    """Stay in service with one configuration for a while."""
+    await system.put(configuration(1))
+    await wait_until_ready(system)
+    system.say(f"in service for {seconds:g} s: directory {FRONTS[0]}:{DIRECTORY}, host {HOST}, key key-large")
+    await asyncio.sleep(seconds)
+
+
+async def run(hold_s: float = 0.0) -> int:
+    """Play the story, or stay in service; return 0 where all held, 1 where something did not."""
+    with tempfile.TemporaryDirectory(prefix="system-") as folder:
+        try:
+            async with System(Path(folder)) as system:
+                if hold_s > 0:
+                    await hold(system, hold_s)
+                    return 0
+                await story(system)
+        except (AssertionError, TimeoutError) as error:
+            print(f"verdict: broken: {error!r}")
+            return 1
+    print("verdict: all held")
+    return 0
--- a/tests/client/test_loopback.py
+++ b/tests/client/test_loopback.py
@@ -9,7 +9,9 @@
 
 import pytest
 
-from standins.system import DIRECTORY, FRONTS, HOST, System, hold
+from standins.system import System
+from standins.system_story import hold
+from standins.system_topology import DIRECTORY, FRONTS, HOST
 from thistleusher.client import Answered, Client, UnknownEnd
 from thistleusher.client.client import served
 
--- a/tests/standins/test_system.py
+++ b/tests/standins/test_system.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from standins.system import System, story
+from standins.system import System
+from standins.system_story import story
 
 
 @pytest.mark.usefixtures("system_addresses")
