--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -13,8 +13,9 @@
 - `stop(now)`: the process is to stop; it may once `node.can_stop` is true;
 - `node.add_seeds(addresses)`: the settings file was read again.
 
-Beside these it may read `node.known_peers()`, whom to connect to, and `node.holds_lease(now)`, which it must ask again
-before an answer that rests on the lease leaves. Nothing else of this package is called from outside.
+Beside these it may read `next_call_id`, `node.known_peers()`, whom to connect to, and `node.holds_lease(now)`, which it
+must ask again before an answer that relies on the lease leaves. Registries use `leases.LeaseHolder`. Nothing else of
+this package is called from outside, except by tests and simulations, which also read the node's state.
 """
 
 from __future__ import annotations
