--- a/tests/control/test_drawn_days.py
+++ b/tests/control/test_drawn_days.py
@@ -37,8 +37,8 @@
 def test_the_time_of_day_is_read_nowhere_but_for_names():
     """So it may jump: all times are those of the steady clock, which each machine's own is in the simulation."""
     found = []
-    for package in ("common", "transport", "control", "registry", "proxy"):
-        for path in Path("thistleusher", package).glob("*.py"):
+    for package in ("common", "configuration", "transport", "control", "registry", "proxy"):
+        for path in Path("thistleusher", package).rglob("*.py"):
             for part in ast.walk(ast.parse(path.read_text())):
                 if not isinstance(part, ast.Attribute):
                     continue
