--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -8,11 +8,11 @@
 import click
 
 from thistleusher.cli.options import layers, read
-from thistleusher.operator.reader import Options
+from thistleusher.operator_file.reader import OperatorFile
 
 if TYPE_CHECKING:
     from thistleusher.quota import Placement
-    from thistleusher.services.options import CountersOptions
+    from thistleusher.services.options import CounterGroupOptions
 
 
 @click.command()
@@ -26,7 +26,7 @@
     first = read(path, words)
 
     def counters() -> Placement | None:
-        options: CountersOptions | None = read_again(path, words).get("counters")
+        options: CounterGroupOptions | None = read_again(path, words).get("counters")
         return options.placement() if options is not None else None
 
     extras = Extras(environ=environ, counters=counters if first.get("counters") else None, state=first.get("state"))
@@ -42,11 +42,11 @@
         logs.close()
 
 
-def read_again(path: str | None, words: tuple[str, ...]) -> Options:
+def read_again(path: str | None, words: tuple[str, ...]) -> OperatorFile:
     """The same layers as at the start; BadConfiguration where they cannot be used any more."""
-    from thistleusher.net.config import InvalidConfiguration
+    from thistleusher.net.config import InvalidConfigurationError
 
     try:
         return read(path, words)
     except click.ClickException as error:
-        raise InvalidConfiguration(error.format_message()) from error
+        raise InvalidConfigurationError(error.format_message()) from error
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -26,19 +26,19 @@
 from typing import Any, NamedTuple
 
 from thistleusher.common.config_items import (
+    DocumentParts,
     Identity,
-    Split,
     assemble,
     difference,
     digest_of,
     identity_of,
-    is_kept_document,
+    is_stored_document,
     number_of,
-    split,
-    was_taken,
+    split_document,
+    was_accepted,
 )
-from thistleusher.common.failures import Failure, Kind
-from thistleusher.control.interface import Change, Read, Unread
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.control.interface import Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
 MOST_ZONE_BYTES = 400  # zones' names are keys on the disk, which bounds them at 511
@@ -50,7 +50,7 @@
     """A configuration that may be kept: valid, or a repeat (`parts` is None) of one that was taken."""
 
     identity: Identity
-    parts: Split | None
+    parts: DocumentParts | None
 
 
 class Standing(Enum):
@@ -72,14 +72,14 @@
 
     `state`: the state in force; what was taken into it is not checked again. Cost: one step a field.
     """
-    held = identity_of(state) if state is not None and is_kept_document(state, document) else None
+    held = identity_of(state) if state is not None and is_stored_document(state, document) else None
     if held is not None:
         return ParsedOrder(held, None)
     read = checks().read_json(document)
     identity = _identity(read.value) if state is not None and not read.faults else None
-    if state is not None and identity is not None and was_taken(state, identity):
+    if state is not None and identity is not None and was_accepted(state, identity):
         return ParsedOrder(identity, None)
-    parts = split(checks().check_configuration(read).number, read.value)
+    parts = split_document(checks().check_configuration(read).number, read.value)
     return ParsedOrder(parts.identity, parts)
 
 
@@ -95,7 +95,7 @@
     """How an order stands to the configuration in force, for the log."""
     if order.identity.number > number_of(state):
         return Standing.NEWER
-    if was_taken(state, order.identity):
+    if was_accepted(state, order.identity):
         return Standing.REPEAT
     held = identity_of(state)
     same_number = held is not None and held.number == order.identity.number
@@ -106,17 +106,17 @@
     """The change that a configuration asks for."""
     number, digest = order.identity
 
-    def settled(state: State) -> bool:
+    def is_redundant(state: State) -> bool:
         return number_of(state) >= number
 
     def items(state: State) -> dict[str, Any]:
         assert order.parts is not None, "a repeat is settled wherever it was taken"
         return difference(state, order.parts)
 
-    return Change(call, settled, items, f"configuration {number:08x}, contents {digest[:DIGEST_SHOWN]}")
+    return Change(call, is_redundant, items, f"configuration {number:08x}, contents {digest[:DIGEST_SHOWN]}")
 
 
-def replace_unread(call: int, document: bytes) -> Unread:
+def replace_unread(call: int, document: bytes) -> DeferredChange:
     """The same of a document that is read by whoever leads then. Failure(INVALID) with all faults in one line."""
 
     def change(state: State) -> Change:
@@ -124,16 +124,16 @@
             order = parse(document, state)
         except ExceptionGroup as group:
             faults = "; ".join(str(error) for error in group.exceptions)
-            raise Failure(Kind.INVALID, faults[:MOST_REASON]) from None
+            raise ServiceError(ErrorKind.INVALID_CONFIGURATION, faults[:MOST_REASON]) from None
         made = replace(call, order)
-        return made._replace(what=f"{made.what}, {standing(state, order).value}")
+        return made._replace(description=f"{made.description}, {standing(state, order).value}")
 
-    return Unread(call, change)
+    return DeferredChange(call, change)
 
 
-def evacuate_unread(call: int, zone: str, begin: bool) -> Unread:
+def evacuate_unread(call: int, zone: str, begin: bool) -> DeferredChange:
     """The same of an evacuation's begin or end."""
-    return Unread(call, lambda state: evacuate(call, zone, begin))
+    return DeferredChange(call, lambda state: evacuate(call, zone, begin))
 
 
 def evacuate(call: int, zone: str, begin: bool) -> Change:
@@ -142,10 +142,10 @@
     The item's `n` counts the changes, so that each return of a zone is seen.
     """
     if not zone or "/" in zone or len(zone.encode("utf-8", "replace")) > MOST_ZONE_BYTES:
-        raise Failure(Kind.INVALID, f"no such zone: {zone[:60]!r}")
+        raise ServiceError(ErrorKind.INVALID_CONFIGURATION, f"no such zone: {zone[:60]!r}")
     name = f"evac:{zone}"
 
-    def settled(state: State) -> bool:
+    def is_redundant(state: State) -> bool:
         held = state.value(name)
         return (held is not None and bool(held["on"])) == begin
 
@@ -153,14 +153,14 @@
         held = state.value(name)
         return {name: {"on": begin, "n": (held["n"] if held else 0) + 1}}
 
-    return Change(call, settled, items, f"evacuation of {zone}: {'begin' if begin else 'finish'}")
+    return Change(call, is_redundant, items, f"evacuation of {zone}: {'begin' if begin else 'finish'}")
 
 
 def read(call: int) -> Read:
     """The document of the configuration in force; Failure(NO_LEADER) where there is none."""
 
-    def answer(state: State) -> bytes | Failure:
+    def answer(state: State) -> bytes | ServiceError:
         document = assemble(state)
-        return document if document is not None else Failure(Kind.NO_LEADER, "no configuration yet")
+        return document if document is not None else ServiceError(ErrorKind.NO_LEADER, "no configuration yet")
 
     return Read(call, answer)
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -13,29 +13,28 @@
 from pathlib import Path
 from typing import Any
 
-from thistleusher.common.events import say
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.common.events import log_event
 from thistleusher.common.node_settings import CONTROL
-from thistleusher.common.process import Settings, serve
+from thistleusher.common.process import SettingsFile, serve
 from thistleusher.control import orders
-from thistleusher.control.interface import Answer, Call, Note, Outward, Send, Tell, Write
-from thistleusher.control.leases import Grantor
+from thistleusher.control.interface import Answer, Call, LogEvent, Send, SendToClient, ServiceOutput, Write
+from thistleusher.control.leases import LeaseGrantor
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.control.storage import Storage
-from thistleusher.net.server import Bounds
-from thistleusher.services.wire import read_address
-from thistleusher.transport.call_server import (
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.services.addresses import read_address
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import (
     BeginEvacuation,
-    CallServer,
-    Document,
+    ChangeCommitted,
+    ConfigurationDocument,
     FinishEvacuation,
-    Handler,
-    Kept,
     ReadConfiguration,
     ReplaceConfiguration,
 )
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, Hello
 
 BODY_MOST = 64 * 1024 * 1024
@@ -50,9 +49,9 @@
 class ControlProgram:
     """One process on a core machine."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        boot = self.boot = settings.boot
+        boot = self.boot = settings.node_settings
         self.loop = asyncio.get_running_loop()
         self.storage = Storage(Path(boot.data_dir or "."), boot.limits.disk_mb, self._written)
         stored = self.storage.read()
@@ -60,11 +59,15 @@
         node = ControlNode(
             boot.ip, boot.zone, boot.core_ips, boot.bootstrap, stored, now, random.Random(), boot.tolerance.machines
         )
-        self.service = ControlService(node, Grantor(now, stored.leases))
-        self.dials: dict[str, Dial] = {}
+        self.service = ControlService(node, LeaseGrantor(now, stored.leases))
+        self.dials: dict[str, ReconnectingLink] = {}
         self.links: dict[str, Link] = {}  # those that came, by name
         self.listener = Listener(self.loop, self._heard, self._gone)
-        self.api = CallServer(self.loop, self._handlers(), Bounds(body=BODY_MOST, slow=10.0, idle=30.0))
+        self.api = CallServer(
+            self.loop,
+            self._handlers(),
+            ClientLimits(max_body_bytes=BODY_MOST, read_timeout_s=10.0, idle_timeout_s=30.0),
+        )
         self.waiting: dict[int, Done] = {}
         self.control_port = read_address(boot.binds.control)[1] if boot.binds.control else 0
 
@@ -88,10 +91,10 @@
 
     async def leave(self) -> None:
         """Hand over what this machine holds, answer what waits, close."""
-        self.api.stopping = self.api.leaving = True
+        self.api.shutting_down = self.api.draining = True
         self._carry(self.service.stop(time.monotonic()))
         until = time.monotonic() + self.boot.bounds.grace_s - GRACE_LEFT_S
-        while not self.service.node.may_end and time.monotonic() < until:
+        while not self.service.node.can_stop and time.monotonic() < until:
             await asyncio.sleep(HAND_OVER_S)
         await asyncio.sleep(LAST_WORDS_S)
         self.api.close()
@@ -101,93 +104,95 @@
         self.storage.close()
 
     def _changed(self) -> None:
-        self.boot = self.settings.boot
-        self.service.node.reseed(self.boot.core_ips)
+        self.boot = self.settings.node_settings
+        self.service.node.add_seeds(self.boot.core_ips)
 
     def tick(self) -> None:
         """A tick of the service; connections to all of the core that is known."""
-        for ip in self.service.node.others():
+        for ip in self.service.node.known_peers():
             if ip not in self.dials:
                 self.dials[ip] = self._dial(ip)
         self._carry(self.service.tick(time.monotonic()))
 
-    def _dial(self, ip: str) -> Dial:
-        return Dial(self.loop, ip, self.boot.port(CONTROL), lambda: self._hello(ip), self._from_dial)
+    def _dial(self, ip: str) -> ReconnectingLink:
+        return ReconnectingLink(self.loop, ip, self.boot.port(CONTROL), lambda: self._hello(ip), self._from_dial)
 
     def _hello(self, ip: str) -> Hello:
-        self.loop.call_soon(lambda: self._carry(self.service.linked(time.monotonic(), ip)))
+        self.loop.call_soon(lambda: self._carry(self.service.connected(time.monotonic(), ip)))
         return Hello(self.boot.ip)
 
     # Messages.
 
-    def _from_dial(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_dial(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         """Nothing comes back on a connection that this side opened: each opens its own."""
 
     def _heard(self, link: Link, message: AnyMessage) -> None:
         if isinstance(message, Hello):
             if link.name in self.dials:
-                self.dials[link.name].poke()
+                self.dials[link.name].retry_now()
             return
         if link.name:
             self.links[link.name] = link
-            self._carry(self.service.heard(time.monotonic(), link.name, message))
+            self._carry(self.service.receive(time.monotonic(), link.name, message))
 
     def _gone(self, link: Link) -> None:
         if self.links.get(link.name) is link:
             del self.links[link.name]
-            self.service.gone(link.name)
+            self.service.disconnected(link.name)
 
     def _written(self, token: int, ok: bool) -> None:
         self.loop.call_soon_threadsafe(self._ended, token, ok)
 
     def _ended(self, token: int, ok: bool) -> None:
-        self._carry(self.service.written(time.monotonic(), token, ok))
+        self._carry(self.service.write_completed(time.monotonic(), token, ok))
 
     # Outputs.
 
-    def _carry(self, outputs: Iterable[Outward]) -> None:
+    def _carry(self, outputs: Iterable[ServiceOutput]) -> None:
         for out in outputs:
             if isinstance(out, Send):
                 dial = self.dials.get(out.to)
                 if dial is not None:
                     dial.send(out.message)
-            elif isinstance(out, Tell):
+            elif isinstance(out, SendToClient):
                 link = self.links.get(out.name)
                 if link is not None:
                     link.send(out.message)
             elif isinstance(out, Write):
                 self.storage.write(out.token, out.records)
             elif isinstance(out, Answer):
-                done = self.waiting.pop(out.call, None)
+                done = self.waiting.pop(out.call_id, None)
                 if done is not None:
                     done(out.answer)
-            elif isinstance(out, Note):
-                say(out.event, *out.fields)
+            elif isinstance(out, LogEvent):
+                log_event(out.event, *out.fields)
 
     # Calls.
 
     def _call(self, make: Callable[[int], Call], done: Done) -> None:
         number = self.service.calls + 1
         self.waiting[number] = self._answered(done)
-        _, outputs = self.service.call(time.monotonic(), make)
+        _, outputs = self.service.submit(time.monotonic(), make)
         self._carry(outputs)
 
     def _answered(self, done: Done) -> Done:
         """What a leader says of an order or its state counts only while its lease stands as the answer leaves."""
 
         def tell(answer: Any) -> None:
-            if isinstance(answer, Failure) and answer.kind is Kind.ELSEWHERE:
-                answer = Failure(Kind.ELSEWHERE, where=f"{answer.where}:{self.control_port}")
-            elif self._rests_on_lease(answer) and not self.service.node.holds(time.monotonic()):
-                answer = Failure(Kind.NO_LEADER)
-            done(Kept() if answer is None else answer)
+            if isinstance(answer, ServiceError) and answer.kind is ErrorKind.REDIRECTED:
+                answer = ServiceError(ErrorKind.REDIRECTED, where=f"{answer.where}:{self.control_port}")
+            elif self._rests_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
+                answer = ServiceError(ErrorKind.NO_LEADER)
+            done(ChangeCommitted() if answer is None else answer)
 
         return tell
 
     @staticmethod
     def _rests_on_lease(answer: Any) -> bool:
         """What is kept stays kept; a refusal for good or a document may be out of date."""
-        return isinstance(answer, bytes) or (isinstance(answer, Failure) and answer.kind is Kind.INVALID)
+        return isinstance(answer, bytes) or (
+            isinstance(answer, ServiceError) and answer.kind is ErrorKind.INVALID_CONFIGURATION
+        )
 
     def replace(self, call: ReplaceConfiguration, done: Done) -> None:
         """Checked whole before anything else, by the leader; INVALID with all faults in one line."""
@@ -197,7 +202,7 @@
         """The newest configuration, from the leader."""
 
         def told(answer: Any) -> None:
-            done(Document(answer) if isinstance(answer, bytes) else answer)
+            done(ConfigurationDocument(answer) if isinstance(answer, bytes) else answer)
 
         self._call(orders.read, told)
 
@@ -206,6 +211,6 @@
         self._call(lambda number: orders.evacuate_unread(number, zone, begin), done)
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """What `python -m thistleusher.system control` runs."""
     await ControlProgram(settings).run()
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -18,8 +18,8 @@
 import msgpack
 import msgspec
 
-from thistleusher.common.events import Event, say
-from thistleusher.control.interface import Records, Stored
+from thistleusher.common.events import Event, log_event
+from thistleusher.control.interface import Records, StoredState
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
 MAP_MB = 96
@@ -44,15 +44,15 @@
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
 
-    def read(self) -> Stored:
+    def read(self) -> StoredState:
         """What an earlier life kept. What cannot be read counts as forgotten: nothing, rather than half."""
         with self._environment.begin() as transaction:
             raw = {bytes(key): bytes(value) for key, value in transaction.cursor()}
         try:
             return _stored(raw)
         except UNREADABLE as error:
-            say(Event.DISK, f"not readable, counts as lost: {error!r}")
-            return Stored()
+            log_event(Event.DISK_FAILED, f"not readable, counts as lost: {error!r}")
+            return StoredState()
 
     def write(self, token: int, records: Records) -> None:
         """Have records written together."""
@@ -66,7 +66,7 @@
                     _put(transaction, records)
                 ok = True
             except (lmdb.Error, OSError) as error:
-                say(Event.DISK, repr(error))
+                log_event(Event.DISK_FAILED, repr(error))
                 ok = False
             self._done(token, ok)
 
@@ -81,11 +81,11 @@
     if records.view is not None:
         transaction.put(VIEW, msgspec.msgpack.encode(records.view))
     if records.leases is not None:
-        transaction.put(LEASES, msgpack.packb({duty: list(pair) for duty, pair in records.leases.items()}))
+        transaction.put(LEASES, msgpack.packb({role: list(pair) for role, pair in records.leases.items()}))
     if records.position is not None:
         transaction.put(POSITION, msgpack.packb([msgspec.to_builtins(records.position), records.floor]))
     if records.items is not None:
-        _put_items(transaction, records.items, records.whole)
+        _put_items(transaction, records.items, records.complete)
 
 
 def _put_items(transaction: Any, items: Items, whole: bool) -> None:
@@ -98,8 +98,8 @@
         transaction.put(ITEM + name.encode(), msgpack.packb(item))
 
 
-def _stored(raw: Raw) -> Stored:
-    stored = Stored()
+def _stored(raw: Raw) -> StoredState:
+    stored = StoredState()
     if PROMISE in raw:
         promise = msgpack.unpackb(raw[PROMISE])
         stored.promised = promise["e"] if isinstance(promise, dict) else promise
@@ -107,7 +107,7 @@
         stored.view = _view(raw[VIEW])
     if LEASES in raw:
         leases = msgpack.unpackb(raw[LEASES])
-        stored.leases = {duty: (pair[0], pair[1]) for duty, pair in leases.items()}
+        stored.leases = {role: (pair[0], pair[1]) for role, pair in leases.items()}
     if POSITION in raw:
         position, stored.floor = msgpack.unpackb(raw[POSITION])
         stored.position = msgspec.convert(position, Position)
@@ -128,7 +128,7 @@
     return msgspec.convert(table, ViewRecord)
 
 
-def _read_old_copy(raw: bytes, stored: Stored) -> None:
+def _read_old_copy(raw: bytes, stored: StoredState) -> None:
     """The whole state under one key, as releases before 0.2 wrote it."""
     table = msgpack.unpackb(raw, strict_map_key=False)
     state = table["s"]
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -19,7 +19,7 @@
 
 from thistleusher.common.configuration import Configuration, RouteMatch
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_timing import ALONE, OVER, PROMPT_S
+from thistleusher.common.quota_timing import DECIDE_LOCALLY, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
@@ -118,7 +118,7 @@
     route = found.route
     return ClassSettings(
         found.name,
-        Effect.SAFE if route.repeatable else Effect.UNSAFE,
+        Effect.SAFE if route.idempotent else Effect.UNSAFE,
         max(0.05, route.target_ms / 1000),
         route.deadline_ms / 1000,
     )
@@ -283,12 +283,12 @@
         if flight is None or flight.counted or flight.tenant is None:
             return  # its client has left, or its own share has let it in: the charge was given back
         flight.window = e.window
-        if e.verdict == ALONE:
+        if e.verdict == DECIDE_LOCALLY:
             self.quota.uncounted(now, flight.tenant, e.left)
             self._alone(now, flight)
             return
         self.quota.counted(flight.tenant)
-        if e.verdict == OVER:
+        if e.verdict == OVER_LIMIT:
             self._alone(now, flight, e.left + AGAIN_S + 0.2 * self.rng.random())
         else:
             self._let_in(now, flight)
@@ -392,7 +392,7 @@
     def _again(self, now: float, flight: Flight) -> bool:
         """Whether one more try is allowed: by its route, its time, and the budget of all."""
         route = flight.found.route
-        if flight.ran and not route.repeatable:
+        if flight.ran and not route.idempotent:
             return False
         if flight.sends >= MOST_SENDS or flight.arrived >= max(1, route.tries) or now >= flight.aim:
             return False
@@ -434,7 +434,7 @@
             elif alone:
                 del self.counting[name]
                 self._alone(now, flight)
-            elif now - since < PROMPT_S:
+            elif now - since < VERDICT_WAIT_S:
                 break  # they stand in the order in which they came
             elif self.quota.spend(now, flight.tenant):
                 del self.counting[name]
@@ -449,7 +449,7 @@
             for b in fleet.silent(now, SILENT_X):
                 for name in b.out:
                     flight = self.flights.get(name)
-                    if flight is None or not flight.found.route.repeatable or flight.backend != b.entry.backend:
+                    if flight is None or not flight.found.route.idempotent or flight.backend != b.entry.backend:
                         continue
                     late = now - flight.sent > 2 * fleet.latency[flight.cls.name]
                     if late and self._again(now, flight) and self._other(now, fleet, flight):
