--- a/benchmarks/beginning.py
+++ b/benchmarks/bootstrap.py
@@ -1,9 +1,9 @@
 """How a fleet begins with the counter silent from the first request, at many moments of an epoch, in scripted time.
 
-    python -m benchmarks.beginning --moments 50
+    python -m benchmarks.bootstrap --moments 50
 
-For each way of starting: share of the tries of the first five seconds that came with half of the quota or more unused
-and were refused (worst and mean of the moments), and the most units that a member had beyond quota and ceiling.
+For each way of starting: share of the requests of the first five seconds that came with half of the quota or more
+unused and were refused (worst and mean of the moments), and the most units that a member had beyond quota and ceiling.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 import argparse
 import math
 
-from tests.quota.test_beginning import AT_ONCE, begun, refused
+from tests.quota.starts import AT_ONCE, begun, rejected_share
 from tests.quota.world import BASIC, PLUS
-from thistleusher.quota.escrow import Terms, epoch_length
+from thistleusher.quota.terms import Terms, epoch_length
 
 STARTS = {
     "3 within 50 ms": AT_ONCE,
@@ -26,6 +26,7 @@
 
 
 def main() -> None:
+    """Print a row for each way of starting and plan."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--moments", type=int, default=50)
     moments = parser.parse_args().moments
@@ -37,7 +38,7 @@
             terms = Terms(plan.ceiling_rate, plan.ceiling_burst) if ceiled else Terms(plan.rate, plan.burst)
             rate = 23.0 * len(offsets) if ceiled else 12.0
             worlds = [begun(offsets, n * epoch_length(terms) / moments, plan.name, rate) for n in range(moments)]
-            shares = [refused(w) for w in worlds]
+            shares = [rejected_share(w) for w in worlds]
             quota, ceiling = (max(w.beyond(plan.name)[k] for w in worlds) for k in (0, 1))
             print(
                 f"| {name} | {plan.name} | {max(shares):.1%} | {sum(shares) / moments:.1%} | {quota:.1f} |"
