--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -132,6 +132,7 @@
             return
         if self._awaits_replicas(candidacy):
             return
+        # The own copy is of this epoch on disk before any view names this machine as a holder of it.
         candidacy.stage = Stage.ENTER
         self._durable.replica.enter(candidacy.epoch)
         self._durable.write_replica(None, False, partial(self._entered, candidacy))
