--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -62,13 +62,13 @@
 def keeper_of(config: Config, options: StateOptions) -> Snapshotter:
     """The state folder; BadConfiguration says what keeps it from being used."""
     from thistleusher.assembly import allowance_terms
-    from thistleusher.policy.sharing import kept_for
+    from thistleusher.core.replication_limits import retention_s
     from thistleusher.state.snapshotter import Snapshotter
     from thistleusher.state.store import BadState
 
     try:
         return Snapshotter(
-            options, config.name, config.settings, kept_for(config.settings), allowance_terms(config.settings)
+            options, config.name, config.settings, retention_s(config.settings), allowance_terms(config.settings)
         )
     except BadState as error:
         raise InvalidConfiguration(str(error)) from error
--- /dev/null
+++ b/thistleusher/core/backend_table.py
@@ -0,0 +1,80 @@
+"""The backends of the endpoint list, with what this ingress knows of each."""
+
+from __future__ import annotations
+
+import random
+
+from thistleusher.core import events
+from thistleusher.core.backend_record import Backend, OutstandingAttempt
+from thistleusher.core.events import BackendEntry, ListKind, Phase
+from thistleusher.core.snapshots import LearnedBackend
+
+
+class BackendTable(dict[str, Backend]):
+    """Backends by id. What has left the list is kept while attempts are outstanding there."""
+
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__()
+        self.rng = rng
+        self.outstanding = 0  # own attempts out
+        self.load = 0.0  # their work, less that at silent backends
+        self.learned: dict[str, LearnedBackend] = {}  # by an earlier incarnation, until the list names them
+
+    def started(self, backend: Backend, request: str, attempt: OutstandingAttempt) -> None:
+        """Note an attempt that goes out."""
+        backend.start(request, attempt)
+        self.outstanding += 1
+        if not backend.silent:
+            self.load += attempt.work
+
+    def finished(self, backend: Backend, request: str) -> OutstandingAttempt | None:
+        """Return the attempt that has ended; None where none was out."""
+        attempt = backend.finish(request)
+        if attempt is not None:
+            self.outstanding -= 1
+            if not backend.silent:
+                self.load = max(0.0, self.load - attempt.work) if self.outstanding else 0.0
+        return attempt
+
+    def mark_silent(self, backend: Backend) -> None:
+        """Have what is outstanding at a backend take no slots."""
+        if not backend.silent:
+            backend.silent = True
+            self.load = max(0.0, self.load - backend.work)
+
+    def mark_answered(self, now: float, backend: Backend) -> None:
+        """Note a sign of life: what is outstanding there takes slots."""
+        backend.last_answered = now
+        if backend.silent:
+            backend.silent = False
+            self.load += backend.work
+
+    def listed(self, now: float, event: events.ListUpdate) -> None:
+        """Follow the endpoint list."""
+        for backend in self.values():
+            backend.usable = backend.usable and event.kind is ListKind.CHANGE
+        for entry in event.entries:
+            backend = self._backend_of(now, entry)
+            backend.entry = entry
+            backend.usable = entry.phase is Phase.RUNNING
+        if event.kind is not ListKind.CHANGE:
+            for name in self.keys() - {entry.backend for entry in event.entries}:
+                self[name].entry = self[name].entry._replace(phase=Phase.DELETED)
+        for name, backend in list(self.items()):
+            if backend.entry.phase is Phase.DELETED and not backend.outstanding:
+                del self[name]
+
+    def _backend_of(self, now: float, entry: BackendEntry) -> Backend:
+        """Return the backend of an entry; a new one where it, or its process, is new."""
+        known = self.get(entry.backend)
+        if known is not None and entry.born == known.entry.born:
+            return known
+        new = self[entry.backend] = Backend(entry, now, self.rng.random())
+        if known is not None:
+            new.outstanding = known.outstanding
+            new.work = known.work
+            new.silent = known.silent
+        learned = self.learned.pop(entry.backend, None)
+        if learned is not None and learned.born == entry.born:
+            new.restore(learned)
+        return new
--- /dev/null
+++ b/thistleusher/core/peer_notifier.py
@@ -0,0 +1,86 @@
+"""Sends peers what they are to know of this ingress: usage, its share's demands, that it has started or shuts down."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from thistleusher.core.actions import Action, SendToPeer
+from thistleusher.core.customer import Customer
+from thistleusher.core.customer_table import CustomerTable
+from thistleusher.core.decision_ports import Escrow, Gossip
+from thistleusher.core.replication_limits import replication_limits
+from thistleusher.core.settings import Settings
+from thistleusher.core.usage_outbox import UsageOutbox
+
+
+class PeerNotifier:
+    """Messages to peers, within the limits of the settings; `gossip`: not every peer gets every update."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        customers: CustomerTable,
+        actions: list[Action],
+        now: float,
+        escrow: Escrow | None,
+        gossip: Gossip | None,
+    ) -> None:
+        self.actions = actions
+        self.escrow = escrow
+        self.gossip = gossip
+        self.limits = replication_limits(settings, gossip is not None)
+        self.messages_max = self.limits.messages
+        self.outbox = UsageOutbox(customers)
+        self.timer_set = False
+        self.presence_due = False  # peers are to learn with the next tick that this ingress is there
+        self.last_notified = now
+
+    def usage_changed(self, now: float, customer: Customer, units: float, lazy: bool) -> None:
+        """Have peers notified of units that were admitted here; `lazy`: that may wait for other updates."""
+        if not self.limits.enabled or customer.is_wide():
+            return
+        customer.admitted_quarters += round(4 * units)
+        if self.gossip is not None:
+            self.gossip.mark_changed(now, customer.key, customer.first, customer.width, lazy)
+        else:
+            self.outbox.waiting[customer.key] = customer
+
+    def is_due(self) -> bool:
+        """Return whether peers are to be notified of anything with the next tick."""
+        return bool(self.outbox.waiting) or self.presence_due or (self.gossip is not None and self.gossip.has_work())
+
+    def notify(self, now: float) -> None:
+        """Notify peers of what was admitted: between its own calls no ingress sees it in a count."""
+        self.timer_set = False
+        self.presence_due = False
+        self.last_notified = now
+        self.send_demands(now)
+        if self.gossip is None:
+            self.send((None, message) for message in self.outbox.messages_to_all(now, self.messages_max))
+            return
+        updates = self.gossip.due_updates(now)
+        self.send((peer, self.outbox.message_to(now, peer, keys)) for peer, keys in updates)
+        self.send(self.gossip.due_reconciliations())
+
+    def send_demands(self, now: float) -> None:
+        """Ask peers for their shares, as often as messages may be sent."""
+        if self.escrow is not None:
+            self.send(self.escrow.demands(now))
+
+    def send_handshakes(self, now: float) -> None:
+        """Send that this ingress has started to peers that have not answered."""
+        if self.escrow is not None:
+            self.send(self.escrow.handshakes(now))
+
+    def hand_over(self, now: float) -> None:
+        """Notify peers of all that is left, and hand them this ingress's shares: it shuts down."""
+        while self.outbox.waiting:
+            self.notify(now)
+        if self.gossip is not None:
+            self.notify(now)
+        if self.escrow is not None:
+            self.send(self.escrow.shutdown_messages(now))
+
+    def send(self, messages: Iterable[tuple[int | None, bytes]]) -> None:
+        """Send messages, each to one peer or to all (None)."""
+        self.actions += [SendToPeer(peer, payload) for peer, payload in messages]
--- /dev/null
+++ b/thistleusher/core/per_counter.py
@@ -0,0 +1,42 @@
+"""One value for each of several counters that share the counts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Generic, TypeVar
+
+from thistleusher.core.customer import Customer
+from thistleusher.core.decision_ports import CounterOf
+
+T = TypeVar("T")
+
+
+class PerCounter(Generic[T]):
+    """A value for each counter, made by `make`; the loss of one counter costs its own names only.
+
+    Without a placement there is one counter, number 0.
+    """
+
+    def __init__(self, make: Callable[[], T], placement: CounterOf | None = None) -> None:
+        self.make = make
+        self.placement = placement
+        self.by_number: dict[int, T] = {0: make()}
+
+    def follow(self, placement: CounterOf) -> None:
+        """Use other counters from now on. What was known of each goes by its number, so all begin anew."""
+        self.placement = placement
+        self.by_number = {0: self.make()}
+
+    def of_name(self, name: int) -> T:
+        """Return the value of the counter that holds a name."""
+        number = 0 if self.placement is None else self.placement.of(name)
+        found = self.by_number.get(number)
+        if found is None:
+            found = self.by_number[number] = self.make()
+        return found
+
+    def of_customer(self, now: float, customer: Customer) -> T:
+        """Return the value of the counter that holds the name of the customer's current window."""
+        if self.placement is None:
+            return self.by_number[0]
+        return self.of_name(customer.count_name(now))
--- /dev/null
+++ b/thistleusher/core/replication_limits.py
@@ -0,0 +1,40 @@
+"""How often usage is replicated and how long it is kept, as the settings give it."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from thistleusher.core.datagrams import NOTIFY_INTERVAL_S, NOTIFY_SHARE
+from thistleusher.core.settings import Settings
+
+RETAINED_WINDOWS = 6.0  # after which a quiet customer is forgotten: its bucket has long been full
+NOTIFY_INTERVAL_MAX_S = 0.25  # beyond it usage is not replicated where every peer gets every update
+
+
+class ReplicationLimits(NamedTuple):
+    """Whether peers are notified of usage, seconds between notifications, messages at once to each peer."""
+
+    enabled: bool
+    interval_s: float
+    messages: int
+
+
+def replication_limits(settings: Settings, gossip: bool) -> ReplicationLimits:
+    """Return how usage is replicated; `gossip`: not every peer gets every update.
+
+    All notifications together take at most `NOTIFY_SHARE` of the messages that an ingress takes in.
+    """
+    peers = settings.instances - 1
+    taken_in = NOTIFY_SHARE * settings.peer_in_per_s
+    interval = max(NOTIFY_INTERVAL_S, peers / max(1e-9, taken_in))
+    return ReplicationLimits(
+        enabled=settings.peers and peers > 0 and (interval <= NOTIFY_INTERVAL_MAX_S or gossip),
+        interval_s=NOTIFY_INTERVAL_S if gossip else interval,
+        messages=int(taken_in * interval / max(1, peers)),
+    )
+
+
+def retention_s(settings: Settings) -> float:
+    """Return the seconds after which a quiet customer is forgotten."""
+    windows = (p.burst / p.rate for p in settings.plans if p.rate > 0)
+    return RETAINED_WINDOWS * max(windows, default=1.0)
--- /dev/null
+++ b/thistleusher/core/usage_outbox.py
@@ -0,0 +1,49 @@
+"""What peers are still to be notified of: usage that was admitted here."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from itertools import islice
+
+from thistleusher.core.customer import Customer
+from thistleusher.core.customer_table import CustomerTable
+from thistleusher.core.datagrams import USAGE_ENTRIES_MAX, USAGE_MARK, encode_usage
+
+
+class UsageOutbox:
+    """Customers whose usage not all peers know, and the messages that report it."""
+
+    def __init__(self, customers: CustomerTable) -> None:
+        self.customers = customers
+        self.waiting: dict[int, Customer] = {}  # where every peer gets every update
+
+    def message_to(self, now: float, peer: int, keys: list[int]) -> bytes:
+        """Return the message that reports these customers to one peer."""
+        known = [c for c in map(self.customers.get, keys) if c is not None]
+        return USAGE_MARK + b"".join([self._entry(now, c, self._new_to(c, peer)) for c in known])
+
+    def messages_to_all(self, now: float, most: int) -> Iterator[bytes]:
+        """Yield the messages, `most` at least one, that report to all peers; an empty one where there is nothing."""
+        if not self.waiting:  # only that this ingress is there
+            yield USAGE_MARK
+        customers = list(islice(self.waiting.values(), max(1, most) * USAGE_ENTRIES_MAX))
+        for n in range(0, len(customers), USAGE_ENTRIES_MAX):
+            part = customers[n : n + USAGE_ENTRIES_MAX]
+            yield USAGE_MARK + b"".join([self._entry(now, c, self._new_to_all(c)) for c in part])
+
+    def _new_to(self, customer: Customer, peer: int) -> int:
+        total = customer.admitted_quarters
+        new = total - customer.notified_by_peer.get(peer, customer.notified_quarters)
+        customer.notified_by_peer[peer] = total
+        return new
+
+    def _new_to_all(self, customer: Customer) -> int:
+        del self.waiting[customer.key]
+        new = customer.admitted_quarters - customer.notified_quarters
+        customer.notified_quarters = customer.admitted_quarters
+        return new
+
+    def _entry(self, now: float, customer: Customer, new: int) -> bytes:
+        number = self.customers.plan_numbers[customer.plan.name]
+        headroom = customer.headroom(now)
+        return encode_usage(number, customer.key, customer.admitted_quarters, new, headroom, customer.plan.burst)
--- a/thistleusher/policy/__init__.py
+++ b/thistleusher/policy/__init__.py
@@ -1,6 +1,6 @@
-"""The one decision module: it decides which server, whether to try again, what is turned away.
+"""The decision module: it decides which backend serves a request, whether it is retried, and what is rejected.
 
-Pure: no I/O and no clock; every time it needs comes with an event. The same events give the same actions.
+It promises to be pure: no I/O and no clock, every time comes with an event, and the same events give the same actions.
 """
 
 from thistleusher.policy.gateway import Gateway
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -1,300 +1,372 @@
-"""Admission by the counter's totals: the mechanism of docs/design.md, and what stands in while none come."""
+"""Admission by the counter's totals: the mechanism of docs/design.md, and what replaces it while none come."""
 
 from __future__ import annotations
 
 import math
 import random
-from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass
 
-from thistleusher.core import actions, events
-from thistleusher.core.actions import Action
-from thistleusher.core.datagrams import GRANT_MARKS, OWNER_MARKS
+from thistleusher.core import events
+from thistleusher.core.actions import Action, CounterAdd, Log, SendToPeer
+from thistleusher.core.charges import Charge, PendingRequest
+from thistleusher.core.counter_calls import CounterCall, CounterCalls
+from thistleusher.core.customer import Customer
+from thistleusher.core.datagrams import GRANT_MARKS, OWNER_MARKS, QUERY_MARK, RECONCILE_MARK, REPLY_MARK
+from thistleusher.core.decision_ports import Gossip
 from thistleusher.core.events import Outcome
 from thistleusher.core.settings import Settings
-from thistleusher.policy.attempts import Attempts, Charge, Flight
+from thistleusher.policy.attempts import Attempts
 from thistleusher.policy.fleet import Fleet
-from thistleusher.policy.health import ALONE, ASK_DOWN, ASK_S
-from thistleusher.policy.sharing import Sharing
-from thistleusher.policy.store import Customer
+from thistleusher.policy.health import CALL_INTERVAL_S, DOWN_CALL_SHARE, DOWN_MISSES, CounterHealth
+from thistleusher.policy.replication import UsageReplication
+from thistleusher.policy.totals import Totals
 
-HOLD_S = 0.25  # for which a request waits at most for shares that peers are asked for
-HOME_WAITS = 5  # time-outs of the counter that a request must have left for its member's home to be asked
-ASK_SHARE, ASK_OVER = 0.8, 0.01  # calls a request beyond which sure refusals need none; weight of a request
-FORGOT = 2.0      # most units of a request by which a total may be under what was added here
-FORGOT_S = 10.0   # between two words about that
-OWED, LEAVE_CALLS = 0.5, 64  # units worth a call of an ingress that ends; such calls at most
-VERDICT, PART = 0.3, 0.2  # weight of a new total in a customer's chance (a fifth for its like), in its part
+GRANT_WAIT_S = 0.25  # for which a request waits at most for shares that peers are asked for
+OWNER_TIMEOUTS = 5  # time-outs of the counter that a request must have left for its account's owner to be asked
+SURE_CALLS = 0.8  # calls a request beyond which sure rejections need none
+CALLS_WEIGHT = 0.01  # of a request in the calls a request
+CALL_TIMEOUTS = 2  # time-outs of the counter that a request must have left for a call
+COUNT_LIFETIME_WINDOWS = 3
+COUNT_LIFETIME_MAX_S = 60.0
+WRITE_BACK_UNITS = 0.5  # worth a call of an ingress that shuts down
+WRITE_BACK_CALLS = 64  # such calls at most
+VERDICT_WEIGHT = 0.3  # of a verdict in the share of a customer's requests that is admitted
+COMMON_WEIGHT = VERDICT_WEIGHT / 5  # the same of all customers of a plan
 
 
+@dataclass(eq=False, repr=False)
 class Admission:
-    """Charges requests to their customers' counts and lets them in, or refuses them at once."""
+    """Charges requests to their customers' counts and admits them, or rejects them at once."""
 
-    def __init__(self, settings: Settings, rng: random.Random, sharing: Sharing, fleet: Fleet,
-                 attempts: Attempts, acts: list[Action]) -> None:
-        self.s, self.rng, self.acts = settings, rng, acts
-        self.sharing, self.fleet, self.attempts = sharing, fleet, attempts
-        self.classes = {c.name: c for c in settings.classes}
-        self.plans = {p.name: p for p in settings.plans}
-        self.calls: dict[int, deque[tuple[Customer, int, float, Charge | None]]] = {}
-        self.forgot = 0.0  # when a name was last found cut short
-        # Admitted of late, by plan and whether the request is a repeat.
-        self.chance = {(p, again): 1.0 for p in self.plans for again in (False, True)}
+    settings: Settings
+    rng: random.Random
+    replication: UsageReplication
+    fleet: Fleet
+    attempts: Attempts
+    actions: list[Action]
 
-    def request(self, now: float, r: events.Request) -> None:
-        """Charge the told units to the customer's count; sure refusals may need no call."""
-        cls, plan = self.classes[r.class_name], self.plans[r.plan]
-        c = self.sharing.meet(now, r.customer, plan)
-        c.width, c.first = max(1, r.width), r.first
-        self.sharing.forgive(now, c)
-        f = self.attempts.flights[r.id] = Flight(
-            r, cls, c, now, self.fleet.work[cls.name].of(r.units))
-        if plan.rate <= 0 or not self.s.counter:
-            return self.local(now, f)
-        if self.sharing.talk is not None and not c.wide():
-            self.sharing.talk.member_seen(now, c.first, c.width)
-        home = self.sharing.home(now, c) if r.expires_in > HOME_WAITS * self.s.counter_timeout else None
-        if home is not None and home != self.s.me and self.ask(now, f, home):
-            return None
-        if home == self.s.me:
-            c.house(now)
-        self.charge(now, f)
+    def __post_init__(self) -> None:
+        self.totals = Totals(self.settings, self.replication, self.actions)
+        self.classes = {c.name: c for c in self.settings.classes}
+        self.plans = {p.name: p for p in self.settings.plans}
+        self.calls = CounterCalls()
+        # Share admitted of late, by plan and whether the request is a repeat.
+        self.admitted_share = {(plan, repeat): 1.0 for plan in self.plans for repeat in (False, True)}
 
-    def ask(self, now: float, f: Flight, home: int) -> bool:
-        """Have the home of a member's account decide; whether it was asked, or all was said without it."""
-        if not self.fleet.free(now) and self.attempts.late(now, f):
-            self.attempts.refuse(now, f, 0.0)  # a charge for what is not sent would use the quota up
+    def request_arrived(self, now: float, event: events.Request) -> None:
+        """Charge the request's units to the customer's count, or ask the owner of its account."""
+        cls = self.classes[event.class_name]
+        plan = self.plans[event.plan]
+        customer = self.replication.customers.see(now, event.customer, plan)
+        customer.width = max(1, event.width)
+        customer.first = event.first
+        self.replication.release_stale_excess(now, customer)
+        work = self.fleet.work[cls.name].expected(event.units)
+        request = self.attempts.requests[event.id] = PendingRequest(event, cls, customer, now, work)
+        if plan.rate <= 0 or not self.settings.counter:
+            self._decide_locally(now, request)
+            return
+        gossip = self.replication.gossip
+        if gossip is not None and not customer.is_wide():
+            gossip.member_seen(now, customer.first, customer.width)
+        owner = None
+        if event.expires_in > OWNER_TIMEOUTS * self.settings.counter_timeout:
+            owner = self.replication.owner_of(now, customer)
+        if owner is not None and owner != self.settings.me and self._query_owner(now, request, owner):
+            return
+        if owner == self.settings.me:
+            customer.own(now)
+        self._charge(now, request)
+
+    def _query_owner(self, now: float, request: PendingRequest, owner: int) -> bool:
+        """Have the owner of an account decide; return False where it cannot be asked."""
+        if self._rejected_early(now, request):
             return True
-        talk, number = self.sharing.talk, self.sharing.plan_numbers[f.req.plan]
-        message = talk.create_query(now, home, f.req, number) if talk is not None else None
-        if message is not None:
-            self.acts.append(actions.SendToPeer(home, message))
-        return message is not None
+        gossip = self.replication.gossip
+        plan_number = self.replication.plan_numbers[request.req.plan]
+        query = gossip.create_query(now, owner, request.req, plan_number) if gossip is not None else None
+        if query is not None:
+            self.actions.append(SendToPeer(owner, query))
+        return query is not None
 
-    def told(self, now: float, e: events.PeerMessage) -> None:
-        """A question to this ingress as home, an answer to one of its own, or what is to be settled here."""
-        talk, mark = self.sharing.talk, e.payload[:1]
-        if talk is None or mark not in OWNER_MARKS:
-            self.sharing.heard(now, e)
-            if talk is not None and mark in GRANT_MARKS:
-                for held in filter(None, map(self.attempts.flights.get, talk.take_pending())):
-                    self.local(now, held)
-            return None
-        self.sharing.touch[e.sender] = now
-        talk.record_message(now, e.sender, False)
-        if mark == OWNER_MARKS[0] and (a := talk.receive_query(now, e.sender, e.payload)) is not None:
-            c = self.sharing.housed(now, a.plan, a.customer, a.first, a.width)
-            if a.answer:  # it has been charged already
-                self.acts.append(actions.SendToPeer(e.sender, a.answer))
-            elif c is not None:
-                r = events.Request("", "", c.plan.name, a.customer, math.inf, a.units, a.width, a.first)
-                self.charge(now, Charge(r, c, e.sender, a.number))
-        elif mark == OWNER_MARKS[1] and (answer := talk.receive_reply(e.sender, e.payload)) is not None:
-            name, good, room = answer
-            f = self.attempts.flights.get(name)
-            if f is None:  # its client has gone
-                return None
-            f.home, f.took = e.sender, f.req.units if good else 0.0
-            self.pass_on(now, f) if good else self.attempts.refuse(now, f, (f.req.units - room) / f.customer.plan.rate)
-        elif mark == OWNER_MARKS[2]:
-            for key, number, units in talk.parse_reconciliations(e.payload):
-                if (c := self.sharing.housed(now, number, key)) is not None:
-                    c.pending += units
-                    c.use(now, units)
-        return None
+    def _rejected_early(self, now: float, request: PendingRequest) -> bool:
+        """Reject a request that no slot comes free for in time: its charge would use the quota up for nothing."""
+        if self.fleet.has_free_slot(now) or not self.attempts.would_be_late(now, request):
+            return False
+        self.attempts.reject(now, request, 0.0)
+        return True
 
-    def overdue(self, now: float) -> None:
-        """Homes that have not answered in time: the ingress goes by what it knows, and asks the counter itself."""
-        if (talk := self.sharing.talk) is not None:
-            self.acts += [actions.SendToPeer(peer, message) for peer, message in talk.due_retransmissions(now)]
-            for f in filter(None, map(self.attempts.flights.get, talk.expired_requests(now))):
-                self.local(now, f) if f.due else self.charge(now, f)
+    def _charge(self, now: float, charge: Charge) -> None:
+        """Charge units to the count, or decide by what is known where the counter cannot take so many calls."""
+        customer = charge.customer
+        request = charge.req
+        health = self.replication.counters.of_customer(now, customer)
+        known = customer.available(now)
+        health.calls_per_request *= 1 - CALLS_WEIGHT
+        # Spared a call: others can only have taken more than is known.
+        spared = health.call_share < 1 or health.calls_per_request > SURE_CALLS
+        if spared and (known < request.units or customer.short_name(now) in self.replication.exhausted):
+            self._resolve(now, charge, False, (request.units - known) / customer.plan.rate)
+            return
+        if isinstance(charge, PendingRequest) and self._rejected_early(now, charge):
+            return
+        hurried = request.expires_in <= CALL_TIMEOUTS * self.settings.counter_timeout
+        if hurried or (self.rng.random() >= health.call_share and now - health.last_called < CALL_INTERVAL_S):
+            self._decide_locally(now, charge)
+            return
+        unseen = charge.exceeds_share and customer.window < customer.window_at(now) - 1
+        if unseen and not self.replication.in_touch(now, customer):  # the call stands for requests that do not call
+            charge.units = request.units / max(DOWN_CALL_SHARE, health.call_share)
+        self._add(now, customer, charge.units + customer.pending, charge)
+        customer.pending = 0.0
 
-    def pass_on(self, now: float, f: Charge) -> None:
-        """It is inside the quota: send it on, or tell who asked."""
-        self.attempts.send(now, f) if isinstance(f, Flight) else self.reply(now, f, True)
+    def _resolve(self, now: float, charge: Charge, admitted: bool, wait: float = 0.0) -> None:
+        """Send on or reject a request here, to be retried in `wait` seconds, or reply to the peer that asked."""
+        gossip = self.replication.gossip
+        if isinstance(charge, PendingRequest):
+            if admitted:
+                self.attempts.send(now, charge)
+            else:
+                self.attempts.reject(now, charge, wait)
+        elif gossip is not None and charge.peer is not None:
+            headroom = charge.customer.available(now)
+            reply = gossip.create_reply(charge.peer, charge.query, admitted, headroom)
+            self.actions.append(SendToPeer(charge.peer, reply))
 
-    def turn_away(self, now: float, f: Charge, wait: float) -> None:
-        """It is beyond the quota, or nobody knows: refuse it, or tell who asked."""
-        self.attempts.refuse(now, f, wait) if isinstance(f, Flight) else self.reply(now, f, False)
+    def _add(self, now: float, customer: Customer, units: float, charge: Charge | None) -> None:
+        """Call the count of the customer's current window."""
+        name = self.calls.start(now, customer, units, charge)
+        health = self.replication.counters.of_name(name)
+        health.calls_per_request += CALLS_WEIGHT
+        health.last_called = now
+        lifetime = min(COUNT_LIFETIME_MAX_S, COUNT_LIFETIME_WINDOWS * customer.window_length)
+        self.actions.append(CounterAdd(name, units, lifetime))
 
-    def reply(self, now: float, f: Charge, good: bool) -> None:
-        """The home's word to the ingress that asked."""
-        if self.sharing.talk is not None and f.peer is not None:
-            room = f.customer.room(now) - f.customer.flying
-            self.acts.append(actions.SendToPeer(f.peer, self.sharing.talk.create_reply(f.peer, f.number, good, room)))
+    def counter_replied(self, now: float, event: events.CounterReply) -> None:
+        """Take in a total, or its absence: admit, reject and add back, or fall back on the local share."""
+        call = self.calls.finish(event.name)
+        if call is None:
+            return
+        customer = call.customer
+        self.replication.customers.mark_changed(customer)
+        if isinstance(call.charge, PendingRequest) and call.charge.req.id not in self.attempts.requests:
+            call = call._replace(charge=None)  # its client has gone
+        health = self.replication.counters.of_name(event.name)
+        if event.outcome not in (Outcome.OK, Outcome.ERROR):
+            self._call_failed(now, call, event, health)
+            return
+        if health.is_down():
+            self.actions.append(Log(f"counter answers again after {health.misses} misses"))
+        health.record_answer(now, event.elapsed / self.settings.counter_timeout)
+        total = event.total
+        if event.outcome is not Outcome.OK:  # added, but the total is unknown: at least what was known, and this
+            total = call.units + (customer.total if customer.window == call.window else 0.0)
+        self.totals.apply(now, customer, call.window, call.units, total, call.charged)
+        if call.charge is not None:
+            self._decide_by_total(now, call.charge, health)
 
-    def charge(self, now: float, f: Charge) -> None:
-        """Charge it to the count, or decide by what is known where the counter cannot take so many calls."""
-        c, r = f.customer, f.req
-        health, known = self.sharing.health(now, c), c.room(now) - c.flying
-        health.asked *= 1 - ASK_OVER
-        # Spared a call: others can only have taken more than is known.
-        spared = health.ask < 1 or health.asked > ASK_SHARE
-        if spared and (known < r.units or c.short(now) in self.sharing.spent):
-            return self.turn_away(now, f, (r.units - known) / c.plan.rate)
-        if isinstance(f, Flight) and not self.fleet.free(now) and self.attempts.late(now, f):
-            # A charge for what is not sent would use the quota up.
-            return self.attempts.refuse(now, f, 0.0)
-        if r.expires_in <= 2 * self.s.counter_timeout or (
-                self.rng.random() >= health.ask and now - health.called < ASK_S):
-            return self.local(now, f)
-        if f.thin and c.window < c.turn(now) - 1 and not self.sharing.in_touch(now, c):  # others cannot tell
-            f.charge = r.units / max(ASK_DOWN, health.ask)
-        self.add(now, c, f.charge + c.pending, f)
-        c.pending = 0.0
+    def _call_failed(self, now: float, call: CounterCall, event: events.CounterReply, health: CounterHealth) -> None:
+        """Report the units again, unless a total shows that they were counted, and decide locally."""
+        customer = call.customer
+        health.record_miss(now)
+        if health.misses == DOWN_MISSES:
+            self.actions.append(Log("counter gives no answer: admitting by local shares"))
+        customer.pending += call.units - call.charged
+        if event.outcome is Outcome.TIMEOUT:
+            customer.add_doubtful(call.window, call.units)
+        if call.charge is not None:
+            self._decide_locally(now, call.charge)
 
-    def add(self, now: float, c: Customer, units: float, f: Charge | None) -> None:
-        """One call on the count of the customer's current window."""
-        window = c.turn(now)
-        name = c.name(now)
-        self.calls.setdefault(name, deque()).append((c, window, units, f))
-        c.flying += f.charge if f else 0.0
-        c.owing += max(0.0, units - (f.charge if f else 0.0))
-        health = self.sharing.counters.of(name)
-        health.asked += ASK_OVER
-        health.called = now
-        self.acts.append(actions.CounterAdd(name, units, min(60.0, 3 * c.length)))
+    def _decide_by_total(self, now: float, charge: Charge, health: CounterHealth) -> None:
+        """Admit or reject a request whose charge is in the total that its customer's bucket was corrected by."""
+        customer = charge.customer
+        units = charge.req.units
+        admitted = customer.headroom(now) - units >= 0
+        if admitted and customer.plan.ceiling_rate > 0 and not self.replication.in_touch(now, customer, strict=True):
+            # Totals that some of the set may not write to: another counter could serve them.
+            charge.from_escrow = True
+            admitted = self.replication.admit_from_share(now, customer, units)
+        expected = self._expected_share(now, charge)
+        customer.admitted_share = expected + VERDICT_WEIGHT * (admitted - expected)
+        like = charge.req.plan, charge.req.is_repeat
+        common = self.admitted_share[like]
+        self.admitted_share[like] = common + COMMON_WEIGHT * (admitted - common)
+        if admitted:
+            self.replication.admit(now, customer, charge.units, charge)
+            self._resolve(now, charge, True)
+            return
+        if customer.continuous or health.call_share >= 1:
+            self._add(now, customer, -charge.units, None)  # rejected: the charge is added back
+        self._announce_exhausted(now, customer)
+        self._resolve(now, charge, False, (units - customer.headroom(now)) / customer.plan.rate)
 
-    def counted(self, now: float, e: events.CounterReply) -> None:
-        """A total came, or did not: admit, refuse and add back, or fall back on the local share."""
-        queue = self.calls.get(e.name)
-        if not queue:
+    def _announce_exhausted(self, now: float, customer: Customer) -> None:
+        """Send peers the name of a window in which nothing more fits: they need not call."""
+        if not self.settings.peers or self.replication.gossip is not None:
             return
-        c, window, units, f = queue.popleft()
-        if not queue:
-            del self.calls[e.name]
-        c.flying -= f.charge if f else 0.0
-        c.owing -= max(0.0, units - (f.charge if f else 0.0))
-        self.sharing.touched(c)
-        health = self.sharing.counters.of(e.name)
-        f = f if f is not None and (f.peer is not None or f.req.id in self.attempts.flights) else None
-        if e.outcome not in (Outcome.OK, Outcome.ERROR):
-            health.missed(now)
-            if health.misses == ALONE:
-                self.acts.append(actions.Log("counter gives no answer: admitting by local shares"))
-            c.pending += units - (f.charge if f else 0.0)  # told again, unless a total shows that it counted
-            if e.outcome is Outcome.TIMEOUT:
-                c.doubt = units + (c.doubt if c.doubted == window else 0.0)
-                c.doubted = window
-            return self.local(now, f) if f else None
-        if health.down():
-            self.acts.append(actions.Log(f"counter answers again after {health.misses} misses"))
-        health.answered(now, e.elapsed / self.s.counter_timeout)
-        # Added, but the total cannot be read: it is at least what was known and this.
-        total = e.total if e.outcome is Outcome.OK else units + (c.total if c.window == window else 0.0)
-        self.learn(now, c, window, units, total, f.charge if f else 0.0)
-        if f is None:
+        if customer.continuous or customer.level >= 1:
             return
-        good = c.room(now) - f.req.units >= 0
-        if good and c.plan.ceiling_rate > 0 and not self.sharing.in_touch(now, c, strict=True):
-            # Totals that some of the set may not write to: another counter could serve them.
-            f.escrowed = True
-            good = self.sharing.share(now, c, f.req.units)
-        c.chance = self.guess(now, f) + VERDICT * (good - self.guess(now, f))
-        common = self.chance[f.req.plan, f.req.is_repeat]
-        self.chance[f.req.plan, f.req.is_repeat] = common + VERDICT / 5 * (good - common)
-        if good:
-            self.sharing.admit(now, c, f.charge, f)
-            return self.pass_on(now, f)
-        if c.known or health.ask >= 1:
-            self.add(now, c, -f.charge, None)  # refused: the charge is added back
-        if (self.s.peers and self.sharing.talk is None and not c.known and c.level < 1
-                and c.short(now) not in self.sharing.spent):
-            self.acts.append(actions.SendToPeer(None, c.short(now)))  # nothing more fits: peers need not ask
-            self.sharing.heard(now, events.PeerMessage(self.s.me, c.short(now)))
-        self.turn_away(now, f, (f.req.units - c.room(now)) / c.plan.rate)
+        name = customer.short_name(now)
+        if name not in self.replication.exhausted:
+            self.actions.append(SendToPeer(None, name))
+            self.replication.peer_message_received(now, events.PeerMessage(self.settings.me, name))
+
+    def _expected_share(self, now: float, charge: Charge) -> float:
+        """Return the chance that a total would admit: the customer's own of late, ageing into that of its like."""
+        customer = charge.customer
+        common = self.admitted_share[charge.req.plan, charge.req.is_repeat]
+        age = math.exp((customer.level_at - now) / (7 * customer.window_length))
+        return common + (customer.admitted_share - common) * age
 
-    def guess(self, now: float, f: Charge) -> float:
-        """The chance that a total would admit: the customer's own of late, ageing into its like's."""
-        c, common = f.customer, self.chance[f.req.plan, f.req.is_repeat]
-        return common + (c.chance - common) * math.exp((c.at - now) / (7 * c.length))
+    def write_back(self, now: float) -> None:
+        """Add what was admitted and is in no count yet, the most first: it is the last chance."""
+        customers = self.replication.customers.values()
+        due = [c for c in customers if c.pending >= WRITE_BACK_UNITS and c.plan.rate > 0]
+        for customer in sorted(due, key=lambda c: -c.pending)[:WRITE_BACK_CALLS]:
+            self._add(now, customer, customer.pending, None)
+            customer.pending = 0.0
 
-    def learn(self, now: float, c: Customer, window: int, units: float, total: float,
-              charge: float) -> None:
-        """Put the store right by a total: what it holds over what is known came in elsewhere."""
-        if c.wide() and not c.housed and (c.window < window - 1 or (c.window == window and not c.known)):
-            # No history at most ingresses: each would take most of a store to be left, anew in every window.
-            c.known, c.window, c.total = False, window, total
-            c.level, c.at = c.plan.burst - total + charge, now
+    def _decide_locally(self, now: float, charge: Charge) -> None:
+        """Admit against this ingress's share of the bucket; the usage is reported with the next call."""
+        customer = charge.customer
+        plan = customer.plan
+        replication = self.replication
+        # Of a ceiling not a minute is admitted on the word of peers that may admit as much meanwhile.
+        in_touch = replication.in_touch(now, customer)
+        if in_touch and plan.ceiling_rate > 0:
+            in_touch = replication.in_touch(now, customer, strict=True)
+        if plan.rate <= 0:
+            admitted = True
+        elif in_touch or replication.escrow is not None:
+            admitted = self._admit_by_level(now, charge, in_touch)
+        elif plan.ceiling_rate <= 0 and charge.exceeds_share:
+            self._decide_by_chance(now, charge)
             return
-        c.known = True
-        if c.window != window:
-            if c.window < window - 1 and not self.sharing.told_of(now, c):
-                # No history here: a part of the burst is taken as carried over, less what peers told of since;
-                # what was let in or told of before stays known.
-                c.level = min(c.room(now), c.carried(now) - (c.heard if c.heard_in == window else 0.0))
-                c.at = now
-            elif c.excess > 0 and self.sharing.followed(now, c):
-                c.level, c.at = c.room(now) + c.excess, now
-            c.window, c.told, c.excess = window, 0.0, 0.0
-        if c.told > 0 and c.told + units - total > FORGOT * self.s.max_units:
-            self.rewrite(now, c)
-        c.told, c.total = c.told + units, total
-        if c.doubt > 0 and c.doubted == window and self.sharing.in_touch(now, c):
-            # Nobody else can have added so much: what had no answer is in the count, and was told twice.
-            if total - c.told - (c.heard if c.heard_in == window else 0.0) > c.doubt / 2:
-                c.told, c.pending = c.told + c.doubt, c.pending - c.doubt
-            c.doubt = 0.0
-        c.part += PART * (min(1.0, max(0.0, c.told) / max(total, 1e-9)) - c.part)
-        excess = max(0.0, total - c.told - (c.heard if c.heard_in == window else 0.0))
-        c.level, c.at = c.room(now) - (excess - c.excess), now
-        c.excess, c.excess_at = excess, now
+        else:
+            admitted = self._admit_by_even_share(now, charge)
+        if admitted:
+            replication.admit(now, customer, charge.req.units, charge)
+            self._resolve(now, charge, True)
+
+    def _admit_by_level(self, now: float, charge: Charge, in_touch: bool) -> bool:
+        """Return whether the known level, and out of touch the escrowed share, admit it; else it is decided on."""
+        customer = charge.customer
+        replication = self.replication
+        units = charge.req.units
+        if customer.available(now) < units:
+            wait = (units - customer.headroom(now)) / customer.plan.rate if in_touch else 0.0
+            self._resolve(now, charge, False, wait)
+            return False
+        # A ceiling is never given up for service, not even what peers have yet to report.
+        has_ceiling = customer.plan.ceiling_rate > 0
+        counter_silent = replication.counters.of_customer(now, customer).is_silent(now)
+        unsure = counter_silent and (has_ceiling or replication.is_level_assumed(now, customer))
+        charge.from_escrow = not in_touch or unsure or (has_ceiling and replication.gossip is not None)
+        if charge.from_escrow and not replication.admit_from_share(now, customer, units):
+            if not (has_ceiling and self._waits_for_grants(now, charge)):
+                self._resolve(now, charge, False)
+            return False
+        customer.pending += units
+        return True
 
-    def rewrite(self, now: float, c: Customer) -> None:
-        """The count holds less than was added here: another counter, or a name cut short. What it lost is told anew.
+    def _waits_for_grants(self, now: float, charge: Charge) -> bool:
+        """Have a request wait for what peers are asked to grant, once and for a round trip; return whether it does."""
+        charge.grant_deadline = charge.grant_deadline or now + GRANT_WAIT_S
+        gossip = self.replication.gossip
+        if gossip is None or not isinstance(charge, PendingRequest) or now >= charge.grant_deadline:
+            return False
+        return gossip.add_pending(charge.req.id, charge.grant_deadline)
 
-        Its totals say nothing of what came before: the store goes on by what was let in here and what peers told.
-        """
-        if now - self.forgot > FORGOT_S:
-            self.acts.append(actions.Log(f"counter forgets: {c.told:.1f} units of a name are gone; they are told anew"))
-        self.forgot = now
-        c.pending += c.told
-        c.told, c.doubt, c.excess = 0.0, 0.0, 0.0
+    def _decide_by_chance(self, now: float, charge: Charge) -> None:
+        """Admit whole requests by the chance they had of late: a share below one request would reject all."""
+        if self.rng.random() < self._expected_share(now, charge):
+            # Admitted unseen: who comes here again soon asks for more than most.
+            charge.customer.admitted_share *= 1 - VERDICT_WEIGHT
+            self._resolve(now, charge, True)
+        else:
+            self._resolve(now, charge, False)
 
-    def leave(self, now: float) -> None:
-        """Write back what was let in and is in no count yet, the most first; it is the last chance."""
-        owed = [c for c in self.sharing.customers.values() if c.pending >= OWED and c.plan.rate > 0]
-        for c in sorted(owed, key=lambda c: -c.pending)[:LEAVE_CALLS]:
-            self.add(now, c, c.pending, None)
-            c.pending = 0.0
+    def _admit_by_even_share(self, now: float, charge: Charge) -> bool:
+        """Return whether an even share of the bucket, or more where most came through here, admits it; else reject."""
+        customer = charge.customer
+        plan = customer.plan
+        units = charge.req.units
+        share = max(1.0 / customer.width, customer.local_part)
+        if plan.ceiling_rate > 0:  # all shares together, and what totals admit, stay within it
+            by_totals = 0.0 if self.replication.counters.of_customer(now, customer).is_down() else 1.0
+            share = min(share, max(0.0, plan.ceiling_rate / plan.rate - by_totals) / customer.width)
+        unused = now - customer.level_at - (plan.burst - customer.level) / plan.rate
+        if unused > 0:  # refilled since the bucket was full: no wave of rejections when an outage ends
+            customer.pending -= min(share * plan.rate * unused, max(0.0, customer.pending))
+            customer.set_level(now, plan.burst)
+        own = max(0.0, customer.pending)
+        if own + customer.in_flight + units > min(plan.burst, customer.headroom(now) + own) * share:
+            self._resolve(now, charge, False)
+            return False
+        customer.pending += units
+        return True
 
-    def hold(self, now: float, f: Charge) -> bool:
-        """Have a request wait for what peers are asked to give, once and for a round trip; whether it does."""
-        f.due = f.due or now + HOLD_S
-        talk = self.sharing.talk
-        return talk is not None and isinstance(f, Flight) and now < f.due and talk.add_pending(f.req.id, f.due)
+    def peer_message_received(self, now: float, event: events.PeerMessage) -> None:
+        """Take in a query to this ingress as owner, a reply to one of its own, or a reconciliation; or usage."""
+        gossip = self.replication.gossip
+        mark = event.payload[:1]
+        if gossip is None or mark not in OWNER_MARKS:
+            self.replication.peer_message_received(now, event)
+            if gossip is not None and mark in GRANT_MARKS:
+                for request in self._still_pending(gossip.take_pending()):
+                    self._decide_locally(now, request)
+            return
+        self.replication.last_heard[event.sender] = now
+        gossip.record_message(now, event.sender, False)
+        if mark == QUERY_MARK:
+            self._query_received(now, gossip, event)
+        elif mark == REPLY_MARK:
+            self._reply_received(now, gossip, event)
+        elif mark == RECONCILE_MARK:
+            for key, plan_number, units in gossip.parse_reconciliations(event.payload):
+                customer = self.replication.customers.see_owned(now, plan_number, key)
+                if customer is not None:
+                    customer.pending += units
+                    customer.consume(now, units)
+
+    def _query_received(self, now: float, gossip: Gossip, event: events.PeerMessage) -> None:
+        """Charge what a peer asks for, or repeat the reply where it has been charged already."""
+        query = gossip.receive_query(now, event.sender, event.payload)
+        if query is None:
+            return
+        customer = self.replication.customers.see_owned(now, query.plan, query.customer, query.first, query.width)
+        if query.answer:
+            self.actions.append(SendToPeer(event.sender, query.answer))
+        elif customer is not None:
+            self._charge(now, Charge.of_query(query, customer, event.sender))
+
+    def _reply_received(self, now: float, gossip: Gossip, event: events.PeerMessage) -> None:
+        """Send or reject a request as the owner of its account says."""
+        reply = gossip.receive_reply(event.sender, event.payload)
+        if reply is None:
+            return
+        name, admitted, headroom = reply
+        request = self.attempts.requests.get(name)
+        if request is None:  # its client has gone
+            return
+        request.owner = event.sender
+        request.consumed = request.req.units if admitted else 0.0
+        wait = (request.req.units - headroom) / request.customer.plan.rate
+        self._resolve(now, request, admitted, wait)
+
+    def owner_timer_fired(self, now: float) -> None:
+        """Repeat queries that were likely lost, and decide without owners and grants that are overdue."""
+        gossip = self.replication.gossip
+        if gossip is None:
+            return
+        self.replication.notifier.send(gossip.due_retransmissions(now))
+        for request in self._still_pending(gossip.expired_requests(now)):
+            if request.grant_deadline:
+                self._decide_locally(now, request)
+            else:
+                self._charge(now, request)
 
-    def local(self, now: float, f: Charge) -> None:
-        """Admit against this ingress's share of the store; the use is reported with the next call."""
-        c, units, sharing = f.customer, f.req.units, self.sharing
-        strict = c.plan.ceiling_rate > 0  # not a minute on the word of peers that may let in as much meanwhile
-        touch = sharing.in_touch(now, c) and (not strict or sharing.in_touch(now, c, strict=True))
-        if c.plan.rate > 0 and (touch or sharing.escrow is not None):
-            if c.room(now) - c.flying < units:
-                return self.turn_away(now, f, (units - c.room(now)) / c.plan.rate if touch else 0.0)
-            # A ceiling is never given up for service, not even what peers have yet to tell.
-            f.escrowed = not touch or (strict and sharing.talk is not None) or (
-                sharing.health(now, c).silent(now) and (strict or sharing.guessed(now, c)))
-            if f.escrowed and not sharing.share(now, c, units):
-                return None if strict and self.hold(now, f) else self.turn_away(now, f, 0.0)
-            c.pending += units
-        elif c.plan.rate > 0 >= c.plan.ceiling_rate and f.thin:
-            # A share under one request would refuse all: whole ones by the chance they had of late.
-            good = self.rng.random() < self.guess(now, f)
-            c.chance *= 1 - VERDICT * good  # let in unseen: who comes here again soon asks more than most
-            return self.pass_on(now, f) if good else self.turn_away(now, f, 0.0)
-        elif c.plan.rate > 0:
-            share = max(1.0 / c.width, c.part)
-            if c.plan.ceiling_rate > 0:  # all shares together, and what totals admit, stay within it
-                times = c.plan.ceiling_rate / c.plan.rate - (0.0 if self.sharing.health(now, c).down() else 1.0)
-                share = min(share, max(0.0, times) / c.width)
-            unused = now - c.at - (c.plan.burst - c.level) / c.plan.rate
-            if unused > 0:  # refilled since the store was full: no wave of refusals when an outage ends
-                c.pending -= min(share * c.plan.rate * unused, max(0.0, c.pending))
-                c.level, c.at = c.plan.burst, now
-            own = max(0.0, c.pending)
-            if own + c.flying + units > min(c.plan.burst, c.room(now) + own) * share:
-                return self.turn_away(now, f, 0.0)
-            c.pending += units
-        self.sharing.admit(now, c, units, f)
-        self.pass_on(now, f)
+    def _still_pending(self, names: list[str]) -> Iterator[PendingRequest]:
+        """Yield those requests that still are owed an answer when it is their turn."""
+        return filter(None, map(self.attempts.requests.get, names))
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -11,304 +11,315 @@
 import statistics
 import zlib
 from itertools import islice
-from typing import NamedTuple
 
-from thistleusher.core import actions, events
-from thistleusher.core.actions import Action
+from thistleusher.core import events
+from thistleusher.core.actions import Action, Log
+from thistleusher.core.backend_record import Backend, OutstandingAttempt
+from thistleusher.core.backend_table import BackendTable
 from thistleusher.core.decision_ports import Routed
-from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.events import BackendEntry, ListKind, Outcome
 from thistleusher.core.settings import ClassSettings, Effect, Group, Settings
-from thistleusher.core.snapshots import Learned, LearnedBackend, LearnedClass
-from thistleusher.policy.work import WorkOfClass
-
-BAD_SHARE = 0.5   # share of faults of a backend that is out of order
-USUAL = (0.02, 0.4)  # least and most that the whole fleet's share of faults is taken for
-PROOF, SURE = 6.0, 4.0  # log likelihood of that share over the fleet's at which one is ejected; and after its trial
-EJECT_S = 3.0     # rest of an ejected backend, before each trial attempt
-SLOTS, FLOOR = 6.0, 2.0  # attempts out to a backend by all ingresses together, at first and at least
-AIM_PART = 0.16   # of its aim that a class's unpressed latency is taken for at most
-EASE, EASE_S = 0.01, 0.3  # of the slots that a pressed answer takes, at least; a second, at most at once
-SHY, SHY_S = 4.0, 10.0  # cost of a backend sure to turn a class or plan away; time by which such news ages
-TAIL = 4.0        # times the unpressed latency, beyond which a longer answer says no more
-PRESSED = 1.8     # times the unpressed latency, where the concurrency limit shrinks
-KEEP_SHARE = 0.5  # of the fleet that outlier ejection must leave in use
+from thistleusher.core.snapshots import Learned
+from thistleusher.core.work_model import WorkModel
+
+# Outlier ejection.
+FAULTY_SHARE = 0.5  # share of faults of a backend that is out of order
+TYPICAL_MIN, TYPICAL_MAX = 0.02, 0.4  # bounds of the share of faults that is taken for the whole fleet's
+EJECT_EVIDENCE = 6.0  # log likelihood of the one share over the other at which a backend is ejected
+TRIAL_EVIDENCE = 4.0  # that it keeps after a good trial
+EJECT_S = 3.0  # rest of an ejected backend, before each trial attempt
+KEEP_SHARE = 0.5  # of the fleet that ejection must leave in use
+
+# Concurrency limit.
+INITIAL_SLOTS = 6.0  # attempts out to a backend by all ingresses together, at first
+MIN_SLOTS = 2.0  # and at least
+TARGET_SHARE = 0.16  # of its latency target that a class's unloaded latency is taken for at most
+MIN_STEP, MAX_STEP = 0.01, 0.3  # of the slots that an overloaded answer takes: at least, and a second
+LATENCY_RATIO_MAX = 4.0  # times the unloaded latency, beyond which a longer answer says no more
+OVERLOADED = 1.8  # times the unloaded latency, where the concurrency limit shrinks
+
+# Choice of a backend.
+ERROR_COST = 4.0  # cost of a backend whose answers are all faults
+REJECTION_COST = 4.0  # cost of a backend sure to reject a class or plan
+REJECTION_AGE_S = 10.0  # time by which its rejections age
+TIE_BREAK = 0.02  # share of the cost that chance adds
+RATE_S = 5.0  # span of the rate of answers
 COLD_SAFETY = 0.8  # of the stated cold budget that is used, as the warm rate is only an estimate
-COLD_MOST = 2.0   # times what a cold backend is sure to do, beyond which it is only slow, allowed or not
-NEAR, NEAR_S = 16, 3.0  # backends at least of the part that an ingress goes to; seconds between attempts at one of it
-COVER = 4  # parts at least that a backend is in
-SCAN, DRAWN, DRAWS = 24, 8, 4  # backends that are all looked at; of more, looked at in a draw, and draws
-TIE, RATE_S = 0.02, 5.0  # chance that breaks ties, span of the rate of answers
+COLD_MAX = 2.0  # times what a cold backend is sure to do, beyond which it is only slow, allowed or not
+MAX_TOKENS = 1.5  # attempts that a cold backend's budget saves up
+
+# Subsets of a large fleet.
+SUBSET_MIN = 16  # backends of an ingress's subset at least
+SUBSET_REVISIT_S = 3.0  # seconds between attempts at one backend of the subset, at most
+SUBSETS_PER_BACKEND = 4  # subsets at least that a backend is in
+SUBSET_S = 1.0  # between draws of the subset
+SCAN = 24  # backends that are all looked at
+DRAWN = 8  # of more, those looked at in one draw
+DRAWS = 4
+
 FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
 ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.FULL)
 
 
-class Out(NamedTuple):
-    """An attempt that is out: its class and plan, told units, expected work."""
-
-    sent: float
-    cls: str
-    plan: str
-    units: float
-    work: float
-
-
-class Backend:
-    """A server as seen from the ingress's own traffic."""
-
-    def __init__(self, entry: BackendEntry, now: float, phase: float) -> None:
-        self.entry, self.usable = entry, False
-        self.out: dict[str, Out] = {}  # own attempts out
-        self.work = 0.0  # of those, all together
-        self.aside = False  # silent: what is out there takes no room from other attempts
-        self.answered = now
-        self.ratio, self.errors, self.resting, self.trial = 1.0, 0.0, 0.0, False
-        self.proof = 0.0  # that it is out of order, by its faults and answers (cumulative sum, Page 1954)
-        self.tokens, self.tokens_at = phase, now  # a small part never comes to one without
-        self.shy: dict[str, tuple[float, float]] = {}  # class or plan: turned away (1) or served (0), when
-
-
 class Fleet:
     """All backends. `choose` looks at each of up to `SCAN`; of more at `DRAWN` at random (Mitzenmacher 2001).
 
-    Of so many an ingress goes to its part alone (deterministic subsetting, Beyer et al. 2016, ch. 20): connections are
-    used again, and what one ingress learns of a backend it learns soon. Parts lie evenly in the order of hashed ids,
-    so each backend is in about as many of them; a busier ingress has a larger one.
-    At all of them only where several such draws hold none that may be sent to.
+    Of so many an ingress uses its subset alone (deterministic subsetting, Beyer et al. 2016, ch. 20): connections are
+    used again, and what one ingress learns of a backend it learns soon. Subsets lie evenly in the order of hashed ids,
+    so each backend is in about as many of them; a busier ingress has a larger one. All backends are drawn from only
+    where several draws from the subset hold none that may be sent to.
     """
 
-    def __init__(self, settings: Settings, rng: random.Random, acts: list[Action], now: float) -> None:
-        self.s, self.rng, self.acts = settings, rng, acts
+    def __init__(self, settings: Settings, rng: random.Random, actions: list[Action], now: float) -> None:
+        self.settings = settings
+        self.rng = rng
+        self.actions = actions
         self.classes = {c.name: c for c in settings.classes}
-        self.backends: dict[str, Backend] = {}
-        self.ready: list[Backend] = []  # those that the list says may be used, by their hashed ids
-        self.near: list[Backend] = []  # this ingress's part of them
-        self.near_at = -math.inf  # when that was last looked at
-        self.latency = {c.name: c.objective * AIM_PART for c in settings.classes}  # usual time of an answer
-        self.base = dict(self.latency)  # and what it was when nothing was pressed
-        self.work = {c.name: WorkOfClass() for c in settings.classes}
-        self.load = 0.0
-        self.out, self.slots = 0, 0.0  # own attempts out, how many may be
-        self.usual = USUAL[0]  # share of faults of the backend in the middle, as at the last fault
-        self.press, self.judged, self.paused = 1.0, now, 0.0  # latency over base, when; rest below one slot
-        # Share of attempts of a class or plan that were turned away.
-        self.shy = dict.fromkeys((*self.classes, *(p.name for p in settings.plans)), 0.0)
-        self.sharers = 1 if settings.own_backends else settings.instances  # who send to these backends
-        self.usable, self.rate, self.rate_at = 0, 0.0, now  # attempts a second to one warm backend
-        self.each = SLOTS / self.sharers  # slots a backend to begin with
-        self.past: dict[str, LearnedBackend] = {}  # of an earlier life, for backends that the list has yet to name
-
-    def meet(self, cls: ClassSettings) -> None:
-        """A class that the settings do not name."""
+        self.backends = BackendTable(rng)
+        self.ready: list[Backend] = []  # usable, by their hashed ids
+        self.subset: list[Backend] = []  # this ingress's part of them
+        self.subset_at = -math.inf  # when it was drawn
+        self.sharers = 1 if settings.own_backends else settings.instances  # ingresses that send to these backends
+        self.usable_count = 0
+        self.latency = {c.name: c.objective * TARGET_SHARE for c in settings.classes}  # usual, by class
+        self.base_latency = dict(self.latency)  # and what it was when nothing was overloaded
+        self.work = {c.name: WorkModel() for c in settings.classes}
+        self.slots = 0.0  # how much work may be out
+        self.slots_per_backend = INITIAL_SLOTS / self.sharers  # to begin with
+        self.pressure = 1.0  # latency over unloaded latency
+        self.last_judged = now
+        self.paused_until = 0.0  # a rest below one slot
+        self.typical_faults = TYPICAL_MIN  # share of faults of the median backend, as at the last fault
+        # Share of attempts of a class or plan that were rejected.
+        self.rejections = dict.fromkeys((*self.classes, *(p.name for p in settings.plans)), 0.0)
+        self.rate = 0.0  # served attempts a second to one warm backend
+        self.rate_at = now
+
+    def add_class(self, cls: ClassSettings) -> None:
+        """Add a class that the settings do not name, or change one."""
         if cls.name not in self.classes:
-            self.latency[cls.name] = self.base[cls.name] = cls.objective * AIM_PART
-            self.work[cls.name], self.shy[cls.name] = WorkOfClass(), 0.0
+            self.latency[cls.name] = self.base_latency[cls.name] = cls.objective * TARGET_SHARE
+            self.work[cls.name] = WorkModel()
+            self.rejections[cls.name] = 0.0
         self.classes[cls.name] = cls
 
-    def free(self, now: float) -> bool:
-        """Whether the concurrency limit allows one more attempt."""
-        return self.load < max(1.0, self.slots) and now >= self.paused
-
-    def cold(self, now: float, b: Backend) -> float:
-        """Share of its capacity that a backend is sure to have since its start (slow start)."""
-        grown = (now - b.entry.born) / self.s.cold_time if b.entry.born > 0 and self.s.cold_time > 0 else 1.0
-        return min(1.0, self.s.start_capacity + (1 - self.s.start_capacity) * max(0.0, grown))
-
-    def choose(self, now: float, f: Routed) -> Backend | None:
-        """Least own outstanding work over learned speed, among those that are healthy and allowed."""
-        if not self.free(now):
+    def has_free_slot(self, now: float) -> bool:
+        """Return whether the concurrency limit allows one more attempt."""
+        return self.backends.load < max(1.0, self.slots) and now >= self.paused_until
+
+    def warmth(self, now: float, backend: Backend) -> float:
+        """Return the share of its capacity that a backend is sure to have since its start (slow start)."""
+        grown = 1.0
+        if backend.entry.born > 0 and self.settings.cold_time > 0:
+            grown = (now - backend.entry.born) / self.settings.cold_time
+        start = self.settings.start_capacity
+        return min(1.0, start + (1 - start) * max(0.0, grown))
+
+    def choose(self, now: float, request: Routed) -> Backend | None:
+        """Return the backend to send to; None where no slot is free or no backend may be sent to."""
+        if not self.has_free_slot(now):
             return None
         if len(self.ready) > SCAN:
-            if now - self.near_at > 1.0:
-                self.draw_near(now)
-            for among in (*[self.near] * DRAWS, *[self.ready] * DRAWS):
-                if (best := self.least(now, f, self.rng.sample(among, min(DRAWN, len(among))))) is not None:
+            if now - self.subset_at > SUBSET_S:
+                self.draw_subset(now)
+            for among in (*[self.subset] * DRAWS, *[self.ready] * DRAWS):
+                best = self.least(now, request, self.rng.sample(among, min(DRAWN, len(among))))
+                if best is not None:
                     return best
-        return self.least(now, f, self.ready)
+        return self.least(now, request, self.ready)
 
-    def draw_near(self, now: float) -> None:
-        """This ingress's part anew, without what rests. Costs a look at each backend, once a second."""
+    def draw_subset(self, now: float) -> None:
+        """Draw this ingress's subset anew, without what is ejected. Costs a look at each backend, once a second."""
         count = len(self.ready)
-        part = max(NEAR, COVER * count // self.sharers, round(NEAR_S * self.rate * self.usable))
-        start = count * (self.s.me % self.sharers) // self.sharers
+        by_rate = round(SUBSET_REVISIT_S * self.rate * self.usable_count)
+        size = max(SUBSET_MIN, SUBSETS_PER_BACKEND * count // self.sharers, by_rate)
+        start = count * (self.settings.me % self.sharers) // self.sharers
         ring = (self.ready[(start + n) % count] for n in range(count))
-        self.near = list(islice((b for b in ring if now >= b.resting), part))
-        self.near_at = now
+        self.subset = list(islice((b for b in ring if now >= b.ejected_until), size))
+        self.subset_at = now
 
-    def least(self, now: float, f: Routed, among: list[Backend]) -> Backend | None:
-        """The one of least cost; None where none of them may be sent to now."""
+    def least(self, now: float, request: Routed, among: list[Backend]) -> Backend | None:
+        """Return the backend of least cost: own outstanding work over learned speed; None where none is eligible."""
         best: Backend | None = None
-        least = 0.0
-        keyed = f.ran_on if f.cls.effect is Effect.KEYED else None
-        keys = [(key, 1 + SHY * self.shy[key]) for key in (f.cls.name, f.req.plan)]
-        for b in among:
-            e = b.entry
-            if e.backend in f.bad or now < b.resting:
+        best_cost = 0.0
+        keyed = request.ran_on if request.cls.effect is Effect.KEYED else None
+        keys = [(key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.cls.name, request.req.plan)]
+        for backend in among:
+            if not self._is_eligible(now, backend, request, keyed):
                 continue
-            if b.trial and (b.out or f.cls.effect is Effect.UNSAFE):
-                continue
-            if keyed is not None and ((f.cls.group is Group.ZONE and e.zone != keyed.zone) or (
-                    f.cls.group is Group.CELL and e.cell != keyed.cell)):
-                continue
-            if e.born > 0 and (ramp := self.cold(now, b)) < 1.0:
-                gain = self.rate * self.apart() * ramp * min(COLD_SAFETY * self.s.fall_multiple, COLD_MOST)
-                b.tokens = min(1.5, b.tokens + gain * (now - b.tokens_at))
-                b.tokens_at = now
-                if b.tokens < 1.0:
-                    continue
-            cost = (b.work + f.work) * b.ratio * (1 + 4 * b.errors)
+            cost = (backend.work + request.work) * backend.ratio * (1 + ERROR_COST * backend.errors)
             for key, usual in keys:
-                if key in b.shy:
-                    last, at = b.shy[key]
-                    usual = 1 + SHY * (self.shy[key] + (last - self.shy[key]) * math.exp((at - now) / SHY_S))
-                cost *= usual
-            cost *= 1 + TIE * self.rng.random()
-            if best is None or cost < least:
-                best, least = b, cost
+                if key in backend.rejected:
+                    last, at = backend.rejected[key]
+                    fleet = self.rejections[key]
+                    cost *= 1 + REJECTION_COST * (fleet + (last - fleet) * math.exp((at - now) / REJECTION_AGE_S))
+                else:
+                    cost *= usual
+            cost *= 1 + TIE_BREAK * self.rng.random()
+            if best is None or cost < best_cost:
+                best = backend
+                best_cost = cost
         return best
 
-    def apart(self) -> float:
-        """Times as often as a backend of all that one of this ingress's part is gone to; by as many ingresses fewer."""
-        return len(self.ready) / len(self.near) if len(self.ready) > SCAN and self.near else 1.0
-
-    def sent(self, now: float, b: Backend, f: Routed) -> None:
-        """An attempt goes out."""
-        b.out[f.req.id] = Out(now, f.cls.name, f.req.plan, f.req.units, f.work)
-        b.work += f.work
-        self.out += 1
-        if not b.aside:
-            self.load += f.work
-        if self.cold(now, b) < 1.0:
-            b.tokens -= f.work
-
-    def ended(self, now: float, e: events.AttemptEnded) -> None:
-        """An attempt has its outcome."""
-        b = self.backends.get(e.backend)
-        out = b.out.pop(e.request, None) if b is not None else None
-        if b is not None and out is not None:
-            b.work = b.work - out.work if b.out else 0.0
-            self.out -= 1
-            if not b.aside:
-                self.load = max(0.0, self.load - out.work) if self.out else 0.0
-            if b.aside and e.outcome in ANSWERS:
-                b.aside = False
-                self.load += b.work
-            self.judge(now, b, e, out)
-
-    def judge(self, now: float, b: Backend, e: events.AttemptEnded, out: Out) -> None:
-        """Latency, errors and concurrency limit of one backend; times as of a request of its class's mean work."""
-        name, plan, took = out.cls, out.plan, e.elapsed / out.work
-        b.answered = now if e.outcome in ANSWERS else b.answered  # a time-out is no sign of life, nor a fault
-        slow = e.outcome is Outcome.TIMEOUT and took > self.latency[name] and not b.aside
-        if e.outcome is Outcome.OK or slow:
-            times = min(took / self.base[name], TAIL)  # a few very costly requests are no jam
-            b.ratio += 0.1 * (times - b.ratio)
-            step = min(EASE_S, max(EASE, EASE_S * (now - self.judged)))  # few answers: each says more
-            self.judged = now
-            self.press += min(0.4, 5 * step) * (times - self.press)
-            if self.press > PRESSED:  # all hold too much there: one slot a backend may be too many
-                self.slots = max(FLOOR * self.usable / self.sharers, self.slots * (1 - step))
-            elif self.load + 2 > self.slots:
-                self.slots += min(self.slots, 1 / self.slots)
-            if self.slots < 1:  # less than one attempt out on average: a rest after each
-                self.paused = now + min(1.0, e.elapsed) * (1 / self.slots - 1)
-        if e.outcome in (Outcome.OK, Outcome.FULL):
-            for key in (name, plan):  # some turn one class or plan away: told from a full fleet by who it is
-                b.shy[key] = (float(e.outcome is Outcome.FULL), now)
-                self.shy[key] += 0.1 * (b.shy[key][0] - self.shy[key])
-        if e.outcome is Outcome.OK:
-            # Served, not sent: requests turned away made warm servers look able to take more, cold ones too.
-            self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + 1 / RATE_S / max(1, self.usable)
-            self.rate_at = now
-            if b.trial:
-                b.trial, b.proof = False, SURE
-            b.errors *= 0.8
-            self.weigh(b, False)
-            self.work[name].learn(out.units, e.elapsed)
-            self.latency[name] += 0.05 * (took - self.latency[name])
-            usual = self.base[name] + (0.01 if self.press < PRESSED else 0.0005) * (
-                self.latency[name] - self.base[name])
-            self.base[name] = min(usual, AIM_PART * self.classes[name].objective)  # a jam is never the norm
-        elif e.outcome in FAULTS:
-            self.weigh(b, True)
-            b.errors += 0.3 * (1 - b.errors)
-            if b.trial or b.proof >= PROOF:
-                self.eject(now, b, "failing")
-
-    def weigh(self, b: Backend, fault: bool) -> None:
-        """Evidence that a backend is out of order, and not just as unlucky as half of the fleet is.
+    def _is_eligible(self, now: float, backend: Backend, request: Routed, keyed: BackendEntry | None) -> bool:
+        """Return whether a backend may be sent to; `keyed`: the one whose group knows the request's key."""
+        entry = backend.entry
+        if entry.backend in request.bad or now < backend.ejected_until:
+            return False
+        if backend.trial and (backend.outstanding or request.cls.effect is Effect.UNSAFE):
+            return False
+        if keyed is not None:
+            group = request.cls.group
+            if (group is Group.ZONE and entry.zone != keyed.zone) or (group is Group.CELL and entry.cell != keyed.cell):
+                return False
+        return entry.born <= 0 or self._has_token(now, backend)
+
+    def _has_token(self, now: float, backend: Backend) -> bool:
+        """Return whether a backend's slow start allows one more attempt."""
+        warmth = self.warmth(now, backend)
+        if warmth >= 1.0:
+            return True
+        gain = self.rate * self.subset_factor() * warmth * min(COLD_SAFETY * self.settings.fall_multiple, COLD_MAX)
+        backend.tokens = min(MAX_TOKENS, backend.tokens + gain * (now - backend.tokens_at))
+        backend.tokens_at = now
+        return backend.tokens >= 1.0
+
+    def subset_factor(self) -> float:
+        """Return how much more often a backend of the subset is sent to than one of all; by as many ingresses fewer."""
+        return len(self.ready) / len(self.subset) if len(self.ready) > SCAN and self.subset else 1.0
+
+    def sent(self, now: float, backend: Backend, request: Routed) -> None:
+        """Note an attempt that goes out."""
+        req = request.req
+        attempt = OutstandingAttempt(now, request.cls.name, req.plan, req.units, request.work)
+        self.backends.started(backend, req.id, attempt)
+        if self.warmth(now, backend) < 1.0:
+            backend.tokens -= request.work
+
+    def ended(self, now: float, event: events.AttemptEnded) -> None:
+        """Learn from an attempt's outcome."""
+        backend = self.backends.get(event.backend)
+        attempt = self.backends.finished(backend, event.request) if backend is not None else None
+        if backend is None or attempt is None:
+            return
+        if event.outcome in ANSWERS:  # a time-out is no sign of life, nor a fault
+            self.backends.mark_answered(now, backend)
+        latency = event.elapsed / attempt.work  # as of a request of its class's mean work
+        late = event.outcome is Outcome.TIMEOUT and latency > self.latency[attempt.class_name] and not backend.silent
+        if event.outcome is Outcome.OK or late:
+            self._adjust_slots(now, backend, latency / self.base_latency[attempt.class_name], event.elapsed)
+        if event.outcome in (Outcome.OK, Outcome.FULL):
+            self._record_rejection(now, backend, attempt, event.outcome is Outcome.FULL)
+        if event.outcome is Outcome.OK:
+            self._record_success(now, backend, attempt, event.elapsed)
+        elif event.outcome in FAULTS:
+            self._record_fault(now, backend)
+
+    def _adjust_slots(self, now: float, backend: Backend, ratio: float, elapsed: float) -> None:
+        """Follow latency with the concurrency limit; `ratio`: an answer's latency over the unloaded one."""
+        ratio = min(ratio, LATENCY_RATIO_MAX)  # a few very costly requests are no overload
+        backend.ratio += 0.1 * (ratio - backend.ratio)
+        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_judged)))  # few answers: each says more
+        self.last_judged = now
+        self.pressure += min(0.4, 5 * step) * (ratio - self.pressure)
+        if self.pressure > OVERLOADED:  # all hold too much there: one slot a backend may be too many
+            self.slots = max(MIN_SLOTS * self.usable_count / self.sharers, self.slots * (1 - step))
+        elif self.backends.load + 2 > self.slots:
+            self.slots += min(self.slots, 1 / self.slots)
+        if self.slots < 1:  # less than one attempt out on average: a rest after each
+            self.paused_until = now + min(1.0, elapsed) * (1 / self.slots - 1)
+
+    def _record_rejection(self, now: float, backend: Backend, attempt: OutstandingAttempt, rejected: bool) -> None:
+        """Learn whether a backend rejects one class or plan: it is told from a full fleet by who it rejects."""
+        for key in (attempt.class_name, attempt.plan):
+            backend.rejected[key] = (float(rejected), now)
+            self.rejections[key] += 0.1 * (float(rejected) - self.rejections[key])
+
+    def _record_success(self, now: float, backend: Backend, attempt: OutstandingAttempt, elapsed: float) -> None:
+        """Learn rate, work and latency; the rate is of served attempts, as rejected ones show no capacity."""
+        self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + 1 / RATE_S / max(1, self.usable_count)
+        self.rate_at = now
+        if backend.trial:
+            backend.trial = False
+            backend.fault_evidence = TRIAL_EVIDENCE
+        backend.errors *= 0.8
+        self.weigh(backend, False)
+        name = attempt.class_name
+        self.work[name].learn(attempt.units, elapsed)
+        self.latency[name] += 0.05 * (elapsed / attempt.work - self.latency[name])
+        base_rate = 0.01 if self.pressure < OVERLOADED else 0.0005
+        base = self.base_latency[name] + base_rate * (self.latency[name] - self.base_latency[name])
+        self.base_latency[name] = min(base, self._base_max(name))
+
+    def _base_max(self, name: str) -> float:
+        """Return the most that a class's unloaded latency is taken for: an overload is never the norm."""
+        return TARGET_SHARE * self.classes[name].objective
+
+    def _record_fault(self, now: float, backend: Backend) -> None:
+        self.weigh(backend, True)
+        backend.errors += 0.3 * (1 - backend.errors)
+        if backend.trial or backend.fault_evidence >= EJECT_EVIDENCE:
+            self.eject(now, backend, "failing")
+
+    def weigh(self, backend: Backend, fault: bool) -> None:
+        """Add evidence that a backend is out of order, and not just as unlucky as half of the fleet is.
 
         A fault costs a look at each backend; an answer does not.
         """
         if fault:
-            middle = statistics.median_low([x.errors for x in self.backends.values() if x.usable] or [0.0])
-            self.usual = min(USUAL[1], max(USUAL[0], middle))
-        gain = math.log(BAD_SHARE / self.usual) if fault else math.log((1 - BAD_SHARE) / (1 - self.usual))
-        b.proof = max(0.0, b.proof + gain)
-
-    def silent(self, now: float, times: float) -> list[Backend]:
-        """Backends that owe answers for `times` their usual time: they are ejected."""
-        owing = [b for b in self.backends.values() if b.out and times * max(1.0, b.ratio) <= sum(
-            (now - max(o.sent, b.answered)) / (self.latency[o.cls] * o.work) for o in b.out.values())]
-        for b in owing:
-            self.eject(now, b, "silent")
-        return owing
-
-    def eject(self, now: float, b: Backend, why: str) -> None:
-        """Outlier ejection: rest a while, then one trial at a time; part of the fleet is always kept."""
-        resting = sum(1 for x in self.backends.values() if x.usable and now < x.resting)
-        if now < b.resting or resting + 1 > (1 - KEEP_SHARE) * self.usable:
+            median = statistics.median_low([b.errors for b in self.backends.values() if b.usable] or [0.0])
+            self.typical_faults = min(TYPICAL_MAX, max(TYPICAL_MIN, median))
+            gain = math.log(FAULTY_SHARE / self.typical_faults)
+        else:
+            gain = math.log((1 - FAULTY_SHARE) / (1 - self.typical_faults))
+        backend.fault_evidence = max(0.0, backend.fault_evidence + gain)
+
+    def eject_silent(self, now: float, factor: float) -> list[Backend]:
+        """Eject backends that owe answers for `factor` times their usual time, and return them."""
+        owing = (b for b in self.backends.values() if b.outstanding)
+        silent = [b for b in owing if factor * max(1.0, b.ratio) <= b.overdue(now, self.latency)]
+        for backend in silent:
+            self.eject(now, backend, "silent")
+        return silent
+
+    def eject(self, now: float, backend: Backend, why: str) -> None:
+        """Have a backend rest a while, then take one trial at a time; part of the fleet is always kept."""
+        ejected = sum(1 for b in self.backends.values() if b.usable and now < b.ejected_until)
+        if now < backend.ejected_until or ejected + 1 > (1 - KEEP_SHARE) * self.usable_count:
             return
-        b.resting, b.trial = now + EJECT_S, True
-        if why == "silent" and not b.aside:
-            b.aside = True
-            self.load = max(0.0, self.load - b.work)
-        self.acts.append(actions.Log(f"ejected {b.entry.backend}: {why}"))
-
-    def listed(self, now: float, e: events.ListUpdate) -> None:
-        """Follow the list of servers: nothing new to what drains or is gone, slow start for what is new."""
-        if e.kind is ListKind.FAILED:
+        backend.ejected_until = now + EJECT_S
+        backend.trial = True
+        if why == "silent":
+            self.backends.mark_silent(backend)
+        self.actions.append(Log(f"ejected {backend.entry.backend}: {why}"))
+
+    def listed(self, now: float, event: events.ListUpdate) -> None:
+        """Follow the endpoint list: nothing new to what drains or is gone, slow start for what is new."""
+        if event.kind is ListKind.FAILED:
             return
-        for b in self.backends.values():
-            b.usable = b.usable and e.kind is ListKind.CHANGE
-        for entry in e.entries:
-            known = self.backends.get(entry.backend)
-            if known is None or entry.born != known.entry.born:  # new, or its process is
-                new = self.backends[entry.backend] = Backend(entry, now, self.rng.random())
-                if known is not None:
-                    new.out, new.work, new.aside = known.out, known.work, known.aside
-                past = self.past.pop(entry.backend, None)
-                if past is not None and past.born == entry.born:
-                    new.ratio, new.errors, new.proof, new.resting, new.trial = past[1:]
-                known = new
-            known.entry, known.usable = entry, entry.phase is Phase.RUNNING
-        if e.kind is not ListKind.CHANGE:
-            for name in self.backends.keys() - {entry.backend for entry in e.entries}:
-                self.backends[name].entry = self.backends[name].entry._replace(phase=Phase.DELETED)
-        self.backends = {n: b for n, b in self.backends.items()  # gone, and nothing of ours out there
-                         if b.out or b.entry.phase is not Phase.DELETED}
+        self.backends.listed(now, event)
         self.ready = [b for b in self.backends.values() if b.usable]
         if len(self.ready) > SCAN:
             self.ready.sort(key=lambda b: zlib.crc32(b.entry.backend.encode()))
-        self.near_at = -math.inf
-        self.usable = len(self.ready)
-        self.slots = self.slots or max(2.0, self.each * self.usable)
+        self.subset_at = -math.inf
+        self.usable_count = len(self.ready)
+        self.slots = self.slots or max(2.0, self.slots_per_backend * self.usable_count)
 
     def learned(self, now: float) -> Learned:
-        """What another life of this ingress can go on from. Costs a look at each backend."""
-        classes = {n: LearnedClass(self.latency[n], self.base[n], w.seen, w.units, w.time, w.spread, w.both)
-                   for n, w in self.work.items()}
-        return Learned(now, self.slots, self.usable, self.rate, classes, {
-            n: LearnedBackend(b.entry.born, b.ratio, b.errors, b.proof, b.resting, b.trial)
-            for n, b in self.backends.items() if b.usable})
-
-    def relearn(self, now: float, past: Learned) -> None:
-        """Go on from there. Before any list."""
-        for name, c in past.classes.items():
+        """Return what the next incarnation of this ingress can go on from. Costs a look at each backend."""
+        classes = {n: w.to_learned(self.latency[n], self.base_latency[n]) for n, w in self.work.items()}
+        backends = {name: b.to_learned() for name, b in self.backends.items() if b.usable}
+        return Learned(now, self.slots, self.usable_count, self.rate, classes, backends)
+
+    def restore(self, now: float, learned: Learned) -> None:
+        """Go on from what an earlier incarnation had learned. Before any list."""
+        for name, known in learned.classes.items():
             if name in self.work:
-                self.latency[name] = c.latency
-                self.base[name] = min(c.base, AIM_PART * self.classes[name].objective)
-                w = self.work[name]
-                w.seen, w.units, w.time, w.spread, w.both = c[2:]
-        self.past, self.rate, self.rate_at = dict(past.backends), past.rate, now
-        if past.slots > 0 and past.usable > 0:
-            self.each = past.slots / past.usable
+                self.latency[name] = known.latency
+                self.base_latency[name] = min(known.base, self._base_max(name))
+                self.work[name].restore(known)
+        self.backends.learned = dict(learned.backends)
+        self.rate = learned.rate
+        self.rate_at = now
+        if learned.slots > 0 and learned.usable > 0:
+            self.slots_per_backend = learned.slots / learned.usable
--- a/thistleusher/policy/health.py
+++ b/thistleusher/policy/health.py
@@ -1,70 +1,61 @@
-"""How the counter is doing, and how many requests call it for that."""
+"""How the counter is doing, and what share of requests calls it for that."""
 
 from __future__ import annotations
 
-from thistleusher.core.decision_ports import CounterOf
-
-ALONE = 8         # misses in a row after which the counter counts as down for all, not just crowded
-WAIT = 0.3        # mean wait for the counter, of its time-out, that the share of requests that call aims at
-STEP = 0.1        # how far an answer moves that share at least; more, by the seconds since the last one
-ASK_S = 1.0       # without a call, after which a request calls whatever the share
-SILENT_S = 1.0    # of misses alone, after which totals have stopped coming
-ASK_LEAST, ASK_DOWN = 0.05, 0.2  # its least; while the counter is down, and least that counts as told
-ASK_BACK, ASK_CUT = 0.5, 0.6  # its value when the counter is back; what a miss leaves of it
-
-
-class Counters:
-    """The health of each counter; a lost one costs its own names only. One counter, unless they are placed."""
-
-    def __init__(self, placement: CounterOf | None = None) -> None:
-        self.placement = placement
-        self.each: dict[int, CounterHealth] = {0: CounterHealth()}
-
-    def follow(self, placement: CounterOf) -> None:
-        """Other counters from now on: what was known of each goes by its number, so all begin anew."""
-        self.placement = placement
-        self.each = {0: CounterHealth()}
-
-    def of(self, name: int) -> CounterHealth:
-        """The counter that holds a name."""
-        number = 0 if self.placement is None else self.placement.of(name)
-        found = self.each.get(number)
-        if found is None:
-            found = self.each[number] = CounterHealth()
-        return found
+DOWN_MISSES = 8  # in a row, after which the counter counts as down for all and not just as crowded
+TARGET_WAIT = 0.3  # mean wait for the counter, of its time-out, that the share of calling requests aims at
+MIN_STEP = 0.1  # how far an answer moves that share at least; more, by the seconds since the last one
+CALL_INTERVAL_S = 1.0  # without a call, after which a request calls whatever the share
+SILENT_S = 1.0  # of misses alone, after which totals have stopped coming
+MIN_CALL_SHARE = 0.05  # least share of requests that call
+DOWN_CALL_SHARE = 0.2  # the same while the counter is down, and least that a charge is scaled up by
+RECOVERY_CALL_SHARE = 0.5  # when the counter is back
+MISS_FACTOR = 0.6  # what a miss leaves of the share
 
 
 class CounterHealth:
-    """How readily the counter answers: share of requests that call, misses in a row, calls a request."""
+    """How readily one counter answers."""
 
     def __init__(self) -> None:
-        self.ask, self.misses, self.asked = 1.0, 0, 1.0
-        self.since = 0.0  # of the misses in a row
-        self.met = False  # it has answered this ingress
-        self.called, self.heard = 0.0, 0.0  # when it was last called, and last answered
-
-    def missed(self, now: float) -> None:
-        """A call had no usable answer in time: fewer requests call."""
+        self.call_share = 1.0  # of requests that call it
+        self.calls_per_request = 1.0  # moving mean
+        self.misses = 0  # in a row
+        self.missing_since = 0.0
+        self.has_answered = False
+        self.last_called = 0.0
+        self.last_answered = 0.0
+
+    def record_miss(self, now: float) -> None:
+        """Have fewer requests call: a call had no usable answer in time."""
         if self.misses == 0:
-            self.since = now
-        least = ASK_DOWN if self.down() else ASK_LEAST
-        self.ask, self.misses = max(least, self.ask * ASK_CUT), self.misses + 1
-
-    def answered(self, now: float, waited: float) -> None:
-        """An answer came, after `waited` of the time-out. Few answers: each says more."""
-        self.ask += min(1.0, max(STEP, now - self.heard)) * (WAIT - waited)
-        self.heard = now
-        self.ask = ASK_BACK if self.down() else min(1.0, max(ASK_LEAST, self.ask))
-        self.misses, self.met = 0, True
-
-    def silent(self, now: float) -> bool:
-        """Whether totals have stopped coming, be it that too few calls are made to count it as down.
-
-        One that has never answered is taken at its first word: who has only begun cannot know how long it has been so.
+            self.missing_since = now
+        least = DOWN_CALL_SHARE if self.is_down() else MIN_CALL_SHARE
+        self.call_share = max(least, self.call_share * MISS_FACTOR)
+        self.misses += 1
+
+    def record_answer(self, now: float, waited: float) -> None:
+        """Take in an answer that came after `waited` of the time-out. Few answers: each says more."""
+        self.call_share += min(1.0, max(MIN_STEP, now - self.last_answered)) * (TARGET_WAIT - waited)
+        self.last_answered = now
+        if self.is_down():
+            self.call_share = RECOVERY_CALL_SHARE
+        else:
+            self.call_share = min(1.0, max(MIN_CALL_SHARE, self.call_share))
+        self.misses = 0
+        self.has_answered = True
+
+    def is_silent(self, now: float) -> bool:
+        """Return whether totals have stopped coming, even if too few calls are made to count it as down.
+
+        A counter that has never answered counts as silent at its first miss: who has only started cannot know how long
+        it has been so.
         """
-        return (self.down() or (self.misses > 1 and now - self.since > SILENT_S)
-                or (self.misses > 0 and not self.met))
-
-    def down(self) -> bool:
-        """Whether the counter counts as down for all, and not just as crowded."""
-        return self.misses >= ALONE
+        if self.is_down():
+            return True
+        if self.misses > 0 and not self.has_answered:
+            return True
+        return self.misses > 1 and now - self.missing_since > SILENT_S
+
+    def is_down(self) -> bool:
+        """Return whether the counter counts as down for all, and not just as crowded."""
+        return self.misses >= DOWN_MISSES
