--- a/tests/system/test_knowledge.py
+++ b/tests/system/test_knowledge.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.system.test_registry import PRESENCE, on_duty
+from tests.system.test_registry import PRESENCE, holding_role
 from thistleusher.common.node_settings import Bounds
 from thistleusher.proxy import program as proxy_program
 from thistleusher.proxy.cluster_view import ClusterView, Core, ToPeer, ToRing
@@ -13,8 +13,8 @@
 from thistleusher.registry import program as registry_program
 from thistleusher.registry.program import RegistryProgram
 from thistleusher.transport.codec import encode
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.heartbeat_ring import LACKS_S
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.heartbeat_ring import UPDATE_WAIT_S
 from thistleusher.transport.messages import (
     CoreInfo,
     HandOver,
@@ -59,7 +59,7 @@
     knowledge.from_registry(1.0, "c", whole(registry))
     old_control, old_list = states(4, "ready", False)
     assert knowledge.handed(2.0, HandOver("q", whole(old_control), whole(old_list))) == []
-    partial = HandOver("q", old_control.since(2), old_list.since(2))
+    partial = HandOver("q", old_control.update_since(2), old_list.update_since(2))
     assert knowledge.handed(2.0, partial) == []
     assert knowledge.decisions.ground.evacuated == {"z"} and knowledge.decisions.places["i"].draining
     assert (knowledge.control.state.number, knowledge.list.state.number) == (9, 9)
@@ -71,7 +71,7 @@
     watcher.from_control(1.0, whole(control))
     watcher.from_registry(1.0, "c", whole(registry))
     handed = []
-    for at in (2.0, 2.1 + LACKS_S):
+    for at in (2.0, 2.1 + UPDATE_WAIT_S):
         handed += [out for out in watcher.beat(at, RingHeartbeat("q", 0, 0), "ip-q") if isinstance(out, ToPeer)]
     fresh.handed(3.0, handed[0].message)
     assert fresh.known and fresh.decisions.places["i"].draining
@@ -92,7 +92,7 @@
         lambda: knowledge.from_control(1.0, KeepAlive()),
         lambda: knowledge.from_registry(1.0, "c", KeepAlive()),
     ):
-        with pytest.raises(UnexpectedMessage):
+        with pytest.raises(UnexpectedMessageError):
             take()
     heard = []
     beats = Heartbeats(lambda beat, ip: heard.append((beat, ip)))
@@ -128,21 +128,21 @@
 
 def test_a_registry_that_goes_on_answers_by_the_clock_of_that_moment(monkeypatch):
     program, link = RegistryProgram.__new__(RegistryProgram), Sent()
-    program.loop, program.registry, program.followers = StoppedLoop(), on_duty(), {"d": link}
+    program.loop, program.registry, program.followers = StoppedLoop(), holding_role(), {"d": link}
     clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
     monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
     program._from_follower(link, PRESENCE)
     assert [type(message) for message in link.messages] == [HeartbeatEcho]
     program._from_follower(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
     program._from_follower(link, PRESENCE)
-    assert len(link.messages) == 1 and not program.registry.on_duty
+    assert len(link.messages) == 1 and not program.registry.holds_role
 
 
 def test_a_message_on_a_connection_that_a_newer_one_replaced_is_not_heard():
     program, old, new = RegistryProgram.__new__(RegistryProgram), Sent(), Sent()
-    program.registry, program.followers = on_duty(), {"d": new}
+    program.registry, program.followers = holding_role(), {"d": new}
     program._from_follower(old, PRESENCE)
-    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].life == ""
+    assert old.messages == new.messages == [] and program.registry.counts.ingresses["d"].incarnation == ""
 
 
 def test_a_proxy_that_goes_on_takes_messages_by_the_clock_of_that_moment(monkeypatch):
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -54,7 +54,7 @@
             return
         durable.adopt(message.view)
         view = durable.view
-        if self._context.me not in view.deciders or sender not in view.voters:
+        if self._context.me not in view.electorate or sender not in view.voters:
             self._refuse(sender, message, view)
         elif message.epoch == durable.promised and sender == role.voted_for:
             if role.vote_told:  # its first answer was lost; else it is on its way to the disk
@@ -111,7 +111,7 @@
         role.hear_leader(view.leader)
         role.promise(view.epoch, Records(view=view), partial(self._recorded, sender, view.epoch), self._not_recorded)
         self._context.note(
-            Event.VIEW, view.epoch, view.leader, ", ".join(view.replicas), ", ".join(sorted(view.voters))
+            Event.VIEW_ADOPTED, view.epoch, view.leader, ", ".join(view.replicas), ", ".join(sorted(view.voters))
         )
 
     def _recorded(self, sender: str, epoch: int) -> None:
@@ -126,7 +126,7 @@
         if self._joining.state_lost:
             return self._joining.ready and self._context.me in view.voters
         known = self._durable.view
-        was_voter = known is not None and self._context.me in known.deciders
+        was_voter = known is not None and self._context.me in known.electorate
         return was_voter or self._context.me in view.voters
 
     # Copies.
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -16,13 +16,13 @@
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.configuration import Index
 from thistleusher.common.events import Event
-from thistleusher.common.quota_timing import ALONE_S, OVER
+from thistleusher.common.quota_timing import LOCAL_QUOTA_FROM_S, OVER_LIMIT
 from thistleusher.proxy import decisions as decided
 from thistleusher.proxy.decisions import Counted, Decisions
 from thistleusher.proxy.placement import Place
-from thistleusher.services.wire import Address, read_address
+from thistleusher.services.addresses import Address, read_address
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.heartbeat_ring import HeartbeatRing
 from thistleusher.transport.messages import (
     AnyMessage,
@@ -41,7 +41,7 @@
 from thistleusher.transport.state_updates import Subscriber
 
 MOST_CHARGES = 20_000  # that are remembered; one that is forgotten gets no answer and is not given back
-VERDICT_S = ALONE_S  # after a charge was sent, from which its verdict is too old to be used
+VERDICT_S = LOCAL_QUOTA_FROM_S  # after a charge was sent, from which its verdict is too old to be used
 
 
 class ToRegistry(NamedTuple):
@@ -120,15 +120,21 @@
     def __init__(
         self,
         me: str,
-        life: str,
+        incarnation: str,
         region: str,
         region_of: Callable[[str], str],
-        about: dict[str, str],
+        attributes: dict[str, str],
         decisions: Decisions,
         now: float,
     ) -> None:
-        """`about`: what others are told of this proxy: `front`, `ip`, `zone`, `region`."""
-        self.me, self.life, self.region, self.region_of, self.about = me, life, region, region_of, about
+        """`attributes`: what others are told of this proxy: `front`, `ip`, `zone`, `region`."""
+        self.me, self.incarnation, self.region, self.region_of, self.attributes = (
+            me,
+            incarnation,
+            region,
+            region_of,
+            attributes,
+        )
         self.decisions = decisions
         self.core = CoreMembers()
         self.control = Subscriber(me)
@@ -156,18 +162,18 @@
 
     def follow_control(self) -> SubscribeRequest:
         """The first message to a control process."""
-        return self.control.follow()
+        return self.control.subscribe_request()
 
     def follow_list(self) -> SubscribeRequest:
         """The first message to a registry."""
-        return self.list.follow()
+        return self.list.subscribe_request()
 
     def tick(self, now: float, ready: bool) -> list[Output]:
         """Beats to the counter and on the ring; `ready`: whether requests are served here."""
         beat, full = self.decisions.quota.beat(now)
         if beat:
             self._here(now, ready, full)
-        due = self.ring.due(now)
+        due = self.ring.heartbeats_due(now)
         if due:
             members = self.list.state.values("m:")
             self.out += [ToRing(members[name]["ip"], self._ring_beat()) for name in due if name in members]
@@ -182,9 +188,11 @@
         echo = self.decisions.quota.echo
         if full:
             silent = tuple(sorted(self.ring.silent(now)))
-            self.out.append(ToRegistry("", ProxyStatusReport(self.life, now, echo, ready, silent, self.about)))
+            self.out.append(
+                ToRegistry("", ProxyStatusReport(self.incarnation, now, echo, ready, silent, self.attributes))
+            )
         elif self.counter:
-            self.out.append(ToRegistry(self.counter, ProxyHeartbeat(self.life, now, echo)))
+            self.out.append(ToRegistry(self.counter, ProxyHeartbeat(self.incarnation, now, echo)))
 
     # The ring.
 
@@ -194,14 +202,14 @@
 
     def beat(self, now: float, beat: RingHeartbeat, ip: str) -> list[Output]:
         """Another proxy's heartbeat."""
-        self.ring.beat(now, beat.name)
-        theirs, mine = (beat.control, beat.registry), (self.control.state.number, self.list.state.number)
+        self.ring.record_heartbeat(now, beat.sender)
+        theirs, mine = (beat.control_number, beat.registry_number), (self.control.state.number, self.list.state.number)
         if 0 in mine and theirs > mine:
             # One that knows nothing does not know its watchers: it answers all.
             self.out.append(ToRing(ip, self._ring_beat()))
-        if self.ring.behind(now, beat.name, theirs, mine):
-            control, registry = self.control.state.since(theirs[0]), self.list.state.since(theirs[1])
-            self.out.append(ToPeer(beat.name, ip, HandOver(self.me, control, registry)))
+        if self.ring.needs_hand_over(now, beat.sender, theirs, mine):
+            control, registry = self.control.state.update_since(theirs[0]), self.list.state.update_since(theirs[1])
+            self.out.append(ToPeer(beat.sender, ip, HandOver(self.me, control, registry)))
         return self._flush()
 
     def handed(self, now: float, copy: HandOver) -> list[Output]:
@@ -218,14 +226,14 @@
         if isinstance(message, StateUpdate):
             reply = self._control_news(now, message)
         elif isinstance(message, CoreInfo):
-            if self.core.learn(message):
+            if self.core.update(message):
                 self.out.append(Core(message.voters))
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def _control_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
-        changed, reply = self.control.heard(news)
+        changed, reply = self.control.apply(news)
         if not changed:
             return reply
         if self.configuration.update(self.control.state, changed):
@@ -241,7 +249,7 @@
         assert index is not None
         self.decisions.configured(now, index.config)
         self.out.append(InForce(index))
-        self.out.append(Note(Event.CONFIG, (index.config.version, len(index.config.routes))))
+        self.out.append(Note(Event.CONFIGURATION_APPLIED, (index.config.version, len(index.config.routes))))
 
     # The registry.
 
@@ -251,12 +259,12 @@
         if isinstance(message, ChargeResult):
             self._verdict(now, message)
         elif isinstance(message, HeartbeatEcho):
-            if self.decisions.quota.echoed(now, message.by, message.sent, message.now, message.share):
+            if self.decisions.quota.echoed(now, message.registry, message.sent, message.registry_time, message.share):
                 self.counter = ip
         elif isinstance(message, StateUpdate):
             reply = self._list_news(now, message)
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def charge(self, now: float, action: decided.Charge) -> list[Output]:
@@ -270,7 +278,7 @@
         for remembered in (self.unanswered, self.charged):
             if len(remembered) > MOST_CHARGES:
                 remembered.pop(next(iter(remembered)))  # type: ignore[call-overload]
-        return self._to_counter(Charge(self.life, number, action.tenant, action.amount, action.window))
+        return self._to_counter(Charge(self.incarnation, number, action.tenant, action.amount, action.window))
 
     def _give_back(self, action: decided.Charge) -> list[Output]:
         """Once for each charge; its answer, if none has come yet, reaches nobody."""
@@ -278,31 +286,31 @@
         if number is None:
             return []
         self.unanswered.pop(number, None)
-        return self._to_counter(Charge(self.life, number, action.tenant, action.amount, action.window))
+        return self._to_counter(Charge(self.incarnation, number, action.tenant, action.amount, action.window))
 
     def _to_counter(self, charge: Charge) -> list[Output]:
         return [ToRegistry(self.counter, charge)] if self.counter else []
 
     def _verdict(self, now: float, result: ChargeResult) -> None:
         """The answer to a charge of this life that waits for it. A late one may be of a window long over."""
-        if result.life != self.life:
+        if result.incarnation != self.incarnation:
             return
         charge = self.unanswered.pop(result.number, None)
         if charge is None:
             return
         if now - charge.sent >= VERDICT_S:
-            counted = Counted(charge.request, OVER, 0.0, result.window)
+            counted = Counted(charge.request, OVER_LIMIT, 0.0, result.window)
         else:
-            counted = Counted(charge.request, result.verdict, result.left, result.window)
+            counted = Counted(charge.request, result.verdict, result.seconds, result.window)
         self.out.append(Verdict(counted))
 
     def _list_news(self, now: float, news: StateUpdate) -> StateUpdateAck | SubscribeRequest:
-        changed, reply = self.list.heard(news)
+        changed, reply = self.list.apply(news)
         if not changed:
             return reply
         if any(name.startswith("m:") for name in changed):
             members = self.list.state.values("m:")
-            self.ring.members(now, members)
+            self.ring.set_members(now, members)
             self.decisions.ingresses = sorted(n for n, m in members.items() if m["up"])
         backends = {name[2:]: entry for name, entry in changed.items() if name.startswith("b:")}
         if backends:
@@ -334,7 +342,9 @@
         if moved:
             self.out.append(Backends(moved))
         self._serve()
-        self.out.append(Note(Event.LIST, (self.list.state.number, len(places), len(self.decisions.ingresses))))
+        self.out.append(
+            Note(Event.BACKENDS_APPLIED, (self.list.state.number, len(places), len(self.decisions.ingresses)))
+        )
 
     def _serve(self) -> None:
         evacuated = self.decisions.ground.evacuated
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -12,13 +12,15 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from thistleusher.common.events import Event, say
-from thistleusher.common.failures import Failure, Kind
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.common.events import Event, log_event
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
-from thistleusher.common.process import Settings, life, serve
+from thistleusher.common.process import SettingsFile, new_incarnation, serve
 from thistleusher.common.process_start import BORN
-from thistleusher.net.server import Bounds
-from thistleusher.net.upstream import Endpoint, Terms, Upstream
+from thistleusher.net.backend_connection import UpstreamOptions
+from thistleusher.net.connection_pool import Endpoint
+from thistleusher.net.request_buffer import ClientLimits
+from thistleusher.net.upstream import Upstream
 from thistleusher.proxy.cluster_view import (
     Backends,
     ClusterView,
@@ -34,12 +36,13 @@
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.directory import TTL_S, addresses
 from thistleusher.proxy.listener import ATTEMPT, ProxyGracefulShutdown, ProxyIngress, ProxyServer, outcome_of
-from thistleusher.services.wire import read_address
-from thistleusher.transport.call_server import Addresses, CallServer, Handler, Readiness, Ready, Resolve
-from thistleusher.transport.codec import MalformedMessage, decode, encode
+from thistleusher.services.addresses import read_address
+from thistleusher.transport.call_server import CallServer, Handler
+from thistleusher.transport.calls import Addresses, Readiness, Ready, Resolve
+from thistleusher.transport.codec import MalformedMessageError, decode, encode
 from thistleusher.transport.core_links import CoreLinks
-from thistleusher.transport.errors import UnexpectedMessage
-from thistleusher.transport.links import Dial, Link, Listener
+from thistleusher.transport.errors import UnexpectedMessageError
+from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
 CONNECT_S = 0.6  # to a backend of another region
@@ -49,7 +52,7 @@
 SPARE = 120  # descriptors that are neither clients' nor backends'
 NOTICE_S = 0.4  # between telling that this ingress ends and closing the door at the earliest
 BODY_MOST = 64 * 1024 * 1024
-DOOR = Bounds(body=4096, slow=3.0, idle=10.0)
+DOOR = ClientLimits(max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0)
 HAND_OVER_S = 1.0  # for a copy of the news to be taken
 MOST_WATCHERS = 64  # whose copies are taken at once
 
@@ -68,7 +71,7 @@
         """What is no beat of the ring is dropped: a datagram is nobody's promise."""
         try:
             message = decode(data)
-        except MalformedMessage:
+        except MalformedMessageError:
             return
         if isinstance(message, RingHeartbeat):
             self.heard(message, addr[0])
@@ -85,14 +88,16 @@
 class ProxyProgram:
     """One process on a front machine."""
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
         boot = self.boot = settings.boot
         loop = self.loop = asyncio.get_running_loop()
         now = time.monotonic()
         self.decisions = Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(), now, BORN)
         share = max(32, (boot.limits.fd_limit - 200 - SPARE) // 2)
-        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, share, Terms(BODY_MOST, ATTEMPT, SILENT_S, outcome_of))
+        self.upstream = Upstream(
+            loop, CONNECT_S, IDLE_S, share, UpstreamOptions(BODY_MOST, ATTEMPT, SILENT_S, outcome_of)
+        )
         self.ingress = ProxyIngress(
             loop,
             self.decisions,
@@ -102,9 +107,15 @@
         self.server = ProxyServer(loop, self.ingress, share)
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], DOOR)
         self.readiness = CallServer(loop, [Handler(Readiness, self.ready)], DOOR)
-        about = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
+        attributes = {"front": boot.binds.front, "ip": boot.ip, "zone": boot.zone, "region": boot.region}
         self.knowledge = ClusterView(
-            boot.node_name, life(), boot.region, lambda zone: self.boot.region_of(zone), about, self.decisions, now
+            boot.node_name,
+            new_incarnation(),
+            boot.region,
+            lambda zone: self.boot.region_of(zone),
+            attributes,
+            self.decisions,
+            now,
         )
         self.beats = Heartbeats(self._beat)
         self.control = CoreLinks(
@@ -113,7 +124,7 @@
         self.registries = CoreLinks(
             loop, lambda: self.boot.port(REGISTRY), self.knowledge.follow_list, self._from_registry
         )
-        self.handing = Listener(loop, self._handed, lambda link: None, most=MOST_WATCHERS)
+        self.handing = Listener(loop, self._handed, lambda link: None, max_links=MOST_WATCHERS)
         self.leaving = False
 
     async def run(self) -> None:
@@ -134,13 +145,13 @@
     async def leave(self) -> None:
         """Tell that this ingress ends, go on for as long as somebody comes, finish what is held, close."""
         self.leaving = True
-        self.server.stopping = True
+        self.server.shutting_down = True
         self._carry(self.knowledge.here(time.monotonic(), self.is_ready()))
         grace = self.boot.bounds.grace_s
         farewell = ProxyGracefulShutdown(self.loop.time(), grace)
         try:
             async with asyncio.timeout(grace - 0.3):
-                await self.server.leave(asyncio.sleep(NOTICE_S), farewell)
+                await self.server.drain(asyncio.sleep(NOTICE_S), farewell)
         except TimeoutError:
             pass
         self.ingress.driver.close()
@@ -157,8 +168,8 @@
         self._meet(self.boot.core_ips)
 
     def _meet(self, addresses: tuple[str, ...] | list[str]) -> None:
-        self.control.meet(addresses)
-        self.registries.meet(addresses)
+        self.control.connect_to(addresses)
+        self.registries.connect_to(addresses)
 
     # Time.
 
@@ -202,15 +213,15 @@
                 self.ingress.serving |= out.names
                 self.server.known = self.knowledge.known
             else:
-                say(out.event, *out.fields)
+                log_event(out.event, *out.fields)
 
-    def _from_control(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.knowledge.from_control(time.monotonic(), message)
         self._carry(outputs)
         if reply is not None:  # only what is in force here is acknowledged
             dial.send(reply)
 
-    def _from_registry(self, dial: Dial, message: AnyMessage) -> None:
+    def _from_registry(self, dial: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.knowledge.from_registry(time.monotonic(), dial.host, message)
         self._carry(outputs)
         if reply is not None:
@@ -245,11 +256,11 @@
             link.close()
         if taken:
             copy = peer.message
-            say(Event.HANDED, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
+            log_event(Event.STATE_HANDED_OVER, peer.name, copy.control.previous or 0, copy.registry.previous or 0)
 
     def _handed(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         self._carry(self.knowledge.handed(time.monotonic(), message))
         link.send(HandOverAccepted())
 
@@ -257,7 +268,7 @@
 
     def ready(self, call: Readiness, done: Callable[[Any], None]) -> None:
         """The platform's check."""
-        done(Ready() if self.is_ready() else Failure(Kind.STARTING))
+        done(Ready() if self.is_ready() else ServiceError(ErrorKind.STARTING))
 
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
         """Where a client should go."""
@@ -266,9 +277,13 @@
         if me is not None:
             members[self.boot.node_name] = {**me, "up": self.is_ready()}
         found = addresses(members, self.knowledge.ring.silent(time.monotonic()), call.region, call.zone)
-        done(Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s)) if found else Failure(Kind.STARTING))
+        done(
+            Addresses(tuple(found), min(TTL_S, self.boot.bounds.ttl_max_s))
+            if found
+            else ServiceError(ErrorKind.STARTING)
+        )
 
 
-async def main(settings: Settings) -> None:
+async def main(settings: SettingsFile) -> None:
     """What `python -m thistleusher.system proxy` runs."""
     await ProxyProgram(settings).run()
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -17,12 +17,12 @@
 from thistleusher.common.config_items import ConfigurationFollower
 from thistleusher.common.events import Event
 from thistleusher.control.leases import LeaseHolder
-from thistleusher.registry.charges import ChargeLedger
-from thistleusher.registry.counts import Counts
-from thistleusher.registry.instances import Garbage, Survey
+from thistleusher.registry.charges import ChargeTable
+from thistleusher.registry.counts import QuotaCounter
+from thistleusher.registry.instances import BackendPoller, Garbage
 from thistleusher.registry.members import Members
 from thistleusher.transport.core_members import CoreMembers
-from thistleusher.transport.errors import UnexpectedMessage
+from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import (
     AnyMessage,
     Charge,
@@ -41,7 +41,7 @@
 )
 from thistleusher.transport.state_updates import Publisher, Subscriber
 
-DUTY = "registrar"
+REGISTRAR_ROLE = "registrar"
 TERM_BITS = 24  # of a number, below the holder's term
 KEEP_S = 1.0  # between requests that a share be kept
 AWAY_S = 0.3  # by which the leader's machine asks for the duty later
@@ -90,18 +90,18 @@
         """`me` names the machine and this life; `polls`: there is a platform, whose bound on calls is `rate_per_s`."""
         self.me, self.address, self.rate_per_s, self.polls = me, address, rate_per_s, polls
         self.core = CoreMembers()
-        self.holder = LeaseHolder(DUTY, me, now, rng)
+        self.holder = LeaseHolder(REGISTRAR_ROLE, me, now, rng)
         self.control = Subscriber(me)  # of the control state
         self.configuration = ConfigurationFollower()
         self.list = Subscriber(me)  # of the registry that holds the duty, or its own
         self.publisher = Publisher(self.list.state)
         self.members = Members()
-        self.counts: Counts | None = None
-        self.charges: ChargeLedger | None = None
-        self.survey = Survey(now, rate_per_s)
-        self.asked: Survey | None = None  # the reading whose call is out
+        self.counts: QuotaCounter | None = None
+        self.charges: ChargeTable | None = None
+        self.survey = BackendPoller(now, rate_per_s)
+        self.asked: BackendPoller | None = None  # the reading whose call is out
         self.followers: set[str] = set()
-        self.on_duty = False
+        self.holds_role = False
         self.next_keep = now
         self.out: list[Output] = []
 
@@ -110,13 +110,13 @@
     def tick(self, now: float) -> list[Output]:
         """Time has passed; to be called ten times a second or more."""
         self._mind_duty(now)
-        if self.on_duty:
+        if self.holds_role:
             self._work(now)
         return self._flush()
 
     def stop(self) -> list[Output]:
         """This process ends in order: the duty is given back."""
-        if self.on_duty:
+        if self.holds_role:
             self.holder.release(self._to_control)
         self._end_duty("this process ends")
         return self._flush()
@@ -131,20 +131,20 @@
         elif isinstance(message, CoreInfo):
             self._core(message)
         elif isinstance(message, StateUpdate):
-            changed, reply = self.control.heard(message)
+            changed, reply = self.control.apply(message)
             if changed:
                 self.configuration.update(self.control.state, changed)
                 self._limits()
         elif not isinstance(message, ItemsPersisted):  # the state itself shows what is kept
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
         """A message from another registry: news, which one off duty keeps; the reply to it."""
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
-            raise UnexpectedMessage(message)
-        reply = None if self.on_duty else self.list.heard(message).answer
+            raise UnexpectedMessageError(message)
+        reply = None if self.holds_role else self.list.apply(message).reply
         return self._flush(), reply
 
     def from_follower(self, now: float, name: str, message: AnyMessage) -> list[Output]:
@@ -157,15 +157,15 @@
         elif isinstance(message, SubscribeRequest):
             self._follow(name, message.number)
         elif isinstance(message, StateUpdateAck):
-            self.publisher.ack(name, message.number)
+            self.publisher.acknowledge(name, message.number)
         else:
-            raise UnexpectedMessage(message)
+            raise UnexpectedMessageError(message)
         return self._flush()
 
     def gone(self, name: str) -> None:
         """A follower's connection has ended."""
         self.followers.discard(name)
-        self.publisher.leave(name)
+        self.publisher.unsubscribe(name)
 
     def answered(self, now: float, status: int, body: bytes) -> list[Output]:
         """The platform's answer to the call; `status` 0: none came."""
@@ -174,22 +174,22 @@
         if asked is not self.survey:
             return []  # of a reading that ended with an earlier duty: a page of it is no whole list
         if status != 200:
-            self._note(Event.PLATFORM, status or "no answer")
+            self._note(Event.PLATFORM_FAILED, status or "no answer")
             self.survey.failed(now, status)
             return self._flush()
         try:
             changes = self.survey.page(now, body)
         except Garbage as error:
-            self._note(Event.PLATFORM, error)
+            self._note(Event.PLATFORM_FAILED, error)
             return self._flush()
-        if changes is not None and self.on_duty:
+        if changes is not None and self.holds_role:
             self._listed(changes)
         return self._flush()
 
     def may_tell(self, now: float) -> bool:
         """Whether an answer may leave now; where it may not, the duty is over."""
         self._check_lease(now)
-        return self.on_duty
+        return self.holds_role
 
     # Helpers.
 
@@ -213,7 +213,7 @@
     # The duty.
 
     def _core(self, info: CoreInfo) -> None:
-        if not self.core.learn(info):
+        if not self.core.update(info):
             return
         self.holder.set_grantors(info.voters)
         # The leader's machine has another role to lose at the same time.
@@ -222,25 +222,25 @@
 
     def _check_lease(self, now: float) -> None:
         """End the duty if its lease is over on the clock of this input, whatever the last tick knew."""
-        if self.on_duty and not self.holder.holds_lease(now):
+        if self.holds_role and not self.holder.holds_lease(now):
             self._end_duty("the lease has ended")
 
     def _mind_duty(self, now: float) -> None:
         """Ask for the duty when it is time; begin it as soon as it is held, end it as soon as it is not."""
         self.holder.tick(now, self._to_control)
         self._check_lease(now)
-        if self.holder.holds_lease(now) and not self.on_duty and self.control.state.number > 0:
+        if self.holder.holds_lease(now) and not self.holds_role and self.control.state.number > 0:
             self._begin_duty(now)
 
     def _begin_duty(self, now: float) -> None:
-        self.on_duty = True
-        self._note(Event.DUTY, self.holder.term)
-        self.counts = Counts(now)
-        self.charges = ChargeLedger(self.counts)
+        self.holds_role = True
+        self._note(Event.ROLE_ACQUIRED, self.holder.term)
+        self.counts = QuotaCounter(now)
+        self.charges = ChargeTable(self.counts)
         self._limits()
-        for node, about in self.list.state.values("m:").items():
-            self.members.known(now, node, about)
-        self.survey = Survey(now, self.rate_per_s)
+        for node, attributes in self.list.state.values("m:").items():
+            self.members.known(now, node, attributes)
+        self.survey = BackendPoller(now, self.rate_per_s)
         known = self.list.state.values("b:")
         self.survey.entries = {name: {**entry, "cold": 0.0} for name, entry in known.items()}
         self.survey.cold_until = {name: now for name, entry in known.items() if entry["cold"] > 0}
@@ -248,12 +248,14 @@
         state.number = state.floor = max(state.number, self.holder.term << TERM_BITS)
         self.publisher = Publisher(state)
         for name in sorted(self.followers):
-            self.publisher.sent[name] = self.publisher.acked[name] = -1  # gets the whole: its number is not known
+            # The number that it has is not known, so it gets the complete state.
+            self.publisher.sent[name] = -1
+            self.publisher.acknowledged[name] = -1
 
     def _end_duty(self, why: str) -> None:
-        if self.on_duty:
-            self.on_duty, self.counts, self.charges = False, None, None
-            self._note(Event.DUTY_OVER, why)
+        if self.holds_role:
+            self.holds_role, self.counts, self.charges = False, None, None
+            self._note(Event.ROLE_LOST, why)
 
     def _work(self, now: float) -> None:
         assert self.counts is not None
@@ -264,7 +266,9 @@
             self.next_keep = now + KEEP_S
             self._to_control("", PersistItems(self.me, {f"share:{name}": share for name, share in wanted.items()}))
         old, new = self.list.state.values("m:"), self.members.listed(now)
-        changed: dict[str, Any] = {f"m:{name}": about for name, about in new.items() if old.get(name) != about}
+        changed: dict[str, Any] = {
+            f"m:{name}": attributes for name, attributes in new.items() if old.get(name) != attributes
+        }
         changed.update({f"m:{name}": None for name in old.keys() - new.keys()})
         self._publish(changed)
 
@@ -272,25 +276,25 @@
 
     def _follow(self, name: str, number: int) -> None:
         self.followers.add(name)
-        if not self.on_duty:
+        if not self.holds_role:
             return
-        for follower, news in self.publisher.follow(name, number):
+        for follower, news in self.publisher.subscribe(name, number):
             if self._has_list():
                 self._tell(follower, news)
 
     def _listed(self, changes: dict[str, dict[str, Any] | None]) -> None:
         if changes:
             draining = sum(1 for entry in self.survey.entries.values() if entry["p"] != "ready")
-            self._note(Event.LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
+            self._note(Event.BACKENDS_LISTED, self.list.state.number + 1, len(self.survey.entries), draining)
         self._publish({f"b:{name}": entry for name, entry in changes.items()})
 
     def _publish(self, changes: dict[str, Any]) -> None:
         """Tell followers, once there is a list to tell of."""
         state = self.list.state
         if changes:
-            state.set(state.number + 1, changes)
+            state.apply(state.number + 1, changes)
         if self._has_list():
-            for name, news in self.publisher.tell():
+            for name, news in self.publisher.updates_due():
                 self._tell(name, news)
 
     # The counter.
@@ -312,11 +316,11 @@
 
     def _here(self, now: float, name: str, beat: ProxyHeartbeat | ProxyStatusReport) -> None:
         if isinstance(beat, ProxyStatusReport):
-            self.members.here(now, name, beat.about, beat.life, beat.ready, list(beat.silent))
+            self.members.here(now, name, beat.attributes, beat.incarnation, beat.ready, list(beat.silent_peers))
         else:
-            self.members.beat(now, name, beat.life)
+            self.members.beat(now, name, beat.incarnation)
         if self.counts is None:
             return
         echoed = beat.echo[1] if beat.echo is not None and beat.echo[0] == self.me else None
-        if self.counts.here(now, name, beat.life, echoed):
+        if self.counts.here(now, name, beat.incarnation, echoed):
             self._tell(name, HeartbeatEcho(self.me, beat.sent, now, self.counts.ingresses[name].share))
