--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -14,12 +14,12 @@
 import time
 
 from thistleusher.core import events
+from thistleusher.core.charges import PendingRequest
+from thistleusher.core.customer import Customer
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
 from thistleusher.policy import fleet as module
-from thistleusher.policy.attempts import Flight
 from thistleusher.policy.fleet import Fleet
-from thistleusher.policy.store import Customer
 
 CLASS = ClassSettings("read", Effect.SAFE, objective=2.0, deadline=6.0)
 PLAN = PlanSettings("basic", 1e9, 1e9)
@@ -49,7 +49,7 @@
         while ends and ends[0][0] <= now:
             at, _, backend, name, took = heapq.heappop(ends)
             fleet.ended(at, events.AttemptEnded(name, 0, backend, Outcome.OK, took, True))
-        f = Flight(events.Request(f"r{n}", "read", "basic", 1, 6.0, 1.0), CLASS, customer, now)
+        f = PendingRequest(events.Request(f"r{n}", "read", "basic", 1, 6.0, 1.0), CLASS, customer, now)
         began = time.perf_counter()
         b = fleet.choose(now, f)
         spent += time.perf_counter() - began
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -41,8 +41,9 @@
                 keeper = Snapshotter(StateOptions(folder, sync), "n0", told(0), 1e9)
                 gateway = w.gateways[0]
                 keeper.begin(gateway, lambda: 5000.0, Never())
+                customers = gateway.replication.customers
                 for m in range(members):
-                    gateway.sharing.admit(w.now, gateway.sharing.meet(w.now, m, gateway.sharing.plans["plus"]), 2.0)
+                    gateway.replication.admit(w.now, customers.see(w.now, m, customers.plans["plus"]), 2.0)
                 began, pauses = time.perf_counter(), list[float]()
                 while True:
                     at = time.perf_counter()
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -248,14 +248,14 @@
             if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
                 raise Broken(f"a datagram of {len(a.payload)} bytes")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
-    for c in gateway.sharing.customers.values():
-        if not (-1e6 < c.room(now) <= c.plan.burst + 1e-6):
-            raise Broken(f"a store of {c.room(now)}")
-    escrow: Any = gateway.sharing.escrow
+    for c in gateway.replication.customers.values():
+        if not (-1e6 < c.headroom(now) <= c.plan.burst + 1e-6):
+            raise Broken(f"a store of {c.headroom(now)}")
+    escrow: Any = gateway.replication.escrow
     for own in escrow.allowances.values():
         if not (0 <= own.part() <= 1 and -own.terms.burst - 1e-6 <= own.room <= own.cap() + 1e-6):
             raise Broken(f"a share of {own.part()}, a room of {own.room}")
-    return tuple(shown[:3]), len(gateway.sharing.customers)
+    return tuple(shown[:3]), len(gateway.replication.customers)
 
 
 # Files.
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -54,13 +54,13 @@
     await ingress.open()
     gateway = ingress.driver.gateway
     gateway.fleet.slots = 100.0  # the limit is another test's matter
-    heard = gateway.sharing.hear
+    heard = gateway.replication.merge_usage
 
     def hear(now, peer, *told):
         heard(now, peer, *told)
         print("heard", flush=True)
 
-    gateway.sharing.hear = hear
+    gateway.replication.merge_usage = hear
     host = Host(QuotaMiddleware(app, ingress))
     await host.start(config["port"])
     print("ready", flush=True)
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -12,8 +12,8 @@
 from standins.counter import Counter
 from tests.embed.program import crash_settings
 from tests.net.sockets import Client, call, closed_port, datagram_addresses, run, until
+from thistleusher.core.customer import Customer
 from thistleusher.embed import Call, EmbeddedIngress, PeerAddresses
-from thistleusher.policy.store import Customer
 
 IN_HAND = 50
 TERMS = "units=2,spread=2,first=0"
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -57,9 +57,9 @@
     gateway = ingress.driver.gateway
     return (
         ingress.held == 0
-        and not gateway.attempts.flights
+        and not gateway.attempts.requests
         and not gateway.attempts.queue
-        and gateway.fleet.out == 0
+        and gateway.fleet.backends.outstanding == 0
         and not gateway.admission.calls
     )
 
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -244,17 +244,17 @@
     """Six seconds of use came at once when words came again, and stores stood at -20 to -43 for five seconds."""
     w = World(1, FLEET)
     w.ask(0, 1000, "plus", 1.0, 0, NARROW)
-    store = w.gateways[0].sharing.customers[1000]
+    store = w.gateways[0].replication.customers[1000]
 
     def telling(total: int, new: int) -> None:
         w.give(0, events.PeerMessage(1, USAGE_MARK + USAGE_ENTRY.pack(encode_customer(1, 1000), total, new, 100)))
 
     telling(4 * 2, 4 * 2)
     w.run(2.0)
-    assert store.room(w.now) == 36.0
+    assert store.headroom(w.now) == 36.0
     telling(4 * 62, 4 * 6)  # 60 units since, of which 6 are new
-    assert store.room(w.now) == 0.0
+    assert store.headroom(w.now) == 0.0
     w.run(1.0)
-    assert store.room(w.now) == 16.0
+    assert store.headroom(w.now) == 16.0
     telling(4 * 82, 4 * 20)  # no word was lost: others' use of this moment counts in full
-    assert store.room(w.now) == -4.0
+    assert store.headroom(w.now) == -4.0
--- a/tests/quota/test_beginning.py
+++ b/tests/quota/test_beginning.py
@@ -175,13 +175,16 @@
         others = [g for g in w.gateways if g is not None]
         w.run(0.05)
         for g in others:  # one that has ended in order is not out of touch
-            c = g.sharing.customers[0]
-            assert g.sharing.in_touch(w.now + 1.5, c, strict=True) or g.sharing.touch[(n + 1) % 3] < w.now + 0.5
-            assert g.sharing.escrow.has_shut_down(n)
+            c = g.replication.customers[0]
+            assert (
+                g.replication.in_touch(w.now + 1.5, c, strict=True)
+                or g.replication.last_heard[(n + 1) % 3] < w.now + 0.5
+            )
+            assert g.replication.escrow.has_shut_down(n)
         ask_for(w, 2.0, members=4, rate=40.0)
         w.restart(n)
         w.run(0.1)
-        assert not any(g.sharing.escrow.has_shut_down(n) for g in others)
+        assert not any(g.replication.escrow.has_shut_down(n) for g in others)
         ask_for(w, 2.0, members=4, rate=40.0)
     assert refused(w) < 0.03
     within(w)
@@ -196,14 +199,14 @@
     told = []
     act = w.act
     w.act = lambda n, a: (told.append(a) if n == 1 else None, act(n, a))
-    pending = w.gateways[1].sharing.customers[0].pending
-    share = w.gateways[1].sharing.escrow.allowances[1, 0].share
+    pending = w.gateways[1].replication.customers[0].pending
+    share = w.gateways[1].replication.escrow.allowances[1, 0].share
     w.counters[0].silent = False
     w.leave(1)
     added = [a.amount for a in told if isinstance(a, actions.CounterAdd)]
     assert pending > 10.0 and added == [pytest.approx(pending)]
     w.run(0.1)
-    book = {g.sharing.escrow.me: g.sharing.escrow.allowances.get((1, 0)) for g in w.gateways if g is not None}
+    book = {g.replication.escrow.me: g.replication.escrow.allowances.get((1, 0)) for g in w.gateways if g is not None}
     gained = sum(a.taken.get(1, (0, 0))[0] for a in book.values() if a is not None)
     assert 0 < gained < share and [a for a in told if isinstance(a, actions.SendToPeer) and a.payload[:1] == GIVE_MARK]
 
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -9,7 +9,7 @@
 
 from tests.quota.world import BASIC, PLUS, TIMEOUT, CounterModel, World, settings
 from thistleusher.core import actions, events
-from thistleusher.policy import health, sharing
+from thistleusher.policy import health, replication
 from thistleusher.quota import bound
 from thistleusher.quota.bound import Assumed, bound_of
 
@@ -17,7 +17,7 @@
 
 
 def test_the_bound_is_stated_with_the_decisions_own_times():
-    assert (bound.MISSES, bound.TOUCH_S) == (health.ALONE, sharing.TOUCH_S)
+    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, replication.TOUCH_S)
 
 
 def moving(every):
@@ -224,8 +224,8 @@
     w.run(10.0)
     w.ask(1, units=1.0)
     w.run(0.2)
-    c = w.gateways[1].sharing.customers[7]
-    while c.turn(w.now) != c.turn(w.now + seconds) or c.turn(w.now) == c.window:
+    c = w.gateways[1].replication.customers[7]
+    while c.window_at(w.now) != c.window_at(w.now + seconds) or c.window_at(w.now) == c.window:
         w.run(0.05)
     return c
 
@@ -241,7 +241,7 @@
     for _ in range(3):
         w.ask(1, units=1.0)
         w.run(0.05)
-    total, _ = w.counters[1].counts[c.name(w.now)]
+    total, _ = w.counters[1].counts[c.count_name(w.now)]
     assert total + c.pending == pytest.approx(7.0)  # what was let in, in the count or on its way
 
 
@@ -255,7 +255,7 @@
     for _ in range(3):
         w.ask(1, units=1.0)
         w.run(0.02)
-    total, _ = w.counters[1].counts[c.name(w.now)]
+    total, _ = w.counters[1].counts[c.count_name(w.now)]
     assert total + c.pending == pytest.approx(15.0)
 
 
@@ -263,7 +263,7 @@
     w = World()
     silence(w)
     w.traffic(20.0, 40.0, spread())
-    assert all(g.counters.each[0].silent(w.now) for g in w.gateways)
+    assert all(g.counters.by_number[0].is_silent(w.now) for g in w.gateways)
     w.run(3.0)  # the quota is full again
     for n in range(3):  # and they are in touch
         w.ask(n, 0)
@@ -280,7 +280,7 @@
     w = World()
     w.traffic(5.0, 20.0, lambda at: 1)
     gateway = w.gateways[1]
-    assert gateway.sharing.in_touch(w.now, gateway.sharing.customers[0], strict=True)
+    assert gateway.replication.in_touch(w.now, gateway.replication.customers[0], strict=True)
     told = []
     act = w.act
     w.act = lambda n, a: told.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
--- a/tests/quota/test_outages.py
+++ b/tests/quota/test_outages.py
@@ -41,7 +41,7 @@
             counter.silence(True)
             assert [await ask(f"c{n}", n % 3) for n in range(6)] == [200] * 6  # a burst of 8 / 3 for each
             assert await ask("d", 0) in (200, 503)  # beyond its share: refused, and no fault
-            held = daemon.gateway.sharing.escrow.allowances
+            held = daemon.gateway.replication.escrow.allowances
             assert {c for _, c in held} <= {0, 1, 2, 9} and len(held) >= 3
         counter.silence(False)
         await counter.stop()
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -47,7 +47,7 @@
     w.traffic(3.0, 200.0, spread(), members=60)
     w.parts[ADDRESSES[1]].silent = True
     w.traffic(10.0, 200.0, spread(), members=60)
-    health = [w.gateways[0].counters.each[n] for n in range(3)]
+    health = [w.gateways[0].counters.by_number[n] for n in range(3)]
     assert health[1].down() and not health[0].down() and not health[2].down()
     assert health[0].ask == health[2].ask == 1.0 and health[1].ask < 1.0
     quota, ceiling = w.beyond()
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -29,7 +29,7 @@
 
     def commit(self):
         if self.gateways[0] is not None:
-            self.disk |= {m.key: m for m in self.gateways[0].saved(1000)}
+            self.disk |= {m.key: m for m in self.gateways[0].take_changed(1000)}
 
     def give(self, n, event, life=None):
         if n or self.gateways[n] is None or (life is not None and life != self.life[n]):
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -372,7 +372,7 @@
     book = {}
     for _ in range(kills):
         w.traffic(0.5, 40.0, lambda at: 0, "basic")
-        book |= {m.key: m for m in w.gateways[0].saved(1000)}
+        book |= {m.key: m for m in w.gateways[0].take_changed(1000)}
         w.kill(0)
         w.run(0.1)
         w.restart(0)
@@ -394,7 +394,7 @@
     for n in (0, 1):
         w.ask(n, 0, "basic")
     w.run(0.5)
-    book = w.gateways[0].saved(10)
+    book = w.gateways[0].take_changed(10)
     w.kill(0)
     for _ in range(4):
         w.ask(1, 0, "basic", 2.0)
@@ -410,14 +410,14 @@
 def test_only_changes_are_handed_over_in_portions():
     w = World(4, 2)
     gateway = w.gateways[0]
-    assert gateway.saved(10) == []  # nothing is followed where nothing is kept
+    assert gateway.take_changed(10) == []  # nothing is followed where nothing is kept
     gateway.restore(w.now, [])
     for m in range(5):
         w.ask(0, m)
-    assert len(gateway.saved(3)) == 3 and len(gateway.saved(3)) == 2
+    assert len(gateway.take_changed(3)) == 3 and len(gateway.take_changed(3)) == 2
     w.run(1.0)
     w.ask(0, 2)
-    assert [m.key for m in gateway.saved(10) if m.key == 2] == [2]
+    assert [m.key for m in gateway.take_changed(10) if m.key == 2] == [2]
 
 
 class Later:
@@ -559,14 +559,14 @@
         i.end(only(i.ask(), actions.Attempt), elapsed=0.08)
         i.now += 1.0
     b1 = i.gw.fleet.backends["b1"]
-    b1.proof = 9.0
+    b1.fault_evidence = 9.0
     i.gw.fleet.eject(i.now, b1, "failing")
     return i
 
 
 def again(i, now, born=1.0):
     other = Ingress(now=now)
-    other.gw = Gateway(other.gw.s, 2, now)
+    other.gw = Gateway(other.gw.settings, 2, now)
     other.gw.restore(now, [], still_learned(now, read_learned(pack(i.gw.fleet.learned(i.now)))))
     other.give(
         events.ListUpdate(ListKind.SAVED, 2, tuple(BackendEntry(f"b{n}", Phase.RUNNING, born=born) for n in range(4)))
@@ -581,13 +581,13 @@
     ratio = old.backends[name].ratio
     new = again(i, now + 1.0)
     assert new.backends[name].ratio == pytest.approx(ratio, rel=0.01) and new.slots == old.slots
-    assert new.backends["b1"].resting == old.backends["b1"].resting and new.backends["b1"].trial
+    assert new.backends["b1"].ejected_until == old.backends["b1"].ejected_until and new.backends["b1"].trial
     assert new.latency["read"] == old.latency["read"] != Ingress().gw.fleet.latency["read"]
     later = again(i, now + 300.0)
     assert ratio < later.backends[name].ratio < 1.0 and not later.backends["b1"].trial
     assert again(i, now + 1.0, born=2.0).backends[name].ratio == 1.0  # another process
     back = again(i, now - 3600.0)
-    assert back.backends["b1"].resting == 0.0 and back.backends[name].ratio < 1.0
+    assert back.backends["b1"].ejected_until == 0.0 and back.backends[name].ratio < 1.0
     assert still_learned(now + 601.0, old.learned(now)) is None
     assert still_learned(now, old.learned(now)._replace(slots=float("nan"))) is None
 
@@ -639,7 +639,7 @@
     assert 0 < keeper.hand_over(1000) <= 20 and disk.began.wait(10.0)
     while keeper.hand_over(1000):
         pass  # until there is no room any more
-    assert keeper.writer.turned_away == 0 and len(w.gateways[0].sharing.changed) > 0
+    assert keeper.writer.turned_away == 0 and len(w.gateways[0].replication.customers.changed) > 0
     disk.let.set()
     assert keeper.close()
     kept = {key for batch in disk.batches for table, key in batch if table == "member"}
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,12 +7,12 @@
 from tests.helpers import CEILED, PLAN, SAFE, Ingress, only, some
 from thistleusher.core import events
 from thistleusher.core.actions import Action, Attempt, CounterAdd, Log, Refuse, SendToPeer
+from thistleusher.core.customer import Customer
 from thistleusher.core.datagrams import USAGE_ENTRIES_MAX, USAGE_ENTRY, USAGE_MARK
 from thistleusher.core.events import Outcome
 from thistleusher.core.settings import ClassSettings, PlanSettings, Settings
-from thistleusher.policy import gateway, sharing
-from thistleusher.policy.health import ALONE, ASK_S, CounterHealth
-from thistleusher.policy.store import Customer
+from thistleusher.policy import gateway, replication
+from thistleusher.policy.health import CALL_INTERVAL_S, DOWN_MISSES, CounterHealth
 
 
 def serve(g: Ingress, actions: list[Action]) -> bool:
@@ -42,7 +42,7 @@
     first = g.ask(units=8.0)
     name = only(first, CounterAdd).name
     only(first, Attempt)
-    g.gw.counters.each[0].asked = 0.0  # no refusal without a call
+    g.gw.counters.by_number[0].calls_per_request = 0.0  # no refusal without a call
     acts = g.ask(units=1.0)
     assert [a.amount for a in some(acts, CounterAdd)] == [1.0, -1.0]
     only(acts, Refuse)
@@ -83,7 +83,7 @@
     g = Ingress()
     for k in range(20):
         g.ask(customer=k)
-    phases = {round(c.phase, 6) for c in g.gw.sharing.customers.values()}
+    phases = {round(c.phase, 6) for c in g.gw.replication.customers.values()}
     assert len(phases) == 20
 
 
@@ -92,7 +92,7 @@
     serve(g, g.ask(units=4.0))
     serve(g, g.ask(units=4.0))
     g.counts.clear()
-    g.gw.counters.each[0].asked = 0.0
+    g.gw.counters.by_number[0].calls_per_request = 0.0
     only(g.ask(units=2.0), Refuse)
 
 
@@ -109,7 +109,7 @@
     for _ in range(40):  # one request in five still calls
         g.now += 0.1
         serve(g, g.ask(units=1.0))
-    assert g.gw.counters.each[0].misses == 0
+    assert g.gw.counters.by_number[0].misses == 0
     if trouble == "refusing":  # nothing was added, so it is told now
         assert sum(g.counts.values()) >= sent
 
@@ -120,11 +120,11 @@
     g.counter = "refusing"
     for k in range(60):
         serve(g, g.ask(customer=100 + k))
-    g.gw.counters.each[0].ask = 1.0  # this one calls
-    before = g.gw.counters.each[0].misses
+    g.gw.counters.by_number[0].call_share = 1.0  # this one calls
+    before = g.gw.counters.by_number[0].misses
     serve(g, g.ask(units=1.0))
-    assert g.gw.counters.each[0].misses > before
-    assert g.gw.sharing.customers[7].pending == pytest.approx(1.0)
+    assert g.gw.counters.by_number[0].misses > before
+    assert g.gw.replication.customers[7].pending == pytest.approx(1.0)
 
 
 def test_silent_counter_holds_a_request_only_until_its_call_ends():
@@ -139,7 +139,7 @@
 def test_a_hurried_request_does_not_wait_for_the_counter():
     g = Ingress()
     g.counter = "silent"
-    g.gw.fleet.latency["read"] = g.gw.fleet.base["read"] = 0.02
+    g.gw.fleet.latency["read"] = g.gw.fleet.base_latency["read"] = 0.02
     only(g.ask(expires=0.1), Attempt)
 
 
@@ -163,14 +163,14 @@
     g.counter = "timeout"
     acts = g.ask(units=1.0, plan="plus", width=2)
     assert some(acts, Attempt)
-    assert g.gw.sharing.customers[7].pending == pytest.approx(1.0)  # told again, as it may not have counted
+    assert g.gw.replication.customers[7].pending == pytest.approx(1.0)  # told again, as it may not have counted
     # Between the quota and the ceiling each of two may use 0.3 of what the store holds, alone 0.8 of it.
     for alone, units in ((False, 6.0), (True, 16.0)):
-        g.gw.counters.each[0].misses = ALONE if alone else 0
+        g.gw.counters.by_number[0].misses = DOWN_MISSES if alone else 0
         for more, kind in ((0.1, Refuse), (-0.1, Attempt)):
             g.now += 100.0  # full again
-            g.gw.sharing.customers[7].pending, g.gw.sharing.customers[7].part = 0.0, 1.0
-            g.gw.counters.each[0].ask = 0.0
+            g.gw.replication.customers[7].pending, g.gw.replication.customers[7].local_part = 0.0, 1.0
+            g.gw.counters.by_number[0].call_share = 0.0
             only(g.ask(units=units + more, plan="plus", width=2), kind)
 
 
@@ -222,9 +222,9 @@
 def test_without_history_most_of_a_burst_is_carried_over_but_not_all():
     # Half a burst refused customers seldom seen at an ingress on quiet days; a whole one gave edges away.
     g = Ingress()
-    g.gw.counters.each[0].asked = 0.0
+    g.gw.counters.by_number[0].calls_per_request = 0.0
     sent = sum(serve(g, g.ask(units=1.0)) for _ in range(20))
-    into = (g.now + g.gw.sharing.customers[7].phase) % g.gw.sharing.customers[7].length
+    into = (g.now + g.gw.replication.customers[7].phase) % g.gw.replication.customers[7].window_length
     assert 0.5 * PLAN.burst < sent <= min(PLAN.burst, 0.8 * PLAN.burst + PLAN.rate * into)
 
 
@@ -238,7 +238,7 @@
     sent = 0.0
     for step in range(240):  # 24 s, six windows, four times the quota
         g = peers[step % 60]
-        g.now, g.counts, g.gw.counters.each[0].ask = 100.0 + step * 0.1, shared, 1.0
+        g.now, g.counts, g.gw.counters.by_number[0].call_share = 100.0 + step * 0.1, shared, 1.0
         sent += serve(g, g.ask(units=1.0, width=60))
     assert 5 * PLAN.burst <= sent <= 7 * PLAN.burst
 
@@ -249,48 +249,48 @@
     g.counter = "refusing"
     for k in range(30):
         serve(g, g.ask(customer=k))
-    assert g.gw.counters.each[0].ask <= 0.25
+    assert g.gw.counters.by_number[0].call_share <= 0.25
     g.counter = "up"
     for k in range(400):
         serve(g, g.ask(customer=1000 + k))
-    assert g.gw.counters.each[0].ask == 1.0
+    assert g.gw.counters.by_number[0].call_share == 1.0
 
 
 def test_few_answers_bring_back_calls_as_soon_as_many_do():
     # 0.03 an answer at a call in four seconds: totals were still missing ten seconds after an outage.
     few, many = CounterHealth(), CounterHealth()
     for h in (few, many):
-        h.ask = 0.05
-        h.answered(100.0, 0.0)
-        h.ask = 0.05
-    few.answered(102.0, 0.0)
+        h.call_share = 0.05
+        h.record_answer(100.0, 0.0)
+        h.call_share = 0.05
+    few.record_answer(102.0, 0.0)
     for n in range(1, 21):
-        many.answered(100.0 + n / 10, 0.0)
-    assert 0.3 <= few.ask <= many.ask <= 1.0
+        many.record_answer(100.0 + n / 10, 0.0)
+    assert 0.3 <= few.call_share <= many.call_share <= 1.0
 
 
 def test_whatever_the_share_of_calls_a_request_calls_once_a_second():
     g = Ingress(instances=300)
-    health = g.gw.counters.each[0]
-    health.ask = 0.0
+    health = g.gw.counters.by_number[0]
+    health.call_share = 0.0
     assert some(g.ask(width=300), CounterAdd)
-    health.ask = 0.0
+    health.call_share = 0.0
     assert not some(g.ask(width=300), CounterAdd)
-    g.now += ASK_S
+    g.now += CALL_INTERVAL_S
     assert some(g.ask(width=300), CounterAdd)
 
 
 def test_share_under_one_request_admits_whole_ones_by_chance():
     # A share of a burst under one request refused every request while the counter was crowded.
     g = Ingress(instances=300)
-    health = g.gw.counters.each[0]
-    health.ask, health.called = 0.0, g.now  # and it was called a moment ago
+    health = g.gw.counters.by_number[0]
+    health.call_share, health.last_called = 0.0, g.now  # and it was called a moment ago
     sent = sum(serve(g, g.ask(customer=k, width=300)) for k in range(100))
     assert sent == 100  # an unseen customer is most often calm
     sent = 0
     for k in range(1000, 1200):
-        g.gw.sharing.customers[k] = Customer(k, PLAN, g.now)
-        g.gw.sharing.customers[k].chance = 0.3
+        g.gw.replication.customers[k] = Customer(k, PLAN, g.now)
+        g.gw.replication.customers[k].admitted_share = 0.3
         sent += serve(g, g.ask(customer=k, width=300))
     assert 30 <= sent <= 90  # those that totals refused of late go on at their chance
 
@@ -299,20 +299,20 @@
     g = Ingress(instances=300)
     amounts = set()
     for k in range(40):
-        g.gw.counters.each[0].ask = 0.5
+        g.gw.counters.by_number[0].call_share = 0.5
         amounts |= {a.amount for a in some(g.ask(customer=k, width=300), CounterAdd)}
     assert amounts == {2.0}
 
 
 def test_a_used_up_window_is_told_to_peers_who_refuse_without_a_call():
     g = Ingress(instances=300, peers=True)
-    g.gw.counters.each[0].ask = 1.0
+    g.gw.counters.by_number[0].call_share = 1.0
     name = only(g.ask(units=1.0, width=300), CounterAdd).name
     g.counts[name] = 20.0
     told = only(g.ask(units=1.0, width=300), SendToPeer)
     assert told.peer is None and len(told.payload) == 5
     other = Ingress(instances=300, peers=True)
-    other.gw.counters.each[0].ask = 0.9
+    other.gw.counters.by_number[0].call_share = 0.9
     other.give(events.PeerMessage(3, told.payload))
     acts = other.ask(units=1.0, width=300)
     only(acts, Refuse)
@@ -327,7 +327,7 @@
         g.now += 1.0
         g.give(events.PeerMessage(1, k.to_bytes(5)))
     g.give(events.PeerMessage(1, b""))
-    assert len(g.gw.sharing.spent) < 70
+    assert len(g.gw.replication.exhausted) < 70
 
 
 def test_a_counter_that_is_down_is_asked_more_than_a_crowded_one():
@@ -336,7 +336,7 @@
     g.counter = "refusing"
     for k in range(600):
         serve(g, g.ask(customer=k))
-    assert g.gw.counters.each[0].misses > ALONE and g.gw.counters.each[0].ask >= 0.2
+    assert g.gw.counters.by_number[0].misses > DOWN_MISSES and g.gw.counters.by_number[0].call_share >= 0.2
 
 
 def test_what_no_slot_can_serve_in_time_is_not_charged():
@@ -353,7 +353,7 @@
     # In a counter outage every unseen customer was let in without end.
     g = Ingress(instances=300)
     g.counter = "silent"
-    g.gw.counters.each[0].ask = 0.0
+    g.gw.counters.by_number[0].call_share = 0.0
     assert sum(serve(g, g.ask(width=300)) for _ in range(100)) <= 20
 
 
@@ -368,29 +368,29 @@
     i = Ingress()
     for customer in range(4):
         i.ask(customer=customer)
-    i.now += i.gw.sharing.kept + 1
+    i.now += i.gw.replication.customers.retention + 1
     i.ask(customer=3)
     i.ask(customer=9)
-    assert list(i.gw.sharing.customers) == [3, 9]
+    assert list(i.gw.replication.customers) == [3, 9]
     for customer in range(10, 20):  # none is dropped while it is heard of
-        i.now += i.gw.sharing.kept / 4
+        i.now += i.gw.replication.customers.retention / 4
         for known in (3, 9, customer):
             i.ask(customer=known)
-    assert {3, 9, 19} <= set(i.gw.sharing.customers) and 10 not in i.gw.sharing.customers
+    assert {3, 9, 19} <= set(i.gw.replication.customers) and 10 not in i.gw.replication.customers
     i.counter = "silent"
     i.ask(customer=30)
-    i.now += 2 * i.gw.sharing.kept
+    i.now += 2 * i.gw.replication.customers.retention
     i.ask(customer=31)
-    assert set(i.gw.sharing.customers) == {30, 31}  # a call without its answer keeps its customer
+    assert set(i.gw.replication.customers) == {30, 31}  # a call without its answer keeps its customer
 
 
 def test_windows_that_are_used_up_are_forgotten_though_some_are_told_of_again():
     i = Ingress(peers=True)
     for n in range(1000):
-        i.now += i.gw.sharing.kept / 10
+        i.now += i.gw.replication.customers.retention / 10
         i.give(events.PeerMessage(1, b"again"))
         i.give(events.PeerMessage(1, b"w%d" % n))
-    assert len(i.gw.sharing.spent) <= 13
+    assert len(i.gw.replication.exhausted) <= 13
 
 
 def test_an_unreadable_total_was_added_and_is_not_told_again():
@@ -403,11 +403,11 @@
     only(g.give(events.CounterReply(name, Outcome.OK, 0.001, 4.0)), Attempt)
     only(g.ask(units=4.0), CounterAdd)
     only(g.give(events.CounterReply(name, Outcome.ERROR, 0.001, 0.0)), Attempt)
-    g.gw.counters.each[0].asked = 0.0  # no refusal without a call
+    g.gw.counters.by_number[0].calls_per_request = 0.0  # no refusal without a call
     only(g.ask(units=2.0), CounterAdd)
     acts = g.give(events.CounterReply(name, Outcome.ERROR, 0.001, 0.0))  # 10 of 8: refused and added back
     only(acts, Refuse)
-    assert only(acts, CounterAdd).amount == -2.0 and g.gw.counters.each[0].misses == 0
+    assert only(acts, CounterAdd).amount == -2.0 and g.gw.counters.by_number[0].misses == 0
 
 
 class Set:
@@ -418,24 +418,24 @@
         for node in self.nodes:
             node.counts = self.nodes[0].counts
             # A customer that is met from here on is followed from its first request.
-            node.now += node.gw.sharing.kept
+            node.now += node.gw.replication.customers.retention
         self.tell()
 
     def tell(self, lost: int = -1) -> None:
         """The time to tell comes at all; what `lost` says is lost."""
         for node in self.nodes:
-            told = some(node.give(events.TimerFired(gateway.TELL)), SendToPeer)
+            told = some(node.give(events.TimerFired(gateway.NOTIFY_TIMER)), SendToPeer)
             for other in self.nodes:
                 for t in told:
-                    if other is not node and node.gw.s.me != lost:
-                        other.give(events.PeerMessage(node.gw.s.me, t.payload))
+                    if other is not node and node.gw.settings.me != lost:
+                        other.give(events.PeerMessage(node.gw.settings.me, t.payload))
 
     def later(self, seconds: float) -> None:
         for node in self.nodes:
             node.now += seconds
 
     def levels(self, customer: int = 7) -> list[float]:
-        return [n.gw.sharing.customers[customer].room(n.now) for n in self.nodes]
+        return [n.gw.replication.customers[customer].headroom(n.now) for n in self.nodes]
 
 
 def test_peers_know_of_what_is_let_in_elsewhere_without_a_call():
@@ -443,26 +443,26 @@
     serve(s.nodes[0], s.nodes[0].ask(units=3.0, width=3))
     s.tell()
     assert s.levels() == [pytest.approx(5.0)] * 3
-    assert not s.nodes[0].gw.sharing.untold
+    assert not s.nodes[0].gw.replication.notifier.outbox.waiting
     assert max(len(a.payload) for a in some(s.nodes[0].log, SendToPeer)) <= 256
 
 
 def test_more_than_one_message_holds_is_told_the_longest_untold_first():
     s = Set()
-    s.nodes[0].gw.sharing.tell_most = 1
+    s.nodes[0].gw.replication.notifier.messages_max = 1
     for customer in range(50):
         serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3, customer=customer))
     s.tell()
-    assert list(s.nodes[1].gw.sharing.customers) == list(range(USAGE_ENTRIES_MAX))
+    assert list(s.nodes[1].gw.replication.customers) == list(range(USAGE_ENTRIES_MAX))
     s.tell()
-    assert list(s.nodes[1].gw.sharing.customers) == list(range(50))
+    assert list(s.nodes[1].gw.replication.customers) == list(range(50))
 
 
 def test_what_a_total_and_a_peer_both_tell_counts_once():
     s = Set()
     serve(s.nodes[0], s.nodes[0].ask(units=3.0, width=3))
     serve(s.nodes[1], s.nodes[1].ask(units=1.0, width=3))  # the total says 4, and no peer has told yet
-    assert s.nodes[1].gw.sharing.customers[7].room(s.nodes[1].now) == pytest.approx(4.0)
+    assert s.nodes[1].gw.replication.customers[7].headroom(s.nodes[1].now) == pytest.approx(4.0)
     s.tell()
     assert s.levels() == [pytest.approx(4.0)] * 3
 
@@ -483,7 +483,7 @@
     s = Set()
     serve(s.nodes[0], s.nodes[0].ask(units=4.0, width=3))
     s.tell()
-    s.nodes[0].gw.sharing.customers.clear()
+    s.nodes[0].gw.replication.customers.clear()
     s.later(2.0)
     serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3))
     s.tell()
@@ -501,12 +501,12 @@
     s.tell()
     only(s.nodes[1].ask(units=1.0, width=3), Refuse)
     s.nodes[0].counts[name] -= 7.0
-    s.later(sharing.EXCESS_S + 0.01)
+    s.later(replication.EXCESS_S + 0.01)
     s.nodes[1].counter = "silent"
     s.tell()
     for n in (0, 2):
         s.nodes[1].give(events.PeerMessage(n, USAGE_MARK))
-    s.nodes[1].gw.counters.each[0].ask = 0.0
+    s.nodes[1].gw.counters.by_number[0].call_share = 0.0
     only(s.nodes[1].ask(units=1.0, width=3), Attempt)
 
 
@@ -523,7 +523,7 @@
         node = s.nodes[n % 2]  # the third gets none of it
         sent += serve(node, node.ask(units=1.0, width=3))
         s.tell()
-        s.nodes[2].give(events.TimerFired(gateway.TELL))
+        s.nodes[2].give(events.TimerFired(gateway.NOTIFY_TIMER))
         for other in s.nodes[:2]:
             other.give(events.PeerMessage(2, USAGE_MARK))
         s.later(0.1)
@@ -532,10 +532,10 @@
 
 def test_out_of_touch_with_a_peer_the_share_stands_in():
     s = Set()
-    s.later(sharing.TOUCH_S + 0.1)
+    s.later(replication.TOUCH_S + 0.1)
     node = s.nodes[0]
     node.counter = "refusing"
-    for _ in range(ALONE):
+    for _ in range(DOWN_MISSES):
         node.ask(customer=1)
     assert sum(serve(node, node.ask(units=1.0, width=3)) for _ in range(8)) < 8
 
@@ -547,7 +547,7 @@
     s.tell()
     s.later(5.0)
     node = s.nodes[0]
-    node.gw.counters.each[0].ask = 0.0
+    node.gw.counters.by_number[0].call_share = 0.0
     assert sum(serve(node, node.ask(units=1.0, width=3)) for _ in range(9)) == 8
 
 
@@ -568,27 +568,27 @@
     only(g.ask(units=3.0), CounterAdd)
     g.beat(3.0)
     only(g.log, Refuse)
-    assert g.gw.sharing.customers[7].pending == pytest.approx(-3.0)
+    assert g.gw.replication.customers[7].pending == pytest.approx(-3.0)
 
 
 @pytest.mark.parametrize("payload", [b"", USAGE_MARK, USAGE_MARK + bytes(7), USAGE_MARK + b"\xff" * 9, b"\x01" * 250])
 def test_what_a_peer_cannot_mean_changes_nothing(payload):
     g = Ingress(peers=True, instances=3, peer_in_per_s=100.0)
     serve(g, g.ask(units=1.0))
-    before = g.gw.sharing.customers[7].room(g.now)
+    before = g.gw.replication.customers[7].headroom(g.now)
     g.give(events.PeerMessage(1, payload))
-    assert g.gw.sharing.customers[7].room(g.now) == before
+    assert g.gw.replication.customers[7].headroom(g.now) == before
 
 
 def test_the_first_total_of_a_window_does_not_undo_what_a_peer_has_told():
     g = Ingress(instances=2, peers=True, peer_in_per_s=100.0)
     told = USAGE_ENTRY.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units let in, a quarter of the burst left
     g.give(events.PeerMessage(1, USAGE_MARK + told))
-    c = g.gw.sharing.customers[7]
-    assert c.room(g.now) == pytest.approx(2.0)
-    g.counts[c.name(g.now)] = 6.0
+    c = g.gw.replication.customers[7]
+    assert c.headroom(g.now) == pytest.approx(2.0)
+    g.counts[c.count_name(g.now)] = 6.0
     assert some(g.ask(), Attempt)  # the total is 7 now
-    assert c.room(g.now) == pytest.approx(1.0)
+    assert c.headroom(g.now) == pytest.approx(1.0)
     assert some(g.ask(units=2.0), Refuse)
 
 
@@ -602,7 +602,7 @@
 def test_a_newcomer_is_held_back_by_a_guess_for_two_seconds_of_a_window_at_most(plan, moment):
     length = plan.burst / plan.rate
     g = Ingress(now=moment / 200 * length + 10 * length - Customer(7, plan, 0.0).phase + 1e-6, plans=(plan,))
-    promised = g.gw.room(g.now, 7, plan.name)
+    promised = g.gw.headroom(g.now, 7, plan.name)
     sent = 0
     while serve(g, g.ask(plan=plan.name)):
         sent += 1
@@ -613,7 +613,7 @@
 def test_a_counter_of_its_own_leaves_nothing_to_guess():
     for moment in range(20):
         g = Ingress(now=1000.0 + moment * PLAN.burst / PLAN.rate / 20, own_counter=True)
-        assert g.gw.room(g.now, 7, "basic") == 8.0
+        assert g.gw.headroom(g.now, 7, "basic") == 8.0
         assert sum(serve(g, g.ask(width=1)) for _ in range(12)) == 8
 
 
@@ -622,7 +622,7 @@
     g.now += 2.1 * PLAN.burst / PLAN.rate
     assert sum(serve(g, g.ask(width=1)) for _ in range(12)) == 8
     g.now += 100.0
-    assert g.gw.room(g.now, 7, "basic") == 8.0
+    assert g.gw.headroom(g.now, 7, "basic") == 8.0
     assert sum(serve(g, g.ask(width=1)) for _ in range(12)) == 8
 
 
@@ -631,7 +631,7 @@
         g = Ingress(now=1000.0)
         serve(g, g.ask())
         g.now += 17.0 + moment / 10
-        promised = g.gw.room(g.now, 7, "basic")
+        promised = g.gw.headroom(g.now, 7, "basic")
         sent = 0
         while serve(g, g.ask()):
             sent += 1
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -12,7 +12,7 @@
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, Group, PlanSettings
 from thistleusher.policy import fleet as fleet_module
-from thistleusher.policy.fleet import PROOF
+from thistleusher.policy.fleet import EJECT_EVIDENCE
 
 RAN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT]
 NOT_RUN = [Outcome.FULL, Outcome.CONNECT_FAILED]
@@ -180,7 +180,7 @@
 def test_unsafe_is_never_the_trial_of_an_ejected_backend():
     g = Ingress(backends=2)
     b = g.gw.fleet.backends["b0"]
-    b.trial, b.resting = True, 0.0
+    b.trial, b.ejected_until = True, 0.0
     for k in range(5):
         a = only(g.ask("once", customer=k), Attempt)
         assert a.backend == "b1"
@@ -191,13 +191,13 @@
     g = Ingress(backends=4)
     for b in g.gw.fleet.backends.values():
         g.gw.fleet.eject(g.now, b, "failing")
-    assert sum(g.now < b.resting for b in g.gw.fleet.backends.values()) == 2
+    assert sum(g.now < b.ejected_until for b in g.gw.fleet.backends.values()) == 2
 
 
 def test_an_ejected_backend_comes_back_after_a_good_trial():
     g = Ingress(backends=1)
     b = g.gw.fleet.backends["b0"]
-    b.trial, b.resting = True, g.now + 1.0
+    b.trial, b.ejected_until = True, g.now + 1.0
     g.now += 1.1
     g.end(only(g.ask(), Attempt))
     assert not b.trial
@@ -210,19 +210,19 @@
     for k in range(120):
         for a in some(g.ask(customer=k), Attempt):
             g.end(a, elapsed=1.8)
-    assert g.gw.fleet.base["read"] <= 0.5 and g.gw.fleet.slots < before
+    assert g.gw.fleet.base_latency["read"] <= 0.5 and g.gw.fleet.slots < before
 
 
 def test_overload_recovers_once_answers_are_fast_again():
     # An early gate on latency once refused everything for good, as nothing was sent to unlearn it.
     g = Ingress(backends=4)
     g.gw.fleet.latency["read"] = 30.0
-    g.gw.fleet.press = 10.0
+    g.gw.fleet.pressure = 10.0
     for k in range(300):
         for a in some(g.ask(customer=k), Attempt):
             g.end(a, elapsed=0.1)
         g.beat(0.05)
-    assert g.gw.fleet.press < 2.0
+    assert g.gw.fleet.pressure < 2.0
     assert some(g.ask(customer=999), Attempt)
 
 
@@ -231,7 +231,7 @@
     a = only(g.ask(), Attempt)
     g.give(events.ClientGone("r1"))
     g.end(a, Outcome.TIMEOUT, elapsed=5.0, done=True)
-    assert g.gw.fleet.press > 1.0 and g.gw.fleet.out == 0
+    assert g.gw.fleet.pressure > 1.0 and g.gw.fleet.backends.outstanding == 0
 
 
 def test_stray_events_raise_nothing():
@@ -276,7 +276,7 @@
     b = g.gw.fleet.backends[a.backend]
     g.now += 6.0
     g.end(a, Outcome.TIMEOUT, elapsed=6.0)
-    assert b.errors == 0.0 and b.answered == 100.0
+    assert b.errors == 0.0 and b.last_answered == 100.0
 
 
 def test_keyed_by_cell_has_nowhere_else_to_go_once_it_may_have_run():
@@ -295,7 +295,7 @@
     stuck = only(g.ask(customer=9), Attempt)
     assert not some(g.beat(5.0), CancelAttempt)
     g.end(stuck, Outcome.TIMEOUT, elapsed=6.0)
-    assert g.gw.fleet.out == 0
+    assert g.gw.fleet.backends.outstanding == 0
 
 
 def test_an_idle_ingress_sets_no_timer():
@@ -312,10 +312,10 @@
 def test_a_limit_below_one_slot_rests_between_attempts():
     # One attempt out at each of hundreds of ingresses is many at each backend, and nothing could go below it.
     g = Ingress(backends=4, instances=40)
-    g.gw.fleet.press, g.gw.fleet.slots = 4.0, 0.5
+    g.gw.fleet.pressure, g.gw.fleet.slots = 4.0, 0.5
     g.end(only(g.ask("once"), Attempt), elapsed=1.0)
     assert not some(g.ask("once", customer=8), Attempt)
-    assert g.gw.fleet.slots < 0.5 and g.gw.fleet.paused > g.now
+    assert g.gw.fleet.slots < 0.5 and g.gw.fleet.paused_until > g.now
 
 
 def test_few_answers_each_say_more():
@@ -345,7 +345,7 @@
 def test_full_is_not_sent_on_while_answers_are_late():
     # In a jam each 'full' went on to the next full backend, five attempts a request, and the jam stayed.
     g = Ingress(backends=4)
-    g.gw.fleet.press = 4.0
+    g.gw.fleet.pressure = 4.0
     acts = g.end(only(g.ask(), Attempt), Outcome.FULL)
     assert not some(acts, Attempt) and len(finals(acts)) == 1
 
@@ -394,7 +394,7 @@
     i.give(events.ListUpdate(ListKind.CHANGE, 2, gone))
     assert set(i.gw.fleet.backends) == {a.backend} and other not in i.gw.fleet.backends
     i.end(a)
-    assert i.gw.fleet.out == 0
+    assert i.gw.fleet.backends.outstanding == 0
     i.give(events.ListUpdate(ListKind.CHANGE, 3))
     assert not i.gw.fleet.backends
     i.give(events.ListUpdate(ListKind.WHOLE, 3, (BackendEntry("b9", Phase.RUNNING),)))
@@ -415,9 +415,9 @@
     attempt = only(g.ask(), Attempt)
     g.give(events.ListUpdate(ListKind.WHOLE, 2, entries))
     g.give(events.ListUpdate(ListKind.WHOLE, 3, ()))
-    assert g.gw.fleet.out == 1
+    assert g.gw.fleet.backends.outstanding == 1
     g.end(attempt, Outcome.RESET)
-    assert g.gw.fleet.out == 0
+    assert g.gw.fleet.backends.outstanding == 0
 
 
 def ejections(g, why):
@@ -453,10 +453,10 @@
     one = fleet.backends["b3"]
     for n in range(6):
         fleet.weigh(one, n % 2 == 0)
-    assert one.proof >= PROOF
+    assert one.fault_evidence >= EJECT_EVIDENCE
     for _ in range(20):
         fleet.weigh(one, False)
-    assert one.proof == 0.0
+    assert one.fault_evidence == 0.0
 
 
 def test_one_that_failed_is_ejected_sooner_after_its_trial():
@@ -467,7 +467,7 @@
     while (a := only(g.ask("read"), Attempt)).backend != "b0":
         pass
     g.end(a)  # the trial
-    assert not bad.trial and 0 < bad.proof < PROOF
+    assert not bad.trial and 0 < bad.fault_evidence < EJECT_EVIDENCE
     while (a := only(g.ask("read"), Attempt)).backend != "b0":
         g.end(a)
     g.end(a, Outcome.ERROR)
@@ -484,29 +484,31 @@
     for a in stuck:
         if a.backend not in silent:
             g.end(a)
-    before = g.gw.fleet.load
+    before = g.gw.fleet.backends.load
     g.beat(3.0)
     assert ejections(g, "silent") and before > 0
-    assert g.gw.fleet.load == 0.0 and g.gw.fleet.out == sum(a.backend in silent for a in stuck)
-    press = g.gw.fleet.press
+    assert g.gw.fleet.backends.load == 0.0 and g.gw.fleet.backends.outstanding == sum(
+        a.backend in silent for a in stuck
+    )
+    press = g.gw.fleet.pressure
     for a in stuck:
         if a.backend in silent:
             g.end(a, Outcome.TIMEOUT, elapsed=6.0)
-    assert g.gw.fleet.load == 0.0 and g.gw.fleet.out == 0 and g.gw.fleet.press == press
+    assert g.gw.fleet.backends.load == 0.0 and g.gw.fleet.backends.outstanding == 0 and g.gw.fleet.pressure == press
 
 
 def test_what_is_out_counts_again_once_a_silent_backend_answers():
     g = Ingress(backends=1, plans=ROOMY)
     for _ in range(40):
         g.end(only(g.ask("once"), Attempt))
-    g.gw.fleet.usable = 4  # others there, so that one may be ejected
+    g.gw.fleet.usable_count = 4  # others there, so that one may be ejected
     first, second = (only(g.ask("once"), Attempt) for _ in range(2))
     g.beat(3.0)
-    assert ejections(g, "silent") and g.gw.fleet.load == 0.0
+    assert ejections(g, "silent") and g.gw.fleet.backends.load == 0.0
     g.end(first)
-    assert g.gw.fleet.load == pytest.approx(1.0) and g.gw.fleet.out == 1
+    assert g.gw.fleet.backends.load == pytest.approx(1.0) and g.gw.fleet.backends.outstanding == 1
     g.end(second)
-    assert g.gw.fleet.load == 0.0
+    assert g.gw.fleet.backends.load == 0.0
 
 
 def test_of_many_backends_a_few_are_looked_at_and_those_that_may_not_be_sent_to_are_never_taken(monkeypatch):
@@ -515,7 +517,7 @@
     fleet.slots = 1e6
     resting = {f"b{n}" for n in range(150)}
     for name in resting:
-        fleet.backends[name].resting = g.now + 100.0
+        fleet.backends[name].ejected_until = g.now + 100.0
     looked = []
     monkeypatch.setattr(
         fleet, "least", lambda now, f, among, least=fleet.least: (looked.append(len(among)), least(now, f, among))[1]
@@ -524,8 +526,8 @@
     assert not resting & set(sent) and len(sent) == 50 and max(sent.values()) <= 14  # 10 each
     assert sum(looked) / 500 < 2 * fleet_module.DRAWN and max(looked) in (fleet_module.DRAWN, 200)
     for name in set(fleet.backends) - {"b7"}:
-        fleet.backends[name].resting = g.now + 100.0
-    fleet.backends["b7"].resting = 0.0
+        fleet.backends[name].ejected_until = g.now + 100.0
+    fleet.backends["b7"].ejected_until = 0.0
     assert only(g.ask(), Attempt).backend == "b7"  # however few are left
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,7 +11,7 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.policy.fleet import NEAR, SCAN, Fleet
+from thistleusher.policy.fleet import SCAN, SUBSET_MIN, Fleet
 
 
 def part(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
@@ -26,12 +26,12 @@
         ),
     )
     fleet.rate = rate
-    fleet.draw_near(100.0)
+    fleet.draw_subset(100.0)
     return fleet
 
 
 def names(fleet: Fleet) -> list[str]:
-    return [b.entry.backend for b in fleet.near]
+    return [b.entry.backend for b in fleet.subset]
 
 
 @pytest.mark.parametrize("instances,backends", [(200, 100), (200, 200), (60, 60), (24, 30)])
@@ -41,18 +41,18 @@
 
 
 def test_who_is_busier_has_a_larger_part_and_one_ingress_alone_has_all():
-    assert len(part(3).near) == NEAR
-    assert len(part(3, rate=0.2).near) == 60  # 20 attempts a second
-    assert len(part(0, instances=1).near) == 100 == len(part(3, rate=9.0).near)
+    assert len(part(3).subset) == SUBSET_MIN
+    assert len(part(3, rate=0.2).subset) == 60  # 20 attempts a second
+    assert len(part(0, instances=1).subset) == 100 == len(part(3, rate=9.0).subset)
 
 
 def test_what_rests_is_replaced_by_the_next_and_is_back_for_its_trial():
     fleet = part(3)
     before = names(fleet)
-    fleet.backends[before[0]].resting = 103.0
-    fleet.draw_near(100.0)
-    assert before[0] not in names(fleet) and len(fleet.near) == NEAR and set(before[1:]) < set(names(fleet))
-    fleet.draw_near(103.0)
+    fleet.backends[before[0]].ejected_until = 103.0
+    fleet.draw_subset(100.0)
+    assert before[0] not in names(fleet) and len(fleet.subset) == SUBSET_MIN and set(before[1:]) < set(names(fleet))
+    fleet.draw_subset(103.0)
     assert names(fleet) == before
 
 
@@ -65,9 +65,9 @@
             g.end(a, elapsed=0.32)  # as long as usual
         g.now += 0.01
     own = set(names(g.gw.fleet))
-    assert sent <= own and len(sent) > NEAR / 2
+    assert sent <= own and len(sent) > SUBSET_MIN / 2
     for name in own:
-        g.gw.fleet.backends[name].resting = g.now + 9.0
+        g.gw.fleet.backends[name].ejected_until = g.now + 9.0
     [a] = some(g.ask(customer=99), actions.Attempt)
     assert a.backend not in own
 
@@ -76,12 +76,12 @@
     fleet = part(3)
     before = set(names(fleet))
     fleet.listed(101.0, events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING),)))
-    fleet.draw_near(101.0)
+    fleet.draw_subset(101.0)
     assert len(before - set(names(fleet))) <= 2
 
 
 def test_the_sum_of_all_cold_budgets_does_not_grow_by_parts():
     whole, near = part(3, backends=SCAN), part(3, rate=0.05)
-    assert whole.apart() == 1.0
+    assert whole.subset_factor() == 1.0
     members = 200 * len(near.near) / 100  # ingresses with one backend in their part
-    assert members * near.apart() == pytest.approx(200.0)
+    assert members * near.subset_factor() == pytest.approx(200.0)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -10,12 +10,12 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import PlanSettings
-from thistleusher.policy.work import FIRST, LEAST, MOST, WorkOfClass
+from thistleusher.core.work_model import MAX_WORK, MIN_ANSWERS, MIN_WORK, WorkModel
 
 
 def learned(time_of, units=(1.0, 2.0, 6.0), answers=300, seed=3):
     """A class whose answers took `time_of(units)` seconds, with the spread of real ones."""
-    rng, work = random.Random(seed), WorkOfClass()
+    rng, work = random.Random(seed), WorkModel()
     for _ in range(answers):
         u = rng.choice(units)
         work.learn(u, time_of(u) * rng.uniform(0.5, 1.5))
@@ -24,38 +24,38 @@
 
 def test_work_in_proportion_to_units_is_learned():
     work = learned(lambda u: 0.05 * u)
-    assert 3.0 < work.of(6.0) / work.of(1.0) < 8.0
-    assert work.of(1.0) < 1 < work.of(6.0)
+    assert 3.0 < work.expected(6.0) / work.expected(1.0) < 8.0
+    assert work.expected(1.0) < 1 < work.expected(6.0)
 
 
 def test_units_that_say_nothing_leave_all_requests_alike():
     work = learned(lambda u: 0.1, answers=3000)
-    assert work.of(6.0) == pytest.approx(1.0, abs=0.25) and work.of(1.0) == pytest.approx(1.0, abs=0.25)
+    assert work.expected(6.0) == pytest.approx(1.0, abs=0.25) and work.expected(1.0) == pytest.approx(1.0, abs=0.25)
 
 
 def test_longer_answers_to_smaller_requests_do_not_turn_the_order():
-    assert learned(lambda u: 1 / u).of(6.0) == 1.0
+    assert learned(lambda u: 1 / u).expected(6.0) == 1.0
 
 
 def test_nothing_is_concluded_from_a_few_answers_or_from_one_size():
-    work = learned(lambda u: 0.05 * u, answers=FIRST - 1)
-    assert work.of(6.0) == 1.0
-    assert learned(lambda u: 0.1, units=(2.0,)).of(6.0) == 1.0
+    work = learned(lambda u: 0.05 * u, answers=MIN_ANSWERS - 1)
+    assert work.expected(6.0) == 1.0
+    assert learned(lambda u: 0.1, units=(2.0,)).expected(6.0) == 1.0
 
 
 def test_it_stays_within_bounds_and_follows_a_change():
     work = learned(lambda u: 0.001 if u < 6 else 1.0)
-    assert work.of(1e9) == MOST and work.of(0.0) >= LEAST
+    assert work.expected(1e9) == MAX_WORK and work.expected(0.0) >= MIN_WORK
     for _ in range(400):
         work.learn(1.0, 0.1)
         work.learn(6.0, 0.1)
-    assert work.of(6.0) == pytest.approx(1.0, abs=0.05)
+    assert work.expected(6.0) == pytest.approx(1.0, abs=0.05)
 
 
 def trained(backends=2, **more):
     """An ingress that has seen answers in proportion to units."""
     g = Ingress(backends=backends, plans=(PlanSettings("basic", rate=1e6, burst=1e6),), **more)
-    for n in range(4 * FIRST):
+    for n in range(4 * MIN_ANSWERS):
         units = 1.0 + 5 * (n % 2)
         g.end(only(g.ask("read", units=units), actions.Attempt), elapsed=0.05 * units)
     return g
@@ -83,8 +83,8 @@
     for a, outcome in zip(outs, Outcome, strict=False):
         for again in some(g.end(a, outcome, done=outcome is not Outcome.FULL), actions.Attempt):
             g.end(again, n=1)
-    assert g.gw.fleet.out == 0 and g.gw.fleet.load == 0.0
-    assert all(b.work == 0.0 and not b.out for b in g.gw.fleet.backends.values())
+    assert g.gw.fleet.backends.outstanding == 0 and g.gw.fleet.backends.load == 0.0
+    assert all(b.work == 0.0 and not b.outstanding for b in g.gw.fleet.backends.values())
 
 
 @pytest.mark.parametrize("units,at_once", [(1.0, 2), (6.0, 1)])
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -351,7 +351,7 @@
     def room(self, member: int, plan: str) -> float:
         """Units left of a member's quota, as far as this ingress knows."""
         assert self._gateway is not None
-        return self._gateway.room(self.driver.now(), member, plan)
+        return self._gateway.headroom(self.driver.now(), member, plan)
 
     @property
     def held(self) -> int:
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -21,9 +21,10 @@
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import DECIDE_LOCALLY, OVER_LIMIT, VERDICT_WAIT_S
 from thistleusher.core import actions, events
+from thistleusher.core.backend_record import Backend
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
-from thistleusher.policy.fleet import Backend, Fleet
+from thistleusher.policy.fleet import Fleet
 from thistleusher.proxy.budgets import UNKNOWN, Colds, Tries
 from thistleusher.proxy.placement import Ground, Place, homes_of, tiers
 from thistleusher.proxy.quota import Quota
@@ -323,7 +324,7 @@
 
     def _best(self, now: float, fleet: Fleet, flight: Flight) -> Backend | None:
         """The best backend of the nearest tier that has one."""
-        fleet.meet(flight.cls)
+        fleet.add_class(flight.cls)
         for tier in tiers(self.ground, self.places, fleet.ready, flight.homes):
             fit = [b for b in tier if self._fits(now, b)]
             best = fleet.least(now, flight, fit) if fit else None
@@ -446,8 +447,8 @@
             if flight is not None:
                 self._place(now, flight)
         for fleet in self.fleets.values():
-            for b in fleet.silent(now, SILENT_X):
-                for name in b.out:
+            for b in fleet.eject_silent(now, SILENT_X):
+                for name in b.outstanding:
                     flight = self.flights.get(name)
                     if flight is None or not flight.found.route.repeatable or flight.backend != b.entry.backend:
                         continue
--- a/thistleusher/proxy/placement.py
+++ b/thistleusher/proxy/placement.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from thistleusher.policy.fleet import Backend
+from thistleusher.core.backend_record import Backend
 
 
 @dataclass(slots=True)
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -51,7 +51,7 @@
 
     def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None) -> None: ...
 
-    def saved(self, most: int) -> list[SavedMember]: ...
+    def take_changed(self, most: int) -> list[SavedMember]: ...
 
 
 class Snapshotter:
@@ -120,7 +120,7 @@
         """
         assert self.gateway is not None and self.writer is not None
         most = min(most, self.writer.room() // 2)  # half for members, half for rooms
-        members = self.gateway.saved(most)
+        members = self.gateway.take_changed(most)
         for m in members:
             plan = self.plans[m.plan]
             self.writer.put(("member", m.key), pack(Member(m.key, m.plan, plan.rate, plan.burst, *m[2:])))
