--- a/simnet/backends.py
+++ b/simnet/backends.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from simnet.places import PLACES, way
-from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended
 
 if TYPE_CHECKING:
--- a/simnet/processes.py
+++ b/simnet/processes.py
@@ -15,7 +15,8 @@
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended, Final
 from thistleusher.proxy import cluster_view as knowledge
 from thistleusher.proxy.cluster_view import ClusterView, InForce, Serving, ToPeer, ToRegistry, ToRing
@@ -208,7 +209,7 @@
             now,
         )
         self.driver = Driver(self.decisions.settings, self.decisions, self, Scheduler(self), self.now)
-        self.driver.carry[Charge] = lambda action: self.carry(self.knowledge.charge(self.now(), action))
+        self.driver.handlers[Charge] = lambda action: self.carry(self.knowledge.charge(self.now(), action))
         self.serving: set[str] = set()
         self.version = -1
 
@@ -274,7 +275,7 @@
         def final(final: Final) -> None:
             world.answered(name, route, final, sent)
 
-        self.driver.take(events.Request(name, route, "all", 0, DEADLINE_S, 1.0), final, (route, tenant))
+        self.driver.accept(events.Request(name, route, "all", 0, DEADLINE_S, 1.0), final, (route, tenant))
 
     # The driver's port to backends.
 
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -41,7 +41,7 @@
         return self.tries[-1]
 
     def take(self, name="r1", cls="read", expires=2.0):
-        return self.driver.take(events.Request(name, cls, "basic", 7, expires, 1.0), self.finals.append)
+        return self.driver.accept(events.Request(name, cls, "basic", 7, expires, 1.0), self.finals.append)
 
     def verdicts(self):
         return [f.verdict for f in self.finals]
@@ -55,9 +55,9 @@
     rig = Rig(on_request(Attempt("r1", "b0"), Refuse("r1", 0.5), Fail("r1"), Refuse("r1")))
     rig.take()
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and rig.finals[0].retry_in == 0.5
-    assert list(rig.driver.held) == ["r1"]  # its attempt is still out
+    assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still out
     rig.tries[0].on_end(Ended(Outcome.OK))
-    assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.held
+    assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.in_flight
 
 
 def test_a_second_attempt_is_not_started_while_one_is_out():
@@ -73,7 +73,7 @@
     rig.clock.step(1001.9)
     assert not rig.finals
     rig.clock.step(1002.0)
-    assert rig.verdicts() == [Verdict.NO_ROOM] and not rig.driver.held
+    assert rig.verdicts() == [Verdict.NO_ROOM] and not rig.driver.in_flight
     assert rig.script.events[-1] == events.ClientGone("r1")
 
 
@@ -101,22 +101,22 @@
 
     rig = Rig(decide)
     rig.take()
-    assert rig.verdicts() == [Verdict.FAULT] and not rig.driver.held
+    assert rig.verdicts() == [Verdict.FAULT] and not rig.driver.in_flight
     assert rig.script.events[-1] == events.ClientGone("r1")
 
 
 def test_an_id_that_is_held_is_invalid_and_leaves_the_first_alone():
     rig = Rig(lambda e: [])
     rig.take()
-    assert rig.take() is None and rig.verdicts() == [Verdict.INVALID] and list(rig.driver.held) == ["r1"]
+    assert rig.take() is None and rig.verdicts() == [Verdict.INVALID] and list(rig.driver.in_flight) == ["r1"]
 
 
 def test_a_client_that_has_gone_is_told_nothing_and_an_unwritten_attempt_is_ended():
     rig = Rig(on_request(Attempt("r1", "b0")), writes=False)
     rig.take()
-    rig.driver.gone("r1")
-    rig.driver.gone("r1")
-    assert not rig.finals and rig.tries[0].cancelled == 1 and not rig.driver.held
+    rig.driver.client_gone("r1")
+    rig.driver.client_gone("r1")
+    assert not rig.finals and rig.tries[0].cancelled == 1 and not rig.driver.in_flight
 
 
 def test_closing_answers_everything_and_stops_the_timers():
@@ -124,7 +124,7 @@
     rig.take("r1")
     rig.take("r2", "once")
     rig.driver.close()
-    assert rig.verdicts() == [Verdict.NO_ROOM] * 2 and not rig.driver.held
+    assert rig.verdicts() == [Verdict.NO_ROOM] * 2 and not rig.driver.in_flight
     seen = len(rig.script.events)
     rig.clock.step(1100.0)
     assert len(rig.script.events) == seen
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -161,7 +161,7 @@
             client = await rig.client()
             client.writer.write(raw(budget="50m"))
             await begun.wait()
-            rig.ingress.driver._overdue(next(iter(rig.ingress.driver.held.values())))
+            rig.ingress.driver._expire(next(iter(rig.ingress.driver.in_flight.values())))
             go.set()
             answer = await client.reader.readuntil(b"0\r\n\r\n")
             assert b" 200 " in answer and b"one " in answer and b"two" in answer
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -132,8 +132,8 @@
         async with made() as ingress:
             async with ingress.admit(CALL._replace(budget=0.02)) as admission:
                 assert admission.begin() and admission.begin()
-                held = ingress.driver.held[admission.request.id]
-                ingress.driver._overdue(held)  # its time is up
+                held = ingress.driver.in_flight[admission.request.id]
+                ingress.driver._expire(held)  # its time is up
                 assert ingress.held == 1
             assert nothing_held(ingress)
 
@@ -241,10 +241,10 @@
 
             task = asyncio.create_task(work())
             await until(lambda: ingress.held)
-            held = next(iter(ingress.driver.held.values()))
+            held = next(iter(ingress.driver.in_flight.values()))
             await until(lambda: held.attempt is not None)
             await asyncio.sleep(0)
-            ingress.driver._overdue(held)
+            ingress.driver._expire(held)
             with pytest.raises(asyncio.CancelledError):
                 await task
             assert nothing_held(ingress)
--- a/tests/services/test_services.py
+++ b/tests/services/test_services.py
@@ -360,20 +360,20 @@
         addresses = [n.transport.get_extra_info("sockname") for n in nodes]
         for node in nodes:
             node.peers, node.numbers = addresses, {a: i for i, a in enumerate(addresses)}
-        nodes[0].tell(2, b"one")
-        nodes[1].tell(None, b"all")
-        nodes[1].tell(0, b"x" * 257)  # too long: not sent
-        nodes[1].tell(9, b"nobody")
+        nodes[0].send(2, b"one")
+        nodes[1].send(None, b"all")
+        nodes[1].send(0, b"x" * 257)  # too long: not sent
+        nodes[1].send(9, b"nobody")
         stranger = PeerDatagrams(addresses, None, 0, got[0].append)
         await loop.create_datagram_endpoint(lambda: stranger, local_addr=(HOST, 0))
-        stranger.tell(0, b"from nowhere")
-        nodes[2].tell(0, b"last")
+        stranger.send(0, b"from nowhere")
+        nodes[2].send(0, b"last")
         await until(lambda: len(got[0]) == 2 and len(got[2]) == 2)
         assert sorted(got[0]) == [events.PeerMessage(1, b"all"), events.PeerMessage(2, b"last")]
         assert sorted(got[2]) == [events.PeerMessage(0, b"one"), events.PeerMessage(1, b"all")]
         assert not got[1]
         nodes[2].everyone = addresses[1]
-        nodes[2].tell(None, b"by one address")
+        nodes[2].send(None, b"by one address")
         await until(lambda: got[1])
 
     run(main())
--- a/thistleusher/core/answers.py
+++ b/thistleusher/core/answers.py
@@ -1,4 +1,4 @@
-"""A final answer in HTTP's words, the same from the daemon and from the library.
+"""A final answer as HTTP status, headers and body, the same from the daemon and from the library.
 
 Status codes are those of RFC 9110, section 15, and RFC 6585, section 4 (429); `Retry-After` holds whole seconds
 (RFC 9110, section 10.2.3), or a decimal where the clients are known to read one. `RateLimit` and `RateLimit-Policy`
@@ -22,8 +22,6 @@
     Verdict.FAULT: 500,
     Verdict.INVALID: 400,
 }
-
-
 REASONS = {
     Verdict.OVER_QUOTA: "over-quota",
     Verdict.NO_ROOM: "no-room",
@@ -34,7 +32,7 @@
 
 
 def headers_of(final: Final, whole: bool = False) -> tuple[tuple[bytes, bytes], ...]:
-    """`Retry-After` in seconds where it is known when to come back.
+    """Return `Retry-After` in seconds, where it is known when a retry has a chance.
 
     `whole`: rounded up, as common clients take nothing else, with the exact time in `Retry-After-Ms`.
     """
@@ -49,7 +47,7 @@
 
 
 def problem_of(final: Final) -> bytes:
-    """The answer's body in problem details form (RFC 9457): `reason`, and `retry_in` in seconds where it is known.
+    """Return the body in problem details form (RFC 9457): `reason`, and `retry_in` in seconds where it is known.
 
     Its type is `about:blank`: the status says all there is (section 4.2.1).
     """
@@ -65,16 +63,16 @@
     return json.dumps(body).encode()
 
 
-def ratelimit_headers(plan: PlanSettings, room: float) -> tuple[tuple[bytes, bytes], ...]:
-    """What is left of a quota: `q` units a window of `w` s; `r` left now, full again in `t` s, whole numbers.
+def ratelimit_headers(plan: PlanSettings, headroom: float) -> tuple[tuple[bytes, bytes], ...]:
+    """Return what is left of a quota: `q` units a window of `w` s; `r` left now, full again in `t` s, whole numbers.
 
-    `room` in units. Empty where the plan has no quota.
+    `headroom` in units. Empty where the plan has no quota.
     """
     if plan.rate <= 0:
         return ()
     name = plan.name.encode("ascii", "replace").replace(b"\\", b"").replace(b'"', b"")
     window = max(1, math.ceil(plan.burst / plan.rate))
-    left = max(0.0, min(plan.burst, room))
+    left = max(0.0, min(plan.burst, headroom))
     return (
         (b"RateLimit-Policy", b'"%s";q=%d;w=%d' % (name, int(plan.burst), window)),
         (b"RateLimit", b'"%s";r=%d;t=%d' % (name, int(left), math.ceil((plan.burst - left) / plan.rate))),
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -1,4 +1,4 @@
-"""What the decision module asks of its parts, as protocols: escrowed shares, gossip, the counters' placement."""
+"""What the decision module asks of its parts, as protocols: escrowed shares, gossip, placement of the counts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class Routed(Protocol):
-    """What the choice of a backend asks of a request."""
+    """What the choice of a backend asks of a request.
+
+    `work`: expected, in multiples of its class's mean. `bad`: backends that are left out. `ran_on`: the backend of the
+    earliest attempt that may have run.
+    """
 
     req: Request
     cls: ClassSettings
@@ -21,55 +25,55 @@
 
 
 class Escrow(Protocol):
-    """What holds members to an ingress's own share of their allowance; `thistleusher.quota` is one.
+    """Holds customers to an ingress's own share of their allowance; `thistleusher.quota` is one.
 
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
-        """Whether a request may be let in; `spent`: what is known to be gone of the whole allowance."""
+        """Charge a request and return True if the share admits it; `spent`: known to be used of the whole allowance."""
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
-        """Units were let in on another's word."""
+        """Charge units that were admitted by other means."""
 
     def demands(self, now: float) -> list[tuple[int | None, bytes]]:
-        """Messages that are due, to whom; None: to all peers."""
+        """Return requests for peers' shares that are due, with the peer; None: to all peers."""
 
     def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
-        """A peer's message; the answers to it, if any."""
+        """Take in a peer's message, and return the answers to it."""
 
     def handshakes(self, now: float) -> list[tuple[int, bytes]]:
-        """What an ingress that has begun has to say now, to whom."""
+        """Return the messages that an ingress which has started is to send now, with the peer."""
 
     def handshake_delay(self, now: float) -> float | None:
-        """Seconds until more of that is due; None where nothing is any more."""
+        """Return the seconds until more handshakes are due; None where none are any more."""
 
     def has_shut_down(self, peer: int) -> bool:
-        """Whether a peer has ended in order and not begun again: it lets nothing in."""
+        """Return whether a peer has shut down in order and not started again: it admits nothing."""
 
     def has_restarted(self) -> bool:
-        """Whether a peer has known an earlier life of this ingress."""
+        """Return whether a peer has known an earlier incarnation of this ingress."""
 
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
-        """The last words of an ingress that ends in order, to whom."""
+        """Return the messages by which an ingress that shuts down hands its shares over, with the peer."""
 
     def restore(self, notes: Iterable[SavedReservation], active: float | None) -> None:
-        """Keep rooms from now on; `notes` of an earlier life that was at work at `active`, None without one."""
+        """Reserve headroom from now on; `notes` of an earlier incarnation that was active until `active`, if any."""
 
     def changed_reservations(self, now: float, most: int) -> list[SavedReservation]:
-        """Notes to be written to disk, of allowances that have changed."""
+        """Return reservations to be written to disk, of allowances that have changed, `most` at once."""
 
     def reservation_dropped(self, key: tuple[int, int]) -> None:
-        """The last note of this (plan, customer) will never be on disk."""
+        """Note that the last reservation of this (plan, customer) will never be on disk."""
 
     def reservations_committed(self, keys: Iterable[tuple[int, int]]) -> None:
-        """The last notes of these (plan, customer) are on disk."""
+        """Note that the last reservations of these (plan, customer) are on disk."""
 
 
 class OwnerQuery(NamedTuple):
-    """A peer's query to the owner of an account: its number, member, plan's number, set, and units asked for.
+    """A peer's query to the owner of an account: its number, customer, plan's number, set, and units asked for.
 
-    `answer`: the one that it has had, where it comes again.
+    `answer`: the reply that it has had, where it comes again.
     """
 
     number: int
@@ -82,65 +86,65 @@
 
 
 class Gossip(Protocol):
-    """Who is told and asked what in a large fleet; `thistleusher.gossip` is one. Times in seconds."""
+    """Which peer is notified and asked of what in a large fleet; `thistleusher.gossip` is one. Times in seconds."""
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Something of a member has changed; `lazy`: it may wait for company."""
+        """Note that a customer's usage has changed; `lazy`: it may wait for other updates."""
 
     def record_message(self, now: float, peer: int, telling: bool) -> None:
-        """A peer has sent a message; `telling`: an update of usage by members that are common to both."""
+        """Note a peer's message; `telling`: a usage update, of customers that are common to both."""
 
     def member_seen(self, now: float, first: int, width: int) -> None:
-        """A member of this set was seen."""
+        """Note that a customer of this set was seen."""
 
     def has_work(self) -> bool:
-        """Whether the next tick has anything to say."""
+        """Return whether the next tick has anything to send."""
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """The tellings that leave now: to whom, of which members."""
+        """Return the updates that are sent now: the peer, and the customers."""
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """The ingress that keeps a member's account; None where none of its candidates answers."""
+        """Return the ingress that owns a customer's account; None where none of its candidates answers."""
 
     def create_query(self, now: float, home: int, r: Request, plan: int) -> bytes | None:
-        """A question for a request; None where too many are out."""
+        """Return a query to the owner for a request; None where too many are out."""
 
     def receive_query(self, now: float, peer: int, payload: bytes) -> OwnerQuery | None:
-        """A question of a peer's; None where it cannot be one, or is one that is being decided on."""
+        """Return a peer's query; None where it cannot be one, or is being decided on."""
 
     def create_reply(self, peer: int, number: int, good: bool, room: float) -> bytes:
-        """The answer to a peer's."""
+        """Return the reply to a peer's query; `room`: the headroom in units."""
 
     def receive_reply(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
-        """Whose request a home has decided on, how, and the room that it told; None where nobody waits for it."""
+        """Return the request that its owner has decided on, whether it is admitted, and the headroom, if known."""
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
-        """Questions to be put once more, to whom: they or their answers were likely lost."""
+        """Return queries to be sent once more, with the peer: they or their replies were likely lost."""
 
     def expired_requests(self, now: float) -> list[str]:
-        """Requests whose home has not answered in time, or that were held until now."""
+        """Return requests whose owner has not replied in time, or that were pending until now."""
 
     def add_pending(self, request: str, due: float) -> bool:
-        """Keep a request until then, or until a peer has given anything; whether there is room for it."""
+        """Keep a request pending until then, or until a peer grants anything; return False where too many are."""
 
     def take_pending(self) -> list[str]:
-        """All that are kept; they are kept no longer."""
+        """Return all that are pending; they are pending no longer."""
 
     def timer_delay(self, now: float) -> float | None:
-        """Seconds until a question is overdue; None where none is out."""
+        """Return the seconds until a query is overdue; None where none is out."""
 
     def reconcile(self, home: int, customer: int, plan: int, units: float) -> None:
-        """Units more (or less) than a home was asked for."""
+        """Have the owner charge so many units more (or less) than it was asked for."""
 
     def due_reconciliations(self) -> list[tuple[int, bytes]]:
-        """The messages of all that waits to be settled."""
+        """Return the messages of all that waits to be reconciled, with the peer."""
 
     def parse_reconciliations(self, payload: bytes) -> list[tuple[int, int, float]]:
-        """Members, their plans' numbers, and units, of a peer's settlements."""
+        """Return the customers, their plans' numbers and the units of a peer's reconciliations."""
 
 
 class CounterOf(Protocol):
-    """Where several counters share the names: which of them holds one, by its number. Pure."""
+    """Placement of the counts over several counters, by their number. Pure."""
 
     def of(self, name: int) -> int:
-        """The same at every ingress."""
+        """Return the counter that holds a name, the same at every ingress."""
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -1,13 +1,13 @@
-"""Events go to the decision module one at a time; its actions are carried out, each request answered once.
+"""Hands events to the decision module one at a time and carries its actions out; each request is answered once.
 
 Guarantees, whatever the surroundings do:
 
-- `on_final` of a request is called exactly once, or never if the client went first (`gone`);
+- `on_final` of a request is called exactly once, or never if the client went first (`client_gone`);
 - it is called by the request's deadline at the latest, a little before the client's own time is up;
 - one attempt of a request is out at a time, and none is started once the request has its final answer;
 - the module is never entered while it decides: what an action brings about at once waits for its turn.
 
-How: every request has a `Held` from `take` to its end. Events queue in `submit`; a timer per request rings at
+Every request has an `InFlightRequest` from `accept` to its end. Events queue in `submit`; a timer per request rings at
 its deadline. Cost: constant a request, besides the module's own.
 """
 
@@ -21,6 +21,7 @@
 
 from thistleusher.core import actions, events
 from thistleusher.core.events import Event, Outcome
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import (
     AttemptPort,
     BackendPort,
@@ -33,7 +34,7 @@
     Timer,
     Verdict,
 )
-from thistleusher.core.settings import Effect, Group, Settings
+from thistleusher.core.settings import Settings
 
 log = logging.getLogger(__name__)
 
@@ -41,35 +42,8 @@
 MARGIN_SHARE = 0.2  # of a short time
 
 
-class InFlightRequest:
-    """A request that is owed one final answer. `context` is the front's own."""
-
-    __slots__ = (
-        "request",
-        "on_final",
-        "context",
-        "timer",
-        "attempts",
-        "attempt",
-        "answered",
-        "may_have_run",
-        "deadline",
-        "over",
-    )
-
-    def __init__(
-        self, request: events.Request, on_final: Callable[[Final], None], context: Any, deadline: float
-    ) -> None:
-        self.request, self.on_final, self.context, self.deadline = request, on_final, context, deadline
-        self.timer: Timer | None = None
-        self.attempts = 0
-        self.attempt: AttemptPort | None = None
-        self.answered = self.may_have_run = False
-        self.over = False  # its time is up: no attempt is started any more, whatever the module makes of the last one
-
-
 class Driver:
-    """One ingress without its sockets. `unix` gives Unix time in seconds, the same at all ingresses."""
+    """One ingress without its sockets. `unix` returns Unix time in seconds, the same at all ingresses."""
 
     def __init__(
         self,
@@ -79,249 +53,269 @@
         scheduler: Scheduler,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        self.settings, self.gateway, self.backends = settings, gateway, backends
-        self.scheduler, self.unix = scheduler, unix
+        self.settings = settings
+        self.gateway = gateway
+        self.backends = backends
+        self.scheduler = scheduler
+        self.unix = unix
         self.classes = {c.name: c for c in settings.classes}  # a front may name further ones as they come
         self.counter: CounterPort | None = None
         self.peers: PeerPort | None = None
-        self.held: dict[str, InFlightRequest] = {}
+        self.in_flight: dict[str, InFlightRequest] = {}
         self.events: deque[Event] = deque()
-        self.busy = self.closed = False
+        self.deciding = False
+        self.closed = False
         self.clock = 0.0
         self.timers: set[Timer] = set()
-        self.carry: dict[type, Callable[[Any], None]] = {
-            actions.Attempt: self._attempt,
-            actions.CounterAdd: self._count,
+        # How each action is carried out. Subscribe and FetchList are not: the list of servers is always followed.
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            actions.Attempt: self._start_attempt,
+            actions.CounterAdd: self._add_to_counter,
             actions.SetTimer: self._set_timer,
             actions.Refuse: self._refuse,
             actions.Fail: self._fail,
-            actions.CancelAttempt: self._cancel,
-            actions.SendToPeer: self._tell,
-            actions.Probe: lambda a: self.backends.probe(a.backend),
-            actions.CloseIdle: lambda a: self.backends.close_idle(a.backend),
-            actions.Log: lambda a: log.info("%s", a.text),
-        }  # the list of servers is always followed
+            actions.CancelAttempt: self._cancel_attempt,
+            actions.SendToPeer: self._send_to_peer,
+            actions.Probe: lambda action: self.backends.probe(action.backend),
+            actions.CloseIdle: lambda action: self.backends.close_idle(action.backend),
+            actions.Log: lambda action: log.info("%s", action.text),
+        }
 
     # Events.
 
     def now(self) -> float:
-        """Unix time, so that the windows of all ingresses agree; it never goes back."""
+        """Return Unix time, so that the windows of all ingresses agree; it never goes back."""
         self.clock = max(self.clock, self.unix())
         return self.clock
 
     def submit(self, event: Event) -> None:
         """Hand an event to the module. One that comes about while another is handled waits for its turn."""
         self.events.append(event)
-        if self.busy:
+        if self.deciding:
             return
-        self.busy = True
+        self.deciding = True
         try:
             while self.events:
                 self._decide(self.events.popleft())
         finally:
-            self.busy = False
+            self.deciding = False
 
     def _decide(self, event: Event) -> None:
-        """A fault of the module or of an action ends the request that it is about, not the program."""
+        """Carry out the actions on one event. A fault ends the request that it is about, not the program."""
         try:
             for action in self.gateway.handle(self.now(), event):
-                carry = self.carry.get(type(action))
-                if carry is not None:
-                    carry(action)
+                handler = self.handlers.get(type(action))
+                if handler is not None:
+                    handler(action)
         except Exception:
             log.exception("deciding on %r", event)
             name = event.id if isinstance(event, events.Request) else getattr(event, "request", None)
-            held = self.held.get(name) if isinstance(name, str) else None
-            if held is not None:
-                self.answer(held, Final(Verdict.FAULT))
-                self.events.append(events.ClientGone(held.request.id))  # the module may hold it still
+            in_flight = self.in_flight.get(name) if isinstance(name, str) else None
+            if in_flight is not None:
+                self.answer(in_flight, Final(Verdict.FAULT))
+                self.events.append(events.ClientGone(in_flight.request.id))  # the module may know it still
 
-    def _count(self, a: actions.CounterAdd) -> None:
+    def _add_to_counter(self, action: actions.CounterAdd) -> None:
         if self.counter is not None:
-            self.counter.add(a.name, a.amount, a.lifetime)
+            self.counter.add(action.name, action.amount, action.lifetime)
         else:
-            self.submit(events.CounterReply(a.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
+            self.submit(events.CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
 
-    def _tell(self, a: actions.SendToPeer) -> None:
+    def _send_to_peer(self, action: actions.SendToPeer) -> None:
         if self.peers is not None:
-            self.peers.tell(a.peer, a.payload)
+            self.peers.send(action.peer, action.payload)
 
-    def _set_timer(self, a: actions.SetTimer) -> None:
+    def _set_timer(self, action: actions.SetTimer) -> None:
         if self.closed:
             return
 
         def fire() -> None:
             self.timers.discard(timer)
-            self.submit(events.TimerFired(a.token))
+            self.submit(events.TimerFired(action.token))
 
-        timer = self.scheduler.call_later(a.delay, fire)
+        timer = self.scheduler.call_later(action.delay, fire)
         self.timers.add(timer)
 
     # Requests.
 
-    def take(
-        self, request: events.Request, on_final: Callable[[Final], None], context: Any = None, came: float | None = None
+    def accept(
+        self,
+        request: events.Request,
+        on_final: Callable[[Final], None],
+        context: Any = None,
+        received_at: float | None = None,
     ) -> InFlightRequest | None:
-        """A request is owed one answer from here on. `came`: when its client's time began, on the scheduler.
+        """Take a request in: from here on it is owed one answer.
 
-        None, and INVALID to `on_final`, where its id is that of a request still held.
+        `received_at`: when its client's time began, on the scheduler's clock; None: now. Returns None, with INVALID to
+        `on_final`, where its id is that of a request still in flight.
         """
-        if request.id in self.held:
+        if request.id in self.in_flight:
             on_final(Final(Verdict.INVALID))
             return None
         now = self.scheduler.time()
-        left = (now if came is None else came) + request.expires_in - now
+        left = (now if received_at is None else received_at) + request.expires_in - now
         left -= min(MARGIN_S, MARGIN_SHARE * request.expires_in)
-        held = self.held[request.id] = InFlightRequest(request, on_final, context, now + left)
-        held.timer = self.scheduler.call_at(held.deadline, self._overdue, held)
+        in_flight = InFlightRequest(request, on_final, context, now + left)
+        self.in_flight[request.id] = in_flight
+        in_flight.timer = self.scheduler.call_at(in_flight.deadline, self._expire, in_flight)
         self.submit(request._replace(expires_in=max(0.0, left)))
-        return held
+        return in_flight
 
-    def gone(self, name: str) -> None:
-        """The client has left: nothing more goes out for its request, and `on_final` is not called any more.
+    def client_gone(self, name: str) -> None:
+        """Note that the client has left: nothing more goes out, and `on_final` is not called any more.
 
         What a backend already has is waited for: no cancel stops its work, and the module counts it as load.
         """
-        held = self.held.get(name)
-        if held is None or held.answered:
+        in_flight = self.in_flight.get(name)
+        if in_flight is None or in_flight.answered:
             return
-        held.answered = True
+        in_flight.answered = True
         self.submit(events.ClientGone(name))
-        if held.attempt is not None and not held.attempt.written:
-            held.attempt.cancel()
-        self._forget(held)
+        in_flight.cancel_unwritten()
+        self._forget_if_done(in_flight)
 
-    def answering(self, held: InFlightRequest) -> bool:
-        """The backend's answer has begun to go out: it is the final one. False if there is one already."""
-        if held.answered:
+    def begin_answer(self, in_flight: InFlightRequest) -> bool:
+        """Note that a backend's answer begins to go out as the final one; return False if there is one already."""
+        if in_flight.answered:
             return False
-        held.answered = True
+        in_flight.answered = True
         return True
 
-    def answer(self, held: InFlightRequest, final: Final) -> None:
-        """The one final answer; any further one is dropped."""
-        if held.answered:
+    def answer(self, in_flight: InFlightRequest, final: Final) -> None:
+        """Give the one final answer; any further one is dropped."""
+        if in_flight.answered:
             return
-        held.answered = True
-        held.on_final(final)
-        if held.attempt is not None and not held.attempt.written:
-            held.attempt.cancel()
-        self._forget(held)
-
-    def _overdue(self, held: InFlightRequest) -> None:
-        """The client's time is as good as up: end the attempt, and answer what the module does not."""
-        held.over = True
-        if held.attempt is not None:
-            held.attempt.expire()
-        if not held.answered:
-            log.info("request %s: answered by the watchdog", held.request.id)
-            self._give_up(held)
-            self.submit(events.ClientGone(held.request.id))
-        self._forget(held)
-
-    def _give_up(self, held: InFlightRequest) -> None:
-        """Refused where trying again is harmless, failed elsewhere."""
-        self.answer(held, self._refusal(0.0) if self.may_refuse(held) else Final(Verdict.FAILED))
-
-    def may_refuse(self, held: InFlightRequest) -> bool:
-        """A refusal says that trying again is harmless: so it is where nothing ran, or where repeats are."""
-        cls = self.classes[held.request.class_name]
-        ran = held.may_have_run or (held.attempt is not None and held.attempt.written)
-        return not ran or cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
+        in_flight.answered = True
+        in_flight.on_final(final)
+        in_flight.cancel_unwritten()
+        self._forget_if_done(in_flight)
+
+    def _expire(self, in_flight: InFlightRequest) -> None:
+        """End the attempt, and answer what the module has not: the client's time is as good as up."""
+        in_flight.over = True
+        if in_flight.attempt is not None:
+            in_flight.attempt.expire()
+        if not in_flight.answered:
+            log.info("request %s: answered by the watchdog", in_flight.request.id)
+            self._give_up(in_flight)
+            self.submit(events.ClientGone(in_flight.request.id))
+        self._forget_if_done(in_flight)
+
+    def _give_up(self, in_flight: InFlightRequest) -> None:
+        """Answer for the module: refused where a retry is harmless, failed elsewhere."""
+        self.answer(in_flight, self._refusal(0.0) if self.may_refuse(in_flight) else Final(Verdict.FAILED))
+
+    def may_refuse(self, in_flight: InFlightRequest) -> bool:
+        """Return whether a request may be refused, which says that a retry is harmless."""
+        return in_flight.may_refuse(self.classes[in_flight.request.class_name])
 
     def _refusal(self, wait: float) -> Final:
-        """Beyond a quota the module tells when there is room again."""
-        return Final(
-            Verdict.OVER_QUOTA if wait > 0 else Verdict.NO_ROOM, wait if wait > 0 else self.settings.max_retry_after
-        )
-
-    def _refuse(self, a: actions.Refuse) -> None:
-        held = self.held.get(a.request)
-        if held is not None:
-            self.answer(held, self._refusal(a.retry_in))
-
-    def _fail(self, a: actions.Fail) -> None:
-        held = self.held.get(a.request)
-        if held is not None:
-            self.answer(held, Final(Verdict.FAILED))
-
-    def _forget(self, held: InFlightRequest) -> None:
-        """Answered, and nothing out any more."""
-        if held.answered and held.attempt is None:
-            if held.timer is not None:
-                held.timer.cancel()
-            self.held.pop(held.request.id, None)
+        """Return the answer to a refused request; beyond a quota the module says when there is headroom again."""
+        if wait > 0:
+            return Final(Verdict.OVER_QUOTA, wait)
+        return Final(Verdict.NO_ROOM, self.settings.max_retry_after)
+
+    def _refuse(self, action: actions.Refuse) -> None:
+        in_flight = self.in_flight.get(action.request)
+        if in_flight is not None:
+            self.answer(in_flight, self._refusal(action.retry_in))
+
+    def _fail(self, action: actions.Fail) -> None:
+        in_flight = self.in_flight.get(action.request)
+        if in_flight is not None:
+            self.answer(in_flight, Final(Verdict.FAILED))
+
+    def _forget_if_done(self, in_flight: InFlightRequest) -> None:
+        """Forget a request that is answered and has no attempt out."""
+        if in_flight.answered and in_flight.attempt is None:
+            if in_flight.timer is not None:
+                in_flight.timer.cancel()
+            self.in_flight.pop(in_flight.request.id, None)
 
     # Attempts.
 
-    def _attempt(self, a: actions.Attempt) -> None:
-        """Send a request to a backend."""
-        held = self.held.get(a.request)
+    def _start_attempt(self, action: actions.Attempt) -> None:
+        """Send a request to a backend; one that is not allowed ends at once as moot."""
+        in_flight = self.in_flight.get(action.request)
         now = self.scheduler.time()
-        if held is None or held.answered or held.over or held.attempt is not None:
-            log.log(
-                logging.DEBUG if held is not None and held.over else logging.ERROR,
-                "request %s: an attempt that is not allowed was not sent",
-                a.request,
-            )
-            number = held.attempts if held is not None else 0
-            done = held is None or held.answered or held.over
-            self.submit(events.AttemptEnded(a.request, number, a.backend, Outcome.MOOT, 0.0, done))
+        if in_flight is None or in_flight.answered or in_flight.over or in_flight.attempt is not None:
+            self._reject_attempt(action, in_flight)
             return
-        number, held.attempts = held.attempts, held.attempts + 1
-        attempt = held.attempt = self.backends.prepare(
-            held, a.backend, lambda ended: self._ended(held, number, attempt, a.backend, ended, now)
+        number = in_flight.attempts
+        in_flight.attempts += 1
+        attempt = in_flight.attempt = self.backends.prepare(
+            in_flight,
+            action.backend,
+            lambda ended: self._attempt_ended(in_flight, number, attempt, action.backend, ended, now),
         )
-        left = held.deadline - now
-        attempt.start(left if a.timeout is None else min(left, a.timeout))
-
-    def _cancel(self, a: actions.CancelAttempt) -> None:
-        held = self.held.get(a.request)
-        if held is not None and held.attempt is not None and held.attempts == a.attempt + 1:
-            held.attempt.cancel()
+        left = in_flight.deadline - now
+        attempt.start(left if action.timeout is None else min(left, action.timeout))
+
+    def _reject_attempt(self, action: actions.Attempt, in_flight: InFlightRequest | None) -> None:
+        over = in_flight is not None and in_flight.over
+        level = logging.DEBUG if over else logging.ERROR
+        log.log(level, "request %s: an attempt that is not allowed was not sent", action.request)
+        number = in_flight.attempts if in_flight is not None else 0
+        done = in_flight is None or in_flight.answered or over
+        self.submit(events.AttemptEnded(action.request, number, action.backend, Outcome.MOOT, 0.0, done))
+
+    def _cancel_attempt(self, action: actions.CancelAttempt) -> None:
+        in_flight = self.in_flight.get(action.request)
+        if in_flight is None or in_flight.attempt is None:
+            return
+        if in_flight.attempts == action.attempt + 1:
+            in_flight.attempt.cancel()
 
-    def _ended(
-        self, held: InFlightRequest, number: int, attempt: AttemptPort, backend: str, ended: Ended, sent: float
+    def _attempt_ended(
+        self,
+        in_flight: InFlightRequest,
+        number: int,
+        attempt: AttemptPort,
+        backend: str,
+        ended: Ended,
+        sent_at: float,
     ) -> None:
-        """An attempt has its outcome: a good one is the answer, anything else is the module's to decide."""
-        held.attempt = None
-        held.may_have_run |= attempt.written and ended.outcome is not Outcome.FULL
+        """Take in an attempt's outcome: a good one is the answer, anything else is the module's to decide."""
+        in_flight.attempt = None
+        in_flight.may_have_run |= attempt.written and ended.outcome is not Outcome.FULL
         units = 0.0
         if ended.outcome is Outcome.OK:
             # No request counts more than the most units: such a number cannot be meant.
             units = ended.true_units if ended.true_units <= self.settings.max_units else 0.0
-            self.answer(held, Final(Verdict.SERVED, 0.0, ended.payload))
-        elapsed = self.scheduler.time() - sent if ended.elapsed is None else ended.elapsed
-        self.submit(
-            events.AttemptEnded(
-                held.request.id,
-                number,
-                backend,
-                ended.outcome,
-                elapsed,
-                held.answered,
-                true_units=units,
-                load=ended.load,
-            )
+            self.answer(in_flight, Final(Verdict.SERVED, 0.0, ended.payload))
+        elapsed = self.scheduler.time() - sent_at if ended.elapsed is None else ended.elapsed
+        event = events.AttemptEnded(
+            in_flight.request.id,
+            number,
+            backend,
+            ended.outcome,
+            elapsed,
+            in_flight.answered,
+            true_units=units,
+            load=ended.load,
         )
-        self._forget(held)
+        self.submit(event)
+        self._forget_if_done(in_flight)
+
+    # The end.
 
-    def leave(self) -> None:
-        """This ingress ends in order: what only it knows is handed on. Before `close`, with nothing held any more."""
+    def hand_over(self) -> None:
+        """Have the module hand on what only it knows, at shutdown: before `close`, with nothing in flight."""
         self.submit(events.Leaving())
 
     def close(self) -> None:
-        """No timer rings any more, and what is still held gets its answer: failed or refused."""
+        """Let no timer ring any more, and answer what is still in flight: failed or refused."""
         self.closed = True
         for timer in self.timers:
             timer.cancel()
         self.timers.clear()
-        for held in list(self.held.values()):
-            held.over = True
-            if held.attempt is not None:
-                held.attempt.cancel()
-            if not held.answered:
-                self._give_up(held)
-            if held.timer is not None:
-                held.timer.cancel()
-        self.held.clear()
+        for in_flight in list(self.in_flight.values()):
+            in_flight.over = True
+            if in_flight.attempt is not None:
+                in_flight.attempt.cancel()
+            if not in_flight.answered:
+                self._give_up(in_flight)
+            if in_flight.timer is not None:
+                in_flight.timer.cancel()
+        self.in_flight.clear()
--- a/thistleusher/core/request.py
+++ b/thistleusher/core/request.py
@@ -1,4 +1,4 @@
-"""A request's headers, as the protocol page describes them, read into the module's words and checked."""
+"""Reads a request's headers, as the protocol page describes them, into the event that the decision module takes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 MAX_BUDGET_S = 3600.0
 
 
-class BadRequest(ValueError):
+class BadRequest(ValueError):  # noqa: N818  (a public name of the library)
     """A request that cannot be what the protocol describes."""
 
 
@@ -28,7 +28,7 @@
 
 
 def customer_of(url: bytes) -> bytes:
-    """The 16 hex digits at a path's end; NoSuchPath for any other."""
+    """Return the 16 hex digits at a path's end. Raises NoSuchPathError for any other path."""
     match = CUSTOMER.fullmatch(url)
     if match is None:
         raise NoSuchPathError("no such path")
@@ -44,18 +44,13 @@
         self.plans = {p.name.encode("latin-1", "replace"): p.name for p in settings.plans}
 
     def read(self, customer: bytes, method: bytes, headers: Iterable[tuple[bytes, bytes]]) -> events.Request:
-        """The module's request out of the headers; BadRequest says what is wrong with them.
+        """Return the request that the headers describe, times in seconds. Raises BadRequest with what is wrong.
 
-        `customer` is the 16 hex digits of the path. Times come out in seconds.
+        `customer` is the 16 hex digits of the path.
         """
-        values: dict[bytes, bytes] = {}
-        for name, value in headers:
-            key = name.lower()
-            if key in values and (key.startswith(b"x-") or key in ONCE):
-                raise BadRequest(f"{key.decode()}: more than one")
-            values[key] = value
+        values = _values(headers)
         number = int(customer, 16)
-        call_id, budget = values.get(b"x-call-id", b""), BUDGET.fullmatch(values.get(b"x-budget", b""))
+        call_id = values.get(b"x-call-id", b"")
         cls = self.classes.get(values.get(b"x-call-class", b""))
         plan = self.plans.get(values.get(b"x-tier", b""))
         if number >= MAX_CUSTOMER:
@@ -70,18 +65,24 @@
             raise BadRequest("the method does not fit the class")
         if cls.effect is Effect.KEYED and not values.get(b"idempotency-key"):
             raise BadRequest("idempotency-key: missing")
-        expires_in = int(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget else 0.0
-        if not 0 < expires_in <= MAX_BUDGET_S:
-            raise BadRequest("x-budget: expected a time such as 480m")
+        expires_in = _budget(values.get(b"x-budget", b""))
         if cls.deadline > 0:  # a silent backend must not hold a request for longer than any client waits
             expires_in = min(expires_in, cls.deadline)
         units, spread, first = self.terms(values.get(b"x-call-terms", b""))
         return events.Request(
-            call_id.decode(), cls.name, plan, number, expires_in, units, spread, first, values.get(b"x-again") == b"1"
+            id=call_id.decode(),
+            class_name=cls.name,
+            plan=plan,
+            customer=number,
+            expires_in=expires_in,
+            units=units,
+            width=spread,
+            first=first,
+            is_repeat=values.get(b"x-again") == b"1",
         )
 
     def terms(self, text: bytes) -> tuple[float, int, int]:
-        """Units, and the ingresses of the customer's set."""
+        """Return the units, and the width and first ingress of the customer's set."""
         usual = TERMS.fullmatch(text)
         if usual is not None:
             units, spread, first = float(usual[1]), int(usual[2]), int(usual[3])
@@ -94,8 +95,28 @@
         return units, spread, first
 
 
+def _values(headers: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
+    """Return the headers by their names in lower case; of the last, where one may come twice."""
+    values: dict[bytes, bytes] = {}
+    for name, value in headers:
+        key = name.lower()
+        if key in values and (key.startswith(b"x-") or key in ONCE):
+            raise BadRequest(f"{key.decode()}: more than one")
+        values[key] = value
+    return values
+
+
+def _budget(text: bytes) -> float:
+    """Return the seconds until the client gives up."""
+    budget = BUDGET.fullmatch(text)
+    seconds = int(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget else 0.0
+    if not 0 < seconds <= MAX_BUDGET_S:
+        raise BadRequest("x-budget: expected a time such as 480m")
+    return seconds
+
+
 def _terms(text: bytes) -> tuple[float, int, int]:
-    """The same in any order, with blanks, and with terms that are not ours."""
+    """Return the same of terms in any order, with blanks, and with terms that are not ours."""
     pairs = [part.strip().partition("=")[::2] for part in text.decode("latin-1").split(",")]
     terms = dict(pairs)
     units, spread, first = (terms.get(key, "") for key in ("units", "spread", "first"))
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -23,8 +23,9 @@
 
 from thistleusher.assembly import make_gateway
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import CounterPort, Ended, Final, Scheduler
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import Settings
@@ -104,7 +105,7 @@
         """
         if self.begun:
             return True
-        if self.over or self._held is None or not self.driver.answering(self._held):
+        if self.over or self._held is None or not self.driver.begin_answer(self._held):
             return False
         self.begun, self._first_byte = True, self.driver.scheduler.time() - self._started
         return True
@@ -112,7 +113,7 @@
     def leave(self) -> None:
         """The client has gone: no answer is owed any more."""
         self.left = True
-        self.driver.gone(self.request.id)
+        self.driver.client_gone(self.request.id)
 
     # Its course.
 
@@ -122,7 +123,7 @@
         if self._verdict is not None:
             raise RuntimeError("an admission can be entered once only")
         self._verdict = loop.create_future()
-        self._held = self.driver.take(self.request, self._finished, self)
+        self._held = self.driver.accept(self.request, self._finished, self)
         try:
             final = await self._verdict
             if final is not None:
@@ -303,7 +304,7 @@
         self._closed = True
         driver, self._driver = self._driver, None
         if driver is not None:
-            driver.leave()
+            driver.hand_over()
             driver.close()
         if self._counter is not None:
             self._counter.close()
@@ -356,7 +357,7 @@
     @property
     def held(self) -> int:
         """Requests that have not come to their end."""
-        return len(self.driver.held)
+        return len(self.driver.in_flight)
 
     # For the driver: the one backend.
 
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -158,9 +158,9 @@
         log.info("%s stops: %d requests held", self.config.name, len(self.ingress.in_flight))
         longest_s = max(c.deadline for c in self.config.settings.classes)
         await self.server.drain(notice, GracefulShutdown(self.loop.time(), longest_s))
-        self.ingress.driver.leave()
+        self.ingress.driver.hand_over()
         await asyncio.sleep(min(MAX_LAST_CALLS_S, self.config.settings.counter_timeout / 2))
-        self.ingress.driver.leave()  # again: a datagram may be lost, or overtaken by this one
+        self.ingress.driver.hand_over()  # again: a datagram may be lost, or overtaken by this one
         self.close()
         log.info("%s has stopped", self.config.name)
 
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -8,8 +8,9 @@
 
 from thistleusher.core import events
 from thistleusher.core.answers import STATUS, headers_of
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
 from thistleusher.core.events import ListKind, Outcome, Phase
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
 from thistleusher.core.settings import Settings
 from thistleusher.net.backend_list import BackendList
@@ -76,19 +77,19 @@
         self.serving: set[str] = set()  # backends that may be sent requests
         self.driver = Driver(settings, gateway, self, scheduler or loop, unix)
         self.submit = self.driver.submit
-        self.in_flight = self.driver.held
+        self.in_flight = self.driver.in_flight
 
     # Requests.
 
     def handle_request(self, call: Call, reply: Reply) -> None:
         """Take a client's request; it gets exactly one response from here on."""
-        self.driver.take(call.request, lambda final: self.finish(final, reply), call, call.received_at)
+        self.driver.accept(call.request, lambda final: self.finish(final, reply), call, call.received_at)
 
     def client_disconnected(self, call: Call) -> None:
         """Report a client that has gone; a call whose id another request has was never taken."""
         in_flight = self.in_flight.get(call.request.id)
         if in_flight is not None and in_flight.context is call:
-            self.driver.gone(call.request.id)
+            self.driver.client_gone(call.request.id)
 
     @staticmethod
     def finish(final: Final, reply: Reply) -> None:
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -11,8 +11,8 @@
 from thistleusher.common.configuration import Index
 from thistleusher.common.errors import RESPONSES, ErrorKind, ServiceError, retry_after_header
 from thistleusher.core import actions, events
-from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended, Final, Verdict
 from thistleusher.net.client_connection import ClientConnection, Reply
 from thistleusher.net.exchange import BackendExchange
@@ -130,9 +130,9 @@
     ) -> None:
         super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
         self.decisions = decisions
-        self.driver.carry[Charge] = charge
-        self.break_off = self.driver.carry[actions.CancelAttempt]
-        self.driver.carry[actions.CancelAttempt] = self.cancel
+        self.driver.handlers[Charge] = charge
+        self.break_off = self.driver.handlers[actions.CancelAttempt]
+        self.driver.handlers[actions.CancelAttempt] = self.cancel
         self.leaving: Callable[[], bool] = lambda: False  # whether this process's planned end has begun
 
     def routes(self, index: Index) -> None:
@@ -148,7 +148,7 @@
             self.decisions.expect(call.request.id, call.asked)
         # It was read ahead, and its route may have been dropped since.
         self.driver.classes.setdefault(call.request.class_name, class_of(call.asked.found))
-        self.driver.take(call.request, lambda final: self.final(final, call, reply), call, call.came)
+        self.driver.accept(call.request, lambda final: self.final(final, call, reply), call, call.came)
 
     def cancel(self, action: actions.CancelAttempt) -> None:
         """Break off an attempt at a silent backend, so that another may follow.
--- a/thistleusher/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -40,7 +40,7 @@
     def error_received(self, exc: Exception) -> None:
         log.debug("peers: %s", exc)
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send(self, peer: int | None, payload: bytes) -> None:
         """Send; a message that is too long, or to nobody, is left out and logged."""
         if len(payload) > MAX_MESSAGE or (peer is not None and not 0 <= peer < len(self.peers)):
             log.error("peers: %d bytes to %r are not sent", len(payload), peer)
