--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -13,7 +13,7 @@
 from thistleusher.core.ports import Ended, Verdict
 
 
-class Try:
+class ScriptedAttempt:
     """An attempt in the test's hand."""
 
     def __init__(self, on_end, writes):
@@ -32,15 +32,15 @@
 
 class Rig:
     def __init__(self, decide, writes=True):
-        self.clock, self.tries, self.finals, self.writes = Clock(1000.0), [], [], writes
+        self.clock, self.attempts, self.finals, self.writes = Clock(1000.0), [], [], writes
         self.script = Script(decide)
         self.driver = Driver(settings(), self.script, self, self.clock, self.clock.time)
 
-    def prepare(self, held, backend, on_end):
-        self.tries.append(Try(on_end, self.writes))
-        return self.tries[-1]
+    def prepare(self, in_flight, backend, on_end):
+        self.attempts.append(ScriptedAttempt(on_end, self.writes))
+        return self.attempts[-1]
 
-    def take(self, name="r1", cls="read", expires=2.0):
+    def accept(self, name="r1", cls="read", expires=2.0):
         return self.driver.accept(events.Request(name, cls, "basic", 7, expires, 1.0), self.finals.append)
 
     def verdicts(self):
@@ -53,23 +53,23 @@
 
 def test_a_second_final_answer_is_dropped_also_while_an_attempt_is_out():
     rig = Rig(on_request(Attempt("r1", "b0"), Refuse("r1", 0.5), Fail("r1"), Refuse("r1")))
-    rig.take()
+    rig.accept()
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and rig.finals[0].retry_in == 0.5
     assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still out
-    rig.tries[0].on_end(Ended(Outcome.OK))
+    rig.attempts[0].on_end(Ended(Outcome.OK))
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.in_flight
 
 
 def test_a_second_attempt_is_not_started_while_one_is_out():
     rig = Rig(on_request(Attempt("r1", "b0"), Attempt("r1", "b1")))
-    rig.take()
-    assert len(rig.tries) == 1 and [e.outcome for e in rig.script.ends()] == [Outcome.MOOT]
+    rig.accept()
+    assert len(rig.attempts) == 1 and [e.outcome for e in rig.script.ends()] == [Outcome.MOOT]
 
 
 def test_the_deadline_comes_a_little_before_the_clients():
     rig = Rig(on_request(Attempt("r1", "b0")))
-    rig.take(expires=2.0)
-    assert rig.tries[0].timeout == pytest.approx(1.97)
+    rig.accept(expires=2.0)
+    assert rig.attempts[0].timeout == pytest.approx(1.97)
     rig.clock.step(1001.9)
     assert not rig.finals
     rig.clock.step(1002.0)
@@ -88,7 +88,7 @@
 )
 def test_what_may_have_run_is_refused_only_where_repeats_are_harmless(cls, writes, verdict):
     rig = Rig(on_request(Attempt("r1", "b0")), writes)
-    rig.take(cls=cls)
+    rig.accept(cls=cls)
     rig.clock.step(1003.0)
     assert rig.verdicts() == [verdict]
 
@@ -100,29 +100,29 @@
         return []
 
     rig = Rig(decide)
-    rig.take()
+    rig.accept()
     assert rig.verdicts() == [Verdict.FAULT] and not rig.driver.in_flight
     assert rig.script.events[-1] == events.ClientGone("r1")
 
 
 def test_an_id_that_is_held_is_invalid_and_leaves_the_first_alone():
     rig = Rig(lambda e: [])
-    rig.take()
-    assert rig.take() is None and rig.verdicts() == [Verdict.INVALID] and list(rig.driver.in_flight) == ["r1"]
+    rig.accept()
+    assert rig.accept() is None and rig.verdicts() == [Verdict.INVALID] and list(rig.driver.in_flight) == ["r1"]
 
 
 def test_a_client_that_has_gone_is_told_nothing_and_an_unwritten_attempt_is_ended():
     rig = Rig(on_request(Attempt("r1", "b0")), writes=False)
-    rig.take()
+    rig.accept()
     rig.driver.client_gone("r1")
     rig.driver.client_gone("r1")
-    assert not rig.finals and rig.tries[0].cancelled == 1 and not rig.driver.in_flight
+    assert not rig.finals and rig.attempts[0].cancelled == 1 and not rig.driver.in_flight
 
 
 def test_closing_answers_everything_and_stops_the_timers():
     rig = Rig(on_request(SetTimer(5.0, 1)))
-    rig.take("r1")
-    rig.take("r2", "once")
+    rig.accept("r1")
+    rig.accept("r2", "once")
     rig.driver.close()
     assert rig.verdicts() == [Verdict.NO_ROOM] * 2 and not rig.driver.in_flight
     seen = len(rig.script.events)
@@ -132,20 +132,20 @@
 
 def test_without_a_counter_every_call_is_told_not_to_have_been_added():
     rig = Rig(lambda e: [CounterAdd(3, 1.0, 4.0)] if isinstance(e, events.Request) else [])
-    rig.take()
+    rig.accept()
     assert rig.script.events[1] == events.CounterReply(3, Outcome.CONNECT_FAILED, 0.0, 0.0)
 
 
 def test_true_units_over_the_most_are_left_out():
-    for told, heard in ((4.0, 4.0), (4.1, 0.0)):
+    for reported, taken in ((4.0, 4.0), (4.1, 0.0)):
         rig = Rig(on_request(Attempt("r1", "b0")))
-        rig.take()
-        rig.tries[0].on_end(Ended(Outcome.OK, "answer", told))
-        assert rig.finals[0].payload == "answer" and rig.script.ends()[0].true_units == heard
+        rig.accept()
+        rig.attempts[0].on_end(Ended(Outcome.OK, "answer", reported))
+        assert rig.finals[0].payload == "answer" and rig.script.ends()[0].true_units == taken
 
 
 def test_nothing_is_sent_any_more_once_a_refusal_is_on_its_way():
-    """At its deadline a request whose attempt never left is refused: the module's next try must not leave then either.
+    """At its deadline a request whose attempt never left is refused: the module's next attempt must not leave then either.
 
     Found by a hunt: an answer of 503 at 36.215 s, and the request at a backend at 36.262 s (REFUSED).
     """
@@ -156,14 +156,14 @@
         return [Attempt("r1", "b1")] if isinstance(e, events.AttemptEnded) and not e.done else []
 
     rig = Rig(decide, writes=False)
-    rig.take(cls="once")
+    rig.accept(cls="once")
     rig.writes = True  # the second one would be written at once
     rig.clock.step(1003.0)
-    assert len(rig.tries) == 1
+    assert len(rig.attempts) == 1
     assert rig.verdicts() == [Verdict.NO_ROOM]
 
 
 def test_what_is_out_and_written_may_have_run():
     rig = Rig(on_request(Attempt("r1", "b0")))
-    held = rig.take(cls="once")
-    assert rig.tries[0].written and not rig.driver.may_refuse(held)
+    in_flight = rig.accept(cls="once")
+    assert rig.attempts[0].written and not rig.driver.may_refuse(in_flight)
--- a/tests/test_parts.py
+++ b/tests/policy/test_subsets.py
@@ -1,4 +1,4 @@
-"""Each ingress's part of many backends: even over the fleet, larger for who is busier, without what rests."""
+"""Each ingress's subset of many backends: even over the fleet, larger for who is busier, without what is ejected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from thistleusher.policy.fleet import SCAN, SUBSET_MIN, Fleet
 
 
-def part(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
+def subset_of(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
     settings = Settings(classes=(SAFE,), plans=(PLAN,), instances=instances, me=me)
     fleet = Fleet(settings, random.Random(me), [], 100.0)
     fleet.listed(
@@ -35,19 +35,19 @@
 
 
 @pytest.mark.parametrize("instances,backends", [(200, 100), (200, 200), (60, 60), (24, 30)])
-def test_parts_lie_evenly_over_the_backends_in_whatever_order_the_list_comes(instances, backends):
-    met = Counter(name for me in range(instances) for name in names(part(me, instances, backends)))
+def test_subsets_lie_evenly_over_the_backends_in_whatever_order_the_list_comes(instances, backends):
+    met = Counter(name for me in range(instances) for name in names(subset_of(me, instances, backends)))
     assert len(met) == backends and max(met.values()) <= 1.2 * min(met.values()) + 1
 
 
-def test_who_is_busier_has_a_larger_part_and_one_ingress_alone_has_all():
-    assert len(part(3).subset) == SUBSET_MIN
-    assert len(part(3, rate=0.2).subset) == 60  # 20 attempts a second
-    assert len(part(0, instances=1).subset) == 100 == len(part(3, rate=9.0).subset)
+def test_who_is_busier_has_a_larger_subset_and_one_ingress_alone_has_all():
+    assert len(subset_of(3).subset) == SUBSET_MIN
+    assert len(subset_of(3, rate=0.2).subset) == 60  # 20 attempts a second
+    assert len(subset_of(0, instances=1).subset) == 100 == len(subset_of(3, rate=9.0).subset)
 
 
 def test_what_rests_is_replaced_by_the_next_and_is_back_for_its_trial():
-    fleet = part(3)
+    fleet = subset_of(3)
     before = names(fleet)
     fleet.backends[before[0]].ejected_until = 103.0
     fleet.draw_subset(100.0)
@@ -56,7 +56,7 @@
     assert names(fleet) == before
 
 
-def test_an_ingress_goes_to_its_part_and_beyond_it_where_nobody_there_may_be_sent_to():
+def test_an_ingress_uses_its_subset_and_goes_beyond_it_where_no_backend_there_may_be_sent_to():
     g = Ingress(backends=100, instances=200, me=7, peers=False)
     sent: set[str] = set()
     for n in range(60):
@@ -72,16 +72,16 @@
     assert a.backend not in own
 
 
-def test_a_new_list_changes_a_part_by_few():
-    fleet = part(3)
+def test_a_new_list_changes_a_subset_by_few():
+    fleet = subset_of(3)
     before = set(names(fleet))
     fleet.listed(101.0, events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING),)))
     fleet.draw_subset(101.0)
     assert len(before - set(names(fleet))) <= 2
 
 
-def test_the_sum_of_all_cold_budgets_does_not_grow_by_parts():
-    whole, near = part(3, backends=SCAN), part(3, rate=0.05)
+def test_the_sum_of_all_cold_budgets_does_not_grow_by_subsets():
+    whole, near = subset_of(3, backends=SCAN), subset_of(3, rate=0.05)
     assert whole.subset_factor() == 1.0
     members = 200 * len(near.near) / 100  # ingresses with one backend in their part
     assert members * near.subset_factor() == pytest.approx(200.0)
--- a/tests/test_work.py
+++ b/tests/policy/test_work.py
@@ -1,4 +1,4 @@
-"""Expected work of requests: learned from told units, used where requests are weighed against one another."""
+"""Expected work of requests: learned from requests' units, used where requests are weighed against one another."""
 
 from __future__ import annotations
 
