--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -145,7 +145,7 @@
 
 
 def test_nothing_is_sent_any_more_once_a_refusal_is_on_its_way():
-    """At its deadline a request whose attempt never left is refused: the module's next attempt must not leave then either.
+    """At its deadline a request whose attempt never left is refused: the module's next one must not leave then either.
 
     Found by a hunt: an answer of 503 at 36.215 s, and the request at a backend at 36.262 s (REFUSED).
     """
