--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from thistleusher import wirehost
+from thistleusher import wire_codec, wirehost
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 from thistleusher.core.settings import Effect
-from thistleusher.core.settings_parser import InvalidSettingError
+from thistleusher.core.text_fields import InvalidSettingError
 
 BORN = (
     "BORN 3 17 balancers=2 me=1 zone=z0 step=0.002 extra.counter=true extra.counterTimeout=0.08 "
@@ -24,7 +24,7 @@
 
 
 class Recorder:
-    """Stands in for the decisions: keeps events, answers with what it is told."""
+    """In place of the decisions: keeps events, answers with given actions."""
 
     def __init__(self, answer=()):
         self.events, self.answer, self.settings = [], list(answer), None
@@ -81,7 +81,7 @@
     assert rec.events == [event]
 
 
-@pytest.mark.parametrize("wire,outcome", sorted(wirehost.OUTCOMES.items()))
+@pytest.mark.parametrize("wire,outcome", sorted(wire_codec.OUTCOMES.items()))
 def test_every_outcome(wire, outcome):
     h, rec = host()
     h.batch(["CLOCK 2", f"RETURNED 3 abc 0 b:1 {wire} 0.02 0 0 0 -"])
@@ -131,7 +131,7 @@
 
 def test_a_stopped_instance_is_forgotten():
     h, _ = host()
-    assert h.batch(["CLOCK 2", "CRASH_NOW 3"]) == [] and not h.gateways
+    assert h.batch(["CLOCK 2", "CRASH_NOW 3"]) == [] and not h.instances
 
 
 def test_a_fault_in_the_decisions_is_declared_on_the_wire():
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the decision module and what it asks together, the same for the daemon, the library and the simulator."""
+"""Puts the decision module and its parts together, the same for the daemon, the library and the simulator."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
-    """One ingress's decisions. `now` is Unix time in seconds, at which it begins; `placement` of several counters."""
+    """Return one ingress's decisions. `now`: Unix time in seconds of its start; `placement`: of several counters."""
     return Gateway(settings, seed, now, make_escrow(settings, now), placement, make_gossip(settings, now))
 
 
 def make_gossip(settings: Settings, now: float) -> Gossip | None:
-    """A large fleet's talk; None where all is told to all."""
+    """Return the gossip of a large fleet; None where every peer gets every update."""
     if not settings.large:
         return None
     return Gossip(
@@ -26,7 +26,7 @@
 
 
 def quota_terms(plan: PlanSettings, most: float) -> Terms | None:
-    """What shares are held of; `most`: units of a request. None where a plan has neither ceiling nor quota."""
+    """Return the allowance that shares are of; `most`: units of a request. None where a plan has no limit at all."""
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(plan.ceiling_rate, plan.ceiling_burst, fresh=fresh_room(plan), ahead=most)
     if plan.rate <= 0 or plan.burst <= 0:
@@ -35,15 +35,15 @@
 
 
 def allowance_terms(settings: Settings) -> dict[str, tuple[float, float]]:
-    """Rate and burst of what rooms are noted of, by plan: under others a note says nothing."""
+    """Return rate and burst of the allowances that are reserved, by plan: under others a saved reservation is void."""
     found = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
     return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
 
 
 def make_escrow(settings: Settings, now: float) -> EscrowTable | None:
-    """Escrowed shares of ceilings, and of quotas where there is none; None where ingresses cannot tell each other.
+    """Return escrowed shares of ceilings, and of quotas where there is none; None where peers cannot be notified.
 
-    Wants and their answers take at most half of the messages that an ingress takes in. A fleet that begins together
+    Demands and their answers take at most half of the messages that an ingress takes in. A fleet that starts together
     has one quota's burst between its ingresses.
     """
     if not settings.peers or not 2 <= settings.instances <= 255 or settings.peer_in_per_s <= 0:
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -7,7 +7,8 @@
 from collections.abc import Sequence
 
 from thistleusher.core.settings import Settings
-from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
+from thistleusher.core.settings_parser import nested_settings
+from thistleusher.core.text_fields import InvalidSettingError
 from thistleusher.net.config import InvalidConfigurationError, read_data
 from thistleusher.quota.bound import Assumed, table
 
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from thistleusher.core.settings import Settings
-from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
+from thistleusher.core.settings_parser import nested_settings
+from thistleusher.core.text_fields import InvalidSettingError
 from thistleusher.net.backend_list import BackendList, parse_backend_list
 from thistleusher.services.addresses import Address, read_address
 
