--- a/thistleusher/core/__init__.py
+++ b/thistleusher/core/__init__.py
@@ -1,5 +1,5 @@
-"""Drives the decisions: events in, actions out, one final answer for each request; no HTTP and no sockets.
+"""Drives the decision module: events in, actions out, with the records and codecs that both sides share.
 
-It reaches backends, counter and peers through the protocols of `core.ports`; the daemon and the library are
-both users of it.
+It promises one final answer for each request, and knows no sockets: backends, counter and peers are reached through the
+protocols of `core.ports`.
 """
--- a/thistleusher/core/actions.py
+++ b/thistleusher/core/actions.py
@@ -34,14 +34,14 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a TimerFired."""
+    """Have a TimerFired with this token come after `delay` seconds."""
 
     delay: float
     token: int
 
 
 class Probe(NamedTuple):
-    """Look at a backend."""
+    """Check a backend's health."""
 
     backend: str
 
@@ -68,13 +68,13 @@
 
 
 class Subscribe(NamedTuple):
-    """Follow the list of servers, or stop."""
+    """Follow the list of servers, or stop following it."""
 
     on: bool
 
 
 class FetchList(NamedTuple):
-    """Ask for the whole list of servers once."""
+    """Fetch the complete list of servers once."""
 
 
 class Log(NamedTuple):
--- a/thistleusher/core/events.py
+++ b/thistleusher/core/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened, as the driver tells it to the decision module, which answers with `core.actions`."""
+"""Events: what has happened, as the driver hands it to the decision module, which answers with `core.actions`."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class BackendEntry(NamedTuple):
-    """One line of the list of servers."""
+    """One line of the list of servers. `born`: Unix time of its process's start, 0 where it is not known."""
 
     backend: str
     phase: Phase
@@ -59,7 +59,10 @@
 
 
 class Request(NamedTuple):
-    """A client's request; exactly one final answer is owed."""
+    """A client's request; exactly one final answer is owed.
+
+    `expires_in` in seconds; `first` and `width`: the ingresses that the customer's requests come through.
+    """
 
     id: str
     class_name: str
@@ -104,7 +107,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer of this gateway's has come up."""
+    """A timer that this gateway has set rings."""
 
     token: int
 
@@ -136,7 +139,7 @@
 
 
 class Leaving(NamedTuple):
-    """This ingress ends in order: it takes no request any more, and holds none."""
+    """This ingress shuts down in order: it takes no request any more, and has none in flight."""
 
 
 Event = Union[
--- a/thistleusher/core/settings.py
+++ b/thistleusher/core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decision module: classes of requests, plans, and what one instance is told at its start."""
+"""Settings of the decision module: classes of requests, plans, and all else that one instance starts with."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of request. Times are in seconds."""
+    """One class of requests: its effect when repeated, its latency target and its value. Times are in seconds."""
 
     name: str
     effect: Effect
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """One plan: quota (rate and burst), ceiling (a second store) and price."""
+    """One plan: quota (rate in units a second, and burst), ceiling (a second limit above it) and price."""
 
     name: str
     rate: float
@@ -86,13 +86,13 @@
         )
 
     def wide(self, width: int) -> bool:
-        """Whether a set is so wide that an even share of the burst is less than a unit."""
+        """Return whether a set of so many ingresses is so wide that an even share of the burst is less than a unit."""
         return width > self.burst
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """All that a gateway starts with. Times are in seconds; ValueError names a field that cannot be used."""
 
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
@@ -160,7 +160,7 @@
 
     @property
     def large(self) -> bool:
-        """Whether not everything can be told to everybody within a tick, so that words go to sets and homes."""
+        """Whether not every peer can get every update within a tick, so that updates go to sets and owners."""
         return (
             self.peers
             and self.counter
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -6,7 +6,11 @@
 
 
 class SavedMember(NamedTuple):
-    """What one ingress knew of a member's count, to be kept or put back; the fields of `policy.store.Customer`."""
+    """What one ingress knew of a customer's count, as it is stored; `core.customer.Customer` translates its fields.
+
+    `told`: own units that the count contained; `mine`, `theirs`: quarter units admitted here and at each peer; `heard`:
+    units that peers reported in the window `heard_in`.
+    """
 
     key: int
     plan: str
@@ -25,7 +29,10 @@
 
 
 class LearnedClass(NamedTuple):
-    """Usual time of a class's answers in seconds, and as it was when nothing was pressed; its line over units."""
+    """Usual latency of a class in seconds, and as it was unloaded; its regression line over units.
+
+    `spread`: variance of units; `both`: covariance of units and time.
+    """
 
     latency: float
     base: float
@@ -37,7 +44,10 @@
 
 
 class LearnedBackend(NamedTuple):
-    """What an ingress knows of one backend's process, that was born at `born`."""
+    """What an ingress knew of one backend's process, that started at `born`.
+
+    `proof`: evidence that it is faulty; `resting`: Unix time until which it is ejected.
+    """
 
     born: float
     ratio: float
@@ -48,7 +58,7 @@
 
 
 class Learned(NamedTuple):
-    """What an ingress had learned of its backends by a time: speeds, ejections, how many attempts may be out."""
+    """What an ingress had learned of its backends by the time `at`: speeds, ejections, how many attempts may be out."""
 
     at: float
     slots: float
@@ -59,9 +69,9 @@
 
 
 class SavedReservation(NamedTuple):
-    """What one ingress leaves alone of a member's allowance for its next life (`ledger.reserve`).
+    """What one ingress leaves alone of a customer's allowance for its next incarnation (`quota.reserve`).
 
-    `plan`: its number in the settings; `room` in units at Unix time `at`, -inf where it was forgotten.
+    `plan`: its number in the settings; `room`: headroom in units at Unix time `at`, -inf where it was forgotten.
     """
 
     plan: int
--- a/thistleusher/core/work_model.py
+++ b/thistleusher/core/work_model.py
@@ -1,4 +1,4 @@
-"""How much work a request is against the mean of its class, learned from the units told and the time of answers.
+"""How much work a request is against the mean of its class, learned from the units and times of answers.
 
 Where units say nothing of the time of an answer, every request counts as 1. Cost: constant a request.
 Source: exponentially weighted simple linear regression (moments with forgetting).
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -230,7 +230,7 @@
             self.paused_until = now + min(1.0, elapsed) * (1 / self.slots - 1)
 
     def _record_rejection(self, now: float, backend: Backend, attempt: OutstandingAttempt, rejected: bool) -> None:
-        """Learn whether a backend rejects one class or plan: it is told from a full fleet by who it rejects."""
+        """Learn whether a backend rejects one class or plan: a full fleet rejects all alike."""
         for key in (attempt.class_name, attempt.plan):
             backend.rejected[key] = (float(rejected), now)
             self.rejections[key] += 0.1 * (float(rejected) - self.rejections[key])
