--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -87,8 +87,9 @@
     Wrong(
         "an attempt's answer may be given twice",
         "core/driver.py",
-        "        if held.answered:\n            return\n        held.answered = True\n        held.on_final",
-        "        held.answered = True\n        held.on_final",
+        "        if in_flight.answered:\n            return\n        in_flight.answered = True\n"
+        "        in_flight.on_final",
+        "        in_flight.answered = True\n        in_flight.on_final",
     ),
 )
 
--- a/tests/compatibility/test_simulated_runs.py
+++ b/tests/compatibility/test_simulated_runs.py
@@ -14,13 +14,14 @@
 import msgspec
 import pytest
 
-from simnet import core, system
+import simnet.core.runs
+import simnet.system.days
 from tests.compatibility.fixtures import load, positional
 from thistleusher.control.interface import LogEvent
 from thistleusher.transport import codec
 
 SEEDS = range(10)
-WORLDS = {"core": core, "system": system}
+WORLDS = {"core": simnet.core.runs, "system": simnet.system.days}
 
 
 class Recorder:
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -83,5 +83,5 @@
 def test_the_sum_of_all_cold_budgets_does_not_grow_by_subsets():
     whole, near = subset_of(3, backends=SCAN), subset_of(3, rate=0.05)
     assert whole.subset_factor() == 1.0
-    members = 200 * len(near.near) / 100  # ingresses with one backend in their part
+    members = 200 * len(near.subset) / 100  # ingresses with one backend in their part
     assert members * near.subset_factor() == pytest.approx(200.0)
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -403,7 +403,7 @@
     w.gateways[0].restore(w.now, book)
     w.ask(1, 0, "basic")  # a telling
     w.run(0.3)
-    rooms = [g.room(w.now, 0, "basic") for g in w.gateways]
+    rooms = [g.headroom(w.now, 0, "basic") for g in w.gateways]
     assert rooms[0] == pytest.approx(rooms[1], abs=0.3)
 
 
@@ -451,7 +451,7 @@
     two = keeper()
     life, found = two.begin(w.gateways[0], lambda: w.now, later)
     assert life.number == 2 and len(found.members) == 700
-    assert w.gateways[0].room(w.now, 3, "plus") < PLUS.burst
+    assert w.gateways[0].headroom(w.now, 3, "plus") < PLUS.burst
     two.store.db.execute("PRAGMA query_only=1")  # the disk takes nothing any more
     assert not two.close()
     assert Store(tmp_path / "a", "n0").before.ended == 0.0  # let go, and taken for killed
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -25,19 +25,19 @@
 from types import ModuleType
 from typing import Any, NamedTuple
 
-from thistleusher.common.config_items import (
+from thistleusher.common.errors import ErrorKind, ServiceError
+from thistleusher.configuration.items import (
     DocumentParts,
     Identity,
     assemble,
     difference,
     digest_of,
     identity_of,
-    is_kept_document,
+    is_stored_document,
     number_of,
     split_document,
     was_accepted,
 )
-from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.interface import Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
@@ -64,7 +64,7 @@
 
 def checks() -> ModuleType:
     """The module that checks configurations: loaded late, as a start must not wait for it."""
-    return importlib.import_module("thistleusher.common.validation")
+    return importlib.import_module("thistleusher.configuration.validation")
 
 
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
@@ -72,7 +72,7 @@
 
     `state`: the state in force; what was taken into it is not checked again. Cost: one step a field.
     """
-    held = identity_of(state) if state is not None and is_kept_document(state, document) else None
+    held = identity_of(state) if state is not None and is_stored_document(state, document) else None
     if held is not None:
         return ParsedOrder(held, None)
     read = checks().read_json(document)
