--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -17,7 +17,7 @@
 from standins.counter import Counter
 from standins.deployments import DEPLOYMENTS
 from standins.discovery import Discovery
-from standins.faults import ACTIONS, BadScript, read_script
+from standins.faults import ACTIONS, ScriptError, read_script
 from standins.fleet import HOST, Fleet, Options, run_fleet
 from standins.http import Service
 from standins.match import MatchServer, Shape
@@ -30,6 +30,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the command line's parser."""
     p = argparse.ArgumentParser(prog="python -m standins", description=__doc__)
     sub = p.add_subparsers(dest="command", required=True)
     f = sub.add_parser(
@@ -75,7 +76,7 @@
 
 
 async def table(fleet: Fleet) -> None:
-    """What happens, once a second: redrawn in a terminal, a plain line elsewhere."""
+    """Show what happens, once a second: redrawn in a terminal, a plain line elsewhere."""
     live, began = sys.stdout.isatty(), asyncio.get_running_loop().time()
     while True:
         await asyncio.sleep(1.0)
@@ -100,6 +101,7 @@
 
 
 async def fleet(args: argparse.Namespace) -> int:
+    """Run a fleet and print its verdict; return the exit code."""
     for key, low in (("ingresses", 1), ("servers", 1), ("seconds", 0.1), ("rate", 0.1)):
         if getattr(args, key) < low:
             print(f"standins: --{key}: expected {low} or more, got {getattr(args, key)}", file=sys.stderr)
@@ -135,11 +137,12 @@
 
 
 def sink_of(path: str | None) -> AbstractContextManager[TextIO | None]:
-    """The file that records go to, if any."""
-    return open(path, "w", encoding="utf-8", buffering=1) if path else nullcontext()
+    """Return the file that records go to, or a context without one."""
+    return Path(path).open("w", encoding="utf-8", buffering=1) if path else nullcontext()
 
 
 async def serve(args: argparse.Namespace) -> int:
+    """Run one stand-in until it is interrupted."""
     with sink_of(args.records) as sink:
         records = Records(sink)
         service: Service
@@ -182,7 +185,7 @@
             return uvloop.run(system.run(args.hold))
         with suppress(KeyboardInterrupt):
             return uvloop.run(fleet(args) if args.command == "fleet" else serve(args))
-    except (BadScript, OSError, ValueError) as error:
+    except (ScriptError, OSError, ValueError) as error:
         print(f"standins: {error}", file=sys.stderr)
         return 2
     return 1
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -15,6 +15,7 @@
 
 
 def chunk(text: bytes) -> bytes:
+    """Return a chunk of a streamed answer."""
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
@@ -34,7 +35,7 @@
     def put(
         self, name: str, address: str, status: str = "SERVING", zone: str = "z0", cell: int = 0, born: float = 0.0
     ) -> None:
-        """A server's entry; status DELETED takes it off the list."""
+        """Set a server's entry; status DELETED takes it off the list."""
         entry = {
             "name": name,
             "address": address,
@@ -55,15 +56,18 @@
         self.wake = asyncio.Event()
 
     def listing(self) -> dict[str, Any]:
+        """Return the whole list in discovery's form."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     def silence(self, on: bool) -> None:
+        """Stop answering, or answer again."""
         self.silent = on
         if not on:
             self.wake.set()
             self.wake = asyncio.Event()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
+        """Answer with the list, or stream its changes."""
         path, _, query = message.target.partition("?")
         if path != "/v1/servers":
             return answer(404)
@@ -78,7 +82,7 @@
         return None
 
     async def watch(self, connection: Connection, index: int) -> None:
-        """Changes after `index`, an object a line, for ever."""
+        """Send the changes after `index`, an object a line, until the connection ends."""
         while not connection.gone():
             wake = self.wake
             if not self.silent and index < self.index:
@@ -94,5 +98,6 @@
                     connection.writer.write(chunk(b"\n"))
 
     def tell(self, entries: list[dict[str, Any]]) -> None:
+        """Record the entries that an ingress has been sent."""
         for entry in entries:
             self.records.add(Told(self.clock(), entry["name"], entry["status"]))
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -21,9 +21,10 @@
 from standins.counter import Counter
 from standins.deployments import MATCHING, Deployment
 from standins.discovery import Discovery
-from standins.faults import BadScript, Fault, play
+from standins.faults import Fault, ScriptError, play
 from standins.front import Front, Traffic
 from standins.match import Keys, MatchServer, Shape
+from standins.ports import unused_port
 from standins.records import Crashed, Records
 from standins.relay import Relay
 
@@ -64,7 +65,7 @@
 
 
 def settings(o: Options, me: int) -> dict[str, Any]:
-    """What an ingress is told, in the words of its configuration."""
+    """Return an ingress's configuration."""
     d = o.deployment
     classes = [
         {
@@ -133,7 +134,9 @@
 
 
 def free_ports(count: int, first: int) -> list[int]:
-    """Numbers of such ports, free from now on: somebody else may draw one of them meanwhile."""
+    """Return unused ports, from `first` on where that is not 0. Raises OSError where one of those is taken."""
+    if not first:
+        return [unused_port() for _ in range(count)]
     held = hold_ports(count, first)
     ports = [s.getsockname()[1] for s in held]
     for s in held:
@@ -145,7 +148,7 @@
     """One `python -m thistleusher`."""
 
     def __init__(self, number: int, port: int, config: dict[str, Any], folder: Path, keeps: bool = False) -> None:
-        """`keeps`: it has a state folder of its own."""
+        """Prepare an ingress; with `keeps` it has a state folder of its own."""
         self.number, self.port, self.words = number, port, list[str]()
         if keeps:
             state = folder / f"state-{number}.toml"
@@ -157,6 +160,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
+        """Start the process and wait until it is ready. Raises TimeoutError."""
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -179,23 +183,31 @@
         """Wait for `GET /healthz` to say 200; TimeoutError, with the end of its log, where it never does."""
         try:
             async with asyncio.timeout(READY_S):
-                while not await self.healthy():
-                    if self.process is not None and self.process.returncode is not None:
-                        raise TimeoutError
-                    await asyncio.sleep(0.02)
+                ready = await self._ready_before_its_end()
         except TimeoutError:
+            ready = False
+        if not ready:
             tail = self.log.read_text(errors="replace")[-500:]
-            raise TimeoutError(f"ingress {self.number} does not come up: {tail}") from None
+            raise TimeoutError(f"ingress {self.number} does not come up: {tail}")
+
+    async def _ready_before_its_end(self) -> bool:
+        """Wait until the ingress is ready or its process has ended; return whether it is ready."""
+        while not await self.healthy():
+            if self.process is not None and self.process.returncode is not None:
+                return False
+            await asyncio.sleep(0.02)
+        return True
 
     async def healthy(self) -> bool:
+        """Return whether the ingress says that it is ready."""
         try:
             reader, writer = await asyncio.open_connection(HOST, self.port)
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             line = await reader.readline()
             writer.close()
-            return b" 200 " in line
         except OSError:
             return False
+        return b" 200 " in line
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> None:
         """Signal it and wait; what does not leave in time is killed."""
@@ -230,13 +242,13 @@
         self.check(options.faults)
 
     def check(self, faults: Sequence[Fault]) -> None:
-        """BadScript where a fault's target is not there."""
+        """ScriptError where a fault's target is not there."""
         for f in faults:
             many = (
                 self.o.servers if f.do.startswith("match.") else HALLS if f.do.startswith("hall.") else self.o.ingresses
             )
             if f.target >= many:
-                raise BadScript(f"{f.do}: target: expected a number below {many}, got {f.target}")
+                raise ScriptError(f"{f.do}: target: expected a number below {many}, got {f.target}")
 
     async def __aenter__(self) -> Fleet:
         try:
@@ -250,6 +262,7 @@
         await self.stop()
 
     async def start(self) -> None:
+        """Start the stand-ins, then the ingresses."""
         o = self.o
         await self.counter.start()
         await self.other.start()
@@ -298,7 +311,7 @@
         self.front = Front([(HOST, p) for p in ports], traffic, self.records)
 
     async def run(self, watch: Callable[[], Coroutine[Any, Any, None]] | None = None) -> Verdict:
-        """The traffic and the faults, then the auditor's verdict."""
+        """Play the traffic and the faults; return the auditor's verdict."""
         assert self.front is not None
         watching = asyncio.create_task(watch()) if watch else None
         playing = asyncio.create_task(play(list(self.o.faults), self.switch))
@@ -358,6 +371,7 @@
         return None
 
     def counter_fault(self, what: str, f: Fault, on: bool) -> None:
+        """Begin or end a fault of the counter."""
         c = self.counter
         if what == "silence":
             c.silence(on)
@@ -382,6 +396,7 @@
             c.delay = f.value if on else 0.001
 
     def match_fault(self, what: str, f: Fault, on: bool) -> Any:
+        """Begin or end a fault of a match server."""
         s = self.servers[f.target]
         if what == "kill":
             return self.kill(f.target) if on else self.revive(f.target)
@@ -416,7 +431,7 @@
             self.counter.restart_from_zero()
 
     async def regain_hall(self, hall: int) -> None:
-        """It is back, cold and with nothing known."""
+        """Start the hall's servers again, cold and with nothing known."""
         for number in range(hall, len(self.servers), HALLS):
             await self.revive(number)
         for ingress in self.ingresses[hall::HALLS]:
@@ -424,16 +439,18 @@
                 await ingress.start()
 
     async def kill(self, number: int) -> None:
+        """Kill a server."""
         await self.servers[number].stop()
 
     async def revive(self, number: int) -> None:
-        """The same server starts anew, cold; one that runs goes on."""
+        """Start the same server anew, cold; one that runs goes on."""
         if self.servers[number].server is not None:
             return
         await self.servers[number].start(self.servers[number].port)
         self.list(number)
 
     async def ingress_fault(self, what: str, number: int) -> None:
+        """Bring about a fault of an ingress."""
         ingress = self.ingresses[number]
         if what == "kill":
             self.records.add(Crashed(time.time(), str(number)))
@@ -446,6 +463,7 @@
 
     @staticmethod
     async def restart(ingress: IngressProcess) -> None:
+        """Restart an ingress in order."""
         await ingress.end()
         await ingress.start()
 
--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -100,7 +100,7 @@
 def public(value: Any) -> Any:
     """What may be used of an exported value: members of an enum, parameters of a call, methods of a class.
 
-    The names of parameters of `PORTS` are left out.
+    `PORTS` are left out.
     """
     if isinstance(value, type) and issubclass(value, Enum):
         return [member.name for member in value]
@@ -110,7 +110,7 @@
     if issubclass(value, Exception | tuple):
         methods.pop("")
     own = {n: m for n, m in methods.items() if not n or n in vars(value) or any(n in vars(b) for b in bases(value))}
-    return {n: [] if n in PORTS else list(inspect.signature(m).parameters) for n, m in own.items()}
+    return {n: list(inspect.signature(m).parameters) for n, m in own.items() if n not in PORTS}
 
 
 def bases(kind: type) -> list[type]:
@@ -143,7 +143,7 @@
     page = tomllib.loads(text("system.toml"))
     ours = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     keys = {key for role in page["roles"].values() for key in role}
-    assert set(ours) == set(page) and all(set(role) == keys for role in ours["roles"].values())
+    assert set(ours) == set(page) | {"packages"} and all(set(role) == keys for role in ours["roles"].values())
     shape = {name: (role["on"], role["share"], role["serves"]) for name, role in ours["roles"].items()}
     assert shape == {
         "proxy": ("front", 1.0, ["front", "directory"]),
@@ -152,6 +152,7 @@
     }
     one = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert set(one) == {"build", "run", "sim", "policy", "node", "packages"}
+    assert ours["packages"] and one["packages"]
 
 
 def test_what_the_deploy_files_name_is_there():
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -11,7 +11,7 @@
 from thistleusher.core import actions, events
 from thistleusher.policy import health, replication
 from thistleusher.quota import bound
-from thistleusher.quota.bound import Assumed, bound_of
+from thistleusher.quota.bound import Assumptions, bound_of
 
 LENGTH = 30.0
 
@@ -64,7 +64,7 @@
 
 
 def forgets(w):
-    w.counters[0].life_cut = 0.3
+    w.counters[0].max_lifetime = 0.3
 
 
 def loses_replies(w):
@@ -138,11 +138,11 @@
     fault(w)
     w.traffic(length, rate, home, plan)
     w.join(good)
-    good.silent, good.lose, good.life_cut, good.old = False, 0.0, 0.0, False
+    good.silent, good.lose, good.max_lifetime, good.old = False, 0.0, 0.0, False
     w.loss, w.delay, w.cut = 0.0, 0.01, set()
     w.traffic(10.0, rate, home, plan)
     lossy = fault in (silent_with_lossy_peers, everything)
-    assumed = Assumed(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=length)
+    assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=length)
     return w, bound_of(settings(0), PLUS if plan == "plus" else BASIC, assumed)
 
 
@@ -171,7 +171,7 @@
         for n in range(3):
             w.ask(n, plan=plan, units=1.0)
     w.traffic(length, rate, spread(), plan)
-    return w, bound_of(settings(0), p, Assumed(0.0, 0.01, outage=length))
+    return w, bound_of(settings(0), p, Assumptions(0.0, 0.01, outage=length))
 
 
 @pytest.mark.parametrize("fault", [silence, split_in_three], ids=lambda f: f.__name__)
@@ -202,7 +202,7 @@
         assert w.kept() > 0.8 and quota < 8.0 and ceiling <= 0.0
 
 
-def test_a_replaced_counter_is_noticed_and_told_anew_what_it_lost():
+def test_a_replaced_counter_is_noticed_and_gets_again_what_it_lost():
     w = World()
     while w.now % 2.25 > 0.01 or not w.served:  # some way into nothing in particular
         w.traffic(0.01, 40.0, lambda at: 1)
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("counted", [True, False])
-def test_a_doubtful_add_is_told_again_only_if_it_did_not_count(counted):
+def test_an_uncertain_add_is_repeated_only_if_it_did_not_count(counted):
     w = World()
     c = within_a_window(w)
     w.counters[1].lose, w.counters[1].silent = float(counted), not counted
@@ -245,7 +245,7 @@
     assert total + c.pending == pytest.approx(7.0)  # what was let in, in the count or on its way
 
 
-def test_what_a_replaced_counter_lost_is_told_anew_once():
+def test_what_a_replaced_counter_lost_is_written_back_once():
     w = World()
     c = within_a_window(w)
     for _ in range(3):
@@ -323,7 +323,7 @@
             rng.choice(steps)()
             home = rng.choice((moving(rng.choice((0.3, 1.0, 3.0))), spread(seed), lambda at: 1))
             w.traffic(rng.choice((0.2, 1.0, 4.0)), rate, home, plan)
-        assumed = Assumed(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
+        assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, assumed)
         quota, ceiling = w.beyond(plan)
         assert quota <= bound.quota_split, (seed, quota, bound)
@@ -343,7 +343,7 @@
     calls = w.counters[0].adds - before
     assert calls <= 450, calls  # no more than requests come: what was let in meanwhile goes with them
     quota, _ = w.beyond("basic")
-    assert quota <= bound_of(settings(0), BASIC, Assumed(outage=5.0)).quota_cut_off
+    assert quota <= bound_of(settings(0), BASIC, Assumptions(outage=5.0)).quota_cut_off
 
 
 def test_peers_are_not_flooded_by_wants_however_many_members_are_held_back():
@@ -354,9 +354,9 @@
     heard = [0, 0, 0]
     give = w.give
 
-    def counting(n, event, life=None):
+    def counting(n, event, incarnation=None):
         heard[n] += isinstance(event, events.PeerMessage)
-        give(n, event, life)
+        give(n, event, incarnation)
 
     w.give = counting
     w.traffic(5.0, 900.0, moving(0.5), members=200, units=(4.0,))
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -25,43 +25,46 @@
 
 
 class Escrow(Protocol):
-    """Holds customers to an ingress's own share of their allowance; `thistleusher.quota` is one.
+    """Holds members to an ingress's own share of their allowance; `quota.escrow.EscrowTable` is one.
 
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
-        """Charge a request and return True if the share admits it; `spent`: known to be used of the whole allowance."""
+        """Return whether a request may be let in; `spent`: units known to be gone of the whole allowance."""
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
-        """Charge units that were admitted by other means."""
+        """Take off units that were let in by another verdict."""
 
     def demands(self, now: float) -> list[tuple[int | None, bytes]]:
-        """Return requests for peers' shares that are due, with the peer; None: to all peers."""
+        """Return the demands that are due, to whom; None: to all peers."""
 
     def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
-        """Take in a peer's message, and return the answers to it."""
+        """Take in a peer's message and return the answers to it."""
 
     def handshakes(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the messages that an ingress which has started is to send now, with the peer."""
+        """Return the handshakes that are due after this ingress's start, to whom."""
 
     def handshake_delay(self, now: float) -> float | None:
-        """Return the seconds until more handshakes are due; None where none are any more."""
+        """Return the seconds until the next handshake; None where none is due any more."""
 
     def has_shut_down(self, peer: int) -> bool:
-        """Return whether a peer has shut down in order and not started again: it admits nothing."""
+        """Return whether a peer has announced its shutdown and not started again: it lets nothing in."""
 
     def has_restarted(self) -> bool:
         """Return whether a peer has known an earlier incarnation of this ingress."""
 
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the messages by which an ingress that shuts down hands its shares over, with the peer."""
+        """Return the last messages of an ingress that shuts down in order, to whom."""
 
-    def restore(self, notes: Iterable[SavedReservation], active: float | None) -> None:
-        """Reserve headroom from now on; `notes` of an earlier incarnation that was active until `active`, if any."""
+    def restore(self, reservations: Iterable[SavedReservation], last_active: float | None) -> None:
+        """Record reservations from now on, and start with those of an earlier incarnation.
 
-    def changed_reservations(self, now: float, most: int) -> list[SavedReservation]:
-        """Return reservations to be written to disk, of allowances that have changed, `most` at once."""
+        `last_active`: until when that incarnation may have been active, None where there was none.
+        """
+
+    def changed_reservations(self, now: float, limit: int) -> list[SavedReservation]:
+        """Return reservations to be written to disk, of up to `limit` allowances that have changed."""
 
     def reservation_dropped(self, key: tuple[int, int]) -> None:
         """Note that the last reservation of this (plan, customer) will never be on disk."""
@@ -71,7 +74,7 @@
 
 
 class OwnerQuery(NamedTuple):
-    """A peer's query to the owner of an account: its number, customer, plan's number, set, and units asked for.
+    """A peer's query to the owner of an account: its number, member, plan's number, set, and units asked for.
 
     `answer`: the reply that it has had, where it comes again.
     """
@@ -86,61 +89,61 @@
 
 
 class Gossip(Protocol):
-    """Which peer is notified and asked of what in a large fleet; `thistleusher.gossip` is one. Times in seconds."""
+    """What the ingresses of a large fleet send one another; `gossip.Gossip` is one. Times in seconds."""
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Note that a customer's usage has changed; `lazy`: it may wait for other updates."""
+        """Queue an update of a member to its set; `lazy`: it may wait for others to go with."""
 
-    def record_message(self, now: float, peer: int, telling: bool) -> None:
-        """Note a peer's message; `telling`: a usage update, of customers that are common to both."""
+    def record_message(self, now: float, peer: int, is_update: bool) -> None:
+        """Note that a peer has sent a message; `is_update`: of usage by members that are common to both."""
 
     def member_seen(self, now: float, first: int, width: int) -> None:
-        """Note that a customer of this set was seen."""
+        """Keep in contact with a set: a member of it was seen."""
 
     def has_work(self) -> bool:
         """Return whether the next tick has anything to send."""
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """Return the updates that are sent now: the peer, and the customers."""
+        """Return the updates that leave now: to whom, of which members."""
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """Return the ingress that owns a customer's account; None where none of its candidates answers."""
+        """Return the ingress that keeps a member's account; None where none of its candidates answers."""
 
-    def create_query(self, now: float, home: int, r: Request, plan: int) -> bytes | None:
-        """Return a query to the owner for a request; None where too many are out."""
+    def create_query(self, now: float, owner: int, request: Request, plan: int) -> bytes | None:
+        """Return a query for a request; None where too many are outstanding."""
 
     def receive_query(self, now: float, peer: int, payload: bytes) -> OwnerQuery | None:
-        """Return a peer's query; None where it cannot be one, or is being decided on."""
+        """Return a peer's query; None where it cannot be one, or is one that is being decided on."""
 
-    def create_reply(self, peer: int, number: int, good: bool, room: float) -> bytes:
-        """Return the reply to a peer's query; `room`: the headroom in units."""
+    def create_reply(self, peer: int, number: int, admitted: bool, headroom: float) -> bytes:
+        """Return the reply to a peer's query."""
 
     def receive_reply(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
-        """Return the request that its owner has decided on, whether it is admitted, and the headroom, if known."""
+        """Return whose request an owner has decided on, how, and the headroom; None where nobody waits for it."""
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
-        """Return queries to be sent once more, with the peer: they or their replies were likely lost."""
+        """Return the queries that are to be sent once more, to whom: they or their replies were likely lost."""
 
     def expired_requests(self, now: float) -> list[str]:
-        """Return requests whose owner has not replied in time, or that were pending until now."""
+        """Return the requests whose owner has not replied in time, or that were pending until now."""
 
-    def add_pending(self, request: str, due: float) -> bool:
-        """Keep a request pending until then, or until a peer grants anything; return False where too many are."""
+    def add_pending(self, request: str, deadline: float) -> bool:
+        """Keep a request until then, or until a peer has given anything; return whether it can be kept."""
 
     def take_pending(self) -> list[str]:
-        """Return all that are pending; they are pending no longer."""
+        """Return all requests that are pending; they are so no longer."""
 
     def timer_delay(self, now: float) -> float | None:
-        """Return the seconds until a query is overdue; None where none is out."""
+        """Return the seconds until a query is to be sent again or a request expires; None where none does."""
 
-    def reconcile(self, home: int, customer: int, plan: int, units: float) -> None:
-        """Have the owner charge so many units more (or less) than it was asked for."""
+    def reconcile(self, owner: int, customer: int, plan: int, units: float) -> None:
+        """Tell an owner of units more (or less) than it was asked for."""
 
     def due_reconciliations(self) -> list[tuple[int, bytes]]:
-        """Return the messages of all that waits to be reconciled, with the peer."""
+        """Return the messages of all that is to be reconciled, to whom."""
 
     def parse_reconciliations(self, payload: bytes) -> list[tuple[int, int, float]]:
-        """Return the customers, their plans' numbers and the units of a peer's reconciliations."""
+        """Return members, their plans' numbers, and units, of a peer's message."""
 
 
 class CounterOf(Protocol):
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -69,14 +69,14 @@
 
 
 class SavedReservation(NamedTuple):
-    """What one ingress leaves alone of a customer's allowance for its next incarnation (`quota.reserve`).
+    """Headroom of a customer's allowance that one ingress leaves to its next incarnation (`quota.reserve`).
 
-    `plan`: its number in the settings; `room`: headroom in units at Unix time `at`, -inf where it was forgotten.
+    `plan`: its number in the settings; `units` at Unix time `at`, -inf where the allowance was forgotten.
     """
 
     plan: int
     customer: int
     first: int
     width: int
-    room: float
+    units: float
     at: float
