--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -255,10 +255,10 @@
 
     update(4 * 2, 4 * 2)
     w.run(2.0)
-    assert bucket.room(w.now) == 36.0
+    assert bucket.headroom(w.now) == 36.0
     update(4 * 62, 4 * 6)  # 60 units since, of which 6 are new
-    assert bucket.room(w.now) == 0.0
+    assert bucket.headroom(w.now) == 0.0
     w.run(1.0)
-    assert bucket.room(w.now) == 16.0
+    assert bucket.headroom(w.now) == 16.0
     update(4 * 82, 4 * 20)  # no message was lost: others' use of this moment counts in full
-    assert bucket.room(w.now) == -4.0
+    assert bucket.headroom(w.now) == -4.0
