--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -5,7 +5,8 @@
 from thistleusher.cli.commands import Bound
 from thistleusher.cli.errors import CommandError
 from thistleusher.core.settings import Settings
-from thistleusher.core.settings_parser import InvalidSettingError, nested_settings
+from thistleusher.core.settings_parser import nested_settings
+from thistleusher.core.text_fields import InvalidSettingError
 from thistleusher.net.config import InvalidConfigurationError, read_data
 from thistleusher.quota.bound import Assumptions, format_table
 
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -21,8 +21,9 @@
 from thistleusher.configuration.index import RouteMatch
 from thistleusher.configuration.records import Configuration
 from thistleusher.core import actions, events
+from thistleusher.core.backend_record import Backend
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
-from thistleusher.policy.fleet import Backend, Fleet
+from thistleusher.policy.fleet import Fleet
 from thistleusher.proxy.admission import Admission, Ruling
 from thistleusher.proxy.backend_selection import LATE_FACTOR, BackendSelector, SilentAttempt
 from thistleusher.proxy.budgets import ASSUMED_INGRESSES
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -8,8 +8,8 @@
 from thistleusher.common.errors import RESPONSES, ErrorKind, retry_after_header
 from thistleusher.configuration.index import Index
 from thistleusher.core import actions
-from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended, Final, Verdict
 from thistleusher.net.client_connection import Reply
 from thistleusher.net.exchange import BackendExchange
@@ -45,9 +45,9 @@
     ) -> None:
         super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
         self.decisions = decisions
-        self.driver.carry[ChargeTenant] = charge
-        self.break_off = self.driver.carry[actions.CancelAttempt]
-        self.driver.carry[actions.CancelAttempt] = self.cancel
+        self.driver.handlers[ChargeTenant] = charge
+        self.break_off = self.driver.handlers[actions.CancelAttempt]
+        self.driver.handlers[actions.CancelAttempt] = self.cancel
         self.is_shutting_down: Callable[[], bool] = lambda: False
 
     def apply_configuration(self, index: Index) -> None:
@@ -63,7 +63,7 @@
             self.decisions.expect(call.request.id, call.context)
         # It was read ahead, and its route may have been dropped since.
         self.driver.classes.setdefault(call.request.class_name, class_settings_of(call.context.match))
-        self.driver.take(call.request, lambda final: self.answer(final, call, reply), call, call.received_at)
+        self.driver.accept(call.request, lambda final: self.answer(final, call, reply), call, call.received_at)
 
     def cancel(self, action: actions.CancelAttempt) -> None:
         """Cancel an attempt at a silent backend, so that another may follow.
