--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -259,9 +259,10 @@
 
     def _should_be_candidate(self) -> bool:
         role, now = self._role, self._context.now
-        if not role.is_eligible() or now < role.next_candidacy_at:
+        if not role.is_eligible():
             return False
-        return now - role.leader_heard_at > VOTER_GUARD_S + self._stagger()
+        silent_s = now - role.leader_heard_at
+        return silent_s > VOTER_GUARD_S + self._stagger() and now >= role.next_candidacy_at
 
     def _stagger(self) -> float:
         """Return the time by which this holder becomes a candidate later than the first one, in seconds.
