--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -7,7 +7,7 @@
 
 WALL = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow"), ("date", "today")}
 ALLOWED = {
-    "tests/sockets.py": "records of real sockets are on the real clock",
+    "tests/net/sockets.py": "records of real sockets are on the real clock",
     "tests/embed/program.py": "the clock is moved to the middle of a window by its caller",
     "tests/embed/test_crash.py": "moves the clock to the middle of a window",
     "tests/embed/test_both_forms.py": "asserts that the scripted clock is no real one",
