--- a/tests/embed/test_example.py
+++ b/tests/embed/test_example.py
@@ -1,4 +1,4 @@
-"""The example of the library's page runs as it stands there, and the package installs with typed names."""
+"""The example of the library's page runs as it is printed there, and the package installs with typed names."""
 
 from __future__ import annotations
 
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -144,7 +144,7 @@
     run(main())
 
 
-def test_an_answer_before_the_last_byte_is_nobodys():
+def test_an_answer_before_the_last_byte_belongs_to_no_request():
     async def act(peer, number, reader, writer):
         await reader.read(1)
         writer.write(ok(b"too early"))
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -180,7 +180,7 @@
     run(main())
 
 
-def test_a_client_that_does_not_read_is_let_go(monkeypatch):
+def test_a_client_that_does_not_read_is_disconnected(monkeypatch):
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
@@ -196,7 +196,7 @@
     run(main())
 
 
-def test_a_body_far_too_large_is_turned_down_at_its_head_and_not_read():
+def test_a_body_far_too_large_is_rejected_at_its_head_and_not_read():
     async def main():
         rig = Rig(in_turn("b0"))
         client = await rig.start()
@@ -277,7 +277,7 @@
     run(main())
 
 
-def test_too_many_clients_cost_the_one_that_has_been_idle_longest():
+def test_too_many_clients_close_the_connection_that_is_idle_longest():
     async def main():
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("surplus", [ok(b"a copy"), b"noise", b"HTTP/1.1 200 OK\r\nContent-", b"\xff\r\n\r\n"])
-def test_what_comes_behind_an_answer_is_nobodys(surplus):
+def test_what_comes_behind_an_answer_belongs_to_no_request(surplus):
     """The end of an attempt may start the next one at once: it must not find this connection in the pool."""
 
     async def main():
@@ -188,7 +188,7 @@
         )
         client = await rig.start(b0=slow.port, b1=fast.port)
         rig.script.decide, decide = in_turn("b1"), rig.script.decide
-        await client.ask(call("r1"))  # so that a connection to b1 stands ready
+        await client.ask(call("r1"))  # so that there is an idle connection to b1
         rig.script.decide = decide
         client.writer.write(call("r2"))
         await until(lambda: slow.seen)
@@ -218,7 +218,7 @@
     run(main())
 
 
-def test_a_late_answer_is_nobodys():
+def test_a_late_answer_belongs_to_no_request():
     async def main():
         go = asyncio.Event()
 
--- a/thistleusher/net/backend_list.py
+++ b/thistleusher/net/backend_list.py
@@ -13,12 +13,19 @@
 PHASES = {"SERVING": Phase.RUNNING, "DRAINING": Phase.STOPPING, "DELETED": Phase.DELETED}
 
 
+class ListedBackend(NamedTuple):
+    """One backend of the list; a deleted one has no endpoint."""
+
+    entry: BackendEntry
+    endpoint: Endpoint | None
+
+
 class BackendList(NamedTuple):
     """The list of backends, or a change to it."""
 
     version: int
     complete: bool  # the whole list, not a change
-    entries: tuple[tuple[BackendEntry, Endpoint | None], ...]
+    entries: tuple[ListedBackend, ...]
 
 
 def parse_backend_list(message: Any) -> BackendList:
@@ -40,7 +47,7 @@
         raise ValueError("not a list of backends: nested too deeply") from error
 
 
-def _parse_entry(fields: Any) -> tuple[BackendEntry, Endpoint | None]:
+def _parse_entry(fields: Any) -> ListedBackend:
     name = fields["name"]
     status = fields["status"]
     started_at = float(fields.get("since_ms") or 0) / 1000
@@ -55,4 +62,4 @@
     kind = str(fields.get("type", ""))
     cell = int(fields.get("group") or 0)
     zone = str(fields.get("zone", ""))
-    return BackendEntry(name, phase, weight, kind, cell, started_at, zone), endpoint
+    return ListedBackend(BackendEntry(name, phase, weight, kind, cell, started_at, zone), endpoint)
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -12,7 +12,7 @@
 from thistleusher.assembly import make_gateway
 from thistleusher.core.events import BackendEntry, Phase
 from thistleusher.core.ports import Scheduler
-from thistleusher.net.backend_list import BackendList
+from thistleusher.net.backend_list import BackendList, ListedBackend
 from thistleusher.net.config import Config
 from thistleusher.net.connection_pool import Endpoint
 from thistleusher.net.discovery import DiscoveryClient
@@ -120,7 +120,7 @@
         self.list_version = backends.version
 
     def places(self) -> tuple[int, tuple[EndpointRecord, ...]]:
-        """Return the list of backends as it stands, to be saved."""
+        """Return the present list of backends, to be saved."""
         from thistleusher.state.records import EndpointRecord
 
         pools = self.upstream.pools
@@ -181,7 +181,7 @@
 def backend_list_of(saved: EndpointListRecord) -> BackendList:
     """Return a saved list of backends as discovery would have sent it."""
     entries = (
-        (
+        ListedBackend(
             BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
             Endpoint((p.host, p.port), p.born),
         )
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -81,7 +81,7 @@
         if text.strip() and not self.ended.done():
             try:
                 self.version = self.on_text(text)
-            except ValueError as error:  # the list stands; what follows it is asked for again
+            except ValueError as error:  # the list stays as it is; what follows it is asked for again
                 self.end(f"a garbled line: {error}")
 
     def on_message_complete(self) -> None:
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -19,7 +19,7 @@
 from thistleusher.net.upstream import Upstream
 from thistleusher.services.http_responses import Response
 
-MIN_PATIENCE_S = 0.001  # that a backend is told, however little time is left
+MIN_PATIENCE_S = 0.001  # the smallest X-Budget of a backend, however little time is left
 LOAD_REPORT_REQUEST = b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
