--- a/tests/state/helpers.py
+++ b/tests/state/helpers.py
@@ -25,10 +25,10 @@
         level=3.0,
         at=100.0,
         window=44,
-        counted=5.0,
+        acknowledged=5.0,
         pending=2.5,
-        own_total=40,
-        peer_totals={1: 12},
+        admitted_quarters=40,
+        peer_quarters={1: 12},
     )
     return MemberRecord(**{**fields, **more})
 
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -26,10 +26,10 @@
         level=NUMBER,
         at=NUMBER,
         window=st.integers(-1, 2**40),
-        counted=NUMBER,
+        acknowledged=NUMBER,
         pending=NUMBER,
-        own_total=st.integers(0, 2**50),
-        peer_totals=st.dictionaries(st.integers(0, 254), st.integers(0, 65535), max_size=5),
+        admitted_quarters=st.integers(0, 2**50),
+        peer_quarters=st.dictionaries(st.integers(0, 254), st.integers(0, 65535), max_size=5),
     ),
     st.data(),
 )
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -33,8 +33,8 @@
 def test_a_record_is_restored_as_it_was():
     found = recovered().members[0]
     assert (found.level, found.at, found.window) == (3.0, 100.0, 44)
-    assert (found.told, found.pending, found.mine) == (5.0, 2.5, 40)
-    assert found.theirs == {1: 12} and not recovered().skipped
+    assert (found.acknowledged, found.pending, found.admitted_quarters) == (5.0, 2.5, 40)
+    assert found.peer_quarters == {1: 12} and not recovered().skipped
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
 
 def test_after_the_clock_was_set_back_nothing_refills_and_no_window_is_trusted():
     found = recovered(now=100.0 - 3600).members[0]
-    assert found.at == 100.0 - 3600 and found.level == 3.0 and found.window == -1 and found.heard_in == -1
+    assert found.at == 100.0 - 3600 and found.level == 3.0 and found.window == -1 and found.reported_window == -1
 
 
 def test_a_day_later_only_what_was_not_written_back_is_left():
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -151,7 +151,7 @@
         last = max([last, *(int(line) for line in program.stdout.read().splitlines() if line.isdigit())])
         program.wait()
         store = Store(tmp_path / "a", "n0")
-        found = [m.own_total for m in store.members()]
+        found = [m.admitted_quarters for m in store.members()]
         assert len(found) == 50 and len(set(found)) == 1 and found[0] >= last
         store.close()
 
@@ -162,7 +162,7 @@
     store.commit([(("member", n), encode(member(n))) for n in range(100)])
     with pytest.raises(sqlite3.Error, match="full"):
         store.commit(
-            [(("member", n), encode(member(n, peer_totals=dict.fromkeys(range(200), 1)))) for n in range(100, 5000)]
+            [(("member", n), encode(member(n, peer_quarters=dict.fromkeys(range(200), 1)))) for n in range(100, 5000)]
         )
     assert sum(1 for _ in store.members()) == 100
     store.commit([(("member", 1), None)])  # and goes on
--- a/thistleusher/core/customer.py
+++ b/thistleusher/core/customer.py
@@ -180,15 +180,15 @@
             level=self.level,
             at=self.level_at,
             window=self.window if self.continuous else -1,
-            told=self.acknowledged,
+            acknowledged=self.acknowledged,
             pending=self.pending + self.pending_in_flight,
-            mine=self.admitted_quarters,
-            theirs=dict(self.peer_quarters),
-            heard=self.reported,
-            heard_in=self.reported_window,
+            admitted_quarters=self.admitted_quarters,
+            peer_quarters=dict(self.peer_quarters),
+            reported=self.reported,
+            reported_window=self.reported_window,
             excess=self.excess,
-            doubt=doubtful,
-            doubted=self._name_window,
+            doubtful=doubtful,
+            doubtful_window=self._name_window,
         )
 
     def restore(self, saved: SavedMember) -> None:
@@ -197,14 +197,14 @@
         self.level_at = saved.at
         self.level_confirmed = True
         self.window = saved.window
-        self.acknowledged = saved.told
+        self.acknowledged = saved.acknowledged
         self.pending = saved.pending
-        self.admitted_quarters = saved.mine
-        self.notified_quarters = saved.mine
-        self.peer_quarters = dict(saved.theirs)
-        self.reported = saved.heard
-        self.reported_window = saved.heard_in
+        self.admitted_quarters = saved.admitted_quarters
+        self.notified_quarters = saved.admitted_quarters
+        self.peer_quarters = dict(saved.peer_quarters)
+        self.reported = saved.reported
+        self.reported_window = saved.reported_window
         self.excess = saved.excess
         self.excess_at = self.created_at
-        self.doubtful = saved.doubt  # the next total may show whether it was added
-        self.doubtful_window = saved.doubted
+        self.doubtful = saved.doubtful  # the next total may show whether it was added
+        self.doubtful_window = saved.doubtful_window
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -6,10 +6,10 @@
 
 
 class SavedMember(NamedTuple):
-    """What one ingress knew of a customer's count, as it is stored; `core.customer.Customer` translates its fields.
+    """What one ingress knew of a customer's count; its fields are those of `core.customer.Customer`.
 
-    `told`: own units that the count contained; `mine`, `theirs`: quarter units admitted here and at each peer; `heard`:
-    units that peers reported in the window `heard_in`.
+    `acknowledged`: own units that the count contained; `admitted_quarters`, `peer_quarters`: quarter units admitted
+    here and at each peer; `reported`: units that peers reported in the window `reported_window`.
     """
 
     key: int
@@ -17,15 +17,15 @@
     level: float
     at: float
     window: int
-    told: float
+    acknowledged: float
     pending: float
-    mine: int
-    theirs: dict[int, int]
-    heard: float = 0.0
-    heard_in: int = -1
+    admitted_quarters: int
+    peer_quarters: dict[int, int]
+    reported: float = 0.0
+    reported_window: int = -1
     excess: float = 0.0
-    doubt: float = 0.0  # of `pending`: added to the count of the window `doubted`, or not
-    doubted: int = -1
+    doubtful: float = 0.0  # of `pending`: added to the count of the window `doubtful_window`, or not
+    doubtful_window: int = -1
 
 
 class LearnedClass(NamedTuple):
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -39,15 +39,17 @@
     level: float
     at: float  # when `level` was true
     window: int
-    counted: float = field(name="told")  # own units that the window's count includes
+    acknowledged: float = field(name="told")  # own units that the window's count includes
     pending: float  # units let in that no count includes yet
-    own_total: int = field(name="mine")  # quarter units let in here, running total
-    peer_totals: dict[int, int] = field(name="theirs", default_factory=dict)  # the same of each peer, as last received
-    peer_units: float = field(name="heard", default=0.0)  # reported by peers in the window `peer_units_window`
-    peer_units_window: int = field(name="heard_in", default=-1)
+    admitted_quarters: int = field(name="mine")  # quarter units let in here, running total
+    peer_quarters: dict[int, int] = field(
+        name="theirs", default_factory=dict
+    )  # the same of each peer, as last received
+    reported: float = field(name="heard", default=0.0)  # by peers, in the window `reported_window`
+    reported_window: int = field(name="heard_in", default=-1)
     excess: float = 0.0  # of the last total over all of these
-    uncertain: float = field(name="doubt", default=0.0)  # of `pending`: sent to the count of `uncertain_window`,
-    uncertain_window: int = field(name="doubted", default=-1)  # and not acknowledged
+    doubtful: float = field(name="doubt", default=0.0)  # of `pending`: sent to the count of `doubtful_window`,
+    doubtful_window: int = field(name="doubted", default=-1)  # and not acknowledged
 
 
 class IncarnationRecord(msgspec.Struct, array_like=True, frozen=True):
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -76,11 +76,11 @@
     figures = (
         record.level,
         record.at,
-        record.counted,
+        record.acknowledged,
         record.pending,
-        record.peer_units,
+        record.reported,
         record.excess,
-        record.uncertain,
+        record.doubtful,
     )
     if record.burst <= 0:
         return False
@@ -100,21 +100,21 @@
         level,
         min(record.at, now),
         record.window if window_known else UNKNOWN_WINDOW,
-        record.counted if same_plan else 0.0,
+        record.acknowledged if same_plan else 0.0,
         0.0 if is_copy else max(0.0, record.pending),
-        record.own_total,
-        dict(record.peer_totals),
+        record.admitted_quarters,
+        dict(record.peer_quarters),
     )
     if not window_known:
         return member
     # What peers reported and what is uncertain hold for their windows only.
     return SavedMember(
         *member[:9],
-        record.peer_units,
-        record.peer_units_window,
+        record.reported,
+        record.reported_window,
         record.excess,
-        record.uncertain,
-        record.uncertain_window,
+        record.doubtful,
+        record.doubtful_window,
     )
 
 
