--- a/thistleusher/core/backend_record.py
+++ b/thistleusher/core/backend_record.py
@@ -68,6 +68,6 @@
         """Go on from what an earlier incarnation of this ingress knew."""
         self.ratio = learned.ratio
         self.errors = learned.errors
-        self.fault_evidence = learned.proof
-        self.ejected_until = learned.resting
+        self.fault_evidence = learned.fault_evidence
+        self.ejected_until = learned.ejected_until
         self.trial = learned.trial
--- a/thistleusher/core/charges.py
+++ b/thistleusher/core/charges.py
@@ -14,14 +14,14 @@
 class Charge:
     """Units asked of a customer's quota."""
 
-    def __init__(self, req: events.Request, customer: Customer, peer: int | None = None, query: int = 0) -> None:
+    def __init__(self, event: events.Request, customer: Customer, peer: int | None = None, query: int = 0) -> None:
         """`peer`: who asks, by a query of this number; None for a request here."""
-        self.req = req
+        self.event = event
         self.customer = customer
         self.peer = peer
         self.query = query
-        self.units = req.units  # as added to the count; more where one call stands for several requests
-        self.exceeds_share = req.units * customer.width > customer.plan.burst  # an even share is below one request
+        self.units = event.units  # as added to the count; more where one call stands for several requests
+        self.exceeds_share = event.units * customer.width > customer.plan.burst  # an even share is below one request
         self.consumed = 0.0  # units off the bucket
         self.from_escrow = False  # admitted on the ingress's own share
         self.owner: int | None = None  # the peer that was asked and admitted it
@@ -39,16 +39,16 @@
     """A request that is owed one final answer."""
 
     def __init__(
-        self, req: events.Request, cls: ClassSettings, customer: Customer, now: float, work: float = 1.0
+        self, event: events.Request, cls: ClassSettings, customer: Customer, now: float, work: float = 1.0
     ) -> None:
         """`work`: expected, as a multiple of its class's mean."""
-        super().__init__(req, customer)
+        super().__init__(event, customer)
         self.cls = cls
         self.work = work
-        self.target = now + min(cls.objective, req.expires_in)  # nothing is sent once its client is gone
+        self.target = now + min(cls.objective, event.expires_in)  # nothing is sent once its client is gone
         self.attempts = 0
         self.sent_at = 0.0
         self.ran_at: float | None = None  # send time of the earliest attempt that may have run
         self.ran_on: BackendEntry | None = None  # and its backend
-        self.bad = set[str]()  # backends that did not serve it
+        self.failed_backends = set[str]()  # backends that did not serve it
         self.value = cls.worth * customer.plan.price  # per unit; units go with work
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -13,14 +13,14 @@
 class Routed(Protocol):
     """What the choice of a backend asks of a request.
 
-    `work`: expected, in multiples of its class's mean. `bad`: backends that are left out. `ran_on`: the backend of the
-    earliest attempt that may have run.
+    `event`: the request as it arrived. `work`: expected, in multiples of its class's mean. `failed_backends` are left
+    out. `ran_on`: the backend of the earliest attempt that may have run.
     """
 
-    req: Request
+    event: Request
     cls: ClassSettings
     work: float
-    bad: set[str]
+    failed_backends: set[str]
     ran_on: BackendEntry | None
 
 
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -31,7 +31,7 @@
 class LearnedClass(NamedTuple):
     """Usual latency of a class in seconds, and as it was unloaded; its regression line over units.
 
-    `spread`: variance of units; `both`: covariance of units and time.
+    `variance`: of units; `covariance`: of units and time.
     """
 
     latency: float
@@ -39,21 +39,21 @@
     seen: int = 0
     units: float = 0.0
     time: float = 0.0
-    spread: float = 0.0
-    both: float = 0.0
+    variance: float = 0.0
+    covariance: float = 0.0
 
 
 class LearnedBackend(NamedTuple):
     """What an ingress knew of one backend's process, that started at `born`.
 
-    `proof`: evidence that it is faulty; `resting`: Unix time until which it is ejected.
+    `fault_evidence`: that it is faulty; `ejected_until` in Unix seconds.
     """
 
     born: float
     ratio: float
     errors: float
-    proof: float
-    resting: float
+    fault_evidence: float
+    ejected_until: float
     trial: bool
 
 
--- a/thistleusher/core/work_model.py
+++ b/thistleusher/core/work_model.py
@@ -53,5 +53,5 @@
         self.seen = learned.seen
         self.units = learned.units
         self.time = learned.time
-        self.variance = learned.spread
-        self.covariance = learned.both
+        self.variance = learned.variance
+        self.covariance = learned.covariance
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -84,8 +84,8 @@
         if self._rejected_early(now, request):
             return True
         gossip = self.replication.gossip
-        plan_number = self.replication.plan_numbers[request.req.plan]
-        query = gossip.create_query(now, owner, request.req, plan_number) if gossip is not None else None
+        plan_number = self.replication.plan_numbers[request.event.plan]
+        query = gossip.create_query(now, owner, request.event, plan_number) if gossip is not None else None
         if query is not None:
             self.actions.append(SendToPeer(owner, query))
         return query is not None
@@ -100,7 +100,7 @@
     def _charge(self, now: float, charge: Charge) -> None:
         """Charge units to the count, or decide by what is known where the counter cannot take so many calls."""
         customer = charge.customer
-        request = charge.req
+        request = charge.event
         health = self.replication.counters.of_customer(now, customer)
         known = customer.available(now)
         health.calls_per_request *= 1 - CALLS_WEIGHT
@@ -150,7 +150,7 @@
             return
         customer = call.customer
         self.replication.customers.mark_changed(customer)
-        if isinstance(call.charge, PendingRequest) and call.charge.req.id not in self.attempts.requests:
+        if isinstance(call.charge, PendingRequest) and call.charge.event.id not in self.attempts.requests:
             call = call._replace(charge=None)  # its client has gone
         health = self.replication.counters.of_name(event.name)
         if event.outcome not in (Outcome.OK, Outcome.ERROR):
@@ -181,7 +181,7 @@
     def _decide_by_total(self, now: float, charge: Charge, health: CounterHealth) -> None:
         """Admit or reject a request whose charge is in the total that its customer's bucket was corrected by."""
         customer = charge.customer
-        units = charge.req.units
+        units = charge.event.units
         admitted = customer.headroom(now) - units >= 0
         if admitted and customer.plan.ceiling_rate > 0 and not self.replication.in_touch(now, customer, strict=True):
             # Totals that some of the set may not write to: another counter could serve them.
@@ -189,7 +189,7 @@
             admitted = self.replication.admit_from_share(now, customer, units)
         expected = self._expected_share(now, charge)
         customer.admitted_share = expected + VERDICT_WEIGHT * (admitted - expected)
-        like = charge.req.plan, charge.req.is_repeat
+        like = charge.event.plan, charge.event.is_repeat
         common = self.admitted_share[like]
         self.admitted_share[like] = common + COMMON_WEIGHT * (admitted - common)
         if admitted:
@@ -215,7 +215,7 @@
     def _expected_share(self, now: float, charge: Charge) -> float:
         """Return the chance that a total would admit: the customer's own of late, ageing into that of its like."""
         customer = charge.customer
-        common = self.admitted_share[charge.req.plan, charge.req.is_repeat]
+        common = self.admitted_share[charge.event.plan, charge.event.is_repeat]
         age = math.exp((customer.level_at - now) / (7 * customer.window_length))
         return common + (customer.admitted_share - common) * age
 
@@ -246,14 +246,14 @@
         else:
             admitted = self._admit_by_even_share(now, charge)
         if admitted:
-            replication.admit(now, customer, charge.req.units, charge)
+            replication.admit(now, customer, charge.event.units, charge)
             self._resolve(now, charge, True)
 
     def _admit_by_level(self, now: float, charge: Charge, in_touch: bool) -> bool:
         """Return whether the known level, and out of touch the escrowed share, admit it; else it is decided on."""
         customer = charge.customer
         replication = self.replication
-        units = charge.req.units
+        units = charge.event.units
         if customer.available(now) < units:
             wait = (units - customer.headroom(now)) / customer.plan.rate if in_touch else 0.0
             self._resolve(now, charge, False, wait)
@@ -276,7 +276,7 @@
         gossip = self.replication.gossip
         if gossip is None or not isinstance(charge, PendingRequest) or now >= charge.grant_deadline:
             return False
-        return gossip.add_pending(charge.req.id, charge.grant_deadline)
+        return gossip.add_pending(charge.event.id, charge.grant_deadline)
 
     def _decide_by_chance(self, now: float, charge: Charge) -> None:
         """Admit whole requests by the chance they had of late: a share below one request would reject all."""
@@ -291,7 +291,7 @@
         """Return whether an even share of the bucket, or more where most came through here, admits it; else reject."""
         customer = charge.customer
         plan = customer.plan
-        units = charge.req.units
+        units = charge.event.units
         share = max(1.0 / customer.width, customer.local_part)
         if plan.ceiling_rate > 0:  # all shares together, and what totals admit, stay within it
             by_totals = 0.0 if self.replication.counters.of_customer(now, customer).is_down() else 1.0
@@ -351,8 +351,8 @@
         if request is None:  # its client has gone
             return
         request.owner = event.sender
-        request.consumed = request.req.units if admitted else 0.0
-        wait = (request.req.units - headroom) / request.customer.plan.rate
+        request.consumed = request.event.units if admitted else 0.0
+        wait = (request.event.units - headroom) / request.customer.plan.rate
         self._resolve(now, request, admitted, wait)
 
     def owner_timer_fired(self, now: float) -> None:
--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -39,15 +39,15 @@
 
     def reject(self, now: float, request: PendingRequest, wait: float) -> None:
         """Give the final answer: refused, to be retried in `wait` seconds, or failed where it may have run."""
-        del self.requests[request.req.id]
+        del self.requests[request.event.id]
         if request.consumed > 0 and request.attempts == 0:  # what was never sent uses nothing up
             self.replication.reconcile(now, request, -request.consumed)
         effect = request.cls.effect
         repeatable = effect is Effect.SAFE or (effect is Effect.KEYED and request.cls.group is Group.ALL)
         if request.ran_at is not None and not repeatable:
-            self.actions.append(Fail(request.req.id))
+            self.actions.append(Fail(request.event.id))
         else:
-            self.actions.append(Refuse(request.req.id, min(max(wait, 0.0), self.settings.max_retry_after)))
+            self.actions.append(Refuse(request.event.id, min(max(wait, 0.0), self.settings.max_retry_after)))
 
     def would_be_late(self, now: float, request: PendingRequest) -> bool:
         """Return whether a request that has to be queued cannot meet its latency target."""
@@ -67,7 +67,7 @@
         request.attempts += 1
         request.sent_at = now
         self.fleet.sent(now, best, request)
-        self.actions.append(Attempt(request.req.id, best.entry.backend))
+        self.actions.append(Attempt(request.event.id, best.entry.backend))
 
     def dispatch(self, now: float) -> None:
         """Send queued requests while slots are free; the whole queue is looked through at each sweep only."""
@@ -75,7 +75,7 @@
             if not self.fleet.has_free_slot(now):
                 break
             request = self.queue.pop(0)
-            if request.req.id in self.requests:
+            if request.event.id in self.requests:
                 self.send(now, request)
 
     def _send_or_reject_queued(self, now: float) -> None:
@@ -83,7 +83,7 @@
         queued = self.queue
         self.queue = []
         for request in queued:
-            if request.req.id in self.requests:
+            if request.event.id in self.requests:
                 self.send(now, request)
 
     def sweep(self, now: float) -> None:
@@ -129,7 +129,7 @@
         if event.done:
             self._served(now, request, event)
             return
-        request.bad.add(event.backend)
+        request.failed_backends.add(event.backend)
         jammed = event.outcome is Outcome.FULL and self.fleet.pressure > OVERLOADED  # elsewhere it is full too
         if not jammed and self._allows_attempt(now, request, request.ran_at):
             self.send(now, request)
@@ -142,4 +142,4 @@
         if self.queue:
             self.dispatch(now)
         if event.outcome is Outcome.OK and event.true_units > 0 and self.settings.settles:
-            self.replication.reconcile(now, request, event.true_units - request.req.units)
+            self.replication.reconcile(now, request, event.true_units - request.event.units)
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -143,7 +143,7 @@
         best: Backend | None = None
         best_cost = 0.0
         keyed = request.ran_on if request.cls.effect is Effect.KEYED else None
-        keys = [(key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.cls.name, request.req.plan)]
+        keys = [(key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.cls.name, request.event.plan)]
         for backend in among:
             if not self._is_eligible(now, backend, request, keyed):
                 continue
@@ -164,7 +164,7 @@
     def _is_eligible(self, now: float, backend: Backend, request: Routed, keyed: BackendEntry | None) -> bool:
         """Return whether a backend may be sent to; `keyed`: the one whose group knows the request's key."""
         entry = backend.entry
-        if entry.backend in request.bad or now < backend.ejected_until:
+        if entry.backend in request.failed_backends or now < backend.ejected_until:
             return False
         if backend.trial and (backend.outstanding or request.cls.effect is Effect.UNSAFE):
             return False
@@ -190,9 +190,9 @@
 
     def sent(self, now: float, backend: Backend, request: Routed) -> None:
         """Note an attempt that goes out."""
-        req = request.req
-        attempt = OutstandingAttempt(now, request.cls.name, req.plan, req.units, request.work)
-        self.backends.started(backend, req.id, attempt)
+        event = request.event
+        attempt = OutstandingAttempt(now, request.cls.name, event.plan, event.units, request.work)
+        self.backends.started(backend, event.id, attempt)
         if self.warmth(now, backend) < 1.0:
             backend.tokens -= request.work
 
--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -47,8 +47,8 @@
         if self.quota.is_isolated(now):
             return self._rule_locally(now, request, tenant)
         request.charge_open = True
-        self.awaiting_verdict[request.req.id] = now
-        self.actions.append(ChargeTenant(request.req.id, tenant, 1))
+        self.awaiting_verdict[request.event.id] = now
+        self.actions.append(ChargeTenant(request.event.id, tenant, 1))
         return None
 
     def charge_answered(self, now: float, event: ChargeAnswered, request: RequestState | None) -> Ruling | None:
@@ -102,7 +102,7 @@
         """Refund a request's charge, once, unless an attempt of it has reached a backend."""
         if request.charge_open and request.tenant is not None and not request.attempts_arrived:
             request.charge_open = False
-            self.actions.append(ChargeTenant(request.req.id, request.tenant, -1, request.charge_window))
+            self.actions.append(ChargeTenant(request.event.id, request.tenant, -1, request.charge_window))
 
     def _rule_locally(self, now: float, request: RequestState, tenant: str, retry_after_s: float = 0.0) -> Ruling:
         """Rule by this ingress's own share, as the central count does not admit the request; refund its charge."""
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -164,7 +164,7 @@
         """Send the request to the best backend; where none can take it, let it wait a little, or reject it."""
         fleet = self.selector.fleet_of(now, request.service)
         best = self.selector.select(now, fleet, request)
-        name = request.req.id
+        name = request.event.id
         if best is not None:
             self._send(now, fleet, request, best)
         elif name not in self.waiting:
@@ -181,7 +181,7 @@
         if request.attempts_arrived:
             self.retries.budget_of(request.service).record_retry(now)
         self.selector.record_sent(now, fleet, request, backend)
-        self.pending_actions.append(actions.Attempt(request.req.id, request.backend))
+        self.pending_actions.append(actions.Attempt(request.event.id, request.backend))
 
     # Its end.
 
@@ -208,15 +208,15 @@
     def _give_up(self, request: RequestState) -> None:
         """Answer at once: rejected where it certainly has not run, failed otherwise."""
         if request.may_have_run:
-            self.requests.pop(request.req.id, None)
-            self.pending_actions.append(actions.Fail(request.req.id))
+            self.requests.pop(request.event.id, None)
+            self.pending_actions.append(actions.Fail(request.event.id))
         else:
             self._reject(request, 0.0)
 
     def _reject(self, request: RequestState, retry_after_s: float) -> None:
-        self.requests.pop(request.req.id, None)
+        self.requests.pop(request.event.id, None)
         self.admission.refund(request)
-        self.pending_actions.append(actions.Refuse(request.req.id, retry_after_s))
+        self.pending_actions.append(actions.Refuse(request.event.id, retry_after_s))
 
     # Time.
 
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -51,10 +51,10 @@
     """
 
     __slots__ = (
-        "req",
+        "event",
         "cls",
         "work",
-        "bad",
+        "failed_backends",
         "ran_on",
         "match",
         "tenant",
@@ -82,10 +82,10 @@
         allowed_regions: frozenset[str] | None,
     ) -> None:
         """`allowed_regions`: those that may serve it; None where neither route nor tenant restricts them."""
-        self.req = request
+        self.event = request
         self.cls = class_settings
         self.work = 1.0
-        self.bad: set[str] = set()  # backends at which an attempt of it has failed
+        self.failed_backends: set[str] = set()  # backends at which an attempt of it has failed
         self.ran_on: BackendEntry | None = None
         self.match = context.match
         self.tenant = context.tenant
--- a/thistleusher/proxy/retries.py
+++ b/thistleusher/proxy/retries.py
@@ -38,7 +38,7 @@
     @staticmethod
     def record_failure(request: RequestState, event: events.AttemptEnded) -> None:
         """Note on the request what a failed attempt proves."""
-        request.bad.add(event.backend)
+        request.failed_backends.add(event.backend)
         if event.outcome not in NEVER_ARRIVED:
             request.attempts_arrived += 1
         if event.outcome not in NEVER_RAN:
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -180,11 +180,11 @@
 def _age_backend(backend: LearnedBackend, age: float, decay: float, clock_set_back: bool) -> LearnedBackend:
     ratio = 1 + (backend.ratio - 1) * (1 - age / SPEEDS_MAX_AGE_S)
     if clock_set_back:
-        return backend._replace(ratio=ratio, errors=0.0, proof=0.0, resting=0.0, trial=False)
+        return backend._replace(ratio=ratio, errors=0.0, fault_evidence=0.0, ejected_until=0.0, trial=False)
     return backend._replace(
         ratio=ratio,
         errors=backend.errors * decay,
-        proof=backend.proof * decay,
+        fault_evidence=backend.fault_evidence * decay,
         trial=backend.trial and age < FAULTS_DECAY_S,
     )
 
