--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -55,9 +55,9 @@
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
     gateway = world.gateways[0]
     snapshotter.start(gateway, lambda: START_TIME, NoTimer())
-    plan = gateway.sharing.plans["plus"]
+    plan = gateway.replication.customers.plans["plus"]
     for member in range(members):
-        gateway.sharing.admit(world.now, gateway.sharing.meet(world.now, member, plan), 2.0)
+        gateway.replication.admit(world.now, gateway.replication.customers.see(world.now, member, plan), 2.0)
     assert snapshotter.writer is not None
     began = time.perf_counter()
     pauses: list[float] = []
--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -9,8 +9,8 @@
 from simnet.clock import Clock
 from simnet.system.process import Process, ProcessScheduler
 from simnet.system.topology import BACKEND_ZONES, MACHINES, one_way_delay
-from thistleusher.core.driver import InFlightRequest
 from thistleusher.core.events import Outcome
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended
 
 REFUSED_SHARE = 0.01  # of connections that a backend refuses
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -21,7 +21,7 @@
     saved = {}
     for _ in range(kills):
         w.traffic(0.5, 40.0, lambda at: 0, "basic")
-        saved |= {m.key: m for m in w.gateways[0].saved(1000)}
+        saved |= {m.key: m for m in w.gateways[0].take_changed(1000)}
         w.kill(0)
         w.run(0.1)
         w.restart(0)
@@ -43,7 +43,7 @@
     for n in (0, 1):
         w.ask(n, 0, "basic")
     w.run(0.5)
-    saved = w.gateways[0].saved(10)
+    saved = w.gateways[0].take_changed(10)
     w.kill(0)
     for _ in range(4):
         w.ask(1, 0, "basic", 2.0)
@@ -52,7 +52,7 @@
     w.gateways[0].restore(w.now, saved)
     w.ask(1, 0, "basic")  # sends an update
     w.run(0.3)
-    headrooms = [g.room(w.now, 0, "basic") for g in w.gateways]
+    headrooms = [g.headroom(w.now, 0, "basic") for g in w.gateways]
     assert headrooms[0] == pytest.approx(headrooms[1], abs=0.3)
 
 
