--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -203,9 +203,9 @@
 
     # For the driver: the one backend.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
         """Return the request's admission as its attempt."""
-        admission: Admission = held.context
+        admission: Admission = in_flight.context
         admission.prepare(on_end)
         return admission
 
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -104,15 +104,15 @@
 
     # Backends.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
         """Prepare an attempt. It is not sent if its client has gone or its backend drains by then."""
-        call: Call = held.context
+        call: Call = in_flight.context
 
         def message() -> bytes:
-            return call.message(max(MIN_PATIENCE_S, held.deadline - self.driver.scheduler.time()))
+            return call.message(max(MIN_PATIENCE_S, in_flight.deadline - self.driver.scheduler.time()))
 
         def can_send() -> bool:
-            return not held.answered and backend in self.serving
+            return not in_flight.answered and backend in self.serving
 
         def ended(_: BackendExchange, outcome: Outcome, response: Response | None) -> None:
             true_units = 0.0
