--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -36,26 +36,26 @@
     Wrong(
         "what may have run is sent again, whatever its class",
         "policy/attempts.py",
-        "return ran_at is None or f.cls.effect",
-        "return True or f.cls.effect",
+        "if ran_at is None or request.cls.effect",
+        "if True or request.cls.effect",
     ),
     Wrong(
         "what may have run is refused as harmless",
         "policy/attempts.py",
-        "if f.ran_at is not None and f.cls.effect is not",
-        "if False and f.cls.effect is not",
+        "if request.ran_at is not None and not repeatable",
+        "if False and not repeatable",
     ),
     Wrong(
         "a server that drains goes on being used",
-        "policy/fleet.py",
+        "core/backend_table.py",
         "entry.phase is Phase.RUNNING",
         "entry.phase is not Phase.DELETED",
     ),
     Wrong(
         "a total far over the allowance admits",
         "policy/admission.py",
-        "good = c.room(now) - f.req.units >= 0",
-        "good = c.room(now) - f.req.units >= -200",
+        "admitted = customer.headroom(now) - units >= 0",
+        "admitted = customer.headroom(now) - units >= -200",
     ),
     Wrong(
         "a share that is given is kept as well",
@@ -97,8 +97,9 @@
     Wrong(
         "an attempt's answer may be given twice",
         "core/driver.py",
-        "        if held.answered:\n            return\n        held.answered = True\n        held.on_final",
-        "        held.answered = True\n        held.on_final",
+        "        if in_flight.answered:\n            return\n        in_flight.answered = True\n"
+        "        in_flight.on_final",
+        "        in_flight.answered = True\n        in_flight.on_final",
     ),
 )
 
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -1,4 +1,4 @@
-"""What the decision module asks of its parts, as protocols: escrowed shares, gossip, the counters' placement."""
+"""What the decision module asks of its parts, as protocols: escrowed shares, gossip, placement of the counts."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 
 
 class Routed(Protocol):
-    """What the choice of a backend asks of a request."""
+    """What the choice of a backend asks of a request.
 
-    req: Request
+    `event`: the request as it arrived. `work`: expected, in multiples of its class's mean. `failed_backends` are left
+    out. `ran_on`: the backend of the earliest attempt that may have run.
+    """
+
+    event: Request
     cls: ClassSettings
     work: float
-    bad: set[str]
+    failed_backends: set[str]
     ran_on: BackendEntry | None
 
 
@@ -143,7 +147,7 @@
 
 
 class CounterOf(Protocol):
-    """Where several counters share the names: which of them holds one, by its number. Pure."""
+    """Placement of the counts over several counters, by their number. Pure."""
 
     def of(self, name: int) -> int:
-        """The same at every ingress."""
+        """Return the counter that holds a name, the same at every ingress."""
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -16,9 +16,10 @@
 from thistleusher.common.node_settings import Bounds
 from thistleusher.configuration.records import Service
 from thistleusher.core import events
+from thistleusher.core.backend_record import Backend
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.policy.fleet import Backend, Fleet
+from thistleusher.policy.fleet import Fleet
 from thistleusher.proxy.budgets import SlowStartBudget
 from thistleusher.proxy.placement import ListedBackend, Locality, tiers
 from thistleusher.proxy.requests import RequestState
@@ -104,7 +105,7 @@
 
     def select(self, now: float, fleet: Fleet, request: RequestState) -> Backend | None:
         """Return the best backend of the nearest tier that has one; None where no backend can take the request now."""
-        fleet.meet(request.cls)
+        fleet.add_class(request.cls)
         for tier in tiers(self.locality, self.listed, fleet.ready, request.allowed_regions):
             candidates = [backend for backend in tier if self._accepts(now, backend)]
             best = fleet.least(now, request, candidates) if candidates else None
@@ -153,6 +154,6 @@
     def silent_attempts(self, now: float) -> Iterator[SilentAttempt]:
         """Yield the attempts at backends that have fallen silent, which their fleets eject."""
         for fleet in self.fleets.values():
-            for backend in fleet.silent(now, SILENT_FACTOR):
-                for request in backend.out:
+            for backend in fleet.eject_silent(now, SILENT_FACTOR):
+                for request in backend.outstanding:
                     yield SilentAttempt(fleet, backend, request)
--- a/thistleusher/standalone.py
+++ b/thistleusher/standalone.py
@@ -47,13 +47,13 @@
 def make_snapshotter(config: Config, options: StateOptions) -> Snapshotter:
     """Open the state folder. Raises InvalidConfigurationError where it cannot be used."""
     from thistleusher.assembly import allowance_terms
-    from thistleusher.policy.sharing import kept_for
+    from thistleusher.core.replication_limits import retention_s
     from thistleusher.state.snapshotter import Snapshotter
     from thistleusher.state.store import StateFolderError
 
     try:
         return Snapshotter(
-            options, config.name, config.settings, kept_for(config.settings), allowance_terms(config.settings)
+            options, config.name, config.settings, retention_s(config.settings), allowance_terms(config.settings)
         )
     except StateFolderError as error:
         raise InvalidConfigurationError(str(error)) from error
