--- a/simnet/system/proxy_process.py
+++ b/simnet/system/proxy_process.py
@@ -12,7 +12,8 @@
 from simnet.system.topology import BOUNDS, CORES, MACHINES, REGIONS
 from thistleusher.configuration.index import RouteMatch
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended, Final
 from thistleusher.proxy.cluster_view import ClusterView
 from thistleusher.proxy.commands import (
@@ -60,7 +61,7 @@
         )
         scheduler = DriverScheduler(self, self._environment)
         self.driver = Driver(self.decisions.settings, self.decisions, self, scheduler, self.now)
-        self.driver.carry[ChargeTenant] = lambda action: self._execute(self.cluster_view.charge(self.now(), action))
+        self.driver.handlers[ChargeTenant] = lambda action: self._execute(self.cluster_view.charge(self.now(), action))
         self.serving: set[str] = set()
         self.version = -1
 
@@ -125,7 +126,7 @@
         assert index is not None
         self.decisions.expect(name, RequestContext(RouteMatch(route, index.config.routes[route]), tenant))
         self._environment.rules.request_sent(name, self)
-        self.driver.take(events.Request(name, route, "all", 0, deadline_s, 1.0), on_final, (route, tenant))
+        self.driver.accept(events.Request(name, route, "all", 0, deadline_s, 1.0), on_final, (route, tenant))
 
     # The driver's port to backends.
 
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -18,8 +18,9 @@
 
 from thistleusher.assembly import make_gateway
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
 from thistleusher.core.events import BackendEntry, ListKind, Phase
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import CounterPort, Ended, Scheduler
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import Settings
@@ -142,7 +143,7 @@
         driver = self._driver
         self._driver = None
         if driver is not None:
-            driver.leave()
+            driver.hand_over()
             driver.close()
         if self._counter is not None:
             self._counter.close()
@@ -193,18 +194,18 @@
     def room(self, member: int, plan: str) -> float:
         """Return the units left of a member's quota, as far as this ingress knows."""
         assert self._gateway is not None
-        return self._gateway.room(self.driver.now(), member, plan)
+        return self._gateway.headroom(self.driver.now(), member, plan)
 
     @property
     def held(self) -> int:
         """The number of requests in flight: admitted or waiting for their decision."""
-        return len(self.driver.held)
+        return len(self.driver.in_flight)
 
     # For the driver: the one backend.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
         """Return the request's admission as its attempt."""
-        admission: Admission = held.context
+        admission: Admission = in_flight.context
         admission.prepare(on_end)
         return admission
 
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -8,8 +8,9 @@
 
 from thistleusher.core import events
 from thistleusher.core.answers import STATUS, headers_of
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
 from thistleusher.core.events import ListKind, Outcome, Phase
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
 from thistleusher.core.settings import Settings
 from thistleusher.net.backend_list import BackendList
@@ -19,7 +20,7 @@
 from thistleusher.net.upstream import Upstream
 from thistleusher.services.http_responses import Response
 
-MIN_PATIENCE_S = 0.001  # that a backend is told, however little time is left
+MIN_PATIENCE_S = 0.001  # the smallest X-Budget of a backend, however little time is left
 LOAD_REPORT_REQUEST = b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
@@ -76,19 +77,19 @@
         self.serving: set[str] = set()  # backends that may be sent requests
         self.driver = Driver(settings, gateway, self, scheduler or loop, unix)
         self.submit = self.driver.submit
-        self.in_flight = self.driver.held
+        self.in_flight = self.driver.in_flight
 
     # Requests.
 
     def handle_request(self, call: Call, reply: Reply) -> None:
         """Take a client's request; it gets exactly one response from here on."""
-        self.driver.take(call.request, lambda final: self.finish(final, reply), call, call.received_at)
+        self.driver.accept(call.request, lambda final: self.finish(final, reply), call, call.received_at)
 
     def client_disconnected(self, call: Call) -> None:
         """Report a client that has gone; a call whose id another request has was never taken."""
         in_flight = self.in_flight.get(call.request.id)
         if in_flight is not None and in_flight.context is call:
-            self.driver.gone(call.request.id)
+            self.driver.client_gone(call.request.id)
 
     @staticmethod
     def finish(final: Final, reply: Reply) -> None:
@@ -103,15 +104,15 @@
 
     # Backends.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
         """Prepare an attempt. It is not sent if its client has gone or its backend drains by then."""
-        call: Call = held.context
+        call: Call = in_flight.context
 
         def message() -> bytes:
-            return call.message(max(MIN_PATIENCE_S, held.deadline - self.driver.scheduler.time()))
+            return call.message(max(MIN_PATIENCE_S, in_flight.deadline - self.driver.scheduler.time()))
 
         def can_send() -> bool:
-            return not held.answered and backend in self.serving
+            return not in_flight.answered and backend in self.serving
 
         def ended(_: BackendExchange, outcome: Outcome, response: Response | None) -> None:
             true_units = 0.0
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -74,7 +74,7 @@
     def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None) -> None:
         """Take in what an earlier incarnation knew, and follow changes from now on."""
 
-    def saved(self, most: int) -> list[SavedMember]:
+    def take_changed(self, most: int) -> list[SavedMember]:
         """Return up to `most` members that have changed since they were last returned."""
 
 
@@ -171,7 +171,7 @@
         """
         assert self.gateway is not None and self.writer is not None
         limit = min(limit, self.writer.capacity() // 2)  # half for members, half for reservations
-        members = self.gateway.saved(limit)
+        members = self.gateway.take_changed(limit)
         for member in members:
             plan = self.plans[member.plan]
             record = MemberRecord(member.key, member.plan, plan.rate, plan.burst, *member[2:])
