--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -6,10 +6,10 @@
 
 
 class SavedMember(NamedTuple):
-    """What one ingress knew of a customer's count, as it is stored; `core.customer.Customer` translates its fields.
+    """What one ingress knew of a customer's count; its fields are those of `core.customer.Customer`.
 
-    `told`: own units that the count contained; `mine`, `theirs`: quarter units admitted here and at each peer; `heard`:
-    units that peers reported in the window `heard_in`.
+    `acknowledged`: own units that the count contained; `admitted_quarters`, `peer_quarters`: quarter units admitted
+    here and at each peer; `reported`: units that peers reported in the window `reported_window`.
     """
 
     key: int
@@ -17,21 +17,21 @@
     level: float
     at: float
     window: int
-    told: float
+    acknowledged: float
     pending: float
-    mine: int
-    theirs: dict[int, int]
-    heard: float = 0.0
-    heard_in: int = -1
+    admitted_quarters: int
+    peer_quarters: dict[int, int]
+    reported: float = 0.0
+    reported_window: int = -1
     excess: float = 0.0
-    doubt: float = 0.0  # of `pending`: added to the count of the window `doubted`, or not
-    doubted: int = -1
+    doubtful: float = 0.0  # of `pending`: added to the count of the window `doubtful_window`, or not
+    doubtful_window: int = -1
 
 
 class LearnedClass(NamedTuple):
     """Usual latency of a class in seconds, and as it was unloaded; its regression line over units.
 
-    `spread`: variance of units; `both`: covariance of units and time.
+    `variance`: of units; `covariance`: of units and time.
     """
 
     latency: float
@@ -39,21 +39,21 @@
     seen: int = 0
     units: float = 0.0
     time: float = 0.0
-    spread: float = 0.0
-    both: float = 0.0
+    variance: float = 0.0
+    covariance: float = 0.0
 
 
 class LearnedBackend(NamedTuple):
     """What an ingress knew of one backend's process, that started at `born`.
 
-    `proof`: evidence that it is faulty; `resting`: Unix time until which it is ejected.
+    `fault_evidence`: that it is faulty; `ejected_until` in Unix seconds.
     """
 
     born: float
     ratio: float
     errors: float
-    proof: float
-    resting: float
+    fault_evidence: float
+    ejected_until: float
     trial: bool
 
 
