--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -33,8 +33,8 @@
 def test_a_record_is_restored_as_it_was():
     found = recovered().members[0]
     assert (found.level, found.at, found.window) == (3.0, 100.0, 44)
-    assert (found.told, found.pending, found.mine) == (5.0, 2.5, 40)
-    assert found.theirs == {1: 12} and not recovered().skipped
+    assert (found.acknowledged, found.pending, found.admitted_quarters) == (5.0, 2.5, 40)
+    assert found.peer_quarters == {1: 12} and not recovered().skipped
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
 
 def test_after_the_clock_was_set_back_nothing_refills_and_no_window_is_trusted():
     found = recovered(now=100.0 - 3600).members[0]
-    assert found.at == 100.0 - 3600 and found.level == 3.0 and found.window == -1 and found.heard_in == -1
+    assert found.at == 100.0 - 3600 and found.level == 3.0 and found.window == -1 and found.reported_window == -1
 
 
 def test_a_day_later_only_what_was_not_written_back_is_left():
@@ -92,14 +92,14 @@
         i.end(only(i.ask(), actions.Attempt), elapsed=0.08)
         i.now += 1.0
     b1 = i.gw.fleet.backends["b1"]
-    b1.proof = 9.0
+    b1.fault_evidence = 9.0
     i.gw.fleet.eject(i.now, b1, "failing")
     return i
 
 
 def restarted(i, now, born=1.0):
     other = Ingress(now=now)
-    other.gw = Gateway(other.gw.s, 2, now)
+    other.gw = Gateway(other.gw.settings, 2, now)
     other.gw.restore(now, [], recover_learned(now, decode_learned(encode(i.gw.fleet.learned(i.now)))))
     other.give(
         events.ListUpdate(ListKind.SAVED, 2, tuple(BackendEntry(f"b{n}", Phase.RUNNING, born=born) for n in range(4)))
@@ -114,13 +114,13 @@
     ratio = old.backends[name].ratio
     new = restarted(i, now + 1.0)
     assert new.backends[name].ratio == pytest.approx(ratio, rel=0.01) and new.slots == old.slots
-    assert new.backends["b1"].resting == old.backends["b1"].resting and new.backends["b1"].trial
+    assert new.backends["b1"].ejected_until == old.backends["b1"].ejected_until and new.backends["b1"].trial
     assert new.latency["read"] == old.latency["read"] != Ingress().gw.fleet.latency["read"]
     later = restarted(i, now + 300.0)
     assert ratio < later.backends[name].ratio < 1.0 and not later.backends["b1"].trial
     assert restarted(i, now + 1.0, born=2.0).backends[name].ratio == 1.0  # another process
     back = restarted(i, now - 3600.0)
-    assert back.backends["b1"].resting == 0.0 and back.backends[name].ratio < 1.0
+    assert back.backends["b1"].ejected_until == 0.0 and back.backends[name].ratio < 1.0
     assert recover_learned(now + 601.0, old.learned(now)) is None
     assert recover_learned(now, old.learned(now)._replace(slots=float("nan"))) is None
 
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -15,14 +15,14 @@
 def test_only_changes_are_returned_in_batches():
     w = World(4, 2)
     gateway = w.gateways[0]
-    assert gateway.saved(10) == []  # nothing is followed where nothing is saved
+    assert gateway.take_changed(10) == []  # nothing is followed where nothing is saved
     gateway.restore(w.now, [])
     for m in range(5):
         w.ask(0, m)
-    assert len(gateway.saved(3)) == 3 and len(gateway.saved(3)) == 2
+    assert len(gateway.take_changed(3)) == 3 and len(gateway.take_changed(3)) == 2
     w.run(1.0)
     w.ask(0, 2)
-    assert [m.key for m in gateway.saved(10) if m.key == 2] == [2]
+    assert [m.key for m in gateway.take_changed(10) if m.key == 2] == [2]
 
 
 def test_a_snapshotter_saves_and_restores(tmp_path):
@@ -44,7 +44,7 @@
     two = snapshotter()
     incarnation, found = two.start(w.gateways[0], lambda: w.now, scheduler)
     assert incarnation.number == 2 and len(found.members) == 700
-    assert w.gateways[0].room(w.now, 3, "plus") < PLUS.burst
+    assert w.gateways[0].headroom(w.now, 3, "plus") < PLUS.burst
     two.store.db.execute("PRAGMA query_only=1")  # the disk takes nothing any more
     assert not two.close()
     assert Store(tmp_path / "a", "n0").previous.ended_at == 0.0  # let go, and taken for killed
@@ -87,7 +87,7 @@
     assert 0 < snapshotter.submit_changes(1000) <= 20 and disk.began.wait(10.0)
     while snapshotter.submit_changes(1000):
         pass  # until there is no capacity any more
-    assert snapshotter.writer.rejected == 0 and len(w.gateways[0].sharing.changed) > 0
+    assert snapshotter.writer.rejected == 0 and len(w.gateways[0].replication.customers.changed) > 0
     disk.let.set()
     assert snapshotter.close()
     kept = {key for batch in disk.batches for table, key in batch if table == "member"}
--- a/thistleusher/embed/admission.py
+++ b/thistleusher/embed/admission.py
@@ -13,8 +13,9 @@
 from typing import Protocol, Self
 
 from thistleusher.core import events
-from thistleusher.core.driver import Driver, InFlightRequest
+from thistleusher.core.driver import Driver
 from thistleusher.core.events import Outcome
+from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import Ended, Final
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import Settings
@@ -94,7 +95,7 @@
         """
         if self.begun:
             return True
-        if self.over or self._in_flight is None or not self.driver.answering(self._in_flight):
+        if self.over or self._in_flight is None or not self.driver.begin_answer(self._in_flight):
             return False
         self.begun = True
         self._first_byte_s = self.driver.scheduler.time() - self._started_at
@@ -103,7 +104,7 @@
     def leave(self) -> None:
         """Report that the client has gone: it needs no answer any more."""
         self.left = True
-        self.driver.gone(self.request.id)
+        self.driver.client_gone(self.request.id)
 
     async def acquire(self) -> None:
         """Wait for the decision. Raises NotServed if it is a refusal."""
@@ -111,7 +112,7 @@
         if self._decision is not None:
             raise RuntimeError("an admission can be entered once only")
         self._decision = loop.create_future()
-        self._in_flight = self.driver.take(self.request, self._finished, self)
+        self._in_flight = self.driver.accept(self.request, self._finished, self)
         try:
             final = await self._decision
             if final is not None:
