--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -13,13 +13,13 @@
 from typing import Any
 
 from soak.case import Case, Outcome
-from standins.auditor import PlanRule
 from standins.deployments import DEPLOYMENTS
 from standins.faults import ACTIONS, Fault
 from standins.fleet import Fleet
 from standins.fleet_options import HALLS, Options, settings
 from standins.match import Shape
 from standins.records import Answered, Records
+from standins.verdict import PlanRule
 from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumptions, bound_of
 
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from standins import system_story
-from standins.auditor import Rules, audit
+from standins.auditor import audit
 from standins.counter import Counter
 from standins.deployments import DEPLOYMENTS
 from standins.discovery import Discovery
@@ -24,6 +24,7 @@
 from standins.ingress_process import HOST
 from standins.match import MatchServer, Shape
 from standins.records import Records, read_records
+from standins.verdict import Rules
 
 CURL = (
     "curl -i -H 'X-Call-Id: mine-1' -H 'X-Call-Class: browse' -H 'X-Tier: basic' -H 'X-Budget: 2000m'"
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -2,7 +2,7 @@
 
 The rules, each judged without the ingress's word: every request has exactly one final answer in time, made
 for it (`lost`); nothing that may have run is run again where that has an effect (`twice`); nothing new goes
-to a server longer than the grace after it was told to drain (`drain`); a cold server gets no more work than a
+to a server longer than the grace after it was to drain (`drain`); a cold server gets no more work than a
 multiple of what it can do (`cold`); no member gets more than its ceiling (`ceiling`). Units beyond quotas
 are a figure, and a broken rule (`quota`) only where a bound is stated. An answer 500 is a fault of the ingress
 whatever was wrong (`fault`); in a calm run, with nothing wrong, so is every other 5xx but a 503, and no member may be
@@ -13,104 +13,10 @@
 
 from collections import Counter as Tally
 from collections import defaultdict
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
-from typing import NamedTuple
+from collections.abc import Iterable, Iterator
 
 from standins.records import Answered, Asked, Began, Crashed, Ran, Record, Told, Up, Withdrawn
-
-RULES = ("lost", "twice", "drain", "cold", "ceiling", "quota", "fault", "starved")
-REFUSALS = (429, 503)
-
-
-@dataclass(frozen=True, slots=True)
-class PlanRule:
-    """A plan's quota and ceiling, units and units a second; 0 for none. The errors are units allowed beyond."""
-
-    rate: float
-    burst: float
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
-    error: float | None = None
-    ceiling_error: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class Rules:
-    """What is judged by. Times in seconds; `effects` gives safe, keyed or unsafe by class."""
-
-    plans: Mapping[str, PlanRule]
-    effects: Mapping[str, str]
-    late: float = 0.05
-    drain_grace: float = 1.0
-    drain_late: float = 0.05
-    cold_multiple: float = 4.0
-    cold_window: float = 1.5
-    ceiling_s: float = 0.15  # what the ceiling's rate gives in this time is slack
-    passed_on: bool = False  # a server's own 500 is its answer: the library passes it on
-    calm: bool = False  # no fault was caused
-    starved_tries: int = 3  # of one member refused with room in a calm run, and
-    starved_share: float = 0.05  # share of its tries, beyond which it is starved
-
-
-class Breach(NamedTuple):
-    """One broken rule."""
-
-    rule: str
-    at: float
-    what: str
-
-
-@dataclass(slots=True)
-class Figures:
-    """What one plan and class came to."""
-
-    tries: int = 0
-    served: int = 0
-    refused: int = 0
-    failed: int = 0
-    times: list[float] = field(default_factory=list)
-
-    def quantile(self, share: float) -> float:
-        """Return a quantile of the times of served attempts, in seconds; 0 with none."""
-        times = sorted(self.times)
-        return times[min(len(times) - 1, int(share * len(times)))] if times else 0.0
-
-
-@dataclass(slots=True)
-class Verdict:
-    """The broken rules and the figures of a run."""
-
-    breaches: list[Breach]
-    figures: dict[tuple[str, str], Figures]
-    over: dict[str, float]  # by plan: the most units that a member had beyond its quota
-    above: dict[str, float]  # and beyond its ceiling, below 0 where it was not reached
-
-    @property
-    def kept(self) -> bool:
-        """Return whether no rule was broken."""
-        return not self.breaches
-
-    def lines(self) -> list[str]:
-        """Return the verdict for people, one fact a line."""
-        out = [
-            f"{'plan':10} {'class':14} {'tries':>7} {'served':>7} {'refused':>7} {'failed':>7}"
-            f" {'p50 ms':>7} {'p99 ms':>7}"
-        ]
-        for (plan, cls), f in sorted(self.figures.items()):
-            out.append(
-                f"{plan:10} {cls:14} {f.tries:7} {f.served:7} {f.refused:7} {f.failed:7}"
-                f" {f.quantile(0.5) * 1000:7.1f} {f.quantile(0.99) * 1000:7.1f}"
-            )
-        for plan, units in sorted(self.over.items()):
-            out.append(f"beyond quota, worst member of {plan}: {units:.2f} units")
-        for plan, units in sorted(self.above.items()):
-            out.append(f"beyond ceiling, worst member of {plan}: {units:.2f} units")
-        counts = Tally(b.rule for b in self.breaches)
-        for rule in RULES:
-            out.append(f"rule {rule:8} {'kept' if not counts[rule] else f'BROKEN {counts[rule]} times'}")
-        out += [f"  {b.rule}: {b.what}" for b in self.breaches[:20]]
-        return out
+from standins.verdict import REFUSALS, Breach, Figures, Rules, Verdict
 
 
 def audit(records: Iterable[Record], rules: Rules) -> Verdict:
@@ -135,64 +41,115 @@
     return Verdict(sorted([*breaches, *beyond], key=lambda b: b.at), _figures(ordered, asked), over, above)
 
 
-def _lost(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
+def _lost(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
+    """Yield requests without exactly one answer in time, made for them."""
+    crashes: dict[str, list[float]] = defaultdict(list)
     answers: dict[str, list[Answered]] = defaultdict(list)
+    for record in ordered:
+        if isinstance(record, Answered):
+            answers[record.id].append(record)
+        elif isinstance(record, Crashed):
+            crashes[record.ingress].append(record.at)
+    yield from _lost_with_connection(ordered, rules)
+    for request in asked.values():
+        whole = [answer for answer in answers[request.id] if answer.status > 0]
+        due = request.at + request.budget + rules.late
+        if not whole and any(request.at <= at <= due for at in crashes[request.ingress]):
+            continue  # its ingress died under it
+        why = _wrong_answers(request, whole, due)
+        if why:
+            yield Breach("lost", request.at, f"{request.id} at {request.ingress}: {why}")
+
+
+def _wrong_answers(request: Asked, whole: list[Answered], due: float) -> str:
+    """Return what is wrong with a request's whole answers; empty for nothing."""
+    if not whole:
+        return "no answer"
+    if len(whole) > 1:
+        return f"{len(whole)} answers"
+    if whole[0].at > due:
+        return f"answered {whole[0].at - due:.3f} s too late"
+    if whole[0].status == 200 and whole[0].body.split(" ")[-1] != request.id:
+        return f"the answer was made for {whole[0].body!r}"
+    return ""
+
+
+def _lost_with_connection(ordered: list[Record], rules: Rules) -> Iterator[Breach]:
+    """Yield requests that an ingress had taken, and whose connection it ended without having crashed."""
     begun: dict[str, float] = {}
     crashes: dict[str, list[float]] = defaultdict(list)
-    for r in ordered:
-        if isinstance(r, Answered):
-            answers[r.id].append(r)
-        elif isinstance(r, Crashed):
-            crashes[r.ingress].append(r.at)
-        elif isinstance(r, Began):
-            begun.setdefault(r.id, r.at)
-        elif isinstance(r, Withdrawn) and begun.get(r.id, r.at) < r.at:
-            since = begun.pop(r.id)  # what it began, it began for the ingress that it is withdrawn from first
-            if not any(since - rules.late <= at for at in crashes[r.ingress]):
-                yield Breach("lost", r.at, f"{r.id} at {r.ingress}: taken, and its connection ended")
-    for a in asked.values():
-        due = a.at + a.budget + rules.late
-        whole = [x for x in answers[a.id] if x.status > 0]
-        if any(a.at <= at <= due for at in crashes[a.ingress]) and not whole:
-            continue  # its ingress died under it
-        if not whole:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: no answer")
-        elif len(whole) > 1:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: {len(whole)} answers")
-        elif whole[0].at > due:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: answered {whole[0].at - due:.3f} s too late")
-        elif whole[0].status == 200 and whole[0].body.split(" ")[-1] != a.id:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: the answer was made for {whole[0].body!r}")
-
-
-def _twice(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
+    for record in ordered:
+        if isinstance(record, Crashed):
+            crashes[record.ingress].append(record.at)
+        elif isinstance(record, Began):
+            begun.setdefault(record.id, record.at)
+        elif isinstance(record, Withdrawn) and begun.get(record.id, record.at) < record.at:
+            since = begun.pop(record.id)  # what it began, it began for the ingress that it is withdrawn from first
+            if not any(since - rules.late <= at for at in crashes[record.ingress]):
+                yield Breach("lost", record.at, f"{record.id} at {record.ingress}: taken, and its connection ended")
+
+
+class _Repeats:
+    """Effects and attempts of each operation, and those that a killed ingress has orphaned."""
+
+    def __init__(self, rules: Rules) -> None:
+        self._rules = rules
+        self._effects: Tally[str] = Tally()
+        self._sent: Tally[str] = Tally()
+        self._orphans: Tally[str] = Tally()  # attempts that ran, or may yet, for an ingress that was killed
+        self._crashed: dict[str, float] = {}
+        self._begun: dict[str, float] = {}
+
+    def crashed(self, record: Crashed) -> None:
+        """Take in that an ingress was killed."""
+        self._crashed[record.ingress] = record.at
+
+    def _killed_since(self, ingress: str, begun: float) -> bool:
+        return self._crashed.get(ingress, -1.0) >= begun - self._rules.late
+
+    def withdrawn(self, record: Withdrawn, request: Asked) -> None:
+        """Take in that a request was withdrawn from an ingress that is gone."""
+        if record.id in self._begun:
+            self._orphans[request.op] += self._killed_since(record.ingress, self._begun.pop(record.id))
+
+    def ran(self, record: Ran, request: Asked) -> Iterator[Breach]:
+        """Take in that an effect came; yield it where it came too often."""
+        if self._rules.effects[request.cls] == "safe":
+            return
+        self._effects[request.op] += 1
+        count = self._effects[request.op]
+        if count > 1 + self._orphans[request.op]:
+            yield Breach("twice", record.at, f"{request.op}: effect {count} times, last at {record.server}")
+
+    def began(self, record: Began, request: Asked) -> Iterator[Breach]:
+        """Take in that a server began an attempt; yield it where that may not be sent again."""
+        if record.id in self._begun and self._killed_since(request.ingress, self._begun[record.id]):
+            self._orphans[request.op] += 1  # sent again to the same ingress, which was up again by then
+        self._begun[record.id] = record.at
+        if self._rules.effects[request.cls] != "unsafe" or record.turned_away:
+            return
+        self._sent[request.op] += 1
+        count = self._sent[request.op]
+        if count > 1 + self._orphans[request.op]:
+            yield Breach("twice", record.at, f"{request.op}: unsafe, sent {count} times, last to {record.server}")
+
+
+def _twice(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
     """Yield effects that came twice. A retry after an ingress was killed under the first is at the front's own risk."""
-    effects: Tally[str] = Tally()
-    sent: Tally[str] = Tally()
-    orphans: Tally[str] = Tally()  # tries that ran, or may yet, for an ingress that was killed
-    crashed: dict[str, float] = {}
-    begun: dict[str, float] = {}
-    for r in ordered:
-        if isinstance(r, Crashed):
-            crashed[r.ingress] = r.at
-        a = asked.get(r.id) if isinstance(r, Ran | Began | Withdrawn) else None
-        if a is None:
+    repeats = _Repeats(rules)
+    for record in ordered:
+        if isinstance(record, Crashed):
+            repeats.crashed(record)
+            continue
+        request = asked.get(record.id) if isinstance(record, Ran | Began | Withdrawn) else None
+        if request is None:
             continue
-        effect = rules.effects[a.cls]
-        if isinstance(r, Withdrawn):
-            orphans[a.op] += r.id in begun and crashed.get(r.ingress, -1.0) >= begun.pop(r.id) - rules.late
-        elif isinstance(r, Ran) and effect != "safe":
-            effects[a.op] += 1
-            if effects[a.op] > 1 + orphans[a.op]:
-                yield Breach("twice", r.at, f"{a.op}: effect {effects[a.op]} times, last at {r.server}")
-        elif isinstance(r, Began):
-            if crashed.get(a.ingress, -1.0) >= begun.get(r.id, r.at) - rules.late and r.id in begun:
-                orphans[a.op] += 1  # sent again to the same ingress, which was up again by then
-            begun[r.id] = r.at
-            if effect == "unsafe" and not r.turned_away:
-                sent[a.op] += 1
-                if sent[a.op] > 1 + orphans[a.op]:
-                    yield Breach("twice", r.at, f"{a.op}: unsafe, sent {sent[a.op]} times, last to {r.server}")
+        if isinstance(record, Withdrawn):
+            repeats.withdrawn(record, request)
+        elif isinstance(record, Ran):
+            yield from repeats.ran(record, request)
+        elif isinstance(record, Began):
+            yield from repeats.began(record, request)
 
 
 def _drains(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -9,9 +9,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from standins.auditor import PlanRule
 from standins.front import ClassShape
 from standins.match import Shape
+from standins.verdict import PlanRule
 
 
 @dataclass(frozen=True, slots=True)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.auditor import Rules, Verdict, audit
+from standins.auditor import audit
 from standins.counter import Counter
 from standins.discovery import Discovery
 from standins.faults import play
@@ -23,6 +23,7 @@
 from standins.ports import free_ports, hold_ports
 from standins.records import Records
 from standins.relay import Relay
+from standins.verdict import Rules, Verdict
 
 COUNTER_CALLS_PER_S = 2000.0  # that each part of the counter takes
 UP_FOR_S = 1000.0  # that servers have been up as the fleet starts
--- a/standins/fleet_options.py
+++ b/standins/fleet_options.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from standins.auditor import PlanRule
 from standins.deployments import MATCHING, Deployment
 from standins.faults import Fault
 from standins.match import Shape
+from standins.verdict import PlanRule
 
 SEMANTICS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 HALLS = 2  # servers and ingresses of odd numbers stand in another than those of even ones
--- /dev/null
+++ b/standins/verdict.py
@@ -0,0 +1,101 @@
+"""What a run is judged by, and the verdict: broken rules and figures."""
+
+from __future__ import annotations
+
+from collections import Counter as Tally
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+RULES = ("lost", "twice", "drain", "cold", "ceiling", "quota", "fault", "starved")
+REFUSALS = (429, 503)
+
+
+@dataclass(frozen=True, slots=True)
+class PlanRule:
+    """A plan's quota and ceiling, units and units a second; 0 for none. The errors are units allowed beyond."""
+
+    rate: float
+    burst: float
+    ceiling_rate: float = 0.0
+    ceiling_burst: float = 0.0
+    error: float | None = None
+    ceiling_error: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Rules:
+    """What is judged by. Times in seconds; `effects` gives safe, keyed or unsafe by class."""
+
+    plans: Mapping[str, PlanRule]
+    effects: Mapping[str, str]
+    late: float = 0.05
+    drain_grace: float = 1.0
+    drain_late: float = 0.05
+    cold_multiple: float = 4.0
+    cold_window: float = 1.5
+    ceiling_s: float = 0.15  # what the ceiling's rate gives in this time is slack
+    passed_on: bool = False  # a server's own 500 is its answer: the library passes it on
+    calm: bool = False  # no fault was caused
+    starved_tries: int = 3  # of one member refused with room in a calm run, and
+    starved_share: float = 0.05  # share of its tries, beyond which it is starved
+
+
+class Breach(NamedTuple):
+    """One broken rule."""
+
+    rule: str
+    at: float
+    what: str
+
+
+@dataclass(slots=True)
+class Figures:
+    """What one plan and class came to."""
+
+    tries: int = 0
+    served: int = 0
+    refused: int = 0
+    failed: int = 0
+    times: list[float] = field(default_factory=list)
+
+    def quantile(self, share: float) -> float:
+        """Return a quantile of the times of served attempts, in seconds; 0 with none."""
+        times = sorted(self.times)
+        return times[min(len(times) - 1, int(share * len(times)))] if times else 0.0
+
+
+@dataclass(slots=True)
+class Verdict:
+    """The broken rules and the figures of a run."""
+
+    breaches: list[Breach]
+    figures: dict[tuple[str, str], Figures]
+    over: dict[str, float]  # by plan: the most units that a member had beyond its quota
+    above: dict[str, float]  # and beyond its ceiling, below 0 where it was not reached
+
+    @property
+    def kept(self) -> bool:
+        """Return whether no rule was broken."""
+        return not self.breaches
+
+    def lines(self) -> list[str]:
+        """Return the verdict for people, one fact a line."""
+        out = [
+            f"{'plan':10} {'class':14} {'tries':>7} {'served':>7} {'refused':>7} {'failed':>7}"
+            f" {'p50 ms':>7} {'p99 ms':>7}"
+        ]
+        for (plan, cls), f in sorted(self.figures.items()):
+            out.append(
+                f"{plan:10} {cls:14} {f.tries:7} {f.served:7} {f.refused:7} {f.failed:7}"
+                f" {f.quantile(0.5) * 1000:7.1f} {f.quantile(0.99) * 1000:7.1f}"
+            )
+        for plan, units in sorted(self.over.items()):
+            out.append(f"beyond quota, worst member of {plan}: {units:.2f} units")
+        for plan, units in sorted(self.above.items()):
+            out.append(f"beyond ceiling, worst member of {plan}: {units:.2f} units")
+        counts = Tally(b.rule for b in self.breaches)
+        for rule in RULES:
+            out.append(f"rule {rule:8} {'kept' if not counts[rule] else f'BROKEN {counts[rule]} times'}")
+        out += [f"  {b.rule}: {b.what}" for b in self.breaches[:20]]
+        return out
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -14,10 +14,11 @@
 
 import pytest
 
-from standins.auditor import PlanRule, Rules, audit
+from standins.auditor import audit
 from standins.counter import Counter
 from standins.front import ClassShape, Front, Traffic
 from standins.records import Added
+from standins.verdict import PlanRule, Rules
 from tests.embed.forms import FORMS, HOST, INSTANCES, Script
 from tests.net.sockets import call
 from thistleusher.core import events
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from standins.auditor import PlanRule
 from standins.faults import Fault
 from standins.fleet import run_fleet
 from standins.fleet_options import Options, settings
 from standins.match import Shape
 from standins.records import Added, Records
+from standins.verdict import PlanRule
 from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumptions, bound_of
 
--- a/tests/standins/test_auditor.py
+++ b/tests/standins/test_auditor.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.auditor import PlanRule, Rules, audit
+from standins.auditor import audit
 from standins.records import (
     Answered,
     Asked,
@@ -20,6 +20,7 @@
     Withdrawn,
     read_records,
 )
+from standins.verdict import PlanRule, Rules
 
 RULES = Rules(
     {"basic": PlanRule(2.0, 8.0), "plus": PlanRule(10.0, 20.0, 16.0, 32.0)},
