--- a/soak/readers.py
+++ b/soak/readers.py
@@ -11,7 +11,7 @@
 import random
 import struct
 import tempfile
-from collections.abc import Callable, Hashable
+from collections.abc import Callable, Hashable, Iterable
 from pathlib import Path
 from typing import Any
 
@@ -121,45 +121,60 @@
         server = IngressServer(asyncio.get_running_loop(), ingress, 8)  # type: ignore[arg-type]
         connection, transport = ClientConnection(server), Transport()
         connection.connection_made(transport)  # type: ignore[arg-type]
-        for part in chunks(data, rng):
-            if transport.closed or connection.closing:
-                break
-            connection.data_received(part)
-            await asyncio.sleep(0)
-        for _ in range(len(connection.queue) + 2):
-            await asyncio.sleep(0)
+        await _feed(connection, transport, chunks(data, rng))
         if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
             raise RuleBrokenError("holds more than its limits")
-        client = _Answers()
-        try:
-            client.parser.feed_data(bytes(transport.written))
-        except httptools.HttpParserError as error:
-            end = bytes(transport.written)[-200:]
-            raise RuleBrokenError(f"answers that no client can read: {error}: {end!r}") from error
-        if 500 in client.statuses:
-            raise RuleBrokenError("a client's bytes were answered 500")
-        if client.statuses.count(200) < len(ingress.taken) and not connection.closing:
-            raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {client.statuses}")
+        statuses = _statuses(bytes(transport.written))
+        if statuses.count(200) < len(ingress.taken) and not connection.closing:
+            raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {statuses}")
         for call in ingress.taken:
-            r = call.request
-            if not (
-                0 < r.units <= told.max_units
-                and 0 <= r.customer < 1 << 33
-                and 0 < r.expires_in < 1e5
-                and r.plan in {p.name for p in told.plans}
-                and 1 <= r.width <= told.instances
-            ):
-                raise RuleBrokenError(f"taken as it cannot be meant: {r!r}")
-            head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
-            if rest != call.body or b"\0" in head or b"\n" in head.replace(b"\r\n", b""):
-                raise RuleBrokenError(f"passed on as another: {call.message(1.0)[:300]!r}")
+            _check_taken(call, told)
         connection.connection_lost(None)
         server.close()
-        return tuple(client.statuses[:4]), connection.discarding_input
+        return tuple(statuses[:4]), connection.discarding_input
 
     return _loop().run_until_complete(main())
 
 
+async def _feed(connection: ClientConnection, transport: Transport, parts: Iterable[bytes]) -> None:
+    """Give a connection its bytes until it closes, and let the requests in its queue run."""
+    for part in parts:
+        if transport.closed or connection.closing:
+            break
+        connection.data_received(part)
+        await asyncio.sleep(0)
+    for _ in range(len(connection.queue) + 2):
+        await asyncio.sleep(0)
+
+
+def _statuses(written: bytes) -> list[int]:
+    """Return the statuses of the answers. Raises RuleBrokenError where no client can read them, and for a 500."""
+    client = _Answers()
+    try:
+        client.parser.feed_data(written)
+    except httptools.HttpParserError as error:
+        raise RuleBrokenError(f"answers that no client can read: {error}: {written[-200:]!r}") from error
+    if 500 in client.statuses:
+        raise RuleBrokenError("a client's bytes were answered 500")
+    return client.statuses
+
+
+def _check_taken(call: Any, told: Settings) -> None:
+    """Raise RuleBrokenError where a request was taken that cannot be meant, or is passed on as another."""
+    r = call.request
+    if not (
+        0 < r.units <= told.max_units
+        and 0 <= r.customer < 1 << 33
+        and 0 < r.expires_in < 1e5
+        and r.plan in {p.name for p in told.plans}
+        and 1 <= r.width <= told.instances
+    ):
+        raise RuleBrokenError(f"taken as it cannot be meant: {r!r}")
+    head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
+    if rest != call.body or b"\0" in head or b"\n" in head.replace(b"\r\n", b""):
+        raise RuleBrokenError(f"passed on as another: {call.message(1.0)[:300]!r}")
+
+
 # Backends, counter, discovery, peers.
 
 
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -136,63 +136,110 @@
 
 
 def _lost(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
+    """Yield attempts that were taken and not answered, answered twice, too late, or with another's answer."""
     answers: dict[str, list[Answered]] = defaultdict(list)
-    begun: dict[str, float] = {}
     crashes: dict[str, list[float]] = defaultdict(list)
     for r in ordered:
         if isinstance(r, Answered):
             answers[r.id].append(r)
         elif isinstance(r, Crashed):
             crashes[r.ingress].append(r.at)
+    yield from _cut_short(ordered, rules)
+    for a in asked.values():
+        due = a.at + a.budget + rules.late
+        whole = [x for x in answers[a.id] if x.status > 0]
+        if any(a.at <= at <= due for at in crashes[a.ingress]) and not whole:
+            continue  # its ingress died under it
+        fault = _fault_of_answers(a, whole, due)
+        if fault:
+            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: {fault}")
+
+
+def _cut_short(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
+    """Yield attempts that had begun when their connection ended, though their ingress had not crashed by then."""
+    begun: dict[str, float] = {}
+    crashes: dict[str, list[float]] = defaultdict(list)
+    for r in ordered:
+        if isinstance(r, Crashed):
+            crashes[r.ingress].append(r.at)
         elif isinstance(r, Began):
             begun.setdefault(r.id, r.at)
         elif isinstance(r, Withdrawn) and begun.get(r.id, r.at) < r.at:
             since = begun.pop(r.id)  # what it began, it began for the ingress that it is withdrawn from first
             if not any(since - rules.late <= at for at in crashes[r.ingress]):
                 yield Breach("lost", r.at, f"{r.id} at {r.ingress}: taken, and its connection ended")
-    for a in asked.values():
-        due = a.at + a.budget + rules.late
-        whole = [x for x in answers[a.id] if x.status > 0]
-        if any(a.at <= at <= due for at in crashes[a.ingress]) and not whole:
-            continue  # its ingress died under it
-        if not whole:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: no answer")
-        elif len(whole) > 1:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: {len(whole)} answers")
-        elif whole[0].at > due:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: answered {whole[0].at - due:.3f} s too late")
-        elif whole[0].status == 200 and whole[0].body.split(" ")[-1] != a.id:
-            yield Breach("lost", a.at, f"{a.id} at {a.ingress}: the answer was made for {whole[0].body!r}")
+
+
+def _fault_of_answers(a: Asked, whole: list[Answered], due: float) -> str:
+    """Return what is wrong with an attempt's whole answers, or an empty text."""
+    if not whole:
+        return "no answer"
+    if len(whole) > 1:
+        return f"{len(whole)} answers"
+    answer = whole[0]
+    if answer.at > due:
+        return f"answered {answer.at - due:.3f} s too late"
+    if answer.status == 200 and answer.body.split(" ")[-1] != a.id:
+        return f"the answer was made for {answer.body!r}"
+    return ""
+
+
+class _Repeats:
+    """Effects of each operation, and how often it may have had them.
+
+    A front that withdraws an attempt from an ingress that was killed under it sends it again at its own risk.
+    """
+
+    def __init__(self, rules: Rules) -> None:
+        self.rules = rules
+        self.effects: Tally[str] = Tally()
+        self.sent: Tally[str] = Tally()
+        self.orphans: Tally[str] = Tally()  # attempts that ran, or may yet, for an ingress that was killed
+        self.crashed: dict[str, float] = {}
+        self.begun: dict[str, float] = {}
+
+    def _crashed_after(self, ingress: str, at: float) -> bool:
+        return self.crashed.get(ingress, -1.0) >= at - self.rules.late
+
+    def on_withdrawn(self, a: Asked, r: Withdrawn) -> None:
+        """Count an attempt that an ingress had begun before it was killed."""
+        self.orphans[a.op] += r.id in self.begun and self._crashed_after(r.ingress, self.begun.pop(r.id))
+
+    def on_ran(self, a: Asked, r: Ran) -> Iterable[Breach]:
+        """Count an effect."""
+        if self.rules.effects[a.cls] == "safe":
+            return
+        self.effects[a.op] += 1
+        if self.effects[a.op] > 1 + self.orphans[a.op]:
+            yield Breach("twice", r.at, f"{a.op}: effect {self.effects[a.op]} times, last at {r.server}")
+
+    def on_began(self, a: Asked, r: Began) -> Iterable[Breach]:
+        """Count an attempt of the unsafe class that a server took up."""
+        if r.id in self.begun and self._crashed_after(a.ingress, self.begun[r.id]):
+            self.orphans[a.op] += 1  # sent again to the same ingress, which was up again by then
+        self.begun[r.id] = r.at
+        if self.rules.effects[a.cls] != "unsafe" or r.turned_away:
+            return
+        self.sent[a.op] += 1
+        if self.sent[a.op] > 1 + self.orphans[a.op]:
+            yield Breach("twice", r.at, f"{a.op}: unsafe, sent {self.sent[a.op]} times, last to {r.server}")
 
 
 def _twice(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
-    """Yield effects that came twice. A retry after an ingress was killed under the first is at the front's own risk."""
-    effects: Tally[str] = Tally()
-    sent: Tally[str] = Tally()
-    orphans: Tally[str] = Tally()  # tries that ran, or may yet, for an ingress that was killed
-    crashed: dict[str, float] = {}
-    begun: dict[str, float] = {}
+    """Yield effects that came more often than they may have."""
+    repeats = _Repeats(rules)
     for r in ordered:
         if isinstance(r, Crashed):
-            crashed[r.ingress] = r.at
+            repeats.crashed[r.ingress] = r.at
         a = asked.get(r.id) if isinstance(r, Ran | Began | Withdrawn) else None
         if a is None:
             continue
-        effect = rules.effects[a.cls]
         if isinstance(r, Withdrawn):
-            orphans[a.op] += r.id in begun and crashed.get(r.ingress, -1.0) >= begun.pop(r.id) - rules.late
-        elif isinstance(r, Ran) and effect != "safe":
-            effects[a.op] += 1
-            if effects[a.op] > 1 + orphans[a.op]:
-                yield Breach("twice", r.at, f"{a.op}: effect {effects[a.op]} times, last at {r.server}")
+            repeats.on_withdrawn(a, r)
+        elif isinstance(r, Ran):
+            yield from repeats.on_ran(a, r)
         elif isinstance(r, Began):
-            if crashed.get(a.ingress, -1.0) >= begun.get(r.id, r.at) - rules.late and r.id in begun:
-                orphans[a.op] += 1  # sent again to the same ingress, which was up again by then
-            begun[r.id] = r.at
-            if effect == "unsafe" and not r.turned_away:
-                sent[a.op] += 1
-                if sent[a.op] > 1 + orphans[a.op]:
-                    yield Breach("twice", r.at, f"{a.op}: unsafe, sent {sent[a.op]} times, last to {r.server}")
+            yield from repeats.on_began(a, r)
 
 
 def _drains(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
