--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,7 +19,7 @@
 
 
 class Ingress:
-    """Drives one gateway; a healthy counter of its own unless told otherwise."""
+    """Drives one gateway; a healthy counter of its own unless a test sets another."""
 
     def __init__(self, backends: int = 4, now: float = 100.0, born: float = 0.0, seed: int = 1, **more: Any) -> None:
         args: dict[str, Any] = dict(
