--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -20,7 +20,7 @@
 from thistleusher.net.upstream import Upstream
 from thistleusher.services.http_responses import Response
 
-MIN_PATIENCE_S = 0.001  # that a backend is told, however little time is left
+MIN_PATIENCE_S = 0.001  # the smallest X-Budget of a backend, however little time is left
 LOAD_REPORT_REQUEST = b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
@@ -104,15 +104,15 @@
 
     # Backends.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
         """Prepare an attempt. It is not sent if its client has gone or its backend drains by then."""
-        call: Call = held.context
+        call: Call = in_flight.context
 
         def message() -> bytes:
-            return call.message(max(MIN_PATIENCE_S, held.deadline - self.driver.scheduler.time()))
+            return call.message(max(MIN_PATIENCE_S, in_flight.deadline - self.driver.scheduler.time()))
 
         def can_send() -> bool:
-            return not held.answered and backend in self.serving
+            return not in_flight.answered and backend in self.serving
 
         def ended(_: BackendExchange, outcome: Outcome, response: Response | None) -> None:
             true_units = 0.0
