--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -7,7 +7,8 @@
 
 from soak.case import Case, Outcome
 from soak.mutate import Corpus, cut_down, mutated
-from soak.readers import READERS, RuleBrokenError
+from soak.reader_tools import RuleBrokenError
+from soak.readers import READERS
 
 
 def draw(seed: int, count: int = 1500) -> Case:
--- /dev/null
+++ b/soak/service_readers.py
@@ -0,0 +1,115 @@
+"""The readers of bytes from backends, the counter, discovery and peers."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Hashable
+from typing import Any
+
+from soak.reader_tools import RuleBrokenError, Transport, chunks, shared_loop, shared_settings
+from thistleusher.assembly import make_gateway
+from thistleusher.core import actions, events
+from thistleusher.core.events import Outcome, Phase
+from thistleusher.net.backend_list import parse_backend_list_text
+from thistleusher.net.discovery import DiscoveryConnection
+from thistleusher.services.counter_connection import CounterConnection, PendingAdd
+from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseReader
+
+
+def answer(data: bytes, rng: random.Random) -> Hashable:
+    """Read a backend's bytes; return whole answers, or the reason why none can be read any more."""
+    reader, whole = ResponseReader(), []
+    for part in chunks(data, rng):
+        whole += reader.feed(part)
+    for a in whole:
+        if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
+            raise RuleBrokenError(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
+    if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
+        raise RuleBrokenError("holds more than its limits")
+    return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
+
+
+class _Channel:
+    """What a counter's connection reports to its channel."""
+
+    def __init__(self) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.reports: list[tuple[int, Outcome, float]] = []
+
+    def report(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
+        self.reports.append((add.name, outcome, total))
+
+    def connection_ready(self, link: Any) -> None: ...
+
+    def connection_ended(self, link: Any) -> None: ...
+
+
+def counter(data: bytes, rng: random.Random) -> Hashable:
+    """Read the counter's bytes: each call has one verdict in the end, and a total is a number."""
+
+    async def main() -> Hashable:
+        channel = _Channel()
+        link, transport = CounterConnection(channel), Transport()
+        link.connection_made(transport)  # type: ignore[arg-type]
+        for n in range(3):
+            link.write(PendingAdd(n, b"", 0.0, 0.0))
+        for part in chunks(data, rng):
+            link.data_received(part)
+        link.connection_lost(None)
+        if sorted(name for name, _, _ in channel.reports) != [0, 1, 2]:
+            raise RuleBrokenError(f"three calls, verdicts {channel.reports}")
+        if any(not abs(total) < 1e100 for _, _, total in channel.reports):
+            raise RuleBrokenError(f"no total: {channel.reports}")
+        return tuple(outcome for _, outcome, _ in channel.reports)
+
+    return shared_loop().run_until_complete(main())
+
+
+def discovery(data: bytes, rng: random.Random) -> Hashable:
+    """Discovery's bytes: a list that can be meant, or an end with a reason."""
+
+    async def main() -> Hashable:
+        seen: list[int] = []
+
+        def on_text(text: bytes) -> int:
+            listing = parse_backend_list_text(text)
+            for entry, endpoint in listing.entries:
+                if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
+                    raise RuleBrokenError(f"taken as it cannot be meant: {entry!r}")
+            seen.append(len(listing.entries))
+            return listing.version
+
+        watch, transport = DiscoveryConnection(on_text, ("127.0.0.1", 1), rng.choice((None, 7))), Transport()
+        watch.connection_made(transport)  # type: ignore[arg-type]
+        for part in chunks(data, rng):
+            watch.data_received(part)
+        why = watch.ended.result().split(":")[0] if watch.ended.done() else ""
+        watch.connection_lost(None)
+        return tuple(seen[:3]), why
+
+    return shared_loop().run_until_complete(main())
+
+
+def datagram(data: bytes, rng: random.Random) -> Hashable:
+    """Datagrams of all marks, 256 bytes at most each, between requests of the same member."""
+    told, now = shared_settings(), 5000.0
+    gateway = make_gateway(told, 1, now)
+    shown = []
+    for n, part in enumerate(data[i : i + 256] for i in range(0, min(len(data), 2560), 256)):
+        now += 0.05
+        acts = gateway.handle(now, events.PeerMessage(1 + n % 2, part))
+        acts += gateway.handle(now, events.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
+        acts += gateway.handle(now, events.TimerFired(1))
+        for a in acts:
+            if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
+                raise RuleBrokenError(f"a datagram of {len(a.payload)} bytes")
+        shown.append(tuple(sorted({type(a).__name__ for a in acts})))
+    for c in gateway.replication.customers.values():
+        if not (-1e6 < c.headroom(now) <= c.plan.burst + 1e-6):
+            raise RuleBrokenError(f"a store of {c.headroom(now)}")
+    escrow: Any = gateway.replication.escrow
+    for own in escrow.allowances.values():
+        if not (0 <= own.fraction() <= 1 and -own.terms.burst - 1e-6 <= own.headroom <= own.max_headroom() + 1e-6):
+            raise RuleBrokenError(f"a share of {own.fraction()}, headroom of {own.headroom}")
+    return tuple(shown[:3]), len(gateway.replication.customers)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -14,6 +14,7 @@
 from soak.__main__ import main
 from soak.case import KINDS, Case, CaseError, Outcome, read_case
 from soak.mutate import Corpus, cut_down, mutated
+from soak.reader_tools import RuleBrokenError
 from soak.runner import Soak, play
 from soak.shrink import shrink
 from standins.fleet import Fleet
@@ -56,7 +57,7 @@
 def test_a_broken_reader_is_found_cut_down_and_replayed(monkeypatch, tmp_path, capsys):
     def check(data, rng):
         if b"\xff" in data and b"0" in data:
-            raise readers.RuleBrokenError("it holds both")
+            raise RuleBrokenError("it holds both")
         return len(data) % 7
 
     monkeypatch.setitem(readers.READERS, "answer", (check, readers.READERS["answer"][1]))
