--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -77,9 +77,9 @@
 
 
 class DeferredChange(NamedTuple):
-    """An order that only a leader parses, as only a leader may refuse it for good.
+    """An order that only a leader parses, as only a leader may reject it for good.
 
-    `change` turns it into a change of the state in force, or raises the Failure that it is refused by.
+    `change` turns it into a change of the state in force, or raises the ServiceError that it is rejected by.
     """
 
     call_id: int
@@ -123,7 +123,7 @@
 
 
 class Answer(NamedTuple):
-    """Answer a call, once: None for an acknowledged change, a document, or a Failure."""
+    """Answer a call, once: None for an acknowledged change, a document, or a ServiceError."""
 
     call_id: int
     answer: Any
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -73,8 +73,8 @@
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
     """Return a document as an order, after complete validation.
 
-    Raises an ExceptionGroup of `validation.BadConfiguration`. `state`: the state in force; what was accepted into it is
-    not validated again. Cost: one step a field.
+    Raises an ExceptionGroup of `validation.InvalidConfigurationError`. `state`: the state in force; what was accepted
+    into it is not validated again. Cost: one step a field.
     """
     in_force = identity_of(state) if state is not None and is_stored_document(state, document) else None
     if in_force is not None:
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -174,7 +174,7 @@
     def from_control(self, now: float, message: AnyMessage) -> tuple[list[Command], Reply | None]:
         """Take in a control process's message; return the commands and the acknowledgement to send after them.
 
-        Raises UnexpectedMessage for any other than a StateUpdate or CoreInfo.
+        Raises UnexpectedMessageError for any other than a StateUpdate or CoreInfo.
         """
         reply: Reply | None = None
         if isinstance(message, StateUpdate):
@@ -211,7 +211,7 @@
     def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Command], Reply | None]:
         """Take in a message of the registry at `ip`; return the commands and the acknowledgement to send after them.
 
-        Raises UnexpectedMessage for any other than a ChargeResult, HeartbeatEcho or StateUpdate.
+        Raises UnexpectedMessageError for any other than a ChargeResult, HeartbeatEcho or StateUpdate.
         """
         reply: Reply | None = None
         if isinstance(message, ChargeResult):
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -108,7 +108,7 @@
     def heartbeat_due(self, now: float) -> HeartbeatScope | None:
         """Return to whom a heartbeat is due now, and count it as sent.
 
-        All registries get one after `MISSED_S` without an echo: another of them may hold the counter's role.
+        All registries get one after `ECHO_MISSED_S` without an echo: another of them may hold the counter's role.
         """
         echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_MISSED_S
         report_due = now >= self.next_report_at or echo_missed
--- a/thistleusher/transport/messages/usage.py
+++ b/thistleusher/transport/messages/usage.py
@@ -59,7 +59,7 @@
 
 
 class ChargeResult(Message, tag="charge-result", frozen=True):
-    """The verdict, its seconds (see `thistleusher.registry.counts.Count`), and the window that was charged."""
+    """The verdict, its seconds and the number of the window that was charged: `registry.quota_counter.CountResult`."""
 
     incarnation: str
     number: int
