--- a/thistleusher/control/catch_up.py
+++ b/thistleusher/control/catch_up.py
@@ -1,6 +1,7 @@
-"""How a leader brings replicas and learners up to date that lack more than the pending change.
+"""How a leader brings replicas and learners of its epoch up to date that lack more than the pending change.
 
-Copies are sent only while no change is pending: they then hold exactly what is in force.
+Unasked, copies are sent only while no change is pending: they then hold exactly what is in force. One that answers a
+rejection may hold the pending change too; a replica that has installed it has acknowledged that change.
 """
 
 from __future__ import annotations
@@ -33,7 +34,10 @@
         self._sent_at = {}
 
     def compare(self, leadership: Leadership, sender: str, position: Position) -> None:
-        """Compare a replica's copy with the leader's; while a change is pending, its acknowledgement does that."""
+        """Keep `lagging` up to date by the position of a replica's copy.
+
+        While a change is pending nobody counts as lagging: a replica that lacks more answers the change by a rejection.
+        """
         same = position == self._durable.replica.position
         if same or leadership.pending is not None or sender not in leadership.view.replicas:
             leadership.lagging.pop(sender, None)
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -2,9 +2,12 @@
 
 Guaranteed: an epoch begins only when a majority of the voters before it and a majority of its own voters have its view
 on disk, and all of its replicas have its view and its leader's complete copy on disk; and only a holder of the newest
-view that the voting majority knows may begin it. So whoever leads has everything that was ever acknowledged, and any
-epoch may exchange the voters: a candidate that asks the voters before the exchange meets one that recorded it and
-sends it, or one that promised the candidate's epoch first, without which the exchange never had its majority.
+view that the voting majority knows may begin it. So whoever leads has everything that was ever acknowledged.
+
+So any epoch may replace voters by others. A candidate that does not know of it still asks the old voters. Its majority
+of them and the one that records the new view share a voter. Either that one has recorded the new view first, and sends
+it with its vote; or it has promised the candidate's epoch first, and then does not record the new view, which so does
+not get its majority.
 """
 
 from __future__ import annotations
@@ -117,7 +120,10 @@
         self._count_votes(candidacy)
 
     def _count_votes(self, candidacy: Candidacy) -> None:
-        """With a majority, follow the newest view that it knows, if this machine holds that view's state."""
+        """Adopt the newest view among the votes; with a quorum, go on to `Stage.ENTER` where this machine may lead.
+
+        Where the view is new here, its voters are asked too; where this machine lacks its state, the candidacy ends.
+        """
         newest = max((view for view in candidacy.votes.values() if view is not None), key=lambda view: view.epoch)
         self._durable.adopt(newest)
         if newest.epoch > candidacy.view.epoch:  # it may have other voters, which are asked too
@@ -132,7 +138,7 @@
             return
         if self._awaits_replicas(candidacy):
             return
-        # The own copy is of this epoch on disk before any view names this machine as a holder of it.
+        # This machine's copy is on disk as one of the new epoch, before any view names this machine as its leader.
         candidacy.stage = Stage.ENTER
         self._durable.replica.enter(candidacy.epoch)
         self._durable.write_replica(None, False, partial(self._entered, candidacy))
@@ -140,7 +146,7 @@
     def _awaits_replicas(self, candidacy: Candidacy) -> bool:
         """Return whether to wait for better replicas: those that answered are too few or all in this zone.
 
-        Voters that are waited for in vain are excluded for a while, so that no later candidacy waits for them.
+        Once the wait is over this also excludes those waited for in vain, so that no later candidacy waits for them.
         """
         better = self._better_replicas(candidacy)
         if not better:
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -1,4 +1,4 @@
-"""The control state's machine on one machine of the core: it routes inputs to the parts of the protocol.
+"""The state machine of the control state, as each core machine runs it: it routes inputs to the parts of the protocol.
 
 Guaranteed, while no more machines are lost than the settings' `tolerance`:
 
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -54,7 +54,10 @@
     # Replicas.
 
     def _replicas_due(self, leadership: Leadership) -> str:
-        """Return why other machines are to hold the copies; empty where they are not."""
+        """Return why other machines are to hold the copies; empty where they are not.
+
+        Where late replicas are the reason, this also excludes them for a while.
+        """
         view, role = leadership.view, self._role
         late = [name for name in view.replicas if self._is_late(name, leadership)]
         leaving = [name for name in view.replicas if name in role.leaving]
--- a/thistleusher/control/replication.py
+++ b/thistleusher/control/replication.py
@@ -1,4 +1,4 @@
-"""How a leader replicates a change: to its own disk and all replicas, then it is in force and acknowledged.
+"""How a leader replicates a change: it goes to its own disk and all replicas, then is in force and acknowledged.
 
 Guaranteed: a change is acknowledged only once it is on the disks of the leader and of all replicas of the present
 epoch, while the lease is valid on the clock of that very input. One change is pending at a time.
@@ -26,7 +26,7 @@
     def __init__(
         self, context: Context, durable: DurableState, role: Role, joining: Joining, serve: Callable[[], None]
     ) -> None:
-        """`serve` is called whenever a pending change may be in force, so that the next call may be served."""
+        """`serve` serves the calls that wait; it is called after each step that may have committed a change."""
         self._context = context
         self._durable = durable
         self._role = role
@@ -57,7 +57,8 @@
             pending.on_own_disk = True
             self.advance()
         elif self._role.leadership is leadership and replica.position == pending.position:
-            # Replicas may have the change, and may bring it into force later; this copy must not claim to have it.
+            # Replicas may have the change, and it may come into force under a later leader; but this machine's disk
+            # lacks it, so its copy in memory goes back to the position before it.
             replica.revert(pending.undo)
             self._role.step_down("the disk refuses")
         else:
@@ -68,9 +69,9 @@
         pending = leadership.pending
         assert pending is not None
         append = Append(leadership.view.epoch, pending.base, pending.position, pending.items)
-        for replica in leadership.view.replicas:
-            if replica not in pending.on_replicas:
-                self._context.send(replica, append)
+        for name in leadership.view.replicas:
+            if name not in pending.on_replicas:
+                self._context.send(name, append)
 
     def repeat_pending(self, leadership: Leadership) -> None:
         """Send the pending change again to replicas that have not acknowledged it in time."""
@@ -90,7 +91,7 @@
             self.record_copy(leadership, sender, self._durable.replica.position)
 
     def record_copy(self, leadership: Leadership, sender: str, position: Position) -> None:
-        """Take note that a machine has a copy at a position on disk; commit the pending change if that is all."""
+        """Take note that a machine has a copy at a position on disk; commit the pending change if all have."""
         if sender not in leadership.view.voters:
             self._joining.learners.record_position(sender, position)
             return
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -41,8 +41,8 @@
         self.voted_for = ""  # the candidate that this process gave its newest promise to
         self.vote_on_disk = False  # whether that promise is on disk, so that the vote may be sent
         # A voter that starts may have heard a leader just before its previous process ended.
-        self.leader_heard_at = context.now
-        self.leader_seen_at = NEVER  # the same, for redirecting callers
+        self.leader_heard_at = context.now  # by a heartbeat or its view; this voter guards it from then on
+        self.leader_seen_at = NEVER  # the same, but only of a leader to which callers can be redirected
         self.contact_at = NEVER  # when a leader was heard that hears this voter
         self.confirmed_epoch = 0  # the newest epoch whose leader has been heard
         self.last_leader = ""  # the leader that was heard last
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -1,4 +1,8 @@
-"""How an elected candidate begins its epoch: its replicas install its copy, voters record the view, then it leads."""
+"""How an elected candidate begins its epoch: its replicas install its copy, voters record the view, then it leads.
+
+The copies go out by this module also where a leader replaces a replica, as that takes a new epoch; `catch_up` sends
+copies within an epoch.
+"""
 
 from __future__ import annotations
 
@@ -58,9 +62,9 @@
         # The voters before an exchange stay in the electorate until the leader of the new epoch is heard.
         before = candidacy.view.previous_voters if same_voters else candidacy.view.voters
         candidacy.next_view = ViewRecord(candidacy.epoch, context.me, replicas, dict(voters), before)
-        for replica in replicas:
-            if replica not in candidacy.installed:
-                self._send_copy(replica, candidacy)
+        for name in replicas:
+            if name not in candidacy.installed:
+                self._send_copy(name, candidacy)
         self._record_if_installed()
 
     def _preference(self, candidacy: Candidacy) -> membership.Preference:
