--- a/thistleusher/registry/backend_poller.py
+++ b/thistleusher/registry/backend_poller.py
@@ -65,10 +65,10 @@
         self.empty_readings = 0
         self.has_list = False  # a reading was complete
         self.backends: dict[str, Backend] = {}
-        self.warm_at: dict[str, float] = {}  # 0 for one that is warm
+        self.warm_at: dict[str, float] = {}  # by backend, when its warm-up ends; 0 for one that is warm
 
     def next_call(self, now: float) -> str | None:
-        """Return the target of the call to make now, if any. `receive_page` or `call_failed` must follow."""
+        """Begin the call that is due, return its target (None: no call). `receive_page` or `call_failed` ends it."""
         if self.in_flight or now < self.next_call_at:
             return None
         if self.page_token is None:
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -4,7 +4,7 @@
 `REMEMBERED_CHARGES` charges of each sender's present incarnation; a number at or below the highest forgotten one is
 never counted, so the bound on memory costs answers and never a second count. A charge that is refunded before it has
 arrived is not counted when it arrives. A new counter begins with an empty table: it knows no charge of another
-counter's, and refunds none.
+counter's, and refunds none. A refund is a `Charge` message with the number of the charge and a negative amount.
 
 Pure; seconds on the steady clock. Cost: a dictionary look-up a charge.
 """
--- a/thistleusher/registry/quota_counter.py
+++ b/thistleusher/registry/quota_counter.py
@@ -1,11 +1,14 @@
 """The counter service: one global count for each tenant, in windows of burst / rate seconds, one burst a window.
 
-Guaranteed, over all ingresses and their incarnations: in one window about one burst is admitted, by the count and by
-local shares together (`COUNTED_PART` and `STANDING_PART` of one, see `thistleusher.common.quota_timing`). How: an
-ingress has a share, which is persisted in the control state before it is handed out. While an ingress is not known to
-hear the counter, its share is deducted from what the count may admit, so that the ingress may decide alone. It is
-counted here again from the first window that begins after it is back. A new counter begins no window for as long as
-one lasts: the counter before it may have spent the present one.
+Where that is longer than `MAX_WINDOW_S`, the window is that long and what it allows is the rate times that.
+
+Guaranteed, over all ingresses (proxies) and their incarnations: in one window about one burst is admitted, by the
+count and by local shares together (`COUNTED_PART` and `STANDING_PART` of one, see `thistleusher.common.quota_timing`).
+How: an ingress has a share of all tenants' limits, which is persisted in the control state before it is handed out.
+While an ingress is not known to hear the counter, its share is deducted from what the count may admit, so that the
+ingress may decide alone. Once it is back, that goes on until the tenant's next window begins; from then on it is
+counted here. A new counter begins no window for as long as one lasts: the counter before it may have spent the present
+one.
 
 Pure; seconds on the steady clock. Cost: one message and one answer a request; a few additions.
 """
@@ -37,7 +40,10 @@
 
 @dataclass(slots=True)
 class Window:
-    """One tenant's present window: when it began, its length in seconds, its burst and what was charged."""
+    """One tenant's present window: when it began, its length in seconds, what it allows and what was charged.
+
+    `burst`, what it allows, is the tenant's burst (at least 1), or its rate times `MAX_WINDOW_S` where that is less.
+    """
 
     start: float
     length: float
@@ -51,7 +57,7 @@
     """What the counter knows of one ingress.
 
     `confirmed_at`: when the newest echo was sent that the ingress is known to have received. `in_contact_since`: since
-    when there has been no gap between such echoes.
+    when there has been no gap between such echoes; infinity where this incarnation has confirmed none to this counter.
     """
 
     incarnation: str = ""
@@ -64,7 +70,8 @@
 class CountResult(NamedTuple):
     """What became of a charge: the verdict, seconds, and the number of the window that it counts in.
 
-    Seconds: until the tenant's next window; with DECIDE_LOCALLY, for how long the ingress has not been counted here.
+    Seconds: until the tenant's next window. With DECIDE_LOCALLY: for how long the ingress has been in contact with
+    this counter without being counted; 0 for an unknown one, -inf for one whose contact is not confirmed yet.
     """
 
     verdict: int
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -1,4 +1,7 @@
-"""The registry's state machine: the singleton role's lease, backends, ingresses, the counter, subscribers.
+"""The registry's state machine: the lease of its singleton role, backends, ingresses, the counter, subscribers.
+
+Ingresses are the proxies: `members` holds what they report of themselves, `counter` what they may spend. Subscribers
+are the proxies and the other registries.
 
 Guaranteed: only a holder of the role calls the platform, publishes and counts. Whether it holds the role is checked on
 the clock of each input, and once more when an answer leaves (`can_answer`), so a process that was paused answers
@@ -178,7 +181,7 @@
         return self._flush()
 
     def can_answer(self, now: float) -> bool:
-        """Return whether an answer may leave now; where it may not, the role has ended."""
+        """Return whether an answer may leave now; ends the role first where its lease is over."""
         self._check_lease(now)
         return self.holds_role
 
@@ -229,6 +232,7 @@
         for node, entry in self.list.members().items():
             self.members.restore(now, node, entry)
         self.poller = BackendPoller(now, self.platform_rate_per_s)
+        # How much of a warm-up is left is not known here, so the first reading publishes those backends anew.
         known = self.list.backends()
         self.poller.backends = {name: {**backend, "cold": 0.0} for name, backend in known.items()}
         self.poller.warm_at = {name: now for name, backend in known.items() if backend["cold"] > 0}
@@ -242,7 +246,7 @@
             self._log(Event.ROLE_LOST, reason)
 
     def _work(self, now: float) -> None:
-        """Do what is due for a holder of the role."""
+        """Do what is due for a holder of the role: call the platform, have shares persisted, publish members."""
         assert self.counter is not None
         if self.has_platform and self.called_by is None:
             target = self.poller.next_call(now)
