--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission by the counter's totals: the mechanism of docs/design.md, and what replaces it while none come."""
+"""Admits a request by the total that the counter answers its charge with; without one, by what is known here."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 GRANT_WAIT_S = 0.25  # for which a request waits at most for shares that peers are asked for
 OWNER_TIMEOUTS = 5  # time-outs of the counter that a request must have left for its account's owner to be asked
-SURE_CALLS = 0.8  # calls a request beyond which sure rejections need none
+SURE_CALLS = 0.8  # mean calls a request, beyond which requests that are sure to be rejected call no more
 CALLS_WEIGHT = 0.01  # of a request in the calls a request
 CALL_TIMEOUTS = 2  # time-outs of the counter that a request must have left for a call
 COUNT_LIFETIME_WINDOWS = 3
@@ -104,7 +104,7 @@
         health = self.replication.counters.of_customer(now, customer)
         known = customer.available(now)
         health.calls_per_request *= 1 - CALLS_WEIGHT
-        # Spared a call: others can only have taken more than is known.
+        # Rejected without a call: others can only have taken more than is known here.
         spared = health.call_share < 1 or health.calls_per_request > SURE_CALLS
         if spared and (known < request.units or customer.short_name(now) in self.replication.exhausted):
             self._resolve(now, charge, False, (request.units - known) / customer.plan.rate)
@@ -116,7 +116,7 @@
             self._decide_locally(now, charge)
             return
         unseen = charge.exceeds_share and customer.window < customer.window_at(now) - 1
-        if unseen and not self.replication.in_touch(now, customer):  # the call stands for requests that do not call
+        if unseen and not self.replication.in_touch(now, customer):  # its charge stands for requests without a call
             charge.units = request.units / max(DOWN_CALL_SHARE, health.call_share)
         self._add(now, customer, charge.units + customer.pending, charge)
         customer.pending = 0.0
@@ -232,7 +232,7 @@
         customer = charge.customer
         plan = customer.plan
         replication = self.replication
-        # Of a ceiling not a minute is admitted on the word of peers that may admit as much meanwhile.
+        # A ceiling holds at every moment, so what peers last reported is trusted for the shorter time only.
         in_touch = replication.in_touch(now, customer)
         if in_touch and plan.ceiling_rate > 0:
             in_touch = replication.in_touch(now, customer, strict=True)
@@ -250,7 +250,7 @@
             self._resolve(now, charge, True)
 
     def _admit_by_level(self, now: float, charge: Charge, in_touch: bool) -> bool:
-        """Return whether the known level, and out of touch the escrowed share, admit it; else it is decided on."""
+        """Return whether the known level, and out of touch the escrowed share, admit it; else reject or delay it."""
         customer = charge.customer
         replication = self.replication
         units = charge.event.units
@@ -258,7 +258,7 @@
             wait = (units - customer.headroom(now)) / customer.plan.rate if in_touch else 0.0
             self._resolve(now, charge, False, wait)
             return False
-        # A ceiling is never given up for service, not even what peers have yet to report.
+        # A ceiling is never passed to serve more, not even by what peers have yet to report.
         has_ceiling = customer.plan.ceiling_rate > 0
         counter_silent = replication.counters.of_customer(now, customer).is_silent(now)
         unsure = counter_silent and (has_ceiling or replication.is_level_assumed(now, customer))
@@ -368,5 +368,5 @@
                 self._charge(now, request)
 
     def _still_pending(self, names: list[str]) -> Iterator[PendingRequest]:
-        """Yield those requests that still are owed an answer when it is their turn."""
+        """Yield those that still are owed an answer, asked anew for each when its turn comes."""
         return filter(None, map(self.attempts.requests.get, names))
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -23,7 +23,7 @@
 from thistleusher.core.work_model import WorkModel
 
 # Outlier ejection.
-FAULTY_SHARE = 0.5  # share of faults of a backend that is out of order
+FAULTY_SHARE = 0.5  # share of faults that a backend is expected to have if it is out of order
 TYPICAL_MIN, TYPICAL_MAX = 0.02, 0.4  # bounds of the share of faults that is taken for the whole fleet's
 EJECT_EVIDENCE = 6.0  # log likelihood of the one share over the other at which a backend is ejected
 TRIAL_EVIDENCE = 4.0  # that it keeps after a good trial
@@ -33,7 +33,7 @@
 # Concurrency limit.
 INITIAL_SLOTS = 6.0  # attempts out to a backend by all ingresses together, at first
 MIN_SLOTS = 2.0  # and at least
-TARGET_SHARE = 0.16  # of its latency target that a class's unloaded latency is taken for at most
+TARGET_SHARE = 0.16  # of a class's latency target: the most that its unloaded latency is taken to be
 MIN_STEP, MAX_STEP = 0.01, 0.3  # of the slots that an overloaded answer takes: at least, and a second
 LATENCY_RATIO_MAX = 4.0  # times the unloaded latency, beyond which a longer answer says no more
 OVERLOADED = 1.8  # times the unloaded latency, where the concurrency limit shrinks
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -148,5 +148,5 @@
             customers.see(now, saved.key, customers.plans[saved.plan]).restore(saved)
 
     def take_changed(self, most: int) -> list[SavedMember]:
-        """Return members that have changed since they were last taken, `most` at once. Costs in proportion to them."""
+        """Return customers that have changed since they were last taken, `most` at once. Cost: in proportion."""
         return self.replication.customers.take_changed(most)
--- a/thistleusher/policy/health.py
+++ b/thistleusher/policy/health.py
@@ -1,15 +1,15 @@
-"""How the counter is doing, and what share of requests calls it for that."""
+"""How well a counter answers, and so what share of requests calls it. Backends' health is in `policy.fleet`."""
 
 from __future__ import annotations
 
 DOWN_MISSES = 8  # in a row, after which the counter counts as down for all and not just as crowded
-TARGET_WAIT = 0.3  # mean wait for the counter, of its time-out, that the share of calling requests aims at
+TARGET_WAIT = 0.3  # of its time-out: the mean wait for the counter at which the share of requests that call stays
 MIN_STEP = 0.1  # how far an answer moves that share at least; more, by the seconds since the last one
 CALL_INTERVAL_S = 1.0  # without a call, after which a request calls whatever the share
 SILENT_S = 1.0  # of misses alone, after which totals have stopped coming
 MIN_CALL_SHARE = 0.05  # least share of requests that call
 DOWN_CALL_SHARE = 0.2  # the same while the counter is down, and least that a charge is scaled up by
-RECOVERY_CALL_SHARE = 0.5  # when the counter is back
+RECOVERY_CALL_SHARE = 0.5  # the share that it begins with when the counter is back
 MISS_FACTOR = 0.6  # what a miss leaves of the share
 
 
--- a/thistleusher/policy/replication.py
+++ b/thistleusher/policy/replication.py
@@ -1,4 +1,4 @@
-"""Usage replication: customers' buckets at this ingress, kept in step with the other ingresses'.
+"""Usage replication among ingresses: customers' buckets here, kept in step with those at the peers.
 
 Guarantee: a unit that a peer reports, or a total shows, comes off the bucket once, whichever is known first.
 Cost: constant a request; a notification costs in proportion to the customers admitted since the last one.
@@ -159,7 +159,7 @@
         return now - self.started_at < customer.window_length and self.escrow.has_restarted()
 
     def knows_window(self, now: float, customer: Customer) -> bool:
-        """Return whether peers must have reported all that the present window's total contains."""
+        """Return whether all that the present window's total contains was admitted here or reported by peers."""
         if customer.owned or not self.in_touch(now, customer):
             return False
         return customer.created_at <= customer.window_at(now) * customer.window_length - customer.phase
--- a/thistleusher/policy/totals.py
+++ b/thistleusher/policy/totals.py
@@ -23,7 +23,7 @@
 
 
 class Totals:
-    """Corrects buckets by totals: what a total contains over what is known was admitted elsewhere."""
+    """Corrects buckets by totals: what a total contains beyond what is known here was admitted elsewhere."""
 
     def __init__(self, settings: Settings, replication: UsageReplication, actions: list[Action]) -> None:
         self.settings = settings
