--- a/thistleusher/core/customer.py
+++ b/thistleusher/core/customer.py
@@ -13,10 +13,11 @@
 
 
 class Customer:
-    """State of one customer's count at one ingress. Units are units of quota, times Unix seconds.
+    """What one ingress knows of one customer's quota. Amounts are units of quota, times Unix seconds.
 
-    A customer's count is kept in windows of the time in which a whole burst refills. Peers exchange usage in quarter
-    units.
+    The counter service keeps a customer's count in windows of the time in which a whole burst refills; a total is what
+    it answered of one. Here a bucket (`level`) is kept and corrected by totals and by the usage that peers report, in
+    quarter units. The customer's set are the ingresses that its requests come to.
     """
 
     __slots__ = (
@@ -69,14 +70,14 @@
         self.level_confirmed = False  # by a peer, to an ingress that had only started, or by a snapshot
         self.continuous = True  # the level goes on from an earlier window; otherwise each window starts full
         self.owned = False  # all its usage comes through this ingress, the owner of its account
-        self.window = -1  # of the last total
+        self.window = -1  # the number of the last total's window
         self.total = 0.0  # the last total
         self.acknowledged = 0.0  # own units that the total contains
         self.reported = 0.0  # units that peers have reported in `reported_window`
         self.reported_window = -1
-        self.excess = 0.0  # of the total over both, taken off the level
+        self.excess = 0.0  # of the total over `acknowledged` and `reported`: others' units, taken off the level
         self.excess_at = 0.0
-        self.pending = 0.0  # own usage that is not in the count yet
+        self.pending = 0.0  # own usage that no call has taken to the count yet
         self.pending_in_flight = 0.0  # own usage that is on its way to the count
         self.in_flight = 0.0  # charges without a verdict
         self.doubtful = 0.0  # units of calls without an answer in `doubtful_window`: added, or not
@@ -85,8 +86,8 @@
         self.notified_quarters = 0  # the same, as last sent to all peers
         self.notified_by_peer: dict[int, int] = {}  # the same, where peers are notified one by one
         self.peer_quarters: dict[int, int] = {}  # the same of each peer, as last received
-        self.local_part = 0.0  # share of the customer's recent usage that came through here
-        self.admitted_share = 1.0  # share of its recent requests that a total admitted
+        self.local_part = 0.0  # fraction of the customer's recent usage that came through here
+        self.admitted_share = 1.0  # fraction of its recent requests that were admitted by a total
         self._name_window = -1
         self._name = 0
 
@@ -111,7 +112,7 @@
         return self.plan.wide(self.width)
 
     def headroom(self, now: float) -> float:
-        """Return the units left, less all that is known to have been admitted."""
+        """Return the units left: the level and what has refilled since. Charges in flight still count as left."""
         if not self.continuous:  # a fixed window: no refill within it, the whole burst in the next
             return self.level if self.window_at(now) == self.window else self.plan.burst
         return min(self.plan.burst, self.level + self.plan.rate * (now - self.level_at))
@@ -162,7 +163,7 @@
         self.doubtful_window = window
 
     def report_again(self) -> None:
-        """Have all units that its count contained reported anew: the count has lost them."""
+        """Have the next call add all own units that the count contained: the count has lost them."""
         self.pending += self.acknowledged
         self.acknowledged = 0.0
         self.doubtful = 0.0
@@ -192,7 +193,7 @@
         )
 
     def restore(self, saved: SavedMember) -> None:
-        """Go on from what an earlier incarnation knew: no peer's level replaces it any more."""
+        """Go on from what an earlier incarnation knew. It counts as confirmed: no peer's level replaces it any more."""
         self.level = saved.level
         self.level_at = saved.at
         self.level_confirmed = True
--- a/thistleusher/core/peer_notifier.py
+++ b/thistleusher/core/peer_notifier.py
@@ -1,4 +1,7 @@
-"""Sends peers what they are to know of this ingress: usage, its share's demands, that it has started or shuts down."""
+"""Sends peers (other ingresses) what they are to know of this one.
+
+That is: usage admitted here, demands for parts of the peers' quota shares, and that it has started or shuts down.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
         self.messages_max = self.limits.messages
         self.outbox = UsageOutbox(customers)
         self.timer_set = False
-        self.presence_due = False  # peers are to learn with the next tick that this ingress is there
+        self.presence_due = False  # notify with the next tick, even if only that this ingress is there
         self.last_notified = now
 
     def usage_changed(self, now: float, customer: Customer, units: float, lazy: bool) -> None:
@@ -46,11 +49,14 @@
             self.outbox.waiting[customer.key] = customer
 
     def is_due(self) -> bool:
-        """Return whether peers are to be notified of anything with the next tick."""
+        """Return whether peers are to be notified of usage, demands or presence with the next tick."""
         return bool(self.outbox.waiting) or self.presence_due or (self.gossip is not None and self.gossip.has_work())
 
     def notify(self, now: float) -> None:
-        """Notify peers of what was admitted: between its own calls no ingress sees it in a count."""
+        """Notify peers of what was admitted here: they see it in a total only with their next calls of the counter.
+
+        Demands for shares go out with it; where there is nothing, a message that only says that this ingress is there.
+        """
         self.timer_set = False
         self.presence_due = False
         self.last_notified = now
