--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -25,7 +25,7 @@
 
 
 class Escrow(Protocol):
-    """Holds members to an ingress's own share of their allowance; `quota.escrow.EscrowTable` is one.
+    """Holds customers to an ingress's own share of their allowance; `quota.escrow.EscrowTable` is one.
 
     Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
     """
@@ -74,7 +74,7 @@
 
 
 class OwnerQuery(NamedTuple):
-    """A peer's query to the owner of an account: its number, member, plan's number, set, and units asked for.
+    """A peer's query to the owner of an account: its number, customer, plan's number, set, and units asked for.
 
     `answer`: the reply that it has had, where it comes again.
     """
@@ -92,22 +92,22 @@
     """What the ingresses of a large fleet send one another; `gossip.Gossip` is one. Times in seconds."""
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Queue an update of a member to its set; `lazy`: it may wait for others to go with."""
+        """Queue an update of a customer to its set of ingresses; `lazy`: it may wait for others to go with."""
 
     def record_message(self, now: float, peer: int, is_update: bool) -> None:
-        """Note that a peer has sent a message; `is_update`: of usage by members that are common to both."""
+        """Note that a peer has sent a message; `is_update`: of usage by customers that are common to both."""
 
     def member_seen(self, now: float, first: int, width: int) -> None:
-        """Keep in contact with a set: a member of it was seen."""
+        """Keep in contact with a set of ingresses: a customer of that set was seen."""
 
     def has_work(self) -> bool:
         """Return whether the next tick has anything to send."""
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """Return the updates that leave now: to whom, of which members."""
+        """Return the updates that leave now: to whom, of which customers."""
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """Return the ingress that keeps a member's account; None where none of its candidates answers."""
+        """Return the ingress that keeps a customer's account; None where none of its candidates answers."""
 
     def create_query(self, now: float, owner: int, request: Request, plan: int) -> bytes | None:
         """Return a query for a request; None where too many are outstanding."""
@@ -143,7 +143,7 @@
         """Return the messages of all that is to be reconciled, to whom."""
 
     def parse_reconciliations(self, payload: bytes) -> list[tuple[int, int, float]]:
-        """Return members, their plans' numbers, and units, of a peer's message."""
+        """Return customers, their plans' numbers, and units, of a peer's message."""
 
 
 class CounterOf(Protocol):
--- a/thistleusher/core/peer_notifier.py
+++ b/thistleusher/core/peer_notifier.py
@@ -49,13 +49,13 @@
             self.outbox.waiting[customer.key] = customer
 
     def is_due(self) -> bool:
-        """Return whether peers are to be notified of usage, demands or presence with the next tick."""
+        """Return whether `notify` has anything to do with the next tick."""
         return bool(self.outbox.waiting) or self.presence_due or (self.gossip is not None and self.gossip.has_work())
 
     def notify(self, now: float) -> None:
         """Notify peers of what was admitted here: they see it in a total only with their next calls of the counter.
 
-        Demands for shares go out with it; where there is nothing, a message that only says that this ingress is there.
+        Demands for shares go out with it. Without gossip and without usage, it only says that this ingress is there.
         """
         self.timer_set = False
         self.presence_due = False
