--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -20,14 +20,14 @@
         '{"version":"00000001","routes":{"r":{"hostname":"h","path_prefix":"/a/","deadline_ms":0,' '"target":"s"}}}'
     )
     settings.write_text("node_name=n\nip=10.0.0.1\nport_range=1,2\nseed_nodes=x\n")
-    told = {}
+    results = {}
     for kind, path in (("configuration", config), ("settings", settings), ("settings", tmp_path / "none")):
         code, out, err = printed(capsys, "check", kind, str(path))
-        told[f"{kind} {path.name}"] = [code, out.replace(str(tmp_path), "."), err.replace(str(tmp_path), ".")]
+        results[f"{kind} {path.name}"] = [code, out.replace(str(tmp_path), "."), err.replace(str(tmp_path), ".")]
     config.write_text('{"version":"00000001"}')
     code, out, err = printed(capsys, "check", "configuration", str(config))
-    told["sound"] = [code, out.replace(str(tmp_path), "."), err]
-    assert told == snapshot
+    results["sound"] = [code, out.replace(str(tmp_path), "."), err]
+    assert results == snapshot
 
 
 def test_help_names_every_program(capsys):
