--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -26,16 +26,16 @@
 EVERYWHERE = "everywhere = pending.on_own_disk and pending.on_replicas >= set(leadership.view.replicas)"
 RECORDED = "if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):"
 VOTE_REFUSED = "elif message.epoch <= durable.promised or self._supports_another(sender, view):"
-ELIGIBLE = "return view is not None and self._context.me in view.replica_set and replica.epoch >= view.epoch"
+ELIGIBLE = "return view is not None and self._context.me in view.replica_set and state_copy.epoch >= view.epoch"
 MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.expires_at()"
 
 NOT_APPENDED = (
-    "        if not ok:\n            durable.replica.mark_damaged()\n"
+    "        if not ok:\n            durable.state_copy.mark_damaged()\n"
     '            durable.note_failure("a change")\n        elif'
 )
 
 TAKES_CHANGES = "return self._context.me in view.replicas and durable.recorded_epoch == view.epoch == durable.promised"
-MAY_ACKNOWLEDGE = "return durable.replica.epoch == epoch and (learner or durable.promised <= epoch)"
+MAY_ACKNOWLEDGE = "return durable.state_copy.epoch == epoch and (learner or durable.promised <= epoch)"
 INSTALLED = "if not candidacy.installed >= set(view.replicas):"
 
 FAULTS = (
@@ -66,12 +66,12 @@
         "elif len(newest.voters.keys() & set(answered)) >= len(newest.voters) - newest.majority + 1:",
         "elif answered:",
     ),
-    DeliberateFault(0, "any voter may lead", ELIGIBLE, "return view is not None and replica.epoch >= view.epoch"),
+    DeliberateFault(0, "any voter may lead", ELIGIBLE, "return view is not None and state_copy.epoch >= view.epoch"),
     DeliberateFault(
         0,
         "an old copy counts as complete",
         ELIGIBLE,
-        "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
+        "return view is not None and self._context.me in view.replica_set and state_copy.epoch >= 0",
     ),
     DeliberateFault(
         0,
@@ -215,7 +215,7 @@
     DeliberateFault(
         3,
         "a learner without a copy gets a vote",
-        "return replica.follows(learner.position) and lag <= MAX_LEARNER_LAG",
+        "return state_copy.follows(learner.position) and lag <= MAX_LEARNER_LAG",
         "return True",
     ),
     DeliberateFault(
@@ -260,8 +260,8 @@
     DeliberateFault(
         4,
         "changes are installed on another copy than their base",
-        "elif replica.position == message.base:",
-        "elif replica.position.number >= 0:",
+        "elif state_copy.position == message.base:",
+        "elif state_copy.position.number >= 0:",
     ),
     DeliberateFault(
         4,
@@ -272,7 +272,7 @@
     DeliberateFault(
         4,
         "a change that the disk refused counts",
-        '            durable.replica.mark_damaged()\n            durable.note_failure("a change")',
+        '            durable.state_copy.mark_damaged()\n            durable.note_failure("a change")',
         '            durable.note_failure("a change")',
     ),
     DeliberateFault(
@@ -284,31 +284,31 @@
     DeliberateFault(
         4,
         "a change is published before it is in force",
-        "Publish(self._durable.replica.state.copy())",
-        "Publish(self._durable.replica.state)",
+        "Publish(self._durable.state_copy.state.copy())",
+        "Publish(self._durable.state_copy.state)",
     ),
     DeliberateFault(
         4,
         "a copy of another change counts as the leader's",
-        "if message.position.same_change(self._durable.replica.position):",
+        "if message.position.same_change(self._durable.state_copy.position):",
         "if True:",
     ),
     DeliberateFault(
         4,
         "the answer to an earlier change counts",
-        "if message.number == self._durable.replica.position.number:",
+        "if message.number == self._durable.state_copy.position.number:",
         "if True:",
     ),
     DeliberateFault(
         4,
         "each change sends the complete state",
         "append = Append(leadership.view.epoch, pending.base, pending.position, pending.items)",
-        "append = Append(leadership.view.epoch, pending.base, pending.position, self._durable.replica.state.items)",
+        "append = Append(leadership.view.epoch, pending.base, pending.position, self._durable.state_copy.state.items)",
     ),
     DeliberateFault(
         4,
         "learners are never brought up to date",
-        "if learner.position == replica.position or waited_s < timeout_s:",
+        "if learner.position == state_copy.position or waited_s < timeout_s:",
         "if True:",
     ),
     # 5: answers and grants for the right one, once.
@@ -358,14 +358,14 @@
         "if not everywhere:",
         (
             (TAKES_CHANGES, TAKES_CHANGES.removesuffix(" == durable.promised")),
-            (MAY_ACKNOWLEDGE, "return durable.replica.epoch == epoch"),
+            (MAY_ACKNOWLEDGE, "return durable.state_copy.epoch == epoch"),
         ),
     ),
     DeliberateFault(
         0,
         "an old copy counts as complete, and a view names replicas that have none",
         ELIGIBLE,
-        "return view is not None and self._context.me in view.replica_set and replica.epoch >= 0",
+        "return view is not None and self._context.me in view.replica_set and state_copy.epoch >= 0",
         (
             (INSTALLED, "if False:"),
             ("if not {self._context.me, *view.replicas} <= recorded:", "if self._context.me not in recorded:"),
--- a/tests/control/test_replication.py
+++ b/tests/control/test_replication.py
@@ -29,10 +29,10 @@
 def test_what_waits_behind_a_write_that_failed_is_not_written():
     durable = DurableState(Context("1", "a", (), 0.0, random.Random(1), 1), StoredState())
     ended = []
-    durable.replica.apply(Position(1, 1, 1), {"config": (1, 1)})
-    durable.write_replica({"config": (1, 1)}, False, lambda ok: ended.append(("first", ok)))
-    durable.replica.enter(2)
-    durable.write_replica(None, False, lambda ok: ended.append(("second", ok)))
+    durable.state_copy.apply(Position(1, 1, 1), {"config": (1, 1)})
+    durable.write_state_copy({"config": (1, 1)}, False, lambda ok: ended.append(("first", ok)))
+    durable.state_copy.enter(2)
+    durable.write_state_copy(None, False, lambda ok: ended.append(("second", ok)))
     durable.write_completed(1, False)
     assert ended == [("first", False), ("second", False)]
     assert [out.token for out in durable._context.flush()] == [1]
--- a/thistleusher/control/catch_up.py
+++ b/thistleusher/control/catch_up.py
@@ -38,7 +38,7 @@
 
         While a change is pending nobody counts as lagging: a replica that lacks more answers the change by a rejection.
         """
-        same = position == self._durable.replica.position
+        same = position == self._durable.state_copy.position
         if same or leadership.pending is not None or sender not in leadership.view.replicas:
             leadership.lagging.pop(sender, None)
             return
@@ -48,26 +48,26 @@
 
     def repair_replicas(self, leadership: Leadership) -> None:
         """Send replicas the copy that they lost with their disk or by a failed write."""
-        now, replica = self._context.now, self._durable.replica
+        now, state_copy = self._context.now, self._durable.state_copy
         if leadership.pending is not None:
             return
         for name, lagging in leadership.lagging.items():
             if now - max(lagging.since, self._sent_at.get(name, NEVER)) > RETRY_INTERVAL_S:
                 self._sent_at[name] = now
-                self._context.send(name, replica.install_for(lagging.position))
+                self._context.send(name, state_copy.install_for(lagging.position))
 
     def feed_learners(self, leadership: Leadership) -> None:
         """Send learners the copy that they lack; later changes reach them as they are made."""
-        now, replica = self._context.now, self._durable.replica
+        now, state_copy = self._context.now, self._durable.state_copy
         if leadership.pending is not None:
             return
         for name, learner in self._joining.learners.present().items():
             waited_s = now - self._sent_at.get(name, NEVER)
-            timeout_s = RETRY_INTERVAL_S if replica.follows(learner.position) else INSTALL_TIMEOUT_S
-            if learner.position == replica.position or waited_s < timeout_s:
+            timeout_s = RETRY_INTERVAL_S if state_copy.follows(learner.position) else INSTALL_TIMEOUT_S
+            if learner.position == state_copy.position or waited_s < timeout_s:
                 continue
             self._sent_at[name] = now
-            self._context.send(name, replica.install_for(learner.position))
+            self._context.send(name, state_copy.install_for(learner.position))
 
     def on_installed(self, sender: str, message: Installed) -> None:
         """Take note that a replica or learner has a copy on disk."""
@@ -79,7 +79,7 @@
 
     def on_install_rejected(self, sender: str, message: InstallRejected) -> None:
         """Send a replica or learner what its copy lacks, from where it says that its copy is."""
-        leadership, replica = self._role.leadership, self._durable.replica
+        leadership, state_copy = self._role.leadership, self._durable.state_copy
         if leadership is None or message.epoch != leadership.view.epoch:
             return
         if sender not in leadership.view.voters:
@@ -87,4 +87,4 @@
             self._sent_at[sender] = self._context.now
         elif sender not in leadership.view.replicas:
             return
-        self._context.send(sender, replica.install_for(message.position))
+        self._context.send(sender, state_copy.install_for(message.position))
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -1,4 +1,4 @@
-"""What a control node keeps on disk: its promise, the newest view, its replica, and the leases that it granted.
+"""What a control node keeps on disk: its promise, the newest view, its state copy, and the leases that it granted.
 
 One write is in flight at a time; those that come meanwhile are merged into the next one, which is on disk complete or
 not at all. So whatever a later write relies on is on disk before it. A failed write fails all that was merged into it,
@@ -13,7 +13,7 @@
 from thistleusher.common.events import Event
 from thistleusher.control.context import Context
 from thistleusher.control.interface import Records, StoredState, Write
-from thistleusher.control.replica import Replica
+from thistleusher.control.state_copy import StateCopy
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
 OnWritten = Callable[[bool], None]  # called with whether a write is on disk
@@ -61,8 +61,8 @@
         self.promised = stored.promised
         self.view = stored.view  # the newest one known, on disk or not
         self.recorded_epoch = stored.view.epoch if stored.view is not None else 0  # of the view on disk
-        self.replica = Replica(stored)
-        self.position = stored.position  # of the copy on disk, which the replica in memory may be ahead of
+        self.state_copy = StateCopy(stored)
+        self.position = stored.position  # of the copy on disk, which the one in memory may be ahead of
         self._queue: list[QueuedWrite] = []
         self._in_flight: list[OnWritten] = []
         self._position_in_flight: Position | None = None  # the position that the write in flight brings
@@ -99,10 +99,10 @@
         if self._queue and not self._in_flight:
             self._issue()
 
-    def write_replica(self, items: Items | None, complete: bool, on_written: OnWritten) -> None:
-        """Write the replica's position, with the items that changed by it."""
-        replica = self.replica
-        records = Records(position=replica.position, floor=replica.state.floor, items=items, complete=complete)
+    def write_state_copy(self, items: Items | None, complete: bool, on_written: OnWritten) -> None:
+        """Write the state copy's position, with the items that changed by it."""
+        state_copy = self.state_copy
+        records = Records(position=state_copy.position, floor=state_copy.state.floor, items=items, complete=complete)
         self.write(records, on_written)
 
     def adopt(self, view: ViewRecord) -> None:
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -140,8 +140,8 @@
             return
         # This machine's copy is on disk as one of the new epoch, before any view names this machine as its leader.
         candidacy.stage = Stage.ENTER
-        self._durable.replica.enter(candidacy.epoch)
-        self._durable.write_replica(None, False, partial(self._entered, candidacy))
+        self._durable.state_copy.enter(candidacy.epoch)
+        self._durable.write_state_copy(None, False, partial(self._entered, candidacy))
 
     def _awaits_replicas(self, candidacy: Candidacy) -> bool:
         """Return whether to wait for better replicas: those that answered are too few or all in this zone.
--- a/thistleusher/control/founding.py
+++ b/thistleusher/control/founding.py
@@ -58,7 +58,7 @@
         candidacy = Candidacy(FIRST_EPOCH, before_all, context.now, context.now)
         candidacy.votes = dict.fromkeys(voters, None)
         self._role.candidacy = candidacy
-        position = self._durable.replica.enter(FIRST_EPOCH)
+        position = self._durable.state_copy.enter(FIRST_EPOCH)
         context.note(Event.CANDIDACY_STARTED, FIRST_EPOCH, "founding")
         records = Records(position=position, items={}, complete=True)
         self._role.promise(FIRST_EPOCH, records, self._elections.view_change.install)
--- a/thistleusher/control/hand_over.py
+++ b/thistleusher/control/hand_over.py
@@ -61,7 +61,7 @@
         if me in view.previous_voters:  # a voter before the newest view may be asked what follows it
             return False
         if not self._joining.is_voter:  # a copy of a later epoch means that the epoch is to give it a vote
-            return self._durable.replica.epoch <= view.epoch
+            return self._durable.state_copy.epoch <= view.epoch
         if self._role.confirmed_epoch < view.epoch:  # the view's leader was not heard: the epoch may not have begun
             return False
         has_leader = self._role.guards_leader()  # without one, this vote may be the one that a majority lacks
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -60,7 +60,7 @@
         self.catch_up.restart()
         self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
         # A copy, as the node's own state goes ahead of what is in force with the next change.
-        self._context.emit(Publish(self._durable.replica.state.copy()))
+        self._context.emit(Publish(self._durable.state_copy.state.copy()))
         self._heartbeats.send(leadership)
         self.serving.serve()
 
--- a/thistleusher/control/leadership.py
+++ b/thistleusher/control/leadership.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from thistleusher.control.interface import Change
-from thistleusher.control.replica import Undo
+from thistleusher.control.state_copy import Undo
 from thistleusher.control.timing import LEASE_S, NEVER
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -201,12 +201,12 @@
     @property
     def position(self) -> Position:
         """The position of the copy in memory."""
-        return self._durable.replica.position
+        return self._durable.state_copy.position
 
     @property
     def state(self) -> State:
         """The copy in memory. It may hold a change that is not in force yet."""
-        return self._durable.replica.state
+        return self._durable.state_copy.state
 
     @property
     def leadership(self) -> Leadership | None:
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -121,6 +121,6 @@
         return leadership.view.has_majority(present) and len(after) > len(change.voters) // 2
 
     def _caught_up(self, learner: Learner) -> bool:
-        replica = self._durable.replica
-        lag = replica.position.number - learner.position.number
-        return replica.follows(learner.position) and lag <= MAX_LEARNER_LAG
+        state_copy = self._durable.state_copy
+        lag = state_copy.position.number - learner.position.number
+        return state_copy.follows(learner.position) and lag <= MAX_LEARNER_LAG
--- a/thistleusher/control/replica_updates.py
+++ b/thistleusher/control/replica_updates.py
@@ -40,15 +40,15 @@
 
     def on_install(self, sender: str, message: Install) -> None:
         """Install a complete copy or what this copy lacks, from a candidate or, as a learner, from the leader."""
-        replica = self._durable.replica
+        state_copy = self._durable.state_copy
         if not self._may_install(sender, message):
             return
         if message.base is None:
-            replica.install(message.position, message.floor, message.items)
-        elif replica.position == message.base:
-            replica.apply(message.position, message.items)
-        elif replica.position != message.position:
-            self._context.send(sender, InstallRejected(message.epoch, replica.position))
+            state_copy.install(message.position, message.floor, message.items)
+        elif state_copy.position == message.base:
+            state_copy.apply(message.position, message.items)
+        elif state_copy.position != message.position:
+            self._context.send(sender, InstallRejected(message.epoch, state_copy.position))
             return
         self._write_installed(sender, message)
 
@@ -80,7 +80,7 @@
         records = Records(
             view=self._view_of_learner(),
             position=position,
-            floor=durable.replica.state.floor,
+            floor=durable.state_copy.state.floor,
             items=message.items,
             complete=message.base is None,
         )
@@ -98,7 +98,7 @@
     def _installed(self, sender: str, epoch: int, position: Position, ok: bool) -> None:
         durable = self._durable
         if not ok:
-            durable.replica.mark_damaged()
+            durable.state_copy.mark_damaged()
             durable.note_failure("a copy")
         elif self._may_acknowledge(epoch):
             self._context.send(sender, Installed(epoch, position))
@@ -112,14 +112,14 @@
             return
         if not self._accepts_changes(view):
             return
-        position = durable.replica.position
+        position = durable.state_copy.position
         if position == message.position:  # a repeat: acknowledge it after the write that is under way
             durable.write(Records(), partial(self._appended, sender, message))
         elif position != message.base:
             self._context.send(sender, InstallRejected(message.epoch, position))
         else:
-            durable.replica.apply(message.position, message.items)
-            durable.write_replica(message.items, False, partial(self._appended, sender, message))
+            durable.state_copy.apply(message.position, message.items)
+            durable.write_state_copy(message.items, False, partial(self._appended, sender, message))
 
     def _accepts_changes(self, view: ViewRecord) -> bool:
         """Return whether this is a replica that has the view on disk and promised nothing higher, or a learner."""
@@ -131,7 +131,7 @@
     def _appended(self, sender: str, message: Append, ok: bool) -> None:
         durable = self._durable
         if not ok:
-            durable.replica.mark_damaged()
+            durable.state_copy.mark_damaged()
             durable.note_failure("a change")
         elif self._may_acknowledge(message.epoch):
             self._context.send(sender, Appended(message.epoch, message.position.number))
@@ -140,4 +140,4 @@
         """Return whether what was written under an epoch may be acknowledged: no higher one was promised since."""
         durable = self._durable
         learner = durable.view is not None and self._context.me not in durable.view.voters
-        return durable.replica.epoch == epoch and (learner or durable.promised <= epoch)
+        return durable.state_copy.epoch == epoch and (learner or durable.promised <= epoch)
--- a/thistleusher/control/replication.py
+++ b/thistleusher/control/replication.py
@@ -35,14 +35,14 @@
 
     def begin_change(self, leadership: Leadership, change: Change) -> None:
         """Apply a change in memory, write it, and send it to replicas and to learners that are up to date."""
-        replica, now = self._durable.replica, self._context.now
-        base = replica.position
-        position = replica.next_position()
-        items = {name: (position.number, value) for name, value in change.items(replica.state).items()}
-        undo = replica.apply(position, items)
+        state_copy, now = self._durable.state_copy, self._context.now
+        base = state_copy.position
+        position = state_copy.next_position()
+        items = {name: (position.number, value) for name, value in change.items(state_copy.state).items()}
+        undo = state_copy.apply(position, items)
         leadership.pending = PendingChange(change, base, position, items, undo, begun_at=now, sent_at=now)
         leadership.own_write_since = now
-        self._durable.write_replica(items, False, partial(self._own_write_ended, leadership))
+        self._durable.write_state_copy(items, False, partial(self._own_write_ended, leadership))
         self._send_pending(leadership)
         append = Append(leadership.view.epoch, base, position, items)
         for name, learner in self._joining.learners.present().items():
@@ -50,19 +50,19 @@
                 self._context.send(name, append)
 
     def _own_write_ended(self, leadership: Leadership, ok: bool) -> None:
-        pending, replica = leadership.pending, self._durable.replica
+        pending, state_copy = leadership.pending, self._durable.state_copy
         assert pending is not None
         leadership.own_write_since = None
         if ok:
             pending.on_own_disk = True
             self.advance()
-        elif self._role.leadership is leadership and replica.position == pending.position:
+        elif self._role.leadership is leadership and state_copy.position == pending.position:
             # Replicas may have the change, and it may come into force under a later leader; but this machine's disk
             # lacks it, so its copy in memory goes back to the position before it.
-            replica.revert(pending.undo)
+            state_copy.revert(pending.undo)
             self._role.step_down("the disk refuses")
         else:
-            replica.mark_damaged()
+            state_copy.mark_damaged()
             self._role.candidacy = None
 
     def _send_pending(self, leadership: Leadership) -> None:
@@ -87,8 +87,8 @@
         leadership = self._role.leadership
         if leadership is None or message.epoch != leadership.view.epoch:
             return
-        if message.number == self._durable.replica.position.number:
-            self.record_copy(leadership, sender, self._durable.replica.position)
+        if message.number == self._durable.state_copy.position.number:
+            self.record_copy(leadership, sender, self._durable.state_copy.position)
 
     def record_copy(self, leadership: Leadership, sender: str, position: Position) -> None:
         """Take note that a machine has a copy at a position on disk; commit the pending change if all have."""
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -80,8 +80,8 @@
 
     def is_eligible(self) -> bool:
         """Return whether this machine has everything that was acknowledged in the newest epoch that it knows."""
-        view, replica = self._durable.view, self._durable.replica
-        return view is not None and self._context.me in view.replica_set and replica.epoch >= view.epoch
+        view, state_copy = self._durable.view, self._durable.state_copy
+        return view is not None and self._context.me in view.replica_set and state_copy.epoch >= view.epoch
 
     def is_current(self, candidacy: Candidacy) -> bool:
         """Return whether a candidacy goes on: nothing higher was promised since."""
--- a/thistleusher/control/serving.py
+++ b/thistleusher/control/serving.py
@@ -40,7 +40,7 @@
         return current and leadership.pending is None and self._context.now < leadership.expires_at()
 
     def _serve_one(self, leadership: Leadership, call: Call) -> None:
-        state = self._durable.replica.state
+        state = self._durable.state_copy.state
         try:
             if isinstance(call, Read):
                 self._context.answer(call.call_id, call.answer(state))
@@ -51,7 +51,7 @@
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Begin a change, or acknowledge one that the state in force makes needless."""
-        if change.is_redundant(self._durable.replica.state):
+        if change.is_redundant(self._durable.state_copy.state):
             self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
         else:
--- a/thistleusher/control/replica.py
+++ b/thistleusher/control/state_copy.py
@@ -1,8 +1,8 @@
 """One machine's copy of the control state: its items, its position, and the changes that led there.
 
-Guaranteed: two replicas whose newest change is the same one (`Position.same_change`) hold the same items, because a
-change is applied only after the one that it was made after. So what a replica lacks may be sent as the items that
-changed since, where the sender's own history holds the replica's newest change; else a complete copy is sent.
+Guaranteed: two copies whose newest change is the same one (`Position.same_change`) hold the same items, because a
+change is applied only after the one that it was made after. So what a copy lacks may be sent as the items that changed
+since, where the sender's own history holds that copy's newest change; else a complete copy is sent.
 
 Pure. Cost: one step an item of the change; `MAX_HISTORY` pairs of numbers in memory.
 """
@@ -16,7 +16,7 @@
 from thistleusher.transport.messages import Install, Items, Position
 from thistleusher.transport.state_updates import State
 
-MAX_HISTORY = 1024  # changes back, from which a replica can be brought up to date by changes alone
+MAX_HISTORY = 1024  # changes back, from which a copy can be brought up to date by changes alone
 NO_EPOCH = -1
 
 
@@ -27,7 +27,7 @@
     items: dict[str, tuple[int, Any] | None]
 
 
-class Replica:
+class StateCopy:
     """A copy of the control state in memory."""
 
     def __init__(self, stored: StoredState) -> None:
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -79,14 +79,14 @@
     def _send_copy(self, to: str, candidacy: Candidacy) -> None:
         learner = self._joining.learners.present().get(to)
         position = candidacy.positions.get(to, learner.position if learner is not None else None)
-        self._context.send(to, self._durable.replica.install_for(position))
+        self._context.send(to, self._durable.state_copy.install_for(position))
 
     def on_installed(self, sender: str, message: Installed) -> None:
         """Take note that a replica has the copy on disk."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.INSTALL:
             return
-        if message.position.same_change(self._durable.replica.position):
+        if message.position.same_change(self._durable.state_copy.position):
             candidacy.installed.add(sender)
             self._record_if_installed()
 
@@ -96,7 +96,7 @@
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.INSTALL:
             return
         candidacy.positions[sender] = message.position
-        install: Install = self._durable.replica.install_for(message.position)
+        install: Install = self._durable.state_copy.install_for(message.position)
         self._context.send(sender, install)
 
     # The view.
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -73,7 +73,7 @@
         self._send_vote(sender, epoch, view)
 
     def _send_vote(self, sender: str, epoch: int, view: ViewRecord) -> None:
-        self._context.send(sender, Vote(epoch, view, self._durable.replica.position))
+        self._context.send(sender, Vote(epoch, view, self._durable.state_copy.position))
 
     def _reject(self, sender: str, message: VoteRequest, view: ViewRecord) -> None:
         self._context.send(sender, VoteRejected(message.epoch, self._durable.promised, view))
@@ -144,7 +144,7 @@
             role.contact_at = self._context.now
         if durable.recorded_epoch < view.epoch:
             self._record(sender, view)
-        self._context.send(sender, HeartbeatAck(view.epoch, message.sent, durable.replica.position))
+        self._context.send(sender, HeartbeatAck(view.epoch, message.sent, durable.state_copy.position))
 
     def _depose(self, sender: str, view: ViewRecord) -> None:
         durable = self._durable
