--- a/thistleusher/core/customer.py
+++ b/thistleusher/core/customer.py
@@ -7,7 +7,7 @@
 
 from thistleusher.core.datagrams import hash63
 from thistleusher.core.settings import PlanSettings
-from thistleusher.core.snapshots import SavedMember
+from thistleusher.core.snapshots import SavedCustomer
 
 SHORT_NAME_BYTES = 5  # of a window's name, in messages to peers
 
@@ -169,13 +169,13 @@
         self.doubtful = 0.0
         self.excess = 0.0
 
-    def to_saved(self) -> SavedMember:
+    def to_saved(self) -> SavedCustomer:
         """Return what the next incarnation can go on from.
 
         What is on its way to the count may not have arrived: it is saved as pending and as doubtful.
         """
         doubtful = (self.doubtful if self.doubtful_window == self._name_window else 0.0) + self.pending_in_flight
-        return SavedMember(
+        return SavedCustomer(
             key=self.key,
             plan=self.plan.name,
             level=self.level,
@@ -192,7 +192,7 @@
             doubtful_window=self._name_window,
         )
 
-    def restore(self, saved: SavedMember) -> None:
+    def restore(self, saved: SavedCustomer) -> None:
         """Go on from what an earlier incarnation knew. It counts as confirmed: no peer's level replaces it any more."""
         self.level = saved.level
         self.level_at = saved.at
--- a/thistleusher/core/customer_table.py
+++ b/thistleusher/core/customer_table.py
@@ -8,7 +8,7 @@
 from thistleusher.core.customer import Customer
 from thistleusher.core.replication_limits import retention_s
 from thistleusher.core.settings import PlanSettings, Settings
-from thistleusher.core.snapshots import SavedMember
+from thistleusher.core.snapshots import SavedCustomer
 
 
 class CustomerTable(OrderedDict[int, Customer]):
@@ -67,7 +67,7 @@
         if self.changed is not None:
             self.changed[customer.key] = customer
 
-    def take_changed(self, most: int) -> list[SavedMember]:
+    def take_changed(self, most: int) -> list[SavedCustomer]:
         """Return customers that have changed since they were last taken, `most` at once; costs in proportion."""
         if not self.changed:
             return []
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -97,7 +97,7 @@
     def record_message(self, now: float, peer: int, is_update: bool) -> None:
         """Note that a peer has sent a message; `is_update`: of usage by customers that are common to both."""
 
-    def member_seen(self, now: float, first: int, width: int) -> None:
+    def customer_seen(self, now: float, first: int, width: int) -> None:
         """Keep in contact with a set of ingresses: a customer of that set was seen."""
 
     def has_work(self) -> bool:
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class SavedMember(NamedTuple):
+class SavedCustomer(NamedTuple):
     """What one ingress knew of a customer's count; its fields are those of `core.customer.Customer`.
 
     `acknowledged`: own units that the count contained; `admitted_quarters`, `peer_quarters`: quarter units admitted
--- a/thistleusher/gossip/updates.py
+++ b/thistleusher/gossip/updates.py
@@ -60,7 +60,7 @@
             self.outbox.answer_update(now, peer)
             self.outbox.keep_contact(now, (peer,))
 
-    def member_seen(self, now: float, first: int, width: int) -> None:
+    def customer_seen(self, now: float, first: int, width: int) -> None:
         """Keep in contact with a set: a member of it was seen."""
         self.outbox.keep_contact(now, self._peers(first, width))
 
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -69,7 +69,7 @@
             return
         gossip = self.replication.gossip
         if gossip is not None and not customer.is_wide():
-            gossip.member_seen(now, customer.first, customer.width)
+            gossip.customer_seen(now, customer.first, customer.width)
         owner = None
         if event.expires_in > OWNER_TIMEOUTS * self.settings.counter_timeout:
             owner = self.replication.owner_of(now, customer)
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -17,7 +17,7 @@
 from thistleusher.core.events import Event
 from thistleusher.core.per_counter import PerCounter
 from thistleusher.core.settings import Settings
-from thistleusher.core.snapshots import Learned, SavedMember
+from thistleusher.core.snapshots import Learned, SavedCustomer
 from thistleusher.policy.admission import Admission
 from thistleusher.policy.attempts import SWEEP_S, Attempts
 from thistleusher.policy.fleet import Fleet
@@ -138,7 +138,7 @@
             return min(customer.headroom(now), carried_over(now, customer)) - customer.in_flight
         return customer.available(now)
 
-    def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None = None) -> None:
+    def restore(self, now: float, members: Iterable[SavedCustomer], learned: Learned | None = None) -> None:
         """Go on from what an earlier incarnation knew, and follow what changes from now on. Before any event."""
         customers = self.replication.customers
         customers.changed = {}
@@ -147,6 +147,6 @@
         for saved in members:
             customers.see(now, saved.key, customers.plans[saved.plan]).restore(saved)
 
-    def take_changed(self, most: int) -> list[SavedMember]:
+    def take_changed(self, most: int) -> list[SavedCustomer]:
         """Return customers that have changed since they were last taken, `most` at once. Cost: in proportion."""
         return self.replication.customers.take_changed(most)
--- a/thistleusher/state/records.py
+++ b/thistleusher/state/records.py
@@ -29,7 +29,7 @@
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
     """What one ingress knows of a member's count.
 
-    Behind the plan's rate and burst, the fields are those of `core.snapshots.SavedMember`, in its order.
+    Behind the plan's rate and burst, the fields are those of `core.snapshots.SavedCustomer`, in its order.
     """
 
     key: int
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field
 
 from thistleusher.core.settings import PlanSettings
-from thistleusher.core.snapshots import Learned, LearnedBackend, SavedMember, SavedReservation
+from thistleusher.core.snapshots import Learned, LearnedBackend, SavedCustomer, SavedReservation
 from thistleusher.state.records import EndpointListRecord, IncarnationRecord, MemberRecord, ReservationRecord
 
 SPEEDS_MAX_AGE_S = 600.0  # for which learned speeds say something
@@ -38,7 +38,7 @@
 class RecoveredMembers:
     """Members to be restored into the decision module, and how many records were skipped, by reason."""
 
-    members: list[SavedMember] = field(default_factory=list)
+    members: list[SavedCustomer] = field(default_factory=list)
     skipped: dict[str, int] = field(default_factory=dict)
 
     def skip(self, reason: str) -> None:
@@ -87,14 +87,14 @@
     return all(abs(figure) < MAX_UNITS for figure in figures)  # NaN compares as false
 
 
-def _recover_member(now: float, record: MemberRecord, plan: PlanSettings, is_copy: bool) -> SavedMember:
+def _recover_member(now: float, record: MemberRecord, plan: PlanSettings, is_copy: bool) -> SavedCustomer:
     same_plan = (plan.rate, plan.burst) == (record.rate, record.burst)
     used = record.burst - record.level
     level = min(plan.burst, record.level if same_plan else plan.burst - used)
     # Windows of another length have other names: what an old window's count holds is in no present one's. The same
     # where the clock was set back.
     window_known = same_plan and record.at <= now
-    member = SavedMember(
+    member = SavedCustomer(
         record.key,
         record.plan,
         level,
@@ -108,7 +108,7 @@
     if not window_known:
         return member
     # What peers reported and what is uncertain hold for their windows only.
-    return SavedMember(
+    return SavedCustomer(
         *member[:9],
         record.reported,
         record.reported_window,
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -10,7 +10,7 @@
 
 from thistleusher.core.decision_ports import Escrow
 from thistleusher.core.settings import Settings
-from thistleusher.core.snapshots import Learned, SavedMember, SavedReservation
+from thistleusher.core.snapshots import Learned, SavedCustomer, SavedReservation
 from thistleusher.state.options import StateOptions
 from thistleusher.state.records import (
     EndpointListRecord,
@@ -71,10 +71,10 @@
     def fleet(self) -> BackendKnowledge:
         """Return the decisions on backends."""
 
-    def restore(self, now: float, members: Iterable[SavedMember], learned: Learned | None) -> None:
+    def restore(self, now: float, members: Iterable[SavedCustomer], learned: Learned | None) -> None:
         """Take in what an earlier incarnation knew, and follow changes from now on."""
 
-    def take_changed(self, most: int) -> list[SavedMember]:
+    def take_changed(self, most: int) -> list[SavedCustomer]:
         """Return up to `most` members that have changed since they were last returned."""
 
 
