--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -39,12 +39,12 @@
         """Redirect all callers to the machine that leads."""
         self._answer_all(ServiceError(ErrorKind.REDIRECTED, where=leader))
 
-    def refuse_all(self) -> None:
-        """Refuse all calls because this process is stopping."""
+    def reject_all(self) -> None:
+        """Reject all calls because this process is stopping."""
         self._answer_all(ServiceError(ErrorKind.SHUTTING_DOWN))
 
     def expire(self) -> None:
-        """Refuse the calls that have waited too long."""
+        """Reject the calls that have waited too long."""
         late = [call for call in self._waiting if self._context.now > call.deadline]
         if late:
             self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -178,7 +178,7 @@
         self._context.advance(now)
         self._role.stopping = True
         self._hand_over.step_down_if_possible()
-        self._calls.refuse_all()
+        self._calls.reject_all()
         self._hand_over.announce()
         return self._context.flush()
 
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -27,6 +27,7 @@
 )
 from thistleusher.control.leases import LeaseGrantor
 from thistleusher.control.node import ControlNode
+from thistleusher.control.state_copy import NO_EPOCH
 from thistleusher.transport.messages import (
     AnyMessage,
     CoreInfo,
@@ -40,8 +41,6 @@
 )
 from thistleusher.transport.state_updates import Publisher, State
 
-NO_EPOCH = -1
-
 
 class PersistRequest(NamedTuple):
     """A client's request to persist items, which waits for the answer to its call."""
