--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -36,7 +36,7 @@
     VOTER_GUARD_S,
 )
 from thistleusher.control.view_change import ViewChange
-from thistleusher.transport.messages import Vote, VoteRejected, VoteRequest
+from thistleusher.transport.messages import ViewRecord, Vote, VoteRejected, VoteRequest
 
 
 class Elections:
@@ -120,18 +120,27 @@
         self._count_votes(candidacy)
 
     def _count_votes(self, candidacy: Candidacy) -> None:
-        """Adopt the newest view among the votes; with a quorum, go on to `Stage.ENTER` where this machine may lead.
+        """Follow the newest view among the votes; once its electorate has decided, enter the epoch."""
+        newest = self._follow_newest_view(candidacy)
+        if not newest.has_quorum(candidacy.votes):
+            return
+        self._enter_if_eligible(candidacy)
 
-        Where the view is new here, its voters are asked too; where this machine lacks its state, the candidacy ends.
-        """
+    def _follow_newest_view(self, candidacy: Candidacy) -> ViewRecord:
+        """Adopt the newest view among the votes, and return it; where it is new here, ask its voters too."""
         newest = max((view for view in candidacy.votes.values() if view is not None), key=lambda view: view.epoch)
         self._durable.adopt(newest)
         if newest.epoch > candidacy.view.epoch:  # it may have other voters, which are asked too
             candidacy.view = newest
             candidacy.voters = None
             self._ask()
-        if not newest.has_quorum(candidacy.votes):
-            return
+        return newest
+
+    def _enter_if_eligible(self, candidacy: Candidacy) -> None:
+        """Go on to `Stage.ENTER`, unless better replicas are awaited.
+
+        End the candidacy where this machine lacks the state of the newest view and so may not lead.
+        """
         if not self._role.is_eligible():
             self._role.candidacy = None
             self._role.postpone_candidacy(VOTER_GUARD_S)
