--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -241,8 +241,9 @@
     DeliberateFault(
         3,
         "a silent replica is not replaced",
-        "if late and free:",
-        "if False:",
+        "if late and free:\n            return",
+        "if False:\n            return",
+        (("if late and free:\n            self._exclude", "if False:\n            self._exclude"),),
     ),
     DeliberateFault(
         3,
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -39,7 +39,11 @@
     def consider(self, leadership: Leadership) -> None:
         """Start a candidacy for the next epoch where other replicas or voters are due."""
         self._forget_stale_leaving()
-        why = self._replicas_due(leadership)
+        late = [name for name in leadership.view.replicas if self._is_late(name, leadership)]
+        free = [name for name in leadership.view.voters if self._is_free(name, leadership)]
+        if late and free:
+            self._exclude(late)
+        why = self._replicas_due(leadership, late, free)
         change = self._voters_due(leadership)
         if change is not None:
             self._elections.start_candidacy(change.why, change.voters)
@@ -53,18 +57,18 @@
 
     # Replicas.
 
-    def _replicas_due(self, leadership: Leadership) -> str:
+    def _exclude(self, late: list[str]) -> None:
+        """Exclude late replicas for a while, so that the next candidacy chooses others."""
+        for name in late:
+            self._role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
+
+    def _replicas_due(self, leadership: Leadership, late: list[str], free: list[str]) -> str:
         """Return why other machines are to hold the copies; empty where they are not.
 
-        Where late replicas are the reason, this also excludes them for a while.
+        `late`: replicas that are late; `free`: voters that may hold a copy in place of another.
         """
-        view, role = leadership.view, self._role
-        late = [name for name in view.replicas if self._is_late(name, leadership)]
-        leaving = [name for name in view.replicas if name in role.leaving]
-        free = [name for name in view.voters if self._is_free(name, leadership)]
+        leaving = [name for name in leadership.view.replicas if name in self._role.leaving]
         if late and free:
-            for name in late:
-                role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
             return f"{', '.join(late)} is silent"
         if leaving and free:
             return f"{', '.join(leaving)} is about to end"
