--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -130,7 +130,7 @@
     changes: dict[str, dict[str, Any] | None] = {}
     for page in pages:
         now = max(now, poller.next_call_at)
-        poller.next_call(now)
+        poller.begin_call(now)
         began = time.process_time()
         changes = poller.receive_page(now, page) or changes
         read_s += time.process_time() - began
--- a/tests/proxy/test_quota.py
+++ b/tests/proxy/test_quota.py
@@ -87,7 +87,7 @@
             return
         own_echo = echo[1] if echo is not None and echo[0] == str(self.term) else None
         counter.record_heartbeat(self.clock.now, ingress.name, ingress.incarnation, own_echo)
-        share, new_echo = counter.ingresses[ingress.name].share, Echo(str(self.term), self.clock.now)
+        share, new_echo = counter.proxies[ingress.name].share, Echo(str(self.term), self.clock.now)
         self.deliver("c", ingress.name, lambda: ingress.quota.record_echo(self.clock.now, new_echo, sent_at, share))
 
     def request(self, name):
@@ -221,13 +221,13 @@
     counts.record_heartbeat(0.1, "i", "x", 0.1)
     assert counts.charge(0.5, "i", "t", 1)[0] == DECIDE_LOCALLY  # no window has begun yet
     counts.record_heartbeat(0.9, "i", "x", 0.9)
-    counts.ingresses["i"].in_contact_since = 0.1
+    counts.proxies["i"].in_contact_since = 0.1
     number = counts.charge(1.0, "i", "t", 1)[2]
     for _ in range(20):
         counts.record_heartbeat(1.0, "i", "x", 1.0)
         counts.charge(1.0, "i", "t", 1)
     counts.record_heartbeat(2.0, "i", "x", 2.0)
-    counts.ingresses["i"].in_contact_since = 0.1
+    counts.proxies["i"].in_contact_since = 0.1
     verdicts = []
     for _ in range(10):
         counts.refund(2.1, "t", 1, number)
--- a/tests/registry/test_backend_poller.py
+++ b/tests/registry/test_backend_poller.py
@@ -28,7 +28,7 @@
     """A reading of some pages; what changed."""
     changes = None
     for body in pages:
-        while poller.next_call(now) is None:
+        while poller.begin_call(now) is None:
             now += 0.05
         changes = poller.receive_page(now, body)
     return now, changes
@@ -46,9 +46,9 @@
 
 def test_the_second_page_is_asked_for_by_its_token():
     poller = BackendPoller(0.0, 47.0)
-    assert poller.next_call(0.0) == "/instances"
+    assert poller.begin_call(0.0) == "/instances"
     poller.receive_page(0.0, page(entry(1), token="p 50"))
-    assert poller.next_call(0.0) is None and poller.next_call(0.1) == "/instances?page_token=p%2050"
+    assert poller.begin_call(0.0) is None and poller.begin_call(0.1) == "/instances?page_token=p%2050"
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
 def test_an_unreadable_answer_leaves_the_list_as_it_was(body):
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1), entry(2)))
-    while poller.next_call(now) is None:
+    while poller.begin_call(now) is None:
         now += 0.05
     with pytest.raises(UnreadableAnswerError):
         poller.receive_page(now, body)
@@ -80,10 +80,10 @@
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(poller, now + 1, page(entry(1), token="p"))
-    poller.next_call(now + 1)
+    poller.begin_call(now + 1)
     poller.call_failed(now + 1)  # the second page never comes
     assert set(poller.backends) == {"i1", "i2"}
-    assert poller.next_call(now + 3) == "/instances"  # from the start again
+    assert poller.begin_call(now + 3) == "/instances"  # from the start again
 
 
 def test_an_empty_list_is_believed_only_after_some_readings():
@@ -98,14 +98,14 @@
 def test_calls_stay_below_the_platforms_bound_and_back_off_after_a_429():
     poller, calls, now = BackendPoller(0.0, 4.0), 0, 0.0
     while now < 10.0:
-        if poller.next_call(now) is not None:
+        if poller.begin_call(now) is not None:
             calls += 1
             poller.receive_page(now, page(entry(1), token="more" if calls % 3 else None))
         now += 0.01
     assert calls <= 10 * 4.0 * 0.5 + 1
-    poller.next_call(now + 1)
+    poller.begin_call(now + 1)
     poller.call_failed(now + 1, 429)
-    assert poller.next_call(now + 1.9) is None and poller.next_call(now + 2.1) is not None
+    assert poller.begin_call(now + 1.9) is None and poller.begin_call(now + 2.1) is not None
 
 
 def test_a_warming_backend_is_published_once_and_again_when_it_is_warm():
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -112,12 +112,12 @@
     def at_counter(self, name, message):
         if isinstance(message, ProxyHeartbeat):
             if self.table.counter.record_heartbeat(self.now, name, message.incarnation, self.now):
-                self.table.counter.ingresses[name].in_contact_since = float("-inf")
+                self.table.counter.proxies[name].in_contact_since = float("-inf")
             return
         result = self.table.receive(self.now, name, message)
         key = message.incarnation, message.number
         if message.amount < 0:
-            if self.table.counter.ingresses[name].incarnation == message.incarnation:
+            if self.table.counter.proxies[name].incarnation == message.incarnation:
                 self.given_back.add(key)
         elif result is not None:
             first = self.counted.setdefault(key, result.window)
@@ -174,7 +174,7 @@
 def known(table, name="p", incarnation="x", now=2.0):
     """A proxy that is counted."""
     table.counter.record_heartbeat(now, name, incarnation, now)
-    table.counter.ingresses[name].in_contact_since = 0.0
+    table.counter.proxies[name].in_contact_since = 0.0
     return table
 
 
--- a/thistleusher/registry/backend_poller.py
+++ b/thistleusher/registry/backend_poller.py
@@ -67,7 +67,7 @@
         self.backends: dict[str, Backend] = {}
         self.warm_at: dict[str, float] = {}  # by backend, when its warm-up ends; 0 for one that is warm
 
-    def next_call(self, now: float) -> str | None:
+    def begin_call(self, now: float) -> str | None:
         """Begin the call that is due, return its target (None: no call). `receive_page` or `call_failed` ends it."""
         if self.in_flight or now < self.next_call_at:
             return None
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -86,8 +86,8 @@
 
     def _charges_of(self, sender: str, incarnation: str) -> SenderCharges | None:
         """Return the charges of a sender's present incarnation; None for a message of another one."""
-        ingress = self.counter.ingresses.get(sender)
-        if ingress is None or ingress.incarnation != incarnation:
+        proxy = self.counter.proxies.get(sender)
+        if proxy is None or proxy.incarnation != incarnation:
             return None
         charges = self.senders.get(sender)
         if charges is None or charges.incarnation != incarnation:
--- a/thistleusher/registry/published_list.py
+++ b/thistleusher/registry/published_list.py
@@ -1,4 +1,4 @@
-"""The list that registries publish: backends and members (ingresses), as numbered state updates.
+"""The list that registries publish: backends and members (proxies), as numbered state updates.
 
 A registry without the singleton role has a copy of it, by subscribing to the others; the one with the role changes and
 publishes it. Pure.
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -1,4 +1,4 @@
-"""The registry's state machine: the lease of its singleton role, backends, ingresses, the counter, subscribers.
+"""The registry's state machine: the lease of its singleton role, backends, proxies, the counter, subscribers.
 
 Ingresses are the proxies: `members` holds what they report of themselves, `counter` what they may spend. Subscribers
 are the proxies and the other registries.
@@ -57,7 +57,7 @@
 PERSIST_SPACING_S = 1.0  # between requests to persist shares
 LEADER_MACHINE_DELAY_S = 0.3  # by which the registry on the control leader's machine attempts the lease later
 OK = 200
-SHARE = "share:"  # prefix of the ingresses' shares, which are items of the control state
+SHARE = "share:"  # prefix of the proxies' shares, which are items of the control state
 
 
 class Registry:
@@ -93,7 +93,7 @@
 
     def tick(self, now: float) -> list[Output]:
         """Let time pass; to be called ten times a second or more."""
-        self._tend_lease(now)
+        self._update_role(now)
         if self.holds_role:
             self._work(now)
         return self._flush()
@@ -116,7 +116,7 @@
         reply: AnyMessage | None = None
         if isinstance(message, LeaseGranted | LeaseRejected):
             self.lease.receive(address, message)
-            self._tend_lease(now)
+            self._update_role(now)
         elif isinstance(message, CoreInfo):
             self._update_core(message)
         elif isinstance(message, StateUpdate):
@@ -216,7 +216,7 @@
         if self.holds_role and not self.lease.holds_lease(now):
             self._end_role("the lease has ended")
 
-    def _tend_lease(self, now: float) -> None:
+    def _update_role(self, now: float) -> None:
         """Ask for the lease when it is due; begin the role as soon as it is held, end it as soon as it is not."""
         self.lease.tick(now, self._send_to_control)
         self._check_lease(now)
@@ -229,8 +229,8 @@
         self.counter = QuotaCounter(now)
         self.charges = ChargeTable(self.counter)
         self._configure_counter()
-        for node, entry in self.list.members().items():
-            self.members.restore(now, node, entry)
+        for proxy_name, entry in self.list.members().items():
+            self.members.restore(now, proxy_name, entry)
         self.poller = BackendPoller(now, self.platform_rate_per_s)
         # How much of a warm-up is left is not known here, so the first reading publishes those backends anew.
         known = self.list.backends()
@@ -249,7 +249,7 @@
         """Do what is due for a holder of the role: call the platform, have shares persisted, publish members."""
         assert self.counter is not None
         if self.has_platform and self.called_by is None:
-            target = self.poller.next_call(now)
+            target = self.poller.begin_call(now)
             if target is not None:
                 self.called_by = self.poller
                 self._outputs.append(CallPlatform(target))
@@ -321,5 +321,5 @@
             return
         echoed = heartbeat.echo[1] if heartbeat.echo is not None and heartbeat.echo[0] == self.name else None
         if self.counter.record_heartbeat(now, name, heartbeat.incarnation, echoed):
-            share = self.counter.ingresses[name].share
+            share = self.counter.proxies[name].share
             self._send_to_subscriber(name, HeartbeatEcho(self.name, heartbeat.sent, now, share))
