--- a/thistleusher/core/peer_notifier.py
+++ b/thistleusher/core/peer_notifier.py
@@ -35,7 +35,7 @@
         self.messages_max = self.limits.messages
         self.outbox = UsageOutbox(customers)
         self.timer_set = False
-        self.presence_due = False  # notify with the next tick, even if only that this ingress is there
+        self.notify_due = False  # notify with the next tick, even if only that this ingress is there
         self.last_notified = now
 
     def usage_changed(self, now: float, customer: Customer, units: float, lazy: bool) -> None:
@@ -50,7 +50,7 @@
 
     def is_due(self) -> bool:
         """Return whether `notify` has anything to do with the next tick."""
-        return bool(self.outbox.waiting) or self.presence_due or (self.gossip is not None and self.gossip.has_work())
+        return bool(self.outbox.waiting) or self.notify_due or (self.gossip is not None and self.gossip.has_work())
 
     def notify(self, now: float) -> None:
         """Notify peers of what was admitted here: they see it in a total only with their next calls of the counter.
@@ -58,7 +58,7 @@
         Demands for shares go out with it. Without gossip and without usage, it only says that this ingress is there.
         """
         self.timer_set = False
-        self.presence_due = False
+        self.notify_due = False
         self.last_notified = now
         self.send_demands(now)
         if self.gossip is None:
--- a/thistleusher/policy/replication.py
+++ b/thistleusher/policy/replication.py
@@ -83,7 +83,7 @@
         admitted = self.escrow.admit(now, plan, customer.key, customer.first, customer.width, units, spent)
         if not admitted:
             self.notifier.send_demands(now)
-            self.notifier.presence_due = True  # what is not sent now goes with the next notification
+            self.notifier.notify_due = True  # what is not sent now goes with the next notification
         return admitted
 
     def peer_message_received(self, now: float, message: events.PeerMessage) -> None:
@@ -96,7 +96,7 @@
             self.gossip.record_message(now, sender, has_usage)
         if mark == USAGE_MARK and len(payload) % USAGE_ENTRY.size == 1 and self.notifier.limits.enabled:
             quiet = now - self.notifier.last_notified > PRESENCE_S
-            self.notifier.presence_due |= self.gossip is None and has_usage and quiet
+            self.notifier.notify_due |= self.gossip is None and has_usage and quiet
             for name, total, new, level in USAGE_ENTRY.iter_unpack(payload[1:]):
                 self.merge_usage(now, sender, int.from_bytes(name), total, new, level / LEVEL_STEPS)
         elif self.escrow is not None and mark in ESCROW_MARKS:
