--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -19,8 +19,8 @@
 from thistleusher.policy.attempts import Attempts
 from thistleusher.policy.fleet import Fleet
 from thistleusher.policy.health import CALL_INTERVAL_S, DOWN_CALL_SHARE, DOWN_MISSES, CounterHealth
-from thistleusher.policy.replication import UsageReplication
 from thistleusher.policy.totals import Totals
+from thistleusher.policy.usage_replication import UsageReplication
 
 GRANT_WAIT_S = 0.25  # for which a request waits at most for shares that peers are asked for
 OWNER_TIMEOUTS = 5  # time-outs of the counter that a request must have left for its account's owner to be asked
--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -14,7 +14,7 @@
 from thistleusher.core.events import Outcome
 from thistleusher.core.settings import Effect, Group, Settings
 from thistleusher.policy.fleet import OVERLOADED, Fleet
-from thistleusher.policy.replication import UsageReplication
+from thistleusher.policy.usage_replication import UsageReplication
 
 SILENT_FACTOR = 8.0  # usual latencies of owed answers after which a backend counts as silent
 SWEEP_S = 0.05  # between looks at silent backends and at the queue
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -1,7 +1,7 @@
 """All decisions of a quota gateway; its settings, events and actions are in `thistleusher.core`.
 
-`Gateway` ties the concerns together. From the bottom up: `replication` (customers' buckets in step with peers), `fleet`
-(backends), `attempts` (what is sent and retried), `totals` (what the counter's totals say) and `admission`.
+`Gateway` ties the concerns together. From the bottom up: `usage_replication` (customers' buckets in step with peers),
+`fleet` (backends), `attempts` (what is sent and retried), `totals` (what the counter's totals say) and `admission`.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from thistleusher.policy.attempts import SWEEP_S, Attempts
 from thistleusher.policy.fleet import Fleet
 from thistleusher.policy.health import CounterHealth
-from thistleusher.policy.replication import UsageReplication
 from thistleusher.policy.totals import carried_over
+from thistleusher.policy.usage_replication import UsageReplication
 
 # Tokens of timers.
 SWEEP_TIMER = 0
--- a/thistleusher/policy/totals.py
+++ b/thistleusher/policy/totals.py
@@ -5,7 +5,7 @@
 from thistleusher.core.actions import Action, Log
 from thistleusher.core.customer import Customer
 from thistleusher.core.settings import Settings
-from thistleusher.policy.replication import UsageReplication
+from thistleusher.policy.usage_replication import UsageReplication
 
 LOSS_REQUESTS = 2.0  # most units, in largest requests, by which a total may be below what was added here
 LOSS_LOG_S = 10.0  # between log lines about that
