--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -36,8 +36,8 @@
     Wrong(
         "what may have run is sent again, whatever its class",
         "policy/attempts.py",
-        "if ran_at is None or request.cls.effect",
-        "if True or request.cls.effect",
+        "if ran_at is None or request.request_class.effect",
+        "if True or request.request_class.effect",
     ),
     Wrong(
         "what may have run is refused as harmless",
--- a/thistleusher/core/charges.py
+++ b/thistleusher/core/charges.py
@@ -43,7 +43,7 @@
     ) -> None:
         """`work`: expected, as a multiple of its class's mean."""
         super().__init__(event, customer)
-        self.cls = cls
+        self.request_class = cls
         self.work = work
         self.target = now + min(cls.objective, event.expires_in)  # nothing is sent once its client is gone
         self.attempts = 0
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -18,7 +18,7 @@
     """
 
     event: Request
-    cls: ClassSettings
+    request_class: ClassSettings
     work: float
     failed_backends: set[str]
     ran_on: BackendEntry | None
--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -42,8 +42,8 @@
         del self.requests[request.event.id]
         if request.consumed > 0 and request.attempts == 0:  # what was never sent uses nothing up
             self.replication.reconcile(now, request, -request.consumed)
-        effect = request.cls.effect
-        repeatable = effect is Effect.SAFE or (effect is Effect.KEYED and request.cls.group is Group.ALL)
+        effect = request.request_class.effect
+        repeatable = effect is Effect.SAFE or (effect is Effect.KEYED and request.request_class.group is Group.ALL)
         if request.ran_at is not None and not repeatable:
             self.actions.append(Fail(request.event.id))
         else:
@@ -52,8 +52,8 @@
     def would_be_late(self, now: float, request: PendingRequest) -> bool:
         """Return whether a request that has to be queued cannot meet its latency target."""
         ahead = 1 + bisect.bisect_right(self.queue, -request.value, key=lambda queued: -queued.value)
-        wait = ahead * self.fleet.latency[request.cls.name] / self.fleet.slots
-        return now + wait + self.fleet.base_latency[request.cls.name] * request.work > request.target
+        wait = ahead * self.fleet.latency[request.request_class.name] / self.fleet.slots
+        return now + wait + self.fleet.base_latency[request.request_class.name] * request.work > request.target
 
     def send(self, now: float, request: PendingRequest) -> None:
         """Start an attempt, or queue the request if a slot should come free in time for its target."""
@@ -101,7 +101,7 @@
 
         A long request at a live server is left alone.
         """
-        usual = self.fleet.latency[request.cls.name] * request.work
+        usual = self.fleet.latency[request.request_class.name] * request.work
         if now - request.sent_at <= 2 * usual or not self.settings.may_cancel:
             return False
         return self._allows_attempt(now, request, request.ran_at or request.sent_at)
@@ -110,11 +110,11 @@
         """Return whether one more attempt is allowed; if one may have run at `ran_at`, by class and window too."""
         if request.attempts >= self.settings.max_attempts:
             return False
-        if now + self.fleet.base_latency[request.cls.name] * request.work > request.target:
+        if now + self.fleet.base_latency[request.request_class.name] * request.work > request.target:
             return False
-        if ran_at is None or request.cls.effect is Effect.SAFE:
+        if ran_at is None or request.request_class.effect is Effect.SAFE:
             return True
-        return request.cls.effect is Effect.KEYED and now < ran_at + request.cls.window - SWEEP_S
+        return request.request_class.effect is Effect.KEYED and now < ran_at + request.request_class.window - SWEEP_S
 
     def attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
         """Learn from an attempt's outcome, then retry or give the final answer if there is none yet."""
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -142,8 +142,10 @@
         """Return the backend of least cost: own outstanding work over learned speed; None where none is eligible."""
         best: Backend | None = None
         best_cost = 0.0
-        keyed = request.ran_on if request.cls.effect is Effect.KEYED else None
-        keys = [(key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.cls.name, request.event.plan)]
+        keyed = request.ran_on if request.request_class.effect is Effect.KEYED else None
+        keys = [
+            (key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.request_class.name, request.event.plan)
+        ]
         for backend in among:
             if not self._is_eligible(now, backend, request, keyed):
                 continue
@@ -166,10 +168,10 @@
         entry = backend.entry
         if entry.backend in request.failed_backends or now < backend.ejected_until:
             return False
-        if backend.trial and (backend.outstanding or request.cls.effect is Effect.UNSAFE):
+        if backend.trial and (backend.outstanding or request.request_class.effect is Effect.UNSAFE):
             return False
         if keyed is not None:
-            group = request.cls.group
+            group = request.request_class.group
             if (group is Group.ZONE and entry.zone != keyed.zone) or (group is Group.CELL and entry.cell != keyed.cell):
                 return False
         return entry.born <= 0 or self._has_token(now, backend)
@@ -191,7 +193,7 @@
     def sent(self, now: float, backend: Backend, request: Routed) -> None:
         """Note an attempt that goes out."""
         event = request.event
-        attempt = OutstandingAttempt(now, request.cls.name, event.plan, event.units, request.work)
+        attempt = OutstandingAttempt(now, request.request_class.name, event.plan, event.units, request.work)
         self.backends.started(backend, event.id, attempt)
         if self.warmth(now, backend) < 1.0:
             backend.tokens -= request.work
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -105,7 +105,7 @@
 
     def select(self, now: float, fleet: Fleet, request: RequestState) -> Backend | None:
         """Return the best backend of the nearest tier that has one; None where no backend can take the request now."""
-        fleet.add_class(request.cls)
+        fleet.add_class(request.request_class)
         for tier in tiers(self.locality, self.listed, fleet.ready, request.allowed_regions):
             candidates = [backend for backend in tier if self._accepts(now, backend)]
             best = fleet.least(now, request, candidates) if candidates else None
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -169,7 +169,7 @@
             self._send(now, fleet, request, best)
         elif name not in self.waiting:
             some_region = request.allowed_regions is None or bool(request.allowed_regions)
-            if some_region and now - request.received_at < MAX_WAIT_SHARE * request.cls.objective:
+            if some_region and now - request.received_at < MAX_WAIT_SHARE * request.request_class.objective:
                 self.waiting.append(name)
             else:
                 self._give_up(request)
@@ -246,7 +246,7 @@
             return
         if request.backend != attempt.backend.entry.backend:
             return
-        is_late = now - request.sent_at > LATE_FACTOR * attempt.fleet.latency[request.cls.name]
+        is_late = now - request.sent_at > LATE_FACTOR * attempt.fleet.latency[request.request_class.name]
         if not is_late or not self.retries.allowed(now, request):
             return
         other = self.selector.select(now, attempt.fleet, request)
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -52,7 +52,7 @@
 
     __slots__ = (
         "event",
-        "cls",
+        "request_class",
         "work",
         "failed_backends",
         "ran_on",
@@ -83,7 +83,7 @@
     ) -> None:
         """`allowed_regions`: those that may serve it; None where neither route nor tenant restricts them."""
         self.event = request
-        self.cls = class_settings
+        self.request_class = class_settings
         self.work = 1.0
         self.failed_backends: set[str] = set()  # backends at which an attempt of it has failed
         self.ran_on: BackendEntry | None = None
