--- a/tests/transport/test_state_updates.py
+++ b/tests/transport/test_state_updates.py
@@ -43,7 +43,7 @@
 def test_what_is_missing_from_a_whole_state_is_gone():
     subscriber = Subscriber("f", State(3, {"a": (1, 1), "b": (3, 2)}))
     whole = State(8, {"b": (3, 2)}, floor=8).update_since(3)
-    assert whole.previous is None
+    assert whole.base is None
     assert subscriber.apply(whole)[0] == {"a": None}
     assert subscriber.state.values("") == {"b": 2}
 
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -247,7 +247,7 @@
     async def _hand_over(self, command: SendHandOver) -> None:
         copy = command.message
         if await send_hand_over(self.loop, command.ip, self.node_settings.port(PROXY), copy):
-            log_event(Event.STATE_HANDED_OVER, command.name, copy.control.previous or 0, copy.registry.previous or 0)
+            log_event(Event.STATE_HANDED_OVER, command.name, copy.control.base or 0, copy.registry.base or 0)
 
     def _on_hand_over(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
--- a/thistleusher/transport/messages/subscription.py
+++ b/thistleusher/transport/messages/subscription.py
@@ -15,10 +15,10 @@
 
 
 class StateUpdate(Message, tag="news", frozen=True):
-    """The items that changed after state `previous` (None: the complete state), which lead to state `number`."""
+    """The items that changed after state `base` (None: the complete state), which lead to state `number`."""
 
     number: int
-    previous: int | None
+    base: int | None
     items: Items
 
 
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -155,9 +155,9 @@
         """Apply an update. An older one is only acknowledged; one that leaves a gap is not applied."""
         if update.number <= self.state.number:
             return UpdateResult(None, StateUpdateAck(self.state.number))
-        if update.previous is None:
+        if update.base is None:
             changed = self._replace(update)
-        elif update.previous > self.state.number:
+        elif update.base > self.state.number:
             return UpdateResult(None, self.subscribe_request())
         else:
             newer = {name: item for name, item in update.items.items() if item[0] > self.state.number}
