--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -10,12 +10,13 @@
 - `disconnected(name)`: a client's connection has ended;
 - `submit(now, make)`: a call of an operator; its one `Answer` bears the id that `submit` returns;
 - `write_completed(now, token, ok)`: a `Write` is on disk, or failed;
-- `stop(now)`: the process is to stop; it may once `node.can_stop` is true;
-- `node.add_seeds(addresses)`: the settings file was read again.
+- `stop(now)`: the process is to stop; it may once `ControlNode.can_stop` is true;
+- `ControlNode.add_seeds(addresses)`: the settings file was read again.
 
-Beside these it may read `next_call_id`, `node.known_peers()`, whom to connect to, and `node.holds_lease(now)`, which it
-must ask again before an answer that relies on the lease leaves. Registries use `leases.LeaseHolder`. Nothing else of
-this package is called from outside, except by tests and simulations, which also read the node's state.
+Beside these it may read `next_call_id`, `ControlNode.known_peers()`, whom to connect to, and
+`ControlNode.holds_lease(now)`, which it must ask again before an answer that relies on the lease leaves. Registries use
+`leases.LeaseHolder`. Nothing else of this package is called from outside, except by tests and simulations, which also
+read the node's state.
 """
 
 from __future__ import annotations
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -73,7 +73,7 @@
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
     """Return a document as an order, after complete validation.
 
-    Raises an ExceptionGroup of `validation.InvalidConfigurationError`. `state`: the state in force; what was accepted
+    Raises an ExceptionGroup of `InvalidConfigurationError`. `state`: the state in force; what was accepted
     into it is not validated again. Cost: one step a field.
     """
     in_force = identity_of(state) if state is not None and is_stored_document(state, document) else None
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -92,7 +92,7 @@
         return call_id, self._carry_out(now, self.node.submit(now, make(call_id)))
 
     def stop(self, now: float) -> list[ServiceOutput]:
-        """Begin to stop in order, until `node.can_stop`."""
+        """Begin to stop in order, until `ControlNode.can_stop`."""
         return self._carry_out(now, self.node.stop(now))
 
     def receive(self, now: float, name: str, message: AnyMessage) -> list[ServiceOutput]:
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -69,7 +69,7 @@
 
 
 class SavedReservation(NamedTuple):
-    """Headroom of a customer's allowance that one ingress leaves to its next incarnation (`quota.reserve`).
+    """Headroom of a customer's allowance that one ingress leaves to its next incarnation (`quota.reservations`).
 
     `plan`: its number in the settings; `units` at Unix time `at`, -inf where the allowance was forgotten.
     """
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -9,7 +9,7 @@
    total of the same window shows it where nobody else can have added as much. Otherwise it is counted twice: the member
    may get that much less, never more.
 4. Where a plan has changed, the units that were used stay used: they come off the new burst.
-5. A reservation is worth what `quota.reserve` says, and only under the terms that it was noted under; in a copied
+5. A reservation is worth what `quota.reservations` says, and only under the terms that it was noted under; in a copied
    folder it is worth nothing, as the original may be alive and spend it.
 6. What was learned of backends ages: speeds for ten minutes, faults and ejections while they could still hold. After
    the clock was set back only the speeds are believed. Only the same process of a backend is meant.
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -140,7 +140,7 @@
 
 
 class Subscriber:
-    """A subscriber's copy of a state; `state.number` never falls."""
+    """A subscriber's copy of a state; `State.number` never falls."""
 
     def __init__(self, name: str = "", state: State | None = None) -> None:
         """Create a subscriber; `name`: the one that it subscribes under."""
