--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -178,7 +178,7 @@
         self._context.advance(now)
         self._role.stopping = True
         self._hand_over.step_down_if_possible()
-        self._calls.refuse_all()
+        self._calls.reject_all()
         self._hand_over.announce()
         return self._context.flush()
 
@@ -201,12 +201,12 @@
     @property
     def position(self) -> Position:
         """The position of the copy in memory."""
-        return self._durable.replica.position
+        return self._durable.state_copy.position
 
     @property
     def state(self) -> State:
         """The copy in memory. It may hold a change that is not in force yet."""
-        return self._durable.replica.state
+        return self._durable.state_copy.state
 
     @property
     def leadership(self) -> Leadership | None:
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -27,6 +27,7 @@
 )
 from thistleusher.control.leases import LeaseGrantor
 from thistleusher.control.node import ControlNode
+from thistleusher.control.state_copy import NO_EPOCH
 from thistleusher.transport.messages import (
     AnyMessage,
     CoreInfo,
@@ -40,8 +41,6 @@
 )
 from thistleusher.transport.state_updates import Publisher, State
 
-NO_EPOCH = -1
-
 
 class PersistRequest(NamedTuple):
     """A client's request to persist items, which waits for the answer to its call."""
@@ -93,7 +92,7 @@
         return call_id, self._carry_out(now, self.node.submit(now, make(call_id)))
 
     def stop(self, now: float) -> list[ServiceOutput]:
-        """Begin to stop in order, until `node.can_stop`."""
+        """Begin to stop in order, until `ControlNode.can_stop`."""
         return self._carry_out(now, self.node.stop(now))
 
     def receive(self, now: float, name: str, message: AnyMessage) -> list[ServiceOutput]:
