--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -75,8 +75,8 @@
     def overdue(self, now: float, requests: Mapping[str, RequestState]) -> Iterator[tuple[RequestState, Ruling]]:
         """Yield rulings by this ingress's own share on requests whose verdict is late.
 
-        Each is to be acted on before the next is taken. While the counter is silent all are ruled on; else those that
-        have waited for `VERDICT_WAIT_S` and that the share admits, while the others wait on.
+        Each is to be acted on before the next is taken. While this ingress is isolated, all that wait are ruled on.
+        Else only those are that have waited for `VERDICT_WAIT_S` and that the share admits; the others wait on.
         """
         isolated = self.quota.is_isolated(now)
         for name, since in list(self.awaiting_verdict.items()):
@@ -105,7 +105,10 @@
             self.actions.append(ChargeTenant(request.event.id, request.tenant, -1, request.charge_window))
 
     def _rule_locally(self, now: float, request: RequestState, tenant: str, retry_after_s: float = 0.0) -> Ruling:
-        """Rule by this ingress's own share, as the central count does not admit the request; refund its charge."""
+        """Refund the request's charge, as the central count does not admit it, and rule by this ingress's own share.
+
+        Without `retry_after_s` a rejection leaves as one for lack of capacity (503), not as one by quota (429).
+        """
         self.refund(request)
         if not self.quota.spend(now, tenant):
             return Ruling(False, retry_after_s)
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -24,8 +24,8 @@
 from thistleusher.proxy.placement import ListedBackend, Locality, tiers
 from thistleusher.proxy.requests import RequestState
 
-SILENT_FACTOR = 8.0  # usual times of its outstanding answers, after which a backend counts as silent
-LATE_FACTOR = 2.0  # usual times of an answer, after which an attempt at a silent backend counts as late
+SILENT_FACTOR = 8.0  # times the usual latency of what it owes answers to, after which a backend counts as silent
+LATE_FACTOR = 2.0  # times its class's usual latency, after which an attempt at a silent backend counts as late
 OWN_ZONE_RATIO = 1.25  # of the best backend's latency ratio, up to which one of this zone is taken instead
 
 
@@ -152,7 +152,7 @@
                 fleet.ended(now, event)
 
     def silent_attempts(self, now: float) -> Iterator[SilentAttempt]:
-        """Yield the attempts at backends that have fallen silent, which their fleets eject."""
+        """Have the fleets eject the backends that have fallen silent; yield the attempts that are out at them."""
         for fleet in self.fleets.values():
             for backend in fleet.eject_silent(now, SILENT_FACTOR):
                 for request in backend.outstanding:
--- a/thistleusher/proxy/budgets.py
+++ b/thistleusher/proxy/budgets.py
@@ -1,8 +1,8 @@
 """This ingress's parts of two budgets that all ingresses share: retries, and requests to warming backends.
 
 Retries: the rule allows `ratio` of a service's requests plus a slack, over all ingresses, in each window. An ingress
-adds its part of the ratio for each request that it takes, and its even part of the slack, so the sum over the fleet is
-bounded by the rule's own sum, whatever each ingress sees.
+allows itself the ratio of the requests that it has taken itself, and an even part of the slack. So all ingresses
+together stay within the rule, and none needs to know what the others see.
 
 Slow start: the requests that a warming backend may get in a second are split evenly. Where a part would be below one,
 only so many ingresses, chosen by a hash, may send at all.
@@ -15,7 +15,7 @@
 import zlib
 from collections import deque
 
-ASSUMED_INGRESSES = 16  # as long as the registry's list has named none
+ASSUMED_INGRESSES = 16  # their number, as long as the registry's list has named none
 SAFETY = 0.8  # part that is used of the slack, and of what a warming backend may get
 RATIO_USED = 0.75  # part that is used of the ratio
 SLOW_START_WINDOW_S = 1.05  # a little over the second that the rule counts by
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -2,7 +2,7 @@
 
 Guarantees: what is in force here never goes back within an incarnation, whoever sends it; updates are acted on before
 they are acknowledged; a charge is answered once and refunded once at most. A watched proxy that has lacked updates for
-a while is handed them. Without a configuration and a list this proxy is not ready.
+a while is handed them. `proxy.program` judges whether this proxy is ready.
 
 Inputs are ticks and messages; results are commands (`proxy.commands`). Changes are put into the decision module before
 they are returned. Pure; seconds on the steady clock.
@@ -133,7 +133,7 @@
         return self._flush()
 
     def report_status(self, now: float, ready: bool) -> list[Command]:
-        """Send this proxy's status to all registries at once, as when it shuts down."""
+        """Send this proxy's full heartbeat to all registries now, as when it shuts down."""
         self._report_status(now, ready)
         return self._flush()
 
@@ -155,7 +155,7 @@
         theirs = (heartbeat.control_number, heartbeat.registry_number)
         mine = (self.control.state.number, self.registry.state.number)
         if 0 in mine and theirs > mine:
-            # A proxy that knows nothing does not know its watchers either: it answers all, so that one hands over.
+            # Without a list a proxy does not know its watchers: it answers all who know more, so that one hands over.
             self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
         if self.ring.needs_hand_over(now, heartbeat.sender, theirs, mine):
             control = self.control.state.update_since(theirs[0])
@@ -229,7 +229,7 @@
         return self._flush(), reply
 
     def charge(self, now: float, action: ChargeTenant) -> list[Command]:
-        """Charge a tenant's central count, or refund a request's charge. Lost while there is no counter."""
+        """Charge a tenant's central count, or refund a request's charge; sent to nobody while there is no counter."""
         if action.amount < 0:
             number = self.charges.refund(action.request)
             if number is None:
--- a/thistleusher/proxy/commands.py
+++ b/thistleusher/proxy/commands.py
@@ -26,7 +26,7 @@
 
 
 class SendHandOver(NamedTuple):
-    """Give a watched proxy a copy of the state that it lacks."""
+    """Give a watched proxy what it lacks of both states."""
 
     name: str
     ip: str
@@ -34,7 +34,7 @@
 
 
 class ConnectToCore(NamedTuple):
-    """Keep connections to these machines of the core."""
+    """Connect to those of these core machines that are not known yet; no connection to another one is closed."""
 
     addresses: tuple[str, ...]
 
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -2,7 +2,8 @@
 
 Guarantees: a request is sent on only once its tenant's count or share has admitted it; one that may have run is sent
 again only if its route allows it; one attempt of it is in flight at a time; every request ends with one final action
-or a served answer; a charge whose request was never sent on is refunded.
+or a served answer. The charge of a request that is rejected before an attempt has reached a backend is refunded; of one
+whose client has gone or whose time is up (both come as `ClientGone`), only if no attempt was begun.
 
 It takes the place of the decision module of the ingress (`policy.gateway`) behind the same driver, with the same events
 and actions and two of its own: `ChargeTenant` and `ChargeAnswered`. Its parts: `routing` (what the route says),
@@ -111,7 +112,7 @@
         self.selector.apply_list(now, listed)
 
     def apply_ingresses(self, names: Sequence[str]) -> None:
-        """Set the ingresses that are up, by which this one's parts of the shared budgets go."""
+        """Set the ingresses that are up: their number and names determine this one's parts of the shared budgets."""
         self.selector.ingresses = list(names)
         self.retries.ingress_count = len(names) or ASSUMED_INGRESSES
 
@@ -161,7 +162,7 @@
             self._reject(request, ruling.retry_after_s)
 
     def _place(self, now: float, request: RequestState) -> None:
-        """Send the request to the best backend; where none can take it, let it wait a little, or reject it."""
+        """Send the request to the best backend; where none can take it, let it wait a little, or answer it."""
         fleet = self.selector.fleet_of(now, request.service)
         best = self.selector.select(now, fleet, request)
         name = request.event.id
--- a/thistleusher/proxy/hand_over.py
+++ b/thistleusher/proxy/hand_over.py
@@ -1,4 +1,4 @@
-"""Sending a copy of the state to a proxy that has come back and lacks it, where the core does not reach it."""
+"""Sending what a watched proxy lacks of both states, where it has had no updates from the core for a while."""
 
 from __future__ import annotations
 
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -1,4 +1,7 @@
-"""The proxy's listener: reads clients' requests and matches their routes and tenants, or answers them at once."""
+"""The proxy's listener: matches the routes and tenants of clients' requests, or answers them at once.
+
+What cannot be read as a request has been answered before (`net.client_connection`).
+"""
 
 from __future__ import annotations
 
@@ -92,7 +95,10 @@
         return ServiceError(ErrorKind.UNKNOWN_KEY) if tenant is None else RequestContext(match, tenant)
 
     def _time_allowed(self, now: float, context: RequestContext, headers: dict[bytes, bytes]) -> float | ServiceError:
-        """Return the seconds for the request: the least of its route's, its own, and what a shutdown leaves."""
+        """Return the seconds for the request: the least of its route's, its own, and what a shutdown leaves.
+
+        During a shutdown this also notes that a request has come, which keeps the listener open.
+        """
         allowed_s = context.match.route.deadline_ms / 1000
         stated = headers.get(DEADLINE_HEADER, b"")
         if stated.isdigit():
--- a/thistleusher/proxy/open_charges.py
+++ b/thistleusher/proxy/open_charges.py
@@ -1,5 +1,7 @@
 """Charges that wait for the counter's answer or may still be refunded.
 
+Nobody says that a request has ended: its charge stays refundable until `MAX_CHARGES` newer ones have pushed it out.
+
 Invariants: a charge has one answer at most, and one refund at most; a request whose charge was refunded gets no answer.
 Numbers rise within an incarnation, by which the counter tells a repeated charge from a new one.
 
@@ -19,7 +21,7 @@
 
 
 class OpenCharge(NamedTuple):
-    """A charge without an answer: of which request, and when it was sent."""
+    """A charge without an answer: of which request, and when it was opened; without a counter it was never sent."""
 
     request: str
     sent_at: float
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -2,7 +2,8 @@
 
 Each request is charged against its tenant's central count before it is sent on. While the counter answers, its verdict
 decides; what the count no longer grants, this ingress's standing share may. Without a verdict for `VERDICT_WAIT_S` the
-standing share alone decides. Without an echo for `LOCAL_QUOTA_FROM_S` this ingress may also spend its share of the
+standing share may admit the request; what it does not admit waits on. Without an echo for `LOCAL_QUOTA_FROM_S`, or
+where the counter says that it does not count here (`DECIDE_LOCALLY`), this ingress may also spend its share of the
 counted part: a token bucket that refills at its part of the rate, and is empty at first, as the window before may have
 been spent.
 
@@ -55,7 +56,7 @@
     """To whom a heartbeat is due."""
 
     COUNTER = "counter"
-    ALL_REGISTRIES = "all registries"  # in full
+    ALL_REGISTRIES = "all registries"  # a full heartbeat: `ProxyStatusReport`
 
 
 @dataclass(slots=True)
@@ -81,7 +82,8 @@
     def __init__(self, now: float, slack: float = 0.0, started_at: float | None = None) -> None:
         """`slack`: requests that the rule allows beyond its sum; `started_at`: start of this process, if not `now`.
 
-        What the previous incarnation on this machine has spent of its share is not known: nothing refills before then.
+        Standing buckets refill from that start on, not earlier: what the previous incarnation on this machine has spent
+        of its share is not known.
         """
         self.limits: dict[str, RateLimit] = {}
         self.share = 0.0  # this ingress's part of all limits
@@ -90,7 +92,7 @@
         self.echo: Echo | None = None
         self.echoed_sent_at = float("-inf")  # when the newest heartbeat that was echoed was sent
         self.next_heartbeat_at = now
-        self.next_report_at = now  # of a heartbeat in full, to all registries
+        self.next_report_at = now  # of the full heartbeat, to all registries
         self.standing_buckets: dict[str, TokenBucket] = {}
         self.isolated_buckets: dict[str, TokenBucket] = {}  # of the counted part, while not counted centrally
 
@@ -138,11 +140,14 @@
         return now - self.echoed_sent_at >= LOCAL_QUOTA_FROM_S
 
     def counted_centrally(self, tenant: str) -> None:
-        """Stop spending the counted part: the counter counts this ingress's requests of the tenant in this window."""
+        """Stop spending the counted part from here on: the tenant's requests here are counted centrally again."""
         self.isolated_buckets.pop(tenant, None)
 
     def not_counted_centrally(self, now: float, tenant: str, since_s: float) -> None:
-        """Spend the counted part: for `since_s` seconds the counter has neither counted here nor given it to others."""
+        """From here on also spend this ingress's share of the counted part, as it has accrued for `since_s` seconds.
+
+        For so long the counter has neither counted this ingress's requests nor let others have that share.
+        """
         self.isolated_buckets.setdefault(tenant, TokenBucket(0.0, now - since_s))
 
     def spend(self, now: float, tenant: str) -> bool:
--- a/thistleusher/proxy/retries.py
+++ b/thistleusher/proxy/retries.py
@@ -37,7 +37,7 @@
 
     @staticmethod
     def record_failure(request: RequestState, event: events.AttemptEnded) -> None:
-        """Note on the request what a failed attempt proves."""
+        """Note on the request what an attempt that was not served proves; rejected and cancelled ones count, too."""
         request.failed_backends.add(event.backend)
         if event.outcome not in NEVER_ARRIVED:
             request.attempts_arrived += 1
