--- a/thistleusher/net/client_connection.py
+++ b/thistleusher/net/client_connection.py
@@ -196,7 +196,8 @@
         if self.current_request is not request:
             return
         self.current_request = None
-        if status == 400:  # found to be bad only by its decision: an id that another request has
+        # Found to be bad only by its decision: an id that another request has. Also a 400 of the backend's own.
+        if status == 400:
             self.discarding_input = True
             self.keep_alive = False
         self._write(status, header_lines, body)
@@ -289,7 +290,10 @@
                 self.close()
 
     def is_stalled(self, now: float) -> bool:
-        """Return whether the client has for too long read nothing of its responses; slow readers are served."""
+        """Note what the client has read; return whether it has read nothing of its responses for too long.
+
+        Slow readers are served.
+        """
         if self.transport is None:
             return False
         buffered = self.transport.get_write_buffer_size()
--- a/thistleusher/net/connection_pool.py
+++ b/thistleusher/net/connection_pool.py
@@ -45,7 +45,10 @@
         self.read_count = 0  # reads from this backend; the loop's clock is too coarse to tell before from after
 
     def take(self, oldest: float) -> BackendConnection | None:
-        """Return the newest idle connection that is still open; those idle since before `oldest` do not count."""
+        """Return the newest idle connection that is still open, and close those passed over on the way.
+
+        One that has been idle since before `oldest`, or that the backend may soon close, is not used.
+        """
         while self.idle:
             connection = self.idle.pop()
             if connection.idle_since >= oldest and connection.is_trusted(self.loop.time()):
--- a/thistleusher/net/exchange.py
+++ b/thistleusher/net/exchange.py
@@ -25,8 +25,8 @@
 class BackendExchange:
     """One request to a backend and its one outcome, reported through `on_end`.
 
-    `can_send` is asked again once a connection is open, right before the first byte: meanwhile the backend may have
-    begun to drain, or the client may have gone.
+    `can_send` is asked at the start, again once a new connection is open, and before a last byte that was held back:
+    meanwhile the backend may have begun to drain, or the client may have gone.
     """
 
     def __init__(
@@ -41,8 +41,8 @@
     ) -> None:
         """Describe the exchange; `Upstream.send` starts it.
 
-        `guarded`: while connections close at bad moments, the last byte waits until the connection has proved to be
-        open, so that nothing runs that is not known to have run.
+        `guarded`: whether the last byte may be held back until the connection has proved to be open, so that nothing
+        runs that is not known to have run; `Upstream.send` clears it while connections are not seen to break.
 
         `request_id`: what the header `UpstreamOptions.request_id_header` of its response must hold; a response with
         another id, or with none, belongs to no request here.
@@ -73,7 +73,10 @@
         self.on_end(self, outcome, response)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting. The connection is closed first, so that what is sent next is no second copy."""
+        """Stop waiting. The connection is closed first, so that what is sent next is no second copy.
+
+        The outcome reported is another one where the request was not written whole: it has surely not run.
+        """
         if self.ended:
             return
         if self.connection is not None:
--- a/thistleusher/net/last_byte_guard.py
+++ b/thistleusher/net/last_byte_guard.py
@@ -11,8 +11,8 @@
 from __future__ import annotations
 
 HOLD_S = 0.003  # between the rest and the last byte: one round trip and a busy moment
-ACTIVE_S = 30.0  # for which requests are guarded after a connection has closed under one, or sooner than agreed
-EARLY_SHARE = 0.1  # of the agreed idle time; an idle connection that its backend closes sooner is a sign, too
+ACTIVE_S = 30.0  # for which requests are guarded after a connection has closed under one, or early while idle
+EARLY_SHARE = 0.1  # of the agreed idle time; an idle connection that its backend closes before that counts, too
 
 
 class LastByteGuard:
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -85,7 +85,8 @@
         """Serve as before until `notice` is over and `shutdown` ends; then take nothing new and finish what is pending.
 
         Connections are kept until then: the front may go on sending requests to this ingress, and can open no new
-        ones. Requests that were taken are answered, however long it takes; only a kill cuts them off.
+        ones. Requests that were taken are answered, however long it takes; only a kill, or a caller that cancels this,
+        cuts them off.
         """
         self.shutting_down = True
         self.shutdown = shutdown
--- a/thistleusher/net/shutdown.py
+++ b/thistleusher/net/shutdown.py
@@ -12,7 +12,7 @@
 QUIET_PERIOD_S = 0.3  # without a request, after which none is expected any more; GET /healthz does not count
 MAX_REQUEST_S = 3.0  # that a request is given during a shutdown, however much its class allows
 KILL_DELAY_S = 0.7  # beyond the longest request, before an ingress is killed
-RESERVE_S = 0.35  # kept of that: for the last state updates and for a busy moment
+RESERVE_S = 0.35  # part of `KILL_DELAY_S` that no request may use: for the last messages and for a busy moment
 MIN_REQUEST_S = 0.05  # with less time left a request cannot be served any more
 
 
--- a/thistleusher/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -48,7 +48,7 @@
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def update(self, backend: str, endpoint: Endpoint | None) -> None:
-        """Follow a backend's address and start, None when it is gone; no connection outlives a change."""
+        """Follow a backend's address and start, None when it is gone; after a change no connection is used again."""
         pool = self.pools.get(backend)
         if pool is not None and pool.endpoint != endpoint:
             pool.close_idle()
--- a/thistleusher/transport/core_links.py
+++ b/thistleusher/transport/core_links.py
@@ -1,6 +1,7 @@
 """Links to one service on each core machine that is known.
 
-A machine once known stays known, as settings and the newest view may name different ones.
+Links are only added, as settings and the newest view may name different machines: one that leaves the core is still
+tried.
 """
 
 from __future__ import annotations
--- a/thistleusher/transport/heartbeat_ring.py
+++ b/thistleusher/transport/heartbeat_ring.py
@@ -4,8 +4,9 @@
 average, and the sum of heartbeats grows with the fleet, not with its square. One watcher's report is no verdict:
 whoever judges wants two (`thistleusher.registry.members`).
 
-Watchers also keep the state updates that a missing ingress should have had: while one is silent they go on sending it
-heartbeats, and when it answers with an incarnation that knows nothing they hand over their copy.
+Watchers also hand over what a watched ingress lacks of both states: they go on sending heartbeats to a silent one, and
+once the numbers in an ingress's own heartbeats have lagged behind theirs, unchanged, for `UPDATE_WAIT_S`, they send the
+difference. Why it lags is not asked.
 
 Pure; times are seconds on a steady clock.
 """
@@ -18,7 +19,7 @@
 
 WATCHERS = 3
 HEARTBEAT_S = 0.25
-UPDATE_WAIT_S = 0.6  # left to the core to send the updates itself, before a watcher hands them over
+UPDATE_WAIT_S = 0.6  # in which the core may send the updates itself, before a watcher hands them over
 SILENT_S = 0.9  # without a heartbeat, after which a watcher reports an ingress as silent
 
 
@@ -36,7 +37,7 @@
         self.last_heard: dict[str, float] = {}  # of those watched
         self.met: set[str] = set()  # of those watched, heard from at least once
         self.next_heartbeat = now
-        # Of those watched that lack updates: the numbers that they have, and since when.
+        # By name, of those watched that lack updates: the numbers that they have, and since when.
         self.lacking: dict[str, tuple[tuple[int, int], float]] = {}
 
     def set_members(self, now: float, names: Iterable[str]) -> None:
@@ -70,16 +71,16 @@
         return was_silent
 
     def heartbeats_due(self, now: float) -> list[str]:
-        """Return whom to send a heartbeat to now: the watchers, then the silent ones among the watched."""
+        """Return whom to send a heartbeat to now, and count it as sent: the watchers, then the silent ones watched."""
         if now < self.next_heartbeat:
             return []
         self.next_heartbeat = now + HEARTBEAT_S
         return [*self.watchers(), *sorted(self.silent(now) - set(self.watchers()))]
 
     def needs_hand_over(self, now: float, name: str, theirs: tuple[int, int], own: tuple[int, int]) -> bool:
-        """Return whether a watched ingress has lacked updates for `UPDATE_WAIT_S` without receiving any.
+        """Note which numbers a watched ingress has; return whether it has lagged, unchanged, for `UPDATE_WAIT_S`.
 
-        `theirs` and `own` are the numbers of the control's and the registry's state. After True it waits anew.
+        `theirs` and `own` are the numbers of the control's and the registry's state. After True the wait begins anew.
         """
         if name not in self.last_heard or (theirs[0] >= own[0] and theirs[1] >= own[1]):
             self.lacking.pop(name, None)
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -27,10 +27,10 @@
 
 KEEP_ALIVE_S = 0.4
 SILENT_S = 1.5
-CONNECT_S = 0.3  # the opening packet to a machine that is down is lost, and not sent again in time
-SLOW_ATTEMPT_EACH = 4  # each so many attempts one may take `SILENT_S`, as the route may be that slow
+CONNECT_S = 0.3  # for a connection to open; a lost opening packet would be sent again only after 1 s
+SLOW_ATTEMPT_EACH = 4  # one attempt in so many may take `SILENT_S` in place of `CONNECT_S`: the route may be slow
 RECONNECT_S = 0.1
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # beyond which a peer that does not read is given up
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # beyond which the connection of a peer that does not read is closed
 MAX_LINKS = 1024
 BACKLOG = 256
 KEEP_ALIVE_FRAME = frame(KeepAlive())
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -25,7 +25,7 @@
     def __init__(self, number: int = 0, items: Mapping[str, tuple[int, Any]] | None = None, floor: int = 0) -> None:
         """Create a state.
 
-        `floor`: a subscriber with a lower number gets the complete state, as removals up to there are forgotten.
+        `floor`: a subscriber with a lower number gets the complete state, as some removals up to there are forgotten.
         """
         self.number = number
         self.floor = floor
@@ -50,7 +50,7 @@
         }
 
     def apply(self, number: int, changes: Mapping[str, Any]) -> None:
-        """Set values (None: remove) under one number. Forgets the oldest removals beyond `MAX_REMOVED_ITEMS`."""
+        """Set values (None: remove) under one number. Of more than `MAX_REMOVED_ITEMS` removals half is forgotten."""
         self.merge(number, {name: (number, value) for name, value in changes.items()})
 
     def merge(self, number: int, items: Items) -> None:
@@ -76,7 +76,7 @@
         return {name: item for name, item in self.items.items() if item[0] > number}
 
     def update_since(self, number: int) -> StateUpdate:
-        """Return what a subscriber at `number` lacks."""
+        """Return what a subscriber at `number` lacks; the complete state where that is not known any more."""
         if number < self.floor or number > self.number:
             present = {name: item for name, item in self.items.items() if item[1] is not None}
             return StateUpdate(self.number, None, present)
@@ -89,7 +89,7 @@
     def __init__(self, state: State) -> None:
         self.state = state
         self.sent: dict[str, int] = {}  # subscriber -> the number that it was sent last
-        self.acknowledged: dict[str, int] = {}  # subscriber -> the number that it is known to have
+        self.acknowledged: dict[str, int] = {}  # subscriber -> the number that it has acknowledged or subscribed with
 
     def subscribe(self, subscriber: str, number: int) -> list[tuple[str, StateUpdate]]:
         """Add a subscriber that has `number` (0: nothing), or serve one that asks again after a gap."""
