--- a/thistleusher/gossip/messages.py
+++ b/thistleusher/gossip/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the owner of an account and the ingresses of its member's set, byte by byte.
+"""Messages between the owner of an account and the ingresses of its customer's set, byte by byte.
 
-    07  query           number (2), member and plan (5), set: first (2), width (2), quarter units (2)    14 bytes
+    07  query           number (2), customer and plan (5), set: first (2), width (2), quarter units (2)  14 bytes
     08  reply           number (2), 1 admitted / 0 not (1), headroom in quarter units, signed (2)         6 bytes
-    09  reconciliation  rows of member and plan (5), quarter units more or less, signed (2)               7 bytes a row
+    09  reconciliation  rows of customer and plan (5), quarter units more or less, signed (2)             7 bytes a row
 
 Numbers are big-endian. A message of another length is ignored.
 """
@@ -35,7 +35,7 @@
     number: int
     plan: int
     customer: int
-    first: int  # of the member's set
+    first: int  # of the customer's set
     width: int
     units: float
 
@@ -76,7 +76,7 @@
 
 
 class ReconciliationRow(NamedTuple):
-    """Units that a member used more (or less) than its owner was asked for."""
+    """Units that a customer used more (or less) than its owner was asked for."""
 
     customer: int
     plan: int
@@ -84,7 +84,7 @@
 
 
 def encode_reconciliations(rows: Sequence[tuple[bytes, float]]) -> list[bytes]:
-    """Return the messages that hold the rows of encoded member and plan, and units rounded to quarters."""
+    """Return the messages that hold the rows of encoded customer and plan, and units rounded to quarters."""
     encoded = [
         ROW_FORMAT.pack(name, max(MIN_SIGNED, min(MAX_SIGNED, round(QUARTERS_PER_UNIT * units))))
         for name, units in rows
--- a/thistleusher/gossip/owners.py
+++ b/thistleusher/gossip/owners.py
@@ -1,9 +1,10 @@
-"""Owners: of each set that is too wide for updates, the ingress that keeps its member's account.
+"""Owners: of each set that is too wide for updates, the ingress that keeps its customer's account.
 
-A member of a set of a hundred comes to each ingress once a minute: none of them knows anything of it, an update would
-have to go to all, and a share would be less than a request. So one ingress of the set, the same for all, is asked
-before a request is forwarded; it charges the member's count for it, or admits it by what it knows: all that the member
-uses comes through it. After combining (Yew, Tzeng, Lawrie 1987) at an owner found by hashing (Karger et al. 1997).
+A customer whose set has a hundred ingresses comes to each about once a minute: none of them knows anything of it, an
+update would have to go to all, and a share would be less than a request. So one ingress of the set, the same for all,
+is asked before a request is forwarded; it charges the customer's count for it, or admits it by what it knows: all that
+the customer uses comes through it. After combining (Yew, Tzeng, Lawrie 1987) at an owner found by hashing (Karger et
+al. 1997).
 
 Guaranteed: an owner that left `MAX_MISSES` queries in a row without any message is skipped for `SKIP_S`: the next one
 in the order takes its place, and begins with a full bucket. So each change of owners can admit a burst more, and none
@@ -31,7 +32,7 @@
         self.skipped_until: dict[int, float] = {}  # by peer
 
     def owner_of(self, now: float, key: int, first: int, width: int) -> int | None:
-        """Return the owner of a member's account; None where none of its candidates answers."""
+        """Return the owner of a customer's account; None where none of its candidates answers."""
         start = (key * HASH_MULTIPLIER & HASH_MASK) >> HASH_SHIFT
         for n in range(min(CANDIDATES, width)):
             offset = (start + n * (1 + width // CANDIDATES)) % width
--- a/thistleusher/gossip/reconciliations.py
+++ b/thistleusher/gossip/reconciliations.py
@@ -12,7 +12,7 @@
 
 
 class Reconciliations:
-    """Units more (or less) than owners were asked for, by owner and by member and plan."""
+    """Units more (or less) than owners were asked for, by owner and by customer and plan."""
 
     def __init__(self) -> None:
         """Begin with none."""
--- a/thistleusher/gossip/updates.py
+++ b/thistleusher/gossip/updates.py
@@ -1,6 +1,6 @@
-"""Gossip of one ingress of a large fleet: updates of usage, queries to owners, reconciliations.
+"""Gossip of one ingress of a large fleet, all of it behind one class: updates, queries to owners, reconciliations.
 
-Updates of a member go to the peers of its set (`gossip.outbox`). A member whose set is too wide for that has one
+Updates of a customer go to the peers of its set (`gossip.outbox`). A customer whose set is too wide for that has one
 account, at its owner (`gossip.owners`): each request is a query to it (`gossip.queries`), and what was used more or
 less than it was asked for is reconciled (`gossip.reconciliations`).
 """
@@ -30,7 +30,7 @@
     """What one ingress of a large fleet says to the others; implements `core.decision_ports.Gossip`."""
 
     def __init__(self, instances: int, me: int, per_s: float, rows: int, counter_timeout: float, now: float) -> None:
-        """`per_s`: messages a second that an ingress takes in; `rows`: members that one update holds."""
+        """`per_s`: messages a second that an ingress takes in; `rows`: customers that one update holds."""
         self.instances = instances
         self.me = me
         self.outbox = Outbox(UPDATES_FRACTION * per_s, rows, now)
@@ -48,20 +48,20 @@
     # Updates.
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Queue an update of a member to its set; `lazy`: it may wait for others to go with."""
+        """Queue an update of a customer to its set; `lazy`: it may wait for others to go with."""
         peers = self._peers(first, width)
         self.outbox.mark_changed(now, key, peers, lazy)
         self.outbox.keep_contact(now, peers)
 
     def record_message(self, now: float, peer: int, is_update: bool) -> None:
-        """Note that a peer has sent a message; `is_update`: of usage by members that are common to both."""
+        """Note that a peer has sent a message; `is_update`: of usage by customers that are common to both."""
         self.owners.record_message(peer)
         if is_update:
             self.outbox.answer_update(now, peer)
             self.outbox.keep_contact(now, (peer,))
 
     def member_seen(self, now: float, first: int, width: int) -> None:
-        """Keep in contact with a set: a member of it was seen."""
+        """Keep in contact with a set: a customer of it was seen."""
         self.outbox.keep_contact(now, self._peers(first, width))
 
     def has_work(self) -> bool:
@@ -69,13 +69,13 @@
         return self.outbox.has_work() or bool(self.reconciliations.waiting)
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """Return the updates that leave now: to whom, of which members."""
+        """Return the updates that leave now: to whom, of which customers; of none: a keep-alive."""
         return self.outbox.take(now)
 
     # Queries and their replies.
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """Return the ingress that keeps a member's account; None where none of its candidates answers."""
+        """Return the ingress that keeps a customer's account; None where none of its candidates answers."""
         return self.owners.owner_of(now, customer, first, width)
 
     def create_query(self, now: float, owner: int, request: Request, plan: int) -> bytes | None:
@@ -152,5 +152,5 @@
 
     @staticmethod
     def parse_reconciliations(payload: bytes) -> list[tuple[int, int, float]]:
-        """Return members, their plans' numbers, and units, of a peer's message."""
+        """Return customers, their plans' numbers, and units, of a peer's message."""
         return list(decode_reconciliations(payload))
--- a/thistleusher/quota/__init__.py
+++ b/thistleusher/quota/__init__.py
@@ -1,7 +1,7 @@
-"""Holds a member to its allowance while the counter cannot be trusted: shares in escrow, with a stated bound.
+"""Holds a customer to its allowance while the counter cannot be trusted: shares in escrow, with a stated bound.
 
-Pure: no I/O and no clock. The ingresses of a member's set never let in more than the whole allowance between them; the
-decision module asks for verdicts through `core.decision_ports.Escrow`.
+Pure: no I/O and no clock. The ingresses of a customer's set never let in more than the whole allowance between them;
+the decision module asks for verdicts through `core.decision_ports.Escrow`.
 """
 
 from thistleusher.quota.bound import Bound, bound_of
--- a/thistleusher/quota/allowance.py
+++ b/thistleusher/quota/allowance.py
@@ -1,4 +1,4 @@
-"""One ingress's part of one member's allowance: its share, and the headroom that fills by it.
+"""One ingress's part of one customer's allowance: its share, and the headroom that fills by it.
 
 Headroom fills at share x rate up to share x burst. At an epoch's start shares are even again, and no headroom grows by
 that. An ingress that starts within an epoch does not know what its earlier one gave: it is sure of its guaranteed
@@ -63,7 +63,7 @@
     ) -> None:
         """Begin to use the allowance here.
 
-        members: the ingresses of the member's set
+        members: the ingresses of the customer's set
         spent: units known to be gone of the whole allowance
         restored: headroom that a reservation of the earlier incarnation restores at this one's start; None without one
         """
@@ -80,13 +80,13 @@
         self.earlier_given_share = 0
         self.share = 0  # parts of WHOLE_SHARE
         self.headroom = 0.0
-        self.at = now  # when `headroom` was true
+        self.at = now  # up to when `headroom` is refilled
         self.given: dict[int, Totals] = {}
         self.taken: dict[int, Totals] = {}
         self.last_demand_at = now - 2 * self.epoch_length
         self.last_used_at = self.last_demand_at
         self.reservation: Reservation | None = None  # where headroom is recorded on disk
-        self.last_asked = me  # rotates, so that peers are asked in turn
+        self.last_asked = me  # an index into the other members; rotates, so that they are asked in turn
         self._begin(now, restored)
         unspent = terms.burst if self.is_wide() else self.fraction() * max(0.0, terms.burst - spent)
         self.headroom = min(self.headroom + (restored or 0.0), unspent, self.max_headroom())
@@ -128,7 +128,7 @@
         self.headroom = self.fraction() * (terms.rate * (now - since) + joint_start)
 
     def settle(self) -> None:
-        """Look with whom this ingress has become reconciled; reconciled with all, it holds its share."""
+        """Look with whom this ingress has become reconciled; with all: add the rest of its share, and its headroom."""
         self.unreconciled = {p for p in self.unreconciled if not self.bootstrap.reconciled_by(p, self.at)}
         if self.unreconciled or self.me not in self.members:
             return
--- a/thistleusher/quota/bootstrap.py
+++ b/thistleusher/quota/bootstrap.py
@@ -33,7 +33,7 @@
 
 
 class Bootstrap:
-    """Progress of one ingress's start. Times in seconds of the one clock."""
+    """Progress of one ingress's start, by handshakes. Times in seconds of the one clock."""
 
     def __init__(
         self, instances: int, me: int, started_at: float, longest_epoch: float, on_demand: bool = False
--- a/thistleusher/quota/bound.py
+++ b/thistleusher/quota/bound.py
@@ -49,7 +49,7 @@
 
 
 class Bound(NamedTuple):
-    """Units that a member of one plan can get beyond its quota and its ceiling; `ceiling` is None without one."""
+    """Units that a customer of one plan can get beyond its quota and its ceiling; `ceiling` is None without one."""
 
     plan: str
     width: int
@@ -74,8 +74,8 @@
 def paced_interval(settings: Settings, width: int) -> float:
     """Return the seconds between two updates to one peer in a large fleet, 0 in a small one.
 
-    A set's member shares sets with 2 (width - 1) others. Assumed of the inbox: it takes in `peer_in_per_s`, and sets
-    lie evenly, so that others send what is sent to them.
+    An ingress of a set shares sets with 2 (width - 1) others. Assumed of the inbox: it takes in `peer_in_per_s`, and
+    sets lie evenly, so that others send what is sent to them.
     """
     if not settings.large:
         return 0.0
@@ -88,7 +88,7 @@
 
 
 def bound_of(settings: Settings, plan: PlanSettings, assumed: Assumptions, width: int = 0) -> Bound:
-    """Return the most that a member whose requests come through `width` ingresses (0: all) can get too much.
+    """Return the most that a customer whose requests come through `width` ingresses (0: all) can get too much.
 
     In touch, an ingress does not know what the others have let in for `staleness` seconds: each of them its burst and
     what refills. Cut off from its peers, each has its share, and one whole request where that is less. The ceiling is
@@ -141,7 +141,7 @@
 
 
 def _bound_with_owner(settings: Settings, plan: PlanSettings, assumed: Assumptions, width: int) -> Bound:
-    """Return the bound of a member whose account one ingress keeps.
+    """Return the bound of a customer whose account one ingress keeps.
 
     While ingresses disagree on the owner, each candidate keeps an account. Whoever reaches none, nor the counter, lets
     in one request, and then its part of the rate.
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -1,4 +1,4 @@
-"""Escrowed shares of an allowance: each ingress of a member's set spends its own, and gives what others demand.
+"""Escrowed shares of an allowance: each ingress of a customer's set spends its own, and gives what others demand.
 
 After the bounded counter of Balegas et al., "Extending Eventually Consistent Cloud Databases for Enforcing
 Numeric Invariants" (SRDS 2015), with rights that accrue at a rate, and begin anew in every epoch.
@@ -128,7 +128,7 @@
             self.demand_queue.check(now, key, allowance, 0.0)
 
     def _use(self, now: float, plan: int, customer: int, first: int, width: int, spent: float) -> Allowance | None:
-        """Return a member's allowance, brought up to now; None where its plan has none.
+        """Return a customer's allowance, brought up to now and created where needed; None where its plan has none.
 
         Another set than before counts from the next epoch.
         """
@@ -181,7 +181,7 @@
     # Messages.
 
     def demands(self, now: float) -> list[tuple[int | None, bytes]]:
-        """Return the demands that are due, to whom; None: to all peers."""
+        """Return the demands that are due, each once, to whom; None: to all peers."""
         return self.demand_queue.due_messages(now, self.allowances, self.bootstrap.incarnation)
 
     def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
@@ -265,7 +265,7 @@
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
         """Return the last messages of an ingress that shuts down in order, to whom.
 
-        Shares of members that were here within an epoch go to a peer of their set each, those used last first. What
+        Shares of customers that were here within an epoch go to a peer of their set each, those used last first. What
         does not fit is lost until the epoch ends. A handshake says that the incarnation is over.
         """
         out: list[tuple[int, bytes]] = []
--- a/thistleusher/quota/messages.py
+++ b/thistleusher/quota/messages.py
@@ -31,8 +31,8 @@
 HEADER_BYTES = 1 + INCARNATION_BYTES
 BALANCE_HEADER_BYTES = HEADER_BYTES + INCARNATION_BYTES
 
-TRANSFER_FORMAT = struct.Struct(">5sBHBHH")  # member and plan; epoch; set: first, width; share, grains
-BALANCE_FORMAT = struct.Struct(">5sBHHHHHH")  # member and plan; epoch; given, taken and new: share, grains each
+TRANSFER_FORMAT = struct.Struct(">5sBHBHH")  # customer and plan; epoch; set: first, width; share, grains
+BALANCE_FORMAT = struct.Struct(">5sBHHHHHH")  # customer and plan; epoch; given, taken and new: share, grains each
 HANDSHAKE_FORMAT = struct.Struct(">QQQB")
 MAX_TRANSFER_ROWS = (MAX_MESSAGE_BYTES - HEADER_BYTES) // TRANSFER_FORMAT.size
 MAX_BALANCE_ROWS = (MAX_MESSAGE_BYTES - BALANCE_HEADER_BYTES) // BALANCE_FORMAT.size
@@ -74,7 +74,7 @@
     plan: int
     customer: int
     epoch: int
-    first: int  # of the member's set
+    first: int  # of the customer's set
     width: int
     share: int
     grains: int
@@ -95,7 +95,7 @@
     given_grains: int
     taken_share: int  # by the sender
     taken_grains: int
-    new_share: int  # given with this message
+    new_share: int  # first given with this message
     new_grains: int
 
     def encode(self) -> bytes:
--- a/thistleusher/quota/placement.py
+++ b/thistleusher/quota/placement.py
@@ -1,4 +1,4 @@
-"""Which of several counters holds a name: rendezvous hashing.
+"""Which of several counters holds a name (a customer's count): rendezvous hashing.
 
 After Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (IEEE/ACM ToN 1998). Every ingress
 that knows the same addresses, in whatever order, places a name alike; a counter that is added or removed moves its own
--- a/thistleusher/quota/terms.py
+++ b/thistleusher/quota/terms.py
@@ -13,7 +13,7 @@
 
 
 class Terms(NamedTuple):
-    """An allowance of a member, shared by the ingresses of its set.
+    """An allowance of a customer, shared by the ingresses of its set.
 
     rate, burst: units a second, and units at once
     min_burst: the least that one ingress may let in at once, however small its share
