--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.configuration_items
 
-Prints a row of a table for docs/hardening.md per size. Times are processor time of this process, the median of
+Prints a row of a table for docs/hardening/items.md per size. Times are processor time of this process, the median of
 `REPEATS` runs (the whole build and the check: of one run each).
 """
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow proxies: many in one process, each the real proxy program without its listeners, clients or HTTP.
 
 `python -m benchmarks.scale.hollow FOLDER FIRST COUNT`: proxies FIRST to FIRST + COUNT - 1. Each has its own
-connections, its own `Knowledge`, quota and ring, on a loopback address of its own; in place of clients there is a
+connections, its own `ClusterView`, quota and ring, on a loopback address of its own; in place of clients there is a
 drawn rate of charges. Commands come as lines on standard input (`go`, `rate PER_S`, `report`), reports leave as lines
 of JSON; the process ends with its input.
 """
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders: what each is known by, what is answered, what is in force (the table of docs/hardening.md)."""
+"""The operator's orders: what each is known by, what is answered, what is in force (the table of docs/hardening/orders.md)."""
 
 import json
 import zlib
@@ -164,7 +164,7 @@
     for number in (2, REMEMBERED_DIGESTS + 1):
         assert leader.send(document(number)) in leader.acked
     assert leader.send(document(REMEMBERED_DIGESTS + 1, "b")) is None
-    assert leader.send(document(1)) is None  # no longer remembered: docs/hardening.md says so
+    assert leader.send(document(1)) is None  # no longer remembered: docs/hardening/orders.md says so
 
 
 def test_what_release_0_1_took_with_faults_that_it_did_not_see_is_a_repeat_by_its_bytes():
