--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders: what each is known by, what is answered, what is in force (the table of docs/hardening/orders.md)."""
+"""The operator's orders: what each is known by, what is answered, what is in force (docs/hardening/orders.md)."""
 
 import json
 import zlib
