--- a/tests/policy/test_usage_replication.py
+++ b/tests/policy/test_usage_replication.py
@@ -9,7 +9,7 @@
 from thistleusher.core import events
 from thistleusher.core.actions import Attempt, CounterAdd, Refuse, SendToPeer
 from thistleusher.core.datagrams import USAGE_ENTRIES_MAX, USAGE_ENTRY, USAGE_MARK
-from thistleusher.policy import gateway, replication
+from thistleusher.policy import gateway, usage_replication
 from thistleusher.policy.health import DOWN_MISSES
 
 
@@ -76,7 +76,7 @@
     s.notify()
     only(s.nodes[1].ask(units=1.0, width=3), Refuse)
     s.nodes[0].counts[name] -= 7.0
-    s.later(replication.EXCESS_S + 0.01)
+    s.later(usage_replication.EXCESS_S + 0.01)
     s.nodes[1].counter = "silent"
     s.notify()
     for n in (0, 2):
@@ -107,7 +107,7 @@
 
 def test_out_of_touch_with_a_peer_the_share_stands_in():
     s = PeerSet()
-    s.later(replication.TOUCH_S + 0.1)
+    s.later(usage_replication.TOUCH_S + 0.1)
     node = s.nodes[0]
     node.counter = "refusing"
     for _ in range(DOWN_MISSES):
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -9,7 +9,7 @@
 
 from tests.quota.world import BASIC, PLUS, TIMEOUT, CounterModel, World, settings
 from thistleusher.core import actions, events
-from thistleusher.policy import health, replication
+from thistleusher.policy import health, usage_replication
 from thistleusher.quota import bound
 from thistleusher.quota.bound import Assumptions, bound_of
 
@@ -17,7 +17,7 @@
 
 
 def test_the_bound_is_stated_with_the_decisions_own_times():
-    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, replication.TOUCH_S)
+    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, usage_replication.TOUCH_S)
 
 
 def moving(every):
