--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -116,15 +116,15 @@
 
 def rules(o: Options) -> dict[str, PlanRule]:
     """Each plan with the errors that the bound states under the script."""
-    told, _ = nested_settings(settings(o, 0))
+    ingress_settings, _ = nested_settings(settings(o, 0))
     loss = max((f.value for f in o.faults if f.do == "relay.loss"), default=0.0)
     delay = sum(f.value for f in o.faults if f.do == "relay.delay") + LATE_S
     cut = any(f.do == "relay.isolate" for f in o.faults)
-    lives = restarts(o)
+    restarted = restarts(o)
     assumed = Assumptions(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
     out = {}
-    for plan in told.plans:
-        b = bound_of(told, plan, assumed)
+    for plan in ingress_settings.plans:
+        b = bound_of(ingress_settings, plan, assumed)
         quota = b.quota_split if cut or loss > 0.1 else b.quota_cut_off
         rule = o.plans[plan.name]
         out[plan.name] = PlanRule(
@@ -132,25 +132,25 @@
             rule.burst,
             rule.ceiling_rate,
             rule.ceiling_burst,
-            quota + len(lives) * b.quota_restart,
-            (b.ceiling or 0.0) + joint(lives, o.ingresses) * (b.ceiling_restart or 0.0),
+            quota + len(restarted) * b.quota_restart,
+            (b.ceiling or 0.0) + joint(restarted, o.ingresses) * (b.ceiling_restart or 0.0),
         )
     return out
 
 
 def restarts(o: Options) -> list[Fault]:
     """Each beginning of an ingress anew, with its number as the target."""
-    lives = [f for f in o.faults if f.do.startswith("ingress.")]
+    restarted = [f for f in o.faults if f.do.startswith("ingress.")]
     for f in o.faults:
         if f.do == "hall.lose":
-            lives += [Fault(f.at + f.lasts, "ingress.kill", n) for n in range(f.target, o.ingresses, HALLS)]
-    return sorted(lives)
+            restarted += [Fault(f.at + f.lasts, "ingress.kill", n) for n in range(f.target, o.ingresses, HALLS)]
+    return sorted(restarted)
 
 
-def joint(lives: list[Fault], ingresses: int) -> int:
+def joint(restarted: list[Fault], ingresses: int) -> int:
     """How often all ingresses may have been down together: every one of them restarted within a short time."""
     count, recent = 0, dict[int, float]()
-    for f in sorted(lives):
+    for f in sorted(restarted):
         recent[f.target] = f.at
         if len(recent) == ingresses and f.at - min(recent.values()) < JOINT_S * ingresses:
             count += 1
@@ -193,7 +193,7 @@
 
 
 def memory(fleet: Fleet) -> dict[int, tuple[float, int]]:
-    """Resident megabytes and open descriptors of each ingress that runs, where the system tells them."""
+    """Resident megabytes and open descriptors of each ingress that runs, where the system gives them."""
     out = {}
     for i in fleet.ingresses:
         if i.process is None or i.process.returncode is not None:
--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -29,7 +29,7 @@
         try:
             corpus.learn(data, check(data, random.Random(at)))
         except Exception as error:
-            return Outcome(f"{told(error)}; data {data.hex()} at {at}", target, n + 1)
+            return Outcome(f"{description(error)}; data {data.hex()} at {at}", target, n + 1)
     return Outcome(count=count)
 
 
@@ -38,11 +38,11 @@
     try:
         READERS[target][0](data, random.Random(seed))
     except Exception as error:
-        return told(error)
+        return description(error)
     return ""
 
 
-def told(error: Exception) -> str:
+def description(error: Exception) -> str:
     """Return the error and where it came from."""
     if isinstance(error, RuleBrokenError):
         return str(error)
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -1,6 +1,6 @@
 """The auditor: judges the five rules and the quotas from what the stand-ins recorded.
 
-The rules, each judged without the ingress's word: every request has exactly one final answer in time, made
+The rules, each judged without any statement of the ingress's: every request has exactly one final answer in time, made
 for it (`lost`); nothing that may have run is run again where that has an effect (`twice`); nothing new goes
 to a server longer than the grace after it was to drain (`drain`); a cold server gets no more work than a
 multiple of what it can do (`cold`); no member gets more than its ceiling (`ceiling`). Units beyond quotas
@@ -240,7 +240,7 @@
 def _units(
     ordered: list[Record], asked: dict[str, Asked], rules: Rules
 ) -> tuple[dict[str, float], dict[str, float], list[Breach]]:
-    """Units beyond quota and ceiling, taken when a try's first attempt comes to a server."""
+    """Units beyond quota and ceiling, taken when a request first comes to a server."""
     quota: dict[tuple[int, str], _Store] = defaultdict(_Store)
     ceiling: dict[tuple[int, str], _Store] = defaultdict(_Store)
     over: dict[str, float] = {}
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -35,7 +35,7 @@
         self.records = records or Records()
         self.rng = random.Random(seed)
         self.parts, self.per_s, self.delay, self.clock = parts, per_s, delay, clock
-        self.counts: dict[str, tuple[float, float]] = {}  # total, until when it lives
+        self.counts: dict[str, tuple[float, float]] = {}  # total, until when it is kept
         self.busy_until = [0.0] * parts
         self.calls = 0
         # Faults.
@@ -43,8 +43,8 @@
         self.silenced.set()
         self.refusing = False
         self.lose_share = self.spoil_share = 0.0  # of answers that are lost, or garbled, after the add
-        self.life_cut = 1.0  # of its life that a new name really lives
-        self.repeat_old = False  # answers tell the total before the one that was true
+        self.life_cut = 1.0  # the share of its lifetime for which a new name is really kept
+        self.repeat_old = False  # answers give the total before the one that was true
 
     def totals(self) -> dict[str, float]:
         """Return what stands in each name now."""
@@ -108,7 +108,7 @@
 
     @staticmethod
     def parse(message: Message) -> tuple[str, float, int] | None:
-        """Return name, amount and life in ms of a call, None for what is no call."""
+        """Return name, amount and lifetime in ms of a call, None for what is no call."""
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
         name = path.removeprefix("/v2/numbers/")
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -1,7 +1,7 @@
-"""Deployments that the stand-ins can play: what members ask for, what ingresses are told, what is judged by.
+"""Deployments that the stand-ins can play: what members ask for, what ingresses are configured with, what is judged by.
 
 They differ in what an ingress must not take for granted: whether the dear class may be sent again, whether plans have
-ceilings, whether members are told when to come back, how much a cold server bears.
+ceilings, whether members learn when to come back, how much a cold server bears.
 """
 
 from __future__ import annotations
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -20,7 +20,7 @@
 
 
 class Discovery(Service):
-    """`put` changes the list; watches are told at once, unless it is silent."""
+    """`put` changes the list; watches are notified at once, unless it is silent."""
 
     def __init__(self, records: Records | None = None, clock: Callable[[], float] = time.time) -> None:
         super().__init__()
@@ -74,7 +74,7 @@
         while self.silent:
             await self.wake.wait()
         if "stream=1" not in query:
-            self.tell(self.listing()["endpoints"])
+            self.notify(self.listing()["endpoints"])
             return answer(200, json.dumps(self.listing()).encode())
         index = int(dict(p.partition("=")[::2] for p in query.split("&")).get("index", "0"))
         connection.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -90,14 +90,14 @@
                 index = self.index
                 text = json.dumps({"index": index, "snapshot": False, "endpoints": entries}) + "\n"
                 connection.writer.write(chunk(text.encode()))
-                self.tell(entries)
+                self.notify(entries)
             try:
                 await asyncio.wait_for(wake.wait(), BEAT_S)
             except TimeoutError:
                 if not self.silent:
                     connection.writer.write(chunk(b"\n"))
 
-    def tell(self, entries: list[dict[str, Any]]) -> None:
+    def notify(self, entries: list[dict[str, Any]]) -> None:
         """Record the entries that an ingress has been sent."""
         for entry in entries:
             self.records.add(Told(self.clock(), entry["name"], entry["status"]))
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -188,7 +188,7 @@
 async def run_fleet(
     options: Options, watch: Callable[[Fleet], Coroutine[Any, Any, None]] | None = None, records: Records | None = None
 ) -> tuple[Verdict, float, int]:
-    """Start, run and stop a fleet; gives the verdict, CPU seconds of the ingresses, and the tries sent."""
+    """Start, run and stop a fleet; return the verdict, CPU seconds of the ingresses, and the requests sent."""
     before = children_cpu()
     with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
         async with Fleet(options, Path(folder), records) as fleet:
--- a/standins/front.py
+++ b/standins/front.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What members ask for. `rate`: tries a second of all together, `burst` times as many while it lasts."""
+    """What members ask for. `rate`: requests a second of all together, `burst` times as many while it lasts."""
 
     seconds: float
     rate: float
@@ -61,7 +61,7 @@
 
 
 def draw(traffic: Traffic, ingresses: int) -> list[Plan]:
-    """All first tries of a run, in order."""
+    """All first attempts of a run, in order."""
     rng = random.Random(f"{traffic.seed} front")
     members = [(plan, n) for plan, count in traffic.members.items() for n in range(count)]
     weights = [1.0 / (n + 1) ** traffic.skew for _, n in members]
@@ -140,7 +140,7 @@
             ingress = (plan.first + self.rng.randrange(plan.spread)) % len(self.ingresses)
 
     async def ask(self, plan: Plan, name: str, ingress: int, again: bool) -> Answered | None:
-        """One try. An ingress that takes no connections is passed over for the next."""
+        """Send one attempt. An ingress that takes no connections is passed over for the next."""
         raw = self.message(plan, name, again)
         for step in range(len(self.ingresses)):
             number = (ingress + step) % len(self.ingresses)
@@ -160,7 +160,7 @@
     async def exchange(
         self, plan: Plan, name: str, number: int, line: Line, raw: bytes, again: bool, used: bool
     ) -> Answered | None:
-        """One try at one ingress; None where it was never taken."""
+        """Send one attempt to one ingress; return None where it was never taken."""
         budget = self.traffic.classes[plan.cls].budget
         asked = Asked(
             self.clock(), name, plan.op, str(number), plan.member, plan.plan, plan.cls, plan.units, budget, again
--- a/standins/ingress_process.py
+++ b/standins/ingress_process.py
@@ -22,11 +22,13 @@
 
     def __init__(self, number: int, port: int, config: dict[str, Any], folder: Path, keeps: bool = False) -> None:
         """Prepare an ingress; with `keeps` it has a state folder of its own."""
-        self.number, self.port, self.words = number, port, list[str]()
+        self.number = number
+        self.port = port
+        self._arguments: list[str] = []
         if keeps:
             state = folder / f"state-{number}.toml"
             state.write_text(f'folder = "{folder}/state-{number}"\nsync = "off"\ncommit_ms = 10\n')
-            self.words = ["--state", str(state)]
+            self._arguments = ["--state", str(state)]
         self.path = folder / f"ingress-{number}.json"
         self.log = folder / f"ingress-{number}.log"
         self.path.write_text(json.dumps(config))
@@ -39,7 +41,7 @@
                 sys.executable,
                 "-m",
                 "thistleusher",
-                *self.words,
+                *self._arguments,
                 env={**os.environ, "PROXY_CONFIG": str(self.path)},
                 stdout=log,
                 stderr=log,
--- a/standins/match.py
+++ b/standins/match.py
@@ -87,7 +87,7 @@
         (self.awake.clear if on else self.awake.set)()
 
     def close_idle(self) -> None:
-        """End every connection that carries no request, with no word."""
+        """End every connection that carries no request, without an answer."""
         if self.inflight == 0:
             for connection in list(self.connections):
                 connection.writer.close()
--- a/standins/records.py
+++ b/standins/records.py
@@ -1,6 +1,6 @@
 """What stand-ins write down, for the auditor: one small tuple an event, on one clock.
 
-Times are Unix seconds. Records are judged without the ingress's own word for anything.
+Times are Unix seconds. Records are judged without any statement of the ingress's own.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Asked(NamedTuple):
-    """A front has written a try's last byte. `op` is the same for all tries of one thing to do."""
+    """A front has written a request's last byte. `op` is the same for all attempts at one thing to do."""
 
     at: float
     id: str
@@ -36,7 +36,7 @@
 
 
 class Withdrawn(NamedTuple):
-    """A try was never taken: its idle connection had been ended, and no new one came up."""
+    """A request was never taken: its idle connection had been ended, and no new one came up."""
 
     at: float
     id: str
