--- a/soak/client_reader.py
+++ b/soak/client_reader.py
@@ -19,8 +19,8 @@
 class _Decided:
     """An ingress that serves whatever it takes, at once."""
 
-    def __init__(self, told: Settings) -> None:
-        self.settings, self.serving, self.driver = told, {"b"}, self
+    def __init__(self, parsed: Settings) -> None:
+        self.settings, self.serving, self.driver = parsed, {"b"}, self
         self.scheduler = asyncio.get_running_loop()
         self.taken: list[Any] = []
 
@@ -44,10 +44,10 @@
 
 def request(data: bytes, rng: random.Random) -> Hashable:
     """Read a client's bytes, on one connection; return what came of them."""
-    told = shared_settings()
+    parsed = shared_settings()
 
     async def main() -> Hashable:
-        ingress = _Decided(told)
+        ingress = _Decided(parsed)
         server = IngressServer(asyncio.get_running_loop(), ingress, 8)  # type: ignore[arg-type]
         connection, transport = ClientConnection(server), Transport()
         connection.connection_made(transport)  # type: ignore[arg-type]
@@ -58,7 +58,7 @@
         if statuses.count(200) < len(ingress.taken) and not connection.closing:
             raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {statuses}")
         for call in ingress.taken:
-            _check_taken(call, told)
+            _check_taken(call, parsed)
         connection.connection_lost(None)
         server.close()
         return tuple(statuses[:4]), connection.discarding_input
@@ -89,15 +89,15 @@
     return client.statuses
 
 
-def _check_taken(call: Any, told: Settings) -> None:
+def _check_taken(call: Any, parsed: Settings) -> None:
     """Raise RuleBrokenError where a request was taken that cannot be meant, or is passed on as another."""
     r = call.request
     if not (
-        0 < r.units <= told.max_units
+        0 < r.units <= parsed.max_units
         and 0 <= r.customer < 1 << 33
         and 0 < r.expires_in < 1e5
-        and r.plan in {p.name for p in told.plans}
-        and 1 <= r.width <= told.instances
+        and r.plan in {p.name for p in parsed.plans}
+        and 1 <= r.width <= parsed.instances
     ):
         raise RuleBrokenError(f"taken as it cannot be meant: {r!r}")
     head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
--- a/soak/service_readers.py
+++ b/soak/service_readers.py
@@ -93,13 +93,13 @@
 
 def datagram(data: bytes, rng: random.Random) -> Hashable:
     """Datagrams of all marks, 256 bytes at most each, between requests of the same member."""
-    told, now = shared_settings(), 5000.0
-    gateway = make_gateway(told, 1, now)
+    parsed, now = shared_settings(), 5000.0
+    gateway = make_gateway(parsed, 1, now)
     shown = []
     for n, part in enumerate(data[i : i + 256] for i in range(0, min(len(data), 2560), 256)):
         now += 0.05
         acts = gateway.handle(now, events.PeerMessage(1 + n % 2, part))
-        acts += gateway.handle(now, events.Request(f"r{n}", told.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
+        acts += gateway.handle(now, events.Request(f"r{n}", parsed.classes[0].name, "plus", 7, 6.0, 1.0, 3, 0))
         acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
             if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -193,12 +193,12 @@
 
 
 def test_the_bound_says_what_it_assumes_of_a_large_fleet():
-    told = settings(0, 200)
-    wide, narrow = bound_of(told, BASIC, Assumptions(), 120), bound_of(told, told.plans[1], Assumptions(), 13)
-    few = bound_of(settings(0, 3), told.plans[1], Assumptions(), 3)
+    parsed = settings(0, 200)
+    wide, narrow = bound_of(parsed, BASIC, Assumptions(), 120), bound_of(parsed, parsed.plans[1], Assumptions(), 13)
+    few = bound_of(settings(0, 3), parsed.plans[1], Assumptions(), 3)
     assert wide.quota_in_touch < 4 * BASIC.burst  # as owners are few, not as the set is wide
     assert narrow.staleness > few.staleness  # a budget over 24 peers
-    lines = format_table(told, Assumptions())
+    lines = format_table(parsed, Assumptions())
     assert len(lines) < 40 and "inboxes take in 100" in "".join(lines)
     assert "inboxes" not in "".join(format_table(settings(0, 3), Assumptions()))
 
--- a/tests/gossip/test_outbox.py
+++ b/tests/gossip/test_outbox.py
@@ -10,7 +10,7 @@
 
 def test_no_traffic_makes_an_outbox_send_more_than_its_budget():
     rng, box, sent, now = random.Random(4), Outbox(50.0, 28, 0.0), [], 0.0
-    for _ in range(200):  # 20 s of ticks; 40 peers, all of them told something in each
+    for _ in range(200):  # 20 s of ticks; 40 peers, all of them notified of something in each
         for _ in range(100):
             box.mark_changed(now, rng.randrange(1000), [rng.randrange(40) for _ in range(5)])
         sent += [(now, peer) for peer, _ in box.take(now)]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -204,7 +204,7 @@
 
 
 def test_an_unreadable_total_was_added_and_is_not_reported_again():
-    """Told again, a spoilt reply would charge the customer twice for one request."""
+    """Reported again, a spoilt reply would charge the customer twice for one request."""
     g = Ingress()
     g.counter = "silent"
     name = only(g.ask(units=3.0), CounterAdd).name
--- a/tests/proxy/simulated_peers.py
+++ b/tests/proxy/simulated_peers.py
@@ -157,7 +157,7 @@
         self.asked.append((name, self.world.loop.time()))
 
     def answers(self) -> list[tuple[int, bytes, bytes]]:
-        """Status, head and body of each answer; the last may be visibly cut, which is told by status 0."""
+        """Status, head and body of each answer; the last may be visibly cut, which status 0 shows."""
         found, rest = [], self.got
         while rest:
             head, whole, rest = rest.partition(b"\r\n\r\n")
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -147,14 +147,14 @@
     for _ in range(12):
         w.ask(1, 0, units=2.0)
         w.run(0.1)
-    told = []
+    sent = []
     act = w.act
-    w.act = lambda n, a: (told.append(a) if n == 1 else None, act(n, a))
+    w.act = lambda n, a: (sent.append(a) if n == 1 else None, act(n, a))
     pending = w.gateways[1].replication.customers[0].pending
     share = w.gateways[1].replication.escrow.allowances[1, 0].share
     w.counters[0].silent = False
     w.leave(1)
-    added = [a.amount for a in told if isinstance(a, actions.CounterAdd)]
+    added = [a.amount for a in sent if isinstance(a, actions.CounterAdd)]
     assert pending > 10.0 and added == [pytest.approx(pending)]
     w.run(0.1)
     allowances = {
@@ -162,7 +162,7 @@
     }
     gained = sum(a.taken.get(1, (0, 0))[0] for a in allowances.values() if a is not None)
     assert 0 < gained < share and [
-        a for a in told if isinstance(a, actions.SendToPeer) and a.payload[:1] == TRANSFER_MARK
+        a for a in sent if isinstance(a, actions.SendToPeer) and a.payload[:1] == TRANSFER_MARK
     ]
 
 
--- a/tests/quota/test_bound.py
+++ b/tests/quota/test_bound.py
@@ -25,13 +25,13 @@
 
     code, out, error = bound(str(path), "--outage", "30")
     assert code == 0 and not error
-    told, _ = nested_settings(settings(Options(), 0))
-    b = bound_of(told, told.plans[1], Assumptions(0.05, 0.05, outage=30.0))
+    parsed, _ = nested_settings(settings(Options(), 0))
+    b = bound_of(parsed, parsed.plans[1], Assumptions(0.05, 0.05, outage=30.0))
     assert f"ceiling by {b.ceiling_restart:.1f} at most" in out and "36.0 (a full quota: 36.0), 65.0" in out
     row = [line for line in out.splitlines() if line.startswith("plus") and " 3 " in line][0].split()
     assert row == ["plus", "3", *(f"{x:.1f}" for x in (b.quota_in_touch, b.quota_cut_off, b.quota_split, b.ceiling))]
     out = bound(str(path), "--folders")[1]
-    persistent = bound_of(told, told.plans[1], Assumptions(0.05, 0.05, folders=True))
+    persistent = bound_of(parsed, parsed.plans[1], Assumptions(0.05, 0.05, folders=True))
     assert (
         persistent.ceiling_restart < b.ceiling_restart and f"ceiling by {persistent.ceiling_restart:.1f} at most" in out
     )
@@ -58,14 +58,16 @@
 
 
 def test_the_bound_grows_with_what_it_depends_on_and_is_nothing_for_one_ingress():
-    told, _ = nested_settings(settings(Options(), 0))
-    plus = told.plans[1]
-    base = bound_of(told, plus, Assumptions())
-    assert bound_of(told, plus, Assumptions(loss=0.2)).quota_in_touch > base.quota_in_touch
-    assert bound_of(told, plus, Assumptions(outage=120.0)).quota_cut_off > base.quota_cut_off
-    assert bound_of(told, plus, Assumptions(outage=120.0)).ceiling == base.ceiling
-    assert bound_of(told, plus, Assumptions(skew=1.0)).ceiling > base.ceiling
-    assert bound_of(told, plus, Assumptions(), 2).ceiling < base.ceiling < 104
+    parsed, _ = nested_settings(settings(Options(), 0))
+    plus = parsed.plans[1]
+    base = bound_of(parsed, plus, Assumptions())
+    assert bound_of(parsed, plus, Assumptions(loss=0.2)).quota_in_touch > base.quota_in_touch
+    assert bound_of(parsed, plus, Assumptions(outage=120.0)).quota_cut_off > base.quota_cut_off
+    assert bound_of(parsed, plus, Assumptions(outage=120.0)).ceiling == base.ceiling
+    assert bound_of(parsed, plus, Assumptions(skew=1.0)).ceiling > base.ceiling
+    assert bound_of(parsed, plus, Assumptions(), 2).ceiling < base.ceiling < 104
     assert (
-        bound_of(told, plus, Assumptions(), 1).ceiling == 0.0 == bound_of(told, plus, Assumptions(), 1).quota_in_touch
+        bound_of(parsed, plus, Assumptions(), 1).ceiling
+        == 0.0
+        == bound_of(parsed, plus, Assumptions(), 1).quota_in_touch
     )
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -281,11 +281,11 @@
     w.traffic(5.0, 20.0, lambda at: 1)
     gateway = w.gateways[1]
     assert gateway.replication.in_touch(w.now, gateway.replication.customers[0], strict=True)
-    told = []
+    sent = []
     act = w.act
-    w.act = lambda n, a: told.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
+    w.act = lambda n, a: sent.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
     w.run(5.0)
-    assert len(told) <= 6  # and fall silent when nobody tells them of anything
+    assert len(sent) <= 6  # and fall silent when no peer notifies them of anything
 
 
 FIRST = 6 * int(os.environ.get("SOAK_SEED", "0"))
--- a/tests/quota/test_handshakes.py
+++ b/tests/quota/test_handshakes.py
@@ -37,7 +37,7 @@
     before = a.share, a.headroom
     s.wire = late
     s.settle()
-    assert (a.share, a.headroom) == before  # nobody was told that it had been taken
+    assert (a.share, a.headroom) == before  # nobody was notified that it had been taken
     assert 1 in s.nodes[2].bootstrap.incarnations.restarted
 
 
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -63,13 +63,13 @@
 
 def stated(o: Options, scenario: str) -> dict[str, PlanRule]:
     """The plans, with the errors that the bound states for the scenario."""
-    told, _ = nested_settings(settings(o, 0))
+    parsed, _ = nested_settings(settings(o, 0))
     lossy, away = "lossy" in scenario, "restart" in scenario
     # Everything that the machine adds to a datagram's way is the relay's delay here.
     assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.1, outage=SECONDS, folders=o.folders)
     out = {}
-    for plan in told.plans:
-        b = bound_of(told, plan, assumed)
+    for plan in parsed.plans:
+        b = bound_of(parsed, plan, assumed)
         split = "cut off" in scenario or scenario.startswith("split, replaced")
         error = b.quota_split if split else b.quota_cut_off if away else b.quota_in_touch
         joint = 3 if "three" in scenario else 1 if "all restart" in scenario else 0
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -157,7 +157,7 @@
         self.now = end
 
     def place(self, placement: Placement) -> None:
-        """Another set of counters, told to all ingresses at once."""
+        """Another set of counters, announced to all ingresses at once."""
         self.placement = placement
         for address in placement.addresses:
             self.parts.setdefault(address, CounterModel())
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -46,10 +46,10 @@
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
-def test_what_ingresses_are_told_can_be_read(name):
-    told, _ = nested_settings(settings(Options(deployment=DEPLOYMENTS[name]), 0))
-    assert {c.name for c in told.classes} == set(DEPLOYMENTS[name].classes)
-    assert told.max_attempts == DEPLOYMENTS[name].max_attempts
+def test_the_settings_of_ingresses_can_be_read(name):
+    parsed, _ = nested_settings(settings(Options(deployment=DEPLOYMENTS[name]), 0))
+    assert {c.name for c in parsed.classes} == set(DEPLOYMENTS[name].classes)
+    assert parsed.max_attempts == DEPLOYMENTS[name].max_attempts
 
 
 def test_connections_that_break_as_requests_come_cost_the_unsafe_class_next_to_nothing():
@@ -65,8 +65,8 @@
     assert verdict.kept, verdict.lines()
     assert served("settle-post", 1.2, 2.4) > 0.5  # the other ingress and its servers go on
     assert served("settle-post", since=4.5) > 0.9 and served("share-read", since=4.5) > 0.9, verdict.lines()
-    told = [a.retry_after for a in records.of(Answered) if a.status in (429, 503)]
-    assert not told or max(told) > 0
+    retry_after = [a.retry_after for a in records.of(Answered) if a.status in (429, 503)]
+    assert not retry_after or max(retry_after) > 0
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.name)
--- a/thistleusher/core/actions.py
+++ b/thistleusher/core/actions.py
@@ -60,7 +60,7 @@
 
 
 class CounterAdd(NamedTuple):
-    """Add to a named count; a new name lives `lifetime` seconds."""
+    """Add to a named count; a new name expires after `lifetime` seconds."""
 
     name: int
     amount: float
--- a/thistleusher/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -42,7 +42,7 @@
     """The counter service: each call brings about one `CounterReply`, those on one name in their order."""
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        """Add to a count; a new one lives `lifetime` seconds."""
+        """Add to a count; a new one expires after `lifetime` seconds."""
 
 
 class PeerPort(Protocol):
--- a/thistleusher/embed/counter.py
+++ b/thistleusher/embed/counter.py
@@ -26,7 +26,7 @@
         self.ends: list[tuple[float, int]] = []  # a heap: when a name expires, the name
 
     def add(self, name: int, amount: float, lifetime: float) -> float:
-        """Add to a name, and return the new total. A new name lives `lifetime` seconds, 60 at most."""
+        """Add to a name, and return the new total. A new name expires after `lifetime` seconds, 60 at most."""
         now = self.clock()
         while self.ends and self.ends[0][0] <= now:
             end, old = heapq.heappop(self.ends)
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -22,7 +22,7 @@
 from thistleusher.services.http_responses import Response
 
 STALL_S = 1.0  # without a byte in the middle of an answer, after which a repeatable request goes to another backend
-MIN_LEFT_S = 0.001  # the least time left that a backend is told
+MIN_LEFT_S = 0.001  # the least remaining time that is passed to a backend
 KINDS = {
     Verdict.OVER_QUOTA: ErrorKind.QUOTA_EXCEEDED,
     Verdict.NO_ROOM: ErrorKind.NO_CAPACITY,
--- a/thistleusher/services/counter_client.py
+++ b/thistleusher/services/counter_client.py
@@ -44,7 +44,7 @@
                 channel.reconnect.set()
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        """Add to a name, which lives for `lifetime` seconds if it is new."""
+        """Add to a name, which expires after `lifetime` seconds if it is new."""
         now = self.loop.time()
         lifetime_ms = max(1, min(MAX_LIFETIME_MS, round(lifetime * 1000)))
         request = (
