--- a/standins/relay.py
+++ b/standins/relay.py
@@ -35,12 +35,12 @@
 class Relay:
     """`loss`: share of datagrams that are lost; `delay`: seconds at most by which each is late."""
 
-    def __init__(self, addresses: Sequence[Address], seed: int = 0, loss: float = 0.0, delay: float = 0.0) -> None:
-        self.addresses = list(addresses)
-        self.numbers = {address: n for n, address in enumerate(addresses)}
+    def __init__(self, targets: Sequence[Address], seed: int = 0, loss: float = 0.0, delay: float = 0.0) -> None:
+        self.targets = list(targets)
+        self.numbers = {address: n for n, address in enumerate(targets)}
         self.loss, self.delay = loss, delay
         self.draws = {
-            (a, b): random.Random(f"{seed} {a} {b}") for a in range(len(addresses)) for b in range(len(addresses))
+            (a, b): random.Random(f"{seed} {a} {b}") for a in range(len(targets)) for b in range(len(targets))
         }  # one stream a pair: what others send changes nothing
         self.cut: set[int] = set()
         self.doors: list[Door] = []
@@ -55,7 +55,7 @@
     async def start(self) -> None:
         """Open a door for each ingress."""
         loop = asyncio.get_running_loop()
-        for number in range(len(self.addresses)):
+        for number in range(len(self.targets)):
             door = Door(self, number)
             await loop.create_datagram_endpoint(lambda door=door: door, local_addr=(HOST, 0))  # type: ignore[misc]
             self.doors.append(door)
@@ -80,7 +80,7 @@
         transport = self.doors[sender].transport
         if transport is not None and not transport.is_closing():
             self.carried += 1
-            transport.sendto(data, self.addresses[target])
+            transport.sendto(data, self.targets[target])
 
     def stop(self) -> None:
         """Close all doors."""
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -5,9 +5,9 @@
 - A configuration by its number and the digest of its contents (canonical JSON: neither spaces nor the order of members
   count). The highest number prevails; one no higher than the number in force is acknowledged and changes nothing. One
   that was accepted before is a repeat, which is neither refused nor validated again.
-- An evacuation by its zone and what it asks for. It has no id, so a repeat can't be distinguished from a new order of the same
-  kind: it is acknowledged without a change only while the zone is as it asks. After another operator's opposite order
-  it takes effect again, as its sender relies on the acknowledgement that it gets now.
+- An evacuation by its zone and what it asks for. It has no id, so a repeat can't be distinguished from a new order of
+  the same kind: it is acknowledged without a change only while the zone is as it asks. After another operator's
+  opposite order it takes effect again, as its sender relies on the acknowledgement that it gets now.
 
 `Change.is_redundant` must be asked of a state in force, never of one with a pending change: an acknowledgement by a
 state that may still be lost would confirm contents that nobody keeps. So a repeat that arrives while the first is
