--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -144,7 +144,7 @@
         for name, entry in changes.items()
         if entry is not None
     }
-    first_s = timed(lambda: deciding.listed(0.0, places))
+    first_s = timed(lambda: deciding.apply_backends(0.0, places))
     proxy_mb = resident_mb() - before
     places.pop(next(iter(places)))
     return {
@@ -156,7 +156,7 @@
         "one backend, message bytes": len(encode(state.update_since(1))),
         "proxy: take in s": first_s,
         "proxy: memory MB": proxy_mb,
-        "proxy: one backend less s": timed(lambda: deciding.listed(1.0, dict(places))),
+        "proxy: one backend less s": timed(lambda: deciding.apply_backends(1.0, dict(places))),
     }
 
 
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -12,13 +12,15 @@
 import tempfile
 import time
 from pathlib import Path
-from typing import NamedTuple
+from typing import Literal, NamedTuple
 
 from tests.quota.world import World
 from tests.quota.world import settings as world_settings
 from thistleusher.state.options import StateOptions
 from thistleusher.state.snapshotter import BATCH_SIZE, Snapshotter
-from thistleusher.state.store import SYNC_MODES
+
+Sync = Literal["off", "normal", "full"]
+SYNC_MODES: tuple[Sync, ...] = ("off", "normal", "full")
 
 START_TIME = 5000.0
 KEPT_S = 1e9  # for which quiet members are kept
@@ -49,7 +51,7 @@
         return 1000 * self.pauses[int(share * (len(self.pauses) - 1))]
 
 
-def write_members(folder: str, sync: str, members: int) -> tuple[list[float], float]:
+def write_members(folder: str, sync: Sync, members: int) -> tuple[list[float], float]:
     """Commit the state of so many members; return the portions' pauses and the seconds until all was committed."""
     world = World(1, 2)
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
@@ -74,7 +76,7 @@
     return sorted(pauses), committed_s
 
 
-def read_members(folder: str, sync: str, members: int) -> float:
+def read_members(folder: str, sync: Sync, members: int) -> float:
     """Start again with the state of so many members; return the seconds until the ingress is ready."""
     began = time.perf_counter()
     snapshotter = Snapshotter(StateOptions(folder, sync), "n0", world_settings(0), KEPT_S)
@@ -85,7 +87,7 @@
     return ready_s
 
 
-def measure(members: int, sync: str) -> Costs:
+def measure(members: int, sync: Sync) -> Costs:
     """Measure one number of members under one sync policy."""
     with tempfile.TemporaryDirectory(prefix="state-") as folder:
         pauses, committed_s = write_members(folder, sync, members)
