--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements that are not tests: ratios within one run, never in CI."""
+"""Measurements of the programs and of their parts: costs, times and what deliberate faults are found by.
+
+Promises nothing to the product, which imports none of it; each module is a command, `python -m benchmarks.NAME`.
+"""
