--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -50,7 +50,7 @@
 
 
 def timed(call: Callable[[], Any], repeats: int = 1) -> Timed:
-    """A call's result and its median time."""
+    """Return a call's result and its median time."""
     times = []
     for _ in range(repeats):
         begin = time.process_time()
@@ -60,7 +60,7 @@
 
 
 def configuration(number: int, routes: int, tenants: int) -> dict[str, Any]:
-    """A configuration with fields as the operator sends them."""
+    """Return a configuration with fields as the operator sends them."""
     services = routes // ROUTES_PER_SERVICE
     return {
         "version": f"{number:08x}",
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -59,7 +59,7 @@
         return self.skipped or (not self.missing and self.gate == "passed")
 
     def line(self) -> str:
-        """The line of the table."""
+        """Return the line of the table."""
         rules = " ".join(f"{rule}:{times}" for rule, times in self.broken.items()) or "none"
         seed = "own" if self.play.seed is None else str(self.play.seed)
         start = f"{self.play.site.stem:22} {self.play.day.stem:22} {seed:>6}"
@@ -87,14 +87,14 @@
 
 
 def read_report(play: Play, path: Path) -> Result:
-    """The result that a report holds."""
+    """Return the result that a report holds."""
     report = json.loads(path.read_text())
     broken = {rule: count(value) for rule, value in report["breaks"].items()}
     return Result(play, broken, gate(report), report["G"], report["all"]["worth"])
 
 
 def without_report(play: Play, log: Path) -> Result:
-    """The result of a run that gave no report: its last line tells why."""
+    """Return the result of a run that gave no report: its last line tells why."""
     lines = log.read_text().splitlines() or ["no output"]
     return Result(play, {}, "", 0.0, 0.0, lines[-1], skipped=lines[-1].endswith(NOT_OPEN))
 
@@ -119,7 +119,7 @@
 
 
 def parse_options() -> argparse.Namespace:
-    """The options of the command line."""
+    """Return the options of the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--fleetbench", type=Path, default=os.environ.get("FLEETBENCH"), help="path of the bench")
     parser.add_argument("--site", type=Path, nargs="+", required=True)
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -101,7 +101,7 @@
 
 
 def second(w: Judged, all_of_them: list[Member]) -> None:
-    """A second of everybody's requests, of 1 to 4 units."""
+    """Play a second of everybody's requests, of 1 to 4 units."""
     for m in all_of_them:
         asks = m.spike if m.spike and w.rng.random() < 0.125 else m.asks
         t = 0.0
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -31,7 +31,7 @@
 
 
 def read_arguments() -> argparse.Namespace:
-    """The command's options."""
+    """Return the command's options."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="*", default=SIZES)
     parser.add_argument("--each", type=int, default=50, help="hollow proxies of one process")
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -95,7 +95,7 @@
         self.tenants: list[str] = []
 
     async def open(self) -> None:
-        """The ports by which other proxies reach it."""
+        """Open the ports by which other proxies reach it."""
         await self.loop.create_datagram_endpoint(lambda: self.beats, local_addr=(self.boot.ip, self.boot.port(RING)))
         await self.handing.listen(self.boot.ip, self.boot.port(PROXY))
 
@@ -199,7 +199,7 @@
 
 
 def main() -> None:
-    """What `python -m benchmarks.scale.hollow` runs."""
+    """Run hollow proxies until the input ends."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     links.Link = Measured  # type: ignore[misc]
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -67,7 +67,7 @@
             await self.process.wait()
 
     def usage(self) -> Usage:
-        """What it has used."""
+        """Return the processor time and memory that it has used."""
         assert self.process is not None
         return Usage(self.process.pid)
 
@@ -112,7 +112,7 @@
         self.process.stdin.write(command.encode() + b"\n")
 
     async def report(self) -> Table:
-        """What it has measured."""
+        """Ask for what it has measured, and return that."""
         self.tell("report")
         return await self._line()
 
@@ -213,7 +213,7 @@
 
 
 def summed(reports: list[Table], name: str) -> dict[str, int]:
-    """The sum of a table of counts over reports."""
+    """Return the sum of a table of counts over reports."""
     total: dict[str, int] = {}
     for report in reports:
         for key, value in report[name].items():
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -49,7 +49,7 @@
 
 
 def decisions() -> Decisions:
-    """A proxy's."""
+    """Return a proxy's decisions."""
     boot = read_node_settings(settings("proxy-0", "proxy", "127.0.0.1", "z-0", Path("/")))
     return Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(1), 0.0)
 
@@ -74,7 +74,7 @@
 
 
 def configuration_state(part: int) -> Figures:
-    """A configuration of a part of the target: sizes, and what it and a change cost the control machine and a proxy."""
+    """Return sizes and costs, at the control machine and a proxy, of a configuration that is a part of the target."""
     config = configuration(ROUTES // part, SERVICES, TENANTS // part)
     body = json.dumps(config, separators=(",", ":")).encode()
     size = {name: len(json.dumps(config[name], separators=(",", ":"))) / MB for name in ("routes", "tenants")}
@@ -116,7 +116,7 @@
 
 
 def list_state(part: int) -> Figures:
-    """A list of backends of a part of the target: what a reading costs the registry, and the list a proxy."""
+    """Return what reading a list of backends costs the registry, and the list itself a proxy."""
     count = BACKENDS // part
     rows = backends(count, [f"s-{n}" for n in range(SERVICES)])
     pages = [
@@ -179,7 +179,7 @@
 
 
 def counter_state(senders: int) -> Figures:
-    """The counter's ledger once each sender has sent as many charges as are remembered."""
+    """Return the size of the counter's table once each sender has sent as many charges as are remembered."""
     counts = QuotaCounter(0.0)
     tenants = [f"t-{n}" for n in range(1000)]
     counts.configure(dict.fromkeys(tenants, (1e6, 1e6)), {})
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -94,7 +94,7 @@
 
 
 def copy(fault: Wrong, folder: Path) -> None:
-    """The sources with one fault. ValueError where its line is not there any more."""
+    """Copy the sources with one fault. Raises ValueError where its line is not there any more."""
     for part in PARTS:
         whole = ROOT / part
         if whole.is_dir():
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -89,7 +89,7 @@
 
 
 def main() -> int:
-    """A line a form."""
+    """Print a line a form."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.system_cost", description=__doc__)
     parser.add_argument("--requests", type=int, default=4000)
     parser.add_argument("--rounds", type=int, default=3)
--- a/soak/case.py
+++ b/soak/case.py
@@ -26,7 +26,7 @@
     size: dict[str, Any] = field(default_factory=dict)
 
     def but(self, **changes: Any) -> Case:
-        """The same with another size."""
+        """Return the same with another size."""
         return replace(self, size={**self.size, **changes})
 
     def write(self, path: Path, why: str) -> None:
@@ -45,7 +45,7 @@
 
 
 def read_case(path: str | Path) -> Case:
-    """A case's file; BadCase says what cannot be used."""
+    """Read a case's file. Raises BadCase."""
     try:
         data = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -51,7 +51,7 @@
 
 
 def draw(seed: int, seconds: float = 6.0) -> Case:
-    """A fleet, its traffic and a script that may overlap itself."""
+    """Draw a fleet, its traffic and a script that may overlap itself."""
     rng = random.Random(seed)
     ingresses, servers = rng.randint(3, 7), rng.randint(4, 20)
     faults = []
@@ -88,7 +88,7 @@
 
 
 def options_of(case: Case) -> Options:
-    """The stand-ins' words for a case, with the errors that are stated for it."""
+    """Return the stand-ins' options for a case, with the errors that are stated for it."""
     s = case.size
     faults = tuple(
         Fault(float(at), str(do), int(target), float(lasts), float(value))
@@ -225,7 +225,7 @@
 
 
 def smaller(case: Case) -> list[Case]:
-    """What to try in its place, the largest cuts first: fewer faults, a shorter run, a smaller fleet."""
+    """Return smaller cases, the largest cuts first: fewer faults, a shorter run, a smaller fleet."""
     s: dict[str, Any] = case.size
     faults: list[list[Any]] = s["faults"]
     out = []
--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -33,7 +33,7 @@
 
 
 def fails(target: str, data: bytes, seed: int) -> str:
-    """What one input breaks, or nothing."""
+    """Return the error of one input, or an empty text."""
     try:
         READERS[target][0](data, random.Random(seed))
     except Exception as error:
@@ -42,7 +42,7 @@
 
 
 def told(error: Exception) -> str:
-    """The error and where it came from."""
+    """Return the error and where it came from."""
     if isinstance(error, Broken):
         return str(error)
     last = traceback.extract_tb(error.__traceback__)[-1]
@@ -50,7 +50,7 @@
 
 
 def smallest(case: Case, outcome: Outcome) -> Case:
-    """The case of the one input that failed, with as few bytes as still bring about an error of that kind."""
+    """Return the case of the one input that failed, with as few bytes as still bring about an error of that kind."""
     text = outcome.why.rpartition("; data ")[2]
     if "data" in case.size:
         target, data, seed = str(case.size["target"]), bytes.fromhex(str(case.size["data"])), case.seed
--- a/soak/moments.py
+++ b/soak/moments.py
@@ -31,7 +31,7 @@
 
 
 def draw(seed: int) -> Case:
-    """A file of tests and a moment."""
+    """Draw a file of tests and a moment."""
     rng = random.Random(seed)
     return Case("moment", seed, {"test": rng.choice(files()), "moved": round(rng.uniform(0.0, DAY_S), 3)})
 
@@ -56,5 +56,5 @@
 
 
 def smaller(case: Case) -> list[Case]:
-    """The same at no other moment: whether it is the moment that matters."""
+    """Return the same case without the moved clock, which shows whether the moment matters."""
     return [case.but(moved=0.0)] if case.size["moved"] else []
--- a/soak/mutate.py
+++ b/soak/mutate.py
@@ -94,7 +94,7 @@
 
 
 def cut_down(data: bytes, fails: Callable[[bytes], bool], tries: int = 600) -> bytes:
-    """A smaller input that still fails: halves, quarters, ... are left out as long as it does (Zeller's ddmin)."""
+    """Return a smaller input that still fails, by leaving out halves, quarters and so on (Zeller's ddmin)."""
     step = max(1, len(data) // 2)
     while tries > 0:
         at, shorter = 0, False
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -46,7 +46,7 @@
 
 
 def chunks(data: bytes, rng: random.Random) -> list[bytes]:
-    """The same bytes in reads of random lengths."""
+    """Return the same bytes, in reads of random lengths."""
     out, at = [], 0
     while at < len(data):
         size = rng.choice((1, 7, 100, 1400, 65536)) if len(data) < 4000 else rng.choice((1400, 65536))
@@ -110,7 +110,7 @@
 
 
 def request(data: bytes, rng: random.Random) -> Hashable:
-    """A client's bytes, on one connection."""
+    """Read a client's bytes, on one connection; return what came of them."""
     told = _told()
 
     async def main() -> Hashable:
@@ -160,7 +160,7 @@
 
 
 def answer(data: bytes, rng: random.Random) -> Hashable:
-    """A backend's bytes: whole answers, or the reason why none can be read any more."""
+    """Read a backend's bytes; return whole answers, or the reason why none can be read any more."""
     reader, whole = ResponseReader(), []
     for part in chunks(data, rng):
         whole += reader.feed(part)
@@ -189,7 +189,7 @@
 
 
 def counter(data: bytes, rng: random.Random) -> Hashable:
-    """The counter's bytes: each call has one verdict in the end, and a total is a number."""
+    """Read the counter's bytes: each call has one verdict in the end, and a total is a number."""
 
     async def main() -> Hashable:
         line = _Line()
@@ -289,7 +289,7 @@
 
 
 def records(data: bytes, rng: random.Random) -> Hashable:
-    """A file of records."""
+    """Read a file of records; return how many it has, or the error."""
     try:
         return len(read_records(data.decode("utf-8", "replace").splitlines(), "file"))
     except ValueError as error:
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -58,7 +58,7 @@
 
 
 def cut(case: Case, outcome: Outcome, tries: int = 40) -> tuple[Case, Outcome]:
-    """The smallest case found that fails alike."""
+    """Return the smallest case found that fails alike."""
     if outcome.part in ("soak", "worker"):  # not the program's
         return case, outcome
     if case.kind == "bytes":
@@ -89,7 +89,7 @@
         self.cutting: dict[Future[Any], tuple[Path, int]] = {}  # cases that are being cut down
 
     def draw(self, fleets_out: int) -> Case | None:
-        """The next case; None where only fleets are asked for and enough of them are out."""
+        """Draw the next case; None where only fleets are asked for and enough of them are running."""
         may = [k for k in self.kinds if k != "fleet" or fleets_out < max(1, int(FLEETS * self.workers))]
         if not may:
             return None
@@ -155,7 +155,7 @@
             self.cutting[pool.submit(cut, case, outcome, self.shrinks)] = (path, len(r.found) - 1)
 
     def keep(self, path: Path, number: int, future: Future[Any]) -> None:
-        """The smallest case that fails alike takes the place of the one that was drawn."""
+        """Put the smallest case that fails alike in the place of the one that was drawn."""
         try:
             least, why = future.result()
         except Exception as error:  # the worker died: the case stays as it was
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -75,7 +75,7 @@
 
 
 async def table(fleet: Fleet) -> None:
-    """What happens, once a second: redrawn in a terminal, a plain line elsewhere."""
+    """Show what happens, once a second: redrawn in a terminal, a plain line elsewhere."""
     live, began = sys.stdout.isatty(), asyncio.get_running_loop().time()
     while True:
         await asyncio.sleep(1.0)
@@ -135,7 +135,7 @@
 
 
 def sink_of(path: str | None) -> AbstractContextManager[TextIO | None]:
-    """The file that records go to, if any."""
+    """Return the file that records go to, or a context without one."""
     return open(path, "w", encoding="utf-8", buffering=1) if path else nullcontext()
 
 
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -47,7 +47,7 @@
         self.repeat_old = False  # answers tell the total before the one that was true
 
     def totals(self) -> dict[str, float]:
-        """What stands in each name now."""
+        """Return what stands in each name now."""
         now = self.clock()
         return {name: total for name, (total, until) in self.counts.items() if until > now}
 
@@ -96,7 +96,7 @@
             await asyncio.sleep(wait)
 
     def add(self, name: str, amount: float, life_ms: int) -> tuple[float, float]:
-        """The totals before and after."""
+        """Return the totals before and after."""
         now = self.clock()
         before, until = self.counts.get(name, (0.0, 0.0))
         if until <= now:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -71,7 +71,7 @@
 
 
 def read_script(path: str | Path) -> list[Fault]:
-    """A script's faults in order of time."""
+    """Return a script's faults in order of time. Raises BadScript."""
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -64,7 +64,7 @@
 
 
 def settings(o: Options, me: int) -> dict[str, Any]:
-    """What an ingress is told, in the words of its configuration."""
+    """Return an ingress's configuration."""
     d = o.deployment
     classes = [
         {
@@ -145,7 +145,7 @@
     """One `python -m thistleusher`."""
 
     def __init__(self, number: int, port: int, config: dict[str, Any], folder: Path, keeps: bool = False) -> None:
-        """`keeps`: it has a state folder of its own."""
+        """Prepare an ingress; with `keeps` it has a state folder of its own."""
         self.number, self.port, self.words = number, port, list[str]()
         if keeps:
             state = folder / f"state-{number}.toml"
@@ -298,7 +298,7 @@
         self.front = Front([(HOST, p) for p in ports], traffic, self.records)
 
     async def run(self, watch: Callable[[], Coroutine[Any, Any, None]] | None = None) -> Verdict:
-        """The traffic and the faults, then the auditor's verdict."""
+        """Play the traffic and the faults; return the auditor's verdict."""
         assert self.front is not None
         watching = asyncio.create_task(watch()) if watch else None
         playing = asyncio.create_task(play(list(self.o.faults), self.switch))
@@ -416,7 +416,7 @@
             self.counter.restart_from_zero()
 
     async def regain_hall(self, hall: int) -> None:
-        """It is back, cold and with nothing known."""
+        """Start the hall's servers again, cold and with nothing known."""
         for number in range(hall, len(self.servers), HALLS):
             await self.revive(number)
         for ingress in self.ingresses[hall::HALLS]:
@@ -427,7 +427,7 @@
         await self.servers[number].stop()
 
     async def revive(self, number: int) -> None:
-        """The same server starts anew, cold; one that runs goes on."""
+        """Start the same server anew, cold; one that runs goes on."""
         if self.servers[number].server is not None:
             return
         await self.servers[number].start(self.servers[number].port)
--- a/standins/front.py
+++ b/standins/front.py
@@ -118,7 +118,7 @@
         self.tally: dict[int, int] = {}
 
     async def run(self) -> None:
-        """The whole of the traffic; ends when each try has its end."""
+        """Send the whole of the traffic; return when each attempt has ended."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.TaskGroup() as group:
--- a/standins/records.py
+++ b/standins/records.py
@@ -118,7 +118,7 @@
 
 
 def read_records(lines: Iterable[str], name: str = "records") -> list[Record]:
-    """Records out of JSON lines; ValueError names the line that is none."""
+    """Return the records of JSON lines. Raises ValueError with the line that is none."""
     out: list[Record] = []
     for number, line in enumerate(lines, 1):
         try:
--- a/standins/system.py
+++ b/standins/system.py
@@ -31,7 +31,7 @@
 
 
 def zone_of(ip: str) -> str:
-    """The zone that an address is in."""
+    """Return the zone that an address is in."""
     return ZONES[ip.rpartition(".")[0]]
 
 
@@ -85,7 +85,7 @@
 
 
 def configuration(version: int, service: str = "ledger", rate: float = 40.0) -> dict[str, Any]:
-    """A configuration as an operator sends it."""
+    """Return a configuration as an operator sends it."""
     route = {
         "hostname": HOST,
         "variant": "pure",
@@ -198,7 +198,7 @@
     async def call(
         self, address: str, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> Message:
-        """The whole answer. OSError, TimeoutError or EOFError where there is none."""
+        """Return the whole answer. Raises OSError, TimeoutError or EOFError where there is none."""
         async with asyncio.timeout(4.0):
             host, _, port = address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -263,7 +263,7 @@
             await asyncio.sleep(0.05)
 
     async def order(self, method: str, target: str, body: bytes = b"") -> Message:
-        """An operator's call, taken from machine to machine until one answers with 200 or says that it is wrong."""
+        """Take an operator's call from machine to machine until one answers with 200 or says that it is wrong."""
         for n in range(60):
             ip = CORES[n % len(CORES)]
             try:
@@ -298,7 +298,7 @@
 
 
 async def story(system: System) -> None:
-    """What `make run` shows; AssertionError where something does not hold."""
+    """Play what `make run` shows. Raises AssertionError where something does not hold."""
     say, runs = system.say, system.runs
 
     async def ready() -> bool:
