--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -45,6 +45,13 @@
     assert "KNOWN RED: test_named.py::test_named[here, there]: failed ([slow], late; issue 7)" in done.stdout
 
 
+def test_more_than_three_tests_may_be_listed(tmp_path: Path) -> None:
+    (tmp_path / "test_more.py").write_text("".join(f"def test_{n}(): assert False\n" for n in range(5)))
+    done = script(tmp_path, "".join(f"test_more.py::test_{n}, slow, issue 7\n" for n in range(5)))
+    assert done.returncode == 0, done.stdout + done.stderr
+    assert done.stdout.count("KNOWN RED: test_more.py") == 5
+
+
 def test_a_listed_test_that_passes_is_said_loudly(tmp_path: Path) -> None:
     done = script(tmp_path, "test_sample.py::test_one_more, slow, issue 7\n")
     assert "test_sample.py::test_one_more PASSES NOW" in done.stdout
@@ -53,6 +60,7 @@
 def test_a_wrong_list_fails(tmp_path: Path) -> None:
     line = "test_sample.py::test_one, slow, issue 7\n"
     assert script(tmp_path, line * 4).returncode == 1
+    assert script(tmp_path, line * 2).returncode == 1
     assert script(tmp_path, "test_sample.py, slow, issue 7\n").returncode == 1
     assert script(tmp_path, "test_sample.py::test_gone, slow, issue 7\n").returncode == 1
 
