--- a/thistleusher/client/__init__.py
+++ b/thistleusher/client/__init__.py
@@ -1,7 +1,8 @@
-"""The client library sends requests to thistleusher over httpx (extra `client`) and returns what is known of their end.
+"""Client library: sends requests to thistleusher over httpx (extra `client`) and returns their known result.
 
-It promises that each call ends as answered, refused and never run, or unknown, and that a call which may have run is
-never sent again unless it may be repeated; `Client` is for asyncio, `PlainClient` for programs without an event loop.
+Guarantees: each call ends as answered, as refused (it has not run and never will), or as unknown. A call that may have
+run is retried only if it is declared repeatable. `Client` is for asyncio, `PlainClient` for programs without an event
+loop.
 """
 
 from thistleusher.client.calls import Answered, Ended, Refused, Unknown, UnknownEnd
--- a/thistleusher/client/calls.py
+++ b/thistleusher/client/calls.py
@@ -1,15 +1,15 @@
-"""One call, from its first attempt to its end: what may be sent again, when, and what is known at the end.
+"""State of one call: whether and when it is retried, and its result.
 
-- 429, 503, 408 and 421 promise that a request has not run and never will: any call may be sent again after them, not
-  before `Retry-After`, of which at most a third of the time left is waited for.
-- An attempt whose connection was never established has sent nothing. One that broke later, a 502, a 504 or no answer in
-  time promise nothing: only a call that may be repeated is sent again, and any other ends as `Unknown`.
-- Any other answer is final, and so is the end of the call's time.
+- The statuses 408, 421, 429 and 503 promise that a request has not run and never will. Any call may be retried after
+  them, with a delay of `Retry-After`, limited to a third of the remaining time.
+- An attempt whose connection was never established has sent nothing. A connection that broke later, a 502, a 504 or a
+  time-out promise nothing: only a repeatable call is retried, and any other call ends as `Unknown`.
+- Any other answer is final, and so is the expiry of the call's deadline.
 
-Retries of all calls together are paid from a budget that calls fill, so that a client does not add to an overload. What
-was never sent has cost the service nothing, and is sent to another address without payment.
+All retries of a client are taken from one budget to which each call adds, so that retries do not amplify an overload.
+An attempt that was never sent has cost the service nothing; its retry at another address is free of charge.
 
-Pure; seconds on the steady clock.
+Free of I/O; times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # promise that it has not run and never will
-UNKNOWN_STATUSES = (502, 504)  # promise nothing
-MAX_WAIT_SHARE = 1 / 3  # of the time left, for which `Retry-After` is waited for
-BACKOFF_S = 0.05  # before a retry without `Retry-After`; doubles with each
-RETRY_RATIO = 0.2  # retries that a call adds to the budget
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # these promise that the request has not run and never will
+UNKNOWN_STATUSES = (502, 504)  # after these the request may have run
+MAX_WAIT_SHARE = 1 / 3  # fraction of the remaining time that limits the wait for `Retry-After`
+BACKOFF_S = 0.05  # delay before the first retry without `Retry-After`; doubles with each attempt
+RETRY_RATIO = 0.2  # retries that each call adds to the budget
 RETRY_SLACK = 10.0  # retries in a full budget
 DEFAULT_MAX_ATTEMPTS = 4
 
@@ -30,8 +30,8 @@
 class AttemptFailure(enum.Enum):
     """How an attempt without an answer failed."""
 
-    UNSENT = "unsent"  # no connection was established: nothing was sent
-    BROKEN = "broken"  # the connection or the time ended: it may have run
+    UNSENT = "unsent"  # no connection was established, so nothing was sent
+    BROKEN = "broken"  # the connection broke or the attempt timed out: the request may have run
 
 
 class Answered(NamedTuple):
@@ -44,7 +44,7 @@
 
 
 class Refused(NamedTuple):
-    """It has not run and never will; `again_s`: seconds after which to come back, 0 where none were stated."""
+    """The request has not run and never will; `again_s`: seconds to wait before a new call, 0 if not stated."""
 
     status: int
     again_s: float
@@ -52,7 +52,7 @@
 
 
 class Unknown(NamedTuple):
-    """It may have run, or may still."""
+    """The request may have run, or may still run; `why`: the failure of the last attempt."""
 
     why: str
     tries: int
@@ -62,22 +62,22 @@
 
 
 class UnknownEnd(Exception):  # noqa: N818 - a public name of the library
-    """A call that may not be repeated has an unknown end. `ids`: of its attempts, to ask the service by."""
+    """The result of a call that is not repeatable is unknown; `ids`: ids of its attempts, to query the service with."""
 
     def __init__(self, why: str, ids: tuple[str, ...]) -> None:
-        super().__init__(f"{why}; it may have run (tries {', '.join(ids)})")
+        super().__init__(f"{why}; the request may have run (attempts {', '.join(ids)})")
         self.why = why
         self.ids = ids
 
 
 class Retry(NamedTuple):
-    """Send the call again after a while, on a new connection."""
+    """Retry the call on a new connection after `after_s` seconds."""
 
     after_s: float
 
 
 class RetryBudget:
-    """Retries of all calls of one client."""
+    """Retry budget common to all calls of one client."""
 
     def __init__(self, ratio: float = RETRY_RATIO, slack: float = RETRY_SLACK) -> None:
         self.ratio = ratio
@@ -85,11 +85,11 @@
         self.left = slack
 
     def add_call(self) -> None:
-        """Add what a new call brings."""
+        """Add the retries that a new call contributes, up to the capacity."""
         self.left = min(self.capacity, self.left + self.ratio)
 
     def spend(self) -> bool:
-        """Pay for one retry; return False where too little is left."""
+        """Take one retry from the budget; return False if less than one is left."""
         if self.left < 1.0:
             return False
         self.left -= 1.0
@@ -97,7 +97,7 @@
 
 
 class Call:
-    """One call's state."""
+    """Attempts, deadline and known outcome of one call."""
 
     def __init__(
         self,
@@ -107,9 +107,9 @@
         budget: RetryBudget,
         max_attempts: int = DEFAULT_MAX_ATTEMPTS,
     ) -> None:
-        """Begin a call. Raises ValueError for a time or a number of attempts that is not above 0."""
+        """Begin a call. Raises ValueError if the deadline or the number of attempts is not above 0."""
         if not deadline_s > 0 or max_attempts < 1:
-            raise ValueError(f"expected a deadline and tries above 0, found {deadline_s:g} s and {max_attempts}")
+            raise ValueError(f"expected a deadline and attempts above 0, found {deadline_s:g} s and {max_attempts}")
         self.until = now + deadline_s
         self.repeatable = repeatable
         self.budget = budget
@@ -119,15 +119,15 @@
         budget.add_call()
 
     def left(self, now: float) -> float:
-        """Return the seconds until the call's time is up."""
+        """Return the seconds until the call's deadline."""
         return self.until - now
 
     def begin_attempt(self) -> None:
-        """Count an attempt."""
+        """Count a new attempt."""
         self.attempts += 1
 
     def answered(self, now: float, status: int, headers: Mapping[str, str], body: bytes) -> Retry | Ended:
-        """Return what follows from a complete answer to an attempt."""
+        """Return the retry or the result that follows from a complete answer to an attempt."""
         if status in NOT_RUN_STATUSES:
             return self._after_not_run(now, status, read_retry_after(headers.get("retry-after", "")))
         if status in UNKNOWN_STATUSES:
@@ -137,7 +137,7 @@
         return Answered(status, headers, body, self.attempts)
 
     def failed(self, now: float, failure: AttemptFailure, why: str) -> Retry | Ended:
-        """Return what follows from an attempt without an answer."""
+        """Return the retry or the result that follows from an attempt without an answer."""
         if failure is AttemptFailure.BROKEN:
             return self._after_unknown(now, why) or Unknown(why, self.attempts)
         wait_s = self._backoff_s()
@@ -150,11 +150,11 @@
         if self._allows_retry(now, wait_s):
             return Retry(wait_s)
         if self.may_have_run:
-            return Unknown("a try before the last may have run", self.attempts)
+            return Unknown("an earlier attempt may have run", self.attempts)
         return Refused(status, retry_after_s, self.attempts)
 
     def _after_unknown(self, now: float, why: str) -> Retry | Unknown | None:
-        """Return Retry where repeating does no harm, Unknown where it would, None where no retry is left."""
+        """Return Retry for a repeatable call, None if it has no retry left, Unknown for any other call."""
         self.may_have_run = True
         if not self.repeatable:
             return Unknown(why, self.attempts)
@@ -171,7 +171,7 @@
 
 
 def read_retry_after(text: str) -> float:
-    """Return a `Retry-After` in seconds, fractions included; 0 for what is not one."""
+    """Return the seconds of a `Retry-After` value, which may be fractional; 0 if it is no finite number of seconds."""
     try:
         value = float(text)
     except ValueError:
--- a/thistleusher/client/client.py
+++ b/thistleusher/client/client.py
@@ -1,4 +1,4 @@
-"""The two clients over httpx, for asyncio and for programs without an event loop: same steps, different waiting."""
+"""The two clients over httpx: for asyncio, and for programs without an event loop. Both run `CallSteps`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     def __init__(
         self, servers: Sequence[str], host: str, *, transport: httpx.AsyncBaseTransport | None = None, **more: Any
     ) -> None:
-        """`more`: the further arguments of `CallSteps`."""
+        """`more`: further keyword arguments of `CallSteps`."""
         super().__init__(servers, host, **more)
         self.http = httpx.AsyncClient(transport=transport, trust_env=False)
 
@@ -45,9 +45,9 @@
         deadline_s: float = DEFAULT_DEADLINE_S,
         repeatable: bool = False,
     ) -> Ended:
-        """Make one call and return its end within `deadline_s`.
+        """Make one call and return its result within `deadline_s`.
 
-        Raises UnknownEnd where it may have run and may not be repeated, ValueError for a deadline not above 0.
+        Raises UnknownEnd if a call that is not repeatable may have run, ValueError if the deadline is not above 0.
         """
         steps = self._steps(method, path, body, headers or {}, deadline_s, repeatable)
         result: Any = None
@@ -68,25 +68,25 @@
                 result = error
 
     async def get(self, path: str, **more: Any) -> Ended:
-        """Make a read, which may be repeated; `more`: the further arguments of `call`."""
+        """Make a repeatable GET call; `more`: further keyword arguments of `call`."""
         return await self.call("GET", path, repeatable=True, **more)
 
 
 class TimedStream(httpx.SyncByteStream):
-    """The body of an answer, until a time of the steady clock."""
+    """The body of an answer, which must be read by `ends_at` on the monotonic clock."""
 
     def __init__(self, stream: httpx.SyncByteStream | httpx.AsyncByteStream, ends_at: float) -> None:
-        self.stream = cast(httpx.SyncByteStream, stream)  # of a client that is not asynchronous
+        self.stream = cast(httpx.SyncByteStream, stream)  # a synchronous client only has synchronous streams
         self.ends_at = ends_at
 
     def __iter__(self) -> Iterator[bytes]:
         for piece in self.stream:
             if time.monotonic() > self.ends_at:
-                raise httpx.ReadTimeout("the answer did not come whole in time")
+                raise httpx.ReadTimeout("answer not complete within the time-out")
             yield piece
 
     def close(self) -> None:
-        """Close the connection, unless the body was read whole."""
+        """Close the connection unless the whole body has been read."""
         self.stream.close()
 
 
@@ -96,7 +96,7 @@
     def __init__(
         self, servers: Sequence[str], host: str, *, transport: httpx.BaseTransport | None = None, **more: Any
     ) -> None:
-        """`more`: the further arguments of `CallSteps`."""
+        """`more`: further keyword arguments of `CallSteps`."""
         super().__init__(servers, host, **more)
         self.http = httpx.Client(transport=transport, trust_env=False)
 
@@ -118,7 +118,7 @@
         deadline_s: float = DEFAULT_DEADLINE_S,
         repeatable: bool = False,
     ) -> Ended:
-        """Make one call as `Client.call`; one read of the answer may outlast its time, by as much as was left."""
+        """Make one call like `Client.call`; its last read may exceed the deadline by up to the attempt's time-out."""
         steps = self._steps(method, path, body, headers or {}, deadline_s, repeatable)
         result: Any = None
         while True:
@@ -137,11 +137,11 @@
                 result = error
 
     def _send(self, step: Send) -> httpx.Response:
-        """Send a request and return its answer, read whole.
+        """Send a request and return its complete answer.
 
-        httpx limits each read alone, so an answer that trickles in would be waited for without end. Raises ReadTimeout
-        once its time is up; the connection is closed then, so that the service works no longer for a caller that has
-        gone on.
+        httpx only limits the time of each single read, so an answer that arrives in small pieces could take forever.
+        Raises ReadTimeout after the attempt's time-out and closes the connection, so that the service can stop working
+        on a request whose caller no longer waits.
         """
         ends_at = time.monotonic() + step.answer_timeout_s
         response = self.http.send(step.with_timeouts(), stream=True)
@@ -151,10 +151,10 @@
         return response
 
     def get(self, path: str, **more: Any) -> Ended:
-        """Make a read, which may be repeated; `more`: the further arguments of `call`."""
+        """Make a repeatable GET call; `more`: further keyword arguments of `call`."""
         return self.call("GET", path, repeatable=True, **more)
 
 
 def served(ended: Ended) -> bool:
-    """Return whether a call ended with a success."""
+    """Return whether a call was answered with a 2xx status."""
     return isinstance(ended, Answered) and 200 <= ended.status < 300
--- a/thistleusher/client/steps.py
+++ b/thistleusher/client/steps.py
@@ -1,7 +1,7 @@
-"""The steps of a call, shared by both clients: a generator that yields what is to be waited for.
+"""The steps of a call, common to both clients: a generator that yields each operation to wait for.
 
-What follows from each answer or failure is decided in `calls` and `directory`; the clients only wait. Connections are
-httpx's, which keeps them open for addresses that stay; a retry opens a new one.
+`calls` and `directory` decide what follows from each answer or failure; the clients only wait. httpx manages the
+connections and keeps them open for further calls to the same address; a retry asks for a new one.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from thistleusher.client.directory import Directory
 
 CONNECT_TIMEOUT_S = 1.0
-RESOLVE_TIMEOUT_S = 1.0  # for a directory to answer
-GRACE_S = 0.05  # beyond the call's time, in which the answer of the last moment may come
+RESOLVE_TIMEOUT_S = 1.0  # time-out of a request to a directory
+GRACE_S = 0.05  # time beyond the call's deadline in which an answer sent right before it may still arrive
 
 
 class AttemptReport(NamedTuple):
-    """One attempt, as hooks get it: id, address, duration, and its status, or 0 and the error."""
+    """Report of one attempt to a hook; `status` is 0 if there was no answer, `error` is empty if there was one."""
 
     id: str
     address: str
@@ -42,21 +42,21 @@
 
 
 class Send(NamedTuple):
-    """Send a request and wait for the httpx response, or the error that comes in its place."""
+    """Step: send a request and wait for the httpx response or exception, which is sent into the generator."""
 
     request: httpx.Request
     connect_timeout_s: float
     answer_timeout_s: float
 
     def with_timeouts(self) -> httpx.Request:
-        """Return the request with its timeouts, as httpx's clients take them."""
+        """Return the request with its time-outs set in the form that httpx's clients read."""
         timeout = httpx.Timeout(self.answer_timeout_s, connect=self.connect_timeout_s)
         self.request.extensions = {"timeout": timeout.as_dict()}
         return self.request
 
 
 class Sleep(NamedTuple):
-    """Wait."""
+    """Step: wait for `for_s` seconds."""
 
     for_s: float
 
@@ -67,7 +67,7 @@
 
 
 class CallSteps:
-    """What both clients share: the directory, the retry budget, and the steps of a call."""
+    """Base of both clients: the directory, the retry budget, and the steps of a call."""
 
     def __init__(
         self,
@@ -83,8 +83,9 @@
     ) -> None:
         """Prepare calls to the service `host`.
 
-        `servers`: directories, `host:port`, near ones first; `key`: the tenant's, if any; `tries`: attempts of a call;
-        `on_try` gets an `AttemptReport` after each. Raises ValueError where there is no directory.
+        `servers`: `host:port` of the directories, nearest first; `key`: the tenant's key, if any; `tries`: maximum
+        number of attempts per call; `on_try` is called with an `AttemptReport` after each attempt. Raises ValueError
+        if `servers` is empty.
         """
         self.host = host
         self.key = key
@@ -103,7 +104,7 @@
         deadline_s: float,
         repeatable: bool,
     ) -> Steps:
-        """Yield what is to be waited for in one call; return its end, or raise UnknownEnd."""
+        """Yield the steps of one call; return its result, or raise UnknownEnd."""
         call = Call(time.monotonic(), deadline_s, repeatable, self.budget, self.max_attempts)
         attempt_ids: list[str] = []
         while True:
@@ -112,7 +113,7 @@
             address = self.directory.pick(now)
             call.begin_attempt()
             if call.left(now) <= 0 or address is None:
-                following: Retry | Ended = call.failed(now, AttemptFailure.UNSENT, "no address is known")
+                following: Retry | Ended = call.failed(now, AttemptFailure.UNSENT, "no address known or no time left")
             else:
                 attempt_ids.append(secrets.token_hex(8))
                 all_headers = {**headers, **self._headers(call, now, attempt_ids[-1])}
@@ -128,7 +129,7 @@
             return following
 
     def _resolve(self) -> Generator[Step, Any, None]:
-        """Ask the directories where their last answer has expired; the first that answers counts."""
+        """Ask the directories in turn if an update is due; the first valid answer is used."""
         directory = self.directory
         if not directory.is_due(time.monotonic()):
             return
@@ -141,7 +142,7 @@
         directory.unanswered(time.monotonic())
 
     def _headers(self, call: Call, now: float, attempt_id: str) -> dict[str, str]:
-        """Return the headers of an attempt that are the library's own."""
+        """Return the headers that the library itself adds to an attempt."""
         headers = {
             "Host": self.host,
             "X-Attempt-Id": attempt_id,
@@ -154,7 +155,7 @@
         return headers
 
     def _attempt_ended(self, call: Call, address: str, result: Any, began: float, attempt_id: str) -> Retry | Ended:
-        """Report an attempt to the hook and return what follows; `result`: httpx's response or an error."""
+        """Report an attempt to the hook; return the retry or the result. `result`: httpx's response or exception."""
         now = time.monotonic()
         response = result if isinstance(result, httpx.Response) else None
         if self.on_try is not None:
--- a/thistleusher/proxy/__init__.py
+++ b/thistleusher/proxy/__init__.py
@@ -1,5 +1,6 @@
-"""The proxy forwards clients' requests to backends by routes, keys, quotas and budgets, and directs clients to proxies.
+"""Data-plane proxy: authenticates, rate-limits, routes and retries requests, and tells clients which proxies are up.
 
-It promises that each request has one answer, that none which may have run is repeated unless its route allows it, and
-that its part of each shared limit holds without the others; all but `program` and the modules with sockets are pure.
+Guarantees: each request gets exactly one answer; a request that may have run is retried only if its route is declared
+idempotent; a proxy keeps to its share of each shared limit without contact to other processes. All modules other than
+`program` and those that own sockets are free of I/O.
 """
--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -1,9 +1,11 @@
-"""Admission of requests by their tenants' rate limits: charges to the counter, its verdicts, and refunds.
+"""Admission of requests under their tenants' rate limits: charges to the counter, its verdicts, and refunds.
 
-Invariants: a request of a limited tenant is admitted by its central charge, or by this ingress's own share where the
-counter says nothing; by one of them alone; a charge whose request was never sent on by it is refunded once.
+Invariants: a request of a limited tenant is admitted either by the counter's verdict or, if the counter does not
+answer, by this proxy's own share, never by both. A charge that did not lead to an attempt at a backend is refunded
+exactly once.
 
-Pure; seconds on the steady clock. A charge or refund is appended to the decision module's actions.
+Free of I/O; times are seconds on the monotonic clock. Charges and refunds are appended to the decision module's
+actions.
 """
 
 from __future__ import annotations
@@ -18,12 +20,12 @@
 from thistleusher.proxy.quota import LocalQuota
 from thistleusher.proxy.requests import ChargeAnswered, ChargeTenant, RequestState
 
-RETRY_MARGIN_S = 0.05  # added to the time until a tenant's next window
-RETRY_SPREAD_S = 0.2  # drawn on top, so that rejected clients do not come back all at once
+RETRY_MARGIN_S = 0.05  # added to the time until the tenant's next window, so that a retry does not arrive before it
+RETRY_SPREAD_S = 0.2  # upper bound of the random delay added on top, so that rejected clients do not retry all at once
 
 
 class Ruling(NamedTuple):
-    """Whether a request is admitted; if not, after how many seconds it is worth coming back (0: unknown)."""
+    """Whether a request is admitted; if not, after how many seconds the client may retry (0: unknown)."""
 
     admitted: bool
     retry_after_s: float = 0.0
@@ -33,7 +35,7 @@
 
 
 class Admission:
-    """Requests whose charge has no verdict yet, and the rulings on all."""
+    """Decides on the admission of each request and tracks the requests whose charge has no verdict yet."""
 
     def __init__(self, quota: LocalQuota, rng: random.Random, actions: list[Any], now: float) -> None:
         self.tally = AdmissionTally(now)
@@ -41,10 +43,10 @@
         self.quota = quota
         self.rng = rng
         self.actions = actions
-        self.awaiting_verdict: dict[str, float] = {}  # requests, and since when; the oldest first
+        self.awaiting_verdict: dict[str, float] = {}  # time of the charge by request id, oldest first
 
     def begin(self, now: float, request: RequestState) -> Ruling | None:
-        """Rule on a new request, or charge its tenant and return None: the verdict or `overdue` rules on it later."""
+        """Return the decision on a new request, None if it follows after the verdict on a charge sent now."""
         tenant = request.tenant
         if tenant is None or not self.quota.is_limited(tenant):
             return ADMITTED
@@ -56,17 +58,17 @@
         return None
 
     def charge_answered(self, now: float, event: ChargeAnswered, request: RequestState | None) -> Ruling | None:
-        """Rule on a request by the counter's verdict.
+        """Return the decision on a request by the counter's verdict.
 
-        None where there is nothing left to rule on: its client has left, or this ingress's share has admitted it. The
-        charge was refunded then.
+        Returns None if no decision is pending: the client has disconnected, or this proxy's share has admitted the
+        request already. The charge has been refunded in both cases.
         """
         self.awaiting_verdict.pop(event.request, None)
         if request is None or request.charge_settled or request.tenant is None:
             return None
         request.charge_window = event.window
         if event.verdict != ALLOWED:
-            # Shares beside a spent count would add up to more than the limit: each of many ingresses has a part of one.
+            # The share is not tried: the shares of all proxies on top of the used-up count would exceed the limit.
             self.refund(request)
             self.tally.of(request.tenant).rejected += 1
             return Ruling(False, event.left + RETRY_MARGIN_S + RETRY_SPREAD_S * self.rng.random())
@@ -76,10 +78,11 @@
         return ADMITTED
 
     def overdue(self, now: float, requests: Mapping[str, RequestState]) -> Iterator[tuple[RequestState, Ruling]]:
-        """Yield rulings by this ingress's own share on requests whose verdict is late.
+        """Yield decisions, made by this proxy's own share, on requests whose verdict is late.
 
-        Each is to be acted on before the next is taken. While this ingress is isolated, all that wait are ruled on.
-        Else only those are that have waited for `VERDICT_WAIT_S` and that the share admits; the others wait on.
+        The caller must act on each decision before it takes the next one. While this proxy is isolated, every waiting
+        request is decided. Otherwise only requests that have waited for `VERDICT_WAIT_S` and that the share admits are
+        decided; all others keep waiting.
         """
         isolated = self.quota.is_isolated(now)
         for name, since in list(self.awaiting_verdict.items()):
@@ -90,7 +93,7 @@
                 del self.awaiting_verdict[name]
                 yield request, self._rule_locally(now, request, request.tenant)
             elif now - since < VERDICT_WAIT_S:
-                break  # the oldest come first
+                break  # ordered by age: all further requests have waited for less
             elif self.quota.spend(now, request.tenant):
                 del self.awaiting_verdict[name]
                 self._admitted_by_share(now, request.tenant)
@@ -99,19 +102,19 @@
                 yield request, ADMITTED
 
     def forget(self, request: str) -> None:
-        """Stop waiting for the verdict on a request whose client has left."""
+        """Stop waiting for the verdict on a request whose client has disconnected."""
         self.awaiting_verdict.pop(request, None)
 
     def refund(self, request: RequestState) -> None:
-        """Refund a request's charge, once, unless an attempt of it has reached a backend."""
+        """Refund a request's charge once, unless one of its attempts has reached a backend."""
         if request.charge_open and request.tenant is not None and not request.attempts_arrived:
             request.charge_open = False
             self.actions.append(ChargeTenant(request.event.id, request.tenant, -1, request.charge_window))
 
     def _rule_locally(self, now: float, request: RequestState, tenant: str) -> Ruling:
-        """Refund the request's charge, as no verdict is to be had, and rule by this ingress's own share.
+        """Refund the request's charge, as no verdict can be expected, and decide by this proxy's own share.
 
-        A rejection leaves as one for lack of capacity (503), not as one by quota (429).
+        The client gets a rejection as lack of capacity (503), not as an exceeded quota (429).
         """
         self.refund(request)
         if not self.quota.spend(now, tenant):
--- a/thistleusher/proxy/admission_tally.py
+++ b/thistleusher/proxy/admission_tally.py
@@ -1,9 +1,9 @@
-"""What admitted each tenant's requests at this proxy, the count or this proxy's share, and how many were rejected.
+"""Numbers of requests per tenant that the counter admitted, that this proxy's share admitted, and that were rejected.
 
-It tells from the logs of all proxies by which way a tenant got more, or less, than its limit.
+The logs of all proxies together then show why a tenant got more, or less, than its limit.
 
-Pure; seconds on the steady clock. Memory: one record for each tenant with a limit that sent a request within
-`REPORT_INTERVAL_S`.
+Free of I/O; times are seconds on the monotonic clock. Memory: one record for each tenant with a limit that sent a
+request within `REPORT_INTERVAL_S`.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from typing import NamedTuple
 
 REPORT_INTERVAL_S = 5.0
-MAX_REPORTED = 20  # tenants in one report, those with the most requests that the count did not admit
+MAX_REPORTED = 20  # tenants per report: those with the most requests not admitted by the counter
 
 
 @dataclass(slots=True)
 class TenantTally:
-    """One tenant's requests since the last report: admitted by the count, by this proxy's share, and rejected."""
+    """One tenant's requests since the last report: admitted by the counter or by this proxy's share, or rejected."""
 
     counted: int = 0
     by_share: int = 0
@@ -26,12 +26,12 @@
 
     @property
     def not_counted(self) -> int:
-        """Return how many requests the count did not admit."""
+        """Return the number of requests that the counter did not admit."""
         return self.by_share + self.rejected
 
 
 class TallyReport(NamedTuple):
-    """A tenant's tally over the `for_s` seconds before the report."""
+    """A tenant's tally for the `for_s` seconds before the report."""
 
     tenant: str
     tally: TenantTally
@@ -39,20 +39,20 @@
 
 
 class AdmissionTally:
-    """The tallies of all tenants since the last report."""
+    """Tallies of all tenants since the last report."""
 
     def __init__(self, now: float) -> None:
         self.since = now
         self.tenants: defaultdict[str, TenantTally] = defaultdict(TenantTally)
 
     def of(self, tenant: str) -> TenantTally:
-        """Return a tenant's tally, to add to."""
+        """Return a tenant's tally for the caller to update; a new one starts at zero."""
         return self.tenants[tenant]
 
     def reports_due(self, now: float) -> list[TallyReport]:
-        """Return the tallies of tenants of which not every request was admitted by the count, and begin anew.
+        """Return the tallies of tenants with requests that the counter did not admit, and reset all tallies.
 
-        Empty until `REPORT_INTERVAL_S` after the last time.
+        Returns an empty list until `REPORT_INTERVAL_S` have passed since the last report.
         """
         for_s = now - self.since
         if for_s < REPORT_INTERVAL_S:
--- a/thistleusher/proxy/admitted_requests.py
+++ b/thistleusher/proxy/admitted_requests.py
@@ -1,11 +1,11 @@
-"""What this proxy has admitted of late, by tenant and by slots of time, and its report to a new counter.
+"""Recently admitted requests by tenant and time slot, and the report of them to a new counter.
 
-A counter that takes over begins with no counts, and has to assume that every limit was used up before its start. The
-reports of all proxies tell it what was really admitted. From the moment of its report on, a proxy admits by the new
-counter's verdicts, and by what that counter deducts for it, so nothing is left out.
+A counter that takes over starts without counts and has to assume that every limit was used up before its start. The
+reports of all proxies tell it how many requests were really admitted. From its report on, a proxy admits requests only
+by the new counter's verdicts or by the share that this counter deducts for it, so that no admission goes uncounted.
 
-Pure; seconds on the steady clock. Memory: one number for each limited tenant with an admitted request and slot, over
-`REMEMBERED_SPANS` of the rule.
+Free of I/O; times are seconds on the monotonic clock. Memory: one number per slot and limited tenant with an admitted
+request, for `REMEMBERED_SPANS` spans of the quota rule.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from thistleusher.common.quota_timing import SLOTS_PER_SPAN
 from thistleusher.transport.messages import AdmissionReport
 
-REMEMBERED_SPANS = 2  # a report that arrives late still has to cover the span before its arrival
-REPEAT_S = 0.3  # between reports to a counter that has not acknowledged one
+REMEMBERED_SPANS = 2  # spans kept: a report that arrives late must still cover the whole span before its arrival
+REPEAT_S = 0.3  # interval between reports until the counter acknowledges one
 
 
 class AdmittedRequests:
-    """The requests admitted here, the newest slot last."""
+    """Requests that this proxy has admitted, by time slot, the newest slot last."""
 
     def __init__(self, started_at: float, span_s: float) -> None:
-        """`started_at`: of this process, before which nothing is known here; `span_s`: length of the rule's spans."""
+        """`started_at`: start of this process, before which nothing is recorded; `span_s`: span of the quota rule."""
         self.started_at = started_at
         self.span_s = span_s
         self.remembered_s = REMEMBERED_SPANS * span_s
@@ -32,7 +32,7 @@
         self.slots: deque[tuple[int, defaultdict[str, int]]] = deque()
 
     def add(self, now: float, tenant: str) -> None:
-        """Record that a request of a limited tenant is admitted now."""
+        """Record the admission of a request of a limited tenant."""
         number = int(now // self.slot_s)
         if not self.slots or self.slots[-1][0] < number:
             self.slots.append((number, defaultdict(int)))
@@ -44,11 +44,11 @@
             self.slots.popleft()
 
     def since(self, now: float) -> float:
-        """Return from when on everything that was admitted is known here."""
+        """Return the time since which all admitted requests are recorded."""
         return max(self.started_at, now - self.remembered_s)
 
     def by_tenant(self) -> dict[str, list[tuple[float, int]]]:
-        """Return for each tenant when its requests were admitted, at the latest, and how many then."""
+        """Return pairs (end of the slot, number of requests admitted in it) for each tenant."""
         admitted: defaultdict[str, list[tuple[float, int]]] = defaultdict(list)
         for number, counts in self.slots:
             for tenant, count in counts.items():
@@ -57,7 +57,7 @@
 
 
 class AdmissionReporter:
-    """Reports to each new counter what was admitted before its first echo came, until it acknowledges."""
+    """Reports the requests admitted so far to each new counter, and repeats the report until it is acknowledged."""
 
     def __init__(self, incarnation: str, admitted: AdmittedRequests) -> None:
         self.incarnation = incarnation
@@ -65,17 +65,17 @@
         self.counter = ""
         self.since = 0.0
         self.by_tenant: dict[str, list[tuple[float, int]]] = {}
-        self.next_at: float | None = None  # None: nothing is to be reported
+        self.next_at: float | None = None  # None: no report is pending
 
     def counter_changed(self, now: float, counter: str) -> None:
-        """Begin to report to a counter, unless it is of release 0.2, which takes no reports."""
+        """Start reporting to a new counter; counters of release 0.2 are skipped, as they do not accept reports."""
         self.counter = counter
         self.since = self.admitted.since(now)
         self.by_tenant = self.admitted.by_tenant()
         self.next_at = now if names_a_term(counter) else None
 
     def due(self, now: float) -> AdmissionReport | None:
-        """Return the report, if it is due; it stays the same but for the ages."""
+        """Return the report if it is due; repeated reports to one counter differ only in the ages."""
         if self.next_at is None or now < self.next_at:
             return None
         self.next_at = now + REPEAT_S
@@ -87,7 +87,7 @@
         return [(max(0.0, now - at), count) for at, count in entries if now - at <= self.admitted.span_s]
 
     def acknowledged(self, counter: str) -> None:
-        """Stop reporting to the counter that has the report."""
+        """Stop reporting, unless the acknowledgement came from a former counter."""
         if counter == self.counter:
             self.next_at = None
             self.by_tenant = {}
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -1,10 +1,10 @@
-"""Which backend a request goes to: the best one of the nearest tier that has one.
+"""Backend selection: the best backend of the nearest tier that has an available one.
 
-The choice within a tier and the ejection of faulty backends are those of `policy.fleet`, with one fleet per service.
-This module adds what the proxy knows besides: the registry's list, evacuated zones, misdirected addresses (421) and
-slow start.
+`policy.fleet` chooses within a tier and ejects faulty backends, with one `Fleet` per service. This module adds the
+registry's backend list, evacuated zones, misdirected addresses (status 421) and slow start.
 
-Pure; seconds on the steady clock. The fleets append their log lines to the decision module's actions.
+Free of I/O; times are seconds on the monotonic clock. The fleets append their log lines to the decision module's
+actions.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from thistleusher.proxy.placement import ListedBackend, Locality, tiers
 from thistleusher.proxy.requests import RequestState
 
-SILENT_FACTOR = 8.0  # times the usual latency of what it owes answers to, after which a backend counts as silent
-LATE_FACTOR = 2.0  # times its class's usual latency, after which an attempt at a silent backend counts as late
-OWN_ZONE_RATIO = 1.25  # of the best backend's latency ratio, up to which one of this zone is taken instead
+SILENT_FACTOR = 8.0  # a backend counts as silent after this multiple of its outstanding requests' usual latency
+LATE_FACTOR = 2.0  # an attempt at a silent backend counts as late after this multiple of its class's usual latency
+OWN_ZONE_RATIO = 1.25  # a backend of this zone is preferred up to this multiple of the best one's latency ratio
 
 
 class SilentAttempt(NamedTuple):
-    """An attempt at a backend that has fallen silent."""
+    """An attempt in flight at a backend that has stopped answering."""
 
     fleet: Fleet
     backend: Backend
@@ -38,7 +38,7 @@
 
 
 class BackendSelector:
-    """All known backends and the choice among them."""
+    """Keeps all known backends and selects one for each request."""
 
     def __init__(
         self,
@@ -56,26 +56,26 @@
         self.slow_start = SlowStartBudget(ingress, bounds.cold_excess, bounds.cold_slack)
         self.services: Mapping[str, Service] = {}
         self.listed: dict[str, ListedBackend] = {}
-        self.misdirected: set[str] = set()  # backends whose address belongs to another one, as a 421 has shown
+        self.misdirected: set[str] = set()  # backends whose address answered 421, so it belongs to another backend
         self.fleets: dict[str, Fleet] = {}  # by service
-        self.ingresses: list[str] = []  # names of those that are up
+        self.ingresses: list[str] = []  # names of the proxies that are up, this one included
 
-    # What is known.
+    # Updates of the cluster state.
 
     def apply_services(self, now: float, services: Mapping[str, Service]) -> None:
-        """Use the services of the configuration in force."""
+        """Replace the services by those of the configuration in force."""
         self.services = services
         self._refresh_fleets(now)
 
     def apply_list(self, now: float, listed: dict[str, ListedBackend]) -> None:
-        """Replace the list of backends."""
+        """Replace the backend list."""
         self.listed = listed
         self.misdirected &= listed.keys()
         self.slow_start.retain(set(listed))
         self._refresh_fleets(now)
 
     def apply_evacuations(self, now: float, zones: set[str]) -> None:
-        """Set the evacuated zones; backends of a zone that is no longer evacuated warm up anew."""
+        """Set the evacuated zones; backends of a zone that is no longer evacuated go through slow start again."""
         restored = self.locality.evacuated_zones - zones
         for entry in self.listed.values():
             if entry.zone in restored:
@@ -85,7 +85,7 @@
         self.locality.evacuated_zones = zones
 
     def fleet_of(self, now: float, service: str) -> Fleet:
-        """Return a service's fleet."""
+        """Return the fleet of a service, created on first use."""
         fleet = self.fleets.get(service)
         if fleet is None:
             fleet = self.fleets[service] = Fleet(self.settings, self.rng, self.actions, now)
@@ -101,10 +101,10 @@
             update = events.ListUpdate(ListKind.WHOLE, 0, tuple(by_service.get(service, ())))
             self.fleet_of(now, service).listed(now, update)
 
-    # The choice.
+    # Selection.
 
     def select(self, now: float, fleet: Fleet, request: RequestState) -> Backend | None:
-        """Return the best backend of the nearest tier that has one; None where no backend can take the request now."""
+        """Return the best backend of the nearest tier that has one; None if no backend can take the request now."""
         fleet.add_class(request.request_class)
         for tier in tiers(self.locality, self.listed, fleet.ready, request.allowed_regions):
             candidates = [backend for backend in tier if self._accepts(now, backend)]
@@ -116,7 +116,7 @@
     def _prefer_own_zone(
         self, now: float, fleet: Fleet, request: RequestState, candidates: list[Backend], best: Backend
     ) -> Backend:
-        """Return a backend of this zone in place of the best where it is about as good: traffic between zones costs."""
+        """Return a backend of this zone if it is about as good as the best one, as cross-zone traffic costs money."""
         zone = self.locality.zone
         if best.entry.zone == zone:
             return best
@@ -139,20 +139,20 @@
     # Attempts.
 
     def record_sent(self, now: float, fleet: Fleet, request: RequestState, backend: Backend) -> None:
-        """Count an attempt that is sent."""
+        """Record an attempt that is being sent, also in the slow-start budget if the backend is warming up."""
         name = backend.entry.backend
         if now < self.listed[name].warming_until:
             self.slow_start.record_sent(now, name)
         fleet.sent(now, backend, request)
 
     def record_ended(self, now: float, event: events.AttemptEnded) -> None:
-        """Learn from the end of an attempt."""
+        """Update the backend's statistics with the end of an attempt."""
         for fleet in self.fleets.values():
             if event.backend in fleet.backends:
                 fleet.ended(now, event)
 
     def silent_attempts(self, now: float) -> Iterator[SilentAttempt]:
-        """Have the fleets eject the backends that have fallen silent; yield the attempts that are out at them."""
+        """Eject the backends that have stopped answering and yield the attempts in flight at them."""
         for fleet in self.fleets.values():
             for backend in fleet.eject_silent(now, SILENT_FACTOR):
                 for request in backend.outstanding:
--- a/thistleusher/proxy/budgets.py
+++ b/thistleusher/proxy/budgets.py
@@ -1,13 +1,14 @@
-"""This ingress's parts of two budgets that all ingresses share: retries, and requests to warming backends.
+"""This proxy's shares of two budgets common to all proxies: retries, and requests to backends in slow start.
 
-Retries: the rule allows `ratio` of a service's requests plus a slack, over all ingresses, in each window. An ingress
-allows itself the ratio of the requests that it has taken itself, and an even part of the slack. So all ingresses
-together stay within the rule, and none needs to know what the others see.
+Retries: in each window, all proxies together may retry `ratio` of a service's requests plus a slack. A proxy limits
+itself to the ratio of the requests that it has received, plus an equal share of the slack. All proxies together thus
+keep to the rule without exchanging their counts.
 
-Slow start: the requests that a warming backend may get in a second are split evenly. Where a part would be below one,
-only so many ingresses, chosen by a hash, may send at all.
+Slow start: the requests per second that a warming backend may get are divided equally among the proxies. If there are
+fewer requests than proxies, a hash of backend and proxy selects the proxies that may send one request each.
 
-An ingress that does not know how many there are assumes `ASSUMED_INGRESSES`. Pure; seconds on the steady clock.
+A proxy that does not know the number of proxies assumes `ASSUMED_INGRESSES`. Free of I/O; times are seconds on the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 import zlib
 from collections import deque
 
-ASSUMED_INGRESSES = 16  # their number, as long as the registry's list has named none
-SAFETY = 0.8  # part that is used of the slack, and of what a warming backend may get
-RATIO_USED = 0.75  # part that is used of the ratio
-SLOW_START_WINDOW_S = 1.05  # a little over the second that the rule counts by
+ASSUMED_INGRESSES = 16  # number of proxies assumed until the registry's list names some
+SAFETY = 0.8  # fraction used of the retry slack and of a warming backend's permitted rate
+RATIO_USED = 0.75  # fraction used of the permitted retry ratio
+SLOW_START_WINDOW_S = 1.05  # slightly more than the one second over which the rule counts requests
 
 
 class RetryBudget:
-    """Retries into one service: a sliding window that requests fill."""
+    """Retry budget of one service: a sliding window in which each new request adds to the budget."""
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self.ratio = ratio * RATIO_USED
@@ -32,17 +33,17 @@
         self.retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Count a new request for the service."""
+        """Record a new request for the service."""
         self.requests.append(now)
         self._expire(now)
 
     def allows(self, now: float, ingresses: int) -> bool:
-        """Return whether one more retry is within this ingress's part, of so many ingresses."""
+        """Return whether one more retry is within this proxy's share; `ingresses`: number of proxies."""
         self._expire(now)
         return len(self.retries) + 1 <= self.ratio * len(self.requests) + self.slack / max(1, ingresses)
 
     def record_retry(self, now: float) -> None:
-        """Count a retry that is sent."""
+        """Record a retry that is being sent."""
         self.retries.append(now)
 
     def _expire(self, now: float) -> None:
@@ -52,17 +53,17 @@
 
 
 class SlowStartBudget:
-    """Requests to warming backends, by backend."""
+    """Budget of the requests that this proxy sends to warming backends, by backend."""
 
     def __init__(self, ingress: str, excess: float, slack: float) -> None:
-        """`excess`, `slack`: factor and requests by which the rule lets the stated rate be passed."""
+        """`excess`, `slack`: factor on the configured rate, and requests added to it, that the rule tolerates."""
         self.ingress = ingress
         self.excess = excess
         self.slack = slack
         self.sent: dict[str, deque[float]] = {}
 
     def part(self, backend: str, rate_per_s: float, ingresses: list[str]) -> int:
-        """Return how many requests a second this ingress may send to a backend that bears `rate_per_s`."""
+        """Return the requests per second that this proxy may send to a backend with the limit `rate_per_s`."""
         total = int((rate_per_s * self.excess + self.slack) * SAFETY)
         count = len(ingresses) or ASSUMED_INGRESSES
         if total >= count:
@@ -78,10 +79,10 @@
         return len(times) < self.part(backend, rate_per_s, ingresses)
 
     def record_sent(self, now: float, backend: str) -> None:
-        """Count a request that is sent to a warming backend."""
+        """Record a request that is being sent to a warming backend."""
         self.sent.setdefault(backend, deque()).append(now)
 
     def retain(self, backends: set[str]) -> None:
-        """Forget all backends but these."""
+        """Drop the records of all backends other than `backends`."""
         for name in self.sent.keys() - backends:
             del self.sent[name]
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -1,12 +1,12 @@
-"""What a proxy knows of the cluster: control state, registry list, heartbeat ring, and its contact with the counter.
+"""A proxy's view of the cluster: control state, registry list, heartbeat ring, and contact with the counter.
 
-Guarantees: what is in force here never goes back within an incarnation, whoever sends it; updates are acted on before
-they are acknowledged, and those that a fault has kept out of force are asked for again; a charge is answered once and
-refunded once at most. A watched proxy that has lacked updates for a while is handed them. `proxy.program` judges
-whether this proxy is ready.
+Guarantees: the state in force never goes back to an older one within an incarnation, whichever process sends it.
+Updates are applied before they are acknowledged, and updates that a fault kept from being applied are requested again.
+A charge is answered at most once and refunded at most once. A watched proxy that has been behind for a while gets a
+copy of the missing updates. `proxy.program` determines whether this proxy is ready.
 
-Inputs are ticks and messages; results are commands (`proxy.commands`). Changes are put into the decision module before
-they are returned. Pure; seconds on the steady clock.
+Inputs are ticks and messages; results are commands (`proxy.commands`). Changes are applied to the decision module
+before the commands are returned. Free of I/O; times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -59,16 +59,16 @@
 )
 from thistleusher.transport.state_updates import Subscriber
 
-EVACUATIONS = "evac:"  # prefixes of items of the control state
-MEMBERS = "m:"  # and of the registry's list
-BACKENDS = "b:"
+EVACUATIONS = "evac:"  # prefix of the control state's items that hold evacuations, by zone
+MEMBERS = "m:"  # prefix of the proxies in the registry's list
+BACKENDS = "b:"  # prefix of the backends in the registry's list
 READY_PHASE = "ready"
 
 Reply = StateUpdateAck | SubscribeRequest
 
 
 class ClusterView:
-    """The cluster as one proxy sees it."""
+    """Applies messages about the cluster to one proxy's state and returns the resulting commands."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         decisions: Decisions,
         now: float,
     ) -> None:
-        """`region_of`: the region of a zone; `attributes`: `front`, `ip`, `zone`, `region` for the registry's list."""
+        """`region_of` maps a zone to its region; `attributes`: `front`, `ip`, `zone`, `region` of this proxy."""
         self.name = name
         self.incarnation = incarnation
         self.region = region
@@ -92,16 +92,16 @@
         self.configuration = ConfigurationFollower()
         self.registry = Subscriber(name)
         self.ring = HeartbeatRing(name, now)
-        self.has_list = False  # of backends
+        self.has_list = False  # whether a backend list has been applied
         self.serving: set[str] = set()
-        self.counter = ""  # the machine whose registry has echoed last
+        self.counter = ""  # IP address of the registry that sent the newest echo; empty before the first one
         self.charges = OpenCharges(incarnation)
         self.reporter = AdmissionReporter(incarnation, decisions.admission.admitted)
         self.commands: list[Command] = []
 
     @property
     def index(self) -> Index | None:
-        """The configuration in force."""
+        """The configuration in force, None before the first one."""
         return self.configuration.index
 
     def members(self) -> dict[str, dict[str, Any]]:
@@ -113,18 +113,18 @@
         self.commands = []
         return commands
 
-    # Messages that this proxy begins with, and heartbeats.
+    # Subscriptions and heartbeats.
 
     def subscribe_to_control(self) -> SubscribeRequest:
-        """Return the first message to a control process."""
+        """Return the subscription to send first on a connection to a control process."""
         return self.control.subscribe_request()
 
     def subscribe_to_registry(self) -> SubscribeRequest:
-        """Return the first message to a registry."""
+        """Return the subscription to send first on a connection to a registry."""
         return self.registry.subscribe_request()
 
     def tick(self, now: float, ready: bool) -> list[Command]:
-        """Send the heartbeats that are due, to the counter and on the ring; `ready`: whether requests are served."""
+        """Return the heartbeats and reports that are due; `ready`: whether this proxy can serve requests."""
         scope = self.decisions.quota.heartbeat_due(now)
         if scope is HeartbeatScope.ALL_REGISTRIES:
             self._report_status(now, ready)
@@ -146,7 +146,7 @@
             self.commands.append(LogEvent(Event.LIMIT_REACHED, (tenant, *counts, round(for_s, 1))))
 
     def report_status(self, now: float, ready: bool) -> list[Command]:
-        """Send this proxy's full heartbeat to all registries now, as when it shuts down."""
+        """Return this proxy's full heartbeat to all registries, regardless of when the last one was sent."""
         self._report_status(now, ready)
         return self._flush()
 
@@ -159,16 +159,17 @@
     # The heartbeat ring.
 
     def _ring_heartbeat(self) -> RingHeartbeat:
-        """Return a heartbeat with the numbers of the states that this proxy has."""
+        """Return a heartbeat with the numbers of this proxy's copies of both states."""
         return RingHeartbeat(self.name, self.control.state.number, self.registry.state.number)
 
     def heartbeat_received(self, now: float, heartbeat: RingHeartbeat, ip: str) -> list[Command]:
-        """Take in another proxy's heartbeat; hand over what it has lacked for a while."""
+        """Record another proxy's heartbeat, and send it a copy of the updates that it has been missing for a while."""
         self.ring.record_heartbeat(now, heartbeat.sender)
         theirs = (heartbeat.control_number, heartbeat.registry_number)
         mine = (self.control.state.number, self.registry.state.number)
         if 0 in mine and theirs > mine:
-            # Without a list a proxy does not know its watchers: it answers all who know more, so that one hands over.
+            # A proxy without a list does not know its watchers. It answers every proxy with a newer state, so that
+            # one of them sends a copy.
             self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
         if self.ring.needs_hand_over(now, heartbeat.sender, theirs, mine):
             control = self.control.state.update_since(theirs[0])
@@ -177,7 +178,7 @@
         return self._flush()
 
     def handed_over(self, now: float, copy: HandOver) -> list[Command]:
-        """Take in a watcher's copy: updates like any others, of which only what is newer counts."""
+        """Apply a watcher's copy of both states, like any other updates: only newer items take effect."""
         self._control_update(now, copy.control)
         self._registry_update(now, copy.registry)
         return self._flush()
@@ -185,9 +186,9 @@
     # The control state.
 
     def from_control(self, now: float, message: AnyMessage) -> tuple[list[Command], Reply | None]:
-        """Take in a control process's message; return the commands and the acknowledgement to send after them.
+        """Handle a control process's message; return the commands and the acknowledgement to send after them.
 
-        Raises UnexpectedMessageError for any other than a StateUpdate or CoreInfo.
+        Raises UnexpectedMessageError for any message other than a StateUpdate or CoreInfo.
         """
         reply: Reply | None = None
         if isinstance(message, StateUpdate):
@@ -220,9 +221,10 @@
 
     @contextmanager
     def _discarding_on_fault(self, copy: Subscriber) -> Iterator[None]:
-        """Discard a copy whose newest changes a fault keeps out of force: its number would claim that they are in.
+        """Discard a copy of a state if an exception keeps its newest changes from being applied.
 
-        The fault goes on to the link, which logs it and ends; a new subscription then asks for everything.
+        Its number would claim otherwise that they are in force. The exception propagates to the link, which logs it
+        and closes; the next subscription then requests the whole state.
         """
         try:
             yield
@@ -240,9 +242,9 @@
     # The registry.
 
     def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Command], Reply | None]:
-        """Take in a message of the registry at `ip`; return the commands and the acknowledgement to send after them.
+        """Handle a message of the registry at `ip`; return the commands and the acknowledgement to send after them.
 
-        Raises UnexpectedMessageError for any that no registry sends here.
+        Raises UnexpectedMessageError for a message of a type that registries do not send to proxies.
         """
         reply: Reply | None = None
         if isinstance(message, ChargeResult):
@@ -262,7 +264,7 @@
         return self._flush(), reply
 
     def _echo_recorded(self, now: float, ip: str, counter: str) -> None:
-        """Go by the counter that has echoed; a new one is told what was admitted so far, and gets the open charges."""
+        """Use the counter that sent the echo; a new one gets the admission report and the open charges."""
         self.counter = ip
         if counter == self.reporter.counter:
             return
@@ -277,7 +279,7 @@
             self.commands.append(SendToRegistry(self.counter, report))
 
     def charge(self, now: float, action: ChargeTenant) -> list[Command]:
-        """Charge a tenant's central count, or refund a request's charge; sent to nobody while there is no counter."""
+        """Charge a tenant's central count, or refund a request's charge; nothing is sent while no counter is known."""
         if action.amount < 0:
             number = self.charges.refund(action.request)
             if number is None:
@@ -298,7 +300,7 @@
         return reply
 
     def _apply_list_changes(self, now: float, changed: dict[str, Any], is_reload: bool) -> None:
-        """Put changed items of the list in force; `is_reload`: they are the whole list, what it lacks is gone."""
+        """Apply changed items of the list; on `is_reload` they are the whole list, so other backends are removed."""
         if any(name.startswith(MEMBERS) for name in changed):
             members = self.members()
             self.ring.set_members(now, members)
@@ -311,7 +313,7 @@
             self._update_backends(now, backends)
 
     def _update_backends(self, now: float, items: dict[str, Any]) -> None:
-        """Take in changed items of the list; None: the backend is gone."""
+        """Apply changed backends of the list; an item of None removes the backend."""
         listed = dict(self.decisions.selector.listed)
         changes: dict[str, BackendAddress | None] = {}
         for name, item in items.items():
@@ -333,7 +335,7 @@
         self.commands.append(LogEvent(Event.BACKENDS_APPLIED, sizes))
 
     def _read_backend(self, now: float, name: str, item: dict[str, Any]) -> ListedBackend:
-        """Return an item of the list, whose keys are short as it is sent to all proxies."""
+        """Return the backend that an item of the list describes; its keys are short, as it is sent to all proxies."""
         return ListedBackend(
             name,
             service=item["s"],
--- a/thistleusher/proxy/commands.py
+++ b/thistleusher/proxy/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the cluster view: messages to send, and changes for the parts of the proxy that have sockets."""
+"""Commands of the cluster view: messages to send, and changes for the modules of the proxy that own sockets."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class SendToRegistry(NamedTuple):
-    """Send a message to the registry on a machine; to each registry, where `ip` is empty."""
+    """Send a message to the registry at `ip`, or to every registry if `ip` is empty."""
 
     ip: str
     message: AnyMessage
 
 
 class SendHeartbeat(NamedTuple):
-    """Send a datagram to the ring's port of a machine."""
+    """Send a datagram to the heartbeat ring's port at `ip`."""
 
     ip: str
     message: RingHeartbeat
 
 
 class SendHandOver(NamedTuple):
-    """Give a watched proxy what it lacks of both states."""
+    """Send a watched proxy the updates of both states that it is missing."""
 
     name: str
     ip: str
@@ -34,38 +34,38 @@
 
 
 class ConnectToCore(NamedTuple):
-    """Connect to those of these core machines that are not known yet; no connection to another one is closed."""
+    """Connect to the core machines among `addresses` that are not connected yet; other connections stay open."""
 
     addresses: tuple[str, ...]
 
 
 class ApplyConfiguration(NamedTuple):
-    """Serve by this configuration from here on; the decision module has it already."""
+    """Serve new requests by this configuration, which the decision module has applied already."""
 
     configuration: Index
 
 
 class BackendAddress(NamedTuple):
-    """Where a backend listens, and whether in this proxy's region."""
+    """A backend's address; `is_near`: whether it lies in this proxy's region."""
 
     address: Address
     is_near: bool
 
 
 class UpdateBackends(NamedTuple):
-    """Take in backends that are new, have moved, or are gone (None)."""
+    """Add backends, change their addresses, or remove them (None)."""
 
     changes: dict[str, BackendAddress | None]
 
 
 class SetServing(NamedTuple):
-    """Send to these backends alone. Checked again right before the first byte of each attempt."""
+    """Send requests only to these backends; checked again right before the first byte of each attempt."""
 
     names: set[str]
 
 
 class DeliverChargeAnswer(NamedTuple):
-    """Hand the counter's answer to the decision module."""
+    """Pass the counter's answer to the decision module."""
 
     answer: ChargeAnswered
 
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -1,16 +1,18 @@
-"""The proxy's decision module: each request is charged, placed, retried within a budget, or rejected in time.
+"""Decision module of the proxy: charges each request, selects its backend, retries it within a budget, or rejects it.
 
-Guarantees: a request is sent on only once its tenant's count or share has admitted it; one that may have run is sent
-again only if its route allows it; one attempt of it is in flight at a time; every request ends with one final action
-or a served answer. The charge of a request that ends before an attempt has reached a backend is refunded, however it
-ends: rejected, or forgotten as its client has gone or its time is up (both come as `ClientGone`). Of any other it stays
-counted, so that clients which do not wait for their answers get no more than their tenant's quota.
+Guarantees: a request is forwarded only after its tenant's central count or this proxy's share has admitted it. A
+request that may have run is retried only if its route declares it idempotent. At most one attempt of a request is in
+flight. Every request ends with one final action or a served answer.
 
-It takes the place of the decision module of the ingress (`policy.gateway`) behind the same driver, with the same events
-and actions and two of its own: `ChargeTenant` and `ChargeAnswered`. Its parts: `routing` (what the route says),
-`admission` (rate limits), `backend_selection` (which backend) and `retries` (whether again).
+A request that ends before an attempt has reached a backend gets its charge refunded, whether it was rejected, its
+client disconnected or its deadline passed (the last two arrive as `ClientGone`). Any other charge stays counted, so
+that clients that do not wait for their answers get no more than their tenant's quota.
 
-Pure; `now` in seconds on the steady clock.
+This module replaces the decision module of the ingress (`policy.gateway`) behind the same driver. It handles the same
+events and actions, and adds the action `ChargeTenant` and the event `ChargeAnswered`. It delegates to `routing` (the
+route's settings), `admission` (rate limits), `backend_selection` and `retries`.
+
+Free of I/O; `now` is in seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,10 +37,10 @@
 from thistleusher.proxy.retries import Retries
 from thistleusher.proxy.routing import allowed_regions, class_settings_of, draw_service
 
-SWEEP_TOKEN = 1  # of the timer
+SWEEP_TOKEN = 1  # token of the one timer, which drives the periodic sweep
 SWEEP_INTERVAL_S = 0.05
-PLAN = "all"  # the one plan: tenants' limits are kept by `admission`
-MAX_WAIT_SHARE = 0.2  # of its latency target, for which a request waits for a backend before it is rejected
+PLAN = "all"  # the driver requires a plan; `admission` enforces the tenants' limits instead
+MAX_WAIT_SHARE = 0.2  # fraction of its latency target that a request may wait for an available backend
 
 SETTINGS = Settings(
     (ClassSettings("-", Effect.UNSAFE, 1.0, 30.0),),
@@ -52,7 +54,7 @@
 
 
 class Decisions:
-    """The decisions of one proxy."""
+    """Handles the driver's events of one proxy and returns the actions that follow from them."""
 
     def __init__(
         self,
@@ -64,20 +66,20 @@
         now: float,
         started_at: float | None = None,
     ) -> None:
-        """`started_at`: start of this process; `now` where it is not known."""
+        """`started_at`: start of this process, `now` if omitted."""
         self.settings = SETTINGS
         self.rng = rng
-        self.pending_actions: list[Any] = []  # the parts append to this very list
+        self.pending_actions: list[Any] = []  # shared with the components, which append to this list object
         self.quota = LocalQuota(now, bounds, started_at)
         self.admission = Admission(self.quota, rng, self.pending_actions, now)
         locality = Locality(zone, region)
         self.selector = BackendSelector(node, locality, bounds, SETTINGS, rng, self.pending_actions)
         self.retries = Retries(bounds)
         self.config: Configuration | None = None
-        self.classes: dict[str, ClassSettings] = {}  # of the routes of the configuration in force
+        self.classes: dict[str, ClassSettings] = {}  # by route of the configuration in force
         self.expected: dict[str, RequestContext] = {}
         self.requests: dict[str, RequestState] = {}
-        self.waiting: list[str] = []  # requests that no backend could take so far
+        self.waiting: list[str] = []  # requests that no backend has been able to take so far
         self.timer_set = False
         self.handlers: dict[type, Callable[[float, Any], None]] = {
             events.Request: self._on_request,
@@ -88,7 +90,7 @@
         }
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Take in one event and return the actions that follow from it."""
+        """Handle one event and return the actions that follow from it."""
         handler = self.handlers.get(type(event))
         if handler is not None:
             handler(now, event)
@@ -99,10 +101,10 @@
         self.pending_actions.clear()
         return due
 
-    # What is known.
+    # Updates of the cluster state.
 
     def apply_configuration(self, now: float, config: Configuration) -> None:
-        """Decide by this configuration from here on; requests in flight keep the route that they matched."""
+        """Apply a configuration to new requests; requests in flight keep the route that they matched."""
         self.config = config
         self.classes = {name: class_settings_of(RouteMatch(name, route)) for name, route in config.routes.items()}
         limits = {name: RateLimit(tenant.rate_per_s, tenant.burst) for name, tenant in config.tenants.items()}
@@ -110,11 +112,11 @@
         self.selector.apply_services(now, config.services)
 
     def apply_backends(self, now: float, listed: dict[str, ListedBackend]) -> None:
-        """Replace the list of backends."""
+        """Replace the backend list."""
         self.selector.apply_list(now, listed)
 
     def apply_ingresses(self, names: Sequence[str]) -> None:
-        """Set the ingresses that are up: their number and names determine this one's parts of the shared budgets."""
+        """Set the proxies that are up: their number and names determine this proxy's shares of the common budgets."""
         self.selector.ingresses = list(names)
         self.retries.ingress_count = len(names) or ASSUMED_INGRESSES
 
@@ -123,22 +125,22 @@
         self.selector.apply_evacuations(now, zones)
 
     def mark_misdirected(self, backend: str) -> None:
-        """Send nothing more to a backend whose address belongs to another one."""
+        """Stop sending requests to a backend whose address belongs to another one."""
         self.selector.misdirected.add(backend)
 
-    # A request, from its arrival to its first attempt.
+    # Requests, from arrival to the first attempt.
 
     def class_of(self, match: RouteMatch) -> ClassSettings:
         """Return the class of a request by the route that it matched.
 
-        A request that was read ahead may have a route that has been dropped or changed since.
+        A pipelined request may have matched a route that has been removed or changed since it was read.
         """
         if self.config is not None and self.config.routes.get(match.name) is match.route:
             return self.classes[match.name]
         return class_settings_of(match)
 
     def expect(self, request: str, context: RequestContext) -> None:
-        """Announce the request of this id, which comes next, with its route and tenant."""
+        """Store the route and tenant of the request with this id, whose event follows."""
         self.expected[request] = context
 
     def _on_request(self, now: float, event: events.Request) -> None:
@@ -153,7 +155,7 @@
         request = self.requests[event.id] = RequestState(event, context, settings, now, service, regions)
         self.retries.budget_of(service).record_request(now)
         if regions is not None and not regions:
-            self._reject(request, 0.0)  # no region may serve it, so it is not charged either
+            self._reject(request, 0.0)  # no region may serve it, so its tenant is not charged
             return
         ruling = self.admission.begin(now, request)
         if ruling is not None:
@@ -172,7 +174,7 @@
             self._reject(request, ruling.retry_after_s)
 
     def _place(self, now: float, request: RequestState) -> None:
-        """Send the request to the best backend; where none can take it, let it wait a little, or answer it."""
+        """Send the request to the best backend; if none can take it, let it wait for a short time or answer it."""
         fleet = self.selector.fleet_of(now, request.service)
         best = self.selector.select(now, fleet, request)
         name = request.event.id
@@ -195,7 +197,7 @@
         self.selector.record_sent(now, fleet, request, backend)
         self.pending_actions.append(actions.Attempt(request.event.id, request.backend))
 
-    # Its end.
+    # The end of attempts and requests.
 
     def _on_attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
         self.selector.record_ended(now, event)
@@ -213,19 +215,19 @@
             self._give_up(request)
 
     def _on_client_gone(self, now: float, event: events.ClientGone) -> None:
-        """Forget a request, but not before its attempt has ended, which says whether a backend may have got it."""
+        """Forget a request, or wait for the end of its attempt, which tells whether a backend may have received it."""
         self.admission.forget(event.request)
         request = self.requests.get(event.request)
         if request is not None and not request.attempt_out:
             self._forget(request)
 
     def _forget(self, request: RequestState) -> None:
-        """Forget a request that is owed nothing any more; its charge stays counted once a backend has got it."""
+        """Forget a request that needs no answer; its charge is refunded unless an attempt has reached a backend."""
         del self.requests[request.event.id]
         self.admission.refund(request)
 
     def _give_up(self, request: RequestState) -> None:
-        """Answer at once: rejected where it certainly has not run, failed otherwise."""
+        """End a request: rejected if it certainly has not run, failed otherwise."""
         if request.may_have_run:
             self.requests.pop(request.event.id, None)
             self.pending_actions.append(actions.Fail(request.event.id))
@@ -237,7 +239,7 @@
         self.admission.refund(request)
         self.pending_actions.append(actions.Refuse(request.event.id, retry_after_s))
 
-    # Time.
+    # The periodic sweep.
 
     def _on_timer(self, now: float, event: events.TimerFired) -> None:
         self.timer_set = False
@@ -256,9 +258,9 @@
                 self._place(now, request)
 
     def _cancel_if_late(self, now: float, attempt: SilentAttempt) -> None:
-        """Cancel a late attempt at a silent backend if another one would take its request.
+        """Cancel a late attempt at a silent backend if another backend can take its request.
 
-        Silence alone ends no attempt: its answer may still come, and nothing better can be had elsewhere.
+        Without such a backend the attempt goes on: its answer may still arrive, and there is no alternative.
         """
         request = self.requests.get(attempt.request)
         if request is None or not request.match.route.idempotent:
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -1,4 +1,4 @@
-"""The surroundings of the proxy's driver: clients' requests in, exchanges with backends out, one answer to each."""
+"""Connects the proxy's driver to its sockets: clients' requests, exchanges with backends, and one answer to each."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from thistleusher.proxy.requests import ChargeTenant
 from thistleusher.services.http_responses import Response
 
-STALL_S = 1.0  # without a byte in the middle of an answer, after which a repeatable request goes to another backend
-MIN_LEFT_S = 0.001  # the least remaining time that is passed to a backend
+STALL_S = 1.0  # an idempotent request is retried after this time without a byte in the middle of an answer
+MIN_LEFT_S = 0.001  # lower bound of the remaining time that is stated to a backend
 KINDS = {
     Verdict.OVER_QUOTA: ErrorKind.QUOTA_EXCEEDED,
     Verdict.NO_ROOM: ErrorKind.NO_CAPACITY,
@@ -28,11 +28,11 @@
     Verdict.FAULT: ErrorKind.INTERNAL_ERROR,
     Verdict.INVALID: ErrorKind.MALFORMED,
 }
-REJECTIONS = (Verdict.OVER_QUOTA, Verdict.NO_ROOM)  # promise that the request has not run and never will
+REJECTIONS = (Verdict.OVER_QUOTA, Verdict.NO_ROOM)  # these promise that the request has not run and never will
 
 
 class ProxyIngress(Ingress):
-    """The driver with the proxy's decision module, and its attempts at backends."""
+    """Runs the driver with the proxy's decision module, and makes its attempts at backends."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self.is_shutting_down: Callable[[], bool] = lambda: False
 
     def handle_request(self, call: ClientRequest, reply: Reply) -> None:  # type: ignore[override]
-        """Take a client's request, which gets exactly one answer through `reply` from here on."""
+        """Accept a client's request; `reply` is called exactly once with its answer."""
         if call.request.id not in self.in_flight:
             self.decisions.expect(call.request.id, call.context)
         request_class = self.decisions.class_of(call.context.match)
@@ -58,10 +58,11 @@
         )
 
     def cancel(self, action: actions.CancelAttempt) -> None:
-        """Cancel an attempt at a silent backend, so that another may follow.
+        """Cancel an attempt at a silent backend, so that the request can be sent to another one.
 
-        Not during a graceful shutdown, as it may be the last attempt that can be made. Nor one whose answer has come:
-        where this process has stood still, timers may be due before the reads of the same moment.
+        Nothing is cancelled during a graceful shutdown, as there may be no time for another attempt. An attempt with
+        unread bytes is not cancelled either: after a pause of this process, timers may run before reads that became
+        due at the same time.
         """
         in_flight = self.in_flight.get(action.request)
         attempt = in_flight.context.attempt if in_flight is not None else None
@@ -70,10 +71,10 @@
 
     @staticmethod
     def answer(final: Final, call: ClientRequest, reply: Reply) -> None:
-        """Give the one answer: the backend's own, unchanged, or one by the table of failure kinds.
+        """Send the one answer: the backend's own, unchanged, or the response for the kind of failure.
 
-        A rejection promises that the request has not run and never will: whoever decided on it, none leaves here for
-        one that may have run.
+        A rejection promises that the request has not run and never will. If the request may have run, a rejection is
+        therefore replaced by a failure, whichever module decided on it.
         """
         verdict = final.verdict
         if verdict in REJECTIONS and call.may_have_run():
@@ -88,9 +89,10 @@
         reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
     def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
-        """Return one attempt, to be started by the driver.
+        """Return an attempt for the driver to start.
 
-        It is not sent if by then its client has gone, its time is up, or its backend may not be sent to any more.
+        The attempt sends nothing if by then the client has disconnected, the deadline has passed, or its backend has
+        been taken out of service.
         """
         call: ClientRequest = in_flight.context
         repeatable = call.context.match.route.idempotent
--- a/thistleusher/proxy/hand_over.py
+++ b/thistleusher/proxy/hand_over.py
@@ -1,4 +1,4 @@
-"""Sending what a watched proxy lacks of both states, where it has had no updates from the core for a while."""
+"""Sends a watched proxy the updates that it is missing, if it has had none from the core machines for a while."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from thistleusher.transport.links import Link
 from thistleusher.transport.messages import HandOver, HandOverAccepted
 
-HAND_OVER_TIMEOUT_S = 1.0  # for the copy to be accepted
+HAND_OVER_TIMEOUT_S = 1.0  # limit for connecting, sending the copy and receiving its acceptance
 
 
 async def send_hand_over(loop: asyncio.AbstractEventLoop, ip: str, port: int, copy: HandOver) -> bool:
-    """Send the copy on a connection of its own; return whether the proxy there has accepted it."""
+    """Send the copy on a separate connection; return whether the receiving proxy has accepted it in time."""
     accepted: asyncio.Future[bool] = loop.create_future()
 
     def end(value: bool) -> None:
--- a/thistleusher/proxy/http_messages.py
+++ b/thistleusher/proxy/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as they pass the proxy: which headers go on, and what an answer says of its attempt."""
+"""Requests and answers in transit: which headers are forwarded, and which outcome an answer means for its attempt."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
     b"upgrade",
     b"expect",
     b"content-length",
-}  # of one connection, or of its framing
+}  # headers that concern one connection or its message framing
 NOT_FORWARDED = CONNECTION_HEADERS | {b"authorization", b"x-tenant", b"x-expect-instance", DEADLINE_HEADER}
-SINGLE_HEADERS = (b"host", ATTEMPT_HEADER, DEADLINE_HEADER, b"authorization")  # a second one is malformed
-ALWAYS_FORWARDED = {b"host", ATTEMPT_HEADER}  # whatever `Connection` names
+SINGLE_HEADERS = (b"host", ATTEMPT_HEADER, DEADLINE_HEADER, b"authorization")  # malformed if repeated
+ALWAYS_FORWARDED = {b"host", ATTEMPT_HEADER}  # forwarded even if `Connection` lists them
 
 MISDIRECTED = 421
-NOT_RUN_STATUSES = (408, MISDIRECTED, 429, 503)  # promise to clients that a request has not run and never will
+NOT_RUN_STATUSES = (408, MISDIRECTED, 429, 503)  # these promise that a request has not run and never will
 
 
 class RequestHeaders(NamedTuple):
-    """A request's headers: the values by lower-case name, and the lines that go on to a backend unchanged."""
+    """A request's headers: the values by lower-case name, and the lines to forward to a backend unchanged."""
 
     values: dict[bytes, bytes]
     forwarded: bytes
 
 
 def read_headers(headers: Iterable[tuple[bytes, bytes]]) -> RequestHeaders | ServiceError:
-    """Return a request's headers, or the error where one that must be single comes twice."""
+    """Return a request's headers, or an error if a header that must be unique occurs more than once."""
     values: dict[bytes, bytes] = {}
     forwarded: list[tuple[bytes, bytes]] = []
     for name, value in headers:
@@ -70,7 +70,7 @@
 
 
 def answer_lines(answer: Response) -> bytes:
-    """Return the header lines of an answer that go on to the client: all but those of its connection."""
+    """Return the header lines of an answer to forward to the client: all but connection headers."""
     dropped = header_names(answer.headers.get(b"connection", b""))
     return b"".join(
         b"%s: %s\r\n" % (name, value)
@@ -80,10 +80,10 @@
 
 
 def outcome_of(answer: Response) -> Outcome:
-    """Return what an answer says of its attempt.
+    """Return the outcome of an attempt by its answer.
 
-    A success without a seal is an error: something other than the backend has answered. A status that promises that the
-    request has not run counts only with the backend's proof.
+    A success without the backend's seal is an error, as something other than the backend has answered. A status that
+    promises that the request has not run is trusted only with the backend's `x-not-run` header; 421 needs none.
     """
     if NOT_RUN_HEADER in answer.headers or answer.status == MISDIRECTED:
         return Outcome.FULL
@@ -94,25 +94,25 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request that was read whole and is to be forwarded."""
+    """A client's request that has been read completely and is to be forwarded."""
 
     request: events.Request
     context: RequestContext
-    start: bytes  # request line and the headers that go on unchanged
+    start: bytes  # request line and the headers that are forwarded unchanged
     body: bytes
     received_at: float
-    has_client_left: Callable[[], bool]  # whether its connection has ended, read or not
-    last_error: Response | None = None  # the newest answer of a backend that reports an error of its own
-    has_length: bool = True  # whether it states a length
-    attempt: BackendAttempt | None = None  # in flight
+    has_client_left: Callable[[], bool]  # whether its connection has ended, even if the end is still unread
+    last_error: Response | None = None  # newest 5xx answer that reports a backend's own error
+    has_length: bool = True  # whether the forwarded request states its length
+    attempt: BackendAttempt | None = None  # attempt in flight, None between attempts
     ended_attempt_may_have_run: bool = False
 
     def may_have_run(self) -> bool:
-        """Return whether a backend may have begun to run it, so that nothing may be promised about it any more."""
+        """Return whether a backend may have started the request, so that no rejection may be sent any more."""
         return self.ended_attempt_may_have_run or (self.attempt is not None and self.attempt.written)
 
     def message(self, left_s: float, backend: str) -> bytes:
-        """Return the request as the backend gets it, with `left_s` of its time left."""
+        """Return the bytes to send to the backend; `left_s`: remaining time of the request in seconds."""
         tenant = b"X-Tenant: %s\r\n" % self.context.tenant.encode() if self.context.tenant is not None else b""
         length = b"Content-Length: %d\r\n" % len(self.body) if self.has_length else b""
         return b"%sX-Deadline-Ms: %d\r\nX-Expect-Instance: %s\r\n%s%s\r\n%s" % (
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -1,6 +1,6 @@
-"""The proxy's listener: matches the routes and tenants of clients' requests, or answers them at once.
+"""The proxy's listener: finds the route and tenant of each client's request, or answers it at once with an error.
 
-What cannot be read as a request has been answered before (`net.client_connection`).
+Input that is not a valid HTTP request is answered earlier, by `net.client_connection`.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 from thistleusher.proxy.requests import RequestContext
 from thistleusher.transport.call_server import error_response
 
-BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")  # whose requests need not state a length
-MAX_TIME_S = 120.0  # of a request
-MIN_TIME_S = 0.05  # before the end of a graceful shutdown, under which no request is taken any more
-MIN_TIMEOUT_S = 0.1  # of a connection, whatever the configuration says
+BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")  # methods whose requests need not state a length
+MAX_TIME_S = 120.0  # upper bound of the time allowed for a request
+MIN_TIME_S = 0.05  # requests are rejected once a graceful shutdown has no more than this time left
+MIN_TIMEOUT_S = 0.1  # lower bound of a connection's time-outs; smaller configured values are raised to it
 
 
 class ProxyServer(Server):
-    """The proxy's connections with clients."""
+    """Accepts the connections of the proxy's clients and reads their requests."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ingress: ProxyIngress, most: int) -> None:
-        """`most`: connections at once."""
+        """`most`: maximum number of concurrent connections."""
         super().__init__(loop, most)
         self.ingress = ingress
         self.index: Index | None = None
-        self.has_list = False  # of backends
-        # Bound directly: a request passes one call less on its way.
+        self.has_list = False  # whether a backend list has been applied
+        # Bound directly, which saves one call per request.
         self.handle_request = ingress.handle_request  # type: ignore[method-assign, assignment]
         self.client_disconnected = ingress.client_disconnected  # type: ignore[method-assign, assignment]
         ingress.is_shutting_down = lambda: self.shutting_down
 
     def apply_configuration(self, index: Index) -> None:
-        """Serve by this configuration from here on."""
+        """Apply a configuration to new requests and connections."""
         limits = index.config.limits
         self.index = index
         self.limits = ClientLimits(
@@ -52,11 +52,11 @@
         )
 
     def has_pending_work(self) -> bool:
-        """Return whether a backend may be at work on what may not be repeated; each ends with its deadline."""
+        """Return whether a request in flight that is not idempotent may be running; each ends by its deadline."""
         return self.ingress.driver.has_unrepeatable_in_flight()
 
     def read_request(self, connection: ClientConnection) -> Any:
-        """Return the request that has come whole as a `ClientRequest`, or its early answer."""
+        """Return a completely received request as a `ClientRequest`, or the error response to send at once."""
         if connection.over_limit:
             return error_response(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         index = self.index
@@ -88,7 +88,7 @@
 
     @staticmethod
     def _match(index: Index, url: bytes, headers: dict[bytes, bytes]) -> RequestContext | ServiceError:
-        """Return the route by host and path, and the tenant by its key unless the route is public."""
+        """Return the route by host and path, and the tenant by its key unless the route is public, or an error."""
         path = url.partition(b"?")[0].decode("latin-1")
         match = index.find(headers.get(b"host", b"").decode("latin-1"), path)
         if match is None:
@@ -99,9 +99,11 @@
         return ServiceError(ErrorKind.UNKNOWN_KEY) if tenant is None else RequestContext(match, tenant)
 
     def _time_allowed(self, now: float, context: RequestContext, headers: dict[bytes, bytes]) -> float | ServiceError:
-        """Return the seconds for the request: the least of its route's, its own, and what a shutdown leaves.
+        """Return the seconds allowed for the request, or an error if there is no time left.
 
-        During a shutdown this also notes that a request has come, which keeps the listener open.
+        This is the minimum of the route's deadline, the deadline that the request states, `MAX_TIME_S`, and the time
+        that remains of a graceful shutdown. During a shutdown this method also records the arrival of the request,
+        which keeps the listener open.
         """
         allowed_s = context.match.route.deadline_ms / 1000
         stated = headers.get(DEADLINE_HEADER, b"")
--- a/thistleusher/proxy/open_charges.py
+++ b/thistleusher/proxy/open_charges.py
@@ -1,11 +1,12 @@
 """Charges that wait for the counter's answer or may still be refunded.
 
-Nobody says that a request has ended: its charge stays refundable until `MAX_CHARGES` newer ones have pushed it out.
+The end of a request is not reported to this module: its charge stays refundable until `MAX_CHARGES` newer charges have
+displaced it.
 
-Invariants: a charge has one answer at most, and one refund at most; a request whose charge was refunded gets no answer.
-Numbers rise within an incarnation, by which the counter tells a repeated charge from a new one.
+Invariants: a charge gets at most one answer and at most one refund. A request whose charge was refunded gets no answer.
+Charge numbers increase within an incarnation, so that the counter can tell a repeated charge from a new one.
 
-Pure; seconds on the steady clock.
+Free of I/O; times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from thistleusher.proxy.requests import ChargeAnswered
 from thistleusher.transport.messages import ChargeResult
 
-MAX_CHARGES = 20_000  # remembered; one that is forgotten gets no answer and no refund
-ANSWER_MAX_AGE_S = LOCAL_QUOTA_FROM_S  # after the charge was sent, from which its answer is too old to admit anything
+MAX_CHARGES = 20_000  # charges kept; a charge that has been displaced gets no answer and no refund
+ANSWER_MAX_AGE_S = LOCAL_QUOTA_FROM_S  # an answer that takes this long since the charge was sent admits nothing
 
 
 class OpenCharge(NamedTuple):
-    """A charge without an answer: of which request and tenant, and when it was sent, if there was a counter."""
+    """A charge without an answer; `sent_at`: time of the charge, even if no counter was known then."""
 
     request: str
     tenant: str
@@ -29,16 +30,16 @@
 
 
 class OpenCharges:
-    """The open charges of one proxy, within one incarnation."""
+    """Open charges of one incarnation of a proxy."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
         self.last_number = 0
-        self.unanswered: dict[int, OpenCharge] = {}  # by number
-        self.refundable: dict[str, int] = {}  # number by request
+        self.unanswered: dict[int, OpenCharge] = {}  # by charge number
+        self.refundable: dict[str, int] = {}  # charge number by request id
 
     def open(self, now: float, request: str, tenant: str) -> int:
-        """Return the number of a new charge; beyond `MAX_CHARGES` the oldest is forgotten."""
+        """Record a new charge and return its number; beyond `MAX_CHARGES` the oldest charge is dropped."""
         self.last_number += 1
         number = self.last_number
         self.unanswered[number] = OpenCharge(request, tenant, now)
@@ -50,25 +51,25 @@
         return number
 
     def open_anew(self, now: float) -> list[tuple[int, str]]:
-        """Give the unanswered charges new numbers, for a new counter; return these and the tenants.
+        """Renumber the unanswered charges for a new counter; return pairs (number, tenant).
 
-        Answers of the counter before it are dropped from here on.
+        Answers of the previous counter are ignored from then on.
         """
         unanswered = list(self.unanswered.values())
         self.unanswered.clear()
         return [(self.open(now, charge.request, charge.tenant), charge.tenant) for charge in unanswered]
 
     def refund(self, request: str) -> int | None:
-        """Return the number of the charge to refund, the first time only; its answer is dropped from here on."""
+        """Return the number of the charge to refund, None if there is none left; a later answer to it is ignored."""
         number = self.refundable.pop(request, None)
         if number is not None:
             self.unanswered.pop(number, None)
         return number
 
     def answered(self, now: float, result: ChargeResult) -> ChargeAnswered | None:
-        """Return the answer for the request that waits for it; None where none does.
+        """Return the answer for the waiting request, None if no request waits for it.
 
-        One that comes too late counts as `OVER_LIMIT`: its window may have ended long ago.
+        An answer that arrives too late counts as `OVER_LIMIT`, as the window of its charge may have ended long ago.
         """
         if result.incarnation != self.incarnation:
             return None
--- a/thistleusher/proxy/placement.py
+++ b/thistleusher/proxy/placement.py
@@ -1,7 +1,7 @@
-"""Backends as the registry lists them, and the tiers in which a request may go to them.
+"""Backends of the registry's list, and the tiers in which they are considered for a request.
 
-Tiers by network cost: this region first, then all others. A backend that is draining or lies in an evacuated zone is in
-no tier. Pure.
+Tiers are ordered by network cost: this proxy's region first, then all other regions. A backend that is draining or lies
+in an evacuated zone is in no tier. Free of I/O.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class ListedBackend:
-    """One backend of the registry's list; `warming_until`: end of its warm-up on this ingress's steady clock."""
+    """A backend of the registry's list; `warming_until`: end of its slow start on this proxy's monotonic clock."""
 
     name: str
     service: str
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Locality:
-    """Where this ingress runs, and which zones are evacuated."""
+    """The zone and region of this proxy, and the evacuated zones."""
 
     zone: str
     region: str
@@ -41,7 +41,7 @@
     ready: list[Backend],
     allowed_regions: frozenset[str] | None,
 ) -> list[list[Backend]]:
-    """Return the ready backends that may be sent to, nearest tier first; no tier is empty. Costs a look at each."""
+    """Return the eligible backends by tier, nearest tier first, without empty tiers; linear in the ready backends."""
     near: list[Backend] = []
     far: list[Backend] = []
     for backend in ready:
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -1,7 +1,7 @@
-"""The proxy's process: wires the cluster view and the decisions to their sockets.
+"""The proxy's process: connects the cluster view and the decision module to sockets.
 
-The clock is read anew for each input: `loop.time()` is the time of the loop's iteration, which a process that stood
-still in it would take for the present.
+The clock is read again for each input. `loop.time()` would return the start of the loop's iteration, so that a process
+that was paused during an iteration would work with an outdated time.
 """
 
 from __future__ import annotations
@@ -54,23 +54,23 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
-CONNECT_S = 0.6  # for a connection to a backend of another region
-NEAR_CONNECT_S = 0.25  # and of this one
-IDLE_S = 16.0  # of which the pools trust half; a backend's Keep-Alive may say less
-SILENT_S = 1.2  # without an acknowledgement of a backend's kernel, after which a connection ends
-RESERVED_DESCRIPTORS = 200  # file descriptors of the process itself
-SPARE_DESCRIPTORS = 120  # that are neither clients' nor backends'
-MIN_CONNECTIONS = 32  # of clients, and of backends, whatever the limit of descriptors
-NOTICE_S = 0.4  # between announcing the shutdown and closing the listener at the earliest
-CLOSE_RESERVE_S = 0.3  # of the grace time, for closing all sockets
+CONNECT_S = 0.6  # connect time-out to a backend of another region
+NEAR_CONNECT_S = 0.25  # connect time-out to a backend of this region
+IDLE_S = 16.0  # assumed idle time-out of backends, of which pools use half; a Keep-Alive header can shorten it
+SILENT_S = 1.2  # a backend connection is closed after this time without a TCP acknowledgement
+RESERVED_DESCRIPTORS = 200  # file descriptors kept for the process itself
+SPARE_DESCRIPTORS = 120  # further file descriptors for connections other than those to clients and backends
+MIN_CONNECTIONS = 32  # lower bound for clients and for backends each, even with a small descriptor limit
+NOTICE_S = 0.4  # minimum time between announcing the shutdown and closing the listener
+CLOSE_RESERVE_S = 0.3  # part of the grace period kept for closing all sockets
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-# Of the directory and of readiness checks.
+# Limits of the listeners for the directory and for readiness checks.
 CALL_LIMITS = ClientLimits(max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0)
-MAX_WATCHERS = 64  # whose copies are taken at once
+MAX_WATCHERS = 64  # concurrent connections on which other proxies send copies of the state
 
 
 class ProxyProgram:
-    """One proxy process."""
+    """Owns the sockets of one proxy process and executes the cluster view's commands."""
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
@@ -100,7 +100,7 @@
             "zone": node_settings.zone,
             "region": node_settings.region,
         }
-        # Zones are looked up in the settings as they are by then: these are read anew while the process runs.
+        # Zones are looked up at call time, as the settings file can be reloaded while the process runs.
         self.cluster_view = ClusterView(
             node_settings.node_name,
             new_incarnation(PROCESS_STARTED_AT),
@@ -153,7 +153,7 @@
         await serve("proxy", self.settings, self.tick, self._settings_changed, self.shut_down)
 
     async def shut_down(self) -> None:
-        """Announce the shutdown, go on while clients come, finish the requests in flight, then close all sockets."""
+        """Announce the shutdown, serve clients that still arrive, finish requests in flight, and close all sockets."""
         self.shutting_down = True
         self.server.shutting_down = True
         self._execute(self.cluster_view.report_status(time.monotonic(), self.is_ready()))
@@ -180,7 +180,7 @@
         self._execute(self.cluster_view.tick(time.monotonic(), self.is_ready()))
 
     def is_ready(self) -> bool:
-        """Return whether a request could be served here."""
+        """Return whether this proxy can serve requests: it has configuration and backends and is not shutting down."""
         has_state = self.server.index is not None and self.server.has_list
         return has_state and bool(self.ingress.serving) and not self.shutting_down
 
@@ -197,7 +197,7 @@
             self.registries.broadcast(command.message)
 
     def _deliver_charge_answer(self, command: DeliverChargeAnswer) -> None:
-        answer: Any = command.answer  # no event of the driver's own
+        answer: Any = command.answer  # `submit` is typed for the driver's own events only
         self.ingress.submit(answer)
 
     def _send_heartbeat(self, command: SendHeartbeat) -> None:
@@ -241,7 +241,7 @@
         self._execute_and_reply(dial, commands, reply)
 
     def _execute_and_reply(self, dial: ReconnectingLink, commands: list[Command], reply: Reply | None) -> None:
-        """Reply last: only what is in force here is acknowledged."""
+        """Execute the commands before replying, as only updates in force may be acknowledged."""
         self._execute(commands)
         if reply is not None:
             dial.send(reply)
@@ -267,7 +267,7 @@
         done(Ready() if self.is_ready() else ServiceError(ErrorKind.STARTING))
 
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
-        """Answer where a client should go; this proxy's own state counts as it is now, not as last listed."""
+        """Answer with addresses of proxies; for this proxy its current readiness counts, not the listed one."""
         members = self.cluster_view.members()
         own = members.get(self.node_settings.node_name)
         if own is not None:
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -1,16 +1,18 @@
-"""This ingress's side of the tenants' rate limits: when to contact the counter, and what holds while it is silent.
+"""The proxy's part in the tenants' rate limits: contact with the counter, and local limits while it does not answer.
 
-Each request is charged against its tenant's central count before it is sent on, and the count's verdict decides.
-Without a verdict for `VERDICT_WAIT_S` this ingress's reserve may admit the request; what it does not admit waits on.
-Without an echo for `LOCAL_QUOTA_FROM_S` this ingress goes by its share: a token bucket for each tenant that refills at
-the share of the rate, as the counter deducts that share meanwhile.
+Each request is charged against its tenant's central count before it is forwarded, and the counter's verdict decides.
+After `VERDICT_WAIT_S` without a verdict, this proxy's reserve may admit the request; otherwise the request keeps
+waiting. After `LOCAL_QUOTA_FROM_S` without an echo, this proxy uses its share: a token bucket per tenant that refills
+at the share of the rate. The counter deducts that share from what it admits centrally during this time.
 
-A bucket holds whole requests: `common.quota_shares` says how many, so that the sum over all ingresses holds at any
-number of them. Many ingresses hold nothing of a small tenant's limit, and reject its requests out of contact.
+A bucket holds whole requests. `common.quota_shares` determines their number so that the sum over all proxies is within
+the limit for any number of proxies. Many proxies hold nothing of a small tenant's limit, and reject its requests while
+they are out of contact with the counter.
 
-It never fails open: without a share, or `LOCAL_QUOTA_UNTIL_S` after the last echo, nothing is admitted.
+The quota never fails open: without a share, or later than `LOCAL_QUOTA_UNTIL_S` after the last echo, nothing is
+admitted.
 
-Pure; seconds on the steady clock.
+Free of I/O; times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -33,7 +35,7 @@
 
 
 class RateLimit(NamedTuple):
-    """A tenant's limit; a rate of 0 is no limit."""
+    """A tenant's limit; a rate of 0 means unlimited."""
 
     rate_per_s: float
     burst: float
@@ -43,14 +45,14 @@
 
 
 class Echo(NamedTuple):
-    """The newest echo of a heartbeat: which counter sent it, and its time then."""
+    """The newest echo of a heartbeat: the counter that sent it, and the counter's time of sending."""
 
     counter: str
     counter_time: float
 
 
 class HeartbeatScope(Enum):
-    """To whom a heartbeat is due."""
+    """The recipients of a heartbeat."""
 
     COUNTER = "counter"
     ALL_REGISTRIES = "all registries"  # a full heartbeat: `ProxyStatusReport`
@@ -58,39 +60,39 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What is left of a tenant's share here, in requests, as of a time."""
+    """Requests that this proxy may still admit of a tenant's limit; `level` is valid at `updated_at`."""
 
     level: float
     updated_at: float
 
     def refill(self, now: float, rate_per_s: float, capacity: float) -> None:
-        """Bring the level up to date."""
+        """Add the requests accrued since the last refill, up to `capacity`."""
         self.level = min(capacity, self.level + max(0.0, now - self.updated_at) * rate_per_s)
         self.updated_at = max(self.updated_at, now)
 
 
 class LocalQuota:
-    """The counter's echoes, this ingress's share, and the tenants' token buckets.
+    """The counter's echoes, this proxy's share, and the tenants' token buckets.
 
-    Invariant: out of contact a bucket gains what this ingress's share accrues, in contact its part of the reserve in
-    `RESERVE_FILLED_S`, and it holds no more than `Holding` says. The counter takes the share of a silent ingress off
-    its count before that ingress spends it.
+    Invariants: without contact to the counter, a bucket refills at this proxy's share of the rate. With contact, it
+    fills up to this proxy's part of the reserve within `RESERVE_FILLED_S`. It never holds more than `Holding` allows.
+    The counter deducts the share of a proxy that has not been heard from before that proxy starts to spend it.
     """
 
     def __init__(self, now: float, bounds: Bounds, started_at: float | None = None) -> None:
-        """`started_at`: start of this process, if not `now`.
+        """`started_at`: start of this process, `now` if omitted.
 
-        Buckets are empty then: what the previous incarnation on this machine has spent is not known.
+        Buckets are empty at that time, as it is unknown what the previous incarnation on this machine has spent.
         """
         self.limits: dict[str, RateLimit] = {}
         self.bounds = bounds
-        self.share = 0.0  # this ingress's part of all limits
-        self.interval: ShareInterval | None = None  # where that part lies among those of all ingresses
+        self.share = 0.0  # this proxy's share of every limit, as a fraction
+        self.interval: ShareInterval | None = None  # position of the share among those of all proxies
         self.started_at = now if started_at is None else started_at
         self.echo: Echo | None = None
-        self.echoed_sent_at = float("-inf")  # when the newest heartbeat that was echoed was sent
+        self.echoed_sent_at = float("-inf")  # sending time of the newest heartbeat that was echoed
         self.next_heartbeat_at = now
-        self.next_report_at = now  # of the full heartbeat, to all registries
+        self.next_report_at = now  # time of the next full heartbeat, which goes to all registries
         self.buckets: dict[str, TokenBucket] = {}
 
     def set_limits(self, limits: Mapping[str, RateLimit]) -> None:
@@ -100,13 +102,13 @@
             del self.buckets[name]
 
     def is_limited(self, tenant: str) -> bool:
-        """Return whether a tenant has a limit at all."""
+        """Return whether a tenant has a limit."""
         return self.limits.get(tenant, NO_LIMIT)[0] > 0
 
     def heartbeat_due(self, now: float) -> HeartbeatScope | None:
-        """Return to whom a heartbeat is due now, and count it as sent.
+        """Return the recipients of the heartbeat that is due, None if none is due; it counts as sent then.
 
-        All registries get one after `ECHO_MISSED_S` without an echo: another of them may hold the counter's role.
+        After `ECHO_MISSED_S` without an echo all registries get one, as another registry may hold the counter's role.
         """
         echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_MISSED_S
         report_due = now >= self.next_report_at or echo_missed
@@ -119,10 +121,10 @@
         return HeartbeatScope.ALL_REGISTRIES
 
     def record_echo(self, now: float, echo: Echo, sent_at: float, share: float) -> bool:
-        """Take in the echo of the heartbeat sent at `sent_at`, with this ingress's share; return whether it counts.
+        """Record the echo of the heartbeat sent at `sent_at`, with this proxy's share; return whether it is accepted.
 
-        One that is as old as `LOCAL_QUOTA_FROM_S` does not: it may have lain here while this process stood still. Nor
-        does one of an older heartbeat than the newest that was echoed: it may come from a former counter.
+        An echo as old as `LOCAL_QUOTA_FROM_S` is rejected, as it may have been buffered while this process was paused.
+        So is the echo of a heartbeat older than the newest one echoed, as it may come from a former counter.
         """
         if now - sent_at >= LOCAL_QUOTA_FROM_S or sent_at < self.echoed_sent_at:
             return False
@@ -132,11 +134,11 @@
         return True
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether the counter has been silent so long that this ingress spends its share of the counted part."""
+        """Return whether no echo has arrived for so long that this proxy admits requests by its own share."""
         return now - self.echoed_sent_at >= LOCAL_QUOTA_FROM_S
 
     def spend(self, now: float, tenant: str) -> bool:
-        """Admit one request from this ingress's own bucket; return False where less than one is in it."""
+        """Take one request from the tenant's local bucket; return False if it holds less than one."""
         limit = self.limits.get(tenant, NO_LIMIT)
         if limit.rate_per_s <= 0:
             return True
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -1,4 +1,4 @@
-"""Records of the decision module: a request in flight, where it came in, and its charge against a tenant's quota."""
+"""Records of the decision module: requests in flight, their routes and tenants, and their charges."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from thistleusher.core.events import BackendEntry
 from thistleusher.core.settings import ClassSettings
 
-UNKNOWN_WINDOW = -1  # the charge was made in a quota window whose number the counter has not reported
+UNKNOWN_WINDOW = -1  # the counter has not reported the number of the charge's quota window
 
 
 class ChargeTenant(NamedTuple):
-    """Action: add to a tenant's central count; a positive amount is answered by a `ChargeAnswered`.
+    """Action: add `amount` to a tenant's central count; a positive amount is answered by a `ChargeAnswered`.
 
-    A negative amount refunds the request's charge, once it is certain that the charge admits nothing. `window` is the
-    quota window it was charged in, `UNKNOWN_WINDOW` where no answer has named it.
+    A negative amount refunds the request's charge once it is certain that the charge will not admit the request.
+    `window`: quota window of the charge, `UNKNOWN_WINDOW` if no answer has named it.
     """
 
     request: str
@@ -28,7 +28,7 @@
 class ChargeAnswered(NamedTuple):
     """Event: the counter's verdict (`ALLOWED` or `OVER_LIMIT` of `common.quota_timing`) on a charge.
 
-    `left`: seconds until the tenant's next window. `window`: the number of the present one.
+    `left`: seconds until the tenant's next window. `window`: number of the current window.
     """
 
     request: str
@@ -38,16 +38,16 @@
 
 
 class RequestContext(NamedTuple):
-    """The route that a request matched and the tenant that sent it (None: public or no tenants configured)."""
+    """The route that a request matched and its tenant (None if the route is public or no tenants are configured)."""
 
     match: RouteMatch
     tenant: str | None
 
 
 class RequestState:
-    """A request that still needs its one final answer.
+    """State of a request that has not had its final answer yet.
 
-    The first five attributes are what `policy.fleet` reads of a request (`core.decision_ports.Routed`).
+    The first five attributes are those that `policy.fleet` reads (`core.decision_ports.Routed`).
     """
 
     __slots__ = (
@@ -82,24 +82,24 @@
         service: str,
         allowed_regions: frozenset[str] | None,
     ) -> None:
-        """`allowed_regions`: those that may serve it; None where neither route nor tenant restricts them."""
+        """`allowed_regions`: regions that may serve the request, None if neither route nor tenant restricts them."""
         self.event = request
         self.request_class = class_settings
         self.work = 1.0
-        self.failed_backends: set[str] = set()  # backends at which an attempt of it has failed
+        self.failed_backends: set[str] = set()  # backends at which an attempt has failed
         self.ran_on: BackendEntry | None = None
         self.match = context.match
         self.tenant = context.tenant
         self.service = service
         self.allowed_regions = allowed_regions
-        self.attempts = 0  # sent, whether they reached a backend or not
+        self.attempts = 0  # attempts sent, whether they reached a backend or not
         self.attempt_out = False
-        self.attempts_arrived = 0  # that have ended and had reached a backend
+        self.attempts_arrived = 0  # ended attempts that had reached a backend
         self.may_have_run = False
-        self.charge_open = False  # it was charged, and the charge may still be refunded
+        self.charge_open = False  # whether there is a charge that may still be refunded
         self.charge_window = UNKNOWN_WINDOW
-        self.charge_settled = False  # its quota has admitted it: a later answer to the charge is ignored
+        self.charge_settled = False  # whether it has been admitted: a later answer to the charge is ignored
         self.deadline = now + request.expires_in
         self.received_at = now
-        self.sent_at = 0.0  # start of the newest attempt
-        self.backend = ""  # of the newest attempt
+        self.sent_at = 0.0  # start time of the newest attempt
+        self.backend = ""  # backend of the newest attempt
--- a/thistleusher/proxy/retries.py
+++ b/thistleusher/proxy/retries.py
@@ -1,8 +1,8 @@
-"""Whether a request may be sent again: by what is known of its attempts, its route, its time and the retry budget.
+"""Retry policy: decides by a request's past attempts, its route, its deadline and the retry budget.
 
-Invariant: a request that may have run is sent again only if its route declares it repeatable.
+Invariant: a request that may have run is retried only if its route declares it idempotent.
 
-Pure; seconds on the steady clock.
+Free of I/O; times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from thistleusher.proxy.budgets import ASSUMED_INGRESSES, RetryBudget
 from thistleusher.proxy.requests import RequestState
 
-MAX_ATTEMPTS = 5  # of one request, whether they reached a backend or not
+MAX_ATTEMPTS = 5  # attempts per request, whether they reached a backend or not
 NEVER_ARRIVED = (Outcome.CONNECT_FAILED, Outcome.MOOT)
 NEVER_RAN = (Outcome.FULL, *NEVER_ARRIVED)
 
 
 class Retries:
-    """The retry budgets of all services, and the rule on one request."""
+    """Holds the retry budgets of all services and decides whether a request may be retried."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -27,7 +27,7 @@
         self.ingress_count = ASSUMED_INGRESSES
 
     def budget_of(self, service: str) -> RetryBudget:
-        """Return a service's budget."""
+        """Return the retry budget of a service, created on first use."""
         budget = self.budgets.get(service)
         if budget is None:
             bounds = self.bounds
@@ -37,7 +37,7 @@
 
     @staticmethod
     def record_end(request: RequestState, event: events.AttemptEnded) -> None:
-        """Note on the request what the end of an attempt proves; rejected and cancelled ones count, too."""
+        """Record on the request what the end of an attempt proves; rejected and cancelled attempts count as well."""
         request.failed_backends.add(event.backend)
         if event.outcome not in NEVER_ARRIVED:
             request.attempts_arrived += 1
@@ -45,7 +45,7 @@
             request.may_have_run = True
 
     def allowed(self, now: float, request: RequestState) -> bool:
-        """Return whether one more attempt is allowed. One after attempts that never arrived needs no budget."""
+        """Return whether one more attempt is allowed; it needs no budget if no attempt has reached a backend so far."""
         route = request.match.route
         if request.may_have_run and not route.idempotent:
             return False
--- a/thistleusher/proxy/ring_socket.py
+++ b/thistleusher/proxy/ring_socket.py
@@ -11,19 +11,19 @@
 
 
 class RingSocket(asyncio.DatagramProtocol):
-    """Heartbeats of the ring, in and out, as datagrams."""
+    """Sends and receives the ring's heartbeats as datagrams."""
 
     def __init__(self, on_heartbeat: Callable[[RingHeartbeat, str], None]) -> None:
-        """`on_heartbeat` gets each heartbeat and the IP address that it came from."""
+        """`on_heartbeat` is called with each heartbeat and the IP address of its sender."""
         self.on_heartbeat = on_heartbeat
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to send by."""
+        """Store the transport for sending."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Pass a heartbeat on. Anything else is dropped: whoever sent a datagram relies on no answer."""
+        """Pass a heartbeat to the callback; drop anything else, as senders of datagrams expect no answer."""
         try:
             message = decode(data)
         except MalformedMessageError:
@@ -32,9 +32,9 @@
             self.on_heartbeat(message, addr[0])
 
     def send(self, heartbeat: RingHeartbeat, address: tuple[str, int]) -> None:
-        """Send a heartbeat; it may be lost."""
+        """Send a heartbeat, without any guarantee of delivery."""
         if self.transport is not None:
             self.transport.sendto(encode(heartbeat), address)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an error of an earlier datagram, as the next heartbeat follows soon."""
+        """Ignore errors of earlier datagrams, as the next heartbeat follows soon."""
--- a/thistleusher/proxy/routing.py
+++ b/thistleusher/proxy/routing.py
@@ -1,4 +1,4 @@
-"""What a matched route means for a request: its class, its service, and the regions that may serve it. Pure."""
+"""Derives a request's class, service and allowed regions from its matched route. Free of I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def class_settings_of(match: RouteMatch) -> ClassSettings:
-    """Return a route as a request class of the decision module."""
+    """Return the request class that represents a route in the decision module."""
     route = match.route
     return ClassSettings(
         match.name,
@@ -23,7 +23,7 @@
 
 
 def draw_service(match: RouteMatch, rng: random.Random) -> str:
-    """Return one of the route's services, drawn by their weights. A route to one service draws nothing."""
+    """Return one of the route's services at random by weight; a route to a single service uses no random number."""
     shares = match.route.shares
     if len(shares) == 1:
         return shares[0].target
@@ -32,11 +32,11 @@
         draw -= share.weight
         if draw < 0:
             return share.target
-    return max(shares, key=lambda share: share.weight).target  # rounding has left a rest
+    return max(shares, key=lambda share: share.weight).target  # reached only by rounding errors
 
 
 def allowed_regions(*limits: Iterable[str]) -> frozenset[str] | None:
-    """Return the regions that all limits allow; None where each limit is empty, which allows every region."""
+    """Return the regions that all limits allow, None if there is no restriction; an empty limit allows every region."""
     allowed: frozenset[str] | None = None
     for limit in limits:
         regions = frozenset(limit)
