--- a/simnet/system/proxy_process.py
+++ b/simnet/system/proxy_process.py
@@ -68,7 +68,7 @@
 
     def ready(self) -> bool:
         """Return whether the proxy takes requests."""
-        return self.cluster_view.index is not None and self.cluster_view.has_list and bool(self.serving)
+        return self.cluster_view.index is not None and self.cluster_view.has_backend_list and bool(self.serving)
 
     def tick(self) -> None:
         """Let the cluster view see that time has passed."""
@@ -83,10 +83,10 @@
     def receive_reply(self, listener: str, message: AnyMessage) -> None:
         """Take a message of a control process or a registry."""
         if listener.startswith("control"):
-            outputs, reply = self.cluster_view.from_control(self.now(), message)
+            outputs, reply = self.cluster_view.receive_from_control(self.now(), message)
         else:
             address = listener.partition("@")[2]
-            outputs, reply = self.cluster_view.from_registry(self.now(), address, message)
+            outputs, reply = self.cluster_view.receive_from_registry(self.now(), address, message)
         self._execute(outputs)
         if reply is not None:
             self._environment.network.send(self, listener, reply)
@@ -94,9 +94,9 @@
     def receive_datagram(self, sender: str, message: AnyMessage) -> None:
         """Take a heartbeat of the ring, or a copy of the configuration and the list."""
         if isinstance(message, RingHeartbeat):
-            self._execute(self.cluster_view.heartbeat_received(self.now(), message, sender))
+            self._execute(self.cluster_view.receive_heartbeat(self.now(), message, sender))
         elif isinstance(message, HandOver):
-            self._execute(self.cluster_view.handed_over(self.now(), message))
+            self._execute(self.cluster_view.receive_hand_over(self.now(), message))
 
     def _execute(self, outputs: Sequence[Command]) -> None:
         network = self._environment.network
@@ -125,7 +125,7 @@
         index = self.cluster_view.index
         assert index is not None
         match = RouteMatch(route, index.config.routes[route])
-        self.decisions.expect(name, RequestContext(match, tenant))
+        self.decisions.announce(name, RequestContext(match, tenant))
         self._environment.rules.request_sent(name, self)
         request = events.Request(name, route, "all", 0, deadline_s, 1.0)
         request_class = self.decisions.class_of(match)
--- a/tests/client/test_calls.py
+++ b/tests/client/test_calls.py
@@ -83,8 +83,8 @@
 def test_a_stale_answer_beats_none():
     d = directory()
     assert d.pick(0.0) is None and d.is_due(0.0)
-    assert d.answered(0.0, directory_answer("a:1")) and not d.is_due(1.9) and d.is_due(2.0)
-    d.unanswered(2.0)
+    assert d.apply_answer(0.0, directory_answer("a:1")) and not d.is_due(1.9) and d.is_due(2.0)
+    d.record_failure(2.0)
     assert d.pick(30.0) == "a:1" and not d.is_due(2.1) and d.is_due(2.3)
 
 
@@ -102,8 +102,8 @@
 )
 def test_a_malformed_directory_answer_counts_as_none(malformed):
     d = directory()
-    d.answered(0.0, directory_answer("a:1"))
-    assert not d.answered(3.0, malformed) and d.pick(3.0) == "a:1"
+    d.apply_answer(0.0, directory_answer("a:1"))
+    assert not d.apply_answer(3.0, malformed) and d.pick(3.0) == "a:1"
 
 
 def test_the_directories_are_asked_anew_once_every_known_address_has_failed():
@@ -113,27 +113,27 @@
     12 of 60 reads ended as "Refused(status=0, tries=4)".
     """
     known = directory()
-    assert known.answered(0.0, directory_answer("a:1", ttl=5))
+    assert known.apply_answer(0.0, directory_answer("a:1", ttl=5))
     assert not known.is_due(1.0)
     known.avoid(1.0, "a:1")
     assert known.is_due(1.0)
-    assert known.answered(1.0, directory_answer("a:1", ttl=5))  # it is not known there either
+    assert known.apply_answer(1.0, directory_answer("a:1", ttl=5))  # it is not known there either
     assert not known.is_due(1.1) and known.is_due(1.0 + RETRY_INTERVAL_S)
-    known.unanswered(1.3)
+    known.record_failure(1.3)
     assert not known.is_due(1.4) and known.pick(1.4) == "a:1"
-    assert known.answered(1.6, directory_answer("a:1", "b:1", ttl=5))
+    assert known.apply_answer(1.6, directory_answer("a:1", "b:1", ttl=5))
     assert not known.is_due(1.7) and known.pick(1.7) == "b:1"
 
 
 def test_failed_addresses_are_avoided_for_a_while_and_removed_ones_are_not_picked():
     d = directory()
-    d.answered(0.0, directory_answer("a:1", "b:1"))
+    d.apply_answer(0.0, directory_answer("a:1", "b:1"))
     d.avoid(0.0, "a:1")
     assert {d.pick(0.1) for _ in range(30)} == {"b:1"}
     d.avoid(0.1, "b:1")
     assert {d.pick(0.2) for _ in range(30)} == {"a:1", "b:1"}  # all have: any
     assert {d.pick(AVOID_S + 0.2) for _ in range(30)} == {"a:1", "b:1"}
-    d.answered(5.0, directory_answer("c:1"))
+    d.apply_answer(5.0, directory_answer("c:1"))
     assert {d.pick(5.0) for _ in range(10)} == {"c:1"}
 
 
--- a/tests/proxy/caller_world.py
+++ b/tests/proxy/caller_world.py
@@ -70,9 +70,9 @@
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow("effectful")
-        self.decisions.apply_ingresses(["me"])
+        self.decisions.apply_proxies(["me"])
         self.serve([f"b{n}" for n in range(backends)])
-        self.server.has_list = True
+        self.server.has_backend_list = True
 
     def follow(self, variant: str, *, routes: bool = True) -> None:
         """A configuration is in force: route `e` is of this variant."""
--- a/tests/proxy/loopback_rig.py
+++ b/tests/proxy/loopback_rig.py
@@ -104,13 +104,13 @@
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, lambda charge: None)
         self.server = ProxyServer(loop, self.ingress, 50)
         self.follow(config())
-        self.decisions.apply_ingresses(["me"])
+        self.decisions.apply_proxies(["me"])
         listed = {b.name: ListedBackend(b.name, "s", ("127.0.0.1", b.port), "z", "r", 6, False) for b in self.backends}
         for name, backend in listed.items():
             self.upstream.update(name, Endpoint(backend.address, 0.0))
         self.decisions.apply_backends(loop.time(), listed)
         self.ingress.serving |= listed.keys()
-        self.server.has_list = True
+        self.server.has_backend_list = True
         await self.server.listen("127.0.0.1", 0)
         self.port = self.server.listener.sockets[0].getsockname()[1]
         return self
--- a/tests/proxy/quota_fleet.py
+++ b/tests/proxy/quota_fleet.py
@@ -58,8 +58,8 @@
             return
         now = self.fleet.clock.now
         self.execute(self.view.tick(now, True))
-        for request, ruling in self.admission.overdue(now, self.requests):
-            self.ruled(request, ruling)
+        for request, decision in self.admission.decide_overdue(now, self.requests):
+            self.record_decision(request, decision)
         self.flush()
         self.fleet.clock.later(TICK_S, self.tick)
 
@@ -69,9 +69,9 @@
                 self.fleet.to_counter(self, command.message)
             elif isinstance(command, DeliverChargeAnswer):
                 request = self.requests.get(command.answer.request)
-                ruling = self.admission.charge_answered(self.fleet.clock.now, command.answer, request)
-                if request is not None and ruling is not None:
-                    self.ruled(request, ruling)
+                decision = self.admission.charge_answered(self.fleet.clock.now, command.answer, request)
+                if request is not None and decision is not None:
+                    self.record_decision(request, decision)
                 self.flush()
 
     def flush(self):
@@ -92,18 +92,18 @@
             attempts_arrived=0,
         )
         self.requests[name] = request
-        ruling = self.admission.begin(self.fleet.clock.now, request)
-        if ruling is not None:
-            self.ruled(request, ruling)
+        decision = self.admission.begin(self.fleet.clock.now, request)
+        if decision is not None:
+            self.record_decision(request, decision)
         self.flush()
 
-    def ruled(self, request, ruling):
+    def record_decision(self, request, decision):
         del self.requests[request.event.id]
-        self.fleet.ruled(request.tenant, ruling.admitted)
+        self.fleet.record_decision(request.tenant, decision.admitted)
 
     def receive(self, message):
         if self.is_present():
-            commands, _ = self.view.from_registry(self.fleet.clock.now, "c", message)
+            commands, _ = self.view.receive_from_registry(self.fleet.clock.now, "c", message)
             self.execute(commands)
 
 
@@ -165,7 +165,7 @@
     def publish_shares(self, proxy):
         if self.share_number:
             items = {f"share:{name}": (self.share_number, share) for name, share in self.shares.items()}
-            proxy.view.from_control(self.clock.now, StateUpdate(self.share_number, None, items))
+            proxy.view.receive_from_control(self.clock.now, StateUpdate(self.share_number, None, items))
 
     def set_limit(self, tenant, rate, burst):
         """Change a tenant's limit everywhere at once."""
@@ -203,7 +203,7 @@
             echo = HeartbeatEcho(registry, message.sent, now, share)
             self.deliver(proxy.name, lambda: proxy.receive(echo))
 
-    def ruled(self, tenant, is_admitted):
+    def record_decision(self, tenant, is_admitted):
         (self.admitted if is_admitted else self.rejected)[tenant].append(self.clock.now)
 
     def press(self, tenant, rate, for_s, at_names=None):
--- a/tests/proxy/test_admitted_requests.py
+++ b/tests/proxy/test_admitted_requests.py
@@ -18,10 +18,10 @@
 def test_two_spans_are_remembered_and_nothing_from_before_the_start_is_known():
     admitted = AdmittedRequests(3.0, SPAN_S)
     admitted.add(4.0, "a")
-    assert admitted.since(8.0) == 3.0
+    assert admitted.complete_since(8.0) == 3.0
     admitted.add(16.0, "a")
     assert admitted.by_tenant() == {"a": [(16.25, 1)]}
-    assert admitted.since(16.0) == 6.0
+    assert admitted.complete_since(16.0) == 6.0
 
 
 def test_a_report_is_repeated_until_it_is_acknowledged_and_holds_nothing_that_came_after_the_first():
--- a/tests/proxy/test_cluster_view.py
+++ b/tests/proxy/test_cluster_view.py
@@ -54,12 +54,12 @@
 def test_a_stale_hand_over_takes_nothing_back():
     view = proxy()
     control, registry = states(9, "draining", True)
-    view.from_control(1.0, complete(control))
-    view.from_registry(1.0, "c", complete(registry))
+    view.receive_from_control(1.0, complete(control))
+    view.receive_from_registry(1.0, "c", complete(registry))
     old_control, old_list = states(4, "ready", False)
-    assert view.handed_over(2.0, HandOver("q", complete(old_control), complete(old_list))) == []
+    assert view.receive_hand_over(2.0, HandOver("q", complete(old_control), complete(old_list))) == []
     partial = HandOver("q", old_control.update_since(2), old_list.update_since(2))
-    assert view.handed_over(2.0, partial) == []
+    assert view.receive_hand_over(2.0, partial) == []
     assert view.decisions.selector.locality.evacuated_zones == {"z"} and view.decisions.selector.listed["i"].draining
     assert (view.control.state.number, view.registry.state.number) == (9, 9)
 
@@ -67,31 +67,31 @@
 def test_a_proxy_without_state_is_handed_a_copy_and_applies_it():
     watcher, fresh = proxy(), proxy()
     control, registry = states(9, "draining", True)
-    watcher.from_control(1.0, complete(control))
-    watcher.from_registry(1.0, "c", complete(registry))
+    watcher.receive_from_control(1.0, complete(control))
+    watcher.receive_from_registry(1.0, "c", complete(registry))
     commands = []
     for at in (2.0, 2.1 + UPDATE_WAIT_S):
-        commands += watcher.heartbeat_received(at, RingHeartbeat("q", 0, 0), "ip-q")
+        commands += watcher.receive_heartbeat(at, RingHeartbeat("q", 0, 0), "ip-q")
     copies = [command.message for command in commands if isinstance(command, SendHandOver)]
-    fresh.handed_over(3.0, copies[0])
-    assert fresh.has_list and fresh.decisions.selector.listed["i"].draining
-    answers = proxy().heartbeat_received(3.0, RingHeartbeat("q", 9, 9), "ip-q")
+    fresh.receive_hand_over(3.0, copies[0])
+    assert fresh.has_backend_list and fresh.decisions.selector.listed["i"].draining
+    answers = proxy().receive_heartbeat(3.0, RingHeartbeat("q", 9, 9), "ip-q")
     # It answers all, as it does not know its watchers.
     assert answers == [SendHeartbeat("ip-q", RingHeartbeat("p", 0, 0))]
 
 
 def test_an_older_epoch_does_not_restore_its_voters():
     view = proxy()
-    assert view.from_control(1.0, CoreInfo(("1", "2", "4"), 3, "4"))[0] == [ConnectToCore(("1", "2", "4"))]
-    assert view.from_control(1.0, CoreInfo(("1", "2", "3"), 2, "1"))[0] == []
+    assert view.receive_from_control(1.0, CoreInfo(("1", "2", "4"), 3, "4"))[0] == [ConnectToCore(("1", "2", "4"))]
+    assert view.receive_from_control(1.0, CoreInfo(("1", "2", "3"), 2, "1"))[0] == []
     assert view.core.voters == ("1", "2", "4")
 
 
 def test_an_unexpected_message_is_an_error_and_an_unexpected_datagram_is_dropped():
     view = proxy()
     for take in (
-        lambda: view.from_control(1.0, KeepAlive()),
-        lambda: view.from_registry(1.0, "c", KeepAlive()),
+        lambda: view.receive_from_control(1.0, KeepAlive()),
+        lambda: view.receive_from_registry(1.0, "c", KeepAlive()),
     ):
         with pytest.raises(UnexpectedMessageError):
             take()
@@ -113,35 +113,35 @@
     """Also where another backend has left the list meanwhile, of which the new copy says nothing."""
     view, registry = proxy(), State()
     registry.apply(1, {"b:i": backend_item("ready"), "b:j": backend_item("ready")})
-    view.from_registry(1.0, "c", registry.update_since(0))
+    view.receive_from_registry(1.0, "c", registry.update_since(0))
     registry.apply(2, {f"b:{drained}": backend_item("draining")})
     monkeypatch.setattr(view.decisions, "apply_backends", lambda now, listed: 1 / 0)
     with pytest.raises(ZeroDivisionError):
-        view.from_registry(2.0, "c", registry.update_since(1))
+        view.receive_from_registry(2.0, "c", registry.update_since(1))
     monkeypatch.undo()
     assert view.subscribe_to_registry().number == 0
     (left,) = {"i", "j"} - {drained}
     present = State(3, {f"b:{drained}": (2, backend_item("draining"))}, floor=3)
-    view.from_registry(3.0, "c", present.update_since(0))
+    view.receive_from_registry(3.0, "c", present.update_since(0))
     assert set(view.decisions.selector.listed) == {drained} and view.serving == set()
     assert view.decisions.selector.listed[drained].draining and left not in view.serving
 
 
 def test_a_control_state_that_a_fault_kept_out_of_force_is_asked_for_again(monkeypatch):
     view, (control, registry) = proxy(), states(9, "ready", True)
-    view.from_registry(1.0, "c", complete(registry))
+    view.receive_from_registry(1.0, "c", complete(registry))
     monkeypatch.setattr(view.decisions, "apply_evacuations", lambda now, zones: 1 / 0)
     with pytest.raises(ZeroDivisionError):
-        view.from_control(1.0, complete(control))
+        view.receive_from_control(1.0, complete(control))
     monkeypatch.undo()
     assert view.subscribe_to_control().number == 0
-    view.from_control(2.0, complete(control))
+    view.receive_from_control(2.0, complete(control))
     assert view.decisions.selector.locality.evacuated_zones == {"z"} and view.serving == set()
 
 
 def test_each_drain_is_logged_once_with_the_list_that_brought_it():
     view, (_, registry) = proxy(), states(9, "draining", True)
-    commands, _ = view.from_registry(1.0, "c", complete(registry))
-    again, _ = view.from_registry(2.0, "c", StateUpdate(10, 9, {"b:i": (10, backend_item("draining"))}))
+    commands, _ = view.receive_from_registry(1.0, "c", complete(registry))
+    again, _ = view.receive_from_registry(2.0, "c", StateUpdate(10, 9, {"b:i": (10, backend_item("draining"))}))
     drains = [c.fields for c in [*commands, *again] if isinstance(c, LogEvent) and c.event is Event.DRAINING_APPLIED]
     assert drains == [(9, "i")]
--- a/tests/proxy/test_decisions.py
+++ b/tests/proxy/test_decisions.py
@@ -64,7 +64,7 @@
     def __init__(self, near=3, far=2):
         self.now = 100.0
         self.decisions = Decisions("me", "z1", "near", Bounds(retry_slack=58), random.Random(1), self.now)
-        self.decisions.apply_ingresses(["me"])
+        self.decisions.apply_proxies(["me"])
         self.decisions.apply_configuration(self.now, CONFIG)
         self.backends = {}
         for k in range(near):
@@ -85,7 +85,7 @@
     def ask(self, route="pure", tenant="free"):
         self.count += 1
         name = f"r{self.count}"
-        self.decisions.expect(name, RequestContext(RouteMatch(route, CONFIG.routes[route]), tenant))
+        self.decisions.announce(name, RequestContext(RouteMatch(route, CONFIG.routes[route]), tenant))
         return name, self.do(events.Request(name, route, "all", 0, 2.9, 1.0))
 
     def end(self, name, acts, outcome, done=False):
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -129,10 +129,10 @@
         assert (await rig.ask("/q/")).status == 404
         assert (await rig.ask("/p/", key="nobody")).status == 401
         assert (await rig.ask("/p/", lines="X-Attempt-Id: twice\r\n")).status == 400
-        rig.server.has_list = False
+        rig.server.has_backend_list = False
         got = await rig.ask("/p/")
         assert got.status == 503 and float(got.headers["retry-after"]) > 0
-        rig.server.has_list = True
+        rig.server.has_backend_list = True
         rig.ingress.serving.clear()
         rig.decisions.apply_evacuations(0.0, {"z"})
         assert (await rig.ask("/p/")).status == 503
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -151,7 +151,7 @@
                 self.at_counter(*came)
         elif what < 0.995:
             if (came := self.arrive(self.to_proxy)) is not None:
-                self.carry(came[0], self.proxies[came[0]].from_registry(self.now, "c", came[1])[0])
+                self.carry(came[0], self.proxies[came[0]].receive_from_registry(self.now, "c", came[1])[0])
         elif what < 0.998:
             self.restart(name)
         elif what < 0.9988:
@@ -243,21 +243,21 @@
     proxy.counter = "c"
     proxy.charge(5.0, ChargeTenant("r1", "t", 1))
     proxy.charge(5.0, ChargeTenant("r2", "t", 1))
-    assert proxy.from_registry(5.1, "c", ChargeResult("w", 1, ALLOWED, 0.5, 3)) == ([], None)
+    assert proxy.receive_from_registry(5.1, "c", ChargeResult("w", 1, ALLOWED, 0.5, 3)) == ([], None)
     (back,) = proxy.charge(5.1, ChargeTenant("r1", "t", -1))
     assert back.message == Charge("x", 1, "t", -1, -1)
     assert proxy.charge(5.1, ChargeTenant("r1", "t", -1)) == []  # once
-    assert proxy.from_registry(5.2, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)
-    (verdict,), _ = proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3))
+    assert proxy.receive_from_registry(5.2, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)
+    (verdict,), _ = proxy.receive_from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3))
     assert verdict.answer.request == "r2"
-    assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3)) == ([], None)  # it comes again
+    assert proxy.receive_from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3)) == ([], None)  # it comes again
 
 
 def test_a_verdict_that_lay_in_a_socket_lets_nothing_in():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
     proxy.charge(5.0, ChargeTenant("r", "t", 1))
-    (verdict,), _ = proxy.from_registry(5.0 + ANSWER_MAX_AGE_S, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3))
+    (verdict,), _ = proxy.receive_from_registry(5.0 + ANSWER_MAX_AGE_S, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3))
     assert verdict.answer.verdict == OVER_LIMIT and SHARE_DEDUCTED_S < ANSWER_MAX_AGE_S <= LOCAL_QUOTA_FROM_S
 
 
@@ -265,10 +265,10 @@
     proxy = proxy_of("p", "x", 5.0)
     report = [out.message for out in proxy.tick(5.0, True) if isinstance(out, SendToRegistry)]
     assert [type(message) for message in report] == [ProxyStatusReport]
-    proxy.from_registry(5.2, "new", HeartbeatEcho("new/1", 5.0, 1.0, 0.1))
-    proxy.from_registry(5.2, "old", HeartbeatEcho("old/1", 4.9, 1.0, 0.2))
+    proxy.receive_from_registry(5.2, "new", HeartbeatEcho("new/1", 5.0, 1.0, 0.1))
+    proxy.receive_from_registry(5.2, "old", HeartbeatEcho("old/1", 4.9, 1.0, 0.2))
     assert proxy.counter == "new" and proxy.decisions.quota.share == 0.1
-    proxy.from_registry(9.0, "old", HeartbeatEcho("old/1", 5.1, 1.0, 0.2))
+    proxy.receive_from_registry(9.0, "old", HeartbeatEcho("old/1", 5.1, 1.0, 0.2))
     assert proxy.counter == "new" and proxy.decisions.quota.echo == ("new/1", 1.0)
 
 
@@ -278,14 +278,15 @@
 
 def test_a_report_goes_to_a_new_counter_with_its_first_echo_and_again_until_it_is_acknowledged():
     proxy = proxy_of("p", "x", 5.0)
-    commands, _ = proxy.from_registry(5.2, "c", HeartbeatEcho("c/1#7", 5.1, 1.0, 0.1))
+    commands, _ = proxy.receive_from_registry(5.2, "c", HeartbeatEcho("c/1#7", 5.1, 1.0, 0.1))
     assert [report.counter for report in reports_of(commands)] == ["c/1#7"]
     assert not reports_of(proxy.tick(5.3, True)) and len(reports_of(proxy.tick(5.6, True))) == 1
-    proxy.from_registry(5.7, "c", AdmissionReportAck("c/1#7"))
+    proxy.receive_from_registry(5.7, "c", AdmissionReportAck("c/1#7"))
     assert not reports_of(proxy.tick(6.5, True))
-    commands, _ = proxy.from_registry(6.6, "c", HeartbeatEcho("c/1#7", 6.5, 1.0, 0.1))
+    commands, _ = proxy.receive_from_registry(6.6, "c", HeartbeatEcho("c/1#7", 6.5, 1.0, 0.1))
     assert not reports_of(commands)
-    commands, _ = proxy.from_registry(6.7, "c", HeartbeatEcho("c/1#8", 6.6, 1.0, 0.1))  # the same registry, once more
+    # The same registry, once more.
+    commands, _ = proxy.receive_from_registry(6.7, "c", HeartbeatEcho("c/1#8", 6.6, 1.0, 0.1))
     assert [report.counter for report in reports_of(commands)] == ["c/1#8"]
 
 
@@ -293,9 +294,10 @@
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
     proxy.charge(5.0, ChargeTenant("r", "t", 1))
-    commands, _ = proxy.from_registry(5.2, "d", HeartbeatEcho("d/1#2", 5.1, 1.0, 0.1))
+    commands, _ = proxy.receive_from_registry(5.2, "d", HeartbeatEcho("d/1#2", 5.1, 1.0, 0.1))
     charges = [(c.ip, c.message.number) for c in commands if isinstance(getattr(c, "message", None), Charge)]
     assert charges == [("d", 2)]
-    assert proxy.from_registry(5.3, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)  # of the former counter
-    (verdict,), _ = proxy.from_registry(5.3, "d", ChargeResult("x", 2, ALLOWED, 0.5, 3))
+    # Of the former counter.
+    assert proxy.receive_from_registry(5.3, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)
+    (verdict,), _ = proxy.receive_from_registry(5.3, "d", ChargeResult("x", 2, ALLOWED, 0.5, 3))
     assert verdict.answer.verdict == ALLOWED
--- a/thistleusher/client/calls.py
+++ b/thistleusher/client/calls.py
@@ -20,7 +20,7 @@
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # these promise that the request has not run and never will
 UNKNOWN_STATUSES = (502, 504)  # after these the request may have run
-MAX_WAIT_SHARE = 1 / 3  # fraction of the remaining time that limits the wait for `Retry-After`
+MAX_DELAY_FRACTION = 1 / 3  # fraction of the remaining time that limits the wait for `Retry-After`
 BACKOFF_S = 0.05  # delay before the first retry without `Retry-After`; doubles with each attempt
 RETRY_RATIO = 0.2  # retries that each call adds to the budget
 RETRY_SLACK = 10.0  # retries in a full budget
@@ -82,17 +82,17 @@
     def __init__(self, ratio: float = RETRY_RATIO, slack: float = RETRY_SLACK) -> None:
         self.ratio = ratio
         self.capacity = slack
-        self.left = slack
+        self.available = slack
 
     def add_call(self) -> None:
         """Add the retries that a new call contributes, up to the capacity."""
-        self.left = min(self.capacity, self.left + self.ratio)
+        self.available = min(self.capacity, self.available + self.ratio)
 
     def spend(self) -> bool:
         """Take one retry from the budget; return False if less than one is left."""
-        if self.left < 1.0:
+        if self.available < 1.0:
             return False
-        self.left -= 1.0
+        self.available -= 1.0
         return True
 
 
@@ -110,7 +110,7 @@
         """Begin a call. Raises ValueError if the deadline or the number of attempts is not above 0."""
         if not deadline_s > 0 or max_attempts < 1:
             raise ValueError(f"expected a deadline and attempts above 0, found {deadline_s:g} s and {max_attempts}")
-        self.until = now + deadline_s
+        self.deadline = now + deadline_s
         self.repeatable = repeatable
         self.budget = budget
         self.max_attempts = max_attempts
@@ -118,9 +118,9 @@
         self.may_have_run = False
         budget.add_call()
 
-    def left(self, now: float) -> float:
+    def time_left(self, now: float) -> float:
         """Return the seconds until the call's deadline."""
-        return self.until - now
+        return self.deadline - now
 
     def begin_attempt(self) -> None:
         """Count a new attempt."""
@@ -131,9 +131,9 @@
         if status in NOT_RUN_STATUSES:
             return self._after_not_run(now, status, read_retry_after(headers.get("retry-after", "")))
         if status in UNKNOWN_STATUSES:
-            following = self._after_unknown(now, f"status {status}")
-            if following is not None:
-                return following
+            next_step = self._after_unknown(now, f"status {status}")
+            if next_step is not None:
+                return next_step
         return Answered(status, headers, body, self.attempts)
 
     def failed(self, now: float, failure: AttemptFailure, why: str) -> Retry | Ended:
@@ -141,12 +141,14 @@
         if failure is AttemptFailure.BROKEN:
             return self._after_unknown(now, why) or Unknown(why, self.attempts)
         wait_s = self._backoff_s()
-        if self._allows_retry(now, wait_s, is_paid=False):
+        if self._allows_retry(now, wait_s, costs_budget=False):
             return Retry(wait_s)
         return Unknown(why, self.attempts) if self.may_have_run else Refused(0, 0.0, self.attempts)
 
     def _after_not_run(self, now: float, status: int, retry_after_s: float) -> Retry | Ended:
-        wait_s = min(retry_after_s, MAX_WAIT_SHARE * self.left(now)) if retry_after_s > 0 else self._backoff_s()
+        wait_s = (
+            min(retry_after_s, MAX_DELAY_FRACTION * self.time_left(now)) if retry_after_s > 0 else self._backoff_s()
+        )
         if self._allows_retry(now, wait_s):
             return Retry(wait_s)
         if self.may_have_run:
@@ -164,10 +166,10 @@
     def _backoff_s(self) -> float:
         return BACKOFF_S * 2.0 ** max(0, self.attempts - 1)
 
-    def _allows_retry(self, now: float, wait_s: float, is_paid: bool = True) -> bool:
-        if self.attempts >= self.max_attempts or wait_s >= self.left(now):
+    def _allows_retry(self, now: float, wait_s: float, costs_budget: bool = True) -> bool:
+        if self.attempts >= self.max_attempts or wait_s >= self.time_left(now):
             return False
-        return not is_paid or self.budget.spend()
+        return not costs_budget or self.budget.spend()
 
 
 def read_retry_after(text: str) -> float:
--- a/thistleusher/client/directory.py
+++ b/thistleusher/client/directory.py
@@ -47,7 +47,7 @@
         """Return the directories to ask in turn until one answers."""
         return self.servers[:MAX_SERVERS_ASKED]
 
-    def answered(self, now: float, body: bytes, max_ttl_s: float = MAX_TTL_S) -> bool:
+    def apply_answer(self, now: float, body: bytes, max_ttl_s: float = MAX_TTL_S) -> bool:
         """Apply a directory's answer; return False, and change nothing, if it is malformed or lacks required fields."""
         try:
             table = json.loads(body)
@@ -68,7 +68,7 @@
             self.next_request_at = now + RETRY_INTERVAL_S
         return True
 
-    def unanswered(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Keep using the known addresses after no directory has answered, and schedule the next request."""
         self.next_request_at = now + RETRY_INTERVAL_S
 
--- a/thistleusher/client/steps.py
+++ b/thistleusher/client/steps.py
@@ -28,7 +28,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RESOLVE_TIMEOUT_S = 1.0  # time-out of a request to a directory
-GRACE_S = 0.05  # time beyond the call's deadline in which an answer sent right before it may still arrive
+LATE_ANSWER_S = 0.05  # time beyond the call's deadline in which an answer sent right before it may still arrive
 
 
 class AttemptReport(NamedTuple):
@@ -112,21 +112,23 @@
             now = time.monotonic()
             address = self.directory.pick(now)
             call.begin_attempt()
-            if call.left(now) <= 0 or address is None:
-                following: Retry | Ended = call.failed(now, AttemptFailure.UNSENT, "no address known or no time left")
+            if call.time_left(now) <= 0 or address is None:
+                next_step: Retry | Ended = call.failed(now, AttemptFailure.UNSENT, "no address known or no time left")
             else:
                 attempt_ids.append(secrets.token_hex(8))
                 all_headers = {**headers, **self._headers(call, now, attempt_ids[-1])}
                 url = f"http://{address}{path}"
                 request = httpx.Request(method, url, headers=all_headers, content=body or None)
-                result = yield Send(request, min(CONNECT_TIMEOUT_S, call.left(now)), call.left(now) + GRACE_S)
-                following = self._attempt_ended(call, address, result, now, attempt_ids[-1])
-            if isinstance(following, Retry):
-                yield Sleep(following.after_s)
+                result = yield Send(
+                    request, min(CONNECT_TIMEOUT_S, call.time_left(now)), call.time_left(now) + LATE_ANSWER_S
+                )
+                next_step = self._attempt_ended(call, address, result, now, attempt_ids[-1])
+            if isinstance(next_step, Retry):
+                yield Sleep(next_step.after_s)
                 continue
-            if isinstance(following, Unknown) and not repeatable:
-                raise UnknownEnd(following.why, tuple(attempt_ids))
-            return following
+            if isinstance(next_step, Unknown) and not repeatable:
+                raise UnknownEnd(next_step.why, tuple(attempt_ids))
+            return next_step
 
     def _resolve(self) -> Generator[Step, Any, None]:
         """Ask the directories in turn if an update is due; the first valid answer is used."""
@@ -137,16 +139,16 @@
             request = httpx.Request("GET", f"http://{server}/resolve", params=directory.query)
             result = yield Send(request, RESOLVE_TIMEOUT_S, RESOLVE_TIMEOUT_S)
             has_answered = isinstance(result, httpx.Response) and result.status_code == 200
-            if has_answered and directory.answered(time.monotonic(), result.content):
+            if has_answered and directory.apply_answer(time.monotonic(), result.content):
                 return
-        directory.unanswered(time.monotonic())
+        directory.record_failure(time.monotonic())
 
     def _headers(self, call: Call, now: float, attempt_id: str) -> dict[str, str]:
         """Return the headers that the library itself adds to an attempt."""
         headers = {
             "Host": self.host,
             "X-Attempt-Id": attempt_id,
-            "X-Deadline-Ms": str(max(1, int(call.left(now) * 1000))),
+            "X-Deadline-Ms": str(max(1, int(call.time_left(now) * 1000))),
         }
         if self.key:
             headers["Authorization"] = f"Token {self.key}"
--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -24,14 +24,14 @@
 RETRY_SPREAD_S = 0.2  # upper bound of the random delay added on top, so that rejected clients do not retry all at once
 
 
-class Ruling(NamedTuple):
+class Decision(NamedTuple):
     """Whether a request is admitted; if not, after how many seconds the client may retry (0: unknown)."""
 
     admitted: bool
     retry_after_s: float = 0.0
 
 
-ADMITTED = Ruling(True)
+ADMITTED = Decision(True)
 
 
 class Admission:
@@ -45,19 +45,19 @@
         self.actions = actions
         self.awaiting_verdict: dict[str, float] = {}  # time of the charge by request id, oldest first
 
-    def begin(self, now: float, request: RequestState) -> Ruling | None:
+    def begin(self, now: float, request: RequestState) -> Decision | None:
         """Return the decision on a new request, None if it follows after the verdict on a charge sent now."""
         tenant = request.tenant
         if tenant is None or not self.quota.is_limited(tenant):
             return ADMITTED
         if self.quota.is_isolated(now):
-            return self._rule_locally(now, request, tenant)
+            return self._decide_locally(now, request, tenant)
         request.charge_open = True
         self.awaiting_verdict[request.event.id] = now
         self.actions.append(ChargeTenant(request.event.id, tenant, 1))
         return None
 
-    def charge_answered(self, now: float, event: ChargeAnswered, request: RequestState | None) -> Ruling | None:
+    def charge_answered(self, now: float, event: ChargeAnswered, request: RequestState | None) -> Decision | None:
         """Return the decision on a request by the counter's verdict.
 
         Returns None if no decision is pending: the client has disconnected, or this proxy's share has admitted the
@@ -70,14 +70,16 @@
         if event.verdict != ALLOWED:
             # The share is not tried: the shares of all proxies on top of the used-up count would exceed the limit.
             self.refund(request)
-            self.tally.of(request.tenant).rejected += 1
-            return Ruling(False, event.left + RETRY_MARGIN_S + RETRY_SPREAD_S * self.rng.random())
+            self.tally.for_tenant(request.tenant).rejected += 1
+            return Decision(False, event.left + RETRY_MARGIN_S + RETRY_SPREAD_S * self.rng.random())
         request.charge_settled = True
-        self.tally.of(request.tenant).counted += 1
+        self.tally.for_tenant(request.tenant).by_counter += 1
         self.admitted.add(now, request.tenant)
         return ADMITTED
 
-    def overdue(self, now: float, requests: Mapping[str, RequestState]) -> Iterator[tuple[RequestState, Ruling]]:
+    def decide_overdue(
+        self, now: float, requests: Mapping[str, RequestState]
+    ) -> Iterator[tuple[RequestState, Decision]]:
         """Yield decisions, made by this proxy's own share, on requests whose verdict is late.
 
         The caller must act on each decision before it takes the next one. While this proxy is isolated, every waiting
@@ -85,14 +87,14 @@
         decided; all others keep waiting.
         """
         isolated = self.quota.is_isolated(now)
-        for name, since in list(self.awaiting_verdict.items()):
+        for name, charged_at in list(self.awaiting_verdict.items()):
             request = requests.get(name)
             if request is None or request.tenant is None:
                 del self.awaiting_verdict[name]
             elif isolated:
                 del self.awaiting_verdict[name]
-                yield request, self._rule_locally(now, request, request.tenant)
-            elif now - since < VERDICT_WAIT_S:
+                yield request, self._decide_locally(now, request, request.tenant)
+            elif now - charged_at < VERDICT_WAIT_S:
                 break  # ordered by age: all further requests have waited for less
             elif self.quota.spend(now, request.tenant):
                 del self.awaiting_verdict[name]
@@ -111,19 +113,19 @@
             request.charge_open = False
             self.actions.append(ChargeTenant(request.event.id, request.tenant, -1, request.charge_window))
 
-    def _rule_locally(self, now: float, request: RequestState, tenant: str) -> Ruling:
+    def _decide_locally(self, now: float, request: RequestState, tenant: str) -> Decision:
         """Refund the request's charge, as no verdict can be expected, and decide by this proxy's own share.
 
         The client gets a rejection as lack of capacity (503), not as an exceeded quota (429).
         """
         self.refund(request)
         if not self.quota.spend(now, tenant):
-            self.tally.of(tenant).rejected += 1
-            return Ruling(False)
+            self.tally.for_tenant(tenant).rejected += 1
+            return Decision(False)
         self._admitted_by_share(now, tenant)
         request.charge_settled = True
         return ADMITTED
 
     def _admitted_by_share(self, now: float, tenant: str) -> None:
-        self.tally.of(tenant).by_share += 1
+        self.tally.for_tenant(tenant).by_share += 1
         self.admitted.add(now, tenant)
--- a/thistleusher/proxy/admission_tally.py
+++ b/thistleusher/proxy/admission_tally.py
@@ -20,32 +20,32 @@
 class TenantTally:
     """One tenant's requests since the last report: admitted by the counter or by this proxy's share, or rejected."""
 
-    counted: int = 0
+    by_counter: int = 0
     by_share: int = 0
     rejected: int = 0
 
     @property
-    def not_counted(self) -> int:
+    def not_by_counter(self) -> int:
         """Return the number of requests that the counter did not admit."""
         return self.by_share + self.rejected
 
 
 class TallyReport(NamedTuple):
-    """A tenant's tally for the `for_s` seconds before the report."""
+    """A tenant's tally for the `interval_s` seconds before the report."""
 
     tenant: str
     tally: TenantTally
-    for_s: float
+    interval_s: float
 
 
 class AdmissionTally:
     """Tallies of all tenants since the last report."""
 
     def __init__(self, now: float) -> None:
-        self.since = now
+        self.started_at = now
         self.tenants: defaultdict[str, TenantTally] = defaultdict(TenantTally)
 
-    def of(self, tenant: str) -> TenantTally:
+    def for_tenant(self, tenant: str) -> TenantTally:
         """Return a tenant's tally for the caller to update; a new one starts at zero."""
         return self.tenants[tenant]
 
@@ -54,12 +54,12 @@
 
         Returns an empty list until `REPORT_INTERVAL_S` have passed since the last report.
         """
-        for_s = now - self.since
-        if for_s < REPORT_INTERVAL_S:
+        interval_s = now - self.started_at
+        if interval_s < REPORT_INTERVAL_S:
             return []
-        tallies = [(tally.not_counted, name) for name, tally in self.tenants.items() if tally.not_counted]
+        tallies = [(tally.not_by_counter, name) for name, tally in self.tenants.items() if tally.not_by_counter]
         most = sorted(tallies, reverse=True)[:MAX_REPORTED]
-        reports = [TallyReport(name, self.tenants[name], for_s) for _, name in most]
-        self.since = now
+        reports = [TallyReport(name, self.tenants[name], interval_s) for _, name in most]
+        self.started_at = now
         self.tenants.clear()
         return reports
--- a/thistleusher/proxy/admitted_requests.py
+++ b/thistleusher/proxy/admitted_requests.py
@@ -5,7 +5,7 @@
 by the new counter's verdicts or by the share that this counter deducts for it, so that no admission goes uncounted.
 
 Free of I/O; times are seconds on the monotonic clock. Memory: one number per slot and limited tenant with an admitted
-request, for `REMEMBERED_SPANS` spans of the quota rule.
+request, for `RETAINED_SPANS` spans of the quota rule.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from thistleusher.common.quota_timing import SLOTS_PER_SPAN
 from thistleusher.transport.messages import AdmissionReport
 
-REMEMBERED_SPANS = 2  # spans kept: a report that arrives late must still cover the whole span before its arrival
-REPEAT_S = 0.3  # interval between reports until the counter acknowledges one
+RETAINED_SPANS = 2  # spans kept: a report that arrives late must still cover the whole span before its arrival
+REPORT_REPEAT_S = 0.3  # interval between reports until the counter acknowledges one
 
 
 class AdmittedRequests:
@@ -27,7 +27,7 @@
         """`started_at`: start of this process, before which nothing is recorded; `span_s`: span of the quota rule."""
         self.started_at = started_at
         self.span_s = span_s
-        self.remembered_s = REMEMBERED_SPANS * span_s
+        self.retention_s = RETAINED_SPANS * span_s
         self.slot_s = span_s / SLOTS_PER_SPAN
         self.slots: deque[tuple[int, defaultdict[str, int]]] = deque()
 
@@ -36,16 +36,16 @@
         number = int(now // self.slot_s)
         if not self.slots or self.slots[-1][0] < number:
             self.slots.append((number, defaultdict(int)))
-            self._forget(now)
+            self._drop_expired(now)
         self.slots[-1][1][tenant] += 1
 
-    def _forget(self, now: float) -> None:
-        while self.slots[0][0] * self.slot_s < now - self.remembered_s:
+    def _drop_expired(self, now: float) -> None:
+        while self.slots[0][0] * self.slot_s < now - self.retention_s:
             self.slots.popleft()
 
-    def since(self, now: float) -> float:
+    def complete_since(self, now: float) -> float:
         """Return the time since which all admitted requests are recorded."""
-        return max(self.started_at, now - self.remembered_s)
+        return max(self.started_at, now - self.retention_s)
 
     def by_tenant(self) -> dict[str, list[tuple[float, int]]]:
         """Return pairs (end of the slot, number of requests admitted in it) for each tenant."""
@@ -63,14 +63,14 @@
         self.incarnation = incarnation
         self.admitted = admitted
         self.counter = ""
-        self.since = 0.0
+        self.complete_since = 0.0
         self.by_tenant: dict[str, list[tuple[float, int]]] = {}
         self.next_at: float | None = None  # None: no report is pending
 
     def counter_changed(self, now: float, counter: str) -> None:
         """Start reporting to a new counter; counters of release 0.2 are skipped, as they do not accept reports."""
         self.counter = counter
-        self.since = self.admitted.since(now)
+        self.complete_since = self.admitted.complete_since(now)
         self.by_tenant = self.admitted.by_tenant()
         self.next_at = now if names_a_term(counter) else None
 
@@ -78,10 +78,10 @@
         """Return the report if it is due; repeated reports to one counter differ only in the ages."""
         if self.next_at is None or now < self.next_at:
             return None
-        self.next_at = now + REPEAT_S
+        self.next_at = now + REPORT_REPEAT_S
         ages = {tenant: self._ages_within_span(now, entries) for tenant, entries in self.by_tenant.items()}
         admitted = {tenant: entries for tenant, entries in ages.items() if entries}
-        return AdmissionReport(self.incarnation, self.counter, now - self.since, admitted)
+        return AdmissionReport(self.incarnation, self.counter, now - self.complete_since, admitted)
 
     def _ages_within_span(self, now: float, entries: list[tuple[float, int]]) -> list[tuple[float, int]]:
         return [(max(0.0, now - at), count) for at, count in entries if now - at <= self.admitted.span_s]
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -24,9 +24,9 @@
 from thistleusher.proxy.placement import ListedBackend, Locality, tiers
 from thistleusher.proxy.requests import RequestState
 
-SILENT_FACTOR = 8.0  # a backend counts as silent after this multiple of its outstanding requests' usual latency
-LATE_FACTOR = 2.0  # an attempt at a silent backend counts as late after this multiple of its class's usual latency
-OWN_ZONE_RATIO = 1.25  # a backend of this zone is preferred up to this multiple of the best one's latency ratio
+SILENT_LATENCY_FACTOR = 8.0  # a backend counts as silent after this multiple of its outstanding requests' usual latency
+LATE_LATENCY_FACTOR = 2.0  # an attempt at a silent backend is late after this multiple of its class's usual latency
+OWN_ZONE_MAX_RATIO = 1.25  # a backend of this zone is preferred up to this multiple of the best one's latency ratio
 
 
 class SilentAttempt(NamedTuple):
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        ingress: str,
+        proxy: str,
         locality: Locality,
         bounds: Bounds,
         settings: Settings,
@@ -53,12 +53,12 @@
         self.settings = settings
         self.rng = rng
         self.actions = actions
-        self.slow_start = SlowStartBudget(ingress, bounds.cold_excess, bounds.cold_slack)
+        self.slow_start = SlowStartBudget(proxy, bounds.cold_excess, bounds.cold_slack)
         self.services: Mapping[str, Service] = {}
         self.listed: dict[str, ListedBackend] = {}
         self.misdirected: set[str] = set()  # backends whose address answered 421, so it belongs to another backend
         self.fleets: dict[str, Fleet] = {}  # by service
-        self.ingresses: list[str] = []  # names of the proxies that are up, this one included
+        self.proxies: list[str] = []  # names of the proxies that are up, this one included
 
     # Updates of the cluster state.
 
@@ -123,7 +123,7 @@
         local = fleet.least(now, request, [backend for backend in candidates if backend.entry.zone == zone])
         if local is None or local.work > best.work or local.errors > best.errors:
             return best
-        return local if local.ratio <= OWN_ZONE_RATIO * best.ratio else best
+        return local if local.ratio <= OWN_ZONE_MAX_RATIO * best.ratio else best
 
     def _accepts(self, now: float, backend: Backend) -> bool:
         entry = self.listed[backend.entry.backend]
@@ -134,7 +134,7 @@
         service = self.services.get(entry.service)
         if service is None or service.cold_per_s <= 0:
             return True
-        return self.slow_start.allows(now, entry.name, service.cold_per_s, self.ingresses)
+        return self.slow_start.allows(now, entry.name, service.cold_per_s, self.proxies)
 
     # Attempts.
 
@@ -154,6 +154,6 @@
     def silent_attempts(self, now: float) -> Iterator[SilentAttempt]:
         """Eject the backends that have stopped answering and yield the attempts in flight at them."""
         for fleet in self.fleets.values():
-            for backend in fleet.eject_silent(now, SILENT_FACTOR):
+            for backend in fleet.eject_silent(now, SILENT_LATENCY_FACTOR):
                 for request in backend.outstanding:
                     yield SilentAttempt(fleet, backend, request)
--- a/thistleusher/proxy/budgets.py
+++ b/thistleusher/proxy/budgets.py
@@ -7,7 +7,7 @@
 Slow start: the requests per second that a warming backend may get are divided equally among the proxies. If there are
 fewer requests than proxies, a hash of backend and proxy selects the proxies that may send one request each.
 
-A proxy that does not know the number of proxies assumes `ASSUMED_INGRESSES`. Free of I/O; times are seconds on the
+A proxy that does not know the number of proxies assumes `ASSUMED_PROXIES`. Free of I/O; times are seconds on the
 monotonic clock.
 """
 
@@ -16,9 +16,9 @@
 import zlib
 from collections import deque
 
-ASSUMED_INGRESSES = 16  # number of proxies assumed until the registry's list names some
-SAFETY = 0.8  # fraction used of the retry slack and of a warming backend's permitted rate
-RATIO_USED = 0.75  # fraction used of the permitted retry ratio
+ASSUMED_PROXIES = 16  # number of proxies assumed until the registry's list names some
+SAFETY_FACTOR = 0.8  # fraction used of the retry slack and of a warming backend's permitted rate
+RATIO_SAFETY_FACTOR = 0.75  # fraction used of the permitted retry ratio
 SLOW_START_WINDOW_S = 1.05  # slightly more than the one second over which the rule counts requests
 
 
@@ -26,8 +26,8 @@
     """Retry budget of one service: a sliding window in which each new request adds to the budget."""
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        self.ratio = ratio * RATIO_USED
-        self.slack = slack * SAFETY
+        self.ratio = ratio * RATIO_SAFETY_FACTOR
+        self.slack = slack * SAFETY_FACTOR
         self.window_s = window_s
         self.requests: deque[float] = deque()
         self.retries: deque[float] = deque()
@@ -37,10 +37,10 @@
         self.requests.append(now)
         self._expire(now)
 
-    def allows(self, now: float, ingresses: int) -> bool:
-        """Return whether one more retry is within this proxy's share; `ingresses`: number of proxies."""
+    def allows(self, now: float, proxy_count: int) -> bool:
+        """Return whether one more retry is within this proxy's share; `proxy_count`: number of proxies."""
         self._expire(now)
-        return len(self.retries) + 1 <= self.ratio * len(self.requests) + self.slack / max(1, ingresses)
+        return len(self.retries) + 1 <= self.ratio * len(self.requests) + self.slack / max(1, proxy_count)
 
     def record_retry(self, now: float) -> None:
         """Record a retry that is being sent."""
@@ -55,28 +55,28 @@
 class SlowStartBudget:
     """Budget of the requests that this proxy sends to warming backends, by backend."""
 
-    def __init__(self, ingress: str, excess: float, slack: float) -> None:
+    def __init__(self, proxy: str, excess: float, slack: float) -> None:
         """`excess`, `slack`: factor on the configured rate, and requests added to it, that the rule tolerates."""
-        self.ingress = ingress
+        self.proxy = proxy
         self.excess = excess
         self.slack = slack
         self.sent: dict[str, deque[float]] = {}
 
-    def part(self, backend: str, rate_per_s: float, ingresses: list[str]) -> int:
+    def share(self, backend: str, rate_per_s: float, proxies: list[str]) -> int:
         """Return the requests per second that this proxy may send to a backend with the limit `rate_per_s`."""
-        total = int((rate_per_s * self.excess + self.slack) * SAFETY)
-        count = len(ingresses) or ASSUMED_INGRESSES
+        total = int((rate_per_s * self.excess + self.slack) * SAFETY_FACTOR)
+        count = len(proxies) or ASSUMED_PROXIES
         if total >= count:
             return total // count
-        order = sorted(ingresses, key=lambda name: zlib.crc32(f"{backend} {name}".encode()))
-        return 1 if self.ingress in order[:total] else 0
+        order = sorted(proxies, key=lambda name: zlib.crc32(f"{backend} {name}".encode()))
+        return 1 if self.proxy in order[:total] else 0
 
-    def allows(self, now: float, backend: str, rate_per_s: float, ingresses: list[str]) -> bool:
+    def allows(self, now: float, backend: str, rate_per_s: float, proxies: list[str]) -> bool:
         """Return whether a request may be sent to the backend now."""
         times = self.sent.setdefault(backend, deque())
         while times and times[0] <= now - SLOW_START_WINDOW_S:
             times.popleft()
-        return len(times) < self.part(backend, rate_per_s, ingresses)
+        return len(times) < self.share(backend, rate_per_s, proxies)
 
     def record_sent(self, now: float, backend: str) -> None:
         """Record a request that is being sent to a warming backend."""
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -92,7 +92,7 @@
         self.configuration = ConfigurationFollower()
         self.registry = Subscriber(name)
         self.ring = HeartbeatRing(name, now)
-        self.has_list = False  # whether a backend list has been applied
+        self.has_backend_list = False  # whether a backend list has been applied
         self.serving: set[str] = set()
         self.counter = ""  # IP address of the registry that sent the newest echo; empty before the first one
         self.charges = OpenCharges(incarnation)
@@ -108,7 +108,7 @@
         """Return the proxies of the registry's list by name: `front`, `ip`, `zone`, `region`, `up`."""
         return self.registry.state.values(MEMBERS)
 
-    def _flush(self) -> list[Command]:
+    def _take_commands(self) -> list[Command]:
         commands = self.commands
         self.commands = []
         return commands
@@ -138,17 +138,17 @@
             heartbeat_out = self._ring_heartbeat()
             self.commands += [SendHeartbeat(members[peer]["ip"], heartbeat_out) for peer in due if peer in members]
         self._log_tallies(now)
-        return self._flush()
+        return self._take_commands()
 
     def _log_tallies(self, now: float) -> None:
-        for tenant, tally, for_s in self.decisions.admission.tally.reports_due(now):
-            counts = (tally.counted, tally.by_share, tally.rejected)
-            self.commands.append(LogEvent(Event.LIMIT_REACHED, (tenant, *counts, round(for_s, 1))))
+        for tenant, tally, interval_s in self.decisions.admission.tally.reports_due(now):
+            counts = (tally.by_counter, tally.by_share, tally.rejected)
+            self.commands.append(LogEvent(Event.LIMIT_REACHED, (tenant, *counts, round(interval_s, 1))))
 
     def report_status(self, now: float, ready: bool) -> list[Command]:
         """Return this proxy's full heartbeat to all registries, regardless of when the last one was sent."""
         self._report_status(now, ready)
-        return self._flush()
+        return self._take_commands()
 
     def _report_status(self, now: float, ready: bool) -> None:
         silent = tuple(sorted(self.ring.silent(now)))
@@ -162,7 +162,7 @@
         """Return a heartbeat with the numbers of this proxy's copies of both states."""
         return RingHeartbeat(self.name, self.control.state.number, self.registry.state.number)
 
-    def heartbeat_received(self, now: float, heartbeat: RingHeartbeat, ip: str) -> list[Command]:
+    def receive_heartbeat(self, now: float, heartbeat: RingHeartbeat, ip: str) -> list[Command]:
         """Record another proxy's heartbeat, and send it a copy of the updates that it has been missing for a while."""
         self.ring.record_heartbeat(now, heartbeat.sender)
         theirs = (heartbeat.control_number, heartbeat.registry_number)
@@ -175,17 +175,17 @@
             control = self.control.state.update_since(theirs[0])
             registry = self.registry.state.update_since(theirs[1])
             self.commands.append(SendHandOver(heartbeat.sender, ip, HandOver(self.name, control, registry)))
-        return self._flush()
+        return self._take_commands()
 
-    def handed_over(self, now: float, copy: HandOver) -> list[Command]:
+    def receive_hand_over(self, now: float, copy: HandOver) -> list[Command]:
         """Apply a watcher's copy of both states, like any other updates: only newer items take effect."""
         self._control_update(now, copy.control)
         self._registry_update(now, copy.registry)
-        return self._flush()
+        return self._take_commands()
 
     # The control state.
 
-    def from_control(self, now: float, message: AnyMessage) -> tuple[list[Command], Reply | None]:
+    def receive_from_control(self, now: float, message: AnyMessage) -> tuple[list[Command], Reply | None]:
         """Handle a control process's message; return the commands and the acknowledgement to send after them.
 
         Raises UnexpectedMessageError for any message other than a StateUpdate or CoreInfo.
@@ -198,7 +198,7 @@
                 self.commands.append(ConnectToCore(message.voters))
         else:
             raise UnexpectedMessageError(message)
-        return self._flush(), reply
+        return self._take_commands(), reply
 
     def _control_update(self, now: float, update: StateUpdate) -> Reply:
         changed, reply = self.control.apply(update)
@@ -241,7 +241,7 @@
 
     # The registry.
 
-    def from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Command], Reply | None]:
+    def receive_from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Command], Reply | None]:
         """Handle a message of the registry at `ip`; return the commands and the acknowledgement to send after them.
 
         Raises UnexpectedMessageError for a message of a type that registries do not send to proxies.
@@ -261,7 +261,7 @@
             reply = self._registry_update(now, message)
         else:
             raise UnexpectedMessageError(message)
-        return self._flush(), reply
+        return self._take_commands(), reply
 
     def _echo_recorded(self, now: float, ip: str, counter: str) -> None:
         """Use the counter that sent the echo; a new one gets the admission report and the open charges."""
@@ -270,7 +270,7 @@
             return
         self.reporter.counter_changed(now, counter)
         self._report_admissions(now)
-        for number, tenant in self.charges.open_anew(now):
+        for number, tenant in self.charges.renumber_unanswered(now):
             self.commands.append(SendToRegistry(ip, Charge(self.incarnation, number, tenant, 1, UNKNOWN_WINDOW)))
 
     def _report_admissions(self, now: float) -> None:
@@ -304,7 +304,7 @@
         if any(name.startswith(MEMBERS) for name in changed):
             members = self.members()
             self.ring.set_members(now, members)
-            self.decisions.apply_ingresses(sorted(name for name, member in members.items() if member["up"]))
+            self.decisions.apply_proxies(sorted(name for name, member in members.items() if member["up"]))
         backends = {name[len(BACKENDS) :]: item for name, item in changed.items() if name.startswith(BACKENDS)}
         if is_reload:
             gone = self.decisions.selector.listed.keys() - backends.keys()
@@ -327,11 +327,11 @@
             if old is None or old.address != new.address:
                 changes[name] = BackendAddress(new.address, new.region == self.region)
         self.decisions.apply_backends(now, listed)
-        self.has_list = True
+        self.has_backend_list = True
         if changes:
             self.commands.append(UpdateBackends(changes))
         self._update_serving()
-        sizes = (self.registry.state.number, len(listed), len(self.decisions.selector.ingresses))
+        sizes = (self.registry.state.number, len(listed), len(self.decisions.selector.proxies))
         self.commands.append(LogEvent(Event.BACKENDS_APPLIED, sizes))
 
     def _read_backend(self, now: float, name: str, item: dict[str, Any]) -> ListedBackend:
--- a/thistleusher/proxy/commands.py
+++ b/thistleusher/proxy/commands.py
@@ -46,10 +46,10 @@
 
 
 class BackendAddress(NamedTuple):
-    """A backend's address; `is_near`: whether it lies in this proxy's region."""
+    """A backend's address; `is_same_region`: whether it lies in this proxy's region."""
 
     address: Address
-    is_near: bool
+    is_same_region: bool
 
 
 class UpdateBackends(NamedTuple):
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -28,9 +28,9 @@
 from thistleusher.core.backend_record import Backend
 from thistleusher.core.settings import ClassSettings, Effect, PlanSettings, Settings
 from thistleusher.policy.fleet import Fleet
-from thistleusher.proxy.admission import Admission, Ruling
-from thistleusher.proxy.backend_selection import LATE_FACTOR, BackendSelector, SilentAttempt
-from thistleusher.proxy.budgets import ASSUMED_INGRESSES
+from thistleusher.proxy.admission import Admission, Decision
+from thistleusher.proxy.backend_selection import LATE_LATENCY_FACTOR, BackendSelector, SilentAttempt
+from thistleusher.proxy.budgets import ASSUMED_PROXIES
 from thistleusher.proxy.placement import ListedBackend, Locality
 from thistleusher.proxy.quota import LocalQuota, RateLimit
 from thistleusher.proxy.requests import ChargeAnswered, RequestContext, RequestState
@@ -40,7 +40,7 @@
 SWEEP_TOKEN = 1  # token of the one timer, which drives the periodic sweep
 SWEEP_INTERVAL_S = 0.05
 PLAN = "all"  # the driver requires a plan; `admission` enforces the tenants' limits instead
-MAX_WAIT_SHARE = 0.2  # fraction of its latency target that a request may wait for an available backend
+MAX_WAIT_FRACTION = 0.2  # fraction of its latency target that a request may wait for an available backend
 
 SETTINGS = Settings(
     (ClassSettings("-", Effect.UNSAFE, 1.0, 30.0),),
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        node: str,
+        name: str,
         zone: str,
         region: str,
         bounds: Bounds,
@@ -73,11 +73,11 @@
         self.quota = LocalQuota(now, bounds, started_at)
         self.admission = Admission(self.quota, rng, self.pending_actions, now)
         locality = Locality(zone, region)
-        self.selector = BackendSelector(node, locality, bounds, SETTINGS, rng, self.pending_actions)
+        self.selector = BackendSelector(name, locality, bounds, SETTINGS, rng, self.pending_actions)
         self.retries = Retries(bounds)
         self.config: Configuration | None = None
         self.classes: dict[str, ClassSettings] = {}  # by route of the configuration in force
-        self.expected: dict[str, RequestContext] = {}
+        self.announced: dict[str, RequestContext] = {}
         self.requests: dict[str, RequestState] = {}
         self.waiting: list[str] = []  # requests that no backend has been able to take so far
         self.timer_set = False
@@ -115,10 +115,10 @@
         """Replace the backend list."""
         self.selector.apply_list(now, listed)
 
-    def apply_ingresses(self, names: Sequence[str]) -> None:
+    def apply_proxies(self, names: Sequence[str]) -> None:
         """Set the proxies that are up: their number and names determine this proxy's shares of the common budgets."""
-        self.selector.ingresses = list(names)
-        self.retries.ingress_count = len(names) or ASSUMED_INGRESSES
+        self.selector.proxies = list(names)
+        self.retries.proxy_count = len(names) or ASSUMED_PROXIES
 
     def apply_evacuations(self, now: float, zones: set[str]) -> None:
         """Set the evacuated zones."""
@@ -139,12 +139,12 @@
             return self.classes[match.name]
         return class_settings_of(match)
 
-    def expect(self, request: str, context: RequestContext) -> None:
+    def announce(self, request: str, context: RequestContext) -> None:
         """Store the route and tenant of the request with this id, whose event follows."""
-        self.expected[request] = context
+        self.announced[request] = context
 
     def _on_request(self, now: float, event: events.Request) -> None:
-        context = self.expected.pop(event.id)
+        context = self.announced.pop(event.id)
         config = self.config
         assert config is not None
         match = context.match
@@ -157,21 +157,21 @@
         if regions is not None and not regions:
             self._reject(request, 0.0)  # no region may serve it, so its tenant is not charged
             return
-        ruling = self.admission.begin(now, request)
-        if ruling is not None:
-            self._apply_ruling(now, request, ruling)
+        decision = self.admission.begin(now, request)
+        if decision is not None:
+            self._apply_admission_decision(now, request, decision)
 
     def _on_charge_answered(self, now: float, event: ChargeAnswered) -> None:
         request = self.requests.get(event.request)
-        ruling = self.admission.charge_answered(now, event, request)
-        if request is not None and ruling is not None:
-            self._apply_ruling(now, request, ruling)
+        decision = self.admission.charge_answered(now, event, request)
+        if request is not None and decision is not None:
+            self._apply_admission_decision(now, request, decision)
 
-    def _apply_ruling(self, now: float, request: RequestState, ruling: Ruling) -> None:
-        if ruling.admitted:
+    def _apply_admission_decision(self, now: float, request: RequestState, decision: Decision) -> None:
+        if decision.admitted:
             self._place(now, request)
         else:
-            self._reject(request, ruling.retry_after_s)
+            self._reject(request, decision.retry_after_s)
 
     def _place(self, now: float, request: RequestState) -> None:
         """Send the request to the best backend; if none can take it, let it wait for a short time or answer it."""
@@ -182,7 +182,7 @@
             self._send(now, fleet, request, best)
         elif name not in self.waiting:
             some_region = request.allowed_regions is None or bool(request.allowed_regions)
-            if some_region and now - request.received_at < MAX_WAIT_SHARE * request.request_class.objective:
+            if some_region and now - request.received_at < MAX_WAIT_FRACTION * request.request_class.objective:
                 self.waiting.append(name)
             else:
                 self._give_up(request)
@@ -205,7 +205,7 @@
         if request is None:
             return
         request.attempt_out = False
-        self.retries.record_end(request, event)
+        self.retries.record_attempt_end(request, event)
         if event.done:
             self._forget(request)
             return
@@ -243,8 +243,8 @@
 
     def _on_timer(self, now: float, event: events.TimerFired) -> None:
         self.timer_set = False
-        for request, ruling in self.admission.overdue(now, self.requests):
-            self._apply_ruling(now, request, ruling)
+        for request, decision in self.admission.decide_overdue(now, self.requests):
+            self._apply_admission_decision(now, request, decision)
         self._place_waiting(now)
         for attempt in self.selector.silent_attempts(now):
             self._cancel_if_late(now, attempt)
@@ -267,7 +267,7 @@
             return
         if request.backend != attempt.backend.entry.backend:
             return
-        is_late = now - request.sent_at > LATE_FACTOR * attempt.fleet.latency[request.request_class.name]
+        is_late = now - request.sent_at > LATE_LATENCY_FACTOR * attempt.fleet.latency[request.request_class.name]
         if not is_late or not self.retries.allowed(now, request):
             return
         other = self.selector.select(now, attempt.fleet, request)
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -19,9 +19,9 @@
 from thistleusher.proxy.requests import ChargeTenant
 from thistleusher.services.http_responses import Response
 
-STALL_S = 1.0  # an idempotent request is retried after this time without a byte in the middle of an answer
-MIN_LEFT_S = 0.001  # lower bound of the remaining time that is stated to a backend
-KINDS = {
+STALL_TIMEOUT_S = 1.0  # an idempotent request is retried after this time without a byte in the middle of an answer
+MIN_REMAINING_S = 0.001  # lower bound of the remaining time that is stated to a backend
+ERROR_KINDS = {
     Verdict.OVER_QUOTA: ErrorKind.QUOTA_EXCEEDED,
     Verdict.NO_ROOM: ErrorKind.NO_CAPACITY,
     Verdict.FAILED: ErrorKind.BACKEND_FAILED,
@@ -44,14 +44,14 @@
         super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
         self.decisions = decisions
         self.driver.handlers[ChargeTenant] = charge
-        self.break_off = self.driver.handlers[actions.CancelAttempt]
+        self.cancel_in_driver = self.driver.handlers[actions.CancelAttempt]
         self.driver.handlers[actions.CancelAttempt] = self.cancel
         self.is_shutting_down: Callable[[], bool] = lambda: False
 
     def handle_request(self, call: ClientRequest, reply: Reply) -> None:  # type: ignore[override]
         """Accept a client's request; `reply` is called exactly once with its answer."""
         if call.request.id not in self.in_flight:
-            self.decisions.expect(call.request.id, call.context)
+            self.decisions.announce(call.request.id, call.context)
         request_class = self.decisions.class_of(call.context.match)
         self.driver.accept(
             call.request, lambda final: self.answer(final, call, reply), call, call.received_at, request_class
@@ -67,7 +67,7 @@
         in_flight = self.in_flight.get(action.request)
         attempt = in_flight.context.attempt if in_flight is not None else None
         if not self.is_shutting_down() and (attempt is None or not attempt.has_unread_bytes()):
-            self.break_off(action)
+            self.cancel_in_driver(action)
 
     @staticmethod
     def answer(final: Final, call: ClientRequest, reply: Reply) -> None:
@@ -85,7 +85,7 @@
         if answer is not None:
             reply(answer.status, answer_lines(answer), answer.body)
             return
-        kind = KINDS[verdict]
+        kind = ERROR_KINDS[verdict]
         reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
     def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
@@ -98,14 +98,14 @@
         repeatable = call.context.match.route.idempotent
 
         def message() -> bytes:
-            return call.message(max(MIN_LEFT_S, in_flight.deadline - self.driver.scheduler.time()), backend)
+            return call.message(max(MIN_REMAINING_S, in_flight.deadline - self.driver.scheduler.time()), backend)
 
         def may_send() -> bool:
             in_time = self.driver.scheduler.time() < in_flight.deadline
             return in_time and self.may_send(in_flight, backend)
 
         def stall_s() -> float:
-            return STALL_S if repeatable and not self.is_shutting_down() else 0.0
+            return STALL_TIMEOUT_S if repeatable and not self.is_shutting_down() else 0.0
 
         def ended(exchange: BackendExchange, outcome: Outcome, answer: Response | None) -> None:
             call.attempt = None
--- a/thistleusher/proxy/http_messages.py
+++ b/thistleusher/proxy/http_messages.py
@@ -111,13 +111,13 @@
         """Return whether a backend may have started the request, so that no rejection may be sent any more."""
         return self.ended_attempt_may_have_run or (self.attempt is not None and self.attempt.written)
 
-    def message(self, left_s: float, backend: str) -> bytes:
-        """Return the bytes to send to the backend; `left_s`: remaining time of the request in seconds."""
+    def message(self, remaining_s: float, backend: str) -> bytes:
+        """Return the bytes to send to the backend; `remaining_s`: remaining time of the request in seconds."""
         tenant = b"X-Tenant: %s\r\n" % self.context.tenant.encode() if self.context.tenant is not None else b""
         length = b"Content-Length: %d\r\n" % len(self.body) if self.has_length else b""
         return b"%sX-Deadline-Ms: %d\r\nX-Expect-Instance: %s\r\n%s%s\r\n%s" % (
             self.start,
-            max(1, int(left_s * 1000)),
+            max(1, int(remaining_s * 1000)),
             backend.encode(),
             tenant,
             length,
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -21,20 +21,20 @@
 from thistleusher.transport.call_server import error_response
 
 BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")  # methods whose requests need not state a length
-MAX_TIME_S = 120.0  # upper bound of the time allowed for a request
-MIN_TIME_S = 0.05  # requests are rejected once a graceful shutdown has no more than this time left
+MAX_REQUEST_TIME_S = 120.0  # upper bound of the time allowed for a request
+MIN_REMAINING_S = 0.05  # requests are rejected once a graceful shutdown has no more than this time left
 MIN_TIMEOUT_S = 0.1  # lower bound of a connection's time-outs; smaller configured values are raised to it
 
 
 class ProxyServer(Server):
     """Accepts the connections of the proxy's clients and reads their requests."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, ingress: ProxyIngress, most: int) -> None:
-        """`most`: maximum number of concurrent connections."""
-        super().__init__(loop, most)
+    def __init__(self, loop: asyncio.AbstractEventLoop, ingress: ProxyIngress, max_connections: int) -> None:
+        """`max_connections`: maximum number of concurrent connections."""
+        super().__init__(loop, max_connections)
         self.ingress = ingress
         self.index: Index | None = None
-        self.has_list = False  # whether a backend list has been applied
+        self.has_backend_list = False  # whether a backend list has been applied
         # Bound directly, which saves one call per request.
         self.handle_request = ingress.handle_request  # type: ignore[method-assign, assignment]
         self.client_disconnected = ingress.client_disconnected  # type: ignore[method-assign, assignment]
@@ -60,7 +60,7 @@
         if connection.over_limit:
             return error_response(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         index = self.index
-        if index is None or not self.has_list:
+        if index is None or not self.has_backend_list:
             return error_response(ServiceError(ErrorKind.STARTING))
         headers = read_headers(connection.headers)
         if isinstance(headers, ServiceError):
@@ -101,19 +101,19 @@
     def _time_allowed(self, now: float, context: RequestContext, headers: dict[bytes, bytes]) -> float | ServiceError:
         """Return the seconds allowed for the request, or an error if there is no time left.
 
-        This is the minimum of the route's deadline, the deadline that the request states, `MAX_TIME_S`, and the time
-        that remains of a graceful shutdown. During a shutdown this method also records the arrival of the request,
-        which keeps the listener open.
+        This is the minimum of the route's deadline, the deadline that the request states, `MAX_REQUEST_TIME_S`, and
+        the time that remains of a graceful shutdown. During a shutdown this method also records the arrival of the
+        request, which keeps the listener open.
         """
         allowed_s = context.match.route.deadline_ms / 1000
         stated = headers.get(DEADLINE_HEADER, b"")
         if stated.isdigit():
             allowed_s = min(allowed_s, int(stated) / 1000)
-        allowed_s = min(allowed_s, MAX_TIME_S)
+        allowed_s = min(allowed_s, MAX_REQUEST_TIME_S)
         if self.shutdown is not None:
             self.shutdown.request_arrived(now)
-            left_s = self.shutdown.time_left(now)
-            if left_s <= MIN_TIME_S:
+            remaining_s = self.shutdown.time_left(now)
+            if remaining_s <= MIN_REMAINING_S:
                 return ServiceError(ErrorKind.SHUTTING_DOWN)
-            allowed_s = min(allowed_s, left_s)
+            allowed_s = min(allowed_s, remaining_s)
         return ServiceError(ErrorKind.NO_CAPACITY) if allowed_s <= 0 else allowed_s
--- a/thistleusher/proxy/open_charges.py
+++ b/thistleusher/proxy/open_charges.py
@@ -50,7 +50,7 @@
             del self.refundable[next(iter(self.refundable))]
         return number
 
-    def open_anew(self, now: float) -> list[tuple[int, str]]:
+    def renumber_unanswered(self, now: float) -> list[tuple[int, str]]:
         """Renumber the unanswered charges for a new counter; return pairs (number, tenant).
 
         Answers of the previous counter are ignored from then on.
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -54,19 +54,19 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
-CONNECT_S = 0.6  # connect time-out to a backend of another region
-NEAR_CONNECT_S = 0.25  # connect time-out to a backend of this region
-IDLE_S = 16.0  # assumed idle time-out of backends, of which pools use half; a Keep-Alive header can shorten it
-SILENT_S = 1.2  # a backend connection is closed after this time without a TCP acknowledgement
+CONNECT_TIMEOUT_S = 0.6  # connect time-out to a backend of another region
+NEAR_CONNECT_TIMEOUT_S = 0.25  # connect time-out to a backend of this region
+BACKEND_IDLE_TIMEOUT_S = 16.0  # assumed; pools use half of it, and less if a backend's Keep-Alive says so
+UNACKNOWLEDGED_TIMEOUT_S = 1.2  # a backend connection is closed after this time without a TCP acknowledgement
 RESERVED_DESCRIPTORS = 200  # file descriptors kept for the process itself
 SPARE_DESCRIPTORS = 120  # further file descriptors for connections other than those to clients and backends
 MIN_CONNECTIONS = 32  # lower bound for clients and for backends each, even with a small descriptor limit
-NOTICE_S = 0.4  # minimum time between announcing the shutdown and closing the listener
+SHUTDOWN_NOTICE_S = 0.4  # minimum time between announcing the shutdown and closing the listener
 CLOSE_RESERVE_S = 0.3  # part of the grace period kept for closing all sockets
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 # Limits of the listeners for the directory and for readiness checks.
 CALL_LIMITS = ClientLimits(max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0)
-MAX_WATCHERS = 64  # concurrent connections on which other proxies send copies of the state
+MAX_HAND_OVER_LINKS = 64  # concurrent connections on which other proxies send copies of the state
 
 
 class ProxyProgram:
@@ -88,8 +88,8 @@
         )
         free = node_settings.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
         connections = max(MIN_CONNECTIONS, free // 2)
-        options = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
-        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, connections, options)
+        options = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, UNACKNOWLEDGED_TIMEOUT_S, outcome_of)
+        self.upstream = Upstream(loop, CONNECT_TIMEOUT_S, BACKEND_IDLE_TIMEOUT_S, connections, options)
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, self._charge)
         self.server = ProxyServer(loop, self.ingress, connections)
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], CALL_LIMITS)
@@ -120,7 +120,7 @@
             self.cluster_view.subscribe_to_registry,
             self._from_registry,
         )
-        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, max_links=MAX_WATCHERS)
+        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, max_links=MAX_HAND_OVER_LINKS)
         self.hand_overs: set[asyncio.Task[None]] = set()
         self.shutting_down = False
         self.executors: dict[type, Callable[[Any], None]] = {
@@ -161,7 +161,7 @@
         shutdown = ProxyGracefulShutdown(self.loop.time(), grace_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s - CLOSE_RESERVE_S):
-                await self.server.drain(asyncio.sleep(NOTICE_S), shutdown)
+                await self.server.drain(asyncio.sleep(SHUTDOWN_NOTICE_S), shutdown)
         self.ingress.driver.close()
         self.server.close()
         self.directory.close()
@@ -181,7 +181,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this proxy can serve requests: it has configuration and backends and is not shutting down."""
-        has_state = self.server.index is not None and self.server.has_list
+        has_state = self.server.index is not None and self.server.has_backend_list
         return has_state and bool(self.ingress.serving) and not self.shutting_down
 
     # Commands of the cluster view.
@@ -217,37 +217,37 @@
             if backend is None:
                 self.upstream.update(name, None)
             else:
-                connect_s = NEAR_CONNECT_S if backend.is_near else CONNECT_S
-                self.upstream.update(name, Endpoint(backend.address, 0.0, connect_s))
+                connect_timeout_s = NEAR_CONNECT_TIMEOUT_S if backend.is_same_region else CONNECT_TIMEOUT_S
+                self.upstream.update(name, Endpoint(backend.address, 0.0, connect_timeout_s))
 
     def _set_serving(self, command: SetServing) -> None:
         for name in self.ingress.serving - command.names:
             self.upstream.close_idle(name)
         self.ingress.serving.clear()
         self.ingress.serving |= command.names
-        self.server.has_list = self.cluster_view.has_list
+        self.server.has_backend_list = self.cluster_view.has_backend_list
 
     # Messages.
 
     def _charge(self, action: ChargeTenant) -> None:
         self._execute(self.cluster_view.charge(time.monotonic(), action))
 
-    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        commands, reply = self.cluster_view.from_control(time.monotonic(), message)
-        self._execute_and_reply(dial, commands, reply)
+    def _from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        commands, reply = self.cluster_view.receive_from_control(time.monotonic(), message)
+        self._execute_and_reply(link, commands, reply)
 
-    def _from_registry(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        commands, reply = self.cluster_view.from_registry(time.monotonic(), dial.host, message)
-        self._execute_and_reply(dial, commands, reply)
+    def _from_registry(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        commands, reply = self.cluster_view.receive_from_registry(time.monotonic(), link.host, message)
+        self._execute_and_reply(link, commands, reply)
 
-    def _execute_and_reply(self, dial: ReconnectingLink, commands: list[Command], reply: Reply | None) -> None:
+    def _execute_and_reply(self, link: ReconnectingLink, commands: list[Command], reply: Reply | None) -> None:
         """Execute the commands before replying, as only updates in force may be acknowledged."""
         self._execute(commands)
         if reply is not None:
-            dial.send(reply)
+            link.send(reply)
 
     def _on_heartbeat(self, heartbeat: RingHeartbeat, ip: str) -> None:
-        self._execute(self.cluster_view.heartbeat_received(time.monotonic(), heartbeat, ip))
+        self._execute(self.cluster_view.receive_heartbeat(time.monotonic(), heartbeat, ip))
 
     async def _hand_over(self, command: SendHandOver) -> None:
         copy = command.message
@@ -257,7 +257,7 @@
     def _on_hand_over(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
             raise UnexpectedMessageError(message)
-        self._execute(self.cluster_view.handed_over(time.monotonic(), message))
+        self._execute(self.cluster_view.receive_hand_over(time.monotonic(), message))
         link.send(HandOverAccepted())
 
     # Calls.
--- a/thistleusher/proxy/retries.py
+++ b/thistleusher/proxy/retries.py
@@ -10,7 +10,7 @@
 from thistleusher.common.node_settings import Bounds
 from thistleusher.core import events
 from thistleusher.core.events import Outcome
-from thistleusher.proxy.budgets import ASSUMED_INGRESSES, RetryBudget
+from thistleusher.proxy.budgets import ASSUMED_PROXIES, RetryBudget
 from thistleusher.proxy.requests import RequestState
 
 MAX_ATTEMPTS = 5  # attempts per request, whether they reached a backend or not
@@ -24,7 +24,7 @@
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.budgets: dict[str, RetryBudget] = {}
-        self.ingress_count = ASSUMED_INGRESSES
+        self.proxy_count = ASSUMED_PROXIES
 
     def budget_of(self, service: str) -> RetryBudget:
         """Return the retry budget of a service, created on first use."""
@@ -36,7 +36,7 @@
         return budget
 
     @staticmethod
-    def record_end(request: RequestState, event: events.AttemptEnded) -> None:
+    def record_attempt_end(request: RequestState, event: events.AttemptEnded) -> None:
         """Record on the request what the end of an attempt proves; rejected and cancelled attempts count as well."""
         request.failed_backends.add(event.backend)
         if event.outcome not in NEVER_ARRIVED:
@@ -53,4 +53,4 @@
             return False
         if request.attempts_arrived >= max(1, route.tries):
             return False
-        return not request.attempts_arrived or self.budget_of(request.service).allows(now, self.ingress_count)
+        return not request.attempts_arrived or self.budget_of(request.service).allows(now, self.proxy_count)
--- a/thistleusher/proxy/shutdown.py
+++ b/thistleusher/proxy/shutdown.py
@@ -5,7 +5,7 @@
 from thistleusher.net.shutdown import GracefulShutdown
 
 MAX_OPEN_S = 3.2  # longest time after the announcement for which the listener accepts requests
-RESERVE_S = 0.5  # part of the grace period kept between the last answer and the kill
+KILL_RESERVE_S = 0.5  # part of the grace period kept between the last answer and the kill
 MIN_DURATION_S = 1.0  # lower bound of the time until the deadline for answers
 
 
@@ -15,7 +15,7 @@
     def __init__(self, announced_at: float, grace_s: float) -> None:
         super().__init__(announced_at, 0.0)
         self.closes_at = announced_at + min(MAX_OPEN_S, grace_s / 2)
-        self.deadline = announced_at + max(MIN_DURATION_S, grace_s - RESERVE_S)
+        self.deadline = announced_at + max(MIN_DURATION_S, grace_s - KILL_RESERVE_S)
 
     def accepts_requests(self, now: float) -> bool:
         """Return whether the listener stays open."""
