--- a/tests/proxy/caller_world.py
+++ b/tests/proxy/caller_world.py
@@ -26,7 +26,7 @@
 MAX_ATTEMPTS = 3
 DEADLINE_MS = 1500
 FREEZE_S = 20.0
-GONE_S = 0.5  # time after a client's disconnect by which idempotent work for it must have ended
+DISCONNECT_GRACE_S = 0.5  # time after a client's disconnect by which idempotent work for it must have ended
 SETTLE_S = 40.0  # time after the last event within which all requests must have ended
 PROMISES = (408, 421, 429, 503)
 ROUTE = {
@@ -155,12 +155,12 @@
             self.unwanted.append(name)
 
     def record_unwanted_work(self) -> None:
-        """Record idempotent requests that a backend still processes `GONE_S` after their client has disconnected."""
-        self.loop.call_later(GONE_S, self.record_unwanted_work)
-        if self.frozen or self.loop.time() - self.thawed < GONE_S:
+        """Record idempotent requests still processed `DISCONNECT_GRACE_S` after their client has disconnected."""
+        self.loop.call_later(DISCONNECT_GRACE_S, self.record_unwanted_work)
+        if self.frozen or self.loop.time() - self.thawed < DISCONNECT_GRACE_S:
             return
         for client in self.clients:
-            if client.left_at is not None and self.loop.time() - client.left_at >= GONE_S:
+            if client.left_at is not None and self.loop.time() - client.left_at >= DISCONNECT_GRACE_S:
                 for name, _ in client.asked:
                     if name.startswith(b"p") and any(run.is_worked_on() for run in self.runs.get(name, [])):
                         self.unwanted.append(name)
--- a/tests/proxy/test_leaving_clients.py
+++ b/tests/proxy/test_leaving_clients.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.proxy.caller_world import GONE_S, World, play
+from tests.proxy.caller_world import DISCONNECT_GRACE_S, World, play
 from tests.proxy.simulated_peers import Client
 from thistleusher.net.client_connection import MAX_PIPELINED_REQUESTS
 
@@ -47,7 +47,7 @@
             client.ask(b"p%d" % number, b"p")
         assert client.wire.paused
         client.disconnect()
-        await asyncio.sleep(GONE_S)
+        await asyncio.sleep(DISCONNECT_GRACE_S)
         assert list(world.runs) == [b"p1"] and not is_worked_on(world, b"p1")
 
     play(scenario)
@@ -60,7 +60,7 @@
         client.wire.deliver(b"x" * 300_000)
         assert client.wire.paused
         client.disconnect()
-        await asyncio.sleep(GONE_S)
+        await asyncio.sleep(DISCONNECT_GRACE_S)
         assert not is_worked_on(world, b"p1")
 
     play(scenario)
--- a/tests/proxy/test_quota.py
+++ b/tests/proxy/test_quota.py
@@ -222,7 +222,10 @@
 
 
 def test_proxies_that_are_all_cut_off_hold_no_whole_request_each():
-    """With a minimum of one whole request each, 71 proxies would admit 71 requests at once for a burst of five."""
+    """A proxy does not accumulate a whole request of a small limit while the tenant is idle.
+
+    Otherwise 71 proxies would hold one request each and admit 71 at once for a burst of five.
+    """
     shares = {f"i{n}": 0.8 / 71 for n in range(71)}
     quotas = [isolated_quota(share_interval(shares, name), rate=5.0, burst=5.0) for name in shares]
     for quota in quotas:
@@ -322,7 +325,7 @@
 
 
 def test_a_share_is_deducted_while_no_echo_is_known_to_have_arrived():
-    """An echo may have arrived without confirmation: a proxy that can only receive then admits by its share."""
+    """An echo may have arrived even if its confirmation was lost; a proxy cut off in one direction uses its share."""
     counts = QuotaCounter(100.0)
     counts.configure({"t": (10.0, 10.0)}, {"i": 0.3})
     now = 100.0 + SHARE_FORGOTTEN_S + 5.0
--- a/thistleusher/client/directory.py
+++ b/thistleusher/client/directory.py
@@ -15,7 +15,7 @@
 
 AVOID_S = 2.0  # time for which an address is avoided after a failure
 RETRY_INTERVAL_S = 0.2  # interval between directory requests while none answers or all addresses have failed
-MAX_SERVERS_ASKED = 3  # directories that are tried one after the other before one call
+MAX_SERVERS_ASKED = 3  # directories that are tried one after the other per update
 MAX_ADDRESSES = 64  # addresses of an answer that are used
 MAX_TTL_S = 60.0  # upper bound of the time to live of an answer
 
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -186,7 +186,7 @@
     # The control state.
 
     def receive_from_control(self, now: float, message: AnyMessage) -> tuple[list[Command], Reply | None]:
-        """Handle a control process's message; return the commands and the acknowledgement to send after them.
+        """Handle a control process's message; return the commands and the acknowledgement to send afterwards.
 
         Raises UnexpectedMessageError for any message other than a StateUpdate or CoreInfo.
         """
@@ -242,7 +242,7 @@
     # The registry.
 
     def receive_from_registry(self, now: float, ip: str, message: AnyMessage) -> tuple[list[Command], Reply | None]:
-        """Handle a message of the registry at `ip`; return the commands and the acknowledgement to send after them.
+        """Handle a message of the registry at `ip`; return the commands and the acknowledgement to send afterwards.
 
         Raises UnexpectedMessageError for a message of a type that registries do not send to proxies.
         """
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -52,7 +52,7 @@
         )
 
     def has_pending_work(self) -> bool:
-        """Return whether a request in flight that is not idempotent may be running; each ends by its deadline."""
+        """Return whether a non-idempotent request in flight may be running; each of them ends by its deadline."""
         return self.ingress.driver.has_unrepeatable_in_flight()
 
     def read_request(self, connection: ClientConnection) -> Any:
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -138,7 +138,7 @@
         return now - self.echoed_sent_at >= LOCAL_QUOTA_FROM_S
 
     def spend(self, now: float, tenant: str) -> bool:
-        """Take one request from the tenant's local bucket; return False if it holds less than one."""
+        """Admit one request from the tenant's local bucket; return False if it holds less than one whole request."""
         limit = self.limits.get(tenant, NO_LIMIT)
         if limit.rate_per_s <= 0:
             return True
