--- a/thistleusher/client/calls.py
+++ b/thistleusher/client/calls.py
@@ -52,7 +52,7 @@
 
 
 class Unknown(NamedTuple):
-    """The request may have run, or may still run; `why`: the failure of the last attempt."""
+    """The request may have run, or may still run; `why`: the reason in words."""
 
     why: str
     tries: int
