--- a/tests/proxy/test_admitted_requests.py
+++ b/tests/proxy/test_admitted_requests.py
@@ -1,4 +1,4 @@
-"""What a proxy remembers of its admissions, and its reports to new counters."""
+"""A proxy's record of admitted requests, and its reports to new counters."""
 
 from thistleusher.proxy.admitted_requests import AdmissionReporter, AdmittedRequests
 from thistleusher.transport.messages import AdmissionReport
@@ -18,10 +18,10 @@
 def test_two_spans_are_remembered_and_nothing_from_before_the_start_is_known():
     admitted = AdmittedRequests(3.0, SPAN_S)
     admitted.add(4.0, "a")
-    assert admitted.since(8.0) == 3.0
+    assert admitted.complete_since(8.0) == 3.0
     admitted.add(16.0, "a")
     assert admitted.by_tenant() == {"a": [(16.25, 1)]}
-    assert admitted.since(16.0) == 6.0
+    assert admitted.complete_since(16.0) == 6.0
 
 
 def test_a_report_is_repeated_until_it_is_acknowledged_and_holds_nothing_that_came_after_the_first():
@@ -34,7 +34,7 @@
     admitted.add(10.6, "a")
     assert reporter.due(10.6) is None
     assert reporter.due(11.0) == AdmissionReport("p@0.000", "c#2", 10.5, {"a": [(0.75, 1)]})
-    assert reporter.due(15.5) == AdmissionReport("p@0.000", "c#2", 15.0, {})  # of no span that is still to be judged
+    assert reporter.due(15.5) == AdmissionReport("p@0.000", "c#2", 15.0, {})  # the admission is older than a span
     reporter.acknowledged("c#1")
     assert reporter.due(16.0) is not None
     reporter.acknowledged("c#2")
--- a/thistleusher/proxy/program.py
+++ b/thistleusher/proxy/program.py
@@ -1,7 +1,7 @@
-"""The proxy's process: wires the cluster view and the decisions to their sockets.
+"""The proxy's process: connects the cluster view and the decision module to sockets.
 
-The clock is read anew for each input: `loop.time()` is the time of the loop's iteration, which a process that stood
-still in it would take for the present.
+The clock is read again for each input. `loop.time()` would return the start of the loop's iteration, so that a process
+that was paused during an iteration would work with an outdated time.
 """
 
 from __future__ import annotations
@@ -54,23 +54,23 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, HandOver, HandOverAccepted, RingHeartbeat
 
-CONNECT_S = 0.6  # for a connection to a backend of another region
-NEAR_CONNECT_S = 0.25  # and of this one
-IDLE_S = 16.0  # of which the pools trust half; a backend's Keep-Alive may say less
-SILENT_S = 1.2  # without an acknowledgement of a backend's kernel, after which a connection ends
-RESERVED_DESCRIPTORS = 200  # file descriptors of the process itself
-SPARE_DESCRIPTORS = 120  # that are neither clients' nor backends'
-MIN_CONNECTIONS = 32  # of clients, and of backends, whatever the limit of descriptors
-NOTICE_S = 0.4  # between announcing the shutdown and closing the listener at the earliest
-CLOSE_RESERVE_S = 0.3  # of the grace time, for closing all sockets
+CONNECT_TIMEOUT_S = 0.6  # connect time-out to a backend of another region
+NEAR_CONNECT_TIMEOUT_S = 0.25  # connect time-out to a backend of this region
+BACKEND_IDLE_TIMEOUT_S = 16.0  # assumed; pools use half of it, and less if a backend's Keep-Alive says so
+UNACKNOWLEDGED_TIMEOUT_S = 1.2  # a backend connection is closed after this time without a TCP acknowledgement
+RESERVED_DESCRIPTORS = 200  # file descriptors kept for the process itself
+SPARE_DESCRIPTORS = 120  # further file descriptors for connections other than those to clients and backends
+MIN_CONNECTIONS = 32  # lower bound for clients and for backends each, even with a small descriptor limit
+SHUTDOWN_NOTICE_S = 0.4  # minimum time between announcing the shutdown and closing the listener
+CLOSE_RESERVE_S = 0.3  # part of the grace period kept for closing all sockets
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-# Of the directory and of readiness checks.
+# Limits of the listeners for the directory and for readiness checks.
 CALL_LIMITS = ClientLimits(max_body_bytes=4096, read_timeout_s=3.0, idle_timeout_s=10.0)
-MAX_WATCHERS = 64  # whose copies are taken at once
+MAX_HAND_OVER_LINKS = 64  # concurrent connections on which other proxies send copies of the state
 
 
 class ProxyProgram:
-    """One proxy process."""
+    """Owns the sockets of one proxy process and executes the cluster view's commands."""
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
@@ -88,8 +88,8 @@
         )
         free = node_settings.limits.fd_limit - RESERVED_DESCRIPTORS - SPARE_DESCRIPTORS
         connections = max(MIN_CONNECTIONS, free // 2)
-        options = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, SILENT_S, outcome_of)
-        self.upstream = Upstream(loop, CONNECT_S, IDLE_S, connections, options)
+        options = UpstreamOptions(MAX_ANSWER_BYTES, ATTEMPT_HEADER, UNACKNOWLEDGED_TIMEOUT_S, outcome_of)
+        self.upstream = Upstream(loop, CONNECT_TIMEOUT_S, BACKEND_IDLE_TIMEOUT_S, connections, options)
         self.ingress = ProxyIngress(loop, self.decisions, self.upstream, self._charge)
         self.server = ProxyServer(loop, self.ingress, connections)
         self.directory = CallServer(loop, [Handler(Resolve, self.resolve)], CALL_LIMITS)
@@ -100,7 +100,7 @@
             "zone": node_settings.zone,
             "region": node_settings.region,
         }
-        # Zones are looked up in the settings as they are by then: these are read anew while the process runs.
+        # Zones are looked up at call time, as the settings file can be reloaded while the process runs.
         self.cluster_view = ClusterView(
             node_settings.node_name,
             new_incarnation(PROCESS_STARTED_AT),
@@ -120,7 +120,7 @@
             self.cluster_view.subscribe_to_registry,
             self._from_registry,
         )
-        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, max_links=MAX_WATCHERS)
+        self.hand_over_listener = Listener(loop, self._on_hand_over, lambda link: None, max_links=MAX_HAND_OVER_LINKS)
         self.hand_overs: set[asyncio.Task[None]] = set()
         self.shutting_down = False
         self.executors: dict[type, Callable[[Any], None]] = {
@@ -153,7 +153,7 @@
         await serve("proxy", self.settings, self.tick, self._settings_changed, self.shut_down)
 
     async def shut_down(self) -> None:
-        """Announce the shutdown, go on while clients come, finish the requests in flight, then close all sockets."""
+        """Announce the shutdown, serve clients that still arrive, finish requests in flight, and close all sockets."""
         self.shutting_down = True
         self.server.shutting_down = True
         self._execute(self.cluster_view.report_status(time.monotonic(), self.is_ready()))
@@ -161,7 +161,7 @@
         shutdown = ProxyGracefulShutdown(self.loop.time(), grace_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(grace_s - CLOSE_RESERVE_S):
-                await self.server.drain(asyncio.sleep(NOTICE_S), shutdown)
+                await self.server.drain(asyncio.sleep(SHUTDOWN_NOTICE_S), shutdown)
         self.ingress.driver.close()
         self.server.close()
         self.directory.close()
@@ -180,8 +180,8 @@
         self._execute(self.cluster_view.tick(time.monotonic(), self.is_ready()))
 
     def is_ready(self) -> bool:
-        """Return whether a request could be served here."""
-        has_state = self.server.index is not None and self.server.has_list
+        """Return whether this proxy can serve requests: it has configuration and backends and is not shutting down."""
+        has_state = self.server.index is not None and self.server.has_backend_list
         return has_state and bool(self.ingress.serving) and not self.shutting_down
 
     # Commands of the cluster view.
@@ -197,7 +197,7 @@
             self.registries.broadcast(command.message)
 
     def _deliver_charge_answer(self, command: DeliverChargeAnswer) -> None:
-        answer: Any = command.answer  # no event of the driver's own
+        answer: Any = command.answer  # `submit` is typed for the driver's own events only
         self.ingress.submit(answer)
 
     def _send_heartbeat(self, command: SendHeartbeat) -> None:
@@ -217,37 +217,37 @@
             if backend is None:
                 self.upstream.update(name, None)
             else:
-                connect_s = NEAR_CONNECT_S if backend.is_near else CONNECT_S
-                self.upstream.update(name, Endpoint(backend.address, 0.0, connect_s))
+                connect_timeout_s = NEAR_CONNECT_TIMEOUT_S if backend.is_same_region else CONNECT_TIMEOUT_S
+                self.upstream.update(name, Endpoint(backend.address, 0.0, connect_timeout_s))
 
     def _set_serving(self, command: SetServing) -> None:
         for name in self.ingress.serving - command.names:
             self.upstream.close_idle(name)
         self.ingress.serving.clear()
         self.ingress.serving |= command.names
-        self.server.has_list = self.cluster_view.has_list
+        self.server.has_backend_list = self.cluster_view.has_backend_list
 
     # Messages.
 
     def _charge(self, action: ChargeTenant) -> None:
         self._execute(self.cluster_view.charge(time.monotonic(), action))
 
-    def _from_control(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        commands, reply = self.cluster_view.from_control(time.monotonic(), message)
-        self._execute_and_reply(dial, commands, reply)
+    def _from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        commands, reply = self.cluster_view.receive_from_control(time.monotonic(), message)
+        self._execute_and_reply(link, commands, reply)
 
-    def _from_registry(self, dial: ReconnectingLink, message: AnyMessage) -> None:
-        commands, reply = self.cluster_view.from_registry(time.monotonic(), dial.host, message)
-        self._execute_and_reply(dial, commands, reply)
+    def _from_registry(self, link: ReconnectingLink, message: AnyMessage) -> None:
+        commands, reply = self.cluster_view.receive_from_registry(time.monotonic(), link.host, message)
+        self._execute_and_reply(link, commands, reply)
 
-    def _execute_and_reply(self, dial: ReconnectingLink, commands: list[Command], reply: Reply | None) -> None:
-        """Reply last: only what is in force here is acknowledged."""
+    def _execute_and_reply(self, link: ReconnectingLink, commands: list[Command], reply: Reply | None) -> None:
+        """Execute the commands before replying, as only updates in force may be acknowledged."""
         self._execute(commands)
         if reply is not None:
-            dial.send(reply)
+            link.send(reply)
 
     def _on_heartbeat(self, heartbeat: RingHeartbeat, ip: str) -> None:
-        self._execute(self.cluster_view.heartbeat_received(time.monotonic(), heartbeat, ip))
+        self._execute(self.cluster_view.receive_heartbeat(time.monotonic(), heartbeat, ip))
 
     async def _hand_over(self, command: SendHandOver) -> None:
         copy = command.message
@@ -257,7 +257,7 @@
     def _on_hand_over(self, link: Link, message: AnyMessage) -> None:
         if not isinstance(message, HandOver):
             raise UnexpectedMessageError(message)
-        self._execute(self.cluster_view.handed_over(time.monotonic(), message))
+        self._execute(self.cluster_view.receive_hand_over(time.monotonic(), message))
         link.send(HandOverAccepted())
 
     # Calls.
@@ -267,7 +267,7 @@
         done(Ready() if self.is_ready() else ServiceError(ErrorKind.STARTING))
 
     def resolve(self, call: Resolve, done: Callable[[Any], None]) -> None:
-        """Answer where a client should go; this proxy's own state counts as it is now, not as last listed."""
+        """Answer with addresses of proxies; for this proxy its current readiness counts, not the listed one."""
         members = self.cluster_view.members()
         own = members.get(self.node_settings.node_name)
         if own is not None:
