--- a/thistleusher/policy/__init__.py
+++ b/thistleusher/policy/__init__.py
@@ -1,6 +1,6 @@
 """The decision module: it decides which backend serves a request, whether it is retried, and what is rejected.
 
-It promises to be pure: no I/O and no clock, every time comes with an event, and the same events give the same actions.
+The module is pure: it does no I/O and reads no clock. Times arrive with events; the same events give the same actions.
 """
 
 from thistleusher.policy.gateway import Gateway
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admits a request by the total that the counter answers its charge with; without one, by what is known here."""
+"""Admission of requests by the total in the counter's reply, or by local state if there is no reply."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 from thistleusher.policy.totals import Totals
 from thistleusher.policy.usage_replication import UsageReplication
 
-GRANT_WAIT_S = 0.25  # for which a request waits at most for shares that peers are asked for
-OWNER_TIMEOUTS = 5  # time-outs of the counter that a request must have left for its account's owner to be asked
-SURE_CALLS = 0.8  # mean calls a request, beyond which requests that are sure to be rejected call no more
-CALLS_WEIGHT = 0.01  # of a request in the calls a request
-CALL_TIMEOUTS = 2  # time-outs of the counter that a request must have left for a call
+GRANT_WAIT_S = 0.25  # longest time that a request waits for peers to grant it shares
+OWNER_TIMEOUTS = 5  # the account's owner is queried only if more than this many counter time-outs remain
+SURE_CALLS = 0.8  # mean calls per request above which requests that are certain to be rejected make no call
+CALLS_WEIGHT = 0.01  # weight of one request in the moving mean of calls per request
+CALL_TIMEOUTS = 2  # the counter is called only if more than this many counter time-outs remain
 COUNT_LIFETIME_WINDOWS = 3
 COUNT_LIFETIME_MAX_S = 60.0
-WRITE_BACK_UNITS = 0.5  # worth a call of an ingress that shuts down
-WRITE_BACK_CALLS = 64  # such calls at most
-VERDICT_WEIGHT = 0.3  # of a verdict in the share of a customer's requests that is admitted
-COMMON_WEIGHT = VERDICT_WEIGHT / 5  # the same of all customers of a plan
+WRITE_BACK_UNITS = 0.5  # smallest pending usage of a customer that is written back at shutdown
+WRITE_BACK_CALLS = 64  # most write-back calls at shutdown
+VERDICT_WEIGHT = 0.3  # weight of one verdict in the moving share of a customer's requests that are admitted
+COMMON_WEIGHT = VERDICT_WEIGHT / 5  # weight of one verdict in the share of all customers of a plan
 
 
 @dataclass(eq=False, repr=False)
 class Admission:
-    """Charges requests to their customers' counts and admits them, or rejects them at once."""
+    """Charges requests to their customers' counts, then admits or rejects them."""
 
     settings: Settings
     rng: random.Random
@@ -51,11 +51,11 @@
         self.classes = {c.name: c for c in self.settings.classes}
         self.plans = {p.name: p for p in self.settings.plans}
         self.calls = CounterCalls()
-        # Share admitted of late, by plan and whether the request is a repeat.
+        # Moving share of admitted requests by plan, kept separately for first requests and repeats.
         self.admitted_share = {(plan, repeat): 1.0 for plan in self.plans for repeat in (False, True)}
 
     def request_arrived(self, now: float, event: events.Request) -> None:
-        """Charge the request's units to the customer's count, or ask the owner of its account."""
+        """Charge the request's units to the customer's count, or query the owner of its account."""
         cls = self.classes[event.class_name]
         plan = self.plans[event.plan]
         customer = self.replication.customers.see(now, event.customer, plan)
@@ -80,7 +80,7 @@
         self._charge(now, request)
 
     def _query_owner(self, now: float, request: PendingRequest, owner: int) -> bool:
-        """Have the owner of an account decide; return False where it cannot be asked."""
+        """Query the owner of an account for the verdict. Return False if no query can be sent."""
         if self._rejected_early(now, request):
             return True
         gossip = self.replication.gossip
@@ -91,20 +91,20 @@
         return query is not None
 
     def _rejected_early(self, now: float, request: PendingRequest) -> bool:
-        """Reject a request that no slot comes free for in time: its charge would use the quota up for nothing."""
+        """Reject a request that gets no slot in time, as its charge would waste quota; return whether it did so."""
         if self.fleet.has_free_slot(now) or not self.attempts.would_be_late(now, request):
             return False
         self.attempts.reject(now, request, 0.0)
         return True
 
     def _charge(self, now: float, charge: Charge) -> None:
-        """Charge units to the count, or decide by what is known where the counter cannot take so many calls."""
+        """Charge units to the count, or decide without a call while the counter is overloaded or too slow."""
         customer = charge.customer
         request = charge.event
         health = self.replication.counters.of_customer(now, customer)
         known = customer.available(now)
         health.calls_per_request *= 1 - CALLS_WEIGHT
-        # Rejected without a call: others can only have taken more than is known here.
+        # Usage at other ingresses can only lower the headroom known here, so this rejection needs no call.
         spared = health.call_share < 1 or health.calls_per_request > SURE_CALLS
         if spared and (known < request.units or customer.short_name(now) in self.replication.exhausted):
             self._resolve(now, charge, False, (request.units - known) / customer.plan.rate)
@@ -116,13 +116,13 @@
             self._decide_locally(now, charge)
             return
         unseen = charge.exceeds_share and customer.window < customer.window_at(now) - 1
-        if unseen and not self.replication.in_touch(now, customer):  # its charge stands for requests without a call
+        if unseen and not self.replication.in_touch(now, customer):  # also charge for requests that skip the call
             charge.units = request.units / max(DOWN_CALL_SHARE, health.call_share)
         self._add(now, customer, charge.units + customer.pending, charge)
         customer.pending = 0.0
 
     def _resolve(self, now: float, charge: Charge, admitted: bool, wait: float = 0.0) -> None:
-        """Send on or reject a request here, to be retried in `wait` seconds, or reply to the peer that asked."""
+        """Apply a verdict: send or reject a local request (retry in `wait` seconds), or reply to the querying peer."""
         gossip = self.replication.gossip
         if isinstance(charge, PendingRequest):
             if admitted:
@@ -135,7 +135,7 @@
             self.actions.append(SendToPeer(charge.peer, reply))
 
     def _add(self, now: float, customer: Customer, units: float, charge: Charge | None) -> None:
-        """Call the count of the customer's current window."""
+        """Add units to the count of the customer's current window."""
         name = self.calls.start(now, customer, units, charge)
         health = self.replication.counters.of_name(name)
         health.calls_per_request += CALLS_WEIGHT
@@ -144,34 +144,34 @@
         self.actions.append(CounterAdd(name, units, lifetime))
 
     def counter_replied(self, now: float, event: events.CounterReply) -> None:
-        """Take in a total, or its absence: admit, reject and add back, or fall back on the local share."""
+        """Decide the waiting request by the counter's total, or locally if the call failed."""
         call = self.calls.finish(event.name)
         if call is None:
             return
         customer = call.customer
         self.replication.customers.mark_changed(customer)
         if isinstance(call.charge, PendingRequest) and call.charge.event.id not in self.attempts.requests:
-            call = call._replace(charge=None)  # its client has gone
+            call = call._replace(charge=None)  # the client has disconnected
         health = self.replication.counters.of_name(event.name)
         if event.outcome not in (Outcome.OK, Outcome.ERROR):
             self._call_failed(now, call, event, health)
             return
         if health.is_down():
-            self.actions.append(Log(f"counter answers again after {health.misses} misses"))
+            self.actions.append(Log(f"counter is available again after {health.misses} failed calls"))
         health.record_answer(now, event.elapsed / self.settings.counter_timeout)
         total = event.total
-        if event.outcome is not Outcome.OK:  # added, but the total is unknown: at least what was known, and this
+        if event.outcome is not Outcome.OK:  # added, but the total is unreadable: use its lower bound
             total = call.units + (customer.total if customer.window == call.window else 0.0)
         self.totals.apply(now, customer, call.window, call.units, total, call.charged)
         if call.charge is not None:
             self._decide_by_total(now, call.charge, health)
 
     def _call_failed(self, now: float, call: CounterCall, event: events.CounterReply, health: CounterHealth) -> None:
-        """Report the units again, unless a total shows that they were counted, and decide locally."""
+        """Queue the units to be reported again, unless a later total shows that they were counted; decide locally."""
         customer = call.customer
         health.record_miss(now)
         if health.misses == DOWN_MISSES:
-            self.actions.append(Log("counter gives no answer: admitting by local shares"))
+            self.actions.append(Log("counter does not answer: admitting requests by local shares"))
         customer.pending += call.units - call.charged
         if event.outcome is Outcome.TIMEOUT:
             customer.add_doubtful(call.window, call.units)
@@ -179,12 +179,12 @@
             self._decide_locally(now, call.charge)
 
     def _decide_by_total(self, now: float, charge: Charge, health: CounterHealth) -> None:
-        """Admit or reject a request whose charge is in the total that its customer's bucket was corrected by."""
+        """Admit or reject a request after its customer's bucket was corrected by a total that includes its charge."""
         customer = charge.customer
         units = charge.event.units
         admitted = customer.headroom(now) - units >= 0
         if admitted and customer.plan.ceiling_rate > 0 and not self.replication.in_touch(now, customer, strict=True):
-            # Totals that some of the set may not write to: another counter could serve them.
+            # Unreachable ingresses of the customer's set may use another counter, whose usage this total lacks.
             charge.from_escrow = True
             admitted = self.replication.admit_from_share(now, customer, units)
         expected = self._expected_share(now, charge)
@@ -197,12 +197,12 @@
             self._resolve(now, charge, True)
             return
         if customer.continuous or health.call_share >= 1:
-            self._add(now, customer, -charge.units, None)  # rejected: the charge is added back
+            self._add(now, customer, -charge.units, None)  # reverse the charge of the rejected request
         self._announce_exhausted(now, customer)
         self._resolve(now, charge, False, (units - customer.headroom(now)) / customer.plan.rate)
 
     def _announce_exhausted(self, now: float, customer: Customer) -> None:
-        """Send peers the name of a window in which nothing more fits: they need not call."""
+        """Send peers the name of an exhausted window, so that they reject without a call."""
         if not self.settings.peers or self.replication.gossip is not None:
             return
         if customer.continuous or customer.level >= 1:
@@ -213,14 +213,14 @@
             self.replication.peer_message_received(now, events.PeerMessage(self.settings.me, name))
 
     def _expected_share(self, now: float, charge: Charge) -> float:
-        """Return the chance that a total would admit: the customer's own of late, ageing into that of its like."""
+        """Return the admission probability: the customer's recent share, decaying to the common one of its plan."""
         customer = charge.customer
         common = self.admitted_share[charge.event.plan, charge.event.is_repeat]
         age = math.exp((customer.level_at - now) / (7 * customer.window_length))
         return common + (customer.admitted_share - common) * age
 
     def write_back(self, now: float) -> None:
-        """Add what was admitted and is in no count yet, the most first: it is the last chance."""
+        """Report pending usage to the counter before shutdown, largest amounts first."""
         customers = self.replication.customers.values()
         due = [c for c in customers if c.pending >= WRITE_BACK_UNITS and c.plan.rate > 0]
         for customer in sorted(due, key=lambda c: -c.pending)[:WRITE_BACK_CALLS]:
@@ -228,11 +228,11 @@
             customer.pending = 0.0
 
     def _decide_locally(self, now: float, charge: Charge) -> None:
-        """Admit against this ingress's share of the bucket; the usage is reported with the next call."""
+        """Admit against this ingress's share of the bucket and report the usage with the next call."""
         customer = charge.customer
         plan = customer.plan
         replication = self.replication
-        # A ceiling holds at every moment, so what peers last reported is trusted for the shorter time only.
+        # A ceiling must hold at all times, so peer reports are trusted only for the shorter time-out.
         in_touch = replication.in_touch(now, customer)
         if in_touch and plan.ceiling_rate > 0:
             in_touch = replication.in_touch(now, customer, strict=True)
@@ -250,7 +250,7 @@
             self._resolve(now, charge, True)
 
     def _admit_by_level(self, now: float, charge: Charge, in_touch: bool) -> bool:
-        """Return whether the known level, and out of touch the escrowed share, admit it; else reject or delay it."""
+        """Return whether the known level, and if needed the escrowed share, admit it; else reject or delay it."""
         customer = charge.customer
         replication = self.replication
         units = charge.event.units
@@ -258,7 +258,7 @@
             wait = (units - customer.headroom(now)) / customer.plan.rate if in_touch else 0.0
             self._resolve(now, charge, False, wait)
             return False
-        # A ceiling is never passed to serve more, not even by what peers have yet to report.
+        # The ceiling also holds against usage that peers have not reported yet, at the price of more rejections.
         has_ceiling = customer.plan.ceiling_rate > 0
         counter_silent = replication.counters.of_customer(now, customer).is_silent(now)
         unsure = counter_silent and (has_ceiling or replication.is_level_assumed(now, customer))
@@ -271,7 +271,7 @@
         return True
 
     def _waits_for_grants(self, now: float, charge: Charge) -> bool:
-        """Have a request wait for what peers are asked to grant, once and for a round trip; return whether it does."""
+        """Let a request wait once for peer grants, up to `GRANT_WAIT_S`. Return whether it waits."""
         charge.grant_deadline = charge.grant_deadline or now + GRANT_WAIT_S
         gossip = self.replication.gossip
         if gossip is None or not isinstance(charge, PendingRequest) or now >= charge.grant_deadline:
@@ -279,25 +279,25 @@
         return gossip.add_pending(charge.event.id, charge.grant_deadline)
 
     def _decide_by_chance(self, now: float, charge: Charge) -> None:
-        """Admit whole requests by the chance they had of late: a share below one request would reject all."""
+        """Admit with the recent admission probability, as a share below one request would reject every request."""
         if self.rng.random() < self._expected_share(now, charge):
-            # Admitted unseen: who comes here again soon asks for more than most.
+            # No count saw this request. Lower the probability, as a quick return suggests above-average demand.
             charge.customer.admitted_share *= 1 - VERDICT_WEIGHT
             self._resolve(now, charge, True)
         else:
             self._resolve(now, charge, False)
 
     def _admit_by_even_share(self, now: float, charge: Charge) -> bool:
-        """Return whether an even share of the bucket, or more where most came through here, admits it; else reject."""
+        """Return whether an even share of the bucket, or this ingress's larger recent share, admits it; else reject."""
         customer = charge.customer
         plan = customer.plan
         units = charge.event.units
         share = max(1.0 / customer.width, customer.local_part)
-        if plan.ceiling_rate > 0:  # all shares together, and what totals admit, stay within it
+        if plan.ceiling_rate > 0:  # the ceiling bounds all shares plus what is admitted by totals
             by_totals = 0.0 if self.replication.counters.of_customer(now, customer).is_down() else 1.0
             share = min(share, max(0.0, plan.ceiling_rate / plan.rate - by_totals) / customer.width)
         unused = now - customer.level_at - (plan.burst - customer.level) / plan.rate
-        if unused > 0:  # refilled since the bucket was full: no wave of rejections when an outage ends
+        if unused > 0:  # credit the refill beyond a full bucket, to avoid mass rejections when an outage ends
             customer.pending -= min(share * plan.rate * unused, max(0.0, customer.pending))
             customer.set_level(now, plan.burst)
         own = max(0.0, customer.pending)
@@ -308,7 +308,7 @@
         return True
 
     def peer_message_received(self, now: float, event: events.PeerMessage) -> None:
-        """Take in a query to this ingress as owner, a reply to one of its own, or a reconciliation; or usage."""
+        """Handle a peer's message: a query, reply or reconciliation of an owned account, or usage and shares."""
         gossip = self.replication.gossip
         mark = event.payload[:1]
         if gossip is None or mark not in OWNER_MARKS:
@@ -331,7 +331,7 @@
                     customer.consume(now, units)
 
     def _query_received(self, now: float, gossip: Gossip, event: events.PeerMessage) -> None:
-        """Charge what a peer asks for, or repeat the reply where it has been charged already."""
+        """Charge the units of a peer's query, or repeat the reply if the query was already decided."""
         query = gossip.receive_query(now, event.sender, event.payload)
         if query is None:
             return
@@ -342,13 +342,13 @@
             self._charge(now, Charge.of_query(query, customer, event.sender))
 
     def _reply_received(self, now: float, gossip: Gossip, event: events.PeerMessage) -> None:
-        """Send or reject a request as the owner of its account says."""
+        """Send or reject a request by the verdict of its account's owner."""
         reply = gossip.receive_reply(event.sender, event.payload)
         if reply is None:
             return
         name, admitted, headroom = reply
         request = self.attempts.requests.get(name)
-        if request is None:  # its client has gone
+        if request is None:  # the client has disconnected
             return
         request.owner = event.sender
         request.consumed = request.event.units if admitted else 0.0
@@ -356,7 +356,7 @@
         self._resolve(now, request, admitted, wait)
 
     def owner_timer_fired(self, now: float) -> None:
-        """Repeat queries that were likely lost, and decide without owners and grants that are overdue."""
+        """Resend queries that were probably lost, and decide requests whose owner reply or grants are overdue."""
         gossip = self.replication.gossip
         if gossip is None:
             return
@@ -368,5 +368,5 @@
                 self._charge(now, request)
 
     def _still_pending(self, names: list[str]) -> Iterator[PendingRequest]:
-        """Yield those that still are owed an answer, asked anew for each when its turn comes."""
+        """Yield requests that are still open, looked up lazily because handling one may end another."""
         return filter(None, map(self.attempts.requests.get, names))
--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts of admitted requests: sent, queued for a slot, retried where that is safe, rejected in time.
+"""Attempts of admitted requests: sending, queueing for a slot, safe retries and early rejection.
 
-Guarantees: one attempt of a request is out at a time; what may have run is sent again only where its class allows it;
-every request leaves `requests` with exactly one final action or with an answer that was served.
+Guarantees: a request has one outstanding attempt at a time; a request that may have run is retried only if its class
+allows it; every request leaves `requests` with exactly one final action or with a served answer.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from thistleusher.policy.fleet import OVERLOADED, Fleet
 from thistleusher.policy.usage_replication import UsageReplication
 
-SILENT_FACTOR = 8.0  # usual latencies of owed answers after which a backend counts as silent
-SWEEP_S = 0.05  # between looks at silent backends and at the queue
+SILENT_FACTOR = 8.0  # total overdue time, in typical latencies, at which a backend counts as silent
+SWEEP_S = 0.05  # interval between checks for silent backends and passes over the queue
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class Attempts:
-    """Requests that are owed an answer."""
+    """Admitted and pending requests that have no final answer yet."""
 
     def __init__(self, settings: Settings, fleet: Fleet, replication: UsageReplication, actions: list[Action]) -> None:
         self.settings = settings
@@ -30,17 +30,17 @@
         self.replication = replication
         self.actions = actions
         self.requests: dict[str, PendingRequest] = {}
-        self.queue = list[PendingRequest]()  # the highest value first, then in the order of arrival
+        self.queue = list[PendingRequest]()  # by descending value, then by arrival
         self.timer_set = False
 
     def client_gone(self, now: float, event: events.ClientGone) -> None:
-        """Drop a request: nothing more is owed."""
+        """Drop the request of a disconnected client; it gets no answer."""
         self.requests.pop(event.request, None)
 
     def reject(self, now: float, request: PendingRequest, wait: float) -> None:
-        """Give the final answer: refused, to be retried in `wait` seconds, or failed where it may have run."""
+        """Refuse a request (retry in `wait` seconds), or fail it if it may have run and a retry is not harmless."""
         del self.requests[request.event.id]
-        if request.consumed > 0 and request.attempts == 0:  # what was never sent uses nothing up
+        if request.consumed > 0 and request.attempts == 0:  # it was never sent, so its charge is reversed
             self.replication.reconcile(now, request, -request.consumed)
         effect = request.request_class.effect
         repeatable = effect is Effect.SAFE or (effect is Effect.KEYED and request.request_class.group is Group.ALL)
@@ -50,17 +50,17 @@
             self.actions.append(Refuse(request.event.id, min(max(wait, 0.0), self.settings.max_retry_after)))
 
     def would_be_late(self, now: float, request: PendingRequest) -> bool:
-        """Return whether a request that has to be queued cannot meet its latency target."""
+        """Return whether a request would miss its latency target if it were queued now."""
         ahead = 1 + bisect.bisect_right(self.queue, -request.value, key=lambda queued: -queued.value)
         wait = ahead * self.fleet.latency[request.request_class.name] / self.fleet.slots
         return now + wait + self.fleet.base_latency[request.request_class.name] * request.work > request.target
 
     def send(self, now: float, request: PendingRequest) -> None:
-        """Start an attempt, or queue the request if a slot should come free in time for its target."""
+        """Start an attempt, queue the request if a slot is expected in time for its target, or reject it."""
         best = self.fleet.choose(now, request)
         if best is None:
             if self.would_be_late(now, request):
-                self.reject(now, request, 0.0)  # early, not late
+                self.reject(now, request, 0.0)  # reject early rather than after the target has passed
             else:
                 bisect.insort_right(self.queue, request, key=lambda queued: -queued.value)
             return
@@ -70,7 +70,7 @@
         self.actions.append(Attempt(request.event.id, best.entry.backend))
 
     def dispatch(self, now: float) -> None:
-        """Send queued requests while slots are free; the whole queue is looked through at each sweep only."""
+        """Send queued requests while slots are free. Only `sweep` visits the whole queue."""
         for _ in range(len(self.queue)):
             if not self.fleet.has_free_slot(now):
                 break
@@ -79,7 +79,7 @@
                 self.send(now, request)
 
     def _send_or_reject_queued(self, now: float) -> None:
-        """Send what is queued, highest value first, or reject what cannot meet its target any more: none may starve."""
+        """Send queued requests by descending value and reject those that miss their target, so that none starves."""
         queued = self.queue
         self.queue = []
         for request in queued:
@@ -87,7 +87,7 @@
                 self.send(now, request)
 
     def sweep(self, now: float) -> None:
-        """Find silent backends by the answers they owe, and look through the queue."""
+        """Eject silent backends, cancel attempts there that can move, and visit the whole queue."""
         self.timer_set = False
         for backend in self.fleet.eject_silent(now, SILENT_FACTOR):
             for name in backend.outstanding:
@@ -97,9 +97,9 @@
         self._send_or_reject_queued(now)
 
     def _should_move(self, now: float, request: PendingRequest) -> bool:
-        """Return whether an attempt at a silent backend is cancelled to be repeated elsewhere.
+        """Return whether to cancel an attempt at a silent backend and retry it elsewhere.
 
-        A long request at a live server is left alone.
+        An attempt younger than twice its typical latency stays, as the backend may be alive and the request long.
         """
         usual = self.fleet.latency[request.request_class.name] * request.work
         if now - request.sent_at <= 2 * usual or not self.settings.may_cancel:
@@ -107,7 +107,7 @@
         return self._allows_attempt(now, request, request.ran_at or request.sent_at)
 
     def _allows_attempt(self, now: float, request: PendingRequest, ran_at: float | None) -> bool:
-        """Return whether one more attempt is allowed; if one may have run at `ran_at`, by class and window too."""
+        """Return whether a retry is allowed; if an attempt may have run at `ran_at`, class and window decide too."""
         if request.attempts >= self.settings.max_attempts:
             return False
         if now + self.fleet.base_latency[request.request_class.name] * request.work > request.target:
@@ -117,7 +117,7 @@
         return request.request_class.effect is Effect.KEYED and now < ran_at + request.request_class.window - SWEEP_S
 
     def attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
-        """Learn from an attempt's outcome, then retry or give the final answer if there is none yet."""
+        """Record an attempt's outcome, then retry the request or give its final answer if it has none."""
         backend = self.fleet.backends.get(event.backend)
         request = self.requests.get(event.request)
         self.fleet.ended(now, event)
@@ -130,14 +130,14 @@
             self._served(now, request, event)
             return
         request.failed_backends.add(event.backend)
-        jammed = event.outcome is Outcome.FULL and self.fleet.pressure > OVERLOADED  # elsewhere it is full too
+        jammed = event.outcome is Outcome.FULL and self.fleet.pressure > OVERLOADED  # others are probably full too
         if not jammed and self._allows_attempt(now, request, request.ran_at):
             self.send(now, request)
         else:
             self.reject(now, request, 0.0)
 
     def _served(self, now: float, request: PendingRequest, event: events.AttemptEnded) -> None:
-        """End a request that has its final answer; the next call on the count corrects its charge."""
+        """Remove an answered request. Its true cost corrects the customer's usage (`settles`)."""
         del self.requests[event.request]
         if self.queue:
             self.dispatch(now)
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -1,7 +1,7 @@
-"""Backends as seen from this ingress's own traffic: who may be sent to, and how many attempts may be out.
+"""Choice of a backend and the limit on outstanding attempts, both learned from this ingress's own traffic.
 
-Choice is by least own outstanding work over learned speed, with outlier ejection, slow start of cold
-backends and one concurrency limit over all that follows latency (in the manner of TCP Vegas).
+The backend with the least own outstanding work over learned speed is chosen, with outlier ejection and slow start of
+cold backends. One concurrency limit over all backends follows latency, like TCP Vegas.
 """
 
 from __future__ import annotations
@@ -23,51 +23,51 @@
 from thistleusher.core.work_model import WorkModel
 
 # Outlier ejection.
-FAULTY_SHARE = 0.5  # share of faults that a backend is expected to have if it is out of order
-TYPICAL_MIN, TYPICAL_MAX = 0.02, 0.4  # bounds of the share of faults that is taken for the whole fleet's
-EJECT_EVIDENCE = 6.0  # log likelihood of the one share over the other at which a backend is ejected
-TRIAL_EVIDENCE = 4.0  # that it keeps after a good trial
-EJECT_S = 3.0  # rest of an ejected backend, before each trial attempt
-KEEP_SHARE = 0.5  # of the fleet that ejection must leave in use
+FAULTY_SHARE = 0.5  # expected share of faults at a faulty backend
+TYPICAL_MIN, TYPICAL_MAX = 0.02, 0.4  # bounds of the assumed share of faults at a healthy backend (the median)
+EJECT_EVIDENCE = 6.0  # log-likelihood ratio of the faulty share to the typical one at which a backend is ejected
+TRIAL_EVIDENCE = 4.0  # evidence left after a successful trial, so that a relapse ejects the backend sooner
+EJECT_S = 3.0  # time for which an ejected backend gets no attempts before a trial
+KEEP_SHARE = 0.5  # share of usable backends that ejection must leave in use
 
 # Concurrency limit.
-INITIAL_SLOTS = 6.0  # attempts out to a backend by all ingresses together, at first
-MIN_SLOTS = 2.0  # and at least
-TARGET_SHARE = 0.16  # of a class's latency target: the most that its unloaded latency is taken to be
-MIN_STEP, MAX_STEP = 0.01, 0.3  # of the slots that an overloaded answer takes: at least, and a second
-LATENCY_RATIO_MAX = 4.0  # times the unloaded latency, beyond which a longer answer says no more
-OVERLOADED = 1.8  # times the unloaded latency, where the concurrency limit shrinks
+INITIAL_SLOTS = 6.0  # initial outstanding attempts per backend, over all ingresses
+MIN_SLOTS = 2.0  # lower bound of outstanding attempts per backend, over all ingresses
+TARGET_SHARE = 0.16  # upper bound of a class's unloaded latency, as a fraction of its latency target
+MIN_STEP, MAX_STEP = 0.01, 0.3  # fraction of the slots removed under overload: at least per answer, at most per second
+LATENCY_RATIO_MAX = 4.0  # cap of an answer's latency over the unloaded latency, so that outliers do not dominate
+OVERLOADED = 1.8  # latency over unloaded latency above which the concurrency limit shrinks
 
 # Choice of a backend.
-ERROR_COST = 4.0  # cost of a backend whose answers are all faults
-REJECTION_COST = 4.0  # cost of a backend sure to reject a class or plan
-REJECTION_AGE_S = 10.0  # time by which its rejections age
-TIE_BREAK = 0.02  # share of the cost that chance adds
-RATE_S = 5.0  # span of the rate of answers
-COLD_SAFETY = 0.8  # of the stated cold budget that is used, as the warm rate is only an estimate
-COLD_MAX = 2.0  # times what a cold backend is sure to do, beyond which it is only slow, allowed or not
-MAX_TOKENS = 1.5  # attempts that a cold backend's budget saves up
-
-# Subsets of a large fleet.
-SUBSET_MIN = 16  # backends of an ingress's subset at least
-SUBSET_REVISIT_S = 3.0  # seconds between attempts at one backend of the subset, at most
-SUBSETS_PER_BACKEND = 4  # subsets at least that a backend is in
-SUBSET_S = 1.0  # between draws of the subset
-SCAN = 24  # backends that are all looked at
-DRAWN = 8  # of more, those looked at in one draw
-DRAWS = 4
+ERROR_COST = 4.0  # relative extra cost of a backend whose answers are all faults
+REJECTION_COST = 4.0  # relative extra cost of a backend that always rejects the class or plan
+REJECTION_AGE_S = 10.0  # time constant with which a backend's last verdict on a class or plan decays
+TIE_BREAK = 0.02  # largest random increase of the cost, as a fraction
+RATE_S = 5.0  # time constant of the rate of served attempts
+COLD_SAFETY = 0.8  # used fraction of the configured cold budget, as the warm rate is only an estimate
+COLD_MAX = 2.0  # cap of the cold budget, in guaranteed capacities; beyond it a cold backend is only slow
+MAX_TOKENS = 1.5  # most attempts that a cold backend's token bucket holds
+
+# Subsets of many backends.
+SUBSET_MIN = 16  # smallest subset of one ingress, in backends
+SUBSET_REVISIT_S = 3.0  # longest mean time between attempts at one backend of the subset
+SUBSETS_PER_BACKEND = 4  # least mean number of subsets that contain a backend
+SUBSET_S = 1.0  # interval between recomputations of the subset
+SCAN = 24  # up to this number of backends, each choice compares all of them
+DRAWN = 8  # backends compared in one random sample
+DRAWS = 4  # samples tried in the subset, and then in all backends
 
 FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
 ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.FULL)
 
 
 class Fleet:
-    """All backends. `choose` looks at each of up to `SCAN`; of more at `DRAWN` at random (Mitzenmacher 2001).
+    """All backends. `choose` compares up to `SCAN` of them, or a random sample of `DRAWN` if there are more.
 
-    Of so many an ingress uses its subset alone (deterministic subsetting, Beyer et al. 2016, ch. 20): connections are
-    used again, and what one ingress learns of a backend it learns soon. Subsets lie evenly in the order of hashed ids,
-    so each backend is in about as many of them; a busier ingress has a larger one. All backends are drawn from only
-    where several draws from the subset hold none that may be sent to.
+    Sampling follows Mitzenmacher 2001. With more than `SCAN` backends an ingress uses a subset (deterministic
+    subsetting, Beyer et al. 2016, ch. 20), which reuses connections and speeds up learning about each backend. Subsets
+    are spaced evenly in the order of hashed ids, so each backend is in about as many; a busier ingress has a larger
+    one. All backends are sampled only if several samples of the subset contain no eligible backend.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, actions: list[Action], now: float) -> None:
@@ -76,27 +76,27 @@
         self.actions = actions
         self.classes = {c.name: c for c in settings.classes}
         self.backends = BackendTable(rng)
-        self.ready: list[Backend] = []  # usable, by their hashed ids
-        self.subset: list[Backend] = []  # this ingress's part of them
-        self.subset_at = -math.inf  # when it was drawn
-        self.sharers = 1 if settings.own_backends else settings.instances  # ingresses that send to these backends
+        self.ready: list[Backend] = []  # usable backends, if more than `SCAN` in the order of hashed ids
+        self.subset: list[Backend] = []  # the ready backends that this ingress uses
+        self.subset_at = -math.inf  # time of the last subset computation
+        self.sharers = 1 if settings.own_backends else settings.instances  # ingresses that use the backends
         self.usable_count = 0
-        self.latency = {c.name: c.objective * TARGET_SHARE for c in settings.classes}  # usual, by class
-        self.base_latency = dict(self.latency)  # and what it was when nothing was overloaded
+        self.latency = {c.name: c.objective * TARGET_SHARE for c in settings.classes}  # moving mean by class
+        self.base_latency = dict(self.latency)  # unloaded latency by class
         self.work = {c.name: WorkModel() for c in settings.classes}
-        self.slots = 0.0  # how much work may be out
-        self.slots_per_backend = INITIAL_SLOTS / self.sharers  # to begin with
-        self.pressure = 1.0  # latency over unloaded latency
+        self.slots = 0.0  # concurrency limit, in mean requests
+        self.slots_per_backend = INITIAL_SLOTS / self.sharers  # initial limit per usable backend
+        self.pressure = 1.0  # moving mean of latency over unloaded latency
         self.last_judged = now
-        self.paused_until = 0.0  # a rest below one slot
-        self.typical_faults = TYPICAL_MIN  # share of faults of the median backend, as at the last fault
-        # Share of attempts of a class or plan that were rejected.
+        self.paused_until = 0.0  # no attempt starts before; set while the limit is below one slot
+        self.typical_faults = TYPICAL_MIN  # share of faults at the median backend, updated at each fault
+        # Moving share of rejected attempts, by class and by plan.
         self.rejections = dict.fromkeys((*self.classes, *(p.name for p in settings.plans)), 0.0)
-        self.rate = 0.0  # served attempts a second to one warm backend
+        self.rate = 0.0  # served attempts per second at one backend, an estimate for a warm one
         self.rate_at = now
 
     def add_class(self, cls: ClassSettings) -> None:
-        """Add a class that the settings do not name, or change one."""
+        """Add a class that is not in the settings, or replace the settings of a class."""
         if cls.name not in self.classes:
             self.latency[cls.name] = self.base_latency[cls.name] = cls.objective * TARGET_SHARE
             self.work[cls.name] = WorkModel()
@@ -104,11 +104,11 @@
         self.classes[cls.name] = cls
 
     def has_free_slot(self, now: float) -> bool:
-        """Return whether the concurrency limit allows one more attempt."""
+        """Return whether the concurrency limit allows another attempt."""
         return self.backends.load < max(1.0, self.slots) and now >= self.paused_until
 
     def warmth(self, now: float, backend: Backend) -> float:
-        """Return the share of its capacity that a backend is sure to have since its start (slow start)."""
+        """Return the fraction of its capacity that a backend is guaranteed to have at its age (slow start)."""
         grown = 1.0
         if backend.entry.born > 0 and self.settings.cold_time > 0:
             grown = (now - backend.entry.born) / self.settings.cold_time
@@ -116,7 +116,7 @@
         return min(1.0, start + (1 - start) * max(0.0, grown))
 
     def choose(self, now: float, request: Routed) -> Backend | None:
-        """Return the backend to send to; None where no slot is free or no backend may be sent to."""
+        """Return the backend for an attempt. Return None if no slot is free or no backend is eligible."""
         if not self.has_free_slot(now):
             return None
         if len(self.ready) > SCAN:
@@ -129,7 +129,7 @@
         return self.least(now, request, self.ready)
 
     def draw_subset(self, now: float) -> None:
-        """Draw this ingress's subset anew, without what is ejected. Costs a look at each backend, once a second."""
+        """Recompute the subset without ejected backends. Cost: linear in the backends, once per `SUBSET_S`."""
         count = len(self.ready)
         by_rate = round(SUBSET_REVISIT_S * self.rate * self.usable_count)
         size = max(SUBSET_MIN, SUBSETS_PER_BACKEND * count // self.sharers, by_rate)
@@ -139,7 +139,7 @@
         self.subset_at = now
 
     def least(self, now: float, request: Routed, among: list[Backend]) -> Backend | None:
-        """Return the backend of least cost: own outstanding work over learned speed; None where none is eligible."""
+        """Return the eligible backend of least cost: own outstanding work over learned speed. None if there is none."""
         best: Backend | None = None
         best_cost = 0.0
         keyed = request.ran_on if request.request_class.effect is Effect.KEYED else None
@@ -164,7 +164,7 @@
         return best
 
     def _is_eligible(self, now: float, backend: Backend, request: Routed, keyed: BackendEntry | None) -> bool:
-        """Return whether a backend may be sent to; `keyed`: the one whose group knows the request's key."""
+        """Return whether a backend may get this request; `keyed`: the backend whose group deduplicates its key."""
         entry = backend.entry
         if entry.backend in request.failed_backends or now < backend.ejected_until:
             return False
@@ -177,7 +177,7 @@
         return entry.born <= 0 or self._has_token(now, backend)
 
     def _has_token(self, now: float, backend: Backend) -> bool:
-        """Return whether a backend's slow start allows one more attempt."""
+        """Return whether a backend's slow start allows another attempt."""
         warmth = self.warmth(now, backend)
         if warmth >= 1.0:
             return True
@@ -187,11 +187,11 @@
         return backend.tokens >= 1.0
 
     def subset_factor(self) -> float:
-        """Return how much more often a backend of the subset is sent to than one of all; by as many ingresses fewer."""
+        """Return by how much a subset raises this ingress's rate per backend; as many fewer ingresses use each one."""
         return len(self.ready) / len(self.subset) if len(self.ready) > SCAN and self.subset else 1.0
 
     def sent(self, now: float, backend: Backend, request: Routed) -> None:
-        """Note an attempt that goes out."""
+        """Record an attempt that starts."""
         event = request.event
         attempt = OutstandingAttempt(now, request.request_class.name, event.plan, event.units, request.work)
         self.backends.started(backend, event.id, attempt)
@@ -199,16 +199,16 @@
             backend.tokens -= request.work
 
     def ended(self, now: float, event: events.AttemptEnded) -> None:
-        """Learn from an attempt's outcome."""
+        """Update the backend's and its class's statistics by an attempt's outcome."""
         backend = self.backends.get(event.backend)
         attempt = self.backends.finished(backend, event.request) if backend is not None else None
         if backend is None or attempt is None:
             return
-        if event.outcome in ANSWERS:  # a time-out is no sign of life, nor a fault
+        if event.outcome in ANSWERS:  # a time-out proves neither life nor a fault
             self.backends.mark_answered(now, backend)
         elif event.outcome is Outcome.CANCELLED:
             backend.cancelled(now, attempt, self.latency)
-        latency = event.elapsed / attempt.work  # as of a request of its class's mean work
+        latency = event.elapsed / attempt.work  # scaled to its class's mean work
         late = event.outcome is Outcome.TIMEOUT and latency > self.latency[attempt.class_name] and not backend.silent
         if event.outcome is Outcome.OK or late:
             self._adjust_slots(now, backend, latency / self.base_latency[attempt.class_name], event.elapsed)
@@ -220,27 +220,27 @@
             self._record_fault(now, backend)
 
     def _adjust_slots(self, now: float, backend: Backend, ratio: float, elapsed: float) -> None:
-        """Follow latency with the concurrency limit; `ratio`: an answer's latency over the unloaded one."""
-        ratio = min(ratio, LATENCY_RATIO_MAX)  # a few very costly requests are no overload
+        """Adapt the concurrency limit to latency; `ratio`: an answer's latency over the unloaded latency."""
+        ratio = min(ratio, LATENCY_RATIO_MAX)  # a few very expensive requests are no overload
         backend.ratio += 0.1 * (ratio - backend.ratio)
-        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_judged)))  # few answers: each says more
+        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_judged)))  # rare answers weigh more
         self.last_judged = now
         self.pressure += min(0.4, 5 * step) * (ratio - self.pressure)
-        if self.pressure > OVERLOADED:  # all hold too much there: one slot a backend may be too many
+        if self.pressure > OVERLOADED:  # with many ingresses even one slot each may be too many
             self.slots = max(MIN_SLOTS * self.usable_count / self.sharers, self.slots * (1 - step))
         elif self.backends.load + 2 > self.slots:
             self.slots += min(self.slots, 1 / self.slots)
-        if self.slots < 1:  # less than one attempt out on average: a rest after each
+        if self.slots < 1:  # less than one outstanding attempt on average: pause after each
             self.paused_until = now + min(1.0, elapsed) * (1 / self.slots - 1)
 
     def _record_rejection(self, now: float, backend: Backend, attempt: OutstandingAttempt, rejected: bool) -> None:
-        """Learn whether a backend rejects one class or plan: a full fleet rejects all alike."""
+        """Record whether a backend rejects a class or plan, relative to all backends (all reject under overload)."""
         for key in (attempt.class_name, attempt.plan):
             backend.rejected[key] = (float(rejected), now)
             self.rejections[key] += 0.1 * (float(rejected) - self.rejections[key])
 
     def _record_success(self, now: float, backend: Backend, attempt: OutstandingAttempt, elapsed: float) -> None:
-        """Learn rate, work and latency; the rate is of served attempts, as rejected ones show no capacity."""
+        """Update rate, work and latency. Only served attempts count in the rate, as rejections show no capacity."""
         self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + 1 / RATE_S / max(1, self.usable_count)
         self.rate_at = now
         if backend.trial:
@@ -256,7 +256,7 @@
         self.base_latency[name] = min(base, self._base_max(name))
 
     def _base_max(self, name: str) -> float:
-        """Return the most that a class's unloaded latency is taken for: an overload is never the norm."""
+        """Return the upper bound of a class's unloaded latency, so that overload is never learned as the norm."""
         return TARGET_SHARE * self.classes[name].objective
 
     def _record_fault(self, now: float, backend: Backend) -> None:
@@ -266,9 +266,9 @@
             self.eject(now, backend, "failing")
 
     def weigh(self, backend: Backend, fault: bool) -> None:
-        """Add evidence that a backend is out of order, and not just as unlucky as half of the fleet is.
+        """Update the evidence that a backend is faulty rather than as error-prone as the median backend.
 
-        A fault costs a look at each backend; an answer does not.
+        Cost: linear in the backends for a fault, constant for an answer.
         """
         if fault:
             median = statistics.median_low([b.errors for b in self.backends.values() if b.usable] or [0.0])
@@ -279,7 +279,7 @@
         backend.fault_evidence = max(0.0, backend.fault_evidence + gain)
 
     def eject_silent(self, now: float, factor: float) -> list[Backend]:
-        """Eject backends that owe answers for `factor` times their usual time, and return them."""
+        """Eject backends whose answers are overdue by `factor` typical latencies in total, and return them."""
         owing = (b for b in self.backends.values() if b.outstanding)
         silent = [b for b in owing if factor * max(1.0, b.ratio) <= b.overdue(now, self.latency)]
         for backend in silent:
@@ -287,7 +287,7 @@
         return silent
 
     def eject(self, now: float, backend: Backend, why: str) -> None:
-        """Have a backend rest a while, then take one trial at a time; part of the fleet is always kept."""
+        """Eject a backend for `EJECT_S`, after which it gets one trial at a time. `KEEP_SHARE` of all stay in use."""
         ejected = sum(1 for b in self.backends.values() if b.usable and now < b.ejected_until)
         if now < backend.ejected_until or ejected + 1 > (1 - KEEP_SHARE) * self.usable_count:
             return
@@ -298,7 +298,7 @@
         self.actions.append(Log(f"ejected {backend.entry.backend}: {why}"))
 
     def listed(self, now: float, event: events.ListUpdate) -> None:
-        """Follow the endpoint list: nothing new to what drains or is gone, slow start for what is new."""
+        """Apply an endpoint list: draining and removed backends get no new attempts, new ones a slow start."""
         if event.kind is ListKind.FAILED:
             return
         self.backends.listed(now, event)
@@ -310,13 +310,13 @@
         self.slots = self.slots or max(2.0, self.slots_per_backend * self.usable_count)
 
     def learned(self, now: float) -> Learned:
-        """Return what the next incarnation of this ingress can go on from. Costs a look at each backend."""
+        """Return the learned state for the next incarnation of this ingress. Cost: linear in the backends."""
         classes = {n: w.to_learned(self.latency[n], self.base_latency[n]) for n, w in self.work.items()}
         backends = {name: b.to_learned() for name, b in self.backends.items() if b.usable}
         return Learned(now, self.slots, self.usable_count, self.rate, classes, backends)
 
     def restore(self, now: float, learned: Learned) -> None:
-        """Go on from what an earlier incarnation had learned. Before any list."""
+        """Restore what an earlier incarnation had learned. Call it before the first endpoint list."""
         for name, known in learned.classes.items():
             if name in self.work:
                 self.latency[name] = known.latency
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -1,7 +1,7 @@
-"""All decisions of a quota gateway; its settings, events and actions are in `thistleusher.core`.
+"""Entry point of the decision module; its settings, events and actions are in `thistleusher.core`.
 
-`Gateway` ties the concerns together. From the bottom up: `usage_replication` (customers' buckets in step with peers),
-`fleet` (backends), `attempts` (what is sent and retried), `totals` (what the counter's totals say) and `admission`.
+`Gateway` connects the modules. From the bottom up: `usage_replication` (customers' buckets and peers), `fleet`
+(backends), `attempts` (sending and retries), `totals` (corrections by the counter's totals) and `admission`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from thistleusher.policy.totals import carried_over
 from thistleusher.policy.usage_replication import UsageReplication
 
-# Tokens of timers.
+# Timer tokens.
 SWEEP_TIMER = 0
 NOTIFY_TIMER = 1
 HANDSHAKE_TIMER = 2
@@ -33,9 +33,9 @@
 
 
 class Gateway:
-    """One ingress: `handle` takes an event and returns the actions it calls for.
+    """Decisions of one ingress: `handle` takes an event and returns the resulting actions.
 
-    `now` is Unix time in seconds, the same at all ingresses, and never goes back.
+    `now` is Unix time in seconds, agrees between all ingresses, and never decreases.
     """
 
     def __init__(
@@ -47,9 +47,10 @@
         placement: CounterOf | None = None,
         gossip: Gossip | None = None,
     ) -> None:
-        """`escrow` holds customers to shares while no total can be trusted; without it even shares do.
+        """`escrow` limits customers to shares while totals are unavailable; if it is None, even shares limit them.
 
-        `placement` says which of several counters holds a name; `gossip`, in a large fleet, who is notified of what.
+        `placement` maps a count's name to one of several counters. `gossip` selects the peers of each update if there
+        are too many ingresses to notify all of them.
         """
         rng = random.Random(seed)
         self.settings = settings
@@ -77,7 +78,7 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide on one event."""
+        """Handle one event and return the resulting actions."""
         self.actions.clear()
         if not self.started:
             self.started = True
@@ -89,7 +90,7 @@
         return self.actions.copy()
 
     def _set_timers(self, now: float) -> None:
-        """Set each timer that is due and not set. An idle ingress costs nothing."""
+        """Set each timer that is needed and not yet set. An idle ingress sets none."""
         if not self.attempts.timer_set and (self.fleet.backends.outstanding or self.attempts.queue):
             self.attempts.timer_set = True
             self.actions.append(SetTimer(SWEEP_S, SWEEP_TIMER))
@@ -120,12 +121,12 @@
             self.attempts.sweep(now)
 
     def _leaving(self, now: float, event: events.Leaving) -> None:
-        """Hand what only this ingress knows to the counter and to its peers."""
+        """Report usage that only this ingress knows to the counter and to peers, before shutdown."""
         self.admission.write_back(now)
         self.notifier.hand_over(now)
 
     def headroom(self, now: float, key: int, plan: str) -> float:
-        """Return the units left of a customer's quota, as far as is known here; nothing changes."""
+        """Return the units left of a customer's quota, as known here. Changes no state."""
         customer = self.replication.customers.get(key)
         if customer is None or customer.plan.name != plan:
             known = self.replication.customers.plans.get(plan)
@@ -134,12 +135,12 @@
             customer = Customer(key, known, now)
             customer.first = self.settings.me
         missed_windows = customer.plan.rate > 0 and customer.window < customer.window_at(now) - 1
-        if missed_windows and not self.replication.knows_recent_usage(now, customer):  # as the next total will find it
+        if missed_windows and not self.replication.knows_recent_usage(now, customer):  # the next total assumes the same
             return min(customer.headroom(now), carried_over(now, customer)) - customer.in_flight
         return customer.available(now)
 
     def restore(self, now: float, members: Iterable[SavedCustomer], learned: Learned | None = None) -> None:
-        """Go on from what an earlier incarnation knew, and follow what changes from now on. Before any event."""
+        """Restore an earlier incarnation's state and record changes from now on. Call it before the first event."""
         customers = self.replication.customers
         customers.changed = {}
         if learned is not None:
@@ -148,5 +149,5 @@
             customers.see(now, saved.key, customers.plans[saved.plan]).restore(saved)
 
     def take_changed(self, most: int) -> list[SavedCustomer]:
-        """Return customers that have changed since they were last taken, `most` at once. Cost: in proportion."""
+        """Return up to `most` customers that changed since they were last returned. Cost: linear in the result."""
         return self.replication.customers.take_changed(most)
--- a/thistleusher/policy/health.py
+++ b/thistleusher/policy/health.py
@@ -1,32 +1,32 @@
-"""How well a counter answers, and so what share of requests calls it. Backends' health is in `policy.fleet`."""
+"""Health of a counter, which sets the share of requests that call it. Backend health is in `policy.fleet`."""
 
 from __future__ import annotations
 
-DOWN_MISSES = 8  # in a row, after which the counter counts as down for all and not just as crowded
-TARGET_WAIT = 0.3  # of its time-out: the mean wait for the counter at which the share of requests that call stays
-MIN_STEP = 0.1  # how far an answer moves that share at least; more, by the seconds since the last one
-CALL_INTERVAL_S = 1.0  # without a call, after which a request calls whatever the share
-SILENT_S = 1.0  # of misses alone, after which totals have stopped coming
-MIN_CALL_SHARE = 0.05  # least share of requests that call
-DOWN_CALL_SHARE = 0.2  # the same while the counter is down, and least that a charge is scaled up by
-RECOVERY_CALL_SHARE = 0.5  # the share that it begins with when the counter is back
-MISS_FACTOR = 0.6  # what a miss leaves of the share
+DOWN_MISSES = 8  # consecutive failed calls after which the counter counts as down, not just as overloaded
+TARGET_WAIT = 0.3  # mean wait for an answer, as a fraction of the time-out, at which the call share stays constant
+MIN_STEP = 0.1  # smallest gain with which an answer adjusts the call share; the seconds since the last answer raise it
+CALL_INTERVAL_S = 1.0  # time without a call after which a request calls regardless of the call share
+SILENT_S = 1.0  # time with only failed calls after which totals count as unavailable
+MIN_CALL_SHARE = 0.05  # lower bound of the call share
+DOWN_CALL_SHARE = 0.2  # lower bound while the counter is down, and the smallest divisor that scales up a charge
+RECOVERY_CALL_SHARE = 0.5  # call share after the first answer of a counter that was down
+MISS_FACTOR = 0.6  # factor by which a failed call reduces the call share
 
 
 class CounterHealth:
-    """How readily one counter answers."""
+    """Health of one counter, from the outcomes and waits of calls."""
 
     def __init__(self) -> None:
-        self.call_share = 1.0  # of requests that call it
-        self.calls_per_request = 1.0  # moving mean
-        self.misses = 0  # in a row
+        self.call_share = 1.0  # share of requests that call this counter
+        self.calls_per_request = 1.0  # moving mean over requests
+        self.misses = 0  # consecutive failed calls
         self.missing_since = 0.0
         self.has_answered = False
         self.last_called = 0.0
         self.last_answered = 0.0
 
     def record_miss(self, now: float) -> None:
-        """Have fewer requests call: a call had no usable answer in time."""
+        """Reduce the call share after a call without a usable answer in time."""
         if self.misses == 0:
             self.missing_since = now
         least = DOWN_CALL_SHARE if self.is_down() else MIN_CALL_SHARE
@@ -34,7 +34,7 @@
         self.misses += 1
 
     def record_answer(self, now: float, waited: float) -> None:
-        """Take in an answer that came after `waited` of the time-out. Few answers: each says more."""
+        """Adjust the call share after an answer; `waited` is a fraction of the time-out. Rare answers weigh more."""
         self.call_share += min(1.0, max(MIN_STEP, now - self.last_answered)) * (TARGET_WAIT - waited)
         self.last_answered = now
         if self.is_down():
@@ -45,10 +45,10 @@
         self.has_answered = True
 
     def is_silent(self, now: float) -> bool:
-        """Return whether totals have stopped coming, even if too few calls are made to count it as down.
+        """Return whether totals have stopped arriving, even if there were too few calls to count the counter as down.
 
-        A counter that has never answered counts as silent at its first miss: who has only started cannot know how long
-        it has been so.
+        A counter that has never answered counts as silent at its first failed call, because an ingress that has just
+        started cannot know how long the outage has lasted.
         """
         if self.is_down():
             return True
@@ -57,5 +57,5 @@
         return self.misses > 1 and now - self.missing_since > SILENT_S
 
     def is_down(self) -> bool:
-        """Return whether the counter counts as down for all, and not just as crowded."""
+        """Return whether the counter counts as down, not just as overloaded."""
         return self.misses >= DOWN_MISSES
--- a/thistleusher/policy/totals.py
+++ b/thistleusher/policy/totals.py
@@ -1,4 +1,4 @@
-"""What the counter's totals say of a customer's bucket."""
+"""Correction of customers' buckets by the counter's totals."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from thistleusher.core.settings import Settings
 from thistleusher.policy.usage_replication import UsageReplication
 
-LOSS_REQUESTS = 2.0  # most units, in largest requests, by which a total may be below what was added here
-LOSS_LOG_S = 10.0  # between log lines about that
-ASSUMED_LEVEL = 0.8  # of the burst that counts as left at the end of a window that nothing was seen of
-ASSUMED_REFILL_S = 2.0  # in which the rest is taken to refill at the latest, however slow the quota's rate
-LOCAL_PART_WEIGHT = 0.2  # of a new total in the part of a customer's usage that comes through here
+LOSS_REQUESTS = 2.0  # shortfall of a total against own added units, in largest requests, that is no loss yet
+LOSS_LOG_S = 10.0  # minimum interval between log lines about lost counts
+ASSUMED_LEVEL = 0.8  # fraction of the burst assumed to be left at the end of a window without history
+ASSUMED_REFILL_S = 2.0  # longest time assumed for the refill of the remaining fraction, even at a low rate
+LOCAL_PART_WEIGHT = 0.2  # weight of a new total in the moving share of usage that comes through this ingress
 
 
 def carried_over(now: float, customer: Customer) -> float:
-    """Return what is assumed to be left of the previous window, and refilled since, if nothing is known of it."""
+    """Return the level assumed for a customer without known history: what the last window left, plus refill."""
     burst = customer.plan.burst
     since = now + customer.phase - customer.window_at(now) * customer.window_length
     refill = max(customer.plan.rate, (1 - ASSUMED_LEVEL) * burst / ASSUMED_REFILL_S)
@@ -23,20 +23,20 @@
 
 
 class Totals:
-    """Corrects buckets by totals: what a total contains beyond what is known here was admitted elsewhere."""
+    """Corrects buckets by totals: units in a total that are unknown here were admitted at other ingresses."""
 
     def __init__(self, settings: Settings, replication: UsageReplication, actions: list[Action]) -> None:
         self.settings = settings
         self.replication = replication
         self.actions = actions
-        self.last_loss = 0.0  # when a count was last found to have lost units
+        self.last_loss = 0.0  # time at which a count was last found to have lost units
 
     def apply(self, now: float, customer: Customer, window: int, units: float, total: float, charge: float) -> None:
-        """Correct a bucket by the total of a window, after a call that added `units`, `charge` of them a request's."""
+        """Correct a bucket by a window's total after a call that added `units`, including a request's `charge`."""
         missed_windows = customer.window < window - 1
         no_history = missed_windows or (customer.window == window and not customer.continuous)
         if no_history and customer.is_wide() and not customer.owned:
-            # Each ingress would assume most of a bucket to be left, anew in every window.
+            # Otherwise each of many ingresses would assume an almost full bucket in every window.
             customer.continuous = False
             customer.window = window
             customer.total = total
@@ -60,10 +60,10 @@
         customer.excess_at = now
 
     def _begin_window(self, now: float, customer: Customer, window: int) -> None:
-        """Carry the level over into a window that no total has come of."""
+        """Carry the level over into a window without a total so far."""
         if customer.window < window - 1 and not self.replication.knows_recent_usage(now, customer):
-            # No history here: a part of the burst is taken as carried over, less what peers have reported since; what
-            # was admitted or reported before stays known.
+            # Without recent history, assume part of the burst as carried over, less what peers reported in this window.
+            # The level known from earlier usage stays an upper bound.
             carried = carried_over(now, customer) - customer.reported_in(window)
             customer.set_level(now, min(customer.headroom(now), carried))
         elif customer.excess > 0 and self.replication.knows_window(now, customer):
@@ -73,21 +73,21 @@
         customer.excess = 0.0
 
     def _report_again(self, now: float, customer: Customer) -> None:
-        """Have the units that a count has lost reported again: it is another counter's, or its name was cut short.
+        """Queue the units that a count has lost to be reported again, as after a change of counter or early expiry.
 
-        Its totals say nothing of what came before: the bucket goes on by what was admitted here and what peers report.
+        Totals no longer contain earlier usage, so the bucket follows own admissions and peers' reports instead.
         """
         lost = customer.acknowledged
         if now - self.last_loss > LOSS_LOG_S:
-            self.actions.append(Log(f"counter forgets: {lost:.1f} units of a name are gone; they are told anew"))
+            self.actions.append(Log(f"counter lost {lost:.1f} units of a count; reporting them again"))
         self.last_loss = now
         customer.report_again()
 
     def _resolve_doubt(self, customer: Customer, window: int) -> None:
-        """Decide whether calls without an answer were counted, where all other usage is known."""
+        """Decide whether unanswered calls were counted. Requires that all other usage is known."""
         unknown = customer.total - customer.acknowledged - customer.reported_in(window)
         if unknown > customer.doubtful / 2:
-            # Nobody else can have added so much: those units are in the count, and are not reported again.
+            # No other ingress can have added these units: the unanswered calls were counted. Do not report them again.
             customer.acknowledged += customer.doubtful
             customer.pending -= customer.doubtful
         customer.doubtful = 0.0
--- a/thistleusher/policy/usage_replication.py
+++ b/thistleusher/policy/usage_replication.py
@@ -1,7 +1,7 @@
-"""Usage replication among ingresses: customers' buckets here, kept in step with those at the peers.
+"""Usage replication: customers' buckets at this ingress, updated by usage at its peers.
 
-Guarantee: a unit that a peer reports, or a total shows, comes off the bucket once, whichever is known first.
-Cost: constant a request; a notification costs in proportion to the customers admitted since the last one.
+Guarantee: a unit that both a peer and a total report is deducted once, whichever report arrives first.
+Cost: constant per request; a notification is linear in the customers with new usage since the last one.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from thistleusher.core.settings import Settings
 from thistleusher.policy.health import CounterHealth
 
-PRESENCE_S = 0.4  # without a notification, after which an ingress answers peers that it is there
-TOUCH_S = 1.0  # without a message, after which a peer counts as out of touch while the counter is down
-AWAY_S = 60.0  # the same while totals come: they show its usage, and it is likely to be restarting
-EXCESS_S = 0.3  # after which units of a total that no peer has reported were a charge that was added back
+PRESENCE_S = 0.4  # time without an own notification after which a peer's usage is answered by an empty one
+TOUCH_S = 1.0  # time without a message after which a peer is out of contact while the counter is silent
+AWAY_S = 60.0  # same while totals arrive, as they include the peer's usage and it is probably restarting
+EXCESS_S = 0.3  # age at which units of a total that no peer has reported count as a reversed charge
 
 
 @dataclass(eq=False, repr=False)
 class UsageReplication:
-    """The buckets of all customers at one ingress; with `gossip` not every peer gets every update."""
+    """The buckets of all customers at one ingress. With `gossip`, an update does not go to every peer."""
 
     settings: Settings
     counters: PerCounter[CounterHealth]
@@ -44,19 +44,20 @@
         self.plan_numbers = self.customers.plan_numbers
         self.exhausted = ExhaustedWindows()
         self.notifier = PeerNotifier(settings, self.customers, self.actions, self.started_at, self.escrow, self.gossip)
-        self.last_heard = dict.fromkeys(range(settings.instances), 0.0)  # from each peer
+        self.last_heard = dict.fromkeys(range(settings.instances), 0.0)  # Unix time of each peer's last message
 
     def owner_of(self, now: float, customer: Customer) -> int | None:
-        """Return the ingress that owns the account of a customer with a wide set; None where each ingress decides.
+        """Return the ingress that owns a customer's account, or None if each ingress decides.
 
-        A ceiling has no owner: while owners change its headroom could be had twice.
+        Only customers with a wide set have an owner. Plans with a ceiling have none, because their headroom could be
+        granted twice while owners change.
         """
         if self.gossip is None or not customer.is_wide() or customer.plan.ceiling_rate > 0:
             return None
         return self.gossip.owner(now, customer.key, customer.first, customer.width)
 
     def admit(self, now: float, customer: Customer, units: float, charge: Charge | None = None) -> None:
-        """Take units that were admitted here off the bucket, and have peers notified."""
+        """Deduct units that were admitted here from the bucket, and queue a notification of peers."""
         customer.consume(now, units)
         self.customers.mark_changed(customer)
         if self.escrow is not None and not (charge is not None and charge.from_escrow):
@@ -66,7 +67,7 @@
         self.notifier.usage_changed(now, customer, units, lazy=charge is None)
 
     def reconcile(self, now: float, charge: Charge, units: float) -> None:
-        """Correct what a request was charged by so many units, where its customer's account is kept."""
+        """Add `units` (which may be negative) to a request's charge, at the owner of its customer's account if any."""
         customer = charge.customer
         if charge.owner is not None and self.gossip is not None:
             self.gossip.reconcile(charge.owner, customer.key, self.plan_numbers[customer.plan.name], units)
@@ -75,19 +76,19 @@
         self.admit(now, customer, units)
 
     def admit_from_share(self, now: float, customer: Customer, units: float) -> bool:
-        """Return whether this ingress's own share of the allowance admits units; if not, ask peers for theirs."""
+        """Return whether this ingress's own share of the allowance admits units; if not, demand shares from peers."""
         if self.escrow is None:
             return True
         plan = self.plan_numbers[customer.plan.name]
-        spent = max(0.0, customer.plan.burst - customer.headroom(now))  # of a ceiling no more: it refills faster
+        spent = max(0.0, customer.plan.burst - customer.headroom(now))  # also for a ceiling, which refills faster
         admitted = self.escrow.admit(now, plan, customer.key, customer.first, customer.width, units, spent)
         if not admitted:
             self.notifier.send_demands(now)
-            self.notifier.notify_due = True  # what is not sent now goes with the next notification
+            self.notifier.notify_due = True  # demands not sent now go with the next one
         return admitted
 
     def peer_message_received(self, now: float, message: events.PeerMessage) -> None:
-        """Take in a peer's usage, shares, or the name of a window that is used up."""
+        """Handle a peer's usage report, share message, or the name of an exhausted window."""
         sender, payload = message
         self.last_heard[sender] = now
         mark = payload[:1]
@@ -105,10 +106,10 @@
             self.exhausted.record(now, payload, self.customers.retention)
 
     def merge_usage(self, now: float, peer: int, name: int, total: int, new: int, level: float) -> None:
-        """Take a customer's usage at a peer off its bucket.
+        """Deduct a customer's usage at a peer from its bucket.
 
-        The peer's total, modulo 2^16, makes up for lost messages, unless the peer has started anew. An ingress that has
-        only started itself knows nothing of what went before: the peer's level replaces its own.
+        The peer's total, modulo 2^16, recovers lost messages unless the peer has restarted. An ingress that has itself
+        just started has no history, so the peer's level replaces its own if it is lower.
         """
         plan = self.customers.plan_of(name & 127)
         if plan is None:
@@ -116,13 +117,13 @@
         customer = self.customers.see(now, name >> 7, plan)
         quarters = customer.peer_usage(peer, total, new, -8 * self.settings.max_units, 8 * plan.burst)
         units = quarters / 4
-        covered = min(max(0.0, customer.excess), max(0.0, units))  # a total has shown that much of it already
+        covered = min(max(0.0, customer.excess), max(0.0, units))  # already deducted by a total
         window = customer.window_at(now)
         customer.reported = units + customer.reported_in(window)
         customer.reported_window = window
         customer.excess -= covered
-        # What only the total reports came in messages that were lost; where messages are few that is seconds ago. The
-        # bucket has refilled since, and what went beyond it took nothing: it can be empty for that, but not in debt.
+        # Usage in the total but not in `new` was in lost messages, which may be seconds old if messages are rare. The
+        # bucket has refilled since and overflow took nothing, so late usage may empty it but not make it negative.
         lost = max(0.0, (quarters - new) / 4) if self.gossip is not None else 0.0
         late = min(lost, max(0.0, units - covered))
         customer.consume(now, units - covered - late)
@@ -132,14 +133,14 @@
             customer.set_level(now, min(customer.headroom(now), level * plan.burst))
 
     def in_touch(self, now: float, customer: Customer, strict: bool = False) -> bool:
-        """Return whether all ingresses of the customer's set are heard from: the bucket is known without calls.
+        """Return whether all ingresses of the customer's set are in contact, so that its bucket is known without calls.
 
-        `strict`: within the shorter time also while totals come.
+        `strict`: require contact within `TOUCH_S` even while totals arrive.
         """
         if customer.owned:
             return True
         short = strict or self.counters.of_customer(now, customer).is_silent(now)
-        if strict and now - self.started_at < TOUCH_S:  # peers are given time to say that they are there
+        if strict and now - self.started_at < TOUCH_S:  # give peers time for a first message
             return True
         if not self.notifier.limits.enabled or customer.is_wide():
             return False
@@ -153,22 +154,22 @@
         )
 
     def is_level_assumed(self, now: float, customer: Customer) -> bool:
-        """Return whether a bucket counts as full here only because an earlier incarnation's knowledge is gone."""
+        """Return whether a bucket is only assumed full, because an earlier incarnation's state is lost."""
         if self.escrow is None or customer.level_confirmed:
             return False
         return now - self.started_at < customer.window_length and self.escrow.has_restarted()
 
     def knows_window(self, now: float, customer: Customer) -> bool:
-        """Return whether all that the present window's total contains was admitted here or reported by peers."""
+        """Return whether all usage in the current window was admitted here or reported by peers."""
         if customer.owned or not self.in_touch(now, customer):
             return False
         return customer.created_at <= customer.window_at(now) * customer.window_length - customer.phase
 
     def knows_recent_usage(self, now: float, customer: Customer) -> bool:
-        """Return whether all that the customer has used of late must be known here.
+        """Return whether all recent usage of the customer is known here.
 
-        Peers would have reported it; or it came through here alone, and this ingress, or a counter of its own, is old
-        enough to know it.
+        Either peers have reported it, or the customer comes through this ingress alone, and this ingress has run for
+        two windows or uses a counter of its own.
         """
         if customer.owned:
             return True
@@ -182,7 +183,7 @@
         return customer.level_confirmed or old_enough or self.knows_window(now, customer)
 
     def release_stale_excess(self, now: float, customer: Customer) -> None:
-        """Put back what a total contained and no peer has reported since: a charge that was added back."""
+        """Credit units of a total that no peer has reported in time: a charge that was reversed elsewhere."""
         if customer.excess > 0 and now - customer.excess_at > EXCESS_S and self.knows_window(now, customer):
             customer.set_level(now, customer.headroom(now) + customer.excess)
             customer.excess = 0.0
