--- a/thistleusher/core/__init__.py
+++ b/thistleusher/core/__init__.py
@@ -1,5 +1,5 @@
-"""Drives the decision module: events in, actions out, with the records and codecs that both sides share.
+"""The driver of the decision module (events in, actions out), with the records and codecs that both sides share.
 
-It promises one final answer for each request, and knows no sockets: backends, counter and peers are reached through the
-protocols of `core.ports`.
+The driver gives each request one final answer. It does no network I/O itself, but reaches backends, counter and peers
+through the protocols of `core.ports`.
 """
--- a/thistleusher/core/actions.py
+++ b/thistleusher/core/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision module wants done; the driver carries them out."""
+"""Actions that the decision module returns and the driver carries out."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Attempt(NamedTuple):
-    """Send the request to a backend; `timeout` None: until the client gives up."""
+    """Send the request to a backend. `timeout` None means until the request's deadline."""
 
     request: str
     backend: str
@@ -14,27 +14,27 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an outstanding attempt; `attempt` is its number."""
 
     request: str
     attempt: int
 
 
 class Refuse(NamedTuple):
-    """Final answer: refused, a retry is harmless."""
+    """Final answer: refused. A retry is harmless, and may succeed after `retry_in` seconds."""
 
     request: str
     retry_in: float = 0.0
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed. The request may or may not have run."""
 
     request: str
 
 
 class SetTimer(NamedTuple):
-    """Have a TimerFired with this token come after `delay` seconds."""
+    """Deliver a `TimerFired` event with this token after `delay` seconds."""
 
     delay: float
     token: int
@@ -53,14 +53,14 @@
 
 
 class SendToPeer(NamedTuple):
-    """Send bytes to a peer, or to all (None)."""
+    """Send a datagram to one peer, or to all peers (None)."""
 
     peer: int | None
     payload: bytes
 
 
 class CounterAdd(NamedTuple):
-    """Add to a named count; a new name expires after `lifetime` seconds."""
+    """Add to a named count. A new count expires after `lifetime` seconds."""
 
     name: int
     amount: float
@@ -68,17 +68,17 @@
 
 
 class Subscribe(NamedTuple):
-    """Follow the list of servers, or stop following it."""
+    """Subscribe to the endpoint list, or unsubscribe from it."""
 
     on: bool
 
 
 class FetchList(NamedTuple):
-    """Fetch the complete list of servers once."""
+    """Fetch the complete endpoint list once."""
 
 
 class Log(NamedTuple):
-    """One line for the people on call."""
+    """Write one log line for operators."""
 
     text: str
 
--- a/thistleusher/core/answers.py
+++ b/thistleusher/core/answers.py
@@ -1,8 +1,8 @@
-"""A final answer as HTTP status, headers and body, the same from the daemon and from the library.
+"""HTTP status, headers and body of a final answer, the same in the daemon and in the library.
 
-Status codes are those of RFC 9110, section 15, and RFC 6585, section 4 (429); `Retry-After` holds whole seconds
-(RFC 9110, section 10.2.3), or a decimal where the clients are known to read one. `RateLimit` and `RateLimit-Policy`
-follow the IETF draft draft-ietf-httpapi-ratelimit-headers.
+Status codes follow RFC 9110, section 15, and RFC 6585, section 4 (429). `Retry-After` holds whole seconds (RFC 9110,
+section 10.2.3), or a decimal number if the clients are known to parse one. `RateLimit` and `RateLimit-Policy` follow
+the IETF draft draft-ietf-httpapi-ratelimit-headers.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 
 def headers_of(final: Final, whole: bool = False) -> tuple[tuple[bytes, bytes], ...]:
-    """Return `Retry-After` in seconds, where it is known when a retry has a chance.
+    """Return `Retry-After` in seconds if the time at which a retry may succeed is known.
 
-    `whole`: rounded up, as common clients take nothing else, with the exact time in `Retry-After-Ms`.
+    `whole`: round up, as common clients accept only whole seconds, and add the exact time as `Retry-After-Ms`.
     """
     if final.retry_in <= 0 or final.verdict not in (Verdict.OVER_QUOTA, Verdict.NO_ROOM):
         return ()
@@ -47,9 +47,9 @@
 
 
 def problem_of(final: Final) -> bytes:
-    """Return the body in problem details form (RFC 9457): `reason`, and `retry_in` in seconds where it is known.
+    """Return the body as problem details (RFC 9457) with `reason`, and with `retry_in` in seconds if it is known.
 
-    Its type is `about:blank`: the status says all there is (section 4.2.1).
+    The type is `about:blank`, as the problem has no semantics beyond the status code (section 4.2.1).
     """
     status = STATUS[final.verdict]
     body: dict[str, object] = {
@@ -64,9 +64,9 @@
 
 
 def ratelimit_headers(plan: PlanSettings, headroom: float) -> tuple[tuple[bytes, bytes], ...]:
-    """Return what is left of a quota: `q` units a window of `w` s; `r` left now, full again in `t` s, whole numbers.
+    """Return the headers for a quota of `q` units per window of `w` s, with `r` units left and full again in `t` s.
 
-    `headroom` in units. Empty where the plan has no quota.
+    All header values are integers. `headroom` is in units. Return no headers if the plan has no quota.
     """
     if plan.rate <= 0:
         return ()
--- a/thistleusher/core/backend_table.py
+++ b/thistleusher/core/backend_table.py
@@ -1,4 +1,4 @@
-"""The backends of the endpoint list, with what this ingress knows of each."""
+"""The backends of the endpoint list, with this ingress's state of each."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class BackendTable(dict[str, Backend]):
-    """Backends by id. What has left the list is kept while attempts are outstanding there."""
+    """Backends by id. A backend that has left the list is kept while it has outstanding attempts."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
         self.rng = rng
-        self.outstanding = 0  # own attempts out
-        self.load = 0.0  # their work, less that at silent backends
-        self.learned: dict[str, LearnedBackend] = {}  # by an earlier incarnation, until the list names them
+        self.outstanding = 0  # this ingress's outstanding attempts
+        self.load = 0.0  # work of the outstanding attempts, except at silent backends
+        self.learned: dict[str, LearnedBackend] = {}  # saved state, until the list names the backend
 
     def started(self, backend: Backend, request: str, attempt: OutstandingAttempt) -> None:
-        """Note an attempt that goes out."""
+        """Record an attempt that starts."""
         backend.start(request, attempt)
         self.outstanding += 1
         if not backend.silent:
             self.load += attempt.work
 
     def finished(self, backend: Backend, request: str) -> OutstandingAttempt | None:
-        """Return the attempt that has ended; None where none was out."""
+        """Remove and return the attempt that has ended, or None if none was outstanding."""
         attempt = backend.finish(request)
         if attempt is not None:
             self.outstanding -= 1
@@ -37,14 +37,14 @@
         return attempt
 
     def mark_silent(self, backend: Backend) -> None:
-        """Have what is outstanding at a backend take no slots."""
+        """Mark a backend silent, so that its outstanding attempts take no slots."""
         if not backend.silent:
             backend.silent = True
             backend.unanswered = 0.0
             self.load = max(0.0, self.load - backend.work)
 
     def mark_answered(self, now: float, backend: Backend) -> None:
-        """Note a sign of life: what is outstanding there takes slots."""
+        """Record a sign of life from a backend. Its outstanding attempts take slots again."""
         backend.last_answered = now
         backend.unanswered = 0.0
         if backend.silent:
@@ -52,7 +52,7 @@
             self.load += backend.work
 
     def listed(self, now: float, event: events.ListUpdate) -> None:
-        """Follow the endpoint list."""
+        """Apply an endpoint list, or a change to it."""
         for backend in self.values():
             backend.usable = backend.usable and event.kind is ListKind.CHANGE
         for entry in event.entries:
@@ -67,7 +67,7 @@
                 del self[name]
 
     def _backend_of(self, now: float, entry: BackendEntry) -> Backend:
-        """Return the backend of an entry; a new one where it, or its process, is new."""
+        """Return the backend of an entry. Create it if the backend is new or its process has restarted."""
         known = self.get(entry.backend)
         if known is not None and entry.born == known.entry.born:
             return known
--- a/thistleusher/core/counter_calls.py
+++ b/thistleusher/core/counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls on the counter that have no reply yet."""
+"""Outstanding calls to the counter."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CounterCall(NamedTuple):
-    """A call on the count of a customer's window; `charge` None where no request waits for its total."""
+    """A call on the count of a customer's window. `charge` is None if no request waits for its total."""
 
     customer: Customer
     window: int
@@ -19,12 +19,12 @@
 
     @property
     def charged(self) -> float:
-        """Units of the call that are a request's charge; the others report usage that was pending."""
+        """Units of the call that are a request's charge; the remaining units report pending usage."""
         return self.charge.units if self.charge is not None else 0.0
 
 
 class CounterCalls:
-    """All calls without a reply; replies on one name come in the order of its calls."""
+    """Outstanding calls by count name. Replies on one name arrive in the order of its calls."""
 
     def __init__(self) -> None:
         self.by_name: dict[int, deque[CounterCall]] = {}
@@ -33,7 +33,7 @@
         return bool(self.by_name)
 
     def start(self, now: float, customer: Customer, units: float, charge: Charge | None) -> int:
-        """Note a call on the count of the customer's current window, and return the count's name."""
+        """Record a call on the count of the customer's current window, and return the count's name."""
         name = customer.count_name(now)
         call = CounterCall(customer, customer.window_at(now), units, charge)
         self.by_name.setdefault(name, deque()).append(call)
@@ -42,7 +42,7 @@
         return name
 
     def finish(self, name: int) -> CounterCall | None:
-        """Return the call that a reply on this name belongs to; None where there is none."""
+        """Remove and return the oldest call on a name, which its next reply belongs to, or None if there is none."""
         queue = self.by_name.get(name)
         if not queue:
             return None
--- a/thistleusher/core/customer_table.py
+++ b/thistleusher/core/customer_table.py
@@ -1,4 +1,4 @@
-"""The customers that one ingress knows, and which of their windows are used up."""
+"""The table of customers at one ingress, and their exhausted windows."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class CustomerTable(OrderedDict[int, Customer]):
-    """Customers by their key, the longest quiet first. Those long quiet are forgotten: many come once and never again.
+    """Customers by key, least recently seen first. Idle customers are evicted, as many send only one request.
 
-    Peers name a plan by its number in the settings.
+    Messages to peers identify a plan by its index in the settings.
     """
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
         self.plans = {p.name: p for p in settings.plans}
-        self.plan_list = list(self.plans.values())  # by number
+        self.plan_list = list(self.plans.values())  # by index in the settings
         self.plan_numbers = {p.name: n for n, p in enumerate(settings.plans)}
         self.retention = retention_s(settings)
-        self.changed: dict[int, Customer] | None = None  # since they were last saved; None where none are saved
+        self.changed: dict[int, Customer] | None = None  # changed since the last save; None: not saved
 
     def plan_of(self, number: int) -> PlanSettings | None:
-        """Return the plan of a number; None where there is none, or where it has no quota."""
+        """Return the plan with an index, or None if there is no such plan or it has no quota."""
         plan = self.plan_list[number] if number < len(self.plan_list) else None
         return plan if plan is not None and plan.rate > 0 else None
 
     def see(self, now: float, key: int, plan: PlanSettings) -> Customer:
-        """Return a customer, known or new, that is seen now; forget those long quiet, unless charges are in flight."""
+        """Return a customer, created if new, and mark it seen. Evict idle customers without charges in flight."""
         customer = self.get(key)
         if customer is None:
             customer = self[key] = Customer(key, plan, now)
@@ -48,9 +48,9 @@
         return customer
 
     def see_owned(self, now: float, plan_number: int, key: int, first: int = 0, width: int = 0) -> Customer | None:
-        """Return a customer whose account is kept here, as a peer says; None where there is no such plan.
+        """Return a customer and make this ingress the owner of its account, as a peer requests.
 
-        `width` 0: its set is as known. A plan with a ceiling has no accounts.
+        Return None if there is no such plan or the plan has a ceiling. `width` 0 keeps the known ingress set.
         """
         plan = self.plan_of(plan_number)
         if plan is None or plan.ceiling_rate > 0:
@@ -63,12 +63,12 @@
         return customer
 
     def mark_changed(self, customer: Customer) -> None:
-        """Have the customer saved with the next changes, where changes are saved."""
+        """Add a customer to the changes that are saved next, if saving is enabled."""
         if self.changed is not None:
             self.changed[customer.key] = customer
 
     def take_changed(self, most: int) -> list[SavedCustomer]:
-        """Return customers that have changed since they were last taken, `most` at once; costs in proportion."""
+        """Return up to `most` customers that changed since they were last returned. Cost: linear in the result."""
         if not self.changed:
             return []
         keys = list(islice(self.changed, most))
@@ -76,10 +76,10 @@
 
 
 class ExhaustedWindows(OrderedDict[bytes, float]):
-    """Short names of windows that are used up, and until when they matter."""
+    """Short names of exhausted windows, with their expiry times."""
 
     def record(self, now: float, name: bytes, retention: float) -> None:
-        """Note that a window is used up; forget those that are long over."""
+        """Record an exhausted window, and evict expired ones."""
         self[name] = now + retention
         self.move_to_end(name)
         while self[oldest := next(iter(self))] < now:
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -1,4 +1,4 @@
-"""What the decision module asks of its parts, as protocols: escrowed shares, gossip, placement of the counts."""
+"""Protocols of the decision module's parts: escrowed shares, gossip, and placement of counts on counters."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Routed(Protocol):
-    """What the choice of a backend asks of a request.
+    """The fields of a request that the choice of a backend reads.
 
-    `event`: the request as it arrived. `work`: expected, in multiples of its class's mean. `failed_backends` are left
-    out. `ran_on`: the backend of the earliest attempt that may have run.
+    `event` is the request as it arrived, `work` its expected work as a multiple of its class's mean. `failed_backends`
+    are excluded. `ran_on` is the backend of the earliest attempt that may have run.
     """
 
     event: Request
@@ -25,58 +25,58 @@
 
 
 class Escrow(Protocol):
-    """Holds customers to an ingress's own share of their allowance; `quota.escrow.EscrowTable` is one.
+    """Limits customers to this ingress's share of their allowance; implemented by `quota.escrow.EscrowTable`.
 
-    Plans by their number in the settings, times as Unix seconds, units as charged. Pure.
+    Plans are indices in the settings, times are Unix seconds, units are quota units. Implementations are pure.
     """
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
-        """Return whether a request may be let in; `spent`: units known to be gone of the whole allowance."""
+        """Return whether the share admits a request; `spent`: known used units of the whole allowance."""
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
-        """Take off units that were let in by another verdict."""
+        """Deduct units that were admitted by other means than `admit`."""
 
     def demands(self, now: float) -> list[tuple[int | None, bytes]]:
-        """Return the demands that are due, to whom; None: to all peers."""
+        """Return due demands with their destinations; None means all peers."""
 
     def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
-        """Take in a peer's message and return the answers to it."""
+        """Handle a peer's message and return the answers to it."""
 
     def handshakes(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the handshakes that are due after this ingress's start, to whom."""
+        """Return the handshakes due after this ingress's start, with their destinations."""
 
     def handshake_delay(self, now: float) -> float | None:
-        """Return the seconds until the next handshake; None where none is due any more."""
+        """Return the seconds until the next handshake, or None if no more are due."""
 
     def has_shut_down(self, peer: int) -> bool:
-        """Return whether a peer has announced its shutdown and not started again: it lets nothing in."""
+        """Return whether a peer has announced its shutdown and not restarted, so that it admits nothing."""
 
     def has_restarted(self) -> bool:
-        """Return whether a peer has known an earlier incarnation of this ingress."""
+        """Return whether a peer knows an earlier incarnation of this ingress."""
 
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the last messages of an ingress that shuts down in order, to whom."""
+        """Return the final messages of an orderly shutdown, with their destinations."""
 
     def restore(self, reservations: Iterable[SavedReservation], last_active: float | None) -> None:
-        """Record reservations from now on, and start with those of an earlier incarnation.
+        """Restore the reservations of an earlier incarnation, and record reservations from now on.
 
-        `last_active`: until when that incarnation may have been active, None where there was none.
+        `last_active`: latest time at which that incarnation may have been active, or None if there was none.
         """
 
     def changed_reservations(self, now: float, limit: int) -> list[SavedReservation]:
-        """Return reservations to be written to disk, of up to `limit` allowances that have changed."""
+        """Return reservations to be written to disk, of up to `limit` changed allowances."""
 
     def reservation_dropped(self, key: tuple[int, int]) -> None:
-        """Note that the last reservation of this (plan, customer) will never be on disk."""
+        """Record that the last reservation of a (plan, customer) will not be written to disk."""
 
     def reservations_committed(self, keys: Iterable[tuple[int, int]]) -> None:
-        """Note that the last reservations of these (plan, customer) are on disk."""
+        """Record that the last reservations of these (plan, customer) keys are on disk."""
 
 
 class OwnerQuery(NamedTuple):
-    """A peer's query to the owner of an account: its number, customer, plan's number, set, and units asked for.
+    """A peer's query to the owner of an account: its number, customer, plan's index, ingress set, and units.
 
-    `answer`: the reply that it has had, where it comes again.
+    `answer`: the earlier reply, if the query is a retransmission.
     """
 
     number: int
@@ -89,65 +89,65 @@
 
 
 class Gossip(Protocol):
-    """What the ingresses of a large fleet send one another; `gossip.Gossip` is one. Times in seconds."""
+    """Messages between many ingresses; implemented by `gossip.Gossip`. Times are in seconds."""
 
     def mark_changed(self, now: float, key: int, first: int, width: int, lazy: bool = False) -> None:
-        """Queue an update of a customer to its set of ingresses; `lazy`: it may wait for others to go with."""
+        """Queue an update of a customer to its ingress set; `lazy`: it may wait for other updates."""
 
     def record_message(self, now: float, peer: int, is_update: bool) -> None:
-        """Note that a peer has sent a message; `is_update`: of usage by customers that are common to both."""
+        """Record a message from a peer; `is_update`: it reports usage of customers common to both."""
 
     def customer_seen(self, now: float, first: int, width: int) -> None:
-        """Keep in contact with a set of ingresses: a customer of that set was seen."""
+        """Keep in contact with an ingress set, because one of its customers was seen."""
 
     def has_work(self) -> bool:
-        """Return whether the next tick has anything to send."""
+        """Return whether there is anything to send at the next notification."""
 
     def due_updates(self, now: float) -> list[tuple[int, list[int]]]:
-        """Return the updates that leave now: to whom, of which customers."""
+        """Return the updates due now as pairs of peer and customers."""
 
     def owner(self, now: float, customer: int, first: int, width: int) -> int | None:
-        """Return the ingress that keeps a customer's account; None where none of its candidates answers."""
+        """Return the owner of a customer's account, or None if no candidate is responsive."""
 
     def create_query(self, now: float, owner: int, request: Request, plan: int) -> bytes | None:
-        """Return a query for a request; None where too many are outstanding."""
+        """Return a query for a request, or None if too many are outstanding."""
 
     def receive_query(self, now: float, peer: int, payload: bytes) -> OwnerQuery | None:
-        """Return a peer's query; None where it cannot be one, or is one that is being decided on."""
+        """Return a peer's query, or None if it is malformed or already being decided."""
 
     def create_reply(self, peer: int, number: int, admitted: bool, headroom: float) -> bytes:
         """Return the reply to a peer's query."""
 
     def receive_reply(self, peer: int, payload: bytes) -> tuple[str, bool, float] | None:
-        """Return whose request an owner has decided on, how, and the headroom; None where nobody waits for it."""
+        """Return the request's id, the verdict and the headroom, or None if no request waits for the reply."""
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the queries that are to be sent once more, to whom: they or their replies were likely lost."""
+        """Return queries to resend with their destinations, as they or their replies were probably lost."""
 
     def expired_requests(self, now: float) -> list[str]:
-        """Return the requests whose owner has not replied in time, or that were pending until now."""
+        """Return the requests whose owner reply or pending time has timed out."""
 
     def add_pending(self, request: str, deadline: float) -> bool:
-        """Keep a request until then, or until a peer has given anything; return whether it can be kept."""
+        """Hold a request until `deadline` or until a peer grants shares. Return whether it can be held."""
 
     def take_pending(self) -> list[str]:
-        """Return all requests that are pending; they are so no longer."""
+        """Remove and return all pending requests."""
 
     def timer_delay(self, now: float) -> float | None:
-        """Return the seconds until a query is to be sent again or a request expires; None where none does."""
+        """Return the seconds until the next retransmission or expiry, or None if there is none."""
 
     def reconcile(self, owner: int, customer: int, plan: int, units: float) -> None:
-        """Tell an owner of units more (or less) than it was asked for."""
+        """Queue a correction of the units that an owner has charged; it may be negative."""
 
     def due_reconciliations(self) -> list[tuple[int, bytes]]:
-        """Return the messages of all that is to be reconciled, to whom."""
+        """Return the messages of all queued corrections, with their destinations."""
 
     def parse_reconciliations(self, payload: bytes) -> list[tuple[int, int, float]]:
-        """Return customers, their plans' numbers, and units, of a peer's message."""
+        """Return the (customer, plan index, units) corrections in a peer's message."""
 
 
 class CounterOf(Protocol):
-    """Placement of the counts over several counters, by their number. Pure."""
+    """Placement of counts on several counters, which are numbered. Implementations are pure."""
 
     def of(self, name: int) -> int:
-        """Return the counter that holds a name, the same at every ingress."""
+        """Return the number of the counter that holds a name, the same at every ingress."""
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -1,15 +1,15 @@
-"""Hands events to the decision module one at a time and carries its actions out; each request is answered once.
+"""Passes events to the decision module one at a time and carries out its actions. Each request is answered once.
 
-Guarantees, whatever the surroundings do:
+Guarantees, regardless of backends, counter, peers and faults of the decision module:
 
-- `on_final` of a request is called exactly once, or never if the client went first (`client_gone`);
-- once nobody waits for an answer, no attempt starts, and one that is out is ended where that stops its work harmlessly;
-- it is called by the request's deadline at the latest, a little before the client's own time is up;
-- one attempt of a request is out at a time, and none is started once the request has its final answer;
-- the module is never entered while it decides: what an action brings about at once waits for its turn.
+- `on_final` of a request is called exactly once, or never if the client disconnects first (`client_gone`);
+- once no client waits, no attempt starts, and an outstanding one is ended if that stops its work without harm;
+- `on_final` is called by the request's deadline at the latest, which is shortly before the client's own time-out;
+- a request has one outstanding attempt at a time, and none is started after the final answer;
+- the module is not re-entered: events that result from its actions are queued until it returns.
 
-Every request has an `InFlightRequest` from `accept` to its end. Events queue in `submit`; a timer per request rings at
-its deadline. Cost: constant a request, besides the module's own.
+Every request has an `InFlightRequest` from `accept` to its end. `submit` queues events, and a timer per request fires
+at its deadline. Cost: constant per request, in addition to the module's own.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN_S = 0.03  # before the client's own time is up, for the way back and a busy moment
-MARGIN_SHARE = 0.2  # of a short time
+MARGIN_S = 0.03  # time by which the deadline precedes the client's time-out, for the response's transit and load peaks
+MARGIN_SHARE = 0.2  # upper bound of the margin as a fraction of the client's time-out
 
 
 class Driver:
-    """One ingress without its sockets. `unix` returns Unix time in seconds, the same at all ingresses."""
+    """One ingress without its sockets. `unix` returns Unix time in seconds, which agrees between all ingresses."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self.closed = False
         self.clock = 0.0
         self.timers: set[Timer] = set()
-        # How each action is carried out. Subscribe and FetchList are not: the list of servers is always followed.
+        # `Subscribe` and `FetchList` need no handler, because the endpoint list is always followed.
         self.handlers: dict[type, Callable[[Any], None]] = {
             actions.Attempt: self._start_attempt,
             actions.CounterAdd: self._add_to_counter,
@@ -85,12 +85,12 @@
     # Events.
 
     def now(self) -> float:
-        """Return Unix time, so that the windows of all ingresses agree; it never goes back."""
+        """Return Unix time, which never decreases. Windows depend on it, so it must agree between all ingresses."""
         self.clock = max(self.clock, self.unix())
         return self.clock
 
     def submit(self, event: Event) -> None:
-        """Hand an event to the module. One that comes about while another is handled waits for its turn."""
+        """Pass an event to the module. An event submitted while another is handled is queued."""
         self.events.append(event)
         if self.deciding:
             return
@@ -102,19 +102,19 @@
             self.deciding = False
 
     def _decide(self, event: Event) -> None:
-        """Carry out the actions on one event. A fault ends the request that it is about, not the program."""
+        """Carry out the actions for one event. An exception ends the event's request, not the program."""
         try:
             for action in self.gateway.handle(self.now(), event):
                 handler = self.handlers.get(type(action))
                 if handler is not None:
                     handler(action)
         except Exception:
-            log.exception("deciding on %r", event)
+            log.exception("the decision module failed on %r", event)
             name = event.id if isinstance(event, events.Request) else getattr(event, "request", None)
             in_flight = self.in_flight.get(name) if isinstance(name, str) else None
             if in_flight is not None:
                 self.answer(in_flight, Final(Verdict.FAULT))
-                self.events.append(events.ClientGone(in_flight.request.id))  # the module may know it still
+                self.events.append(events.ClientGone(in_flight.request.id))  # the module may still hold it
 
     def _add_to_counter(self, action: actions.CounterAdd) -> None:
         if self.counter is not None:
@@ -147,10 +147,10 @@
         received_at: float | None = None,
         request_class: ClassSettings | None = None,
     ) -> InFlightRequest | None:
-        """Take a request in: from here on it is owed one answer.
+        """Accept a request, which from now on must get one final answer.
 
-        `received_at`: when its client's time began, on the scheduler's clock; None: now. `request_class`: None: as the
-        settings name it. Returns None, with INVALID to `on_final`, where its id is that of a request still in flight.
+        `received_at`: start of the client's time-out on the scheduler's clock; None: now. `request_class`: None: the
+        class in the settings. Return None, with INVALID to `on_final`, if a request with this id is still in flight.
         """
         if request.id in self.in_flight:
             on_final(Final(Verdict.INVALID))
@@ -166,9 +166,9 @@
         return in_flight
 
     def client_gone(self, name: str) -> None:
-        """Note that the client has left: nothing more goes out, and `on_final` is not called any more.
+        """Handle a client's disconnect: no attempt starts and `on_final` is not called any more.
 
-        Its attempt is ended, or waited for, by `InFlightRequest.abandon_attempt`.
+        `InFlightRequest.abandon_attempt` decides whether the outstanding attempt is ended or awaited.
         """
         in_flight = self.in_flight.get(name)
         if in_flight is None or in_flight.answered:
@@ -178,14 +178,14 @@
         self._end_answered(in_flight)
 
     def begin_answer(self, in_flight: InFlightRequest) -> bool:
-        """Note that a backend's answer begins to go out as the final one; return False if there is one already."""
+        """Record that a backend's answer starts to be sent as the final one. Return False if there already is one."""
         if in_flight.answered:
             return False
         in_flight.answered = True
         return True
 
     def answer(self, in_flight: InFlightRequest, final: Final) -> None:
-        """Give the one final answer; any further one is dropped."""
+        """Give the final answer. Further ones are dropped."""
         if in_flight.answered:
             return
         in_flight.answered = True
@@ -193,27 +193,27 @@
         self._end_answered(in_flight)
 
     def _end_answered(self, in_flight: InFlightRequest) -> None:
-        """Leave a backend no work for a request that is owed nothing any more; forget it once no attempt is out."""
+        """Abandon the attempt of an answered request, and remove the request once no attempt is outstanding."""
         in_flight.abandon_attempt(self.settings.cancel_stops_work)
         self._forget_if_done(in_flight)
 
     def _expire(self, in_flight: InFlightRequest) -> None:
-        """End the attempt, and answer what the module has not: the client's time is as good as up."""
+        """Handle a request's deadline: end its attempt, and answer if the module has not."""
         in_flight.over = True
         if in_flight.attempt is not None:
             in_flight.attempt.expire()
         if not in_flight.answered:
-            log.info("request %s: answered by the watchdog", in_flight.request.id)
+            log.info("request %s: no decision by its deadline, answered by the driver", in_flight.request.id)
             self._give_up(in_flight)
             self.submit(events.ClientGone(in_flight.request.id))
         self._forget_if_done(in_flight)
 
     def _give_up(self, in_flight: InFlightRequest) -> None:
-        """Answer for the module: refused where a retry is harmless, failed elsewhere."""
+        """Answer in place of the module: refused if a retry is harmless, failed otherwise."""
         self.answer(in_flight, self._refusal(0.0) if in_flight.may_refuse() else Final(Verdict.FAILED))
 
     def _refusal(self, wait: float) -> Final:
-        """Return the answer to a refused request; beyond a quota the module says when there is headroom again."""
+        """Return the answer to a refused request. `wait` > 0: seconds until the quota has headroom again."""
         if wait > 0:
             return Final(Verdict.OVER_QUOTA, wait)
         return Final(Verdict.NO_ROOM, self.settings.max_retry_after)
@@ -229,23 +229,23 @@
             self.answer(in_flight, Final(Verdict.FAILED))
 
     def _forget_if_done(self, in_flight: InFlightRequest) -> None:
-        """Forget a request that is answered and has no attempt out."""
+        """Remove a request that is answered and has no outstanding attempt."""
         if in_flight.answered and in_flight.attempt is None:
             if in_flight.timer is not None:
                 in_flight.timer.cancel()
             self.in_flight.pop(in_flight.request.id, None)
 
     def has_unrepeatable_in_flight(self) -> bool:
-        """Return whether a request is in flight that may not be repeated, whether its client waits for it or has left.
+        """Return whether a request is in flight whose class is not SAFE, even if its client has disconnected.
 
-        Cost: a step for each request in flight.
+        Cost: linear in the requests in flight.
         """
         return any(each.request_class.effect is not Effect.SAFE for each in self.in_flight.values())
 
     # Attempts.
 
     def _start_attempt(self, action: actions.Attempt) -> None:
-        """Send a request to a backend; one that is not allowed ends at once as moot."""
+        """Send a request to a backend. An attempt that is not allowed ends at once as MOOT."""
         in_flight = self.in_flight.get(action.request)
         now = self.scheduler.time()
         if in_flight is None or in_flight.answered or in_flight.over or in_flight.attempt is not None:
@@ -264,7 +264,7 @@
     def _reject_attempt(self, action: actions.Attempt, in_flight: InFlightRequest | None) -> None:
         over = in_flight is not None and in_flight.over
         level = logging.DEBUG if over else logging.ERROR
-        log.log(level, "request %s: an attempt that is not allowed was not sent", action.request)
+        log.log(level, "request %s: rejected an attempt of the decision module that is not allowed", action.request)
         number = in_flight.attempts if in_flight is not None else 0
         done = in_flight is None or in_flight.answered or over
         self.submit(events.AttemptEnded(action.request, number, action.backend, Outcome.MOOT, 0.0, done))
@@ -285,12 +285,12 @@
         ended: Ended,
         sent_at: float,
     ) -> None:
-        """Take in an attempt's outcome: a good one is the answer, anything else is the module's to decide."""
+        """Handle an attempt's outcome: OK answers the request, the module decides on any other outcome."""
         in_flight.attempt = None
         in_flight.may_have_run |= attempt.written and ended.outcome is not Outcome.FULL
         units = 0.0
         if ended.outcome is Outcome.OK:
-            # No request counts more than the most units: such a number cannot be meant.
+            # Ignore a reported cost above the maximum of one request as invalid.
             units = ended.true_units if ended.true_units <= self.settings.max_units else 0.0
             self.answer(in_flight, Final(Verdict.SERVED, 0.0, ended.payload))
         elapsed = self.scheduler.time() - sent_at if ended.elapsed is None else ended.elapsed
@@ -307,14 +307,14 @@
         self.submit(event)
         self._forget_if_done(in_flight)
 
-    # The end.
+    # Shutdown.
 
     def hand_over(self) -> None:
-        """Have the module hand on what only it knows, at shutdown: before `close`, with nothing in flight."""
+        """Report usage that only this ingress knows, at shutdown. Call it before `close`, with nothing in flight."""
         self.submit(events.Leaving())
 
     def close(self) -> None:
-        """Let no timer ring any more, and answer what is still in flight: failed or refused."""
+        """Cancel all timers, and answer requests still in flight as failed or refused."""
         self.closed = True
         for timer in self.timers:
             timer.cancel()
--- a/thistleusher/core/events.py
+++ b/thistleusher/core/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened, as the driver hands it to the decision module, which answers with `core.actions`."""
+"""Events that the driver passes to the decision module, which returns `core.actions`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """Outcome of an attempt, a probe or a counter call."""
 
     OK = "ok"
     ERROR = "error"
@@ -22,7 +22,7 @@
 
 
 class Phase(Enum):
-    """A backend's stage in the list of servers."""
+    """A backend's state in the endpoint list."""
 
     RUNNING = "running"
     STOPPING = "stopping"
@@ -30,7 +30,7 @@
 
 
 class ListKind(Enum):
-    """What a message of the list of servers holds."""
+    """Content of an endpoint list message."""
 
     CHANGE = "change"
     WHOLE = "whole"
@@ -39,7 +39,7 @@
 
 
 class BackendEntry(NamedTuple):
-    """One line of the list of servers. `born`: Unix time of its process's start, 0 where it is not known."""
+    """One entry of the endpoint list. `born`: Unix time of the backend process's start, 0 if unknown."""
 
     backend: str
     phase: Phase
@@ -51,7 +51,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """The list of servers, or a change to it."""
+    """The endpoint list, or a change to it."""
 
     kind: ListKind
     version: int
@@ -59,9 +59,9 @@
 
 
 class Request(NamedTuple):
-    """A client's request; exactly one final answer is owed.
+    """A client's request, which must get exactly one final answer.
 
-    `expires_in` in seconds; `first` and `width`: the ingresses that the customer's requests come through.
+    `expires_in` is in seconds. `first` and `width` are the customer's ingress set.
     """
 
     id: str
@@ -77,7 +77,7 @@
 
 
 class AttemptStarted(NamedTuple):
-    """A streamed answer has begun."""
+    """A streamed answer has started."""
 
     request: str
     attempt: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended. `done`: the request has its final answer."""
+    """The outcome of an attempt. `done`: the request has its final answer."""
 
     request: str
     attempt: int
@@ -101,13 +101,13 @@
 
 
 class ClientGone(NamedTuple):
-    """The client left; nothing more is owed."""
+    """The client has disconnected and gets no answer."""
 
     request: str
 
 
 class TimerFired(NamedTuple):
-    """A timer that this gateway has set rings."""
+    """A timer that the decision module has set has fired."""
 
     token: int
 
@@ -123,14 +123,14 @@
 
 
 class PeerMessage(NamedTuple):
-    """A message from another instance."""
+    """A message from another ingress."""
 
     sender: int
     payload: bytes
 
 
 class CounterReply(NamedTuple):
-    """The answer to one counter call; `total` is valid with OK. ERROR: it was added, the total is unknown."""
+    """The answer to one counter call. `total` is valid only with OK. ERROR: added, but the total is unknown."""
 
     name: int
     outcome: Outcome
@@ -139,7 +139,7 @@
 
 
 class Leaving(NamedTuple):
-    """This ingress shuts down in order: it takes no request any more, and has none in flight."""
+    """This ingress shuts down in order: it accepts no more requests and has none in flight."""
 
 
 Event = Union[
--- a/thistleusher/core/in_flight_request.py
+++ b/thistleusher/core/in_flight_request.py
@@ -1,4 +1,4 @@
-"""A request that is owed one final answer."""
+"""A request from its acceptance by the driver to its end."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class InFlightRequest:
-    """A request from `Driver.accept` to its end. `context` is the caller's own; `deadline` on the scheduler's clock."""
+    """A request from `Driver.accept` to its end. `context` is opaque caller data; `deadline` is scheduler time."""
 
     __slots__ = (
         "request",
@@ -36,29 +36,30 @@
         deadline: float,
     ) -> None:
         self.request = request
-        self.request_class = request_class  # as it was when the request came, whatever is configured since
+        self.request_class = request_class  # class at arrival; later changes do not apply
         self.on_final = on_final
         self.context = context
         self.deadline = deadline
-        self.timer: Timer | None = None  # rings at the deadline
+        self.timer: Timer | None = None  # fires at the deadline
         self.attempts = 0
-        self.attempt: AttemptPort | None = None  # the one that is out
+        self.attempt: AttemptPort | None = None  # the outstanding attempt
         self.answered = False
         self.may_have_run = False
-        self.over = False  # its time is up: no attempt is started any more, whatever the module makes of the last one
+        self.over = False  # its deadline has passed, so the driver starts no further attempt of the module
 
     def may_refuse(self) -> bool:
-        """Return whether it may be refused, which says that a retry is harmless: nothing ran, or repeats are safe."""
+        """Return whether the request may be refused, i.e. a retry is harmless: nothing ran, or it is idempotent."""
         if not self.may_have_run and (self.attempt is None or not self.attempt.written):
             return True
         effect = self.request_class.effect
         return effect is Effect.SAFE or (effect is Effect.KEYED and self.request_class.group is Group.ALL)
 
     def abandon_attempt(self, cancel_stops_work: bool) -> None:
-        """End the attempt, as nobody waits for its answer, unless that does no good or may do harm.
+        """End an attempt that no client waits for, unless that has no effect or may do harm.
 
-        One that may have begun runs on where a cancel does not stop it, as it is load until it ends; and where its
-        class may not be repeated, as a payment that is broken off midway leaves its client unsure for good.
+        An attempt that may have started continues in two cases. If cancellation does not stop the work, the attempt
+        still counts as load until it ends. If its class is not SAFE, an aborted attempt (such as a payment) would
+        leave its client uncertain about the outcome for good.
         """
         if self.attempt is None:
             return
--- a/thistleusher/core/peer_notifier.py
+++ b/thistleusher/core/peer_notifier.py
@@ -1,6 +1,6 @@
-"""Sends peers (other ingresses) what they are to know of this one.
+"""Messages of this ingress to its peers (the other ingresses).
 
-That is: usage admitted here, demands for parts of the peers' quota shares, and that it has started or shuts down.
+They report usage admitted here, demand parts of peers' quota shares, and announce start and shutdown.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class PeerNotifier:
-    """Messages to peers, within the limits of the settings; `gossip`: not every peer gets every update."""
+    """Sends messages to peers within the limits of the settings. With `gossip`, an update does not go to every peer."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self.messages_max = self.limits.messages
         self.outbox = UsageOutbox(customers)
         self.timer_set = False
-        self.notify_due = False  # notify with the next tick, even if only that this ingress is there
+        self.notify_due = False  # notify at the next tick, even without usage
         self.last_notified = now
 
     def usage_changed(self, now: float, customer: Customer, units: float, lazy: bool) -> None:
-        """Have peers notified of units that were admitted here; `lazy`: that may wait for other updates."""
+        """Queue a notification of units that were admitted here; `lazy`: it may wait for other updates."""
         if not self.limits.enabled or customer.is_wide():
             return
         customer.admitted_quarters += round(4 * units)
@@ -49,13 +49,13 @@
             self.outbox.waiting[customer.key] = customer
 
     def is_due(self) -> bool:
-        """Return whether `notify` has anything to do with the next tick."""
+        """Return whether `notify` has anything to send at the next tick."""
         return bool(self.outbox.waiting) or self.notify_due or (self.gossip is not None and self.gossip.has_work())
 
     def notify(self, now: float) -> None:
-        """Notify peers of what was admitted here: they see it in a total only with their next calls of the counter.
+        """Notify peers of usage admitted here, which they otherwise learn only from their next counter call.
 
-        Demands for shares go out with it. Without gossip and without usage, it only says that this ingress is there.
+        Share demands are sent as well. Without gossip and without usage, the message only shows that this ingress runs.
         """
         self.timer_set = False
         self.notify_due = False
@@ -69,17 +69,17 @@
         self.send(self.gossip.due_reconciliations())
 
     def send_demands(self, now: float) -> None:
-        """Ask peers for their shares, as often as messages may be sent."""
+        """Send due share demands to peers."""
         if self.escrow is not None:
             self.send(self.escrow.demands(now))
 
     def send_handshakes(self, now: float) -> None:
-        """Send that this ingress has started to peers that have not answered."""
+        """Announce this ingress's start to peers that have not answered yet."""
         if self.escrow is not None:
             self.send(self.escrow.handshakes(now))
 
     def hand_over(self, now: float) -> None:
-        """Notify peers of all that is left, and hand them this ingress's shares: it shuts down."""
+        """Notify peers of all remaining usage and transfer this ingress's shares to them, at shutdown."""
         while self.outbox.waiting:
             self.notify(now)
         if self.gossip is not None:
@@ -88,5 +88,5 @@
             self.send(self.escrow.shutdown_messages(now))
 
     def send(self, messages: Iterable[tuple[int | None, bytes]]) -> None:
-        """Send messages, each to one peer or to all (None)."""
+        """Queue messages to be sent, each to one peer or to all peers (None)."""
         self.actions += [SendToPeer(peer, payload) for peer, payload in messages]
--- a/thistleusher/core/per_counter.py
+++ b/thistleusher/core/per_counter.py
@@ -1,4 +1,4 @@
-"""One value for each of several counters that share the counts."""
+"""One value for each of several counters between which the counts are distributed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PerCounter(Generic[T]):
-    """A value for each counter, made by `make`; the loss of one counter costs its own names only.
+    """A value for each counter, created by `make`, so that a failed counter affects only its own counts.
 
     Without a placement there is one counter, number 0.
     """
@@ -23,7 +23,7 @@
         self.by_number: dict[int, T] = {0: make()}
 
     def follow(self, placement: CounterOf) -> None:
-        """Use other counters from now on. What was known of each goes by its number, so all begin anew."""
+        """Switch to another placement. Values are reset, because the numbers now refer to other counters."""
         self.placement = placement
         self.by_number = {0: self.make()}
 
--- a/thistleusher/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -1,4 +1,4 @@
-"""What the driver asks of its surroundings, as protocols, and the records in which it answers."""
+"""Protocols that the driver's environment implements, and the driver's result records."""
 
 from __future__ import annotations
 
@@ -12,85 +12,85 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def cancel(self) -> object:
-        """Have it not called any more."""
+        """Cancel the call."""
 
 
 class Scheduler(Protocol):
-    """Delays, in seconds on a clock that never goes back; an asyncio event loop is one."""
+    """Schedules calls on a monotonic clock in seconds; an asyncio event loop implements it."""
 
     def time(self) -> float:
-        """Return the time on that clock."""
+        """Return the clock's time."""
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Timer:
-        """Call back after a delay."""
+        """Schedule a call after a delay."""
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Timer:
-        """Call back at a time of that clock."""
+        """Schedule a call at a time of the clock."""
 
 
 class Decisions(Protocol):
-    """The decision module. `now` is Unix time in seconds and never goes back."""
+    """The decision module. `now` is Unix time in seconds and never decreases."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide on one event, and return the actions it calls for."""
+        """Handle one event and return the resulting actions."""
 
 
 class CounterPort(Protocol):
-    """The counter service: each call brings about one `CounterReply`, those on one name in their order."""
+    """The counter service. Each call results in one `CounterReply`; replies on one name keep the order of calls."""
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        """Add to a count; a new one expires after `lifetime` seconds."""
+        """Add to a count. A new count expires after `lifetime` seconds."""
 
 
 class PeerPort(Protocol):
-    """Messages to other ingresses; they may be lost."""
+    """Messages to other ingresses, which may be lost."""
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send to one peer, or to all (None)."""
+        """Send to one peer, or to all peers (None)."""
 
 
 class Verdict(Enum):
     """The final answer to a request."""
 
     SERVED = "served"
-    OVER_QUOTA = "over_quota"  # refused: trying again is harmless, and has a chance after `retry_in`
-    NO_ROOM = "no_room"  # refused: trying again is harmless
-    FAILED = "failed"  # nothing is promised
-    FAULT = "fault"  # a fault of the program
-    INVALID = "invalid"  # no request that could be decided on; nothing was charged
+    OVER_QUOTA = "over_quota"  # refused; a retry is harmless and may succeed after `retry_in`
+    NO_ROOM = "no_room"  # refused; a retry is harmless
+    FAILED = "failed"  # failed; the request may or may not have run
+    FAULT = "fault"  # an internal error of the program
+    INVALID = "invalid"  # an invalid request; nothing was charged
 
 
 class Final(tuple[Verdict, float, Any]):
-    """One final answer: the verdict, seconds after which to try again (0: unknown), a backend's answer."""
+    """One final answer: the verdict, seconds until a retry may succeed (0: unknown), and a backend's answer."""
 
     __slots__ = ()
 
     def __new__(cls, verdict: Verdict, retry_in: float = 0.0, payload: Any = None) -> Final:
-        """Return an answer; `payload` is the backend's, where it was served."""
+        """Return an answer; `payload` is the backend's answer if the request was served."""
         return super().__new__(cls, (verdict, retry_in, payload))
 
     @property
     def verdict(self) -> Verdict:
-        """What was decided."""
+        """The verdict."""
         return self[0]
 
     @property
     def retry_in(self) -> float:
-        """Seconds after which to try again; 0: unknown."""
+        """Seconds until a retry may succeed; 0: unknown."""
         return self[1]
 
     @property
     def payload(self) -> Any:
-        """A backend's answer."""
+        """The backend's answer, or None."""
         return self[2]
 
 
 @dataclass(slots=True)
 class Ended:
-    """How an attempt ended. `elapsed` None: since the attempt was started, by the driver's clock."""
+    """The result of an attempt. `elapsed` None: the driver measures the time since the attempt's start."""
 
     outcome: Outcome
     payload: Any = None
@@ -100,30 +100,30 @@
 
 
 class AttemptPort(Protocol):
-    """One attempt at a backend; it reports its end once, maybe before `start` returns."""
+    """One attempt at a backend. It reports its end exactly once, possibly before `start` returns."""
 
     @property
     def written(self) -> bool:
-        """True from when the last byte is handed over: from then on the request may have run."""
+        """Whether the last byte was handed over; from then on the request may have run."""
 
     def start(self, timeout: float) -> None:
-        """Send the request, and wait for the answer for at most `timeout` seconds."""
+        """Send the request and wait at most `timeout` seconds for the answer."""
 
     def expire(self) -> None:
-        """End as timed out: the client's time is up."""
+        """End as timed out, at the request's deadline."""
 
     def cancel(self) -> None:
-        """End as cancelled, or as moot where nothing was written: the backend does not answer."""
+        """End as CANCELLED, or as MOOT if nothing was written, because the backend does not answer."""
 
     def abandon(self) -> None:
-        """End as `cancel` does, but because nobody waits for the answer: nothing is inferred about the backend."""
+        """End like `cancel`, but because no client waits. Nothing is inferred about the backend."""
 
 
 class BackendPort(Protocol):
-    """Where attempts go."""
+    """Access to the backends."""
 
     def prepare(self, in_flight: Any, backend: str, on_end: Callable[[Ended], None]) -> AttemptPort:
-        """Return an attempt of an `InFlightRequest` that is yet to be started."""
+        """Return an attempt of an `InFlightRequest` without starting it."""
 
     def probe(self, backend: str) -> None:
         """Check a backend's health."""
--- a/thistleusher/core/replication_limits.py
+++ b/thistleusher/core/replication_limits.py
@@ -1,4 +1,4 @@
-"""How often usage is replicated and how long it is kept, as the settings give it."""
+"""Limits of usage replication and retention, derived from the settings."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from thistleusher.core.datagrams import NOTIFY_INTERVAL_S, NOTIFY_SHARE
 from thistleusher.core.settings import Settings
 
-RETAINED_WINDOWS = 6.0  # after which a quiet customer is forgotten: its bucket has long been full
-NOTIFY_INTERVAL_MAX_S = 0.25  # beyond it usage is not replicated where every peer gets every update
+RETAINED_WINDOWS = 6.0  # windows after which an idle customer is evicted, as its bucket has long been full
+NOTIFY_INTERVAL_MAX_S = 0.25  # longest interval at which usage is replicated without gossip
 
 
 class ReplicationLimits(NamedTuple):
-    """Whether peers are notified of usage, seconds between notifications, messages at once to each peer."""
+    """Whether peers are notified of usage, seconds between notifications, and messages per notification and peer."""
 
     enabled: bool
     interval_s: float
@@ -20,9 +20,9 @@
 
 
 def replication_limits(settings: Settings, gossip: bool) -> ReplicationLimits:
-    """Return how usage is replicated; `gossip`: not every peer gets every update.
+    """Return the limits of usage replication. With `gossip`, an update does not go to every peer.
 
-    All notifications together take at most `NOTIFY_SHARE` of the messages that an ingress takes in.
+    All notifications together use at most `NOTIFY_SHARE` of an ingress's inbound message limit.
     """
     peers = settings.instances - 1
     taken_in = NOTIFY_SHARE * settings.peer_in_per_s
@@ -35,6 +35,6 @@
 
 
 def retention_s(settings: Settings) -> float:
-    """Return the seconds after which a quiet customer is forgotten."""
+    """Return the seconds after which an idle customer is evicted."""
     windows = (p.burst / p.rate for p in settings.plans if p.rate > 0)
     return RETAINED_WINDOWS * max(windows, default=1.0)
--- a/thistleusher/core/request.py
+++ b/thistleusher/core/request.py
@@ -1,4 +1,4 @@
-"""Reads a request's headers, as the protocol page describes them, into the event that the decision module takes."""
+"""Parser of request headers, as the protocol page defines them, into the decision module's request event."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 UNITS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 TERMS = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),spread=([0-9]{1,9}),first=([0-9]{1,9})")
 COUNT = re.compile(r"[0-9]{1,9}")
-ONCE = {b"idempotency-key", b"host"}  # and all X- headers: two of them could be read in two ways
+ONCE = {b"idempotency-key", b"host"}  # at most once, as are all X- headers, because duplicates are ambiguous
 MAX_CUSTOMER = 1 << 33
 CUSTOMER = re.compile(rb"(?:/[^/?#]*)+?/([0-9a-fA-F]{16})(?:\?.*)?")
 MAX_BUDGET_S = 3600.0
 
 
 class BadRequest(ValueError):  # noqa: N818  (a public name of the library)
-    """A request that cannot be what the protocol describes."""
+    """A request that violates the protocol."""
 
 
 class NoSuchPathError(BadRequest):
-    """A path that names no customer."""
+    """A path that identifies no customer."""
 
 
 def customer_of(url: bytes) -> bytes:
-    """Return the 16 hex digits at a path's end. Raises NoSuchPathError for any other path."""
+    """Return the 16 hex digits at the end of a path. Raise NoSuchPathError for any other path."""
     match = CUSTOMER.fullmatch(url)
     if match is None:
         raise NoSuchPathError("no such path")
@@ -36,7 +36,7 @@
 
 
 class RequestReader:
-    """Reads requests under one ingress's settings; its cost does not grow with classes or plans."""
+    """Parses requests by one ingress's settings. Cost: independent of the number of classes and plans."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -44,7 +44,7 @@
         self.plans = {p.name.encode("latin-1", "replace"): p.name for p in settings.plans}
 
     def read(self, customer: bytes, method: bytes, headers: Iterable[tuple[bytes, bytes]]) -> events.Request:
-        """Return the request that the headers describe, times in seconds. Raises BadRequest with what is wrong.
+        """Return the request that the headers describe, with times in seconds. Raise BadRequest if they are invalid.
 
         `customer` is the 16 hex digits of the path.
         """
@@ -82,7 +82,7 @@
         )
 
     def terms(self, text: bytes) -> tuple[float, int, int]:
-        """Return the units, and the width and first ingress of the customer's set."""
+        """Return the units, and the width and first ingress of the customer's ingress set."""
         usual = TERMS.fullmatch(text)
         if usual is not None:
             units, spread, first = float(usual[1]), int(usual[2]), int(usual[3])
@@ -96,7 +96,7 @@
 
 
 def _values(headers: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """Return the headers by their names in lower case; of the last, where one may come twice."""
+    """Return the headers by lower-case name. The last value wins if a header may be repeated."""
     values: dict[bytes, bytes] = {}
     for name, value in headers:
         key = name.lower()
@@ -107,7 +107,7 @@
 
 
 def _budget(text: bytes) -> float:
-    """Return the seconds until the client gives up."""
+    """Return the seconds until the client's time-out."""
     budget = BUDGET.fullmatch(text)
     seconds = int(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget else 0.0
     if not 0 < seconds <= MAX_BUDGET_S:
@@ -116,7 +116,7 @@
 
 
 def _terms(text: bytes) -> tuple[float, int, int]:
-    """Return the same of terms in any order, with blanks, and with terms that are not ours."""
+    """Return units, spread and first of terms in any order, with blanks, and with unknown terms."""
     pairs = [part.strip().partition("=")[::2] for part in text.decode("latin-1").split(",")]
     terms = dict(pairs)
     units, spread, first = (terms.get(key, "") for key in ("units", "spread", "first"))
--- a/thistleusher/core/settings.py
+++ b/thistleusher/core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decision module: classes of requests, plans, and all else that one instance starts with."""
+"""Settings of the decision module: request classes, plans, and the parameters of one ingress."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Effect of repeating a request."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +18,7 @@
 
 
 class Group(Enum):
-    """The backends that together drop a repeat of a keyed request."""
+    """The backends that together deduplicate a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of requests: its effect when repeated, its latency target and its value. Times are in seconds."""
+    """One request class: its effect when repeated, latency target (`objective`) and value. Times are in seconds."""
 
     name: str
     effect: Effect
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSettings:
-    """One plan: quota (rate in units a second, and burst), ceiling (a second limit above it) and price."""
+    """One plan: quota (rate in units per second, and burst), ceiling (a second, higher limit) and price."""
 
     name: str
     rate: float
@@ -86,13 +86,13 @@
         )
 
     def wide(self, width: int) -> bool:
-        """Return whether a set of so many ingresses is so wide that an even share of the burst is less than a unit."""
+        """Return whether an even share of the burst between `width` ingresses is below one unit."""
         return width > self.burst
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway starts with. Times are in seconds; ValueError names a field that cannot be used."""
+    """Settings of one ingress. Times are in seconds. ValueError names an invalid field."""
 
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
@@ -113,8 +113,8 @@
     peers: bool = False
     peer_in_per_s: float = 0.0
     second_copies: bool = False
-    own_backends: bool = False  # the backends serve this instance alone
-    own_counter: bool = False  # the counter began with this instance and serves it alone
+    own_backends: bool = False  # the backends serve only this ingress
+    own_counter: bool = False  # the counter started with this ingress and serves only it
     list_on_request: bool = False
     ask_every: float = 10.0
     load_in_answers: bool = False
@@ -129,7 +129,7 @@
     waste_price: float = 0.0
     cross_zone_price: float = 0.0
     probe_price: float = 0.0
-    cancel_stops_work: bool = False  # a backend stops once an attempt's connection ends; else it runs on, as load
+    cancel_stops_work: bool = False  # backends stop work when the connection closes; else it remains load
 
     def __post_init__(self) -> None:
         _need(len(self.classes) > 0, "classes", "at least one class", self.classes)
@@ -161,7 +161,7 @@
 
     @property
     def large(self) -> bool:
-        """Whether not every peer can get every update within a tick, so that updates go to sets and owners."""
+        """Whether there are too many peers to send each one every update per tick, so updates go to sets and owners."""
         return (
             self.peers
             and self.counter
--- a/thistleusher/core/settings_parser.py
+++ b/thistleusher/core/settings_parser.py
@@ -1,4 +1,4 @@
-"""Reads settings out of the forms in which they come: path=value pairs, or the same nested as JSON."""
+"""Parser of settings, given as path=value pairs or as nested JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Values:
-    """The settings as sent: path=value, read by path; keys not asked for are passed over."""
+    """Settings as path=value pairs, looked up by path. Unknown paths are ignored."""
 
     def __init__(self, parts: list[str], source: str) -> None:
         self.source = source
@@ -71,9 +71,9 @@
 
 
 def read_settings(parts: list[str], source: str = "BORN") -> tuple[Settings, tuple[str, ...]]:
-    """Return the settings out of path=value pairs, and the names of the values of a load report.
+    """Return the settings from path=value pairs, and the names of the values in a load report.
 
-    `source` is named in errors. Times are in seconds. Raises InvalidSettingError or ValueError with what is wrong.
+    Errors name `source`. Times are in seconds. Raise InvalidSettingError or ValueError if a value is invalid.
     """
     values = _Values(parts, source)
     classes = tuple(_read_class(values, f"classes.{i}.") for i in range(values.whole("classes.count")))
@@ -121,7 +121,7 @@
 
 
 def flatten(value: Any, path: str) -> Iterator[str]:
-    """Yield nested settings in the path=value form, so that both are read by the same code."""
+    """Yield nested settings as path=value pairs, so that one parser reads both forms."""
     if isinstance(value, dict):
         for key, item in value.items():
             yield from flatten(item, f"{path}.{key}" if path else str(key))
@@ -136,5 +136,5 @@
 
 
 def nested_settings(value: Mapping[str, Any]) -> tuple[Settings, tuple[str, ...]]:
-    """Return nested settings, as a configuration file has them. Raises InvalidSettingError or ValueError."""
+    """Return the settings from the nested form of a configuration file. Raise InvalidSettingError or ValueError."""
     return read_settings(list(flatten(dict(value), "")), "settings")
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -1,4 +1,4 @@
-"""What the decision module had learned, as records that outlive its process."""
+"""Saved state of the decision module, restored by the ingress's next incarnation."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class SavedCustomer(NamedTuple):
-    """What one ingress knew of a customer's count; its fields are those of `core.customer.Customer`.
+    """Saved state of a customer. The fields are those of `core.customer.Customer`.
 
-    `acknowledged`: own units that the count contained; `admitted_quarters`, `peer_quarters`: quarter units admitted
+    `acknowledged`: own units that the count included; `admitted_quarters`, `peer_quarters`: quarter units admitted
     here and at each peer; `reported`: units that peers reported in the window `reported_window`.
     """
 
@@ -24,14 +24,14 @@
     reported: float = 0.0
     reported_window: int = -1
     excess: float = 0.0
-    doubtful: float = 0.0  # of `pending`: added to the count of the window `doubtful_window`, or not
+    doubtful: float = 0.0  # part of `pending` that the count of `doubtful_window` may already include
     doubtful_window: int = -1
 
 
 class LearnedClass(NamedTuple):
-    """Usual latency of a class in seconds, and as it was unloaded; its regression line over units.
+    """Moving mean and unloaded latency (`base`) of a class in seconds, and its regression of time over units.
 
-    `variance`: of units; `covariance`: of units and time.
+    `variance` is that of the units, `covariance` that of units and time.
     """
 
     latency: float
@@ -44,9 +44,9 @@
 
 
 class LearnedBackend(NamedTuple):
-    """What an ingress knew of one backend's process, that started at `born`.
+    """Saved state of one backend process, which started at `born`.
 
-    `fault_evidence`: that it is faulty; `ejected_until` in Unix seconds.
+    `fault_evidence` is a log-likelihood ratio, `ejected_until` is in Unix seconds.
     """
 
     born: float
@@ -58,7 +58,7 @@
 
 
 class Learned(NamedTuple):
-    """What an ingress had learned of its backends by the time `at`: speeds, ejections, how many attempts may be out."""
+    """Saved state of all backends at Unix time `at`: speeds, ejections, and the concurrency limit (`slots`)."""
 
     at: float
     slots: float
@@ -69,9 +69,9 @@
 
 
 class SavedReservation(NamedTuple):
-    """Headroom of a customer's allowance that one ingress leaves to its next incarnation (`quota.reservations`).
+    """Headroom of a customer's allowance that one ingress reserves for its next incarnation (`quota.reservations`).
 
-    `plan`: its number in the settings; `units` at Unix time `at`, -inf where the allowance was forgotten.
+    `plan` is an index in the settings. `units` were left at Unix time `at`, which is -inf if the allowance was evicted.
     """
 
     plan: int
--- a/thistleusher/core/text_fields.py
+++ b/thistleusher/core/text_fields.py
@@ -1,4 +1,4 @@
-"""Reads values out of text fields, checked: an error names the message, the field, what was expected and what came."""
+"""Checked parsing of text fields. Errors name the message, the field, the expected value and the actual one."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class InvalidSettingError(Exception):
-    """A value that cannot be used: where it stands, which field, what was expected."""
+    """An invalid value. The text names its source, its field and the expected value."""
 
 
 def invalid(message: str, field: str, expected: str, got: object) -> NoReturn:
-    """Raise the error that names a field's fault."""
+    """Raise InvalidSettingError for a field."""
     raise InvalidSettingError(f"{message}: {field}: expected {expected}, got {got!r}")
 
 
@@ -32,7 +32,7 @@
 
 
 def read_optional(message: str, field: str, text: str, low: float = 0.0) -> float:
-    """Return the same; 0 where the field is absent (`-`)."""
+    """Return a finite number of at least `low`, or 0 if the field is absent (`-`)."""
     return 0.0 if text == "-" else read_number(message, field, text, low)
 
 
@@ -48,12 +48,12 @@
 
 
 def read_choice(message: str, field: str, text: str, choices: Mapping[str, T]) -> T:
-    """Return what a field stands for, of several choices."""
+    """Return the value that a field's text selects from `choices`."""
     if text not in choices:
         invalid(message, field, "one of " + ", ".join(choices), text)
     return choices[text]
 
 
 def read_flag(message: str, field: str, text: str) -> bool:
-    """Return whether a field is 1 and not 0."""
+    """Return True for a field of 1 and False for 0."""
     return read_choice(message, field, text, FLAGS)
--- a/thistleusher/core/usage_outbox.py
+++ b/thistleusher/core/usage_outbox.py
@@ -1,4 +1,4 @@
-"""What peers are still to be notified of: usage that was admitted here."""
+"""Usage admitted at this ingress that has not been reported to all peers yet."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class UsageOutbox:
-    """Customers whose usage not all peers know, and the messages that report it."""
+    """Customers with unreported usage, and the messages that report it."""
 
     def __init__(self, customers: CustomerTable) -> None:
         self.customers = customers
-        self.waiting: dict[int, Customer] = {}  # where every peer gets every update
+        self.waiting: dict[int, Customer] = {}  # due to all peers; unused with gossip
 
     def message_to(self, now: float, peer: int, keys: list[int]) -> bytes:
-        """Return the message that reports these customers to one peer."""
+        """Return the message that reports the usage of customers to one peer."""
         known = [c for c in map(self.customers.get, keys) if c is not None]
         return USAGE_MARK + b"".join([self._entry(now, c, self._new_to(c, peer)) for c in known])
 
     def messages_to_all(self, now: float, most: int) -> Iterator[bytes]:
-        """Yield the messages, `most` at least one, that report to all peers; an empty one where there is nothing."""
-        if not self.waiting:  # only that this ingress is there
+        """Yield up to `most` messages (at least one) that report usage to all peers, an empty one if there is none."""
+        if not self.waiting:  # only shows that this ingress runs
             yield USAGE_MARK
         customers = list(islice(self.waiting.values(), max(1, most) * USAGE_ENTRIES_MAX))
         for n in range(0, len(customers), USAGE_ENTRIES_MAX):
--- a/thistleusher/core/work_model.py
+++ b/thistleusher/core/work_model.py
@@ -1,33 +1,33 @@
-"""How much work a request is against the mean of its class, learned from the units and times of answers.
+"""Expected work of a request relative to the mean of its class, learned from the units and times of answers.
 
-Where units say nothing of the time of an answer, every request counts as 1. Cost: constant a request.
-Source: exponentially weighted simple linear regression (moments with forgetting).
+If units do not predict the time of an answer, every request counts as 1. Cost: constant per request.
+Method: exponentially weighted simple linear regression (moments with exponential forgetting).
 """
 
 from __future__ import annotations
 
 from thistleusher.core.snapshots import LearnedClass
 
-LEARNING_RATE = 0.02  # weight of one answer, once there are more than 1 / LEARNING_RATE
-MIN_ANSWERS = 20  # before which all requests count alike
-MIN_WORK = 0.25  # least that a request counts
-MAX_WORK = 8.0  # most that a request counts
+LEARNING_RATE = 0.02  # weight of one answer after the first 1 / LEARNING_RATE, which are weighted equally
+MIN_ANSWERS = 20  # answers before which every request counts as 1
+MIN_WORK = 0.25  # lower bound of a request's work
+MAX_WORK = 8.0  # upper bound of a request's work
 
 
 class WorkModel:
-    """The regression line of answer time over units within one class."""
+    """Linear regression of answer time over units within one class."""
 
     __slots__ = ("seen", "units", "variance", "time", "covariance")
 
     def __init__(self) -> None:
-        self.seen = 0
+        self.seen = 0  # answers
         self.units = 0.0  # weighted mean
         self.time = 0.0  # weighted mean, seconds
-        self.variance = 0.0  # of units
-        self.covariance = 0.0  # of units and time
+        self.variance = 0.0  # weighted variance of units
+        self.covariance = 0.0  # weighted covariance of units and time
 
     def learn(self, units: float, elapsed: float) -> None:
-        """Take in an answer to a request of so many units that took so many seconds."""
+        """Update the regression by an answer to a request of `units` that took `elapsed` seconds."""
         self.seen += 1
         weight = max(LEARNING_RATE, 1 / self.seen)
         units_off = units - self.units
@@ -38,18 +38,18 @@
         self.covariance = (1 - weight) * (self.covariance + weight * units_off * time_off)
 
     def expected(self, units: float) -> float:
-        """Return the expected work of a request as a multiple of the mean of its class."""
+        """Return the expected work of a request as a multiple of its class's mean."""
         if self.seen < MIN_ANSWERS or self.variance <= 0 or self.time <= 0:
             return 1.0
         slope = max(0.0, self.covariance / self.variance) / self.time
         return min(MAX_WORK, max(MIN_WORK, 1 + slope * (units - self.units)))
 
     def to_learned(self, latency: float, base_latency: float) -> LearnedClass:
-        """Return what the next incarnation can go on from, with the class's latencies in seconds."""
+        """Return the learned state for the next incarnation, with the class's latencies in seconds."""
         return LearnedClass(latency, base_latency, self.seen, self.units, self.time, self.variance, self.covariance)
 
     def restore(self, learned: LearnedClass) -> None:
-        """Go on from what an earlier incarnation had learned."""
+        """Restore the learned state of an earlier incarnation."""
         self.seen = learned.seen
         self.units = learned.units
         self.time = learned.time
