--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -28,10 +28,10 @@
 
 def played(servers: int, scan: int, requests: int = 20_000) -> tuple[float, float, float]:
     """Return microseconds a choice, mean and 99th percentile of slowdown. `scan`: servers that are all looked at."""
-    module.SCAN = scan
+    module.FULL_SCAN_MAX = scan
     rng = random.Random(servers)
     fleet = Fleet(Settings(classes=(CLASS,), plans=(PLAN,)), rng, [], 0.0)
-    fleet.listed(
+    fleet.apply_list_update(
         0.0,
         events.ListUpdate(
             ListKind.WHOLE,
@@ -48,13 +48,13 @@
         now += rng.expovariate(0.7 * servers / 0.05)
         while ends and ends[0][0] <= now:
             at, _, backend, name, took = heapq.heappop(ends)
-            fleet.ended(at, events.AttemptEnded(name, 0, backend, Outcome.OK, took, True))
+            fleet.record_outcome(at, events.AttemptEnded(name, 0, backend, Outcome.OK, took, True))
         f = PendingRequest(events.Request(f"r{n}", "read", "basic", 1, 6.0, 1.0), CLASS, customer, now)
         began = time.perf_counter()
         b = fleet.choose(now, f)
         spent += time.perf_counter() - began
         assert b is not None
-        fleet.sent(now, b, f)
+        fleet.record_attempt(now, b, f)
         work = rng.expovariate(1 / 0.05)
         name = b.entry.backend
         free[name] = max(free[name], now) + work
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -91,7 +91,7 @@
     Wrong(
         "requests are answered after their time",
         "core/driver.py",
-        "left -= min(MARGIN_S, MARGIN_SHARE * request.expires_in)",
+        "left -= min(DEADLINE_MARGIN_S, DEADLINE_MARGIN_MAX_SHARE * request.expires_in)",
         "left += 0.2",
     ),
     Wrong(
--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -14,7 +14,7 @@
 from simnet.system.topology import BACKEND_ZONES, MACHINES, one_way_delay
 from thistleusher.core.events import Outcome
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import Ended
+from thistleusher.core.ports import AttemptResult
 
 REFUSED_SHARE = 0.01  # of connections that a backend refuses
 FULL_SHARE = 0.01  # of requests that find its queue full
@@ -91,7 +91,7 @@
         request: InFlightRequest,
         backend: str,
         serves: Callable[[str], bool],
-        on_end: Callable[[Ended], None],
+        on_end: Callable[[AttemptResult], None],
     ) -> None:
         self.written = False
         self._backends = backends
@@ -169,4 +169,4 @@
     def _end(self, outcome: Outcome) -> None:
         if not self._ended and self._proxy.incarnation == self._incarnation:
             self._ended = True
-            self._backends.scheduler.run(self._proxy, lambda: self._on_end(Ended(outcome)))
+            self._backends.scheduler.run(self._proxy, lambda: self._on_end(AttemptResult(outcome)))
--- a/simnet/system/proxy_process.py
+++ b/simnet/system/proxy_process.py
@@ -15,7 +15,7 @@
 from thistleusher.core import events
 from thistleusher.core.driver import Driver
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import Ended, Final
+from thistleusher.core.ports import AttemptResult, Final
 from thistleusher.proxy.cluster_view import ClusterView
 from thistleusher.proxy.commands import (
     ApplyConfiguration,
@@ -133,7 +133,7 @@
 
     # The driver's port to backends.
 
-    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Attempt:
+    def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[AttemptResult], None]) -> Attempt:
         """Return an attempt that is yet to start."""
         return Attempt(self._backends, self, held, backend, lambda name: name in self.serving, on_end)
 
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -10,7 +10,7 @@
 from thistleusher.core.actions import Attempt, CounterAdd, Fail, Refuse, SetTimer
 from thistleusher.core.driver import Driver
 from thistleusher.core.events import Outcome
-from thistleusher.core.ports import Ended, Verdict
+from thistleusher.core.ports import AttemptResult, Verdict
 
 
 class ScriptedAttempt:
@@ -23,14 +23,14 @@
         self.timeout, self.written = timeout, self.writes
 
     def expire(self):
-        self.on_end(Ended(Outcome.TIMEOUT))
+        self.on_end(AttemptResult(Outcome.TIMEOUT))
 
     def cancel(self):
         raise AssertionError("only the module may find that a backend does not answer")
 
     def abandon(self):
         self.cancelled += 1
-        self.on_end(Ended(Outcome.CANCELLED if self.written else Outcome.MOOT))
+        self.on_end(AttemptResult(Outcome.CANCELLED if self.written else Outcome.MOOT))
 
 
 class Rig:
@@ -59,7 +59,7 @@
     rig.accept()
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and rig.finals[0].retry_in == 0.5
     assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still out
-    rig.attempts[0].on_end(Ended(Outcome.OK))
+    rig.attempts[0].on_end(AttemptResult(Outcome.OK))
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.in_flight
 
 
@@ -131,7 +131,7 @@
         leave(rig.driver)
         assert rig.attempts[0].cancelled == (ends and stops) and bool(rig.driver.in_flight) is not (ends and stops)
         if rig.driver.in_flight:
-            rig.attempts[0].on_end(Ended(Outcome.OK))
+            rig.attempts[0].on_end(AttemptResult(Outcome.OK))
         assert rig.script.ends()[0].done and not rig.driver.in_flight
 
 
@@ -164,7 +164,7 @@
     for reported, taken in ((4.0, 4.0), (4.1, 0.0)):
         rig = Rig(on_request(Attempt("r1", "b0")))
         rig.accept()
-        rig.attempts[0].on_end(Ended(Outcome.OK, "answer", reported))
+        rig.attempts[0].on_end(AttemptResult(Outcome.OK, "answer", reported))
         assert rig.finals[0].payload == "answer" and rig.script.ends()[0].true_units == taken
 
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -152,7 +152,7 @@
         g.gw.counters.by_number[0].misses = DOWN_MISSES if alone else 0
         for more, kind in ((0.1, Refuse), (-0.1, Attempt)):
             g.now += 100.0  # full again
-            g.gw.replication.customers[7].pending, g.gw.replication.customers[7].local_part = 0.0, 1.0
+            g.gw.replication.customers[7].pending, g.gw.replication.customers[7].local_share = 0.0, 1.0
             g.gw.counters.by_number[0].call_share = 0.0
             only(g.ask(units=units + more, plan="plus", width=2), kind)
 
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -144,10 +144,10 @@
     fleet = Ingress(backends=8, plans=ROOMY).gw.fleet
     one = fleet.backends["b3"]
     for n in range(6):
-        fleet.weigh(one, n % 2 == 0)
+        fleet.update_fault_evidence(one, n % 2 == 0)
     assert one.fault_evidence >= EJECT_EVIDENCE
     for _ in range(20):
-        fleet.weigh(one, False)
+        fleet.update_fault_evidence(one, False)
     assert one.fault_evidence == 0.0
 
 
@@ -155,7 +155,7 @@
     g = Ingress(backends=4, plans=ROOMY)
     bad = g.gw.fleet.backends["b0"]
     bad.trial = True
-    g.gw.fleet.weigh(bad, False)
+    g.gw.fleet.update_fault_evidence(bad, False)
     while (a := only(g.ask("read"), Attempt)).backend != "b0":
         pass
     g.end(a)  # the trial
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -11,13 +11,13 @@
 from thistleusher.core import actions, events
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.settings import Settings
-from thistleusher.policy.fleet import SCAN, SUBSET_MIN, Fleet
+from thistleusher.policy.fleet import FULL_SCAN_MAX, SUBSET_MIN, Fleet
 
 
 def subset_of(me: int, instances: int = 200, backends: int = 100, rate: float = 0.0) -> Fleet:
     settings = Settings(classes=(SAFE,), plans=(PLAN,), instances=instances, me=me)
     fleet = Fleet(settings, random.Random(me), [], 100.0)
-    fleet.listed(
+    fleet.apply_list_update(
         100.0,
         events.ListUpdate(
             ListKind.WHOLE,
@@ -26,7 +26,7 @@
         ),
     )
     fleet.rate = rate
-    fleet.draw_subset(100.0)
+    fleet.recompute_subset(100.0)
     return fleet
 
 
@@ -50,9 +50,9 @@
     fleet = subset_of(3)
     before = names(fleet)
     fleet.backends[before[0]].ejected_until = 103.0
-    fleet.draw_subset(100.0)
+    fleet.recompute_subset(100.0)
     assert before[0] not in names(fleet) and len(fleet.subset) == SUBSET_MIN and set(before[1:]) < set(names(fleet))
-    fleet.draw_subset(103.0)
+    fleet.recompute_subset(103.0)
     assert names(fleet) == before
 
 
@@ -75,13 +75,13 @@
 def test_a_new_list_changes_a_subset_by_few():
     fleet = subset_of(3)
     before = set(names(fleet))
-    fleet.listed(101.0, events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING),)))
-    fleet.draw_subset(101.0)
+    fleet.apply_list_update(101.0, events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING),)))
+    fleet.recompute_subset(101.0)
     assert len(before - set(names(fleet))) <= 2
 
 
 def test_the_sum_of_all_cold_budgets_does_not_grow_by_subsets():
-    whole, near = subset_of(3, backends=SCAN), subset_of(3, rate=0.05)
+    whole, near = subset_of(3, backends=FULL_SCAN_MAX), subset_of(3, rate=0.05)
     assert whole.subset_factor() == 1.0
     members = 200 * len(near.subset) / 100  # ingresses with one backend in their part
     assert members * near.subset_factor() == pytest.approx(200.0)
--- a/tests/policy/test_usage_replication.py
+++ b/tests/policy/test_usage_replication.py
@@ -18,7 +18,7 @@
     serve(s.nodes[0], s.nodes[0].ask(units=3.0, width=3))
     s.notify()
     assert s.levels() == [pytest.approx(5.0)] * 3
-    assert not s.nodes[0].gw.replication.notifier.outbox.waiting
+    assert not s.nodes[0].gw.replication.notifier.outbox.pending
     assert max(len(a.payload) for a in some(s.nodes[0].log, SendToPeer)) <= 256
 
 
@@ -76,7 +76,7 @@
     s.notify()
     only(s.nodes[1].ask(units=1.0, width=3), Refuse)
     s.nodes[0].counts[name] -= 7.0
-    s.later(usage_replication.EXCESS_S + 0.01)
+    s.later(usage_replication.EXCESS_MAX_AGE_S + 0.01)
     s.nodes[1].counter = "silent"
     s.notify()
     for n in (0, 2):
@@ -107,7 +107,7 @@
 
 def test_out_of_touch_with_a_peer_the_share_stands_in():
     s = PeerSet()
-    s.later(usage_replication.TOUCH_S + 0.1)
+    s.later(usage_replication.CONTACT_TIMEOUT_S + 0.1)
     node = s.nodes[0]
     node.counter = "refusing"
     for _ in range(DOWN_MISSES):
--- a/tests/policy/test_work.py
+++ b/tests/policy/test_work.py
@@ -18,7 +18,7 @@
     rng, work = random.Random(seed), WorkModel()
     for _ in range(answers):
         u = rng.choice(units)
-        work.learn(u, time_of(u) * rng.uniform(0.5, 1.5))
+        work.update(u, time_of(u) * rng.uniform(0.5, 1.5))
     return work
 
 
@@ -47,8 +47,8 @@
     work = learned(lambda u: 0.001 if u < 6 else 1.0)
     assert work.expected(1e9) == MAX_WORK and work.expected(0.0) >= MIN_WORK
     for _ in range(400):
-        work.learn(1.0, 0.1)
-        work.learn(6.0, 0.1)
+        work.update(1.0, 0.1)
+        work.update(6.0, 0.1)
     assert work.expected(6.0) == pytest.approx(1.0, abs=0.05)
 
 
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -128,8 +128,8 @@
         for g in others:  # one that has ended in order is not out of touch
             c = g.replication.customers[0]
             assert (
-                g.replication.in_touch(w.now + 1.5, c, strict=True)
-                or g.replication.last_heard[(n + 1) % 3] < w.now + 0.5
+                g.replication.in_contact(w.now + 1.5, c, strict=True)
+                or g.replication.last_message_at[(n + 1) % 3] < w.now + 0.5
             )
             assert g.replication.escrow.has_shut_down(n)
         ask_for(w, 2.0, members=4, rate=40.0)
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -17,7 +17,7 @@
 
 
 def test_the_bound_is_stated_with_the_decisions_own_times():
-    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, usage_replication.TOUCH_S)
+    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, usage_replication.CONTACT_TIMEOUT_S)
 
 
 def moving(every):
@@ -280,7 +280,7 @@
     w = World()
     w.traffic(5.0, 20.0, lambda at: 1)
     gateway = w.gateways[1]
-    assert gateway.replication.in_touch(w.now, gateway.replication.customers[0], strict=True)
+    assert gateway.replication.in_contact(w.now, gateway.replication.customers[0], strict=True)
     sent = []
     act = w.act
     w.act = lambda n, a: sent.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -100,7 +100,7 @@
 def restarted(i, now, born=1.0):
     other = Ingress(now=now)
     other.gw = Gateway(other.gw.settings, 2, now)
-    other.gw.restore(now, [], recover_learned(now, decode_learned(encode(i.gw.fleet.learned(i.now)))))
+    other.gw.restore(now, [], recover_learned(now, decode_learned(encode(i.gw.fleet.to_learned(i.now)))))
     other.give(
         events.ListUpdate(ListKind.SAVED, 2, tuple(BackendEntry(f"b{n}", Phase.RUNNING, born=born) for n in range(4)))
     )
@@ -121,8 +121,8 @@
     assert restarted(i, now + 1.0, born=2.0).backends[name].ratio == 1.0  # another process
     back = restarted(i, now - 3600.0)
     assert back.backends["b1"].ejected_until == 0.0 and back.backends[name].ratio < 1.0
-    assert recover_learned(now + 601.0, old.learned(now)) is None
-    assert recover_learned(now, old.learned(now)._replace(slots=float("nan"))) is None
+    assert recover_learned(now + 601.0, old.to_learned(now)) is None
+    assert recover_learned(now, old.to_learned(now)._replace(slots=float("nan"))) is None
 
 
 def test_an_endpoint_list_serves_for_a_minute():
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -19,7 +19,7 @@
 
 def make_gossip(settings: Settings, now: float) -> Gossip | None:
     """Return the gossip of a large fleet; None where every peer gets every update."""
-    if not settings.large:
+    if not settings.uses_gossip:
         return None
     return Gossip(
         settings.instances, settings.me, settings.peer_in_per_s, USAGE_ENTRIES_MAX, settings.counter_timeout, now
@@ -53,7 +53,7 @@
         return None
     terms = tuple(quota_terms(p, settings.max_units) for p in settings.plans)
     each = 4 / settings.peer_in_per_s
-    if settings.large:
+    if settings.uses_gossip:
         return EscrowTable(settings.instances, settings.me, now, terms, DEMAND_INTERVAL_S, each)
     return EscrowTable(
         settings.instances, settings.me, now, terms, max(DEMAND_INTERVAL_S, each * (settings.instances - 1))
--- a/thistleusher/core/backend_record.py
+++ b/thistleusher/core/backend_record.py
@@ -60,7 +60,7 @@
         """
         return self.unanswered + sum(self._waited(now, attempt, latency) for attempt in self.outstanding.values())
 
-    def cancelled(self, now: float, attempt: OutstandingAttempt, latency: Mapping[str, float]) -> None:
+    def record_cancellation(self, now: float, attempt: OutstandingAttempt, latency: Mapping[str, float]) -> None:
         """Add the overdue time of a cancelled attempt.
 
         A cancellation before the typical latency is no evidence against the backend. Nothing is added for a backend
--- a/thistleusher/core/backend_table.py
+++ b/thistleusher/core/backend_table.py
@@ -18,7 +18,7 @@
         self.rng = rng
         self.outstanding = 0  # this ingress's outstanding attempts
         self.load = 0.0  # work of the outstanding attempts, except at silent backends
-        self.learned: dict[str, LearnedBackend] = {}  # saved state, until the list names the backend
+        self.restored: dict[str, LearnedBackend] = {}  # saved state, until the list names the backend
 
     def started(self, backend: Backend, request: str, attempt: OutstandingAttempt) -> None:
         """Record an attempt that starts."""
@@ -51,7 +51,7 @@
             backend.silent = False
             self.load += backend.work
 
-    def listed(self, now: float, event: events.ListUpdate) -> None:
+    def apply_list_update(self, now: float, event: events.ListUpdate) -> None:
         """Apply an endpoint list, or a change to it."""
         for backend in self.values():
             backend.usable = backend.usable and event.kind is ListKind.CHANGE
@@ -76,7 +76,7 @@
             new.outstanding = known.outstanding
             new.work = known.work
             new.silent = known.silent
-        learned = self.learned.pop(entry.backend, None)
+        learned = self.restored.pop(entry.backend, None)
         if learned is not None and learned.born == entry.born:
             new.restore(learned)
         return new
--- a/thistleusher/core/charges.py
+++ b/thistleusher/core/charges.py
@@ -28,7 +28,7 @@
         self.grant_deadline = 0.0  # Unix time until which the request waits for share grants; 0: not waiting
 
     @classmethod
-    def of_query(cls, query: OwnerQuery, customer: Customer, peer: int) -> Charge:
+    def from_query(cls, query: OwnerQuery, customer: Customer, peer: int) -> Charge:
         """Return the charge of a peer's query to the owner of an account."""
         name = customer.plan.name
         request = events.Request("", "", name, query.customer, math.inf, query.units, query.width, query.first)
--- a/thistleusher/core/customer.py
+++ b/thistleusher/core/customer.py
@@ -50,7 +50,7 @@
         "notified_quarters",
         "notified_by_peer",
         "peer_quarters",
-        "local_part",
+        "local_share",
         "admitted_share",
         "_name_window",
         "_name",
@@ -86,7 +86,7 @@
         self.notified_quarters = 0  # `admitted_quarters` as last sent to all peers
         self.notified_by_peer: dict[int, int] = {}  # `admitted_quarters` as last sent to each peer (gossip)
         self.peer_quarters: dict[int, int] = {}  # `admitted_quarters` of each peer as last received
-        self.local_part = 0.0  # moving share of the customer's usage that comes through this ingress
+        self.local_share = 0.0  # moving share of the customer's usage that comes through this ingress
         self.admitted_share = 1.0  # moving share of its requests that totals admitted
         self._name_window = -1
         self._name = 0
@@ -107,7 +107,7 @@
         """Return the count's name shortened for messages to peers."""
         return self.count_name(now).to_bytes(8)[:SHORT_NAME_BYTES]
 
-    def is_wide(self) -> bool:
+    def has_share_below_unit(self) -> bool:
         """Return whether an even share of the burst between the ingresses of its set is below one unit."""
         return self.plan.wide(self.width)
 
@@ -121,7 +121,7 @@
         """Return the headroom less the charges in flight."""
         return self.headroom(now) - self.in_flight
 
-    def reported_in(self, window: int) -> float:
+    def reported_in_window(self, window: int) -> float:
         """Return the units that peers have reported in a window."""
         return self.reported if self.reported_window == window else 0.0
 
@@ -130,7 +130,7 @@
         self.level = level
         self.level_at = now
 
-    def own(self, now: float) -> None:
+    def take_ownership(self, now: float) -> None:
         """Make this ingress the owner of the customer's account."""
         if not self.continuous:
             self.set_level(now, self.headroom(now))
@@ -144,25 +144,25 @@
         else:
             self.level -= units
 
-    def peer_usage(self, peer: int, total: int, new: int, least: float, most: float) -> int:
+    def record_peer_total(self, peer: int, total: int, new: int, lowest: float, highest: float) -> int:
         """Record a peer's total and return the quarter units that it has admitted since its last report.
 
-        The total, modulo 2^16, recovers lost reports. A difference below `least` or above `most` quarter units shows
+        The total, modulo 2^16, recovers lost reports. A difference below `lowest` or above `highest` shows
         that the peer has restarted, and `new` is returned instead.
         """
         quarters = (total - self.peer_quarters.get(peer, total - new) + 0x8000) % 0x10000 - 0x8000
-        if not least <= quarters <= most:
+        if not lowest <= quarters <= highest:
             quarters = new
         self.peer_quarters[peer] = total
         return quarters
 
-    def add_doubtful(self, window: int, units: float) -> None:
+    def add_unconfirmed(self, window: int, units: float) -> None:
         """Record units of a timed-out call in a window, which may or may not have been added."""
         earlier = self.doubtful if self.doubtful_window == window else 0.0
         self.doubtful = units + earlier
         self.doubtful_window = window
 
-    def report_again(self) -> None:
+    def mark_unreported(self) -> None:
         """Queue all acknowledged units for the next call, because the count has lost them."""
         self.pending += self.acknowledged
         self.acknowledged = 0.0
--- a/thistleusher/core/customer_table.py
+++ b/thistleusher/core/customer_table.py
@@ -25,12 +25,12 @@
         self.retention = retention_s(settings)
         self.changed: dict[int, Customer] | None = None  # changed since the last save; None: not saved
 
-    def plan_of(self, number: int) -> PlanSettings | None:
+    def plan_by_number(self, number: int) -> PlanSettings | None:
         """Return the plan with an index, or None if there is no such plan or it has no quota."""
         plan = self.plan_list[number] if number < len(self.plan_list) else None
         return plan if plan is not None and plan.rate > 0 else None
 
-    def see(self, now: float, key: int, plan: PlanSettings) -> Customer:
+    def get_or_create(self, now: float, key: int, plan: PlanSettings) -> Customer:
         """Return a customer, created if new, and mark it seen. Evict idle customers without charges in flight."""
         customer = self.get(key)
         if customer is None:
@@ -47,19 +47,19 @@
                 del self[oldest.key]
         return customer
 
-    def see_owned(self, now: float, plan_number: int, key: int, first: int = 0, width: int = 0) -> Customer | None:
+    def ensure_owned(self, now: float, plan_number: int, key: int, first: int = 0, width: int = 0) -> Customer | None:
         """Return a customer and make this ingress the owner of its account, as a peer requests.
 
         Return None if there is no such plan or the plan has a ceiling. `width` 0 keeps the known ingress set.
         """
-        plan = self.plan_of(plan_number)
+        plan = self.plan_by_number(plan_number)
         if plan is None or plan.ceiling_rate > 0:
             return None
-        customer = self.see(now, key, plan)
+        customer = self.get_or_create(now, key, plan)
         if width:
             customer.first = first
             customer.width = width
-        customer.own(now)
+        customer.take_ownership(now)
         return customer
 
     def mark_changed(self, customer: Customer) -> None:
@@ -67,11 +67,11 @@
         if self.changed is not None:
             self.changed[customer.key] = customer
 
-    def take_changed(self, most: int) -> list[SavedCustomer]:
-        """Return up to `most` customers that changed since they were last returned. Cost: linear in the result."""
+    def take_changed(self, limit: int) -> list[SavedCustomer]:
+        """Return up to `limit` customers that changed since they were last returned. Cost: linear in the result."""
         if not self.changed:
             return []
-        keys = list(islice(self.changed, most))
+        keys = list(islice(self.changed, limit))
         return [self.changed.pop(key).to_saved() for key in keys]
 
 
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -10,7 +10,7 @@
 from thistleusher.core.snapshots import SavedReservation
 
 
-class Routed(Protocol):
+class RoutedRequest(Protocol):
     """The fields of a request that the choice of a backend reads.
 
     `event` is the request as it arrived, `work` its expected work as a multiple of its class's mean. `failed_backends`
@@ -146,7 +146,7 @@
         """Return the (customer, plan index, units) corrections in a peer's message."""
 
 
-class CounterOf(Protocol):
+class CounterPlacement(Protocol):
     """Placement of counts on several counters, which are numbered. Implementations are pure."""
 
     def of(self, name: int) -> int:
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -25,10 +25,10 @@
 from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import (
     AttemptPort,
+    AttemptResult,
     BackendPort,
     CounterPort,
     Decisions,
-    Ended,
     Final,
     PeerPort,
     Scheduler,
@@ -39,8 +39,8 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN_S = 0.03  # time by which the deadline precedes the client's time-out, for the response's transit and load peaks
-MARGIN_SHARE = 0.2  # upper bound of the margin as a fraction of the client's time-out
+DEADLINE_MARGIN_S = 0.03  # deadline before the client's time-out, for the response's transit and load peaks
+DEADLINE_MARGIN_MAX_SHARE = 0.2  # upper bound of the margin as a fraction of the client's time-out
 
 
 class Driver:
@@ -157,7 +157,7 @@
             return None
         now = self.scheduler.time()
         left = (now if received_at is None else received_at) + request.expires_in - now
-        left -= min(MARGIN_S, MARGIN_SHARE * request.expires_in)
+        left -= min(DEADLINE_MARGIN_S, DEADLINE_MARGIN_MAX_SHARE * request.expires_in)
         request_class = request_class or self.classes[request.class_name]
         in_flight = InFlightRequest(request, request_class, on_final, context, now + left)
         self.in_flight[request.id] = in_flight
@@ -199,7 +199,7 @@
 
     def _expire(self, in_flight: InFlightRequest) -> None:
         """Handle a request's deadline: end its attempt, and answer if the module has not."""
-        in_flight.over = True
+        in_flight.deadline_passed = True
         if in_flight.attempt is not None:
             in_flight.attempt.expire()
         if not in_flight.answered:
@@ -235,7 +235,7 @@
                 in_flight.timer.cancel()
             self.in_flight.pop(in_flight.request.id, None)
 
-    def has_unrepeatable_in_flight(self) -> bool:
+    def has_non_idempotent_in_flight(self) -> bool:
         """Return whether a request is in flight whose class is not SAFE, even if its client has disconnected.
 
         Cost: linear in the requests in flight.
@@ -248,7 +248,7 @@
         """Send a request to a backend. An attempt that is not allowed ends at once as MOOT."""
         in_flight = self.in_flight.get(action.request)
         now = self.scheduler.time()
-        if in_flight is None or in_flight.answered or in_flight.over or in_flight.attempt is not None:
+        if in_flight is None or in_flight.answered or in_flight.deadline_passed or in_flight.attempt is not None:
             self._reject_attempt(action, in_flight)
             return
         number = in_flight.attempts
@@ -262,11 +262,11 @@
         attempt.start(left if action.timeout is None else min(left, action.timeout))
 
     def _reject_attempt(self, action: actions.Attempt, in_flight: InFlightRequest | None) -> None:
-        over = in_flight is not None and in_flight.over
-        level = logging.DEBUG if over else logging.ERROR
+        deadline_passed = in_flight is not None and in_flight.deadline_passed
+        level = logging.DEBUG if deadline_passed else logging.ERROR
         log.log(level, "request %s: rejected an attempt of the decision module that is not allowed", action.request)
         number = in_flight.attempts if in_flight is not None else 0
-        done = in_flight is None or in_flight.answered or over
+        done = in_flight is None or in_flight.answered or deadline_passed
         self.submit(events.AttemptEnded(action.request, number, action.backend, Outcome.MOOT, 0.0, done))
 
     def _cancel_attempt(self, action: actions.CancelAttempt) -> None:
@@ -282,7 +282,7 @@
         number: int,
         attempt: AttemptPort,
         backend: str,
-        ended: Ended,
+        ended: AttemptResult,
         sent_at: float,
     ) -> None:
         """Handle an attempt's outcome: OK answers the request, the module decides on any other outcome."""
@@ -309,7 +309,7 @@
 
     # Shutdown.
 
-    def hand_over(self) -> None:
+    def flush_on_shutdown(self) -> None:
         """Report usage that only this ingress knows, at shutdown. Call it before `close`, with nothing in flight."""
         self.submit(events.Leaving())
 
@@ -320,7 +320,7 @@
             timer.cancel()
         self.timers.clear()
         for in_flight in list(self.in_flight.values()):
-            in_flight.over = True
+            in_flight.deadline_passed = True
             if in_flight.attempt is not None:
                 in_flight.attempt.abandon()
             if not in_flight.answered:
--- a/thistleusher/core/in_flight_request.py
+++ b/thistleusher/core/in_flight_request.py
@@ -24,7 +24,7 @@
         "attempt",
         "answered",
         "may_have_run",
-        "over",
+        "deadline_passed",
     )
 
     def __init__(
@@ -45,7 +45,7 @@
         self.attempt: AttemptPort | None = None  # the outstanding attempt
         self.answered = False
         self.may_have_run = False
-        self.over = False  # its deadline has passed, so the driver starts no further attempt of the module
+        self.deadline_passed = False  # its deadline has passed, so the driver starts no further attempt of the module
 
     def may_refuse(self) -> bool:
         """Return whether the request may be refused, i.e. a retry is harmless: nothing ran, or it is idempotent."""
--- a/thistleusher/core/peer_notifier.py
+++ b/thistleusher/core/peer_notifier.py
@@ -32,7 +32,7 @@
         self.escrow = escrow
         self.gossip = gossip
         self.limits = replication_limits(settings, gossip is not None)
-        self.messages_max = self.limits.messages
+        self.messages_max = self.limits.max_messages
         self.outbox = UsageOutbox(customers)
         self.timer_set = False
         self.notify_due = False  # notify at the next tick, even without usage
@@ -40,17 +40,17 @@
 
     def usage_changed(self, now: float, customer: Customer, units: float, lazy: bool) -> None:
         """Queue a notification of units that were admitted here; `lazy`: it may wait for other updates."""
-        if not self.limits.enabled or customer.is_wide():
+        if not self.limits.enabled or customer.has_share_below_unit():
             return
         customer.admitted_quarters += round(4 * units)
         if self.gossip is not None:
             self.gossip.mark_changed(now, customer.key, customer.first, customer.width, lazy)
         else:
-            self.outbox.waiting[customer.key] = customer
+            self.outbox.pending[customer.key] = customer
 
     def is_due(self) -> bool:
         """Return whether `notify` has anything to send at the next tick."""
-        return bool(self.outbox.waiting) or self.notify_due or (self.gossip is not None and self.gossip.has_work())
+        return bool(self.outbox.pending) or self.notify_due or (self.gossip is not None and self.gossip.has_work())
 
     def notify(self, now: float) -> None:
         """Notify peers of usage admitted here, which they otherwise learn only from their next counter call.
@@ -78,9 +78,9 @@
         if self.escrow is not None:
             self.send(self.escrow.handshakes(now))
 
-    def hand_over(self, now: float) -> None:
+    def flush_on_shutdown(self, now: float) -> None:
         """Notify peers of all remaining usage and transfer this ingress's shares to them, at shutdown."""
-        while self.outbox.waiting:
+        while self.outbox.pending:
             self.notify(now)
         if self.gossip is not None:
             self.notify(now)
--- a/thistleusher/core/ports.py
+++ b/thistleusher/core/ports.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptResult:
     """The result of an attempt. `elapsed` None: the driver measures the time since the attempt's start."""
 
     outcome: Outcome
@@ -122,7 +122,7 @@
 class BackendPort(Protocol):
     """Access to the backends."""
 
-    def prepare(self, in_flight: Any, backend: str, on_end: Callable[[Ended], None]) -> AttemptPort:
+    def prepare(self, in_flight: Any, backend: str, on_end: Callable[[AttemptResult], None]) -> AttemptPort:
         """Return an attempt of an `InFlightRequest` without starting it."""
 
     def probe(self, backend: str) -> None:
--- a/thistleusher/core/replication_limits.py
+++ b/thistleusher/core/replication_limits.py
@@ -16,7 +16,7 @@
 
     enabled: bool
     interval_s: float
-    messages: int
+    max_messages: int
 
 
 def replication_limits(settings: Settings, gossip: bool) -> ReplicationLimits:
@@ -25,12 +25,12 @@
     All notifications together use at most `NOTIFY_SHARE` of an ingress's inbound message limit.
     """
     peers = settings.instances - 1
-    taken_in = NOTIFY_SHARE * settings.peer_in_per_s
-    interval = max(NOTIFY_INTERVAL_S, peers / max(1e-9, taken_in))
+    notifications_per_s = NOTIFY_SHARE * settings.peer_in_per_s
+    interval = max(NOTIFY_INTERVAL_S, peers / max(1e-9, notifications_per_s))
     return ReplicationLimits(
         enabled=settings.peers and peers > 0 and (interval <= NOTIFY_INTERVAL_MAX_S or gossip),
         interval_s=NOTIFY_INTERVAL_S if gossip else interval,
-        messages=int(taken_in * interval / max(1, peers)),
+        max_messages=int(notifications_per_s * interval / max(1, peers)),
     )
 
 
--- a/thistleusher/core/request.py
+++ b/thistleusher/core/request.py
@@ -13,7 +13,7 @@
 UNITS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 TERMS = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),spread=([0-9]{1,9}),first=([0-9]{1,9})")
 COUNT = re.compile(r"[0-9]{1,9}")
-ONCE = {b"idempotency-key", b"host"}  # at most once, as are all X- headers, because duplicates are ambiguous
+SINGLETON_HEADERS = {b"idempotency-key", b"host"}  # as are all X- headers; duplicates would be ambiguous
 MAX_CUSTOMER = 1 << 33
 CUSTOMER = re.compile(rb"(?:/[^/?#]*)+?/([0-9a-fA-F]{16})(?:\?.*)?")
 MAX_BUDGET_S = 3600.0
@@ -100,7 +100,7 @@
     values: dict[bytes, bytes] = {}
     for name, value in headers:
         key = name.lower()
-        if key in values and (key.startswith(b"x-") or key in ONCE):
+        if key in values and (key.startswith(b"x-") or key in SINGLETON_HEADERS):
             raise BadRequest(f"{key.decode()}: more than one")
         values[key] = value
     return values
--- a/thistleusher/core/settings.py
+++ b/thistleusher/core/settings.py
@@ -25,15 +25,15 @@
     CELL = "cell"
 
 
-def _need(ok: bool, name: str, wanted: str, value: object) -> None:
+def _require(ok: bool, name: str, wanted: str, value: object) -> None:
     if not ok:
         raise ValueError(f"{name}: expected {wanted}, got {value!r}")
 
 
-def _not_negative(owner: object, prefix: str, *names: str) -> None:
+def _require_non_negative(owner: object, prefix: str, *names: str) -> None:
     for name in names:
         value = getattr(owner, name)
-        _need(math.isfinite(value) and value >= 0, prefix + name, "a finite number of 0 or more", value)
+        _require(math.isfinite(value) and value >= 0, prefix + name, "a finite number of 0 or more", value)
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,9 +50,9 @@
     window: float = 0.0
 
     def __post_init__(self) -> None:
-        _need(isinstance(self.effect, Effect), "classes.effect", "an Effect", self.effect)
-        _need(isinstance(self.group, Group), "classes.group", "a Group", self.group)
-        _not_negative(self, "classes.", "objective", "deadline", "worth", "late_worth", "window")
+        _require(isinstance(self.effect, Effect), "classes.effect", "an Effect", self.effect)
+        _require(isinstance(self.group, Group), "classes.group", "a Group", self.group)
+        _require_non_negative(self, "classes.", "objective", "deadline", "worth", "late_worth", "window")
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(
+        _require_non_negative(
             self,
             "plans.",
             "rate",
@@ -132,11 +132,11 @@
     cancel_stops_work: bool = False  # backends stop work when the connection closes; else it remains load
 
     def __post_init__(self) -> None:
-        _need(len(self.classes) > 0, "classes", "at least one class", self.classes)
-        _need(len(self.plans) > 0, "plans", "at least one plan", self.plans)
-        _need(self.instances >= 1, "instances", "1 or more", self.instances)
-        _need(self.max_attempts >= 1, "max_attempts", "1 or more", self.max_attempts)
-        _not_negative(
+        _require(len(self.classes) > 0, "classes", "at least one class", self.classes)
+        _require(len(self.plans) > 0, "plans", "at least one plan", self.plans)
+        _require(self.instances >= 1, "instances", "1 or more", self.instances)
+        _require(self.max_attempts >= 1, "max_attempts", "1 or more", self.max_attempts)
+        _require_non_negative(
             self,
             "",
             "me",
@@ -160,7 +160,7 @@
         )
 
     @property
-    def large(self) -> bool:
+    def uses_gossip(self) -> bool:
         """Whether there are too many peers to send each one every update per tick, so updates go to sets and owners."""
         return (
             self.peers
--- a/thistleusher/core/usage_outbox.py
+++ b/thistleusher/core/usage_outbox.py
@@ -15,21 +15,21 @@
 
     def __init__(self, customers: CustomerTable) -> None:
         self.customers = customers
-        self.waiting: dict[int, Customer] = {}  # due to all peers; unused with gossip
+        self.pending: dict[int, Customer] = {}  # due to all peers; unused with gossip
 
     def message_to(self, now: float, peer: int, keys: list[int]) -> bytes:
         """Return the message that reports the usage of customers to one peer."""
         known = [c for c in map(self.customers.get, keys) if c is not None]
         return USAGE_MARK + b"".join([self._entry(now, c, self._new_to(c, peer)) for c in known])
 
-    def messages_to_all(self, now: float, most: int) -> Iterator[bytes]:
-        """Yield up to `most` messages (at least one) that report usage to all peers, an empty one if there is none."""
-        if not self.waiting:  # only shows that this ingress runs
+    def messages_to_all(self, now: float, limit: int) -> Iterator[bytes]:
+        """Yield up to `limit` messages (at least one) that report usage to all peers, an empty one if there is none."""
+        if not self.pending:  # only shows that this ingress runs
             yield USAGE_MARK
-        customers = list(islice(self.waiting.values(), max(1, most) * USAGE_ENTRIES_MAX))
+        customers = list(islice(self.pending.values(), max(1, limit) * USAGE_ENTRIES_MAX))
         for n in range(0, len(customers), USAGE_ENTRIES_MAX):
-            part = customers[n : n + USAGE_ENTRIES_MAX]
-            yield USAGE_MARK + b"".join([self._entry(now, c, self._new_to_all(c)) for c in part])
+            batch = customers[n : n + USAGE_ENTRIES_MAX]
+            yield USAGE_MARK + b"".join([self._entry(now, c, self._new_to_all(c)) for c in batch])
 
     def _new_to(self, customer: Customer, peer: int) -> int:
         total = customer.admitted_quarters
@@ -38,7 +38,7 @@
         return new
 
     def _new_to_all(self, customer: Customer) -> int:
-        del self.waiting[customer.key]
+        del self.pending[customer.key]
         new = customer.admitted_quarters - customer.notified_quarters
         customer.notified_quarters = customer.admitted_quarters
         return new
--- a/thistleusher/core/work_model.py
+++ b/thistleusher/core/work_model.py
@@ -26,7 +26,7 @@
         self.variance = 0.0  # weighted variance of units
         self.covariance = 0.0  # weighted covariance of units and time
 
-    def learn(self, units: float, elapsed: float) -> None:
+    def update(self, units: float, elapsed: float) -> None:
         """Update the regression by an answer to a request of `units` that took `elapsed` seconds."""
         self.seen += 1
         weight = max(LEARNING_RATE, 1 / self.seen)
--- a/thistleusher/embed/admission.py
+++ b/thistleusher/embed/admission.py
@@ -16,7 +16,7 @@
 from thistleusher.core.driver import Driver
 from thistleusher.core.events import Outcome
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import Ended, Final
+from thistleusher.core.ports import AttemptResult, Final
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import Settings
 
@@ -64,7 +64,7 @@
         self.left = False
         self.interrupted = False
         self._decision: asyncio.Future[Final | None] | None = None  # its result: None if the request is admitted
-        self._on_end: Callable[[Ended], None] | None = None
+        self._on_end: Callable[[AttemptResult], None] | None = None
         self._in_flight: InFlightRequest | None = None
         self._timeout: asyncio.Timeout | None = None
         self._first_byte_s: float | None = None  # from the start of the attempt to the answer's first byte
@@ -121,7 +121,7 @@
             await self._timeout.__aenter__()
         except asyncio.CancelledError:  # the host's own time-out, say: nothing was run
             self.leave()
-            self._end(Ended(Outcome.MOOT))
+            self._end(AttemptResult(Outcome.MOOT))
             raise
 
     async def release(
@@ -152,12 +152,12 @@
     def _report_end(self, kind: type[BaseException] | None, outcome: Outcome | None) -> None:
         """Report how the host's code ended."""
         if kind is None:
-            self._end(Ended(outcome or Outcome.OK, None, self._true_units))
+            self._end(AttemptResult(outcome or Outcome.OK, None, self._true_units))
         elif issubclass(kind, asyncio.CancelledError) and not self.interrupted:
             self.leave()
-            self._end(Ended(Outcome.CANCELLED))
+            self._end(AttemptResult(Outcome.CANCELLED))
         else:
-            self._end(Ended(outcome or Outcome.ERROR))
+            self._end(AttemptResult(outcome or Outcome.ERROR))
 
     # For the driver: the final answer and the attempt.
 
@@ -169,7 +169,7 @@
         elif self.interrupted and self.on_interrupt is not None:
             self.on_interrupt(final)
 
-    def _end(self, ended: Ended) -> None:
+    def _end(self, ended: AttemptResult) -> None:
         """Report the attempt's end, once. The latency of an answer that began in time is that of its first byte."""
         if self.over:
             return
@@ -178,7 +178,7 @@
             ended.elapsed = self._first_byte_s
             self._on_end(ended)
 
-    def prepare(self, on_end: Callable[[Ended], None]) -> None:
+    def prepare(self, on_end: Callable[[AttemptResult], None]) -> None:
         """Become the request's attempt, which ends with one call of `on_end`."""
         self._on_end = on_end
 
@@ -186,7 +186,7 @@
         """Start the attempt: admit the host's code. The driver's own timer ends it, so `timeout` is not used."""
         assert self._decision is not None
         if self._decision.done():  # its task was cancelled, and has not come round to reporting it
-            self._end(Ended(Outcome.MOOT))
+            self._end(AttemptResult(Outcome.MOOT))
             return
         self.written = True
         self._started_at = self.driver.scheduler.time()
@@ -210,6 +210,6 @@
         if self.over:
             return
         self.interrupted = True
-        self._end(Ended(outcome))
+        self._end(AttemptResult(outcome))
         if self._timeout is not None:
             self._timeout.reschedule(asyncio.get_running_loop().time())
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -21,7 +21,7 @@
 from thistleusher.core.driver import Driver
 from thistleusher.core.events import BackendEntry, ListKind, Phase
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import CounterPort, Ended, Scheduler
+from thistleusher.core.ports import AttemptResult, CounterPort, Scheduler
 from thistleusher.core.request import BadRequest
 from thistleusher.core.settings import Settings
 from thistleusher.embed.admission import Admission
@@ -144,7 +144,7 @@
         driver = self._driver
         self._driver = None
         if driver is not None:
-            driver.hand_over()
+            driver.flush_on_shutdown()
             driver.close()
         if self._counter is not None:
             self._counter.close()
@@ -204,7 +204,7 @@
 
     # For the driver: the one backend.
 
-    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
+    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[AttemptResult], None]) -> Admission:
         """Return the request's admission as its attempt."""
         admission: Admission = in_flight.context
         admission.prepare(on_end)
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -147,7 +147,7 @@
         if isinstance(self.counter, CounterClient) and config.counter is not None:
             self.counter.move(config.counter)
         elif isinstance(self.counter, CounterGroup) and placement is not None:
-            self.gateway.counters.follow(placement)
+            self.gateway.counters.set_placement(placement)
             self.counter.place(placement)
         log.info("%s has read its configuration anew", self.config.name)
 
@@ -158,9 +158,9 @@
         log.info("%s stops: %d requests held", self.config.name, len(self.ingress.in_flight))
         longest_s = max(c.deadline for c in self.config.settings.classes)
         await self.server.drain(notice, GracefulShutdown(self.loop.time(), longest_s))
-        self.ingress.driver.hand_over()
+        self.ingress.driver.flush_on_shutdown()
         await asyncio.sleep(min(MAX_LAST_CALLS_S, self.config.settings.counter_timeout / 2))
-        self.ingress.driver.hand_over()  # again: a datagram may be lost, or overtaken by this one
+        self.ingress.driver.flush_on_shutdown()  # again: a datagram may be lost, or overtaken by this one
         self.close()
         log.info("%s has stopped", self.config.name)
 
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -11,7 +11,7 @@
 from thistleusher.core.driver import Driver
 from thistleusher.core.events import ListKind, Outcome, Phase
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import Decisions, Ended, Final, Scheduler, Verdict
+from thistleusher.core.ports import AttemptResult, Decisions, Final, Scheduler, Verdict
 from thistleusher.core.settings import Settings
 from thistleusher.net.backend_list import BackendList
 from thistleusher.net.client_call import Call, WaitingCall
@@ -123,7 +123,9 @@
             return False
         return True
 
-    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(
+        self, in_flight: InFlightRequest, backend: str, on_end: Callable[[AttemptResult], None]
+    ) -> BackendAttempt:
         """Prepare an attempt. It is not sent if its client has gone or its backend drains by then."""
         call: Call = in_flight.context
 
@@ -138,7 +140,7 @@
             if response is not None and outcome is Outcome.OK:
                 true_units = read_number(response.headers.get(b"x-cost-units", b""))
             load = self.load_report(response) if self.settings.load_in_answers else {}
-            on_end(Ended(outcome, response, true_units, load))
+            on_end(AttemptResult(outcome, response, true_units, load))
 
         return BackendAttempt(self.upstream, BackendExchange(backend, message, can_send, ended, guarded=True))
 
--- a/thistleusher/net/ingress_server.py
+++ b/thistleusher/net/ingress_server.py
@@ -44,7 +44,7 @@
 
     def has_pending_work(self) -> bool:
         """Return whether a backend may be at work on what may not be repeated; each ends with its deadline."""
-        return self.ingress.driver.has_unrepeatable_in_flight()
+        return self.ingress.driver.has_non_idempotent_in_flight()
 
     def read_request(self, connection: ClientConnection) -> Any:
         """Return the call that a request is, or the response to one that is refused without a decision."""
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -22,17 +22,17 @@
 from thistleusher.policy.totals import Totals
 from thistleusher.policy.usage_replication import UsageReplication
 
-GRANT_WAIT_S = 0.25  # longest time that a request waits for peers to grant it shares
-OWNER_TIMEOUTS = 5  # the account's owner is queried only if more than this many counter time-outs remain
-SURE_CALLS = 0.8  # mean calls per request above which requests that are certain to be rejected make no call
-CALLS_WEIGHT = 0.01  # weight of one request in the moving mean of calls per request
-CALL_TIMEOUTS = 2  # the counter is called only if more than this many counter time-outs remain
+GRANT_TIMEOUT_S = 0.25  # longest time that a request waits for peers to grant it shares
+OWNER_QUERY_MIN_TIMEOUTS = 5  # the account's owner is queried only if more than this many counter time-outs remain
+CERTAIN_REJECTION_CALLS = 0.8  # mean calls per request above which a certain rejection makes no call
+CALLS_PER_REQUEST_WEIGHT = 0.01  # weight of one request in the moving mean of calls per request
+CALL_MIN_TIMEOUTS = 2  # the counter is called only if more than this many counter time-outs remain
 COUNT_LIFETIME_WINDOWS = 3
 COUNT_LIFETIME_MAX_S = 60.0
-WRITE_BACK_UNITS = 0.5  # smallest pending usage of a customer that is written back at shutdown
-WRITE_BACK_CALLS = 64  # most write-back calls at shutdown
+WRITE_BACK_MIN_UNITS = 0.5  # smallest pending usage of a customer that is written back at shutdown
+WRITE_BACK_MAX_CALLS = 64  # most write-back calls at shutdown
 VERDICT_WEIGHT = 0.3  # weight of one verdict in the moving share of a customer's requests that are admitted
-COMMON_WEIGHT = VERDICT_WEIGHT / 5  # weight of one verdict in the share of all customers of a plan
+PLAN_VERDICT_WEIGHT = VERDICT_WEIGHT / 5  # weight of one verdict in the share of all customers of a plan
 
 
 @dataclass(eq=False, repr=False)
@@ -58,7 +58,7 @@
         """Charge the request's units to the customer's count, or query the owner of its account."""
         cls = self.classes[event.class_name]
         plan = self.plans[event.plan]
-        customer = self.replication.customers.see(now, event.customer, plan)
+        customer = self.replication.customers.get_or_create(now, event.customer, plan)
         customer.width = max(1, event.width)
         customer.first = event.first
         self.replication.release_stale_excess(now, customer)
@@ -68,15 +68,15 @@
             self._decide_locally(now, request)
             return
         gossip = self.replication.gossip
-        if gossip is not None and not customer.is_wide():
+        if gossip is not None and not customer.has_share_below_unit():
             gossip.customer_seen(now, customer.first, customer.width)
         owner = None
-        if event.expires_in > OWNER_TIMEOUTS * self.settings.counter_timeout:
+        if event.expires_in > OWNER_QUERY_MIN_TIMEOUTS * self.settings.counter_timeout:
             owner = self.replication.owner_of(now, customer)
         if owner is not None and owner != self.settings.me and self._query_owner(now, request, owner):
             return
         if owner == self.settings.me:
-            customer.own(now)
+            customer.take_ownership(now)
         self._charge(now, request)
 
     def _query_owner(self, now: float, request: PendingRequest, owner: int) -> bool:
@@ -101,22 +101,22 @@
         """Charge units to the count, or decide without a call while the counter is overloaded or too slow."""
         customer = charge.customer
         request = charge.event
-        health = self.replication.counters.of_customer(now, customer)
+        health = self.replication.counters.for_customer(now, customer)
         known = customer.available(now)
-        health.calls_per_request *= 1 - CALLS_WEIGHT
+        health.calls_per_request *= 1 - CALLS_PER_REQUEST_WEIGHT
         # Usage at other ingresses can only lower the headroom known here, so this rejection needs no call.
-        spared = health.call_share < 1 or health.calls_per_request > SURE_CALLS
-        if spared and (known < request.units or customer.short_name(now) in self.replication.exhausted):
+        may_skip_call = health.call_share < 1 or health.calls_per_request > CERTAIN_REJECTION_CALLS
+        if may_skip_call and (known < request.units or customer.short_name(now) in self.replication.exhausted):
             self._resolve(now, charge, False, (request.units - known) / customer.plan.rate)
             return
         if isinstance(charge, PendingRequest) and self._rejected_early(now, charge):
             return
-        hurried = request.expires_in <= CALL_TIMEOUTS * self.settings.counter_timeout
-        if hurried or (self.rng.random() >= health.call_share and now - health.last_called < CALL_INTERVAL_S):
+        short_deadline = request.expires_in <= CALL_MIN_TIMEOUTS * self.settings.counter_timeout
+        if short_deadline or (self.rng.random() >= health.call_share and now - health.last_called < CALL_INTERVAL_S):
             self._decide_locally(now, charge)
             return
-        unseen = charge.exceeds_share and customer.window < customer.window_at(now) - 1
-        if unseen and not self.replication.in_touch(now, customer):  # also charge for requests that skip the call
+        without_history = charge.exceeds_share and customer.window < customer.window_at(now) - 1
+        if without_history and not self.replication.in_contact(now, customer):  # stands for requests without a call
             charge.units = request.units / max(DOWN_CALL_SHARE, health.call_share)
         self._add(now, customer, charge.units + customer.pending, charge)
         customer.pending = 0.0
@@ -137,8 +137,8 @@
     def _add(self, now: float, customer: Customer, units: float, charge: Charge | None) -> None:
         """Add units to the count of the customer's current window."""
         name = self.calls.start(now, customer, units, charge)
-        health = self.replication.counters.of_name(name)
-        health.calls_per_request += CALLS_WEIGHT
+        health = self.replication.counters.for_name(name)
+        health.calls_per_request += CALLS_PER_REQUEST_WEIGHT
         health.last_called = now
         lifetime = min(COUNT_LIFETIME_MAX_S, COUNT_LIFETIME_WINDOWS * customer.window_length)
         self.actions.append(CounterAdd(name, units, lifetime))
@@ -152,7 +152,7 @@
         self.replication.customers.mark_changed(customer)
         if isinstance(call.charge, PendingRequest) and call.charge.event.id not in self.attempts.requests:
             call = call._replace(charge=None)  # the client has disconnected
-        health = self.replication.counters.of_name(event.name)
+        health = self.replication.counters.for_name(event.name)
         if event.outcome not in (Outcome.OK, Outcome.ERROR):
             self._call_failed(now, call, event, health)
             return
@@ -174,7 +174,7 @@
             self.actions.append(Log("counter does not answer: admitting requests by local shares"))
         customer.pending += call.units - call.charged
         if event.outcome is Outcome.TIMEOUT:
-            customer.add_doubtful(call.window, call.units)
+            customer.add_unconfirmed(call.window, call.units)
         if call.charge is not None:
             self._decide_locally(now, call.charge)
 
@@ -183,15 +183,15 @@
         customer = charge.customer
         units = charge.event.units
         admitted = customer.headroom(now) - units >= 0
-        if admitted and customer.plan.ceiling_rate > 0 and not self.replication.in_touch(now, customer, strict=True):
+        if admitted and customer.plan.ceiling_rate > 0 and not self.replication.in_contact(now, customer, strict=True):
             # Unreachable ingresses of the customer's set may use another counter, whose usage this total lacks.
             charge.from_escrow = True
             admitted = self.replication.admit_from_share(now, customer, units)
         expected = self._expected_share(now, charge)
         customer.admitted_share = expected + VERDICT_WEIGHT * (admitted - expected)
-        like = charge.event.plan, charge.event.is_repeat
-        common = self.admitted_share[like]
-        self.admitted_share[like] = common + COMMON_WEIGHT * (admitted - common)
+        key = charge.event.plan, charge.event.is_repeat
+        common = self.admitted_share[key]
+        self.admitted_share[key] = common + PLAN_VERDICT_WEIGHT * (admitted - common)
         if admitted:
             self.replication.admit(now, customer, charge.units, charge)
             self._resolve(now, charge, True)
@@ -222,8 +222,8 @@
     def write_back(self, now: float) -> None:
         """Report pending usage to the counter before shutdown, largest amounts first."""
         customers = self.replication.customers.values()
-        due = [c for c in customers if c.pending >= WRITE_BACK_UNITS and c.plan.rate > 0]
-        for customer in sorted(due, key=lambda c: -c.pending)[:WRITE_BACK_CALLS]:
+        due = [c for c in customers if c.pending >= WRITE_BACK_MIN_UNITS and c.plan.rate > 0]
+        for customer in sorted(due, key=lambda c: -c.pending)[:WRITE_BACK_MAX_CALLS]:
             self._add(now, customer, customer.pending, None)
             customer.pending = 0.0
 
@@ -233,15 +233,15 @@
         plan = customer.plan
         replication = self.replication
         # A ceiling must hold at all times, so peer reports are trusted only for the shorter time-out.
-        in_touch = replication.in_touch(now, customer)
-        if in_touch and plan.ceiling_rate > 0:
-            in_touch = replication.in_touch(now, customer, strict=True)
+        in_contact = replication.in_contact(now, customer)
+        if in_contact and plan.ceiling_rate > 0:
+            in_contact = replication.in_contact(now, customer, strict=True)
         if plan.rate <= 0:
             admitted = True
-        elif in_touch or replication.escrow is not None:
-            admitted = self._admit_by_level(now, charge, in_touch)
+        elif in_contact or replication.escrow is not None:
+            admitted = self._admit_by_level(now, charge, in_contact)
         elif plan.ceiling_rate <= 0 and charge.exceeds_share:
-            self._decide_by_chance(now, charge)
+            self._decide_by_probability(now, charge)
             return
         else:
             admitted = self._admit_by_even_share(now, charge)
@@ -249,20 +249,20 @@
             replication.admit(now, customer, charge.event.units, charge)
             self._resolve(now, charge, True)
 
-    def _admit_by_level(self, now: float, charge: Charge, in_touch: bool) -> bool:
+    def _admit_by_level(self, now: float, charge: Charge, in_contact: bool) -> bool:
         """Return whether the known level, and if needed the escrowed share, admit it; else reject or delay it."""
         customer = charge.customer
         replication = self.replication
         units = charge.event.units
         if customer.available(now) < units:
-            wait = (units - customer.headroom(now)) / customer.plan.rate if in_touch else 0.0
+            wait = (units - customer.headroom(now)) / customer.plan.rate if in_contact else 0.0
             self._resolve(now, charge, False, wait)
             return False
         # The ceiling also holds against usage that peers have not reported yet, at the price of more rejections.
         has_ceiling = customer.plan.ceiling_rate > 0
-        counter_silent = replication.counters.of_customer(now, customer).is_silent(now)
+        counter_silent = replication.counters.for_customer(now, customer).is_silent(now)
         unsure = counter_silent and (has_ceiling or replication.is_level_assumed(now, customer))
-        charge.from_escrow = not in_touch or unsure or (has_ceiling and replication.gossip is not None)
+        charge.from_escrow = not in_contact or unsure or (has_ceiling and replication.gossip is not None)
         if charge.from_escrow and not replication.admit_from_share(now, customer, units):
             if not (has_ceiling and self._waits_for_grants(now, charge)):
                 self._resolve(now, charge, False)
@@ -271,14 +271,14 @@
         return True
 
     def _waits_for_grants(self, now: float, charge: Charge) -> bool:
-        """Let a request wait once for peer grants, up to `GRANT_WAIT_S`. Return whether it waits."""
-        charge.grant_deadline = charge.grant_deadline or now + GRANT_WAIT_S
+        """Let a request wait once for peer grants, up to `GRANT_TIMEOUT_S`. Return whether it waits."""
+        charge.grant_deadline = charge.grant_deadline or now + GRANT_TIMEOUT_S
         gossip = self.replication.gossip
         if gossip is None or not isinstance(charge, PendingRequest) or now >= charge.grant_deadline:
             return False
         return gossip.add_pending(charge.event.id, charge.grant_deadline)
 
-    def _decide_by_chance(self, now: float, charge: Charge) -> None:
+    def _decide_by_probability(self, now: float, charge: Charge) -> None:
         """Admit with the recent admission probability, as a share below one request would reject every request."""
         if self.rng.random() < self._expected_share(now, charge):
             # No count saw this request. Lower the probability, as a quick return suggests above-average demand.
@@ -292,16 +292,16 @@
         customer = charge.customer
         plan = customer.plan
         units = charge.event.units
-        share = max(1.0 / customer.width, customer.local_part)
+        share = max(1.0 / customer.width, customer.local_share)
         if plan.ceiling_rate > 0:  # the ceiling bounds all shares plus what is admitted by totals
-            by_totals = 0.0 if self.replication.counters.of_customer(now, customer).is_down() else 1.0
-            share = min(share, max(0.0, plan.ceiling_rate / plan.rate - by_totals) / customer.width)
-        unused = now - customer.level_at - (plan.burst - customer.level) / plan.rate
-        if unused > 0:  # credit the refill beyond a full bucket, to avoid mass rejections when an outage ends
-            customer.pending -= min(share * plan.rate * unused, max(0.0, customer.pending))
+            admitted_by_totals = 0.0 if self.replication.counters.for_customer(now, customer).is_down() else 1.0
+            share = min(share, max(0.0, plan.ceiling_rate / plan.rate - admitted_by_totals) / customer.width)
+        overflow_s = now - customer.level_at - (plan.burst - customer.level) / plan.rate
+        if overflow_s > 0:  # credit the refill beyond a full bucket, to avoid mass rejections when an outage ends
+            customer.pending -= min(share * plan.rate * overflow_s, max(0.0, customer.pending))
             customer.set_level(now, plan.burst)
-        own = max(0.0, customer.pending)
-        if own + customer.in_flight + units > min(plan.burst, customer.headroom(now) + own) * share:
+        own_usage = max(0.0, customer.pending)
+        if own_usage + customer.in_flight + units > min(plan.burst, customer.headroom(now) + own_usage) * share:
             self._resolve(now, charge, False)
             return False
         customer.pending += units
@@ -317,7 +317,7 @@
                 for request in self._still_pending(gossip.take_pending()):
                     self._decide_locally(now, request)
             return
-        self.replication.last_heard[event.sender] = now
+        self.replication.last_message_at[event.sender] = now
         gossip.record_message(now, event.sender, False)
         if mark == QUERY_MARK:
             self._query_received(now, gossip, event)
@@ -325,7 +325,7 @@
             self._reply_received(now, gossip, event)
         elif mark == RECONCILE_MARK:
             for key, plan_number, units in gossip.parse_reconciliations(event.payload):
-                customer = self.replication.customers.see_owned(now, plan_number, key)
+                customer = self.replication.customers.ensure_owned(now, plan_number, key)
                 if customer is not None:
                     customer.pending += units
                     customer.consume(now, units)
@@ -335,11 +335,11 @@
         query = gossip.receive_query(now, event.sender, event.payload)
         if query is None:
             return
-        customer = self.replication.customers.see_owned(now, query.plan, query.customer, query.first, query.width)
+        customer = self.replication.customers.ensure_owned(now, query.plan, query.customer, query.first, query.width)
         if query.answer:
             self.actions.append(SendToPeer(event.sender, query.answer))
         elif customer is not None:
-            self._charge(now, Charge.of_query(query, customer, event.sender))
+            self._charge(now, Charge.from_query(query, customer, event.sender))
 
     def _reply_received(self, now: float, gossip: Gossip, event: events.PeerMessage) -> None:
         """Send or reject a request by the verdict of its account's owner."""
--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -66,7 +66,7 @@
             return
         request.attempts += 1
         request.sent_at = now
-        self.fleet.sent(now, best, request)
+        self.fleet.record_attempt(now, best, request)
         self.actions.append(Attempt(request.event.id, best.entry.backend))
 
     def dispatch(self, now: float) -> None:
@@ -101,8 +101,8 @@
 
         An attempt younger than twice its typical latency stays, as the backend may be alive and the request long.
         """
-        usual = self.fleet.latency[request.request_class.name] * request.work
-        if now - request.sent_at <= 2 * usual or not self.settings.may_cancel:
+        typical_latency = self.fleet.latency[request.request_class.name] * request.work
+        if now - request.sent_at <= 2 * typical_latency or not self.settings.may_cancel:
             return False
         return self._allows_attempt(now, request, request.ran_at or request.sent_at)
 
@@ -120,23 +120,23 @@
         """Record an attempt's outcome, then retry the request or give its final answer if it has none."""
         backend = self.fleet.backends.get(event.backend)
         request = self.requests.get(event.request)
-        self.fleet.ended(now, event)
+        self.fleet.record_outcome(now, event)
         if request is None:
             return
         if event.outcome not in NEVER_RAN and request.ran_at is None and backend is not None:
             request.ran_at = request.sent_at
             request.ran_on = backend.entry
         if event.done:
-            self._served(now, request, event)
+            self._finish_served(now, request, event)
             return
         request.failed_backends.add(event.backend)
-        jammed = event.outcome is Outcome.FULL and self.fleet.pressure > OVERLOADED  # others are probably full too
-        if not jammed and self._allows_attempt(now, request, request.ran_at):
+        overloaded = event.outcome is Outcome.FULL and self.fleet.pressure > OVERLOADED  # others are probably full too
+        if not overloaded and self._allows_attempt(now, request, request.ran_at):
             self.send(now, request)
         else:
             self.reject(now, request, 0.0)
 
-    def _served(self, now: float, request: PendingRequest, event: events.AttemptEnded) -> None:
+    def _finish_served(self, now: float, request: PendingRequest, event: events.AttemptEnded) -> None:
         """Remove an answered request. Its true cost corrects the customer's usage (`settles`)."""
         del self.requests[event.request]
         if self.queue:
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -16,7 +16,7 @@
 from thistleusher.core.actions import Action, Log
 from thistleusher.core.backend_record import Backend, OutstandingAttempt
 from thistleusher.core.backend_table import BackendTable
-from thistleusher.core.decision_ports import Routed
+from thistleusher.core.decision_ports import RoutedRequest
 from thistleusher.core.events import BackendEntry, ListKind, Outcome
 from thistleusher.core.settings import ClassSettings, Effect, Group, Settings
 from thistleusher.core.snapshots import Learned
@@ -24,16 +24,16 @@
 
 # Outlier ejection.
 FAULTY_SHARE = 0.5  # expected share of faults at a faulty backend
-TYPICAL_MIN, TYPICAL_MAX = 0.02, 0.4  # bounds of the assumed share of faults at a healthy backend (the median)
+TYPICAL_FAULTS_MIN, TYPICAL_FAULTS_MAX = 0.02, 0.4  # bounds of the share of faults assumed at a healthy backend
 EJECT_EVIDENCE = 6.0  # log-likelihood ratio of the faulty share to the typical one at which a backend is ejected
 TRIAL_EVIDENCE = 4.0  # evidence left after a successful trial, so that a relapse ejects the backend sooner
-EJECT_S = 3.0  # time for which an ejected backend gets no attempts before a trial
-KEEP_SHARE = 0.5  # share of usable backends that ejection must leave in use
+EJECTION_S = 3.0  # time for which an ejected backend gets no attempts before a trial
+MIN_IN_USE_SHARE = 0.5  # share of usable backends that ejection must leave in use
 
 # Concurrency limit.
 INITIAL_SLOTS = 6.0  # initial outstanding attempts per backend, over all ingresses
 MIN_SLOTS = 2.0  # lower bound of outstanding attempts per backend, over all ingresses
-TARGET_SHARE = 0.16  # upper bound of a class's unloaded latency, as a fraction of its latency target
+BASE_LATENCY_MAX_SHARE = 0.16  # upper bound of a class's unloaded latency, as a fraction of its latency target
 MIN_STEP, MAX_STEP = 0.01, 0.3  # fraction of the slots removed under overload: at least per answer, at most per second
 LATENCY_RATIO_MAX = 4.0  # cap of an answer's latency over the unloaded latency, so that outliers do not dominate
 OVERLOADED = 1.8  # latency over unloaded latency above which the concurrency limit shrinks
@@ -41,9 +41,9 @@
 # Choice of a backend.
 ERROR_COST = 4.0  # relative extra cost of a backend whose answers are all faults
 REJECTION_COST = 4.0  # relative extra cost of a backend that always rejects the class or plan
-REJECTION_AGE_S = 10.0  # time constant with which a backend's last verdict on a class or plan decays
+REJECTION_DECAY_S = 10.0  # time constant with which a backend's last verdict on a class or plan decays
 TIE_BREAK = 0.02  # largest random increase of the cost, as a fraction
-RATE_S = 5.0  # time constant of the rate of served attempts
+RATE_DECAY_S = 5.0  # time constant of the rate of served attempts
 COLD_SAFETY = 0.8  # used fraction of the configured cold budget, as the warm rate is only an estimate
 COLD_MAX = 2.0  # cap of the cold budget, in guaranteed capacities; beyond it a cold backend is only slow
 MAX_TOKENS = 1.5  # most attempts that a cold backend's token bucket holds
@@ -52,19 +52,19 @@
 SUBSET_MIN = 16  # smallest subset of one ingress, in backends
 SUBSET_REVISIT_S = 3.0  # longest mean time between attempts at one backend of the subset
 SUBSETS_PER_BACKEND = 4  # least mean number of subsets that contain a backend
-SUBSET_S = 1.0  # interval between recomputations of the subset
-SCAN = 24  # up to this number of backends, each choice compares all of them
-DRAWN = 8  # backends compared in one random sample
-DRAWS = 4  # samples tried in the subset, and then in all backends
+SUBSET_INTERVAL_S = 1.0  # interval between recomputations of the subset
+FULL_SCAN_MAX = 24  # up to this number of backends, each choice compares all of them
+SAMPLE_SIZE = 8  # backends compared in one random sample
+SAMPLE_ATTEMPTS = 4  # samples tried in the subset, and then in all backends
 
 FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
 ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.FULL)
 
 
 class Fleet:
-    """All backends. `choose` compares up to `SCAN` of them, or a random sample of `DRAWN` if there are more.
+    """All backends. `choose` compares each of up to `FULL_SCAN_MAX`, else random samples of `SAMPLE_SIZE`.
 
-    Sampling follows Mitzenmacher 2001. With more than `SCAN` backends an ingress uses a subset (deterministic
+    Sampling follows Mitzenmacher 2001. With more than `FULL_SCAN_MAX` backends an ingress uses a subset (deterministic
     subsetting, Beyer et al. 2016, ch. 20), which reuses connections and speeds up learning about each backend. Subsets
     are spaced evenly in the order of hashed ids, so each backend is in about as many; a busier ingress has a larger
     one. All backends are sampled only if several samples of the subset contain no eligible backend.
@@ -76,29 +76,29 @@
         self.actions = actions
         self.classes = {c.name: c for c in settings.classes}
         self.backends = BackendTable(rng)
-        self.ready: list[Backend] = []  # usable backends, if more than `SCAN` in the order of hashed ids
+        self.ready: list[Backend] = []  # usable backends, if more than `FULL_SCAN_MAX` in the order of hashed ids
         self.subset: list[Backend] = []  # the ready backends that this ingress uses
         self.subset_at = -math.inf  # time of the last subset computation
-        self.sharers = 1 if settings.own_backends else settings.instances  # ingresses that use the backends
+        self.ingress_count = 1 if settings.own_backends else settings.instances  # ingresses that use the backends
         self.usable_count = 0
-        self.latency = {c.name: c.objective * TARGET_SHARE for c in settings.classes}  # moving mean by class
+        self.latency = {c.name: c.objective * BASE_LATENCY_MAX_SHARE for c in settings.classes}  # moving mean by class
         self.base_latency = dict(self.latency)  # unloaded latency by class
         self.work = {c.name: WorkModel() for c in settings.classes}
         self.slots = 0.0  # concurrency limit, in mean requests
-        self.slots_per_backend = INITIAL_SLOTS / self.sharers  # initial limit per usable backend
+        self.slots_per_backend = INITIAL_SLOTS / self.ingress_count  # initial limit per usable backend
         self.pressure = 1.0  # moving mean of latency over unloaded latency
-        self.last_judged = now
+        self.last_adjusted_at = now
         self.paused_until = 0.0  # no attempt starts before; set while the limit is below one slot
-        self.typical_faults = TYPICAL_MIN  # share of faults at the median backend, updated at each fault
+        self.typical_faults = TYPICAL_FAULTS_MIN  # share of faults at the median backend, updated at each fault
         # Moving share of rejected attempts, by class and by plan.
         self.rejections = dict.fromkeys((*self.classes, *(p.name for p in settings.plans)), 0.0)
         self.rate = 0.0  # served attempts per second at one backend, an estimate for a warm one
         self.rate_at = now
 
-    def add_class(self, cls: ClassSettings) -> None:
+    def set_class(self, cls: ClassSettings) -> None:
         """Add a class that is not in the settings, or replace the settings of a class."""
         if cls.name not in self.classes:
-            self.latency[cls.name] = self.base_latency[cls.name] = cls.objective * TARGET_SHARE
+            self.latency[cls.name] = self.base_latency[cls.name] = cls.objective * BASE_LATENCY_MAX_SHARE
             self.work[cls.name] = WorkModel()
             self.rejections[cls.name] = 0.0
         self.classes[cls.name] = cls
@@ -107,7 +107,7 @@
         """Return whether the concurrency limit allows another attempt."""
         return self.backends.load < max(1.0, self.slots) and now >= self.paused_until
 
-    def warmth(self, now: float, backend: Backend) -> float:
+    def warm_up_factor(self, now: float, backend: Backend) -> float:
         """Return the fraction of its capacity that a backend is guaranteed to have at its age (slow start)."""
         grown = 1.0
         if backend.entry.born > 0 and self.settings.cold_time > 0:
@@ -115,30 +115,30 @@
         start = self.settings.start_capacity
         return min(1.0, start + (1 - start) * max(0.0, grown))
 
-    def choose(self, now: float, request: Routed) -> Backend | None:
+    def choose(self, now: float, request: RoutedRequest) -> Backend | None:
         """Return the backend for an attempt. Return None if no slot is free or no backend is eligible."""
         if not self.has_free_slot(now):
             return None
-        if len(self.ready) > SCAN:
-            if now - self.subset_at > SUBSET_S:
-                self.draw_subset(now)
-            for among in (*[self.subset] * DRAWS, *[self.ready] * DRAWS):
-                best = self.least(now, request, self.rng.sample(among, min(DRAWN, len(among))))
+        if len(self.ready) > FULL_SCAN_MAX:
+            if now - self.subset_at > SUBSET_INTERVAL_S:
+                self.recompute_subset(now)
+            for candidates in (*[self.subset] * SAMPLE_ATTEMPTS, *[self.ready] * SAMPLE_ATTEMPTS):
+                best = self.least_loaded(now, request, self.rng.sample(candidates, min(SAMPLE_SIZE, len(candidates))))
                 if best is not None:
                     return best
-        return self.least(now, request, self.ready)
+        return self.least_loaded(now, request, self.ready)
 
-    def draw_subset(self, now: float) -> None:
-        """Recompute the subset without ejected backends. Cost: linear in the backends, once per `SUBSET_S`."""
+    def recompute_subset(self, now: float) -> None:
+        """Recompute the subset without ejected backends. Cost: linear in the backends, once per `SUBSET_INTERVAL_S`."""
         count = len(self.ready)
         by_rate = round(SUBSET_REVISIT_S * self.rate * self.usable_count)
-        size = max(SUBSET_MIN, SUBSETS_PER_BACKEND * count // self.sharers, by_rate)
-        start = count * (self.settings.me % self.sharers) // self.sharers
+        size = max(SUBSET_MIN, SUBSETS_PER_BACKEND * count // self.ingress_count, by_rate)
+        start = count * (self.settings.me % self.ingress_count) // self.ingress_count
         ring = (self.ready[(start + n) % count] for n in range(count))
         self.subset = list(islice((b for b in ring if now >= b.ejected_until), size))
         self.subset_at = now
 
-    def least(self, now: float, request: Routed, among: list[Backend]) -> Backend | None:
+    def least_loaded(self, now: float, request: RoutedRequest, candidates: list[Backend]) -> Backend | None:
         """Return the eligible backend of least cost: own outstanding work over learned speed. None if there is none."""
         best: Backend | None = None
         best_cost = 0.0
@@ -146,24 +146,24 @@
         keys = [
             (key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.request_class.name, request.event.plan)
         ]
-        for backend in among:
+        for backend in candidates:
             if not self._is_eligible(now, backend, request, keyed):
                 continue
             cost = (backend.work + request.work) * backend.ratio * (1 + ERROR_COST * backend.errors)
-            for key, usual in keys:
+            for key, default_factor in keys:
                 if key in backend.rejected:
                     last, at = backend.rejected[key]
-                    fleet = self.rejections[key]
-                    cost *= 1 + REJECTION_COST * (fleet + (last - fleet) * math.exp((at - now) / REJECTION_AGE_S))
+                    typical = self.rejections[key]
+                    cost *= 1 + REJECTION_COST * (typical + (last - typical) * math.exp((at - now) / REJECTION_DECAY_S))
                 else:
-                    cost *= usual
+                    cost *= default_factor
             cost *= 1 + TIE_BREAK * self.rng.random()
             if best is None or cost < best_cost:
                 best = backend
                 best_cost = cost
         return best
 
-    def _is_eligible(self, now: float, backend: Backend, request: Routed, keyed: BackendEntry | None) -> bool:
+    def _is_eligible(self, now: float, backend: Backend, request: RoutedRequest, keyed: BackendEntry | None) -> bool:
         """Return whether a backend may get this request; `keyed`: the backend whose group deduplicates its key."""
         entry = backend.entry
         if entry.backend in request.failed_backends or now < backend.ejected_until:
@@ -178,27 +178,27 @@
 
     def _has_token(self, now: float, backend: Backend) -> bool:
         """Return whether a backend's slow start allows another attempt."""
-        warmth = self.warmth(now, backend)
-        if warmth >= 1.0:
+        warm_up = self.warm_up_factor(now, backend)
+        if warm_up >= 1.0:
             return True
-        gain = self.rate * self.subset_factor() * warmth * min(COLD_SAFETY * self.settings.fall_multiple, COLD_MAX)
+        gain = self.rate * self.subset_factor() * warm_up * min(COLD_SAFETY * self.settings.fall_multiple, COLD_MAX)
         backend.tokens = min(MAX_TOKENS, backend.tokens + gain * (now - backend.tokens_at))
         backend.tokens_at = now
         return backend.tokens >= 1.0
 
     def subset_factor(self) -> float:
         """Return by how much a subset raises this ingress's rate per backend; as many fewer ingresses use each one."""
-        return len(self.ready) / len(self.subset) if len(self.ready) > SCAN and self.subset else 1.0
+        return len(self.ready) / len(self.subset) if len(self.ready) > FULL_SCAN_MAX and self.subset else 1.0
 
-    def sent(self, now: float, backend: Backend, request: Routed) -> None:
+    def record_attempt(self, now: float, backend: Backend, request: RoutedRequest) -> None:
         """Record an attempt that starts."""
         event = request.event
         attempt = OutstandingAttempt(now, request.request_class.name, event.plan, event.units, request.work)
         self.backends.started(backend, event.id, attempt)
-        if self.warmth(now, backend) < 1.0:
+        if self.warm_up_factor(now, backend) < 1.0:
             backend.tokens -= request.work
 
-    def ended(self, now: float, event: events.AttemptEnded) -> None:
+    def record_outcome(self, now: float, event: events.AttemptEnded) -> None:
         """Update the backend's and its class's statistics by an attempt's outcome."""
         backend = self.backends.get(event.backend)
         attempt = self.backends.finished(backend, event.request) if backend is not None else None
@@ -207,7 +207,7 @@
         if event.outcome in ANSWERS:  # a time-out proves neither life nor a fault
             self.backends.mark_answered(now, backend)
         elif event.outcome is Outcome.CANCELLED:
-            backend.cancelled(now, attempt, self.latency)
+            backend.record_cancellation(now, attempt, self.latency)
         latency = event.elapsed / attempt.work  # scaled to its class's mean work
         late = event.outcome is Outcome.TIMEOUT and latency > self.latency[attempt.class_name] and not backend.silent
         if event.outcome is Outcome.OK or late:
@@ -223,11 +223,11 @@
         """Adapt the concurrency limit to latency; `ratio`: an answer's latency over the unloaded latency."""
         ratio = min(ratio, LATENCY_RATIO_MAX)  # a few very expensive requests are no overload
         backend.ratio += 0.1 * (ratio - backend.ratio)
-        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_judged)))  # rare answers weigh more
-        self.last_judged = now
+        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_adjusted_at)))  # rare answers weigh more
+        self.last_adjusted_at = now
         self.pressure += min(0.4, 5 * step) * (ratio - self.pressure)
         if self.pressure > OVERLOADED:  # with many ingresses even one slot each may be too many
-            self.slots = max(MIN_SLOTS * self.usable_count / self.sharers, self.slots * (1 - step))
+            self.slots = max(MIN_SLOTS * self.usable_count / self.ingress_count, self.slots * (1 - step))
         elif self.backends.load + 2 > self.slots:
             self.slots += min(self.slots, 1 / self.slots)
         if self.slots < 1:  # less than one outstanding attempt on average: pause after each
@@ -241,15 +241,17 @@
 
     def _record_success(self, now: float, backend: Backend, attempt: OutstandingAttempt, elapsed: float) -> None:
         """Update rate, work and latency. Only served attempts count in the rate, as rejections show no capacity."""
-        self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + 1 / RATE_S / max(1, self.usable_count)
+        self.rate = self.rate * math.exp((self.rate_at - now) / RATE_DECAY_S) + 1 / RATE_DECAY_S / max(
+            1, self.usable_count
+        )
         self.rate_at = now
         if backend.trial:
             backend.trial = False
             backend.fault_evidence = TRIAL_EVIDENCE
         backend.errors *= 0.8
-        self.weigh(backend, False)
+        self.update_fault_evidence(backend, False)
         name = attempt.class_name
-        self.work[name].learn(attempt.units, elapsed)
+        self.work[name].update(attempt.units, elapsed)
         self.latency[name] += 0.05 * (elapsed / attempt.work - self.latency[name])
         base_rate = 0.01 if self.pressure < OVERLOADED else 0.0005
         base = self.base_latency[name] + base_rate * (self.latency[name] - self.base_latency[name])
@@ -257,22 +259,22 @@
 
     def _base_max(self, name: str) -> float:
         """Return the upper bound of a class's unloaded latency, so that overload is never learned as the norm."""
-        return TARGET_SHARE * self.classes[name].objective
+        return BASE_LATENCY_MAX_SHARE * self.classes[name].objective
 
     def _record_fault(self, now: float, backend: Backend) -> None:
-        self.weigh(backend, True)
+        self.update_fault_evidence(backend, True)
         backend.errors += 0.3 * (1 - backend.errors)
         if backend.trial or backend.fault_evidence >= EJECT_EVIDENCE:
             self.eject(now, backend, "failing")
 
-    def weigh(self, backend: Backend, fault: bool) -> None:
+    def update_fault_evidence(self, backend: Backend, fault: bool) -> None:
         """Update the evidence that a backend is faulty rather than as error-prone as the median backend.
 
         Cost: linear in the backends for a fault, constant for an answer.
         """
         if fault:
             median = statistics.median_low([b.errors for b in self.backends.values() if b.usable] or [0.0])
-            self.typical_faults = min(TYPICAL_MAX, max(TYPICAL_MIN, median))
+            self.typical_faults = min(TYPICAL_FAULTS_MAX, max(TYPICAL_FAULTS_MIN, median))
             gain = math.log(FAULTY_SHARE / self.typical_faults)
         else:
             gain = math.log((1 - FAULTY_SHARE) / (1 - self.typical_faults))
@@ -286,30 +288,30 @@
             self.eject(now, backend, "silent")
         return silent
 
-    def eject(self, now: float, backend: Backend, why: str) -> None:
-        """Eject a backend for `EJECT_S`, after which it gets one trial at a time. `KEEP_SHARE` of all stay in use."""
+    def eject(self, now: float, backend: Backend, reason: str) -> None:
+        """Eject a backend for `EJECTION_S`, then allow one trial at a time. `MIN_IN_USE_SHARE` of all stay in use."""
         ejected = sum(1 for b in self.backends.values() if b.usable and now < b.ejected_until)
-        if now < backend.ejected_until or ejected + 1 > (1 - KEEP_SHARE) * self.usable_count:
+        if now < backend.ejected_until or ejected + 1 > (1 - MIN_IN_USE_SHARE) * self.usable_count:
             return
-        backend.ejected_until = now + EJECT_S
+        backend.ejected_until = now + EJECTION_S
         backend.trial = True
-        if why == "silent":
+        if reason == "silent":
             self.backends.mark_silent(backend)
-        self.actions.append(Log(f"ejected {backend.entry.backend}: {why}"))
+        self.actions.append(Log(f"ejected {backend.entry.backend}: {reason}"))
 
-    def listed(self, now: float, event: events.ListUpdate) -> None:
+    def apply_list_update(self, now: float, event: events.ListUpdate) -> None:
         """Apply an endpoint list: draining and removed backends get no new attempts, new ones a slow start."""
         if event.kind is ListKind.FAILED:
             return
-        self.backends.listed(now, event)
+        self.backends.apply_list_update(now, event)
         self.ready = [b for b in self.backends.values() if b.usable]
-        if len(self.ready) > SCAN:
+        if len(self.ready) > FULL_SCAN_MAX:
             self.ready.sort(key=lambda b: zlib.crc32(b.entry.backend.encode()))
         self.subset_at = -math.inf
         self.usable_count = len(self.ready)
         self.slots = self.slots or max(2.0, self.slots_per_backend * self.usable_count)
 
-    def learned(self, now: float) -> Learned:
+    def to_learned(self, now: float) -> Learned:
         """Return the learned state for the next incarnation of this ingress. Cost: linear in the backends."""
         classes = {n: w.to_learned(self.latency[n], self.base_latency[n]) for n, w in self.work.items()}
         backends = {name: b.to_learned() for name, b in self.backends.items() if b.usable}
@@ -322,7 +324,7 @@
                 self.latency[name] = known.latency
                 self.base_latency[name] = min(known.base, self._base_max(name))
                 self.work[name].restore(known)
-        self.backends.learned = dict(learned.backends)
+        self.backends.restored = dict(learned.backends)
         self.rate = learned.rate
         self.rate_at = now
         if learned.slots > 0 and learned.usable > 0:
--- a/thistleusher/policy/gateway.py
+++ b/thistleusher/policy/gateway.py
@@ -13,7 +13,7 @@
 from thistleusher.core import events
 from thistleusher.core.actions import Action, SetTimer
 from thistleusher.core.customer import Customer
-from thistleusher.core.decision_ports import CounterOf, Escrow, Gossip
+from thistleusher.core.decision_ports import CounterPlacement, Escrow, Gossip
 from thistleusher.core.events import Event
 from thistleusher.core.per_counter import PerCounter
 from thistleusher.core.settings import Settings
@@ -44,7 +44,7 @@
         seed: int,
         now: float,
         escrow: Escrow | None = None,
-        placement: CounterOf | None = None,
+        placement: CounterPlacement | None = None,
         gossip: Gossip | None = None,
     ) -> None:
         """`escrow` limits customers to shares while totals are unavailable; if it is None, even shares limit them.
@@ -70,7 +70,7 @@
             events.Request: self.admission.request_arrived,
             events.CounterReply: self.admission.counter_replied,
             events.AttemptEnded: self.attempts.attempt_ended,
-            events.ListUpdate: self.fleet.listed,
+            events.ListUpdate: self.fleet.apply_list_update,
             events.TimerFired: self._timer_fired,
             events.PeerMessage: self.admission.peer_message_received,
             events.ClientGone: self.attempts.client_gone,
@@ -123,7 +123,7 @@
     def _leaving(self, now: float, event: events.Leaving) -> None:
         """Report usage that only this ingress knows to the counter and to peers, before shutdown."""
         self.admission.write_back(now)
-        self.notifier.hand_over(now)
+        self.notifier.flush_on_shutdown(now)
 
     def headroom(self, now: float, key: int, plan: str) -> float:
         """Return the units left of a customer's quota, as known here. Changes no state."""
@@ -146,8 +146,8 @@
         if learned is not None:
             self.fleet.restore(now, learned)
         for saved in members:
-            customers.see(now, saved.key, customers.plans[saved.plan]).restore(saved)
+            customers.get_or_create(now, saved.key, customers.plans[saved.plan]).restore(saved)
 
-    def take_changed(self, most: int) -> list[SavedCustomer]:
-        """Return up to `most` customers that changed since they were last returned. Cost: linear in the result."""
-        return self.replication.customers.take_changed(most)
+    def take_changed(self, limit: int) -> list[SavedCustomer]:
+        """Return up to `limit` customers that changed since they were last returned. Cost: linear in the result."""
+        return self.replication.customers.take_changed(limit)
--- a/thistleusher/policy/health.py
+++ b/thistleusher/policy/health.py
@@ -29,8 +29,8 @@
         """Reduce the call share after a call without a usable answer in time."""
         if self.misses == 0:
             self.missing_since = now
-        least = DOWN_CALL_SHARE if self.is_down() else MIN_CALL_SHARE
-        self.call_share = max(least, self.call_share * MISS_FACTOR)
+        minimum = DOWN_CALL_SHARE if self.is_down() else MIN_CALL_SHARE
+        self.call_share = max(minimum, self.call_share * MISS_FACTOR)
         self.misses += 1
 
     def record_answer(self, now: float, waited: float) -> None:
--- a/thistleusher/policy/usage_replication.py
+++ b/thistleusher/policy/usage_replication.py
@@ -20,10 +20,10 @@
 from thistleusher.core.settings import Settings
 from thistleusher.policy.health import CounterHealth
 
-PRESENCE_S = 0.4  # time without an own notification after which a peer's usage is answered by an empty one
-TOUCH_S = 1.0  # time without a message after which a peer is out of contact while the counter is silent
-AWAY_S = 60.0  # same while totals arrive, as they include the peer's usage and it is probably restarting
-EXCESS_S = 0.3  # age at which units of a total that no peer has reported count as a reversed charge
+PRESENCE_INTERVAL_S = 0.4  # time without an own notification after which a peer's usage is answered by an empty one
+CONTACT_TIMEOUT_S = 1.0  # time without a message after which a peer is out of contact while the counter is silent
+CONTACT_TIMEOUT_WITH_TOTALS_S = 60.0  # same while totals arrive: they include the usage of a restarting peer
+EXCESS_MAX_AGE_S = 0.3  # age at which units of a total that no peer has reported count as a reversed charge
 
 
 @dataclass(eq=False, repr=False)
@@ -44,7 +44,7 @@
         self.plan_numbers = self.customers.plan_numbers
         self.exhausted = ExhaustedWindows()
         self.notifier = PeerNotifier(settings, self.customers, self.actions, self.started_at, self.escrow, self.gossip)
-        self.last_heard = dict.fromkeys(range(settings.instances), 0.0)  # Unix time of each peer's last message
+        self.last_message_at = dict.fromkeys(range(settings.instances), 0.0)  # Unix time of each peer's last message
 
     def owner_of(self, now: float, customer: Customer) -> int | None:
         """Return the ingress that owns a customer's account, or None if each ingress decides.
@@ -52,7 +52,7 @@
         Only customers with a wide set have an owner. Plans with a ceiling have none, because their headroom could be
         granted twice while owners change.
         """
-        if self.gossip is None or not customer.is_wide() or customer.plan.ceiling_rate > 0:
+        if self.gossip is None or not customer.has_share_below_unit() or customer.plan.ceiling_rate > 0:
             return None
         return self.gossip.owner(now, customer.key, customer.first, customer.width)
 
@@ -90,13 +90,13 @@
     def peer_message_received(self, now: float, message: events.PeerMessage) -> None:
         """Handle a peer's usage report, share message, or the name of an exhausted window."""
         sender, payload = message
-        self.last_heard[sender] = now
+        self.last_message_at[sender] = now
         mark = payload[:1]
         has_usage = mark == USAGE_MARK and len(payload) > 1
         if self.gossip is not None:
             self.gossip.record_message(now, sender, has_usage)
         if mark == USAGE_MARK and len(payload) % USAGE_ENTRY.size == 1 and self.notifier.limits.enabled:
-            quiet = now - self.notifier.last_notified > PRESENCE_S
+            quiet = now - self.notifier.last_notified > PRESENCE_INTERVAL_S
             self.notifier.notify_due |= self.gossip is None and has_usage and quiet
             for name, total, new, level in USAGE_ENTRY.iter_unpack(payload[1:]):
                 self.merge_usage(now, sender, int.from_bytes(name), total, new, level / LEVEL_STEPS)
@@ -111,15 +111,15 @@
         The peer's total, modulo 2^16, recovers lost messages unless the peer has restarted. An ingress that has itself
         just started has no history, so the peer's level replaces its own if it is lower.
         """
-        plan = self.customers.plan_of(name & 127)
+        plan = self.customers.plan_by_number(name & 127)
         if plan is None:
             return
-        customer = self.customers.see(now, name >> 7, plan)
-        quarters = customer.peer_usage(peer, total, new, -8 * self.settings.max_units, 8 * plan.burst)
+        customer = self.customers.get_or_create(now, name >> 7, plan)
+        quarters = customer.record_peer_total(peer, total, new, -8 * self.settings.max_units, 8 * plan.burst)
         units = quarters / 4
         covered = min(max(0.0, customer.excess), max(0.0, units))  # already deducted by a total
         window = customer.window_at(now)
-        customer.reported = units + customer.reported_in(window)
+        customer.reported = units + customer.reported_in_window(window)
         customer.reported_window = window
         customer.excess -= covered
         # Usage in the total but not in `new` was in lost messages, which may be seconds old if messages are rare. The
@@ -132,23 +132,23 @@
             customer.level_confirmed = True
             customer.set_level(now, min(customer.headroom(now), level * plan.burst))
 
-    def in_touch(self, now: float, customer: Customer, strict: bool = False) -> bool:
+    def in_contact(self, now: float, customer: Customer, strict: bool = False) -> bool:
         """Return whether all ingresses of the customer's set are in contact, so that its bucket is known without calls.
 
-        `strict`: require contact within `TOUCH_S` even while totals arrive.
+        `strict`: require contact within `CONTACT_TIMEOUT_S` even while totals arrive.
         """
         if customer.owned:
             return True
-        short = strict or self.counters.of_customer(now, customer).is_silent(now)
-        if strict and now - self.started_at < TOUCH_S:  # give peers time for a first message
+        use_short_timeout = strict or self.counters.for_customer(now, customer).is_silent(now)
+        if strict and now - self.started_at < CONTACT_TIMEOUT_S:  # give peers time for a first message
             return True
-        if not self.notifier.limits.enabled or customer.is_wide():
+        if not self.notifier.limits.enabled or customer.has_share_below_unit():
             return False
-        since = now - (TOUCH_S if short else AWAY_S)
+        since = now - (CONTACT_TIMEOUT_S if use_short_timeout else CONTACT_TIMEOUT_WITH_TOTALS_S)
         peers = (i % self.settings.instances for i in range(customer.first, customer.first + customer.width))
         return all(
             i == self.settings.me
-            or self.last_heard[i] > since
+            or self.last_message_at[i] > since
             or (self.escrow is not None and self.escrow.has_shut_down(i))
             for i in peers
         )
@@ -161,7 +161,7 @@
 
     def knows_window(self, now: float, customer: Customer) -> bool:
         """Return whether all usage in the current window was admitted here or reported by peers."""
-        if customer.owned or not self.in_touch(now, customer):
+        if customer.owned or not self.in_contact(now, customer):
             return False
         return customer.created_at <= customer.window_at(now) * customer.window_length - customer.phase
 
@@ -178,12 +178,12 @@
         alone = customer.width == 1 and customer.first % instances == self.settings.me % instances
         if alone and (self.settings.own_counter or old_enough):
             return True
-        if not self.in_touch(now, customer):
+        if not self.in_contact(now, customer):
             return False
         return customer.level_confirmed or old_enough or self.knows_window(now, customer)
 
     def release_stale_excess(self, now: float, customer: Customer) -> None:
         """Credit units of a total that no peer has reported in time: a charge that was reversed elsewhere."""
-        if customer.excess > 0 and now - customer.excess_at > EXCESS_S and self.knows_window(now, customer):
+        if customer.excess > 0 and now - customer.excess_at > EXCESS_MAX_AGE_S and self.knows_window(now, customer):
             customer.set_level(now, customer.headroom(now) + customer.excess)
             customer.excess = 0.0
--- a/thistleusher/proxy/backend_selection.py
+++ b/thistleusher/proxy/backend_selection.py
@@ -99,16 +99,16 @@
             by_service.setdefault(listed.service, []).append(entry)
         for service in by_service.keys() | self.fleets.keys():
             update = events.ListUpdate(ListKind.WHOLE, 0, tuple(by_service.get(service, ())))
-            self.fleet_of(now, service).listed(now, update)
+            self.fleet_of(now, service).apply_list_update(now, update)
 
     # The choice.
 
     def select(self, now: float, fleet: Fleet, request: RequestState) -> Backend | None:
         """Return the best backend of the nearest tier that has one; None where no backend can take the request now."""
-        fleet.add_class(request.request_class)
+        fleet.set_class(request.request_class)
         for tier in tiers(self.locality, self.listed, fleet.ready, request.allowed_regions):
             candidates = [backend for backend in tier if self._accepts(now, backend)]
-            best = fleet.least(now, request, candidates) if candidates else None
+            best = fleet.least_loaded(now, request, candidates) if candidates else None
             if best is not None:
                 return self._prefer_own_zone(now, fleet, request, candidates, best)
         return None
@@ -120,7 +120,7 @@
         zone = self.locality.zone
         if best.entry.zone == zone:
             return best
-        local = fleet.least(now, request, [backend for backend in candidates if backend.entry.zone == zone])
+        local = fleet.least_loaded(now, request, [backend for backend in candidates if backend.entry.zone == zone])
         if local is None or local.work > best.work or local.errors > best.errors:
             return best
         return local if local.ratio <= OWN_ZONE_RATIO * best.ratio else best
@@ -143,13 +143,13 @@
         name = backend.entry.backend
         if now < self.listed[name].warming_until:
             self.slow_start.record_sent(now, name)
-        fleet.sent(now, backend, request)
+        fleet.record_attempt(now, backend, request)
 
     def record_ended(self, now: float, event: events.AttemptEnded) -> None:
         """Learn from the end of an attempt."""
         for fleet in self.fleets.values():
             if event.backend in fleet.backends:
-                fleet.ended(now, event)
+                fleet.record_outcome(now, event)
 
     def silent_attempts(self, now: float) -> Iterator[SilentAttempt]:
         """Have the fleets eject the backends that have fallen silent; yield the attempts that are out at them."""
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -9,7 +9,7 @@
 from thistleusher.core import actions
 from thistleusher.core.events import Outcome
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import Ended, Final, Verdict
+from thistleusher.core.ports import AttemptResult, Final, Verdict
 from thistleusher.net.client_connection import Reply
 from thistleusher.net.exchange import BackendExchange
 from thistleusher.net.ingress import BackendAttempt, Ingress
@@ -87,7 +87,9 @@
         kind = KINDS[verdict]
         reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
-    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(
+        self, in_flight: InFlightRequest, backend: str, on_end: Callable[[AttemptResult], None]
+    ) -> BackendAttempt:
         """Return one attempt, to be started by the driver.
 
         It is not sent if by then its client has gone, its time is up, or its backend may not be sent to any more.
@@ -110,7 +112,7 @@
             call.ended_attempt_may_have_run |= exchange.written and outcome is not Outcome.FULL
             if answer is not None:
                 self._note_answer(call, backend, outcome, answer)
-            on_end(Ended(outcome, answer))
+            on_end(AttemptResult(outcome, answer))
 
         mark = call.request.id.encode("latin-1")
         call.attempt = BackendAttempt(
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -47,7 +47,7 @@
 class RequestState:
     """A request that still needs its one final answer.
 
-    The first five attributes are what `policy.fleet` reads of a request (`core.decision_ports.Routed`).
+    The first five attributes are what `policy.fleet` reads of a request (`core.decision_ports.RoutedRequest`).
     """
 
     __slots__ = (
--- a/thistleusher/quota/bound.py
+++ b/thistleusher/quota/bound.py
@@ -77,14 +77,14 @@
     An ingress of a set shares sets with 2 (width - 1) others. Assumed of the inbox: it takes in `peer_in_per_s`, and
     sets lie evenly, so that others send what is sent to them.
     """
-    if not settings.large:
+    if not settings.uses_gossip:
         return 0.0
     return min(settings.instances - 1, 2 * (width - 1)) / (UPDATES_FRACTION * settings.peer_in_per_s)
 
 
 def has_owner(settings: Settings, plan: PlanSettings, width: int) -> bool:
     """Return whether members of such a set have an owner of their account."""
-    return settings.large and plan.wide(width) and plan.ceiling_rate <= 0
+    return settings.uses_gossip and plan.wide(width) and plan.ceiling_rate <= 0
 
 
 def bound_of(settings: Settings, plan: PlanSettings, assumed: Assumptions, width: int = 0) -> Bound:
@@ -194,7 +194,7 @@
         "all of a set restarted together while the counter is silent: units let in at most within 0, 1 and 5 s",
     ]
     lines += [_restart_line(settings, plan, assumed) for plan in settings.plans if plan.rate > 0]
-    if settings.large:
+    if settings.uses_gossip:
         lines.append(
             f"{settings.instances} ingresses: words go to the sets of their members, sets wider than a burst"
             f" have a home. Assumed: inboxes take in {settings.peer_in_per_s:g} messages a second,"
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -216,7 +216,7 @@
     def _submit_facts(self, now: float) -> None:
         """Submit what was learned of backends, and the list of them."""
         assert self.gateway is not None and self.writer is not None
-        self.writer.put(LEARNED_KEY, encode(self.gateway.fleet.learned(now)))
+        self.writer.put(LEARNED_KEY, encode(self.gateway.fleet.to_learned(now)))
         if self.current_endpoints is not None:
             self.writer.put(ENDPOINT_LIST_KEY, encode(EndpointListRecord(now, *self.current_endpoints())))
 
