--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver alone, on a scripted clock: one final answer, one attempt out, deadlines, faults of the module."""
+"""The driver on a scripted clock: one final answer, one outstanding attempt, deadlines, faults of the module."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScriptedAttempt:
-    """An attempt in the test's hand."""
+    """An attempt whose end the test controls."""
 
     def __init__(self, on_end, writes):
         self.on_end, self.written, self.writes, self.cancelled = on_end, False, writes, 0
@@ -26,7 +26,7 @@
         self.on_end(AttemptResult(Outcome.TIMEOUT))
 
     def cancel(self):
-        raise AssertionError("only the module may find that a backend does not answer")
+        raise AssertionError("only the decision module may cancel an attempt because its backend does not answer")
 
     def abandon(self):
         self.cancelled += 1
@@ -58,7 +58,7 @@
     rig = Rig(on_request(Attempt("r1", "b0"), Refuse("r1", 0.5), Fail("r1"), Refuse("r1")))
     rig.accept()
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and rig.finals[0].retry_in == 0.5
-    assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still out
+    assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still outstanding
     rig.attempts[0].on_end(AttemptResult(Outcome.OK))
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.in_flight
 
@@ -169,9 +169,9 @@
 
 
 def test_nothing_is_sent_any_more_once_a_refusal_is_on_its_way():
-    """At its deadline a request whose attempt never left is refused: the module's next one must not leave then either.
+    """A request without a written attempt is refused at its deadline, after which no further attempt may start.
 
-    Found by a hunt: an answer of 503 at 36.215 s, and the request at a backend at 36.262 s (REFUSED).
+    Regression: a simulated run answered 503 at 36.215 s, and the request reached a backend at 36.262 s (REFUSED).
     """
 
     def decide(e):
@@ -181,7 +181,7 @@
 
     rig = Rig(decide, writes=False)
     rig.accept(cls="once")
-    rig.writes = True  # the second one would be written at once
+    rig.writes = True  # a second attempt would be written at once
     rig.clock.step(1003.0)
     assert len(rig.attempts) == 1
     assert rig.verdicts() == [Verdict.NO_ROOM]
--- a/tests/core/test_settings.py
+++ b/tests/core/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot hold are named by their field."""
+"""Errors for invalid settings name the field."""
 
 from __future__ import annotations
 
--- a/tests/policy/rig.py
+++ b/tests/policy/rig.py
@@ -1,4 +1,4 @@
-"""What several tests of the decision module share."""
+"""Helpers shared by the tests of the decision module."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     return bool(sent)
 
 
-def full(**more) -> Ingress:
-    """An ingress that has seen the customer before, and whose store has filled since."""
+def ingress_with_full_bucket(**more) -> Ingress:
+    """Return an ingress that knows the customer and whose bucket has refilled since the first request."""
     g = Ingress(**more)
     serve(g, g.ask(units=1.0))
     g.now += 5.0
@@ -38,12 +38,12 @@
         self.nodes = [Ingress(instances=3, me=n, peers=True, peer_in_per_s=100.0, seed=n) for n in range(3)]
         for node in self.nodes:
             node.counts = self.nodes[0].counts
-            # A customer that is met from here on is followed from its first request.
+            # Later customers are known from their first request, as the ingress is older than the retention time.
             node.now += node.gw.replication.customers.retention
         self.notify()
 
     def notify(self, lost: int = -1) -> None:
-        """Have the notification timers of all ring; the messages of `lost` are lost."""
+        """Fire the notification timer of every ingress, and drop the messages of ingress `lost`."""
         for node in self.nodes:
             sent = some(node.give(events.TimerFired(gateway.NOTIFY_TIMER)), SendToPeer)
             for other in self.nodes:
@@ -51,7 +51,7 @@
                     if other is not node and node.gw.settings.me != lost:
                         other.give(events.PeerMessage(node.gw.settings.me, t.payload))
 
-    def later(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for node in self.nodes:
             node.now += seconds
 
@@ -67,4 +67,4 @@
     return [a.text for a in g.log if isinstance(a, Log) and why in a.text]
 
 
-ROOMY = (PlanSettings("basic", rate=1e6, burst=1e6),)
+LARGE_QUOTA = (PlanSettings("basic", rate=1e6, burst=1e6),)
--- a/tests/policy/test_assumed_level.py
+++ b/tests/policy/test_assumed_level.py
@@ -1,4 +1,4 @@
-"""What is assumed to be left of a window that nothing was seen of."""
+"""The level that an ingress assumes for a customer without known history."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     sent = 0
     while serve(g, g.ask(plan=plan.name)):
         sent += 1
-    assert sent == int(promised)  # no field promises what the next decision refuses
+    assert sent == int(promised)  # the reported headroom matches what is admitted
     assert sent >= 6 and (sent == 8 or moment / 200 * length < 2.0)
 
 
@@ -32,7 +32,7 @@
         assert sum(serve(g, g.ask(width=1)) for _ in range(12)) == 8
 
 
-def test_whoever_comes_through_one_ingress_only_is_known_to_it_after_two_windows():
+def test_a_customer_of_one_ingress_is_known_to_it_after_two_windows():
     g = Ingress(now=1000.0)
     g.now += 2.1 * PLAN.burst / PLAN.rate
     assert sum(serve(g, g.ask(width=1)) for _ in range(12)) == 8
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -1,4 +1,4 @@
-"""The rules on final answers, retries and the queue."""
+"""Final answers, retries and the queue of attempts."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def test_a_short_attempt_is_not_retried_once_its_client_is_gone():
-    # A time-out at the client's limit, before the class's aim, was followed by sends to nobody.
+    # Regression: if a client timed out before its class's latency target, attempts were started after it had gone.
     g = Ingress()
     first = only(g.ask(expires=0.6), Attempt)
     g.now += 0.6
@@ -89,7 +89,7 @@
 
 
 def test_queued_requests_behind_a_blocked_one_are_answered_too():
-    # The look through the queue once stopped at the first blocked request and lost those behind it.
+    # Regression: a pass over the queue stopped at the first blocked request and lost the requests behind it.
     g = Ingress(backends=1)
     g.gw.fleet.slots = 1.0
     acts = []
@@ -136,7 +136,7 @@
 
 def test_keyed_by_cell_has_nowhere_else_to_go_once_it_may_have_run():
     celled = ClassSettings("celled", Effect.KEYED, 2.0, 6.0, group=Group.CELL, window=1.0)
-    g = Ingress(backends=4, classes=(celled,))  # each backend is a cell of its own
+    g = Ingress(backends=4, classes=(celled,))  # each backend is its own cell
     acts = g.end(only(g.ask("celled"), Attempt), Outcome.ERROR) + g.beat(3)
     assert isinstance(finals(acts)[0], Fail) and not some(acts, Attempt) and len(finals(acts)) == 1
 
@@ -154,7 +154,7 @@
 
 
 def test_an_idle_ingress_sets_no_timer():
-    # A beat over every backend of hundreds of idle ingresses cost more than the requests.
+    # Regression: a periodic timer over all backends at hundreds of idle ingresses cost more than the requests.
     g = Ingress()
     assert not some(g.log, SetTimer)
     a = only(g.ask(), Attempt)
--- a/tests/policy/test_choice.py
+++ b/tests/policy/test_choice.py
@@ -1,4 +1,4 @@
-"""How many backends a choice looks at."""
+"""The number of backends that a choice compares."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
         lambda now, f, among, least=fleet.least_loaded: (looked.append(len(among)), least(now, f, among))[1],
     )
     sent = Counter(only(g.ask(), Attempt).backend for _ in range(500))
-    assert not resting & set(sent) and len(sent) == 50 and max(sent.values()) <= 14  # 10 each
+    assert not resting & set(sent) and len(sent) == 50 and max(sent.values()) <= 14  # 10 on average
     assert sum(looked) / 500 < 2 * fleet_module.SAMPLE_SIZE and max(looked) in (fleet_module.SAMPLE_SIZE, 200)
     for name in set(fleet.backends) - {"b7"}:
         fleet.backends[name].ejected_until = g.now + 100.0
     fleet.backends["b7"].ejected_until = 0.0
-    assert only(g.ask(), Attempt).backend == "b7"  # however few are left
+    assert only(g.ask(), Attempt).backend == "b7"  # the only eligible backend is found
 
 
 def test_in_a_small_fleet_the_choice_is_a_look_at_each():
     g = Ingress(backends=fleet_module.FULL_SCAN_MAX)
-    g.gw.fleet.rng.sample = None  # nothing is drawn
+    g.gw.fleet.rng.sample = None  # fails if a sample is drawn
     assert only(g.ask(), Attempt)
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on attempts out, as it follows latency."""
+"""The concurrency limit on outstanding attempts, which follows latency."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from thistleusher.core.events import Outcome
 
 
-def test_a_jam_from_the_start_is_not_taken_for_the_norm():
-    # Latency measured in a jam became the base, and the limit never shrank.
+def test_overload_from_the_start_is_not_learned_as_unloaded_latency():
+    # Regression: latency measured under overload became the unloaded latency, so the limit never shrank.
     g = Ingress(backends=4)
     before = g.gw.fleet.slots
     for k in range(120):
@@ -20,7 +20,8 @@
 
 
 def test_overload_recovers_once_answers_are_fast_again():
-    # An early gate on latency once refused everything for good, as nothing was sent to unlearn it.
+    # Regression: admission was limited by measured latency. Once it rejected all requests, no attempt could lower the
+    # measured latency again.
     g = Ingress(backends=4)
     g.gw.fleet.latency["read"] = 30.0
     g.gw.fleet.pressure = 10.0
@@ -32,7 +33,7 @@
     assert some(g.ask(customer=999), Attempt)
 
 
-def test_late_answer_of_a_client_that_left_teaches():
+def test_late_answer_of_a_disconnected_client_updates_the_pressure():
     g = Ingress(backends=1)
     a = only(g.ask(), Attempt)
     g.give(events.ClientGone("r1"))
@@ -41,7 +42,8 @@
 
 
 def test_a_few_very_costly_requests_neither_shrink_the_limit_nor_eject():
-    # One answer in twenty at thirty times the usual pulled the limit down and ejected half of the fleet.
+    # Regression: one answer in twenty at thirty times the typical latency lowered the limit and ejected half of the
+    # backends.
     g = Ingress(backends=4)
     before, out = g.gw.fleet.slots, []
     for k in range(400):
@@ -52,8 +54,9 @@
     assert not some(g.log, Log)
 
 
-def test_a_limit_below_one_slot_rests_between_attempts():
-    # One attempt out at each of hundreds of ingresses is many at each backend, and nothing could go below it.
+def test_a_limit_below_one_slot_pauses_between_attempts():
+    # Regression: the limit could not fall below one attempt per ingress, which overloads a backend that hundreds of
+    # ingresses share.
     g = Ingress(backends=4, instances=40)
     g.gw.fleet.pressure, g.gw.fleet.slots = 4.0, 0.5
     g.end(only(g.ask("once"), Attempt), elapsed=1.0)
@@ -61,10 +64,10 @@
     assert g.gw.fleet.slots < 0.5 and g.gw.fleet.paused_until > g.now
 
 
-def test_few_answers_each_say_more():
+def test_rare_answers_weigh_more():
     g = Ingress(backends=4, instances=40)
     g.gw.fleet.slots = before = 8.0
-    for k in range(6):  # 3 s of late answers, two a second
+    for k in range(6):  # 3 s of late answers, two per second
         a = only(g.ask(customer=k), Attempt)
         g.now += 0.5
         g.end(a, elapsed=1.9)
@@ -72,7 +75,7 @@
 
 
 def test_a_class_rejected_by_some_is_routed_round_them_and_shrinks_nothing():
-    # 'full' for one class at half of the fleet was taken for a full fleet and shrank the limit.
+    # Regression: if half of the backends answered 'full' for one class, this counted as overload and lowered the limit.
     g = Ingress(backends=4, classes=(SAFE, UNSAFE), max_attempts=4)
     g.gw.fleet.slots = before = 6.0
     attempts = []
@@ -86,7 +89,8 @@
 
 
 def test_full_is_not_retried_while_answers_are_late():
-    # In a jam each 'full' went on to the next full backend, five attempts a request, and the jam stayed.
+    # Regression: under overload each 'full' answer was retried at the next full backend, up to five attempts per
+    # request, which prolonged the overload.
     g = Ingress(backends=4)
     g.gw.fleet.pressure = 4.0
     acts = g.end(only(g.ask(), Attempt), Outcome.FULL)
--- a/tests/policy/test_counter_health.py
+++ b/tests/policy/test_counter_health.py
@@ -1,4 +1,4 @@
-"""How many requests call a counter that is crowded or down."""
+"""The share of requests that call a counter that is overloaded or down."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from thistleusher.policy.health import DOWN_MISSES, CounterHealth
 
 
-def test_crowded_counter_is_called_less_and_fully_again_when_fast():
-    # A limit on open calls had no grip at two calls a second an ingress: 87% were turned away.
+def test_overloaded_counter_is_called_less_and_fully_again_when_fast():
+    # Regression: a limit on outstanding calls had no effect at two calls per second and ingress: 87% were turned away.
     g = Ingress()
     g.counter = "refusing"
     for k in range(30):
@@ -21,7 +21,8 @@
 
 
 def test_few_answers_bring_back_calls_as_soon_as_many_do():
-    # 0.03 an answer at a call in four seconds: totals were still missing ten seconds after an outage.
+    # Regression: an answer raised the call share by 0.03. At one call in four seconds, totals were still missing ten
+    # seconds after an outage.
     few, many = CounterHealth(), CounterHealth()
     for h in (few, many):
         h.call_share = 0.05
@@ -33,8 +34,9 @@
     assert 0.3 <= few.call_share <= many.call_share <= 1.0
 
 
-def test_a_counter_that_is_down_is_asked_more_than_a_crowded_one():
-    # At the least share of a crowded counter hundreds of ingresses found it back only after ten seconds.
+def test_a_counter_that_is_down_is_called_more_than_an_overloaded_one():
+    # Regression: at the minimum call share of an overloaded counter, hundreds of ingresses detected its recovery only
+    # after ten seconds.
     g = Ingress()
     g.counter = "refusing"
     for k in range(600):
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -1,18 +1,18 @@
-"""Outlier ejection: faulty and silent backends, and their trials."""
+"""Outlier ejection of faulty and silent backends, and their trials."""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.helpers import Ingress, only, some
-from tests.policy.rig import ROOMY, ejections
+from tests.policy.rig import LARGE_QUOTA, ejections
 from thistleusher.core.actions import Attempt, CancelAttempt, Log
 from thistleusher.core.events import Outcome
 from thistleusher.policy.fleet import EJECT_EVIDENCE
 
 
 def play(g, faulty, share, rounds):
-    """Requests one after another; a backend of `faulty` fails the first attempts of its rounds of ten."""
+    """Run `rounds` sequential requests. Backends in `faulty` fail the fraction `share` of their attempts."""
     turns = {}
     for _ in range(rounds):
         todo = some(g.ask("read"), Attempt)
@@ -20,7 +20,7 @@
         while todo:
             a = todo.pop()
             turns[a.backend] = turn = turns.get(a.backend, 0) + 1
-            bad = a.backend in faulty and (7 * turn) % 10 < 10 * share  # spread, not in a row
+            bad = a.backend in faulty and (7 * turn) % 10 < 10 * share  # faults are not consecutive
             todo += some(g.end(a, Outcome.RESET if bad else Outcome.OK, n=n), Attempt)
             n += 1
         g.now += 0.02
@@ -126,7 +126,7 @@
 
 
 def test_a_first_fast_answer_makes_no_backend_silent():
-    # The first answer set the usual latency; one of 5 ms ejected whoever took longer than 40 ms.
+    # Regression: the first answer set the typical latency, so one of 5 ms ejected backends slower than 40 ms.
     g = Ingress(backends=4)
     g.end(only(g.ask(), Attempt), elapsed=0.005)
     only(g.ask(customer=8), Attempt)
@@ -135,13 +135,13 @@
 
 
 def test_faults_that_all_backends_have_alike_eject_none():
-    g = Ingress(backends=8, plans=ROOMY)
+    g = Ingress(backends=8, plans=LARGE_QUOTA)
     play(g, {f"b{i}" for i in range(8)}, 0.2, 600)
-    assert len(ejections(g, "failing")) <= 2  # before the fleet's share is known
+    assert len(ejections(g, "failing")) <= 2  # before the typical share of faults is known
 
 
 def test_evidence_adds_up_though_no_two_faults_come_in_a_row():
-    fleet = Ingress(backends=8, plans=ROOMY).gw.fleet
+    fleet = Ingress(backends=8, plans=LARGE_QUOTA).gw.fleet
     one = fleet.backends["b3"]
     for n in range(6):
         fleet.update_fault_evidence(one, n % 2 == 0)
@@ -152,7 +152,7 @@
 
 
 def test_one_that_failed_is_ejected_sooner_after_its_trial():
-    g = Ingress(backends=4, plans=ROOMY)
+    g = Ingress(backends=4, plans=LARGE_QUOTA)
     bad = g.gw.fleet.backends["b0"]
     bad.trial = True
     g.gw.fleet.update_fault_evidence(bad, False)
@@ -167,8 +167,8 @@
 
 
 def test_what_hangs_at_a_silent_backend_takes_no_slots_from_others():
-    """An unsafe request cannot be moved: it is out there until its time is up."""
-    g = Ingress(backends=4, plans=ROOMY)
+    """An unsafe request cannot be moved, so its attempt stays outstanding until its time-out."""
+    g = Ingress(backends=4, plans=LARGE_QUOTA)
     for _ in range(40):
         g.end(only(g.ask("once"), Attempt))
     stuck = [only(g.ask("once"), Attempt) for _ in range(6)]
@@ -190,10 +190,10 @@
 
 
 def test_what_is_out_counts_again_once_a_silent_backend_answers():
-    g = Ingress(backends=1, plans=ROOMY)
+    g = Ingress(backends=1, plans=LARGE_QUOTA)
     for _ in range(40):
         g.end(only(g.ask("once"), Attempt))
-    g.gw.fleet.usable_count = 4  # others there, so that one may be ejected
+    g.gw.fleet.usable_count = 4  # pretend there are more backends, so that one may be ejected
     first, second = (only(g.ask("once"), Attempt) for _ in range(2))
     g.beat(3.0)
     assert ejections(g, "silent") and g.gw.fleet.backends.load == 0.0
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Backends that drain, leave the list or come back."""
+"""Endpoint lists: backends that drain, are removed or return."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     ],
 )
 def test_attempts_out_are_counted_down_whatever_becomes_of_their_backend(entries):
-    """A count that stays up for ever would use up the limit on attempts out."""
+    """If outstanding attempts were never counted down, they would use up the concurrency limit."""
     g = Ingress(backends=1)
     attempt = only(g.ask(), Attempt)
     g.give(events.ListUpdate(ListKind.WHOLE, 2, entries))
--- a/tests/policy/test_retention.py
+++ b/tests/policy/test_retention.py
@@ -1,4 +1,4 @@
-"""Customers and windows that are long over are forgotten."""
+"""Eviction of idle customers and expired windows."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_customers_long_unheard_of_are_forgotten():
-    """Many come only once: what is kept of them must not grow with the length of the day."""
+    """Many customers send only one request, so the table must not grow with uptime."""
     i = Ingress()
     for customer in range(4):
         i.ask(customer=customer)
@@ -24,7 +24,7 @@
     i.ask(customer=3)
     i.ask(customer=9)
     assert list(i.gw.replication.customers) == [3, 9]
-    for customer in range(10, 20):  # none is dropped while it is heard of
+    for customer in range(10, 20):  # no customer is evicted while its requests continue
         i.now += i.gw.replication.customers.retention / 4
         for known in (3, 9, customer):
             i.ask(customer=known)
@@ -33,7 +33,7 @@
     i.ask(customer=30)
     i.now += 2 * i.gw.replication.customers.retention
     i.ask(customer=31)
-    assert set(i.gw.replication.customers) == {30, 31}  # a call without its answer keeps its customer
+    assert set(i.gw.replication.customers) == {30, 31}  # an outstanding call keeps its customer
 
 
 def test_exhausted_windows_are_forgotten_though_some_are_announced_again():
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a cold backend is sent."""
+"""Slow start of cold backends."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from thistleusher.core.events import BackendEntry, ListKind, Outcome, Phase
 
 
-def test_cold_backend_gets_a_trickle_from_its_start():
+def test_cold_backend_gets_few_requests_from_its_start():
     g = Ingress(backends=4)
     g.give(events.ListUpdate(ListKind.CHANGE, 2, (BackendEntry("new", Phase.RUNNING, born=100.0),)))
     got, out = {}, []
@@ -23,7 +23,7 @@
 
 
 def test_rejected_requests_do_not_raise_what_a_cold_backend_may_take():
-    # Attempts answered 'full' counted as work that warm backends take, and a cold one was pushed over.
+    # Regression: attempts answered 'full' counted in the rate of warm backends, so a cold backend was overloaded.
     g = Ingress(backends=4)
     for k in range(20):
         acts, n = g.ask(customer=k), 0
@@ -33,7 +33,8 @@
 
 
 def test_many_ingresses_together_fill_the_budget_of_a_cold_backend():
-    # A store filled at one ingress's tiny rate never came to one: a fleet renewed by a deploy stood unused.
+    # Regression: at the tiny rate of one ingress the token bucket never reached one token, so backends that were all
+    # restarted by a deployment got no requests.
     first = 0
     for seed in range(200):
         g = Ingress(backends=4, seed=seed)
@@ -45,5 +46,5 @@
         )
         g.now += 5.0
         first += bool(some(g.ask(), Attempt))
-    # 4 backends x 0.01 a second x 2.5 x 0.5 x mean ramp 0.6 x 5 s (judged at the ramp's present height)
+    # Expected tokens: 4 backends x 0.01 per second x 2.5 x 0.5 x mean ramp 0.6 x 5 s (at the current ramp value)
     assert 15 <= first <= 70
--- a/tests/policy/test_subsets.py
+++ b/tests/policy/test_subsets.py
@@ -1,4 +1,4 @@
-"""Each ingress's subset of many backends: even over the fleet, larger for who is busier, without what is ejected."""
+"""Each ingress's subset of many backends: evenly spread, larger for busier ingresses, without ejected backends."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
     assert len(met) == backends and max(met.values()) <= 1.2 * min(met.values()) + 1
 
 
-def test_who_is_busier_has_a_larger_subset_and_one_ingress_alone_has_all():
+def test_a_busier_ingress_has_a_larger_subset_and_a_single_one_has_all():
     assert len(subset_of(3).subset) == SUBSET_MIN
-    assert len(subset_of(3, rate=0.2).subset) == 60  # 20 attempts a second
+    assert len(subset_of(3, rate=0.2).subset) == 60  # 20 attempts per second
     assert len(subset_of(0, instances=1).subset) == 100 == len(subset_of(3, rate=9.0).subset)
 
 
-def test_what_rests_is_replaced_by_the_next_and_is_back_for_its_trial():
+def test_an_ejected_backend_is_replaced_in_the_subset_and_returns_for_its_trial():
     fleet = subset_of(3)
     before = names(fleet)
     fleet.backends[before[0]].ejected_until = 103.0
@@ -62,7 +62,7 @@
     for n in range(60):
         for a in some(g.ask(customer=n), actions.Attempt):
             sent.add(a.backend)
-            g.end(a, elapsed=0.32)  # as long as usual
+            g.end(a, elapsed=0.32)  # the typical latency
         g.now += 0.01
     own = set(names(g.gw.fleet))
     assert sent <= own and len(sent) > SUBSET_MIN / 2
@@ -83,5 +83,5 @@
 def test_the_sum_of_all_cold_budgets_does_not_grow_by_subsets():
     whole, near = subset_of(3, backends=FULL_SCAN_MAX), subset_of(3, rate=0.05)
     assert whole.subset_factor() == 1.0
-    members = 200 * len(near.subset) / 100  # ingresses with one backend in their part
+    members = 200 * len(near.subset) / 100  # mean number of ingresses whose subset contains a given backend
     assert members * near.subset_factor() == pytest.approx(200.0)
--- a/tests/policy/test_usage_replication.py
+++ b/tests/policy/test_usage_replication.py
@@ -1,4 +1,4 @@
-"""Usage replication between ingresses that share a counter."""
+"""Usage replication among ingresses that share a counter."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def test_what_a_total_and_a_peer_both_report_counts_once():
     s = PeerSet()
     serve(s.nodes[0], s.nodes[0].ask(units=3.0, width=3))
-    serve(s.nodes[1], s.nodes[1].ask(units=1.0, width=3))  # the total says 4, and no peer has reported yet
+    serve(s.nodes[1], s.nodes[1].ask(units=1.0, width=3))  # the total is 4, and no peer has reported yet
     assert s.nodes[1].gw.replication.customers[7].headroom(s.nodes[1].now) == pytest.approx(4.0)
     s.notify()
     assert s.levels() == [pytest.approx(4.0)] * 3
@@ -59,24 +59,24 @@
     serve(s.nodes[0], s.nodes[0].ask(units=4.0, width=3))
     s.notify()
     s.nodes[0].gw.replication.customers.clear()
-    s.later(2.0)
+    s.advance(2.0)
     serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3))
     s.notify()
-    assert s.levels()[1] == pytest.approx(7.0)  # and not given back what it had before
+    assert s.levels()[1] == pytest.approx(7.0)  # earlier usage is not credited
 
 
-def test_a_charge_that_was_added_back_is_forgiven():
+def test_a_charge_that_was_reversed_is_credited():
     s = PeerSet()
     for node in s.nodes:
         serve(node, node.ask(units=1.0, width=3))
         s.notify()
-    s.later(5.0)
+    s.advance(5.0)
     name = only(s.nodes[0].ask(units=1.0, width=3), CounterAdd).name
-    s.nodes[0].counts[name] += 7.0  # somewhere else, to be refused
+    s.nodes[0].counts[name] += 7.0  # a charge of another ingress that will be reversed
     s.notify()
     only(s.nodes[1].ask(units=1.0, width=3), Refuse)
     s.nodes[0].counts[name] -= 7.0
-    s.later(usage_replication.EXCESS_MAX_AGE_S + 0.01)
+    s.advance(usage_replication.EXCESS_MAX_AGE_S + 0.01)
     s.nodes[1].counter = "silent"
     s.notify()
     for n in (0, 2):
@@ -86,7 +86,7 @@
 
 
 def test_while_the_counter_is_down_the_quota_holds_over_all_that_notify_one_another():
-    """Shares refused one ingress what another had left unused, or admitted more than the quota between them."""
+    """Regression: local shares rejected requests while another ingress left its share unused, or exceeded the quota."""
     s = PeerSet()
     for node in s.nodes:
         serve(node, node.ask(units=1.0, width=3, customer=1))
@@ -95,19 +95,19 @@
         node.counter = "refusing"
     sent = 0
     for n in range(60):
-        node = s.nodes[n % 2]  # the third gets none of it
+        node = s.nodes[n % 2]  # the third ingress gets no requests
         sent += serve(node, node.ask(units=1.0, width=3))
         s.notify()
         s.nodes[2].give(events.TimerFired(gateway.NOTIFY_TIMER))
         for other in s.nodes[:2]:
             other.give(events.PeerMessage(2, USAGE_MARK))
-        s.later(0.1)
+        s.advance(0.1)
     assert 8 + 2 * 6 - 2 <= sent <= 8 + 2 * 6
 
 
 def test_out_of_touch_with_a_peer_the_share_stands_in():
     s = PeerSet()
-    s.later(usage_replication.CONTACT_TIMEOUT_S + 0.1)
+    s.advance(usage_replication.CONTACT_TIMEOUT_S + 0.1)
     node = s.nodes[0]
     node.counter = "refusing"
     for _ in range(DOWN_MISSES):
@@ -120,19 +120,19 @@
     for node in s.nodes:
         serve(node, node.ask(units=1.0, width=3, customer=1))
     s.notify()
-    s.later(5.0)
+    s.advance(5.0)
     node = s.nodes[0]
     node.gw.counters.by_number[0].call_share = 0.0
     assert sum(serve(node, node.ask(units=1.0, width=3)) for _ in range(9)) == 8
 
 
 def test_an_ingress_that_has_only_started_takes_a_peers_level_for_its_own():
-    """With no history it took every bucket for nearly full, and admitted what the others had just refused."""
+    """Regression: without history it assumed almost full buckets and admitted what others had just rejected."""
     s = PeerSet()
     serve(s.nodes[0], s.nodes[0].ask(units=8.0, width=3))
     s.notify()
     s.nodes[2] = Ingress(instances=3, me=2, peers=True, peer_in_per_s=100.0, now=s.nodes[0].now)
-    s.later(1.0)
+    s.advance(1.0)
     serve(s.nodes[0], s.nodes[0].ask(units=1.0, width=3))
     s.notify()
     assert s.levels()[2] == pytest.approx(1.0, abs=0.1)
@@ -157,7 +157,7 @@
 
 def test_the_first_total_of_a_window_does_not_undo_what_a_peer_has_reported():
     g = Ingress(instances=2, peers=True, peer_in_per_s=100.0)
-    entry = USAGE_ENTRY.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units admitted, a quarter of the burst left
+    entry = USAGE_ENTRY.pack((7 << 7).to_bytes(5), 24, 24, 25)  # 6 units admitted, a quarter of the burst is left
     g.give(events.PeerMessage(1, USAGE_MARK + entry))
     c = g.gw.replication.customers[7]
     assert c.headroom(g.now) == pytest.approx(2.0)
--- a/tests/policy/test_wide_customers.py
+++ b/tests/policy/test_wide_customers.py
@@ -1,4 +1,4 @@
-"""Wide customers: hundreds of ingresses, each sees almost none of a customer."""
+"""Customers whose requests are spread over so many ingresses that an even share is below one unit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_wide_customer_gets_one_burst_a_window_without_history():
-    # A store that each ingress takes for nearly full at its first look was spent anew in every window.
+    # Regression: each ingress assumed an almost full bucket at first sight, so every window exceeded the quota.
     peers = [Ingress(instances=60) for _ in range(60)]
     shared: dict[int, float] = {}
     sent = 0.0
@@ -34,18 +34,18 @@
 
 
 def test_share_under_one_request_admits_whole_ones_by_chance():
-    # A share of a burst under one request refused every request while the counter was crowded.
+    # Regression: a share below one request rejected every request while the counter was overloaded.
     g = Ingress(instances=300)
     health = g.gw.counters.by_number[0]
-    health.call_share, health.last_called = 0.0, g.now  # and it was called a moment ago
+    health.call_share, health.last_called = 0.0, g.now  # the call interval has not passed
     sent = sum(serve(g, g.ask(customer=k, width=300)) for k in range(100))
-    assert sent == 100  # an unseen customer is most often calm
+    assert sent == 100  # an unknown customer is probably within its quota
     sent = 0
     for k in range(1000, 1200):
         g.gw.replication.customers[k] = Customer(k, PLAN, g.now)
         g.gw.replication.customers[k].admitted_share = 0.3
         sent += serve(g, g.ask(customer=k, width=300))
-    assert 30 <= sent <= 90  # those that totals refused of late go on at their chance
+    assert 30 <= sent <= 90  # customers with recent rejections keep their admission probability
 
 
 def test_charge_stands_for_requests_that_do_not_call():
@@ -70,12 +70,12 @@
     acts = other.ask(units=1.0, width=300)
     only(acts, Refuse)
     assert not some(acts, CounterAdd)
-    other.now += 8 * PLAN.burst / PLAN.rate  # another window
+    other.now += 8 * PLAN.burst / PLAN.rate  # a later window
     assert not some(other.ask(units=1.0, width=300), Refuse)
 
 
-def test_who_comes_again_soon_unseen_is_admitted_less():
-    # In a counter outage every unseen customer was admitted without end.
+def test_a_customer_without_history_that_returns_soon_is_admitted_less():
+    # Regression: in a counter outage every customer without history was admitted without limit.
     g = Ingress(instances=300)
     g.counter = "silent"
     g.gw.counters.by_number[0].call_share = 0.0
--- a/tests/policy/test_work.py
+++ b/tests/policy/test_work.py
@@ -1,4 +1,4 @@
-"""Expected work of requests: learned from requests' units, used where requests are weighed against one another."""
+"""Expected work of requests, learned from units and answer times, and its use in the choice of a backend."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def learned(time_of, units=(1.0, 2.0, 6.0), answers=300, seed=3):
-    """A class whose answers took `time_of(units)` seconds, with the spread of real ones."""
+    """Return the model of a class whose answers took `time_of(units)` seconds, with random variation of 50%."""
     rng, work = random.Random(seed), WorkModel()
     for _ in range(answers):
         u = rng.choice(units)
@@ -53,7 +53,7 @@
 
 
 def trained(backends=2, **more):
-    """An ingress that has seen answers in proportion to units."""
+    """Return an ingress that has seen answers whose time is proportional to units."""
     g = Ingress(backends=backends, plans=(PlanSettings("basic", rate=1e6, burst=1e6),), **more)
     for n in range(4 * MIN_ANSWERS):
         units = 1.0 + 5 * (n % 2)
@@ -71,7 +71,7 @@
 def test_a_large_request_does_not_make_its_backend_count_as_silent():
     g = trained()
     large = only(g.ask("read", units=6.0), actions.Attempt)
-    g.beat(8 * 0.05 * 3.5 - 0.2)  # longer than eight answers to a small request
+    g.beat(8 * 0.05 * 3.5 - 0.2)  # longer than eight answers to a small request take
     assert not [a for a in g.log if isinstance(a, actions.Log) and "silent" in a.text]
     g.beat(4.0)
     assert [a for a in g.log if isinstance(a, actions.Log) and f"{large.backend}: silent" in a.text]
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("units,at_once", [(1.0, 2), (6.0, 1)])
 def test_a_cold_backend_is_spared_by_work_and_not_by_requests(units, at_once):
-    """Its budget is in units of mean work: one large request uses it up, two small ones do not."""
+    """Slow-start tokens are in units of mean work: one large request uses them up, two small ones do not."""
     g = trained(backends=3, start_capacity=0.2, cold_time=1e6)
     g.give(
         events.ListUpdate(
--- a/thistleusher/core/customer.py
+++ b/thistleusher/core/customer.py
@@ -147,7 +147,7 @@
     def record_peer_total(self, peer: int, total: int, new: int, lowest: float, highest: float) -> int:
         """Record a peer's total and return the quarter units that it has admitted since its last report.
 
-        The total, modulo 2^16, recovers lost reports. A difference below `lowest` or above `highest` shows
+        The total, modulo 2^16, recovers lost reports. A difference outside `lowest` to `highest` quarter units shows
         that the peer has restarted, and `new` is returned instead.
         """
         quarters = (total - self.peer_quarters.get(peer, total - new) + 0x8000) % 0x10000 - 0x8000
