--- a/tests/embed/test_asgi_endings.py
+++ b/tests/embed/test_asgi_endings.py
@@ -97,7 +97,7 @@
             counter.silence(where == "counter")
             client.writer.write(raw("cut", "once"))
             if where == "counter":
-                await until(lambda: rig.ingress.driver.gateway.admission.calls)
+                await until(lambda: rig.ingress.driver.gateway.admission.counter_calls)
             else:
                 await inside.wait()
             rig.host.cut("cut")
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -60,7 +60,7 @@
         and not gateway.attempts.requests
         and not gateway.attempts.queue
         and gateway.fleet.backends.outstanding == 0
-        and not gateway.admission.calls
+        and not gateway.admission.counter_calls
     )
 
 
@@ -163,7 +163,7 @@
             task = asyncio.create_task(work(7))
             await until(
                 {
-                    "counter": lambda: ingress.driver.gateway.admission.calls,
+                    "counter": lambda: ingress.driver.gateway.admission.counter_calls,
                     "queue": lambda: ingress.driver.gateway.attempts.queue,
                     "body": lambda: 7 in inside,
                 }[where]
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -50,7 +50,7 @@
         self.totals = Totals(self.settings, self.replication, self.actions)
         self.classes = {c.name: c for c in self.settings.classes}
         self.plans = {p.name: p for p in self.settings.plans}
-        self.calls = CounterCalls()
+        self.counter_calls = CounterCalls()
         # Moving share of admitted requests by plan, kept separately for first requests and repeats.
         self.admitted_share = {(plan, repeat): 1.0 for plan in self.plans for repeat in (False, True)}
 
@@ -136,7 +136,7 @@
 
     def _add(self, now: float, customer: Customer, units: float, charge: Charge | None) -> None:
         """Add units to the count of the customer's current window."""
-        name = self.calls.start(now, customer, units, charge)
+        name = self.counter_calls.start(now, customer, units, charge)
         health = self.replication.counters.for_name(name)
         health.calls_per_request += CALLS_PER_REQUEST_WEIGHT
         health.last_called = now
@@ -145,7 +145,7 @@
 
     def counter_replied(self, now: float, event: events.CounterReply) -> None:
         """Decide the waiting request by the counter's total, or locally if the call failed."""
-        call = self.calls.finish(event.name)
+        call = self.counter_calls.finish(event.name)
         if call is None:
             return
         customer = call.customer
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -45,7 +45,7 @@
 TIE_BREAK = 0.02  # largest random increase of the cost, as a fraction
 RATE_DECAY_S = 5.0  # time constant of the rate of served attempts
 COLD_SAFETY = 0.8  # used fraction of the configured cold budget, as the warm rate is only an estimate
-COLD_MAX = 2.0  # cap of the cold budget, in guaranteed capacities; beyond it a cold backend is only slow
+COLD_MAX = 2.0  # cap of the cold budget, in guaranteed capacities; beyond it a cold backend only gets slower
 MAX_TOKENS = 1.5  # most attempts that a cold backend's token bucket holds
 
 # Subsets of many backends.
@@ -226,7 +226,7 @@
         step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_adjusted_at)))  # rare answers weigh more
         self.last_adjusted_at = now
         self.pressure += min(0.4, 5 * step) * (ratio - self.pressure)
-        if self.pressure > OVERLOADED:  # with many ingresses even one slot each may be too many
+        if self.pressure > OVERLOADED:  # for many ingresses one slot per backend is too many
             self.slots = max(MIN_SLOTS * self.usable_count / self.ingress_count, self.slots * (1 - step))
         elif self.backends.load + 2 > self.slots:
             self.slots += min(self.slots, 1 / self.slots)
--- a/thistleusher/policy/usage_replication.py
+++ b/thistleusher/policy/usage_replication.py
@@ -20,7 +20,7 @@
 from thistleusher.core.settings import Settings
 from thistleusher.policy.health import CounterHealth
 
-PRESENCE_INTERVAL_S = 0.4  # time without an own notification after which a peer's usage is answered by an empty one
+PRESENCE_INTERVAL_S = 0.4  # time without an own notification after which a peer's usage report triggers one
 CONTACT_TIMEOUT_S = 1.0  # time without a message after which a peer is out of contact while the counter is silent
 CONTACT_TIMEOUT_WITH_TOTALS_S = 60.0  # same while totals arrive: they include the usage of a restarting peer
 EXCESS_MAX_AGE_S = 0.3  # age at which units of a total that no peer has reported count as a reversed charge
