--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -116,7 +116,8 @@
             self._decide_locally(now, charge)
             return
         without_history = charge.exceeds_share and customer.window < customer.window_at(now) - 1
-        if without_history and not self.replication.in_contact(now, customer):  # stands for requests without a call
+        if without_history and not self.replication.in_contact(now, customer):
+            # Scale the charge up, as it also represents requests that skip the call.
             charge.units = request.units / max(DOWN_CALL_SHARE, health.call_share)
         self._add(now, customer, charge.units + customer.pending, charge)
         customer.pending = 0.0
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -50,7 +50,7 @@
 
 # Subsets of many backends.
 SUBSET_MIN = 16  # smallest subset of one ingress, in backends
-SUBSET_REVISIT_S = 3.0  # longest mean time between attempts at one backend of the subset
+SUBSET_REVISIT_S = 3.0  # mean time between attempts at one backend up to which a busy ingress enlarges its subset
 SUBSETS_PER_BACKEND = 4  # least mean number of subsets that contain a backend
 SUBSET_INTERVAL_S = 1.0  # interval between recomputations of the subset
 FULL_SCAN_MAX = 24  # up to this number of backends, each choice compares all of them
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -56,7 +56,7 @@
 class BackendKnowledge(Protocol):
     """What the snapshotter asks of the decisions on backends."""
 
-    def learned(self, now: float) -> Learned:
+    def to_learned(self, now: float) -> Learned:
         """Return what was learned of the backends."""
 
 
