--- a/thistleusher/core/customer_table.py
+++ b/thistleusher/core/customer_table.py
@@ -14,19 +14,19 @@
 class CustomerTable(OrderedDict[int, Customer]):
     """Customers by key, least recently seen first. Idle customers are evicted, as many send only one request.
 
-    Messages to peers identify a plan by its index in the settings.
+    Messages to peers identify a plan by its number, its position in the settings.
     """
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
         self.plans = {p.name: p for p in settings.plans}
-        self.plan_list = list(self.plans.values())  # by index in the settings
+        self.plan_list = list(self.plans.values())  # by plan number
         self.plan_numbers = {p.name: n for n, p in enumerate(settings.plans)}
         self.retention = retention_s(settings)
         self.changed: dict[int, Customer] | None = None  # changed since the last save; None: not saved
 
     def plan_by_number(self, number: int) -> PlanSettings | None:
-        """Return the plan with an index, or None if there is no such plan or it has no quota."""
+        """Return the plan with a number, or None if there is no such plan or it has no quota."""
         plan = self.plan_list[number] if number < len(self.plan_list) else None
         return plan if plan is not None and plan.rate > 0 else None
 
--- a/thistleusher/core/datagrams.py
+++ b/thistleusher/core/datagrams.py
@@ -26,12 +26,12 @@
 
 
 def encode_customer(plan: int, customer: int) -> bytes:
-    """Return the five-byte name of a customer (below 2^33) and its plan's index (below 128) in messages to peers."""
+    """Return the five-byte name of a customer (below 2^33) and its plan's number (below 128) in messages to peers."""
     return (customer << 7 | plan).to_bytes(5)
 
 
 def decode_customer(name: bytes) -> tuple[int, int]:
-    """Return the plan's index and the customer of a five-byte name."""
+    """Return the plan's number and the customer of a five-byte name."""
     number = int.from_bytes(name)
     return number & 127, number >> 7
 
--- a/thistleusher/core/decision_ports.py
+++ b/thistleusher/core/decision_ports.py
@@ -27,7 +27,7 @@
 class Escrow(Protocol):
     """Limits customers to this ingress's share of their allowance; implemented by `quota.escrow.EscrowTable`.
 
-    Plans are indices in the settings, times are Unix seconds, units are quota units. Implementations are pure.
+    Plans are given by number, times are Unix seconds, units are quota units. Implementations are pure.
     """
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
@@ -74,7 +74,7 @@
 
 
 class OwnerQuery(NamedTuple):
-    """A peer's query to the owner of an account: its number, customer, plan's index, ingress set, and units.
+    """A peer's query to the owner of an account: its number, customer, plan's number, ingress set, and units.
 
     `answer`: the earlier reply, if the query is a retransmission.
     """
@@ -143,7 +143,7 @@
         """Return the messages of all queued corrections, with their destinations."""
 
     def parse_reconciliations(self, payload: bytes) -> list[tuple[int, int, float]]:
-        """Return the (customer, plan index, units) corrections in a peer's message."""
+        """Return the (customer, plan number, units) corrections in a peer's message."""
 
 
 class CounterPlacement(Protocol):
--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -195,7 +195,7 @@
     def _end_answered(self, in_flight: InFlightRequest) -> None:
         """Abandon the attempt of an answered request, and remove the request once no attempt is outstanding."""
         in_flight.abandon_attempt(self.settings.cancel_stops_work)
-        self._forget_if_done(in_flight)
+        self._remove_if_done(in_flight)
 
     def _expire(self, in_flight: InFlightRequest) -> None:
         """Handle a request's deadline: end its attempt, and answer if the module has not."""
@@ -204,11 +204,11 @@
             in_flight.attempt.expire()
         if not in_flight.answered:
             log.info("request %s: no decision by its deadline, answered by the driver", in_flight.request.id)
-            self._give_up(in_flight)
+            self._answer_without_decision(in_flight)
             self.submit(events.ClientGone(in_flight.request.id))
-        self._forget_if_done(in_flight)
+        self._remove_if_done(in_flight)
 
-    def _give_up(self, in_flight: InFlightRequest) -> None:
+    def _answer_without_decision(self, in_flight: InFlightRequest) -> None:
         """Answer in place of the module: refused if a retry is harmless, failed otherwise."""
         self.answer(in_flight, self._refusal(0.0) if in_flight.may_refuse() else Final(Verdict.FAILED))
 
@@ -228,7 +228,7 @@
         if in_flight is not None:
             self.answer(in_flight, Final(Verdict.FAILED))
 
-    def _forget_if_done(self, in_flight: InFlightRequest) -> None:
+    def _remove_if_done(self, in_flight: InFlightRequest) -> None:
         """Remove a request that is answered and has no outstanding attempt."""
         if in_flight.answered and in_flight.attempt is None:
             if in_flight.timer is not None:
@@ -305,7 +305,7 @@
             load=ended.load,
         )
         self.submit(event)
-        self._forget_if_done(in_flight)
+        self._remove_if_done(in_flight)
 
     # Shutdown.
 
@@ -324,7 +324,7 @@
             if in_flight.attempt is not None:
                 in_flight.attempt.abandon()
             if not in_flight.answered:
-                self._give_up(in_flight)
+                self._answer_without_decision(in_flight)
             if in_flight.timer is not None:
                 in_flight.timer.cancel()
         self.in_flight.clear()
--- a/thistleusher/core/snapshots.py
+++ b/thistleusher/core/snapshots.py
@@ -71,7 +71,7 @@
 class SavedReservation(NamedTuple):
     """Headroom of a customer's allowance that one ingress reserves for its next incarnation (`quota.reservations`).
 
-    `plan` is an index in the settings. `units` were left at Unix time `at`, which is -inf if the allowance was evicted.
+    `plan` is the plan's number. `units` were left at Unix time `at`, which is -inf if the allowance was evicted.
     """
 
     plan: int
