--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver alone, on a scripted clock: one final answer, one attempt out, deadlines, faults of the module."""
+"""The driver on a scripted clock: one final answer, one outstanding attempt, deadlines, faults of the module."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from thistleusher.core.actions import Attempt, CounterAdd, Fail, Refuse, SetTimer
 from thistleusher.core.driver import Driver
 from thistleusher.core.events import Outcome
-from thistleusher.core.ports import Ended, Verdict
+from thistleusher.core.ports import AttemptResult, Verdict
 
 
 class ScriptedAttempt:
-    """An attempt in the test's hand."""
+    """An attempt whose end the test controls."""
 
     def __init__(self, on_end, writes):
         self.on_end, self.written, self.writes, self.cancelled = on_end, False, writes, 0
@@ -23,14 +23,14 @@
         self.timeout, self.written = timeout, self.writes
 
     def expire(self):
-        self.on_end(Ended(Outcome.TIMEOUT))
+        self.on_end(AttemptResult(Outcome.TIMEOUT))
 
     def cancel(self):
-        raise AssertionError("only the module may find that a backend does not answer")
+        raise AssertionError("only the decision module may cancel an attempt because its backend does not answer")
 
     def abandon(self):
         self.cancelled += 1
-        self.on_end(Ended(Outcome.CANCELLED if self.written else Outcome.MOOT))
+        self.on_end(AttemptResult(Outcome.CANCELLED if self.written else Outcome.MOOT))
 
 
 class Rig:
@@ -58,8 +58,8 @@
     rig = Rig(on_request(Attempt("r1", "b0"), Refuse("r1", 0.5), Fail("r1"), Refuse("r1")))
     rig.accept()
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and rig.finals[0].retry_in == 0.5
-    assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still out
-    rig.attempts[0].on_end(Ended(Outcome.OK))
+    assert list(rig.driver.in_flight) == ["r1"]  # its attempt is still outstanding
+    rig.attempts[0].on_end(AttemptResult(Outcome.OK))
     assert rig.verdicts() == [Verdict.OVER_QUOTA] and not rig.driver.in_flight
 
 
@@ -131,7 +131,7 @@
         leave(rig.driver)
         assert rig.attempts[0].cancelled == (ends and stops) and bool(rig.driver.in_flight) is not (ends and stops)
         if rig.driver.in_flight:
-            rig.attempts[0].on_end(Ended(Outcome.OK))
+            rig.attempts[0].on_end(AttemptResult(Outcome.OK))
         assert rig.script.ends()[0].done and not rig.driver.in_flight
 
 
@@ -164,14 +164,14 @@
     for reported, taken in ((4.0, 4.0), (4.1, 0.0)):
         rig = Rig(on_request(Attempt("r1", "b0")))
         rig.accept()
-        rig.attempts[0].on_end(Ended(Outcome.OK, "answer", reported))
+        rig.attempts[0].on_end(AttemptResult(Outcome.OK, "answer", reported))
         assert rig.finals[0].payload == "answer" and rig.script.ends()[0].true_units == taken
 
 
 def test_nothing_is_sent_any_more_once_a_refusal_is_on_its_way():
-    """At its deadline a request whose attempt never left is refused: the module's next one must not leave then either.
+    """A request without a written attempt is refused at its deadline, after which no further attempt may start.
 
-    Found by a hunt: an answer of 503 at 36.215 s, and the request at a backend at 36.262 s (REFUSED).
+    Regression: a simulated run answered 503 at 36.215 s, and the request reached a backend at 36.262 s (REFUSED).
     """
 
     def decide(e):
@@ -181,7 +181,7 @@
 
     rig = Rig(decide, writes=False)
     rig.accept(cls="once")
-    rig.writes = True  # the second one would be written at once
+    rig.writes = True  # a second attempt would be written at once
     rig.clock.step(1003.0)
     assert len(rig.attempts) == 1
     assert rig.verdicts() == [Verdict.NO_ROOM]
--- a/thistleusher/policy/fleet.py
+++ b/thistleusher/policy/fleet.py
@@ -1,7 +1,7 @@
-"""Backends as seen from this ingress's own traffic: who may be sent to, and how many attempts may be out.
+"""Choice of a backend and the limit on outstanding attempts, both learned from this ingress's own traffic.
 
-Choice is by least own outstanding work over learned speed, with outlier ejection, slow start of cold
-backends and one concurrency limit over all that follows latency (in the manner of TCP Vegas).
+The backend with the least own outstanding work over learned speed is chosen, with outlier ejection and slow start of
+cold backends. One concurrency limit over all backends follows latency, like TCP Vegas.
 """
 
 from __future__ import annotations
@@ -16,58 +16,58 @@
 from thistleusher.core.actions import Action, Log
 from thistleusher.core.backend_record import Backend, OutstandingAttempt
 from thistleusher.core.backend_table import BackendTable
-from thistleusher.core.decision_ports import Routed
+from thistleusher.core.decision_ports import RoutedRequest
 from thistleusher.core.events import BackendEntry, ListKind, Outcome
 from thistleusher.core.settings import ClassSettings, Effect, Group, Settings
 from thistleusher.core.snapshots import Learned
 from thistleusher.core.work_model import WorkModel
 
 # Outlier ejection.
-FAULTY_SHARE = 0.5  # share of faults that a backend is expected to have if it is out of order
-TYPICAL_MIN, TYPICAL_MAX = 0.02, 0.4  # bounds of the share of faults that is taken for the whole fleet's
-EJECT_EVIDENCE = 6.0  # log likelihood of the one share over the other at which a backend is ejected
-TRIAL_EVIDENCE = 4.0  # that it keeps after a good trial
-EJECT_S = 3.0  # rest of an ejected backend, before each trial attempt
-KEEP_SHARE = 0.5  # of the fleet that ejection must leave in use
+FAULTY_SHARE = 0.5  # expected share of faults at a faulty backend
+TYPICAL_FAULTS_MIN, TYPICAL_FAULTS_MAX = 0.02, 0.4  # bounds of the share of faults assumed at a healthy backend
+EJECT_EVIDENCE = 6.0  # log-likelihood ratio of the faulty share to the typical one at which a backend is ejected
+TRIAL_EVIDENCE = 4.0  # evidence left after a successful trial, so that a relapse ejects the backend sooner
+EJECTION_S = 3.0  # time for which an ejected backend gets no attempts before a trial
+MIN_IN_USE_SHARE = 0.5  # share of usable backends that ejection must leave in use
 
 # Concurrency limit.
-INITIAL_SLOTS = 6.0  # attempts out to a backend by all ingresses together, at first
-MIN_SLOTS = 2.0  # and at least
-TARGET_SHARE = 0.16  # of a class's latency target: the most that its unloaded latency is taken to be
-MIN_STEP, MAX_STEP = 0.01, 0.3  # of the slots that an overloaded answer takes: at least, and a second
-LATENCY_RATIO_MAX = 4.0  # times the unloaded latency, beyond which a longer answer says no more
-OVERLOADED = 1.8  # times the unloaded latency, where the concurrency limit shrinks
+INITIAL_SLOTS = 6.0  # initial outstanding attempts per backend, over all ingresses
+MIN_SLOTS = 2.0  # lower bound of outstanding attempts per backend, over all ingresses
+BASE_LATENCY_MAX_SHARE = 0.16  # upper bound of a class's unloaded latency, as a fraction of its latency target
+MIN_STEP, MAX_STEP = 0.01, 0.3  # fraction of the slots removed under overload: at least per answer, at most per second
+LATENCY_RATIO_MAX = 4.0  # cap of an answer's latency over the unloaded latency, so that outliers do not dominate
+OVERLOADED = 1.8  # latency over unloaded latency above which the concurrency limit shrinks
 
 # Choice of a backend.
-ERROR_COST = 4.0  # cost of a backend whose answers are all faults
-REJECTION_COST = 4.0  # cost of a backend sure to reject a class or plan
-REJECTION_AGE_S = 10.0  # time by which its rejections age
-TIE_BREAK = 0.02  # share of the cost that chance adds
-RATE_S = 5.0  # span of the rate of answers
-COLD_SAFETY = 0.8  # of the stated cold budget that is used, as the warm rate is only an estimate
-COLD_MAX = 2.0  # times what a cold backend is sure to do, beyond which it is only slow, allowed or not
-MAX_TOKENS = 1.5  # attempts that a cold backend's budget saves up
-
-# Subsets of a large fleet.
-SUBSET_MIN = 16  # backends of an ingress's subset at least
-SUBSET_REVISIT_S = 3.0  # seconds between attempts at one backend of the subset, at most
-SUBSETS_PER_BACKEND = 4  # subsets at least that a backend is in
-SUBSET_S = 1.0  # between draws of the subset
-SCAN = 24  # backends that are all looked at
-DRAWN = 8  # of more, those looked at in one draw
-DRAWS = 4
+ERROR_COST = 4.0  # relative extra cost of a backend whose answers are all faults
+REJECTION_COST = 4.0  # relative extra cost of a backend that always rejects the class or plan
+REJECTION_DECAY_S = 10.0  # time constant with which a backend's last verdict on a class or plan decays
+TIE_BREAK = 0.02  # largest random increase of the cost, as a fraction
+RATE_DECAY_S = 5.0  # time constant of the rate of served attempts
+COLD_SAFETY = 0.8  # used fraction of the configured cold budget, as the warm rate is only an estimate
+COLD_MAX = 2.0  # cap of the cold budget, in guaranteed capacities; beyond it a cold backend only gets slower
+MAX_TOKENS = 1.5  # most attempts that a cold backend's token bucket holds
+
+# Subsets of many backends.
+SUBSET_MIN = 16  # smallest subset of one ingress, in backends
+SUBSET_REVISIT_S = 3.0  # mean time between attempts at one backend up to which a busy ingress enlarges its subset
+SUBSETS_PER_BACKEND = 4  # least mean number of subsets that contain a backend
+SUBSET_INTERVAL_S = 1.0  # interval between recomputations of the subset
+FULL_SCAN_MAX = 24  # up to this number of backends, each choice compares all of them
+SAMPLE_SIZE = 8  # backends compared in one random sample
+SAMPLE_ATTEMPTS = 4  # samples tried in the subset, and then in all backends
 
 FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
 ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.FULL)
 
 
 class Fleet:
-    """All backends. `choose` looks at each of up to `SCAN`; of more at `DRAWN` at random (Mitzenmacher 2001).
+    """All backends. `choose` compares each of up to `FULL_SCAN_MAX`, else random samples of `SAMPLE_SIZE`.
 
-    Of so many an ingress uses its subset alone (deterministic subsetting, Beyer et al. 2016, ch. 20): connections are
-    used again, and what one ingress learns of a backend it learns soon. Subsets lie evenly in the order of hashed ids,
-    so each backend is in about as many of them; a busier ingress has a larger one. All backends are drawn from only
-    where several draws from the subset hold none that may be sent to.
+    Sampling follows Mitzenmacher 2001. With more than `FULL_SCAN_MAX` backends an ingress uses a subset (deterministic
+    subsetting, Beyer et al. 2016, ch. 20), which reuses connections and speeds up learning about each backend. Subsets
+    are spaced evenly in the order of hashed ids, so each backend is in about as many; a busier ingress has a larger
+    one. All backends are sampled only if several samples of the subset contain no eligible backend.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, actions: list[Action], now: float) -> None:
@@ -76,95 +76,95 @@
         self.actions = actions
         self.classes = {c.name: c for c in settings.classes}
         self.backends = BackendTable(rng)
-        self.ready: list[Backend] = []  # usable, by their hashed ids
-        self.subset: list[Backend] = []  # this ingress's part of them
-        self.subset_at = -math.inf  # when it was drawn
-        self.sharers = 1 if settings.own_backends else settings.instances  # ingresses that send to these backends
+        self.ready: list[Backend] = []  # usable backends, if more than `FULL_SCAN_MAX` in the order of hashed ids
+        self.subset: list[Backend] = []  # the ready backends that this ingress uses
+        self.subset_at = -math.inf  # time of the last subset computation
+        self.ingress_count = 1 if settings.own_backends else settings.instances  # ingresses that use the backends
         self.usable_count = 0
-        self.latency = {c.name: c.objective * TARGET_SHARE for c in settings.classes}  # usual, by class
-        self.base_latency = dict(self.latency)  # and what it was when nothing was overloaded
+        self.latency = {c.name: c.objective * BASE_LATENCY_MAX_SHARE for c in settings.classes}  # moving mean by class
+        self.base_latency = dict(self.latency)  # unloaded latency by class
         self.work = {c.name: WorkModel() for c in settings.classes}
-        self.slots = 0.0  # how much work may be out
-        self.slots_per_backend = INITIAL_SLOTS / self.sharers  # to begin with
-        self.pressure = 1.0  # latency over unloaded latency
-        self.last_judged = now
-        self.paused_until = 0.0  # a rest below one slot
-        self.typical_faults = TYPICAL_MIN  # share of faults of the median backend, as at the last fault
-        # Share of attempts of a class or plan that were rejected.
+        self.slots = 0.0  # concurrency limit, in mean requests
+        self.slots_per_backend = INITIAL_SLOTS / self.ingress_count  # initial limit per usable backend
+        self.pressure = 1.0  # moving mean of latency over unloaded latency
+        self.last_adjusted_at = now
+        self.paused_until = 0.0  # no attempt starts before; set while the limit is below one slot
+        self.typical_faults = TYPICAL_FAULTS_MIN  # share of faults at the median backend, updated at each fault
+        # Moving share of rejected attempts, by class and by plan.
         self.rejections = dict.fromkeys((*self.classes, *(p.name for p in settings.plans)), 0.0)
-        self.rate = 0.0  # served attempts a second to one warm backend
+        self.rate = 0.0  # served attempts per second at one backend, an estimate for a warm one
         self.rate_at = now
 
-    def add_class(self, cls: ClassSettings) -> None:
-        """Add a class that the settings do not name, or change one."""
+    def set_class(self, cls: ClassSettings) -> None:
+        """Add a class that is not in the settings, or replace the settings of a class."""
         if cls.name not in self.classes:
-            self.latency[cls.name] = self.base_latency[cls.name] = cls.objective * TARGET_SHARE
+            self.latency[cls.name] = self.base_latency[cls.name] = cls.objective * BASE_LATENCY_MAX_SHARE
             self.work[cls.name] = WorkModel()
             self.rejections[cls.name] = 0.0
         self.classes[cls.name] = cls
 
     def has_free_slot(self, now: float) -> bool:
-        """Return whether the concurrency limit allows one more attempt."""
+        """Return whether the concurrency limit allows another attempt."""
         return self.backends.load < max(1.0, self.slots) and now >= self.paused_until
 
-    def warmth(self, now: float, backend: Backend) -> float:
-        """Return the share of its capacity that a backend is sure to have since its start (slow start)."""
+    def warm_up_factor(self, now: float, backend: Backend) -> float:
+        """Return the fraction of its capacity that a backend is guaranteed to have at its age (slow start)."""
         grown = 1.0
         if backend.entry.born > 0 and self.settings.cold_time > 0:
             grown = (now - backend.entry.born) / self.settings.cold_time
         start = self.settings.start_capacity
         return min(1.0, start + (1 - start) * max(0.0, grown))
 
-    def choose(self, now: float, request: Routed) -> Backend | None:
-        """Return the backend to send to; None where no slot is free or no backend may be sent to."""
+    def choose(self, now: float, request: RoutedRequest) -> Backend | None:
+        """Return the backend for an attempt. Return None if no slot is free or no backend is eligible."""
         if not self.has_free_slot(now):
             return None
-        if len(self.ready) > SCAN:
-            if now - self.subset_at > SUBSET_S:
-                self.draw_subset(now)
-            for among in (*[self.subset] * DRAWS, *[self.ready] * DRAWS):
-                best = self.least(now, request, self.rng.sample(among, min(DRAWN, len(among))))
+        if len(self.ready) > FULL_SCAN_MAX:
+            if now - self.subset_at > SUBSET_INTERVAL_S:
+                self.recompute_subset(now)
+            for candidates in (*[self.subset] * SAMPLE_ATTEMPTS, *[self.ready] * SAMPLE_ATTEMPTS):
+                best = self.least_loaded(now, request, self.rng.sample(candidates, min(SAMPLE_SIZE, len(candidates))))
                 if best is not None:
                     return best
-        return self.least(now, request, self.ready)
+        return self.least_loaded(now, request, self.ready)
 
-    def draw_subset(self, now: float) -> None:
-        """Draw this ingress's subset anew, without what is ejected. Costs a look at each backend, once a second."""
+    def recompute_subset(self, now: float) -> None:
+        """Recompute the subset without ejected backends. Cost: linear in the backends, once per `SUBSET_INTERVAL_S`."""
         count = len(self.ready)
         by_rate = round(SUBSET_REVISIT_S * self.rate * self.usable_count)
-        size = max(SUBSET_MIN, SUBSETS_PER_BACKEND * count // self.sharers, by_rate)
-        start = count * (self.settings.me % self.sharers) // self.sharers
+        size = max(SUBSET_MIN, SUBSETS_PER_BACKEND * count // self.ingress_count, by_rate)
+        start = count * (self.settings.me % self.ingress_count) // self.ingress_count
         ring = (self.ready[(start + n) % count] for n in range(count))
         self.subset = list(islice((b for b in ring if now >= b.ejected_until), size))
         self.subset_at = now
 
-    def least(self, now: float, request: Routed, among: list[Backend]) -> Backend | None:
-        """Return the backend of least cost: own outstanding work over learned speed; None where none is eligible."""
+    def least_loaded(self, now: float, request: RoutedRequest, candidates: list[Backend]) -> Backend | None:
+        """Return the eligible backend of least cost: own outstanding work over learned speed. None if there is none."""
         best: Backend | None = None
         best_cost = 0.0
         keyed = request.ran_on if request.request_class.effect is Effect.KEYED else None
         keys = [
             (key, 1 + REJECTION_COST * self.rejections[key]) for key in (request.request_class.name, request.event.plan)
         ]
-        for backend in among:
+        for backend in candidates:
             if not self._is_eligible(now, backend, request, keyed):
                 continue
             cost = (backend.work + request.work) * backend.ratio * (1 + ERROR_COST * backend.errors)
-            for key, usual in keys:
+            for key, default_factor in keys:
                 if key in backend.rejected:
                     last, at = backend.rejected[key]
-                    fleet = self.rejections[key]
-                    cost *= 1 + REJECTION_COST * (fleet + (last - fleet) * math.exp((at - now) / REJECTION_AGE_S))
+                    typical = self.rejections[key]
+                    cost *= 1 + REJECTION_COST * (typical + (last - typical) * math.exp((at - now) / REJECTION_DECAY_S))
                 else:
-                    cost *= usual
+                    cost *= default_factor
             cost *= 1 + TIE_BREAK * self.rng.random()
             if best is None or cost < best_cost:
                 best = backend
                 best_cost = cost
         return best
 
-    def _is_eligible(self, now: float, backend: Backend, request: Routed, keyed: BackendEntry | None) -> bool:
-        """Return whether a backend may be sent to; `keyed`: the one whose group knows the request's key."""
+    def _is_eligible(self, now: float, backend: Backend, request: RoutedRequest, keyed: BackendEntry | None) -> bool:
+        """Return whether a backend may get this request; `keyed`: the backend whose group deduplicates its key."""
         entry = backend.entry
         if entry.backend in request.failed_backends or now < backend.ejected_until:
             return False
@@ -177,38 +177,38 @@
         return entry.born <= 0 or self._has_token(now, backend)
 
     def _has_token(self, now: float, backend: Backend) -> bool:
-        """Return whether a backend's slow start allows one more attempt."""
-        warmth = self.warmth(now, backend)
-        if warmth >= 1.0:
+        """Return whether a backend's slow start allows another attempt."""
+        warm_up = self.warm_up_factor(now, backend)
+        if warm_up >= 1.0:
             return True
-        gain = self.rate * self.subset_factor() * warmth * min(COLD_SAFETY * self.settings.fall_multiple, COLD_MAX)
+        gain = self.rate * self.subset_factor() * warm_up * min(COLD_SAFETY * self.settings.fall_multiple, COLD_MAX)
         backend.tokens = min(MAX_TOKENS, backend.tokens + gain * (now - backend.tokens_at))
         backend.tokens_at = now
         return backend.tokens >= 1.0
 
     def subset_factor(self) -> float:
-        """Return how much more often a backend of the subset is sent to than one of all; by as many ingresses fewer."""
-        return len(self.ready) / len(self.subset) if len(self.ready) > SCAN and self.subset else 1.0
+        """Return by how much a subset raises this ingress's rate per backend; as many fewer ingresses use each one."""
+        return len(self.ready) / len(self.subset) if len(self.ready) > FULL_SCAN_MAX and self.subset else 1.0
 
-    def sent(self, now: float, backend: Backend, request: Routed) -> None:
-        """Note an attempt that goes out."""
+    def record_attempt(self, now: float, backend: Backend, request: RoutedRequest) -> None:
+        """Record an attempt that starts."""
         event = request.event
         attempt = OutstandingAttempt(now, request.request_class.name, event.plan, event.units, request.work)
         self.backends.started(backend, event.id, attempt)
-        if self.warmth(now, backend) < 1.0:
+        if self.warm_up_factor(now, backend) < 1.0:
             backend.tokens -= request.work
 
-    def ended(self, now: float, event: events.AttemptEnded) -> None:
-        """Learn from an attempt's outcome."""
+    def record_outcome(self, now: float, event: events.AttemptEnded) -> None:
+        """Update the backend's and its class's statistics by an attempt's outcome."""
         backend = self.backends.get(event.backend)
         attempt = self.backends.finished(backend, event.request) if backend is not None else None
         if backend is None or attempt is None:
             return
-        if event.outcome in ANSWERS:  # a time-out is no sign of life, nor a fault
+        if event.outcome in ANSWERS:  # a time-out proves neither life nor a fault
             self.backends.mark_answered(now, backend)
         elif event.outcome is Outcome.CANCELLED:
-            backend.cancelled(now, attempt, self.latency)
-        latency = event.elapsed / attempt.work  # as of a request of its class's mean work
+            backend.record_cancellation(now, attempt, self.latency)
+        latency = event.elapsed / attempt.work  # scaled to its class's mean work
         late = event.outcome is Outcome.TIMEOUT and latency > self.latency[attempt.class_name] and not backend.silent
         if event.outcome is Outcome.OK or late:
             self._adjust_slots(now, backend, latency / self.base_latency[attempt.class_name], event.elapsed)
@@ -220,109 +220,111 @@
             self._record_fault(now, backend)
 
     def _adjust_slots(self, now: float, backend: Backend, ratio: float, elapsed: float) -> None:
-        """Follow latency with the concurrency limit; `ratio`: an answer's latency over the unloaded one."""
-        ratio = min(ratio, LATENCY_RATIO_MAX)  # a few very costly requests are no overload
+        """Adapt the concurrency limit to latency; `ratio`: an answer's latency over the unloaded latency."""
+        ratio = min(ratio, LATENCY_RATIO_MAX)  # a few very expensive requests are no overload
         backend.ratio += 0.1 * (ratio - backend.ratio)
-        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_judged)))  # few answers: each says more
-        self.last_judged = now
+        step = min(MAX_STEP, max(MIN_STEP, MAX_STEP * (now - self.last_adjusted_at)))  # rare answers weigh more
+        self.last_adjusted_at = now
         self.pressure += min(0.4, 5 * step) * (ratio - self.pressure)
-        if self.pressure > OVERLOADED:  # all hold too much there: one slot a backend may be too many
-            self.slots = max(MIN_SLOTS * self.usable_count / self.sharers, self.slots * (1 - step))
+        if self.pressure > OVERLOADED:  # for many ingresses one slot per backend is too many
+            self.slots = max(MIN_SLOTS * self.usable_count / self.ingress_count, self.slots * (1 - step))
         elif self.backends.load + 2 > self.slots:
             self.slots += min(self.slots, 1 / self.slots)
-        if self.slots < 1:  # less than one attempt out on average: a rest after each
+        if self.slots < 1:  # less than one outstanding attempt on average: pause after each
             self.paused_until = now + min(1.0, elapsed) * (1 / self.slots - 1)
 
     def _record_rejection(self, now: float, backend: Backend, attempt: OutstandingAttempt, rejected: bool) -> None:
-        """Learn whether a backend rejects one class or plan: a full fleet rejects all alike."""
+        """Record whether a backend rejects a class or plan, relative to all backends (all reject under overload)."""
         for key in (attempt.class_name, attempt.plan):
             backend.rejected[key] = (float(rejected), now)
             self.rejections[key] += 0.1 * (float(rejected) - self.rejections[key])
 
     def _record_success(self, now: float, backend: Backend, attempt: OutstandingAttempt, elapsed: float) -> None:
-        """Learn rate, work and latency; the rate is of served attempts, as rejected ones show no capacity."""
-        self.rate = self.rate * math.exp((self.rate_at - now) / RATE_S) + 1 / RATE_S / max(1, self.usable_count)
+        """Update rate, work and latency. Only served attempts count in the rate, as rejections show no capacity."""
+        self.rate = self.rate * math.exp((self.rate_at - now) / RATE_DECAY_S) + 1 / RATE_DECAY_S / max(
+            1, self.usable_count
+        )
         self.rate_at = now
         if backend.trial:
             backend.trial = False
             backend.fault_evidence = TRIAL_EVIDENCE
         backend.errors *= 0.8
-        self.weigh(backend, False)
+        self.update_fault_evidence(backend, False)
         name = attempt.class_name
-        self.work[name].learn(attempt.units, elapsed)
+        self.work[name].update(attempt.units, elapsed)
         self.latency[name] += 0.05 * (elapsed / attempt.work - self.latency[name])
         base_rate = 0.01 if self.pressure < OVERLOADED else 0.0005
         base = self.base_latency[name] + base_rate * (self.latency[name] - self.base_latency[name])
         self.base_latency[name] = min(base, self._base_max(name))
 
     def _base_max(self, name: str) -> float:
-        """Return the most that a class's unloaded latency is taken for: an overload is never the norm."""
-        return TARGET_SHARE * self.classes[name].objective
+        """Return the upper bound of a class's unloaded latency, so that overload is never learned as the norm."""
+        return BASE_LATENCY_MAX_SHARE * self.classes[name].objective
 
     def _record_fault(self, now: float, backend: Backend) -> None:
-        self.weigh(backend, True)
+        self.update_fault_evidence(backend, True)
         backend.errors += 0.3 * (1 - backend.errors)
         if backend.trial or backend.fault_evidence >= EJECT_EVIDENCE:
             self.eject(now, backend, "failing")
 
-    def weigh(self, backend: Backend, fault: bool) -> None:
-        """Add evidence that a backend is out of order, and not just as unlucky as half of the fleet is.
+    def update_fault_evidence(self, backend: Backend, fault: bool) -> None:
+        """Update the evidence that a backend is faulty rather than as error-prone as the median backend.
 
-        A fault costs a look at each backend; an answer does not.
+        Cost: linear in the backends for a fault, constant for an answer.
         """
         if fault:
             median = statistics.median_low([b.errors for b in self.backends.values() if b.usable] or [0.0])
-            self.typical_faults = min(TYPICAL_MAX, max(TYPICAL_MIN, median))
+            self.typical_faults = min(TYPICAL_FAULTS_MAX, max(TYPICAL_FAULTS_MIN, median))
             gain = math.log(FAULTY_SHARE / self.typical_faults)
         else:
             gain = math.log((1 - FAULTY_SHARE) / (1 - self.typical_faults))
         backend.fault_evidence = max(0.0, backend.fault_evidence + gain)
 
     def eject_silent(self, now: float, factor: float) -> list[Backend]:
-        """Eject backends that owe answers for `factor` times their usual time, and return them."""
+        """Eject backends whose answers are overdue by `factor` typical latencies in total, and return them."""
         owing = (b for b in self.backends.values() if b.outstanding)
         silent = [b for b in owing if factor * max(1.0, b.ratio) <= b.overdue(now, self.latency)]
         for backend in silent:
             self.eject(now, backend, "silent")
         return silent
 
-    def eject(self, now: float, backend: Backend, why: str) -> None:
-        """Have a backend rest a while, then take one trial at a time; part of the fleet is always kept."""
+    def eject(self, now: float, backend: Backend, reason: str) -> None:
+        """Eject a backend for `EJECTION_S`, then allow one trial at a time. `MIN_IN_USE_SHARE` of all stay in use."""
         ejected = sum(1 for b in self.backends.values() if b.usable and now < b.ejected_until)
-        if now < backend.ejected_until or ejected + 1 > (1 - KEEP_SHARE) * self.usable_count:
+        if now < backend.ejected_until or ejected + 1 > (1 - MIN_IN_USE_SHARE) * self.usable_count:
             return
-        backend.ejected_until = now + EJECT_S
+        backend.ejected_until = now + EJECTION_S
         backend.trial = True
-        if why == "silent":
+        if reason == "silent":
             self.backends.mark_silent(backend)
-        self.actions.append(Log(f"ejected {backend.entry.backend}: {why}"))
+        self.actions.append(Log(f"ejected {backend.entry.backend}: {reason}"))
 
-    def listed(self, now: float, event: events.ListUpdate) -> None:
-        """Follow the endpoint list: nothing new to what drains or is gone, slow start for what is new."""
+    def apply_list_update(self, now: float, event: events.ListUpdate) -> None:
+        """Apply an endpoint list: draining and removed backends get no new attempts, new ones a slow start."""
         if event.kind is ListKind.FAILED:
             return
-        self.backends.listed(now, event)
+        self.backends.apply_list_update(now, event)
         self.ready = [b for b in self.backends.values() if b.usable]
-        if len(self.ready) > SCAN:
+        if len(self.ready) > FULL_SCAN_MAX:
             self.ready.sort(key=lambda b: zlib.crc32(b.entry.backend.encode()))
         self.subset_at = -math.inf
         self.usable_count = len(self.ready)
         self.slots = self.slots or max(2.0, self.slots_per_backend * self.usable_count)
 
-    def learned(self, now: float) -> Learned:
-        """Return what the next incarnation of this ingress can go on from. Costs a look at each backend."""
+    def to_learned(self, now: float) -> Learned:
+        """Return the learned state for the next incarnation of this ingress. Cost: linear in the backends."""
         classes = {n: w.to_learned(self.latency[n], self.base_latency[n]) for n, w in self.work.items()}
         backends = {name: b.to_learned() for name, b in self.backends.items() if b.usable}
         return Learned(now, self.slots, self.usable_count, self.rate, classes, backends)
 
     def restore(self, now: float, learned: Learned) -> None:
-        """Go on from what an earlier incarnation had learned. Before any list."""
+        """Restore what an earlier incarnation had learned. Call it before the first endpoint list."""
         for name, known in learned.classes.items():
             if name in self.work:
                 self.latency[name] = known.latency
                 self.base_latency[name] = min(known.base, self._base_max(name))
                 self.work[name].restore(known)
-        self.backends.learned = dict(learned.backends)
+        self.backends.restored = dict(learned.backends)
         self.rate = learned.rate
         self.rate_at = now
         if learned.slots > 0 and learned.usable > 0:
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -9,7 +9,7 @@
 from thistleusher.core import actions
 from thistleusher.core.events import Outcome
 from thistleusher.core.in_flight_request import InFlightRequest
-from thistleusher.core.ports import Ended, Final, Verdict
+from thistleusher.core.ports import AttemptResult, Final, Verdict
 from thistleusher.net.client_connection import Reply
 from thistleusher.net.exchange import BackendExchange
 from thistleusher.net.ingress import BackendAttempt, Ingress
@@ -88,7 +88,9 @@
         kind = ERROR_KINDS[verdict]
         reply(RESPONSES[kind].status, retry_after_header(kind, final.retry_in or None), b"")
 
-    def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
+    def prepare(
+        self, in_flight: InFlightRequest, backend: str, on_end: Callable[[AttemptResult], None]
+    ) -> BackendAttempt:
         """Return an attempt for the driver to start.
 
         The attempt sends nothing if by then the client has disconnected, the deadline has passed, or its backend has
@@ -112,7 +114,7 @@
             call.ended_attempt_may_have_run |= exchange.written and outcome is not Outcome.FULL
             if answer is not None:
                 self._note_answer(call, backend, outcome, answer)
-            on_end(Ended(outcome, answer))
+            on_end(AttemptResult(outcome, answer))
 
         mark = call.request.id.encode("latin-1")
         call.attempt = BackendAttempt(
--- a/thistleusher/proxy/listener.py
+++ b/thistleusher/proxy/listener.py
@@ -53,7 +53,7 @@
 
     def has_pending_work(self) -> bool:
         """Return whether a non-idempotent request in flight may be running; each of them ends by its deadline."""
-        return self.ingress.driver.has_unrepeatable_in_flight()
+        return self.ingress.driver.has_non_idempotent_in_flight()
 
     def read_request(self, connection: ClientConnection) -> Any:
         """Return a completely received request as a `ClientRequest`, or the error response to send at once."""
