--- a/thistleusher/control/__init__.py
+++ b/thistleusher/control/__init__.py
@@ -1,5 +1,5 @@
-"""The replicated control state: a leader and its replicas keep it on disk, the voters of the core decide who leads.
+"""The replicated control state: a leader and its replicas store it on disk; the core's voters elect the leader.
 
-Promises that an acknowledged change survives the loss of as many machines as the settings tolerate, and that a read
-returns only what is on the disks of the leader and all its replicas; `node` states the guarantees in full.
+An acknowledged change survives the loss of as many machines as the settings tolerate. A read returns only data that
+is on the disks of the leader and all its replicas. The `node` module states the guarantees in full.
 """
--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a leader: answered by one, redirected to another machine, or refused after a time-out."""
+"""The queue of calls: a call is answered by the leader, redirected to another machine, or rejected after a time-out."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
         return len(self._waiting)
 
     def add(self, call: Call) -> None:
-        """Add a call that has come."""
+        """Add a new call, which expires after `CALL_WAIT_S`."""
         self._waiting.append(call._replace(deadline=self._context.now + CALL_WAIT_S))
 
     def put_back(self, change: Change) -> None:
-        """Put a change back whose leadership is over.
+        """Put back a change that was pending when the leadership ended.
 
-        It may be in force later or not, so it can be neither acknowledged nor refused yet.
+        It may or may not be committed later, so it can be neither acknowledged nor rejected yet.
         """
         self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * CALL_WAIT_S))
 
@@ -36,7 +36,7 @@
         return self._waiting.popleft()
 
     def redirect(self, leader: str) -> None:
-        """Redirect all callers to the machine that leads."""
+        """Redirect all callers to the leader's machine."""
         self._answer_all(ServiceError(ErrorKind.REDIRECTED, where=leader))
 
     def reject_all(self) -> None:
@@ -44,7 +44,7 @@
         self._answer_all(ServiceError(ErrorKind.SHUTTING_DOWN))
 
     def expire(self) -> None:
-        """Reject the calls that have waited too long."""
+        """Reject the calls whose deadline has passed."""
         late = [call for call in self._waiting if self._context.now > call.deadline]
         if late:
             self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
--- a/thistleusher/control/candidacy.py
+++ b/thistleusher/control/candidacy.py
@@ -1,4 +1,4 @@
-"""What a candidate knows of its attempt to begin an epoch."""
+"""State of a candidate's attempt to begin an epoch."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Stage(Enum):
-    """How far a candidacy is; each stage begins only after what the one before it wrote is on disk."""
+    """Progress of a candidacy. A stage begins only once the writes of the stage before it are on disk."""
 
-    PROMISE = "promise"  # the candidate's own promise goes to its disk
-    VOTE = "vote"  # voters are asked
-    ENTER = "enter"  # the candidate's own copy enters the epoch on its disk
-    INSTALL = "install"  # replicas bring their copies to the candidate's, on their disks
-    RECORD = "record"  # replicas and voters write the view down
+    PROMISE = "promise"  # the candidate writes its own promise to disk
+    VOTE = "vote"  # the candidate requests votes
+    ENTER = "enter"  # the candidate writes its own copy to disk as one of the new epoch
+    INSTALL = "install"  # the replicas bring their copies on disk up to date with the candidate's
+    RECORD = "record"  # the replicas and voters write the view to disk
 
 
 @dataclass(slots=True)
@@ -25,18 +25,18 @@
     """An attempt to lead an epoch."""
 
     epoch: int
-    view: ViewRecord  # the newest known one, which the next view follows
+    view: ViewRecord  # the newest known view, which the next view follows
     begun_at: float
     asked_at: float
     stage: Stage = Stage.PROMISE
     votes: dict[str, ViewRecord | None] = field(default_factory=dict)
     next_view: ViewRecord | None = None
-    chosen: set[str] = field(default_factory=set)  # all machines that were chosen as replicas so far
+    chosen: set[str] = field(default_factory=set)  # all machines that have been chosen as replicas so far
     installed: set[str] = field(default_factory=set)
     recorded: set[str] = field(default_factory=set)
-    record_asked_at: float = NEVER  # when voters were first asked to record the view; those that did guard it since
-    voters: Mapping[str, str] | None = None  # address -> zone, where the epoch is to have other voters than `view`
-    positions: dict[str, Position] = field(default_factory=dict)  # how far the copies on other machines are
+    record_asked_at: float = NEVER  # when voters were asked to record the view; they guard it from when they did
+    voters: Mapping[str, str] | None = None  # address -> zone; None: the epoch keeps the voters of `view`
+    positions: dict[str, Position] = field(default_factory=dict)  # machine -> position of its copy
 
     def next_voters(self) -> Mapping[str, str]:
         """Return the voters of the epoch to begin."""
--- a/thistleusher/control/catch_up.py
+++ b/thistleusher/control/catch_up.py
@@ -1,7 +1,8 @@
-"""How a leader brings replicas and learners of its epoch up to date that lack more than the pending change.
+"""Catch-up within an epoch: the leader updates replicas and learners that lack more than the pending change.
 
-Unasked, copies are sent only while no change is pending: they then hold exactly what is in force. One that answers a
-rejection may hold the pending change too; a replica that has installed it has acknowledged that change.
+On its own initiative the leader sends copies only while no change is pending, so that they contain exactly the
+committed state. A copy that is sent in response to a rejection may include the pending change; a replica that has
+installed it has acknowledged that change.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class CatchUp:
-    """One node's copies to others, while it leads."""
+    """One node's updates of other machines' copies while it leads."""
 
     def __init__(
         self, context: Context, durable: DurableState, role: Role, joining: Joining, replication: Replication
@@ -27,16 +28,16 @@
         self._role = role
         self._joining = joining
         self._replication = replication
-        self._sent_at: dict[str, float] = {}  # machine -> when a copy was sent that it has not acknowledged
+        self._sent_at: dict[str, float] = {}  # machine -> when it was sent a copy that it has not acknowledged yet
 
     def restart(self) -> None:
-        """Begin anew with a leadership."""
+        """Reset for a new leadership."""
         self._sent_at = {}
 
     def compare(self, leadership: Leadership, sender: str, position: Position) -> None:
-        """Keep `lagging` up to date by the position of a replica's copy.
+        """Update `Leadership.lagging` from the position of a replica's copy.
 
-        While a change is pending nobody counts as lagging: a replica that lacks more answers the change by a rejection.
+        While a change is pending, no replica counts as lagging: one that lacks earlier changes rejects the pending one.
         """
         same = position == self._durable.state_copy.position
         if same or leadership.pending is not None or sender not in leadership.view.replicas:
@@ -47,7 +48,7 @@
         leadership.lagging[sender] = LaggingReplica(position, since)
 
     def repair_replicas(self, leadership: Leadership) -> None:
-        """Send replicas the copy that they lost with their disk or by a failed write."""
+        """Send the copy to replicas that lost theirs with their disk or in a failed write."""
         now, state_copy = self._context.now, self._durable.state_copy
         if leadership.pending is not None:
             return
@@ -57,7 +58,7 @@
                 self._context.send(name, state_copy.install_for(lagging.position))
 
     def feed_learners(self, leadership: Leadership) -> None:
-        """Send learners the copy that they lack; later changes reach them as they are made."""
+        """Send the copy to learners that lack it. They receive later changes as these are made."""
         now, state_copy = self._context.now, self._durable.state_copy
         if leadership.pending is not None:
             return
@@ -70,7 +71,7 @@
             self._context.send(name, state_copy.install_for(learner.position))
 
     def on_installed(self, sender: str, message: Installed) -> None:
-        """Take note that a replica or learner has a copy on disk."""
+        """Handle the acknowledgement that a replica or learner has a copy on disk."""
         leadership = self._role.leadership
         if leadership is None or message.epoch != leadership.view.epoch:
             return
@@ -78,7 +79,7 @@
         self._replication.record_copy(leadership, sender, message.position)
 
     def on_install_rejected(self, sender: str, message: InstallRejected) -> None:
-        """Send a replica or learner what its copy lacks, from where it says that its copy is."""
+        """Send a replica or learner an update from the position that it reports."""
         leadership, state_copy = self._role.leadership, self._durable.state_copy
         if leadership is None or message.epoch != leadership.view.epoch:
             return
--- a/thistleusher/control/context.py
+++ b/thistleusher/control/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a control node share: its identity, the time of the present input, and the outputs so far."""
+"""State shared by all modules of a control node: its identity, the time of the current input, and pending outputs."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Context:
-    """One node's identity, clock and outputs. `now` is the time of the present input, and never falls."""
+    """One node's identity, clock and outputs. `now` is the time of the current input and never decreases."""
 
     def __init__(
         self, me: str, zone: str, seeds: Iterable[str], now: float, rng: random.Random, tolerance: int
     ) -> None:
-        """`tolerance`: number of machines that may be lost at once, from the settings."""
+        """Create the context. `tolerance` is the number of machines that may be lost at once, from the settings."""
         self.me = me
         self.zone = zone
         self.rng = rng
@@ -24,11 +24,11 @@
         self.started_at = now
         self.now = now
         self.seeds = set(seeds)
-        self.known: set[str] = set()  # machines of the core that sent a message or that a view named
+        self.known: set[str] = set()  # machines of the core that have sent a message or were named by a view
         self._outputs: list[Output] = []
 
     def advance(self, now: float) -> None:
-        """Begin an input at a time of the steady clock."""
+        """Set the time of the current input, in seconds of the steady clock."""
         self.now = max(self.now, now)
 
     def emit(self, output: Output) -> None:
@@ -40,7 +40,7 @@
         self.emit(Send(to, message))
 
     def answer(self, call_id: int, answer: object) -> None:
-        """Answer a call; each has one answer."""
+        """Answer a call. Each call is answered exactly once."""
         self.emit(Answer(call_id, answer))
 
     def note(self, event: Event, *fields: object) -> None:
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -1,8 +1,8 @@
-"""What a control node keeps on disk: its promise, the newest view, its state copy, and the leases that it granted.
+"""The durable state of a control node: its promise, the newest view, its state copy, and the leases that it granted.
 
-One write is in flight at a time; those that come meanwhile are merged into the next one, which is on disk complete or
-not at all. So whatever a later write relies on is on disk before it. A failed write fails all that was merged into it,
-and all that waits behind it.
+One write is in flight at a time. Writes that are requested meanwhile are merged into the next one, which is atomic.
+Everything that a write relies on is therefore on disk before it or together with it. A failed write fails all writes
+that were merged into it and all that are queued behind it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from thistleusher.control.state_copy import StateCopy
 from thistleusher.transport.messages import Items, Position, ViewRecord
 
-OnWritten = Callable[[bool], None]  # called with whether a write is on disk
+OnWritten = Callable[[bool], None]  # the argument tells whether the write is on disk
 
 
 class QueuedWrite(NamedTuple):
@@ -27,7 +27,7 @@
 
 
 def merge_records(parts: list[Records]) -> Records:
-    """Return several writes as one; of a record that several contain, the last."""
+    """Return several writes as one. If several contain the same record, the last one wins."""
     complete = False
     items = None
     merged = Records()
@@ -50,22 +50,22 @@
 
 
 def _ignore_result(ok: bool) -> None:
-    """Do nothing: no later step relies on the write."""
+    """Ignore the result of a write that no later step relies on."""
 
 
 class DurableState:
-    """One node's durable state, and the queue of writes that bring it to disk."""
+    """One node's durable state, and the queue of its writes."""
 
     def __init__(self, context: Context, stored: StoredState) -> None:
         self._context = context
         self.promised = stored.promised
-        self.view = stored.view  # the newest one known, on disk or not
-        self.recorded_epoch = stored.view.epoch if stored.view is not None else 0  # of the view on disk
+        self.view = stored.view  # the newest known view, whether it is on disk or not
+        self.recorded_epoch = stored.view.epoch if stored.view is not None else 0  # epoch of the view on disk
         self.state_copy = StateCopy(stored)
-        self.position = stored.position  # of the copy on disk, which the one in memory may be ahead of
+        self.position = stored.position  # position of the copy on disk; the copy in memory may be ahead of it
         self._queue: list[QueuedWrite] = []
         self._in_flight: list[OnWritten] = []
-        self._position_in_flight: Position | None = None  # the position that the write in flight brings
+        self._position_in_flight: Position | None = None  # position of the copy on disk after the write in flight
         self._token = 0
 
     def write(self, records: Records, on_written: OnWritten) -> None:
@@ -84,7 +84,7 @@
         self._context.emit(Write(self._token, records))
 
     def write_completed(self, token: int, ok: bool) -> None:
-        """Call back all parts of a write that has ended, then issue the next one."""
+        """Call the callbacks of a write that has ended, then issue the next write."""
         if token != self._token or not self._in_flight:
             return
         ended = self._in_flight
@@ -100,15 +100,15 @@
             self._issue()
 
     def write_state_copy(self, items: Items | None, complete: bool, on_written: OnWritten) -> None:
-        """Write the state copy's position, with the items that changed by it."""
+        """Write the state copy's position together with `items`; `complete`: they replace all items on disk."""
         state_copy = self.state_copy
         records = Records(position=state_copy.position, floor=state_copy.state.floor, items=items, complete=complete)
         self.write(records, on_written)
 
     def adopt(self, view: ViewRecord) -> None:
-        """Take note of a view that another machine has recorded.
+        """Adopt a view that another machine has recorded, if it is newer than the known one.
 
-        From here on this machine takes no part in epochs below it, in which it may hold copies or votes.
+        From then on this machine takes no part in lower epochs, even if it is a voter or replica there.
         """
         self._context.known.update(view.voters)
         if self.view is None or view.epoch > self.view.epoch:
@@ -117,7 +117,7 @@
             self.confirm()
 
     def confirm(self) -> None:
-        """Take note that the leader of the newest view leads: the voters before it need not be asked any more."""
+        """Record that the leader of the newest view leads: the previous voters need not be asked any more."""
         if self.view is None or not self.view.previous_voters:
             return
         self.view = self.view.confirmed()
@@ -125,7 +125,7 @@
             self.write(Records(view=self.view), _ignore_result)
 
     def record_on_disk(self, epoch: int) -> None:
-        """Take note that the view of an epoch is on disk."""
+        """Record that the view of an epoch is on disk."""
         self.recorded_epoch = max(self.recorded_epoch, epoch)
 
     def note_view(self, view: ViewRecord) -> None:
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -1,13 +1,13 @@
-"""How a candidate wins an epoch: it asks the voters and counts their votes; `view_change` does the rest.
+"""The first stages of a candidacy: the candidate requests votes and counts them; `view_change` runs the later stages.
 
-Guaranteed: an epoch begins only when a majority of the voters before it and a majority of its own voters have its view
-on disk, and all of its replicas have its view and its leader's complete copy on disk; and only a holder of the newest
-view that the voting majority knows may begin it. So whoever leads has everything that was ever acknowledged.
+Guarantees: an epoch begins only once a majority of the previous voters and a majority of its own voters have its view
+on disk, and all of its replicas have its view and its leader's complete copy on disk. Only a holder of the newest view
+that the voting majority knows may begin it. Every leader therefore has all changes that were ever acknowledged.
 
-So any epoch may replace voters by others. A candidate that does not know of it still asks the old voters. Its majority
-of them and the one that records the new view share a voter. Either that one has recorded the new view first, and sends
-it with its vote; or it has promised the candidate's epoch first, and then does not record the new view, which so does
-not get its majority.
+Any epoch may therefore replace voters. A candidate that does not know of such an epoch still asks the old voters. Its
+majority of them and the majority that records the new view share at least one voter. If that voter recorded the new
+view first, it sends the view with its vote. If it promised the candidate's epoch first, it does not record the new
+view, which then gets no majority.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         joining: Joining,
         elected: Callable[[Candidacy], None],
     ) -> None:
-        """`elected` is called with a candidacy that has succeeded."""
+        """Create the elections; `elected` is called with each candidacy that succeeds."""
         self._context = context
         self._durable = durable
         self._role = role
@@ -60,12 +60,12 @@
     # Candidacies.
 
     def start_candidacy(self, why: str, voters: Mapping[str, str] | None = None) -> None:
-        """Become a candidate for the next epoch, with other voters where they are given."""
+        """Become a candidate for the next epoch. `voters` (address -> zone) replaces the voters, None keeps them."""
         durable, role = self._durable, self._role
         assert durable.view is not None
         epoch = max(durable.promised, durable.view.epoch, self._promised_by(voters or {})) + 1
         self._context.note(Event.CANDIDACY_STARTED, epoch, why)
-        if role.leadership is not None:  # its voters still guard it, and vote for the leader that they guard
+        if role.leadership is not None:  # the voters still guard this leader, so they vote for it
             role.start_renewal()
         else:
             role.forget_stale_leadership()
@@ -73,7 +73,7 @@
         role.promise(epoch, Records(), self._begin_asking)
 
     def _promised_by(self, voters: Mapping[str, str]) -> int:
-        """Return the highest promise of the learners among some voters; one that was cut off may have made many."""
+        """Return the highest promise of the learners among `voters`: one that was partitioned may be far ahead."""
         learners = self._joining.learners.present()
         return max((learners[name].promised for name in voters if name in learners), default=0)
 
@@ -83,7 +83,7 @@
             self._ask()
 
     def connected(self, peer: str) -> None:
-        """Ask a voter again whose connection was set up anew, as earlier messages may be lost."""
+        """Request a vote again over a new connection, as earlier messages to the voter may have been lost."""
         candidacy = self._role.candidacy
         if candidacy is not None and candidacy.stage is Stage.VOTE and peer not in candidacy.votes:
             self._ask()
@@ -100,14 +100,18 @@
                 self._context.send(voter, VoteRequest(candidacy.epoch, candidacy.view))
 
     def on_vote_rejected(self, sender: str, message: VoteRejected) -> None:
-        """Abandon the candidacy where a voter has promised more; one that only guards a leader may vote later."""
+        """Abandon the candidacy if a voter has promised a higher epoch.
+
+        A voter that rejected it only because it guards a leader may still vote later.
+        """
         candidacy, durable = self._role.candidacy, self._durable
         if candidacy is None or candidacy.epoch != message.epoch:
             return
         durable.adopt(message.view)
         if message.promised >= candidacy.epoch:
             self._role.candidacy = None
-            durable.promised = max(durable.promised, message.promised)  # written with the next promise; it is no vote
+            # This machine has given no vote in that epoch; the number goes to disk with the next promise.
+            durable.promised = max(durable.promised, message.promised)
             self._role.postpone_candidacy(REJECTED_PAUSE_S, REJECTED_SPREAD_S)
 
     def on_vote(self, sender: str, message: Vote) -> None:
@@ -120,26 +124,26 @@
         self._count_votes(candidacy)
 
     def _count_votes(self, candidacy: Candidacy) -> None:
-        """Follow the newest view among the votes; once its electorate has decided, enter the epoch."""
+        """Adopt the newest view among the votes, and enter the epoch once a quorum of its electorate has voted."""
         newest = self._follow_newest_view(candidacy)
         if not newest.has_quorum(candidacy.votes):
             return
         self._enter_if_eligible(candidacy)
 
     def _follow_newest_view(self, candidacy: Candidacy) -> ViewRecord:
-        """Adopt the newest view among the votes, and return it; where it is new here, ask its voters too."""
+        """Adopt and return the newest view among the votes. If it was not known, request votes from its voters too."""
         newest = max((view for view in candidacy.votes.values() if view is not None), key=lambda view: view.epoch)
         self._durable.adopt(newest)
-        if newest.epoch > candidacy.view.epoch:  # it may have other voters, which are asked too
+        if newest.epoch > candidacy.view.epoch:  # its voters may differ from those asked so far
             candidacy.view = newest
             candidacy.voters = None
             self._ask()
         return newest
 
     def _enter_if_eligible(self, candidacy: Candidacy) -> None:
-        """Go on to `Stage.ENTER`, unless better replicas are awaited.
+        """Proceed to `Stage.ENTER`, unless the candidate waits for better replicas.
 
-        End the candidacy where this machine lacks the state of the newest view and so may not lead.
+        End the candidacy if this machine lacks the state of the newest view and therefore must not lead.
         """
         if not self._role.is_eligible():
             self._role.candidacy = None
@@ -147,15 +151,15 @@
             return
         if self._awaits_replicas(candidacy):
             return
-        # This machine's copy is on disk as one of the new epoch, before any view names this machine as its leader.
+        # This machine's copy must be on disk as one of the new epoch before any view names this machine as leader.
         candidacy.stage = Stage.ENTER
         self._durable.state_copy.enter(candidacy.epoch)
         self._durable.write_state_copy(None, False, partial(self._entered, candidacy))
 
     def _awaits_replicas(self, candidacy: Candidacy) -> bool:
-        """Return whether to wait for better replicas: those that answered are too few or all in this zone.
+        """Return whether to wait for better replicas: too few voters have answered, or all of them are in this zone.
 
-        Once the wait is over this also excludes those waited for in vain, so that no later candidacy waits for them.
+        Once the wait is over, exclude the voters that did not answer, so that later candidacies do not wait for them.
         """
         better = self._better_replicas(candidacy)
         if not better:
@@ -188,7 +192,7 @@
     # Time.
 
     def tick(self) -> None:
-        """Repeat what has no answer; abandon a candidacy that takes too long."""
+        """Repeat unanswered requests, and abandon the candidacy if it takes too long."""
         candidacy, now = self._role.candidacy, self._context.now
         assert candidacy is not None
         if not self._joining.founding and now - candidacy.begun_at > CANDIDACY_TIMEOUT_S:
--- a/thistleusher/control/founding.py
+++ b/thistleusher/control/founding.py
@@ -1,7 +1,7 @@
-"""How the system is founded: all founders announce themselves to the first seed, which begins the first epoch.
+"""The founding of the system: all founders announce themselves to the first seed, which begins the first epoch.
 
-It begins once all seeds have come and no other founder has come for a while: with all seeds or not at all. So two
-machines that both believe that they found the system end up in one electorate.
+The first epoch begins only once all seeds have announced themselves and no new founder has appeared for a while. Two
+machines that both take part in founding the system therefore end up in the same electorate.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Founding:
-    """One founder's part."""
+    """One founder's state and actions."""
 
     def __init__(
         self, context: Context, durable: DurableState, role: Role, joining: Joining, elections: Elections
@@ -33,7 +33,7 @@
         self._elections = elections
 
     def tick(self) -> None:
-        """Announce this founder; the first seed begins the first epoch when all have come."""
+        """Announce this founder. The first seed also begins the first epoch once all founders are known."""
         joining, context = self._joining, self._context
         joining.announce_founder()
         if min(context.seeds) != context.me:
--- a/thistleusher/control/heartbeats.py
+++ b/thistleusher/control/heartbeats.py
@@ -1,4 +1,4 @@
-"""The leader's heartbeats: they renew its lease, and show machines without a vote whom to ask for one."""
+"""The leader's heartbeats to the voters, which renew its lease, and its status messages to all other machines."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from thistleusher.control.timing import HEARTBEAT_INTERVAL_S, LEASE_S, NEVER, RETRY_INTERVAL_S
 from thistleusher.transport.messages import Heartbeat, HeartbeatAck
 
-STATUS_INTERVAL_S = 2 * RETRY_INTERVAL_S  # between the leader's unasked messages to machines without a vote
+STATUS_INTERVAL_S = 2 * RETRY_INTERVAL_S  # interval of the leader's status messages to machines without a vote
 
 
 class Heartbeats:
-    """One node's heartbeats, while it leads."""
+    """One node's heartbeats while it leads."""
 
     def __init__(self, context: Context, joining: Joining) -> None:
         self._context = context
@@ -21,7 +21,7 @@
         self._next_status_at = context.now
 
     def restart(self) -> None:
-        """Begin anew with a leadership."""
+        """Reset for a new leadership."""
         self._next_heartbeat_at = self._context.now
         self._next_status_at = self._context.now
 
@@ -31,10 +31,10 @@
             self.send(leadership)
 
     def send(self, leadership: Leadership) -> None:
-        """Send a heartbeat to each voter.
+        """Send a heartbeat to each other voter.
 
-        It says whether this leader is in contact: only then does the voter count as in contact with a majority's
-        leader, for which it grants singleton roles.
+        The heartbeat tells whether this leader has a valid lease and hears the voter. Only then does the voter count as
+        in contact with a leader that has a majority, as it must be to grant singleton roles.
         """
         now = self._context.now
         self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
@@ -44,13 +44,13 @@
             if voter != self._context.me:
                 hears_voter = now - leadership.last_heard.get(voter, NEVER) < LEASE_S
                 self._context.send(voter, Heartbeat(leadership.view, now, holds_lease and hears_voter))
-        if now >= self._next_status_at:  # machines without a vote must know whom to ask for one
+        if now >= self._next_status_at:  # machines without a vote must know the voters, to ask them for one
             self._next_status_at = now + STATUS_INTERVAL_S
             for peer in self._joining.known_peers():
                 if peer not in leadership.view.voters:
                     self._joining.send_status(peer)
 
     def record_ack(self, leadership: Leadership, sender: str, message: HeartbeatAck) -> None:
-        """Take note of a voter's answer; the lease counts from when the answered heartbeat was sent."""
+        """Record a voter's answer. It extends the lease from the sending time of the answered heartbeat."""
         leadership.acked[sender] = max(leadership.acked.get(sender, NEVER), message.sent)
         leadership.record_heard(sender, self._context.now)
--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -1,22 +1,21 @@
-"""Inputs and outputs of the control process, and what the runtime may call.
+"""Inputs and outputs of the control process, and the calls that the runtime may make.
 
-The runtime (`program`, or the simulation) owns sockets, clock and disk. It hands every input to
-`service.ControlService` with the time of its steady clock, in seconds, and carries out the outputs that come back, in
-their order:
+The runtime (`program`, or the simulation) owns sockets, clock and disk. It passes every input to
+`service.ControlService` with the time of its steady clock, in seconds, and executes the returned outputs in order:
 
-- `tick(now)`: ten times a second or more;
-- `receive(now, name, message)`: a message from a control process of the core or from a client;
-- `connected(now, address)`: a connection to a control process of the core was set up anew;
+- `tick(now)`: at least ten times a second;
+- `receive(now, name, message)`: a message arrived from a control process of the core or from a client;
+- `connected(now, address)`: a new connection to a control process of the core was established;
 - `disconnected(name)`: a client's connection has ended;
-- `submit(now, make)`: a call of an operator; its one `Answer` bears the id that `submit` returns;
-- `write_completed(now, token, ok)`: a `Write` is on disk, or failed;
-- `stop(now)`: the process is to stop; it may once `ControlNode.can_stop` is true;
+- `submit(now, make)`: an operator has made a call; its single `Answer` has the id that `submit` returns;
+- `write_completed(now, token, ok)`: a `Write` is on disk, or has failed;
+- `stop(now)`: the process is to stop; it may exit once `ControlNode.can_stop` is true;
 - `ControlNode.add_seeds(addresses)`: the settings file was read again.
 
-Beside these it may read `next_call_id`, `ControlNode.known_peers()`, whom to connect to, and
-`ControlNode.holds_lease(now)`, which it must ask again before an answer that relies on the lease leaves. Registries use
-`leases.LeaseHolder`. Nothing else of this package is called from outside, except by tests and simulations, which also
-read the node's state.
+Besides these the runtime may read `next_call_id`, `ControlNode.known_peers()` (the machines to connect to) and
+`ControlNode.holds_lease(now)`, which it must check again before it sends an answer that relies on the lease. Registries
+use `leases.LeaseHolder`. No other code outside this package calls it, except for tests and simulations, which also read
+the node's state.
 """
 
 from __future__ import annotations
@@ -33,10 +32,10 @@
 
 
 class Records(NamedTuple):
-    """Records to be written in one transaction, all of them or none. None: stays as it is.
+    """Records to be written in one atomic transaction. A field that is None leaves the stored record unchanged.
 
-    `items` with `complete` replace all items on disk; without, they are added to them. `position` and `floor` go with
-    the items.
+    With `complete`, `items` replace all items on disk, otherwise they are added or overwrite items of the same name.
+    `position` and `floor` belong to the items.
     """
 
     promised: int | None = None
@@ -50,7 +49,7 @@
 
 @dataclass(slots=True)
 class StoredState:
-    """All that a disk holds, as read at the start of a process. The defaults are those of an empty disk."""
+    """The contents of the disk, as read at the start of a process. The defaults describe an empty disk."""
 
     promised: int = 0
     view: ViewRecord | None = None
@@ -60,14 +59,14 @@
     leases: dict[str, tuple[str, int]] = field(default_factory=dict)
 
 
-# Calls, which are answered by the leader.
+# Calls. The leader answers them.
 
 
 class Change(NamedTuple):
     """A call that changes items.
 
-    `is_redundant` returns whether a state in force makes the change needless, so that it is acknowledged at once;
-    `items` returns what it sets (None removes an item).
+    `is_redundant` returns whether the committed state makes the change unnecessary, so that it is acknowledged at once.
+    `items` returns the items that the change sets (None removes an item).
     """
 
     call_id: int
@@ -78,9 +77,9 @@
 
 
 class DeferredChange(NamedTuple):
-    """An order that only a leader parses, as only a leader may reject it for good.
+    """An order that only a leader parses, because only a leader may reject it permanently.
 
-    `change` turns it into a change of the state in force, or raises the ServiceError that it is rejected by.
+    `change` converts the order into a change of the committed state, or raises the ServiceError that rejects it.
     """
 
     call_id: int
@@ -89,7 +88,7 @@
 
 
 class Read(NamedTuple):
-    """A call that a leader with a valid lease answers from the state."""
+    """A call that a leader with a valid lease answers from the committed state."""
 
     call_id: int
     answer: Callable[[State], Any]
@@ -103,7 +102,7 @@
 
 
 class Send(NamedTuple):
-    """Send a message to the control process on a machine."""
+    """Send a message to the control process at an address."""
 
     to: str
     message: AnyMessage
@@ -117,27 +116,27 @@
 
 
 class Write(NamedTuple):
-    """Write records to disk, synced; then call `write_completed` with `token`."""
+    """Write and sync records to disk, then call `write_completed` with `token`."""
 
     token: int
     records: Records
 
 
 class Answer(NamedTuple):
-    """Answer a call, once: None for an acknowledged change, a document, or a ServiceError."""
+    """Answer a call: None acknowledges a change; otherwise a document, or a ServiceError. Each call has one answer."""
 
     call_id: int
     answer: Any
 
 
 class Publish(NamedTuple):
-    """Publish the state in force to all subscribers. It is a copy that the node doesn't change."""
+    """Publish the committed state to all subscribers. The node does not modify this copy."""
 
     state: State
 
 
 class PublishChange(NamedTuple):
-    """Publish a change that is in force: the next one after the state or change that was published last."""
+    """Publish a committed change: the next one after the state or change that was published last."""
 
     number: int
     items: Items
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -1,9 +1,9 @@
-"""How a machine comes to vote: by founding the system, after losing its disk, or as a learner.
+"""The ways in which a machine becomes a voter: as a founder, after the loss of its disk, or as a learner.
 
 A machine whose disk is empty and that is not founding has *lost its state*: it may have promised or acknowledged
-anything. It votes for nothing until so many voters have sent their status that no majority could have decided without
-one of them. A machine without a vote becomes *ready to vote* once a majority of the voters has sent its status, as it
-then knows the highest promise that may count.
+anything. It casts no vote until it has the status of so many voters that no majority could have decided without at
+least one of them. A machine without a vote becomes *ready to vote* once a majority of the voters has sent its status:
+it then knows the highest promise that may count.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 class Founder(NamedTuple):
-    """A machine that founds the system: its zone, and when it was first heard."""
+    """A machine that takes part in founding the system: its zone, and when it was first heard."""
 
     zone: str
     first_heard: float
 
 
 class Joining:
-    """One node's way to a vote, and its answers to machines on theirs."""
+    """One node's own steps to become a voter, and its answers to other machines that want to become voters."""
 
     def __init__(self, context: Context, durable: DurableState, role: Role, bootstrap: bool) -> None:
-        """`bootstrap`: the system starts for the first time."""
+        """Create the state; `bootstrap`: whether the system starts for the first time."""
         self._context = context
         self._durable = durable
         self._role = role
@@ -40,12 +40,12 @@
         self.ready_to_vote = False
         self.founders: dict[str, Founder] = {}
         self.learners = Learners(context)
-        self._statuses: dict[str, Status] = {}  # the newest one of each machine, while this one needs them
+        self._statuses: dict[str, Status] = {}  # machine -> its latest status, while this node is not a voter
         self._next_request_at = context.now
 
     @property
     def is_voter(self) -> bool:
-        """Whether this machine has a vote by the newest view that it knows."""
+        """Whether this machine is a voter in the newest view that it knows."""
         view = self._durable.view
         return not self.founding and not self.state_lost and view is not None and self._context.me in view.voters
 
@@ -56,7 +56,7 @@
         return sorted({*self._context.seeds, *self._context.known, *voters} - {self._context.me})
 
     def record_membership(self, is_voter: bool) -> None:
-        """Take note of a recorded view in which this machine votes or doesn't."""
+        """Record whether this machine is a voter in a view that it records."""
         self.founding = False
         if is_voter:
             self.state_lost = False
@@ -73,13 +73,13 @@
             self._context.send(seed, FounderAnnouncement(self._context.zone))
 
     def on_founder_announcement(self, sender: str, message: FounderAnnouncement) -> None:
-        """Record another founder, or answer it with the status where the system is founded already."""
+        """Record another founder, or answer with the status if the system has already been founded."""
         if self.founding:
             self.founders.setdefault(sender, Founder(message.zone, self._context.now))
         elif self._durable.view is not None:
             self.send_status(sender)
 
-    # Asking for the status, by a machine that has lost its state or has no vote.
+    # Status requests of a machine that has lost its state or has no vote.
 
     def request_status(self) -> None:
         """Ask all known machines of the core for their status, at most once in `RETRY_INTERVAL_S`."""
@@ -91,9 +91,9 @@
             self._context.send(peer, StatusRequest(self._context.zone, self.ready_to_vote, position, promised))
 
     def on_status(self, sender: str, message: Status) -> None:
-        """Take note of what another machine knows."""
+        """Handle the status of another machine."""
         if self.founding and self._durable.promised == 0:
-            # The system was founded without this machine, or it took part and has lost that.
+            # The system was founded without this machine, or this machine took part and has lost its state since.
             self.founding = False
             self.state_lost = True
         if message.leader_heard:
@@ -109,7 +109,7 @@
         self._consider_statuses()
 
     def _consider_statuses(self) -> None:
-        """Become ready to vote, or a voter again, once enough machines have sent their status."""
+        """Become ready to vote, or a voter again, if enough machines have sent their status."""
         newest = max((status.view for status in self._statuses.values()), key=lambda view: view.epoch)
         answered = [name for name in self._statuses if name in newest.electorate and name != self._context.me]
         if self._context.me not in newest.voters:
@@ -125,10 +125,10 @@
         return max(status.promised for status in self._statuses.values())
 
     def _restore(self, newest: ViewRecord) -> None:
-        """Write the newest view and promise down; from then on this machine may vote again.
+        """Write the newest view and promise to disk. Once they are on disk, this machine may vote again.
 
-        No majority could have decided without one of the machines that answered. A copy that is on disk here stays:
-        one of the newest epoch was installed before its view was to be recorded.
+        No majority could have decided without one of the machines that answered. A copy on this machine's disk is kept:
+        a copy of the newest epoch was installed before the epoch's view could be recorded.
         """
         durable = self._durable
         durable.promised = max(durable.promised, self._highest_promise())
@@ -144,10 +144,10 @@
         self._durable.record_on_disk(newest.epoch)
         self._durable.note_view(newest)
 
-    # Answering.
+    # Answers to status requests.
 
     def on_status_request(self, sender: str, message: StatusRequest) -> None:
-        """Answer a machine without a vote, and record it as a learner where it is ready to vote."""
+        """Answer a machine without a vote, and record it as a learner if it is ready to vote."""
         view = self._durable.view
         if view is None or self.state_lost or self.founding:
             return
@@ -158,7 +158,7 @@
             self.learners.record_heard(sender, message.zone, message.position, message.promised)
 
     def send_status(self, to: str) -> None:
-        """Send what this machine knows to another."""
+        """Send this machine's status to another machine."""
         view = self._durable.view
         if view is None:
             return
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -1,8 +1,9 @@
-"""What a leader does in each tick, and what ends or renews its leadership.
+"""The leader's periodic work, and the beginning, renewal and end of its leadership.
 
-The parts have a module each: `heartbeats` renews the lease, `serving` and `replication` serve reads and changes,
-`catch_up` sends copies, `reconfiguration` decides on replicas and voters, `hand_over` ends it in order. The lease ends
-before any voter votes for another: `LEASE_S` from sending, `VOTER_GUARD_S` from hearing.
+Each task has its own module: `heartbeats` renews the lease, `serving` and `replication` serve reads and changes,
+`catch_up` sends copies, `reconfiguration` decides on replicas and voters, and `hand_over` ends a leadership gracefully.
+The lease ends before any voter votes for another candidate: it lasts `LEASE_S` from the sending of a heartbeat, while
+voters guard the leader for `VOTER_GUARD_S` from its receipt.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class Leader:
-    """One node's leadership, while it has one."""
+    """One node's work as a leader; does nothing while the node does not lead."""
 
     def __init__(self, context: Context, durable: DurableState, role: Role, joining: Joining, calls: CallQueue) -> None:
         self._context = context
@@ -44,10 +45,11 @@
     # Beginning.
 
     def _begin(self, candidacy: Candidacy) -> None:
-        """Lead the epoch of a candidacy that has succeeded."""
+        """Begin to lead the epoch of a candidacy that has succeeded."""
         view, now = self._durable.view, self._context.now
         assert view is not None
-        # The voters that recorded the view guard this leader since then, so its lease counts from the first request.
+        # The voters guard this leader from when they recorded its view, so its lease starts at the first request to
+        # record it.
         acked = {voter: candidacy.record_asked_at for voter in candidacy.recorded}
         acked[self._context.me] = now
         last_heard = dict.fromkeys(view.voters, now)
@@ -59,13 +61,13 @@
         self._heartbeats.restart()
         self.catch_up.restart()
         self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
-        # A copy, as the node's own state goes ahead of what is in force with the next change.
+        # Published as a copy, because the next change modifies the node's own state before it is committed.
         self._context.emit(Publish(self._durable.state_copy.state.copy()))
         self._heartbeats.send(leadership)
         self.serving.serve()
 
     def _carry_over(self, leadership: Leadership) -> None:
-        """Take over what this machine knew of the voters, so that silence goes on counting through an election."""
+        """Keep the known contact times of the voters, so that an election does not restart their time-outs."""
         previous, role = self._role.previous, self._role
         if previous is not None:
             known = {voter: at for voter, at in previous.last_heard.items() if voter in leadership.last_heard}
@@ -80,20 +82,20 @@
     # Time.
 
     def tick(self) -> None:
-        """Do all that is due, or step down."""
+        """Run all actions of the leader that are due, or step down."""
         leadership = self._role.leadership
         assert leadership is not None
         now = self._context.now
         self._heartbeats.send_if_due(leadership)
         if now > leadership.expires_at() + LEASE_S:
-            self._role.step_down("no majority")
+            self._role.step_down("no majority of the voters answers")
         elif leadership.own_write_since is not None and now - leadership.own_write_since > DISK_TIMEOUT_S:
-            self._role.step_down("the disk is slow")
+            self._role.step_down("a disk write takes too long")
         elif now < leadership.expires_at():
             self._work(leadership)
 
     def _work(self, leadership: Leadership) -> None:
-        """Do what needs a valid lease. Each step may end the leadership, so the later ones ask again."""
+        """Run the actions that need a valid lease. Each may end the leadership, so the later ones check it again."""
         self.replication.repeat_pending(leadership)
         self._reconfiguration.consider(leadership)
         if self._role.leadership is leadership and self._role.stopping:
@@ -106,7 +108,7 @@
     # Answers of voters.
 
     def on_heartbeat_ack(self, sender: str, message: HeartbeatAck) -> None:
-        """Renew the lease by a voter's answer."""
+        """Handle a voter's heartbeat acknowledgement, which may renew the lease."""
         leadership = self._role.leadership
         if leadership is None or message.epoch != leadership.view.epoch:
             return
@@ -115,10 +117,10 @@
         self.replication.advance()
 
     def on_deposed(self, sender: str, message: Deposed) -> None:
-        """Step down where a later epoch has begun.
+        """Step down if a later epoch has begun.
 
-        A voter that has only promised a higher epoch is lost to this leadership. The others go on with it until it may
-        start a new epoch above that promise, which wins the voter back.
+        A voter that has only promised a higher epoch no longer supports this leadership. The leadership continues with
+        the other voters until it may start a new epoch above that promise, which wins the voter back.
         """
         leadership, now = self._role.leadership, self._context.now
         if leadership is None:
@@ -131,10 +133,10 @@
             stable = leadership.pending is None and now - leadership.begun_at > RENEWAL_MIN_AGE_S
             if now > leadership.expires_at() or stable:
                 self._durable.promised = max(self._durable.promised, message.promised)
-                self.elections.start_candidacy("a voter has promised more")
+                self.elections.start_candidacy("a voter has promised a higher epoch")
 
     def on_leaving(self, sender: str, message: Leaving) -> None:
-        """Take note that a voter's process is stopping, and replace it at once where that is possible."""
+        """Record that a voter's process is stopping, and replace the voter at once if possible."""
         self._role.leaving[sender] = self._context.now
         if self._role.holds_lease(self._context.now):
             self.tick()
--- a/thistleusher/control/leadership.py
+++ b/thistleusher/control/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader knows: its voters and replicas, and the change that it is replicating."""
+"""State of a leadership: contact with voters and replicas, and the change that is being replicated."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class PendingChange:
-    """The change that is being replicated: which disks have it, and what it replaced in memory."""
+    """The change that is being replicated: the disks that have it, and the items that it replaced in memory."""
 
     change: Change
     base: Position
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaggingReplica:
-    """A replica whose copy differs from the leader's: where its copy is, and since when it has differed."""
+    """A replica whose copy differs from the leader's: the copy's position, and since when it has differed."""
 
     position: Position
     since: float
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """One epoch's leadership, from its election until its leader steps down or starts the next epoch."""
+    """The leadership of one epoch, from the election until the leader steps down or starts the next epoch."""
 
     view: ViewRecord
     begun_at: float
-    acked: dict[str, float]  # voter -> sending time of the newest heartbeat that it has answered
+    acked: dict[str, float]  # voter -> sending time of the latest heartbeat that it has answered
     last_heard: dict[str, float]  # voter -> when it was last heard
-    heard_since: dict[str, float]  # voter -> since when it has been heard without a gap of LEASE_S
-    voters_since: float  # since when these are the voters
+    heard_since: dict[str, float]  # voter -> since when it has been heard without a gap of more than LEASE_S
+    voters_since: float  # since when the voters have been unchanged
     pending: PendingChange | None = None
     own_write_since: float | None = None  # since when the leader's own disk has been writing a change
     lagging: dict[str, LaggingReplica] = field(default_factory=dict)
@@ -50,8 +50,8 @@
     def expires_at(self) -> float:
         """Return the end of the lease.
 
-        The lease counts from when the leader sent the heartbeats that a majority answered, never from when the answers
-        came: voters guard the leader for longer than that from a later moment.
+        The lease starts when the leader sends the heartbeats that a majority answers, not when the answers arrive.
+        Voters guard the leader for longer than the lease, and from a later moment.
         """
         acked = sorted((self.acked.get(voter, NEVER) for voter in self.view.voters), reverse=True)
         return acked[self.view.majority - 1] + LEASE_S
--- a/thistleusher/control/learners.py
+++ b/thistleusher/control/learners.py
@@ -1,4 +1,4 @@
-"""Learners: machines without a vote that are ready for one, as a leader and candidates have heard of them."""
+"""Learners: machines without a vote that are ready to become voters, as leaders and candidates observe them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class Learner(NamedTuple):
-    """One learner: its zone, since when and when last it was heard, its copy's position, its highest promise."""
+    """One learner."""
 
     zone: str
-    since: float
-    last_heard: float
-    position: Position
-    promised: int = 0
+    since: float  # since when it has been heard without a gap of LEARNER_TIMEOUT_S
+    last_heard: float  # when it was last heard
+    position: Position  # position of its copy on disk
+    promised: int = 0  # the highest epoch that it has promised
 
 
 class Learners:
-    """All learners that this machine has heard lately, by address."""
+    """The learners that this machine has heard, by address."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._learners: dict[str, Learner] = {}
 
     def record_heard(self, name: str, zone: str, position: Position, promised: int) -> None:
-        """Record that a learner has asked for the status; it counts as new after `LEARNER_TIMEOUT_S` of silence."""
+        """Record a learner's status request. After `LEARNER_TIMEOUT_S` of silence the learner counts as a new one."""
         now = self._context.now
         known = self._learners.get(name)
         since = known.since if known is not None and now - known.last_heard < LEARNER_TIMEOUT_S else now
@@ -44,10 +44,10 @@
         self._learners.pop(name, None)
 
     def present(self) -> Mapping[str, Learner]:
-        """Return the learners that were heard lately."""
+        """Return the learners that were heard within `LEARNER_TIMEOUT_S`."""
         now = self._context.now
         return {name: each for name, each in self._learners.items() if now - each.last_heard < LEARNER_TIMEOUT_S}
 
     def steady(self) -> Mapping[str, Learner]:
-        """Return the learners present that have been heard for long enough to become voters."""
+        """Return the present learners that have been heard for long enough to become voters."""
         return {name: each for name, each in self.present().items() if each.last_heard - each.since > LEARNER_STEADY_S}
--- a/thistleusher/control/leases.py
+++ b/thistleusher/control/leases.py
@@ -1,17 +1,17 @@
-"""Leases of singleton roles: granted by the voters of the core, held by one process at a time with a majority's grants.
+"""Leases of singleton roles: the voters of the core grant them; the process with a majority's grants holds the role.
 
-Guaranteed: of two processes that both hold a role's lease at least one knows that its lease is over; terms rise from
-holder to holder, and are fencing tokens. How:
+Guarantees: at any time at most one process considers its own lease of a role valid. Terms increase from holder to
+holder and serve as fencing tokens. To this end:
 
-- A grantor grants a role to one holder and term only, and to nobody else for `GRANT_S` after it last did. A holder
-  counts from when it asked, and stops `MARGIN_S` before the end.
-- A grantor keeps on disk to whose machine it granted last. After a restart it grants for `GRANT_S` to that machine
-  only, whose earlier incarnation is dead, or to nobody where it has lost its state.
-- It grants only while it is a voter in contact with a majority's leader (`service`), and one that has just become a
-  voter grants nothing for `GRANT_S`. So grants of the voters before and after a change never make two majorities.
+- A grantor grants a role to one holder and term only, and to no other for `GRANT_S` after its latest grant. A holder
+  counts its lease from when it sent the request, and ends it `MARGIN_S` early.
+- A grantor stores on disk the machine that it last granted a role to. For `GRANT_S` after a restart it grants the role
+  only to that machine, whose earlier incarnation is dead, or to none if it has lost its state.
+- A voter grants leases only while it is in contact with a leader that has a majority (`service`), and a new voter
+  grants nothing for `GRANT_S`. Thus the grants of the voters before and after a change never form two majorities.
 
-Pure; seconds on steady clocks, whose rates may differ by less than `MARGIN_S` in `GRANT_S`. Cost: one message and one
-answer a grantor and `RENEW_INTERVAL_S`, by each process that would take the role.
+Pure. Times are seconds on steady clocks; within `GRANT_S` two clocks must diverge by less than `MARGIN_S`. Cost: one
+message and one answer per grantor every `RENEW_INTERVAL_S`, for each process that competes for the role.
 """
 
 from __future__ import annotations
@@ -23,20 +23,22 @@
 
 from thistleusher.transport.messages import LeaseGranted, LeaseRejected, LeaseReleased, LeaseRequest, Message
 
-GRANT_S = 1.0
-MARGIN_S = 0.2
+GRANT_S = 1.0  # duration of a grant, on the grantor's clock
+MARGIN_S = 0.2  # time by which a holder ends its lease early
 RENEW_INTERVAL_S = 0.15
-ATTEMPT_S = 0.4  # for a majority's grants to come
-EPOCH_SHIFT = 20  # bits of a term below the control state's epoch, from which terms go on after all have lost theirs
+ATTEMPT_S = 0.4  # an attempt without a majority's grants ends after this time
+# A new term exceeds the control state's epoch shifted left by this number of bits, so that terms still increase after
+# all grantors have lost their records.
+EPOCH_SHIFT = 20
 
-NO_LEASE = float("-inf")  # the end of a lease that there is not
+NO_LEASE = float("-inf")  # expiry time that means "no lease"
 
 SendMessage = Callable[[str, Message], object]
 
 
 @dataclass(slots=True)
 class Grant:
-    """A grantor's newest grant of a role: to whom, under which term, and until when."""
+    """A grantor's latest grant of a role: the holder, the term, and the expiry time in seconds of the steady clock."""
 
     holder: str
     term: int
@@ -44,14 +46,14 @@
 
 
 class Decision(NamedTuple):
-    """A grantor's answer; `changed`: the grant has to be on disk before the answer leaves."""
+    """A grantor's answer. If `changed`, the grant has to be on disk before the answer is sent."""
 
     answer: LeaseGranted | LeaseRejected
     changed: bool
 
 
 def machine_of(holder: str) -> str:
-    """Return the machine of a holder's name, which consists of machine and incarnation."""
+    """Return the machine part of a holder's name, which has the form `machine/incarnation`."""
     return holder.partition("/")[0]
 
 
@@ -59,14 +61,14 @@
     """One machine's grants."""
 
     def __init__(self, now: float, stored: Mapping[str, tuple[str, int]] | None = None) -> None:
-        """Restore the grants of an earlier incarnation; `stored`: role -> machine and term that it granted last."""
+        """Restore the grants of an earlier incarnation from `stored`: role -> machine and term of its latest grant."""
         self.paused_at = now
         self.grants = {
             role: Grant(f"{machine}/", term, now + GRANT_S) for role, (machine, term) in (stored or {}).items()
         }
 
     def decide(self, now: float, request: LeaseRequest, epoch: int) -> Decision:
-        """Grant or reject a request; `epoch` is that of the control state."""
+        """Grant or reject a request; `epoch` is the control state's current epoch."""
         grant = self.grants.setdefault(request.singleton_role, Grant("/", 0, self.paused_at + GRANT_S))
         same_machine = machine_of(request.holder) == machine_of(grant.holder)
         # A new incarnation on the holder's machine means that the old one is dead.
@@ -81,27 +83,27 @@
         return Decision(LeaseRejected(request.singleton_role, highest, free), False)
 
     def pause(self, now: float) -> None:
-        """Grant nothing new for `GRANT_S`, because this machine has just become a voter."""
+        """Make no new grants for `GRANT_S`, because this machine has just become a voter."""
         self.paused_at = now
         for grant in self.grants.values():
             grant.until = max(grant.until, now + GRANT_S)
 
     def to_records(self) -> dict[str, tuple[str, int]]:
-        """Return what the next incarnation must know: role -> machine and term."""
+        """Return the grants to be stored for the next incarnation: role -> machine and term."""
         return {role: (machine_of(grant.holder), grant.term) for role, grant in self.grants.items()}
 
     def release(self, message: LeaseReleased) -> None:
-        """End a grant whose holder stops in order, or got no majority and asks no more."""
+        """End a grant whose holder stops gracefully, or has ended an attempt without a majority."""
         grant = self.grants.get(message.singleton_role)
         if grant is not None and grant.holder == message.holder and grant.term == message.term:
             grant.until = NO_LEASE
 
 
 class LeaseHolder:
-    """A process that would take a singleton role. `me` names its machine and incarnation, separated by a slash.
+    """A process that competes for a singleton role. `me` is its name, `machine/incarnation`.
 
-    An attempt is one term: requested from all grantors, and released after `ATTEMPT_S` without a majority. Otherwise
-    several minorities would keep their grants from each other without end. After that it waits for a drawn time.
+    An attempt requests one term from all grantors, and releases it after `ATTEMPT_S` without a majority: otherwise
+    several processes with a minority each could block each other forever. The next attempt follows a random delay.
     """
 
     def __init__(self, singleton_role: str, me: str, now: float, rng: random.Random) -> None:
@@ -109,21 +111,21 @@
         self.me = me
         self.rng = rng
         self.term = 0
-        self.highest_term = 0  # that any grantor has granted
-        self.granted: dict[str, float] = {}  # grantor -> when the newest request that it granted was sent
+        self.highest_term = 0  # the highest term that this process has used or a grantor has reported
+        self.granted: dict[str, float] = {}  # grantor -> sending time of the latest request that it granted
         self.grantors: frozenset[str] = frozenset()
-        self.attempt_since: float | None = None  # of the present term; None: no attempt
-        self.had_majority = False  # under the present term
+        self.attempt_since: float | None = None  # start of the attempt with the current term; None: no attempt
+        self.had_majority = False  # whether a majority has granted the current term at any time
         self.next_request_at = now
-        self.term_too_low = False  # a grantor is free, and has only seen a higher term
-        self.attempt_delay_s = 0.0  # before an attempt, for a process that had better not hold the role
+        self.term_too_low = False  # whether a grantor that is free has rejected the term as too low
+        self.attempt_delay_s = 0.0  # extra delay before each attempt after a failure, for a less preferred process
 
     def set_grantors(self, grantors: Iterable[str]) -> None:
-        """Set the grantors that count."""
+        """Set the grantors whose grants count."""
         self.grantors = frozenset(grantors)
 
     def expires_at(self) -> float:
-        """Return the end of the lease, `NO_LEASE` where there is none."""
+        """Return the expiry time of the lease, or `NO_LEASE` if there is none."""
         majority = len(self.grantors) // 2 + 1
         requested = sorted((at for ip, at in self.granted.items() if ip in self.grantors), reverse=True)
         if not self.grantors or len(requested) < majority:
@@ -131,11 +133,11 @@
         return requested[majority - 1] + GRANT_S - MARGIN_S
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this process holds the role at that time."""
+        """Return whether this process holds the role at time `now`."""
         return now < self.expires_at()
 
     def tick(self, now: float, send: SendMessage) -> None:
-        """Send requests to all grantors when they are due, or end an attempt without a majority."""
+        """Send requests to all grantors if they are due, or end an attempt that has no majority."""
         if now < self.next_request_at or not self.grantors:
             return
         holds_lease = self.holds_lease(now)
@@ -173,13 +175,13 @@
         self.highest_term = max(self.highest_term, self.term)
 
     def receive(self, sender: str, message: LeaseGranted | LeaseRejected) -> None:
-        """Handle a grantor's answer."""
+        """Handle the answer of the grantor `sender`."""
         if isinstance(message, LeaseGranted):
             if message.term == self.term and self.attempt_since is not None:
                 self.granted[sender] = max(self.granted.get(sender, NO_LEASE), message.sent)
             return
         if message.free and self.attempt_since is not None and message.term >= self.term and not self.term_too_low:
             self.term_too_low = True
-            self.next_request_at -= RENEW_INTERVAL_S  # due at once, with a higher term
+            self.next_request_at -= RENEW_INTERVAL_S  # end this attempt at once, and start one with a higher term
         self.highest_term = max(self.highest_term, message.term)
         self.granted.pop(sender, None)
--- a/thistleusher/control/membership.py
+++ b/thistleusher/control/membership.py
@@ -1,11 +1,11 @@
-"""Which machines vote and which hold copies: a leader's targets, computed from what it has heard.
+"""Selection of voters and replicas from a leader's observations.
 
-The number of voters stays: a learner that has caught up replaces a voter that is leaving or silent, by one change that
-adds the one and removes the other. A silent voter that nobody can replace keeps its vote. Only an even number of
-voters grows or shrinks by one. Copies are on `replica_count` machines beside the leader's, in two zones where voters
-of two zones are there.
+The number of voters is constant: a learner that has caught up replaces a voter that is leaving or silent, and one
+change adds the one and removes the other. A silent voter that no learner can replace keeps its vote. Only if the number
+of voters is even or below `MIN_VOTERS` may it change, by one. Besides the leader, `replica_count` machines hold copies;
+the copies are spread over two zones if voters of two zones are available.
 
-Pure functions of their arguments.
+All functions are pure.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 
 
 class Preference(NamedTuple):
-    """What a candidate knows of machines that may hold a copy, as sets of addresses."""
+    """A candidate's knowledge of machines that may hold a copy, as sets of addresses."""
 
-    installed: Set[str]  # have this epoch's copy already
-    chosen: Set[str]  # were chosen before in this candidacy
-    excluded: Set[str]  # failed as replicas lately
-    leaving: Set[str]  # their processes are stopping
-    answered: Set[str]  # were heard in this candidacy
+    installed: Set[str]  # machines that already have this epoch's copy
+    chosen: Set[str]  # machines that were chosen as replicas earlier in this candidacy
+    excluded: Set[str]  # machines that recently failed as replicas
+    leaving: Set[str]  # machines whose processes are stopping
+    answered: Set[str]  # machines that have answered in this candidacy, and present learners
 
 
 class VoterChange(NamedTuple):
-    """New voters (address -> zone), and the reason for the log."""
+    """The new voters (address -> zone), and the reason for the change, for the log."""
 
     voters: dict[str, str]
     why: str
 
 
 class Observation(NamedTuple):
-    """What a leader has heard: silence of each other voter in seconds, who is leaving, which learners may vote."""
+    """A leader's observation of the voters and learners."""
 
     me: str
-    silent_s: Mapping[str, float]
-    leaving: Set[str]
-    learners: Mapping[str, Learner]  # caught up and steady
+    silent_s: Mapping[str, float]  # other voter -> seconds since it was last heard
+    leaving: Set[str]  # voters whose processes are stopping
+    learners: Mapping[str, Learner]  # learners that have caught up and been heard for long enough to become voters
 
 
 def replica_count(voters: int, tolerance: int) -> int:
-    """Return the number of replicas: one a machine that may be lost, but no more than a bare majority can have."""
+    """Return the number of replicas: one per machine that may be lost, but with the leader no more than a majority."""
     return max(1, min(tolerance, voters // 2))
 
 
 def choose_replicas(me: str, voters: Mapping[str, str], tolerance: int, preference: Preference) -> tuple[str, ...]:
-    """Return who is to hold copies beside `me`, at least one of another zone where one answers."""
+    """Return the machines that are to hold copies besides `me`, at least one of them in another zone if possible."""
 
     def rank(name: str) -> tuple[bool, bool, bool, bool, bool, bool, str]:
         return (
@@ -73,19 +73,19 @@
 
 
 def _is_fit(name: str, preference: Preference) -> bool:
-    """Return whether a machine may be preferred to better ranked ones because of its zone."""
+    """Return whether a machine may be preferred to better ranked machines because of its zone."""
     willing = name in preference.answered and name not in preference.leaving and name not in preference.excluded
     return willing and (name in preference.installed or name not in preference.chosen)
 
 
 def next_voters(voters: Mapping[str, str], observation: Observation) -> VoterChange | None:
-    """Return the next change of the voters, None where they are to stay."""
+    """Return the next change of the voters, or None if they are to stay as they are."""
     outgoing = _outgoing(voters, observation)
     replacements = _replacements(voters, outgoing, observation.learners)
     if replacements:
         after = {name: zone for name, zone in voters.items() if name not in replacements}
         after.update({learner: observation.learners[learner].zone for learner in replacements.values()})
-        reasons = (f"{new} takes the place of {old}" for old, new in sorted(replacements.items()))
+        reasons = (f"{new} replaces {old}" for old, new in sorted(replacements.items()))
         return VoterChange(after, ", ".join(reasons))
     if len(voters) % 2 == 0 or len(voters) < MIN_VOTERS:
         return _to_odd(voters, observation)
@@ -93,7 +93,7 @@
 
 
 def _outgoing(voters: Mapping[str, str], observation: Observation) -> list[str]:
-    """Return the voters to be replaced: those that are leaving, then those silent for longest."""
+    """Return the voters to be replaced: first those that are leaving, then the silent ones, longest silence first."""
     leaving = sorted(name for name in voters if name in observation.leaving and name != observation.me)
     silent_s = observation.silent_s
     silent = [name for name in voters if silent_s.get(name, 0.0) > VOTER_EXCHANGE_S and name not in leaving]
@@ -101,7 +101,7 @@
 
 
 def _replacements(voters: Mapping[str, str], outgoing: list[str], learners: Mapping[str, Learner]) -> dict[str, str]:
-    """Return which learner replaces which voter: one of its zone where there is one."""
+    """Return outgoing voter -> learner that replaces it, of the same zone if possible."""
     waiting = sorted(name for name in learners if name not in voters)
     replacements: dict[str, str] = {}
     for old in outgoing:
@@ -114,13 +114,13 @@
 
 
 def _to_odd(voters: Mapping[str, str], observation: Observation) -> VoterChange | None:
-    """Return the change to an odd number: an even number tolerates no more losses than the odd one below it."""
+    """Return the change to an odd number of voters: an even number tolerates no more losses than one voter fewer."""
     waiting = sorted(name for name in observation.learners if name not in voters)
     if waiting:
         learner = waiting[0]
-        return VoterChange({**voters, learner: observation.learners[learner].zone}, f"{learner} gets a vote")
+        return VoterChange({**voters, learner: observation.learners[learner].zone}, f"{learner} becomes a voter")
     gone = [name for name in voters if observation.silent_s.get(name, 0.0) > VOTER_REMOVAL_S]
     if gone and len(voters) > MIN_VOTERS:
         remaining = {name: zone for name, zone in voters.items() if name != gone[0]}
-        return VoterChange(remaining, f"{gone[0]} is gone")
+        return VoterChange(remaining, f"no message from {gone[0]} in time")
     return None
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -1,29 +1,30 @@
-"""The state machine of the control state, as each core machine runs it: it routes inputs to the parts of the protocol.
+"""The replicated state machine that each core machine runs; it dispatches inputs to the modules of the protocol.
 
-Guaranteed, while no more machines are lost than the settings' `tolerance`:
+Guarantees, as long as no more machines are lost than the `tolerance` setting allows:
 
-1. A change is acknowledged only once it is on the disks of the leader and of all its replicas (as many as machines may
-   be lost), in the present epoch, and the leader's lease is valid at that moment (`replication`).
-2. An epoch begins only when a majority of the voters has its view on disk, and only a holder of the newest view that
-   this majority knows may begin the next one, after its replicas have the complete copy on disk (`elections`,
-   `view_change`). So whoever leads has everything that was ever acknowledged.
-3. A machine that has promised an epoch takes no part in a lower one, and its promise is on its disk before it is sent
+1. A change is acknowledged only once it is on the disks of the leader and of all its replicas in the current epoch, and
+   only while the leader's lease is valid (`replication`). There are as many replicas as machines that may be lost.
+2. An epoch begins only once a majority of the voters has its view on disk. Only a holder of the newest view that this
+   majority knows may begin the next epoch, and only after its replicas have the complete copy on disk (`elections`,
+   `view_change`). Every leader therefore has all changes that were ever acknowledged.
+3. A machine that has promised an epoch takes no part in a lower one. Its promise is on its disk before it is sent
    (`voting`).
-4. A machine whose disk is empty and that is not founding has *lost its state*: it votes, holds and answers for nothing
-   until so many others have sent their status that no majority could have decided without one of them (`joining`).
-5. A leader answers only while a majority has heard it within `LEASE_S`; a voter that has heard a leader votes for
-   nobody else for `VOTER_GUARD_S`, which is longer (`leadership`, `voting`).
-6. The number of voters stays; a learner has the complete state before it replaces a voter, and one epoch does both
-   (`reconfiguration`, `membership`).
-
-Inputs are ticks, messages, ends of disk writes and calls; outputs are listed in `interface`. A reply that relies on a
-write leaves only after the write has ended. Voters that are no replicas are witnesses: they keep epochs (view and
-promise) and no state of the present epoch. There is no log: the state consists of items, each with the number of the
-change that set it. Views as in Vertical Paxos (Lamport 2009), witnesses as in Harp (Liskov 1991), leases as in Gray
-1989.
-
-Pure. Cost: a heartbeat a voter each `HEARTBEAT_INTERVAL_S`; a change costs one message of its own size and one answer
-a replica, and two syncs in parallel.
+4. A machine whose disk is empty and that is not founding has *lost its state*. It casts no votes, acts as no replica
+   and answers no requests until it has the status of enough other machines: no majority could have decided without at
+   least one of them (`joining`).
+5. A leader answers only while a majority has acknowledged heartbeats that it sent within the last `LEASE_S`. A voter
+   that has heard a leader votes for no other machine for `VOTER_GUARD_S`, which is longer (`leadership`, `voting`).
+6. The number of voters is constant. A learner has the complete state before it replaces a voter, and a single epoch
+   adds the one and removes the other (`reconfiguration`, `membership`).
+
+Inputs are ticks, messages, ends of disk writes, and calls; `interface` lists the outputs. A reply that relies on a
+write is sent only after the write has ended. Voters that are not replicas are witnesses: they store epochs (view and
+promise), but no state of the current epoch. There is no log: the state consists of items, each with the number of the
+change that set it. The design takes views from Vertical Paxos (Lamport 2009), witnesses from Harp (Liskov 1991) and
+leases from Gray 1989.
+
+Pure: no I/O, and no clock of its own. Cost: one heartbeat per voter every `HEARTBEAT_INTERVAL_S`. A change costs one
+message of its own size and one answer per replica, and two disk syncs in parallel.
 """
 
 from __future__ import annotations
@@ -87,7 +88,11 @@
         rng: random.Random,
         tolerance: int = 1,
     ) -> None:
-        """`bootstrap`: the system starts for the first time; `tolerance`: machines that may be lost at once."""
+        """Create the node from its stored state.
+
+        `bootstrap`: whether the system starts for the first time; `tolerance`: number of machines that may be lost at
+        the same time.
+        """
         self._context = Context(me, zone, seeds, now, rng, tolerance)
         self._durable = DurableState(self._context, stored)
         self._calls = CallQueue(self._context)
@@ -127,7 +132,7 @@
     # Inputs.
 
     def tick(self, now: float) -> list[Output]:
-        """Do what is due; to be called ten times a second or more."""
+        """Run all actions that are due. Must be called at least ten times a second."""
         self._context.advance(now)
         if self._joining.founding:
             self._founding.tick()
@@ -142,7 +147,7 @@
         return self._context.flush()
 
     def receive(self, now: float, sender: str, message: AnyMessage) -> list[Output]:
-        """Handle a message from another machine of the core. A type that a node doesn't handle changes nothing."""
+        """Handle a message from another machine of the core. Messages of other types are ignored."""
         self._context.advance(now)
         self._context.known.add(sender)
         handle = self._handlers.get(type(message))
@@ -151,19 +156,19 @@
         return self._context.flush()
 
     def connected(self, now: float, peer: str) -> list[Output]:
-        """Handle a new connection to a machine of the core: messages sent to it earlier may be lost."""
+        """Handle a new connection to a machine of the core. Messages sent to it earlier may have been lost."""
         self._context.advance(now)
         self._elections.connected(peer)
         return self._context.flush()
 
     def write_completed(self, now: float, token: int, ok: bool) -> list[Output]:
-        """Handle the end of a write; `ok`: it is on disk."""
+        """Handle the end of a write; `ok`: whether the records are on disk."""
         self._context.advance(now)
         self._durable.write_completed(token, ok)
         return self._context.flush()
 
     def submit(self, now: float, call: Call) -> list[Output]:
-        """Take a call; its `Answer` comes now, or within about `CALL_WAIT_S` where nobody leads."""
+        """Accept a call. Its `Answer` comes at once or, if there is no leader, within about `CALL_WAIT_S`."""
         self._context.advance(now)
         if self._role.stopping:
             self._context.answer(call.call_id, ServiceError(ErrorKind.SHUTTING_DOWN))
@@ -174,7 +179,7 @@
         return self._context.flush()
 
     def stop(self, now: float) -> list[Output]:
-        """Begin to stop in order: hand over what this process holds, until `can_stop`."""
+        """Begin a graceful stop: hand over leadership, vote and copy until `can_stop` is true."""
         self._context.advance(now)
         self._role.stopping = True
         self._hand_over.step_down_if_possible()
@@ -183,19 +188,19 @@
         return self._context.flush()
 
     def add_seeds(self, seeds: Iterable[str]) -> None:
-        """Add the seeds that the settings name now; those known before stay."""
+        """Add the seeds from the current settings; earlier seeds are kept."""
         self._context.seeds |= set(seeds)
 
     # Observation.
 
     @property
     def view(self) -> ViewRecord | None:
-        """The newest view that is known here."""
+        """The newest view that this machine knows."""
         return self._durable.view
 
     @property
     def promised(self) -> int:
-        """The highest epoch that was promised here, or is known to have been promised."""
+        """The highest epoch that this machine has promised, or that it knows another machine to have promised."""
         return self._durable.promised
 
     @property
@@ -205,40 +210,40 @@
 
     @property
     def state(self) -> State:
-        """The copy in memory. It may hold a change that is not in force yet."""
+        """The copy in memory. It may include a change that is not committed yet."""
         return self._durable.state_copy.state
 
     @property
     def leadership(self) -> Leadership | None:
-        """The leadership, while this machine has one; its lease may be over (`holds_lease`)."""
+        """The leadership while this machine leads, else None. Its lease may have expired (`holds_lease`)."""
         return self._role.leadership
 
     @property
     def state_lost(self) -> bool:
-        """Whether the disk was empty, and too few others have sent their status yet."""
+        """Whether the disk was empty and too few other machines have sent their status so far."""
         return self._joining.state_lost
 
     @property
     def is_voter(self) -> bool:
-        """Whether this machine has a vote by the newest view that it knows."""
+        """Whether this machine is a voter in the newest view that it knows."""
         return self._joining.is_voter
 
     @property
     def founding(self) -> bool:
-        """Whether the system starts for the first time."""
+        """Whether this machine takes part in founding the system, which starts for the first time."""
         return self._joining.founding
 
     @property
     def can_stop(self) -> bool:
-        """Whether nothing depends on this process any more, so that it may stop after `stop`."""
+        """Whether no other machine depends on this process any more, so that it may exit after `stop`."""
         return self._hand_over.can_stop
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this machine leads and its lease is valid at that time."""
+        """Return whether this machine leads and its lease is valid at time `now`."""
         return self._role.holds_lease(now)
 
     def in_contact(self, now: float) -> bool:
-        """Return whether this machine votes and was lately in contact with a majority's leader."""
+        """Return whether this machine is a voter and was recently in contact with a leader that has a majority."""
         return self._joining.is_voter and self._role.in_contact(now)
 
     def known_peers(self) -> list[str]:
@@ -248,14 +253,14 @@
     # Steps.
 
     def _tick_voter(self) -> None:
-        """Lead, continue a candidacy, or start one where the leader is silent."""
+        """Lead, continue a candidacy, or start one if the leader is silent."""
         role = self._role
         if role.leadership is not None:
             self._leader.tick()
         elif role.candidacy is not None:
             self._elections.tick()
         elif self._should_be_candidate():
-            self._elections.start_candidacy("the leader is silent")
+            self._elections.start_candidacy("no message from the leader in time")
 
     def _should_be_candidate(self) -> bool:
         role, now = self._role, self._context.now
@@ -265,17 +270,17 @@
         return silent_s > VOTER_GUARD_S + self._stagger() and now >= role.next_candidacy_at
 
     def _stagger(self) -> float:
-        """Return the time by which this holder becomes a candidate later than the first one, in seconds.
+        """Return the delay of this machine's candidacy relative to that of the first copy holder, in seconds.
 
-        Several candidates at once would end each other's attempts. A holder whose process is stopping comes last, but
-        it does come: it may be the only one left that holds the copy.
+        Several simultaneous candidates would end each other's attempts. A holder whose process is stopping comes last,
+        but it still becomes a candidate: it may be the only machine left with the copy.
         """
         view = self._durable.view
         stagger = CANDIDATE_STAGGER_S * view.replica_set.index(self._context.me) if view is not None else 0.0
         return stagger + (STOPPING_STAGGER_S if self._role.stopping else 0.0)
 
     def _redirect_calls(self) -> None:
-        """Redirect waiting callers where another machine leads."""
+        """Redirect waiting callers if another machine leads."""
         role, view = self._role, self._durable.view
         idle = role.leadership is None and role.candidacy is None
         if idle and self._calls and view is not None and view.leader != self._context.me and role.leader_seen():
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -1,19 +1,21 @@
-"""The operator's orders as changes of the control state.
+"""Conversion of an operator's orders into changes of the control state.
 
-How an order is identified:
+Orders are identified as follows:
 
-- A configuration by its number and the digest of its contents (canonical JSON: neither spaces nor the order of members
-  count). The highest number prevails; one no higher than the number in force is acknowledged and changes nothing. One
-  that was accepted before is a repeat, which is neither refused nor validated again.
-- An evacuation by its zone and what it asks for. It has no id, so a repeat can't be distinguished from a new order of
-  the same kind: it is acknowledged without a change only while the zone is as it asks. After another operator's
-  opposite order it takes effect again, as its sender relies on the acknowledgement that it gets now.
+- A configuration is identified by its number and the digest of its contents (canonical JSON: white space and the order
+  of members do not matter). The highest number prevails; a configuration whose number is not higher than the one in
+  force is acknowledged without a change. A configuration that was accepted before is a repeat, which is neither
+  rejected nor validated again.
+- An evacuation is identified by its zone and the requested state. It has no id, so a repeat cannot be distinguished
+  from a new order of the same kind: it is acknowledged without a change only while the zone is in the requested state.
+  After another operator's opposite order it takes effect again, because its sender relies on the new acknowledgement.
 
-`Change.is_redundant` must be asked of a state in force, never of one with a pending change: an acknowledgement by a
-state that may still be lost would confirm contents that nobody keeps. So a repeat that arrives while the first is
-pending waits for its end.
+`Change.is_redundant` must be evaluated on the committed state, never on one with a pending change: an acknowledgement
+that is based on a change that may still be lost would confirm contents that no machine stores. A repeat that arrives
+while the first order is pending therefore waits for its outcome.
 
-Only a leader with a valid lease may refuse an order (`parse`, `evacuation_change`), as callers take a refusal as final.
+Only a leader with a valid lease may reject an order (`parse`, `evacuation_change`), as callers treat a rejection as
+final.
 
 Pure.
 """
@@ -41,29 +43,29 @@
 from thistleusher.control.interface import Change, DeferredChange, Read
 from thistleusher.transport.state_updates import State
 
-MAX_ZONE_BYTES = 400  # zones' names are part of keys on disk, which may have 511 bytes
+MAX_ZONE_BYTES = 400  # the zone's name is part of a key on disk, which may have at most 511 bytes
 DIGEST_DIGITS_LOGGED = 12
-MAX_REASON_LENGTH = 400  # characters of a refusal
+MAX_REASON_LENGTH = 400  # maximum length of the message of a rejection, in characters
 
 
 class ParsedOrder(NamedTuple):
-    """A configuration that may be accepted: valid, or a repeat (`parts` is None) of one that was."""
+    """A configuration that may be accepted: it is valid, or repeats an accepted one (`parts` is None)."""
 
     identity: Identity
     parts: DocumentParts | None
 
 
 class OrderStatus(Enum):
-    """How an order compares with the configuration in force; only a `NEWER` one changes anything. Values are logged."""
+    """Relation of an order to the configuration in force; only `NEWER` changes anything. The values are logged."""
 
     NEWER = "newer"
-    REPEAT = "a repeat"
-    CONFLICTING_CONTENTS = "other contents under the number in force"
-    SUPERSEDED = "passed over by a higher number"
+    REPEAT = "repeat of an accepted configuration"
+    CONFLICTING_CONTENTS = "number is in force with different contents"
+    SUPERSEDED = "superseded by a higher number"
 
 
 def validation_module() -> ModuleType:
-    """Return the module that validates configurations. It is imported late, to keep the start of a process short."""
+    """Return the module that validates configurations. It is imported lazily to keep the start of a process short."""
     return importlib.import_module("thistleusher.configuration.validation")
 
 
@@ -71,10 +73,10 @@
 
 
 def parse(document: bytes, state: State | None = None) -> ParsedOrder:
-    """Return a document as an order, after complete validation.
+    """Parse and fully validate a document.
 
-    Raises an ExceptionGroup of `InvalidConfigurationError`. `state`: the state in force; what was accepted
-    into it is not validated again. Cost: one step a field.
+    Raises an ExceptionGroup of `InvalidConfigurationError`. `state` is the committed state; a document that it has
+    accepted before is not validated again. Cost: linear in the number of fields.
     """
     in_force = identity_of(state) if state is not None and is_stored_document(state, document) else None
     if in_force is not None:
@@ -89,7 +91,7 @@
 
 
 def _unvalidated_identity(value: Any) -> Identity | None:
-    """Return the identity of a document that was not validated, None where it can have none."""
+    """Return the identity of a document that was not validated, or None if it has none."""
     try:
         return Identity(int(value["version"], 16), digest_of(value))
     except (TypeError, KeyError, ValueError, RecursionError):
@@ -97,7 +99,7 @@
 
 
 def classify(state: State, order: ParsedOrder) -> OrderStatus:
-    """Return how an order compares with the configuration in force, for the log."""
+    """Return the relation of an order to the configuration in force, for the log."""
     if order.identity.number > number_of(state):
         return OrderStatus.NEWER
     if was_accepted(state, order.identity):
@@ -123,9 +125,9 @@
 
 
 def deferred_configuration_change(call_id: int, document: bytes) -> DeferredChange:
-    """Return the change that replaces the configuration, to be parsed by whoever leads then.
+    """Return the call that replaces the configuration, to be parsed by the leader that serves it.
 
-    A bad document raises ServiceError(INVALID_CONFIGURATION) there, with all faults in one line.
+    An invalid document raises ServiceError(INVALID_CONFIGURATION) there, with all faults in one line.
     """
 
     def change(state: State) -> Change:
@@ -143,7 +145,7 @@
 def read_configuration(call_id: int) -> Read:
     """Return the call that reads the configuration in force.
 
-    Its answer is the document, or ServiceError(NO_LEADER) where there is none.
+    Its answer is the document, or ServiceError(NO_LEADER) if there is none.
     """
 
     def answer(state: State) -> bytes | ServiceError:
@@ -159,8 +161,8 @@
 def evacuation_change(call_id: int, zone: str, begin: bool) -> Change:
     """Return the change that begins or finishes an evacuation.
 
-    Raises ServiceError(INVALID_CONFIGURATION) for what can't be a zone. The item's `n` counts the changes, so that each
-    return of a zone is seen.
+    Raises ServiceError(INVALID_CONFIGURATION) if `zone` is no valid zone name. The item's `n` counts the changes, so
+    that readers notice each end of an evacuation.
     """
     if not zone or "/" in zone or len(zone.encode("utf-8", "replace")) > MAX_ZONE_BYTES:
         raise ServiceError(ErrorKind.INVALID_CONFIGURATION, f"no such zone: {zone[:60]!r}")
@@ -178,5 +180,5 @@
 
 
 def deferred_evacuation_change(call_id: int, zone: str, begin: bool) -> DeferredChange:
-    """Return the change that begins or finishes an evacuation, to be checked by whoever leads then."""
+    """Return the call that begins or finishes an evacuation, to be checked by the leader that serves it."""
     return DeferredChange(call_id, lambda state: evacuation_change(call_id, zone, begin))
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -1,7 +1,7 @@
 """The control program: the runtime that connects `ControlService` to sockets, clock, disk and the operators' API.
 
-Each input is handled at the time that the clock shows then, not at the event loop's, which does not advance while a
-batch of events is handled: what lay in the sockets of a stopped process has to meet a lease that is over.
+Each input is handled with the current time of the clock. The event loop's time would not do: it does not advance while
+a batch of events is handled, and input that waited in the sockets of a suspended process must find its lease expired.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 MAX_BODY_BYTES = 64 * 1024 * 1024
 READ_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 30.0
-FLUSH_S = 0.15  # for the last messages to go out before the sockets are closed
-HAND_OVER_POLL_S = 0.03  # between checks whether this process may stop
-CLOSING_RESERVE_S = 0.8  # of the platform's grace period, left for closing
-PRELOAD_DELAY_S = 2.0  # after its start, when this process imports the validation of configurations
+FLUSH_S = 0.15  # time for the last messages to be sent before the sockets are closed
+HAND_OVER_POLL_S = 0.03  # interval between checks whether this process may stop
+CLOSING_RESERVE_S = 0.8  # part of the platform's grace period that is reserved for closing
+PRELOAD_DELAY_S = 2.0  # time after the start at which this process imports the validation of configurations
 
 OnAnswer = Callable[[Any], None]
 
@@ -52,7 +52,7 @@
     """One control process on a machine of the core."""
 
     def __init__(self, settings: SettingsFile) -> None:
-        """Read the disk; nothing is sent before `run`."""
+        """Read the stored state. Nothing is sent before `run`."""
         self.settings = settings
         node_settings = self.node_settings = settings.node_settings
         self.loop = asyncio.get_running_loop()
@@ -70,9 +70,9 @@
             node_settings.tolerance.machines,
         )
         self.service = ControlService(node, LeaseGrantor(now, stored.leases))
-        # Each control process opens its own connection to each other one, and sends on that one only.
-        self.outgoing: dict[str, ReconnectingLink] = {}  # by address
-        self.incoming: dict[str, Link] = {}  # by the name in their Hello
+        # Each control process opens its own connection to every other one, and sends messages on that connection only.
+        self.outgoing: dict[str, ReconnectingLink] = {}  # keyed by address
+        self.incoming: dict[str, Link] = {}  # keyed by the name in the peer's Hello
         self.listener = Listener(self.loop, self._received, self._disconnected)
         self.api = CallServer(
             self.loop,
@@ -91,7 +91,7 @@
         ]
 
     async def run(self) -> None:
-        """Run until the process gets a signal to stop."""
+        """Run until the process receives a signal to stop."""
         node_settings = self.node_settings
         await self.listener.listen(node_settings.ip, node_settings.port(CONTROL))
         if node_settings.binds.control:
@@ -101,9 +101,9 @@
         await serve("control", self.settings, self.tick, self._settings_changed, self.shut_down)
 
     async def shut_down(self) -> None:
-        """Hand over what this machine holds, answer waiting calls, and close.
+        """Hand over this machine's roles, answer waiting calls, and close.
 
-        It closes when nothing depends on it any more, or when the grace period is nearly over.
+        Closes once no other machine depends on this process, or when the grace period is nearly over.
         """
         self.api.shutting_down = self.api.draining = True
         self._carry_out(self.service.stop(time.monotonic()))
@@ -122,7 +122,7 @@
         self.service.node.add_seeds(self.node_settings.core_ips)
 
     def tick(self) -> None:
-        """Connect to all known machines of the core, and do what is due."""
+        """Connect to all known machines of the core, and run all actions that are due."""
         for ip in self.service.node.known_peers():
             if ip not in self.outgoing:
                 self.outgoing[ip] = self._connect(ip)
@@ -133,18 +133,18 @@
         return ReconnectingLink(self.loop, ip, port, lambda: self._hello(ip), self._received_on_outgoing)
 
     def _hello(self, ip: str) -> Hello:
-        """Return the first message on a new connection; the service learns of it after that was sent."""
+        """Return the first message on a new connection. The service is notified after the message has been sent."""
         self.loop.call_soon(lambda: self._carry_out(self.service.connected(time.monotonic(), ip)))
         return Hello(self.node_settings.ip)
 
     # Messages.
 
     def _received_on_outgoing(self, link: ReconnectingLink, message: AnyMessage) -> None:
-        """Ignore the message: the other side sends on a connection of its own."""
+        """Ignore the message: the peer sends its messages on its own connection."""
 
     def _received(self, link: Link, message: AnyMessage) -> None:
         if isinstance(message, Hello):
-            if link.name in self.outgoing:  # the machine is back: connect to it at once
+            if link.name in self.outgoing:  # the machine can be reached again: connect to it at once
                 self.outgoing[link.name].retry_now()
             return
         if link.name:
@@ -152,7 +152,7 @@
             self._carry_out(self.service.receive(time.monotonic(), link.name, message))
 
     def _disconnected(self, link: Link) -> None:
-        if self.incoming.get(link.name) is link:  # not an older connection of a client that is connected again
+        if self.incoming.get(link.name) is link:  # ignore an older connection of a client that has reconnected
             del self.incoming[link.name]
             self.service.disconnected(link.name)
 
@@ -187,13 +187,13 @@
     # Calls.
 
     def _submit(self, make: Callable[[int], Call], on_answer: OnAnswer) -> None:
-        # The answer may be among the outputs, so the call is registered first.
+        # The outputs may already include the answer, so the call is registered first.
         self.pending_calls[self.service.next_call_id] = self._answered(on_answer)
         _, outputs = self.service.submit(time.monotonic(), make)
         self._carry_out(outputs)
 
     def _answered(self, on_answer: OnAnswer) -> OnAnswer:
-        """Return `on_answer` with a last check: an answer that relies on the lease leaves only while it is valid."""
+        """Return `on_answer` with a final check: an answer that relies on the lease is sent only while it is valid."""
 
         def check_and_answer(answer: Any) -> None:
             if isinstance(answer, ServiceError) and answer.kind is ErrorKind.REDIRECTED:
@@ -206,7 +206,10 @@
 
     @staticmethod
     def _relies_on_lease(answer: Any) -> bool:
-        """Return whether an answer may be out of date: a document or a refusal for good, not an acknowledgement."""
+        """Return whether an answer is wrong without a valid lease: a document or a final rejection may be stale.
+
+        An acknowledgement of a change stays true without the lease.
+        """
         if isinstance(answer, ServiceError):
             return answer.kind is ErrorKind.INVALID_CONFIGURATION
         return isinstance(answer, bytes)
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -1,4 +1,4 @@
-"""When a leader starts a new epoch because other machines are to hold copies or to vote."""
+"""A leader's decision to start a new epoch in order to change the replicas or the voters."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     VOTERS_STABLE_S,
 )
 
-LEAVING_TIMEOUT_S = 4 * RETRY_INTERVAL_S  # since a voter last announced that its process is stopping
+LEAVING_TIMEOUT_S = 4 * RETRY_INTERVAL_S  # a voter's announcement that its process is stopping expires after this time
 
 
 class Reconfiguration:
-    """One node's decisions on replicas and voters, while it leads."""
+    """One node's decisions on replicas and voters while it leads."""
 
     def __init__(
         self, context: Context, durable: DurableState, role: Role, joining: Joining, elections: Elections
@@ -37,7 +37,7 @@
         self._elections = elections
 
     def consider(self, leadership: Leadership) -> None:
-        """Start a candidacy for the next epoch where other replicas or voters are due."""
+        """Start a candidacy for the next epoch if the replicas or voters have to change."""
         self._forget_stale_leaving()
         late = [name for name in leadership.view.replicas if self._is_late(name, leadership)]
         free = [name for name in leadership.view.voters if self._is_free(name, leadership)]
@@ -63,15 +63,15 @@
             self._role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
 
     def _replicas_due(self, leadership: Leadership, late: list[str], free: list[str]) -> str:
-        """Return why other machines are to hold the copies; empty where they are not.
+        """Return the reason to choose other replicas, or an empty string if there is none.
 
-        `late`: replicas that are late; `free`: voters that may hold a copy in place of another.
+        `late`: replicas that are late; `free`: voters that may replace a replica.
         """
         leaving = [name for name in leadership.view.replicas if name in self._role.leaving]
         if late and free:
-            return f"{', '.join(late)} is silent"
+            return f"no answer in time from {', '.join(late)}"
         if leaving and free:
-            return f"{', '.join(leaving)} is about to end"
+            return f"{', '.join(leaving)} is stopping"
         if leadership.pending is None and not late and self._can_spread(leadership, free):
             return "all copies are in one zone"
         return ""
@@ -84,12 +84,12 @@
         return pending is not None and name not in pending.on_replicas and now - pending.begun_at > REPLICA_TIMEOUT_S
 
     def _is_free(self, name: str, leadership: Leadership) -> bool:
-        """Return whether a voter may hold a copy in place of another."""
+        """Return whether a voter may replace a replica."""
         acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
         return acked and name not in leadership.view.replica_set and name not in self._role.leaving
 
     def _can_spread(self, leadership: Leadership, free: list[str]) -> bool:
-        """Return whether all copies are in one zone, and a voter of another one has been heard for long enough."""
+        """Return whether all copies are in one zone and a voter of another zone has been heard for long enough."""
         view, now = leadership.view, self._context.now
         zones = {view.voters[name] for name in view.replica_set if name in view.voters}
         if len(zones) > 1:
@@ -106,7 +106,7 @@
     def _voters_due(self, leadership: Leadership) -> membership.VoterChange | None:
         now, view = self._context.now, leadership.view
         if leadership.pending is not None and now - leadership.pending.begun_at < REPLICA_TIMEOUT_S:
-            return None  # the pending change first, if it can be committed
+            return None  # let the pending change be committed first
         if now - leadership.voters_since < VOTERS_STABLE_S:
             return None
         last_heard, me = leadership.last_heard, self._context.me
@@ -117,7 +117,7 @@
         return change if change is not None and self._can_decide(change, leadership) else None
 
     def _can_decide(self, change: membership.VoterChange, leadership: Leadership) -> bool:
-        """Return whether majorities of the voters before and after a change are there to decide it."""
+        """Return whether a majority of the voters before a change and a majority of those after it are available."""
         now = self._context.now
         present = {name for name, at in leadership.last_heard.items() if now - at < LEASE_S}
         present |= self._joining.learners.present().keys()
--- a/thistleusher/control/replica_updates.py
+++ b/thistleusher/control/replica_updates.py
@@ -1,6 +1,6 @@
-"""How a replica or learner takes copies and changes, from a candidate or a leader.
+"""A replica's or learner's handling of copies and changes from a candidate or leader.
 
-Its answer leaves only after the write has ended, and only while no higher epoch was promised since.
+An acknowledgement is sent only after the write has ended, and only if no higher epoch has been promised since.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing: the write of the copy, which goes out with the promise, has a callback of its own."""
+    """Do nothing: the write of the copy, which follows the promise, has its own callback."""
 
 
 class ReplicaUpdates:
-    """One node's part as a replica or learner."""
+    """One node's handling of messages to a replica or learner."""
 
     def __init__(self, context: Context, durable: DurableState, role: Role, joining: Joining) -> None:
         self._context = context
@@ -39,7 +39,7 @@
     # Copies.
 
     def on_install(self, sender: str, message: Install) -> None:
-        """Install a complete copy or what this copy lacks, from a candidate or, as a learner, from the leader."""
+        """Install a complete copy, or the changes that this machine's copy lacks, from a candidate or the leader."""
         state_copy = self._durable.state_copy
         if not self._may_install(sender, message):
             return
@@ -53,7 +53,7 @@
         self._write_installed(sender, message)
 
     def _may_install(self, sender: str, message: Install) -> bool:
-        """Return whether a copy is accepted from its sender."""
+        """Return whether this machine accepts a copy from its sender."""
         joining, view = self._joining, self._durable.view
         below_promise = message.epoch < self._durable.promised
         if joining.founding:
@@ -70,7 +70,7 @@
 
     @staticmethod
     def _is_from_leader_or_candidate(sender: str, message: Install, view: ViewRecord) -> bool:
-        """Return whether a learner accepts a copy, whatever it has promised: its copy decides nothing yet."""
+        """Return whether a learner accepts a copy. Its promise does not matter: its copy has no effect on decisions."""
         if view.epoch == message.epoch:
             return sender == view.leader
         return view.epoch < message.epoch
@@ -91,7 +91,7 @@
         durable.write(records, partial(self._installed, sender, message.epoch, position))
 
     def _view_of_learner(self) -> ViewRecord | None:
-        """Return the view that a learner writes with its copy, so that after a restart it has not lost its state."""
+        """Return the view that a learner writes with its copy, so that a restart does not count as a loss of state."""
         view = self._durable.view
         return view if view is not None and self._context.me not in view.voters else None
 
@@ -122,7 +122,7 @@
             durable.write_state_copy(message.items, False, partial(self._appended, sender, message))
 
     def _accepts_changes(self, view: ViewRecord) -> bool:
-        """Return whether this is a replica that has the view on disk and promised nothing higher, or a learner."""
+        """Return whether this machine is a learner, or a replica with the view on disk and no higher promise."""
         durable = self._durable
         if self._context.me in view.voters:
             return self._context.me in view.replicas and durable.recorded_epoch == view.epoch == durable.promised
@@ -137,7 +137,7 @@
             self._context.send(sender, Appended(message.epoch, message.position.number))
 
     def _may_acknowledge(self, epoch: int) -> bool:
-        """Return whether what was written under an epoch may be acknowledged: no higher one was promised since."""
+        """Return whether a write of an epoch may be acknowledged: no higher epoch has been promised since."""
         durable = self._durable
         learner = durable.view is not None and self._context.me not in durable.view.voters
         return durable.state_copy.epoch == epoch and (learner or durable.promised <= epoch)
--- a/thistleusher/control/replication.py
+++ b/thistleusher/control/replication.py
@@ -1,7 +1,7 @@
-"""How a leader replicates a change: it goes to its own disk and all replicas, then is in force and acknowledged.
+"""Replication by the leader: a change is written to its own disk and to all replicas, then committed and acknowledged.
 
-Guaranteed: a change is acknowledged only once it is on the disks of the leader and of all replicas of the present
-epoch, while the lease is valid on the clock of that very input. One change is pending at a time.
+Guarantee: a change is acknowledged only once it is on the disks of the leader and of all replicas of the current epoch,
+and only if the lease is valid at the time of the input that completes it. One change is pending at a time.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Replication:
-    """One node's replication of changes, while it leads."""
+    """One node's replication of changes while it leads."""
 
     def __init__(
         self, context: Context, durable: DurableState, role: Role, joining: Joining, serve: Callable[[], None]
     ) -> None:
-        """`serve` serves the calls that wait; it is called after each step that may have committed a change."""
+        """Create the replication; `serve` serves waiting calls, and is called after each possible commit."""
         self._context = context
         self._durable = durable
         self._role = role
@@ -34,7 +34,7 @@
         self._serve = serve
 
     def begin_change(self, leadership: Leadership, change: Change) -> None:
-        """Apply a change in memory, write it, and send it to replicas and to learners that are up to date."""
+        """Apply a change in memory, write it to disk, and send it to the replicas and to up-to-date learners."""
         state_copy, now = self._durable.state_copy, self._context.now
         base = state_copy.position
         position = state_copy.next_position()
@@ -57,10 +57,10 @@
             pending.on_own_disk = True
             self.advance()
         elif self._role.leadership is leadership and state_copy.position == pending.position:
-            # Replicas may have the change, and it may come into force under a later leader; but this machine's disk
-            # lacks it, so its copy in memory goes back to the position before it.
+            # Replicas may have the change, and a later leader may commit it. This machine's disk lacks it, so the copy
+            # in memory reverts to the position before it.
             state_copy.revert(pending.undo)
-            self._role.step_down("the disk refuses")
+            self._role.step_down("a disk write failed")
         else:
             state_copy.mark_damaged()
             self._role.candidacy = None
@@ -74,7 +74,7 @@
                 self._context.send(name, append)
 
     def repeat_pending(self, leadership: Leadership) -> None:
-        """Send the pending change again to replicas that have not acknowledged it in time."""
+        """Send the pending change again to replicas that have not acknowledged it within `RETRY_INTERVAL_S`."""
         pending, now = leadership.pending, self._context.now
         if pending is None or pending.on_replicas >= set(leadership.view.replicas):
             return
@@ -83,7 +83,7 @@
             self._send_pending(leadership)
 
     def on_appended(self, sender: str, message: Appended) -> None:
-        """Take note that a replica or learner has a change on disk."""
+        """Handle the acknowledgement that a replica or learner has a change on disk."""
         leadership = self._role.leadership
         if leadership is None or message.epoch != leadership.view.epoch:
             return
@@ -91,7 +91,7 @@
             self.record_copy(leadership, sender, self._durable.state_copy.position)
 
     def record_copy(self, leadership: Leadership, sender: str, position: Position) -> None:
-        """Take note that a machine has a copy at a position on disk; commit the pending change if all have."""
+        """Record that a machine's copy on disk is at `position`; commit the pending change if all replicas have it."""
         if sender not in leadership.view.voters:
             self._joining.learners.record_position(sender, position)
             return
@@ -102,7 +102,7 @@
             self.advance()
 
     def advance(self) -> None:
-        """Commit the pending change if it is on all disks that it has to be on, and serve the next calls."""
+        """Commit the pending change if it is on all required disks, and serve the next calls."""
         self._commit()
         self._serve()
 
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -1,9 +1,9 @@
-"""All that one control process decides: the control node, grants of singleton roles, and updates to subscribers.
+"""The logic of one control process: the control node, grants of singleton roles, and updates to subscribers.
 
-`ControlNode` keeps the state. Around it, each voter in contact with a majority's leader grants leases of singleton
-roles, and a leader sends state updates to subscribers, only while its lease is valid on the clock of that very input.
-Inputs and outputs are those of the node, and messages from and to connected clients. Pure; seconds on the steady
-clock.
+`ControlNode` maintains the replicated state. In addition, each voter in contact with a leader that has a majority
+grants leases of singleton roles, and a leader sends state updates to subscribers, but only if its lease is valid at the
+time of the current input. Inputs and outputs are those of the node, and messages from and to connected clients. Pure;
+times are seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 
 
 class PersistRequest(NamedTuple):
-    """A client's request to persist items, which waits for the answer to its call."""
+    """A client's request to persist items that waits for the answer to its call."""
 
     client: str
-    request: str  # the client's own number of it
+    request: str  # the client's own id of the request
 
 
 class ControlService:
@@ -57,18 +57,18 @@
         self.grantor = grantor
         self.next_call_id = 1
         self.subscribers: set[str] = set()
-        self.publisher = Publisher(State())  # of the state in force, which the node's own copy may be ahead of
-        self._pending_grants: dict[int, SendToClient] = {}  # answers that wait for a write, by its token
-        self._grant_tokens = itertools.count(-1, -1)  # below 0: the node's are above
-        self._persist_requests: dict[int, PersistRequest] = {}  # by their call
-        self._held_lease = False  # whether the lease was valid at the last input
-        self._announced_epoch = NO_EPOCH  # of the view that subscribers were last notified of
+        self.publisher = Publisher(State())  # publishes the committed state; the node's own copy may be ahead of it
+        self._pending_grants: dict[int, SendToClient] = {}  # write token -> answer that waits for the write
+        self._grant_tokens = itertools.count(-1, -1)  # negative, to differ from the node's own write tokens
+        self._persist_requests: dict[int, PersistRequest] = {}  # call id -> request
+        self._held_lease = False  # whether the lease was valid at the previous input
+        self._announced_epoch = NO_EPOCH  # epoch of the view that subscribers were last notified of
         self._was_voter = node.founding or node.is_voter
 
     # Inputs.
 
     def tick(self, now: float) -> list[ServiceOutput]:
-        """Do what is due; to be called ten times a second or more."""
+        """Run all actions that are due. Must be called at least ten times a second."""
         return [*self._carry_out(now, self.node.tick(now)), *self._announce_core(now)]
 
     def connected(self, now: float, peer: str) -> list[ServiceOutput]:
@@ -76,23 +76,23 @@
         return self._carry_out(now, self.node.connected(now, peer))
 
     def write_completed(self, now: float, token: int, ok: bool) -> list[ServiceOutput]:
-        """Handle the end of a write; `ok`: it is on disk."""
+        """Handle the end of a write; `ok`: whether the records are on disk."""
         if token >= 0:
             return self._carry_out(now, self.node.write_completed(now, token, ok))
         answer = self._pending_grants.pop(token, None)
         return [answer] if ok and answer is not None and self.node.in_contact(now) else []
 
     def submit(self, now: float, make: Callable[[int], Call]) -> tuple[int, list[ServiceOutput]]:
-        """Take a call, made of its id; returns the id, which its `Answer` bears, and the outputs.
+        """Accept the call that `make` creates from its id; return that id, which its `Answer` has too, and the outputs.
 
-        The answer may be among the outputs: a caller that has to be ready for it reads `next_call_id` before.
+        The outputs may already include the answer: a caller that must be prepared for it reads `next_call_id` first.
         """
         call_id = self.next_call_id
         self.next_call_id += 1
         return call_id, self._carry_out(now, self.node.submit(now, make(call_id)))
 
     def stop(self, now: float) -> list[ServiceOutput]:
-        """Begin to stop in order, until `ControlNode.can_stop`."""
+        """Begin a graceful stop, which is complete once `ControlNode.can_stop` is true."""
         return self._carry_out(now, self.node.stop(now))
 
     def receive(self, now: float, name: str, message: AnyMessage) -> list[ServiceOutput]:
@@ -119,9 +119,9 @@
     # Leases of singleton roles.
 
     def _grant(self, now: float, name: str, request: LeaseRequest) -> list[ServiceOutput]:
-        """Answer a lease request as a voter in contact; any other machine of the core is silent.
+        """Answer a lease request if this machine is a voter in contact with a leader; otherwise do not answer.
 
-        A new grant is on disk before its answer leaves, so that a restarted process can't grant it to another.
+        A new grant is on disk before its answer is sent, so that a restarted process cannot grant the role to another.
         """
         self._track_vote(now)
         view = self.node.view
@@ -135,7 +135,7 @@
         return [Write(token, Records(leases=self.grantor.to_records()))]
 
     def _track_vote(self, now: float) -> None:
-        """Pause the grantor where this machine has just become a voter."""
+        """Pause the grantor if this machine has just become a voter."""
         is_voter = self.node.founding or self.node.is_voter
         if is_voter and not self._was_voter:
             self.grantor.pause(now)
@@ -144,7 +144,7 @@
     # Subscribers.
 
     def _subscribe(self, now: float, name: str, number: int) -> list[ServiceOutput]:
-        """Add a subscriber; it gets the state at once from a leader with a valid lease, and else later."""
+        """Add a subscriber. A leader with a valid lease sends it the state at once, any other machine once it leads."""
         self.subscribers.add(name)
         if self.node.holds_lease(now):
             return [SendToClient(name, self._core_info()), *self._updates(self.publisher.subscribe(name, number))]
@@ -153,7 +153,7 @@
         return [SendToClient(name, self._core_info())]
 
     def _persist(self, now: float, name: str, message: PersistItems) -> list[ServiceOutput]:
-        """Make a change of a client's items; the client gets `ItemsPersisted` with the answer."""
+        """Submit a change that sets a client's items. The client receives `ItemsPersisted` with the result."""
         items = message.items
         self._persist_requests[self.next_call_id] = PersistRequest(name, message.request_id)
 
@@ -170,7 +170,7 @@
         return CoreInfo(tuple(sorted(view.voters)), view.epoch, view.leader)
 
     def _announce_core(self, now: float) -> list[ServiceOutput]:
-        """Notify subscribers of a new view, and of a lease that begins."""
+        """Notify subscribers of a new view, and when this machine's lease becomes valid."""
         self._track_vote(now)
         view, holds_lease = self.node.view, self.node.holds_lease(now)
         begun = holds_lease and not self._held_lease
@@ -179,7 +179,7 @@
             return []
         self._announced_epoch = view.epoch if view is not None else NO_EPOCH
         outputs: list[ServiceOutput] = [SendToClient(name, self._core_info()) for name in sorted(self.subscribers)]
-        if begun:  # what came into force before the lease was valid
+        if begun:  # changes that were committed before the lease became valid
             outputs += self._updates(self.publisher.updates_due())
         return outputs
 
@@ -189,7 +189,7 @@
     # Outputs of the node.
 
     def _carry_out(self, now: float, outputs: Iterable[Output]) -> list[ServiceOutput]:
-        """Turn the node's outputs into those of the process, in their order."""
+        """Convert the node's outputs into those of the process, in order."""
         carried: list[ServiceOutput] = []
         for output in outputs:
             if isinstance(output, Publish | PublishChange):
@@ -206,7 +206,7 @@
         return carried
 
     def _publish(self, publish: Publish | PublishChange) -> None:
-        """Keep the state in force, which the node's own copy may be ahead of."""
+        """Update the committed state; the node's own copy may be ahead of it."""
         if isinstance(publish, Publish):
             self.publisher.state = publish.state
         else:
--- a/thistleusher/control/serving.py
+++ b/thistleusher/control/serving.py
@@ -1,8 +1,8 @@
-"""How a leader serves waiting calls: reads from the state in force, and changes one at a time.
+"""The leader's service of waiting calls: reads of the committed state, and changes one at a time.
 
-Guaranteed: a read is answered only from what is on the disks of the leader and all its replicas, while the lease is
-valid on the clock of that very input. So no call is served while a change is pending: the leader's own copy is then
-ahead of what is in force.
+Guarantee: a read is answered only from data that is on the disks of the leader and all its replicas, and only if the
+lease is valid at the time of the current input. No call is therefore served while a change is pending: the leader's own
+copy is then ahead of the committed state.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Serving:
-    """One node's serving of calls, while it leads."""
+    """One node's service of calls while it leads."""
 
     def __init__(self, context: Context, durable: DurableState, role: Role, joining: Joining, calls: CallQueue) -> None:
         self._context = context
@@ -30,7 +30,7 @@
         self.replication = Replication(context, durable, role, joining, self.serve)
 
     def serve(self) -> None:
-        """Serve waiting calls until one has begun a change."""
+        """Serve waiting calls until one of them begins a change."""
         leadership = self._role.leadership
         while leadership is not None and self._calls and self._may_serve(leadership):
             self._serve_one(leadership, self._calls.take())
@@ -50,7 +50,7 @@
             self._context.answer(call.call_id, failure)
 
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
-        """Begin a change, or acknowledge one that the state in force makes needless."""
+        """Begin a change, or acknowledge it at once if the committed state makes it unnecessary."""
         if change.is_redundant(self._durable.state_copy.state):
             self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
--- a/thistleusher/control/state_copy.py
+++ b/thistleusher/control/state_copy.py
@@ -1,10 +1,10 @@
-"""One machine's copy of the control state: its items, its position, and the changes that led there.
+"""One machine's copy of the control state: its items, its position, and its recent history of changes.
 
-Guaranteed: two copies whose newest change is the same one (`Position.same_change`) hold the same items, because a
-change is applied only after the one that it was made after. So what a copy lacks may be sent as the items that changed
-since, where the sender's own history holds that copy's newest change; else a complete copy is sent.
+Guarantee: two copies with the same latest change (`Position.same_change`) contain the same items, because a change is
+applied only to the state that it was based on. A copy is therefore brought up to date with only the items changed since
+its latest change, if the sender's history contains that change. Otherwise it receives a complete copy.
 
-Pure. Cost: one step an item of the change; `MAX_HISTORY` pairs of numbers in memory.
+Pure. Cost: linear in the items of a change; memory for `MAX_HISTORY` pairs of numbers.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from thistleusher.transport.messages import Install, Items, Position
 from thistleusher.transport.state_updates import State
 
-MAX_HISTORY = 1024  # changes back, from which a copy can be brought up to date by changes alone
+MAX_HISTORY = 1024  # maximum number of changes that a copy may lack and still be updated by changes alone
 NO_EPOCH = -1
 
 
 class Undo(NamedTuple):
-    """What a change replaced: the position before it, and the items before it (None: there was none)."""
+    """The data to revert a change: the previous position, and the previous items (None: the item did not exist)."""
 
     position: Position
     items: dict[str, tuple[int, Any] | None]
@@ -37,27 +37,27 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch in which this copy was last complete, `NO_EPOCH` for none."""
+        """The latest epoch in which this copy was complete, or `NO_EPOCH` if there is none."""
         return self.position.epoch
 
     def enter(self, epoch: int) -> Position:
-        """Take note that the copy is complete in an epoch that begins; returns its position."""
+        """Mark the copy as complete in a new epoch, and return its position."""
         self.position = Position(epoch, self.position.number, self.position.change_epoch)
         return self.position
 
     def next_position(self) -> Position:
-        """Return the position after the next change of the present epoch."""
+        """Return the position after the next change of the current epoch."""
         return Position(self.epoch, self.position.number + 1, self.epoch)
 
     def apply(self, position: Position, items: Items) -> Undo:
-        """Apply one change, or several that follow each other; returns what they replaced."""
+        """Apply one change or several consecutive ones, and return the data to revert them."""
         undo = Undo(self.position, {name: self.state.items.get(name) for name in items})
         self.state.merge(position.number, items)
         self._move_to(position)
         return undo
 
     def revert(self, undo: Undo) -> None:
-        """Revert the newest change, which is on no disk."""
+        """Revert the latest change, which is not on this machine's disk."""
         self._history.pop(self.position.number, None)
         self.position = undo.position
         items = dict(self.state.items)
@@ -69,13 +69,13 @@
         self.state = State(undo.position.number, items, self.state.floor)
 
     def install(self, position: Position, floor: int, items: Items) -> None:
-        """Replace everything by a complete copy."""
+        """Replace all items by a complete copy."""
         self.state = State(position.number, items, floor)
         self._history.clear()
         self._move_to(position)
 
     def mark_damaged(self) -> None:
-        """Take note that what is in memory is not on disk: only a complete copy repairs that."""
+        """Mark the copy as damaged because memory and disk differ: only a complete copy can repair it."""
         self.position = Position(NO_EPOCH, 0, 0)
         self._history.clear()
 
@@ -86,12 +86,15 @@
             self._history.popitem(last=False)
 
     def follows(self, position: Position) -> bool:
-        """Return whether a copy at that position lacks only changes that are known here."""
+        """Return whether a copy at `position` lacks only changes that are in this copy's history."""
         known = self._history.get(position.number) == position.change_epoch
         return position.epoch != NO_EPOCH and known and position.number >= self.state.floor
 
     def install_for(self, position: Position | None) -> Install:
-        """Return what brings a copy at a position (None: not known) to this one: changes if they do, else all items."""
+        """Return the message that brings a copy at `position` (None: unknown) up to date with this one.
+
+        It contains only the changed items if the history suffices, otherwise all items.
+        """
         if position is not None and self.follows(position):
             items = self.state.changed_after(position.number)
             return Install(self.epoch, position, self.position, self.state.floor, items)
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -1,9 +1,9 @@
-"""The control process's disk: records in LMDB, written by one thread, each write in one synced transaction.
+"""The control process's storage: records in LMDB, written by one thread, each write in one synced transaction.
 
-A write that hangs delays those behind it and nothing else; who waits for it decides for how long. An error is reported
-as a failed write, of which nothing is on disk. Each item of the state is a record, so that a change writes its own
-size and a complete copy replaces all items in one transaction. The map is small and opened without `writemap`, which
-would sync all of it at each commit.
+A write that hangs delays only the writes behind it; the caller that waits for it decides on a time-out. An error is
+reported as a failed write, of which nothing is on disk. Each item of the state is a record of its own, so that a change
+writes no more than its own size and a complete copy replaces all items in one transaction. The map is small, and is
+opened without `writemap`, which would sync the whole map at each commit.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 MIN_MAP_MB = 4.0
 MAX_MAP_MB = 96
-MAP_FRACTION = 0.5  # of the disk's limit that the map may take
+MAP_FRACTION = 0.5  # fraction of the disk limit that the map may use
 BYTES_PER_MB = 1024 * 1024
 
-# Keys. These and the records' forms stay: a later release reads what an earlier one wrote.
+# Keys. These and the records' formats must not change: a later release reads what an earlier one wrote.
 PROMISE_KEY = b"promise"
 VIEW_KEY = b"view"
 POSITION_KEY = b"position"
 LEASES_KEY = b"leases"
-ITEM_PREFIX = b"i:"  # before an item's name
-OLD_COPY_KEY = b"copy"  # where releases before 0.2 kept the whole state
+ITEM_PREFIX = b"i:"  # prefix of an item's key, followed by the item's name
+OLD_COPY_KEY = b"copy"  # key under which releases before 0.2 stored the whole state
 
 DECODE_ERRORS = (ValueError, KeyError, TypeError, msgpack.exceptions.UnpackException, msgspec.ValidationError)
 
@@ -41,10 +41,10 @@
 
 
 class Storage:
-    """One data folder."""
+    """The storage in one data folder."""
 
     def __init__(self, folder: Path, disk_mb: float, completed: OnCompleted) -> None:
-        """`completed(token, ok)` is called from the writer's thread at the end of each write."""
+        """Open the folder; `completed(token, ok)` is called from the writer thread at the end of each write."""
         folder.mkdir(parents=True, exist_ok=True)
         map_bytes = int(min(MAX_MAP_MB, max(MIN_MAP_MB, disk_mb * MAP_FRACTION)) * BYTES_PER_MB)
         self._environment = lmdb.open(str(folder), map_size=map_bytes, max_dbs=0, metasync=True, sync=True, lock=False)
@@ -54,17 +54,17 @@
         self._thread.start()
 
     def read(self) -> StoredState:
-        """Return what earlier incarnations wrote.
+        """Return the state that earlier incarnations stored.
 
-        What can't be decoded counts as lost, all of it: a machine that has lost its state is safe, one that remembers
-        half of its promises is not.
+        If any record cannot be decoded, the whole state counts as lost: a machine that has lost its state is safe, but
+        one that knows only some of its promises is not.
         """
         with self._environment.begin() as transaction:
             raw = {bytes(key): bytes(value) for key, value in transaction.cursor()}
         try:
             return _decode(raw)
         except DECODE_ERRORS as error:
-            log_event(Event.DISK_FAILED, f"not readable, counts as lost: {error!r}")
+            log_event(Event.DISK_FAILED, f"stored state cannot be decoded, treated as lost: {error!r}")
             return StoredState()
 
     def write(self, token: int, records: Records) -> None:
@@ -78,13 +78,13 @@
                 with self._environment.begin(write=True) as transaction:
                     _put(transaction, records)
                 ok = True
-            except Exception as error:  # whatever it was, the writes after it must come to their ends
+            except Exception as error:  # the thread must go on to complete later writes, whatever the error
                 log_event(Event.DISK_FAILED, repr(error))
                 ok = False
             self._completed(token, ok)
 
     def close(self) -> None:
-        """End the writer's thread; writes that it has begun are finished first, for as long as the caller waits."""
+        """Let the writer thread finish the queued writes and end. Does not wait for it: the process may exit before."""
         self._jobs.put(None)
 
 
@@ -134,7 +134,7 @@
 
 
 def _decode_view(raw: bytes) -> ViewRecord:
-    """Return a view; releases before 0.2 wrote a map."""
+    """Decode a view. Releases before 0.2 stored it as a map."""
     table = msgpack.unpackb(raw)
     if isinstance(table, dict):
         return ViewRecord(table["e"], table["p"], tuple(table["b"]), dict(table["v"]))
@@ -142,7 +142,7 @@
 
 
 def _decode_old_copy(raw: bytes, stored: StoredState) -> None:
-    """Fill in the whole state from one record, as releases before 0.2 wrote it."""
+    """Fill in the whole state from one record, the format of releases before 0.2."""
     table = msgpack.unpackb(raw, strict_map_key=False)
     state = table["s"]
     stored.position = Position(table["e"], state["n"], 0)
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -1,7 +1,7 @@
-"""How an elected candidate begins its epoch: its replicas install its copy, voters record the view, then it leads.
+"""The last stages of a candidacy: the replicas install the candidate's copy and the voters record its view.
 
-The copies go out by this module also where a leader replaces a replica, as that takes a new epoch; `catch_up` sends
-copies within an epoch.
+This module also sends the copy when a leader replaces a replica, as that takes a new epoch. `catch_up` sends copies
+within an epoch.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
         joining: Joining,
         elected: Callable[[Candidacy], None],
     ) -> None:
-        """`elected` is called with a candidacy that has succeeded."""
+        """Create the view change; `elected` is called with each candidacy that succeeds."""
         self._context = context
         self._durable = durable
         self._role = role
@@ -49,7 +49,7 @@
     # Replicas.
 
     def install(self) -> None:
-        """Choose the replicas of the next epoch and send them what their copies lack."""
+        """Choose the replicas of the next epoch and bring their copies up to date."""
         candidacy, context = self._role.candidacy, self._context
         if candidacy is None:
             return
@@ -59,7 +59,7 @@
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
         candidacy.chosen |= set(replicas)
         same_voters = voters.keys() == candidacy.view.voters.keys()
-        # The voters before an exchange stay in the electorate until the leader of the new epoch is heard.
+        # If the voters change, the previous ones stay in the electorate until the leader of the new epoch is heard.
         before = candidacy.view.previous_voters if same_voters else candidacy.view.voters
         candidacy.next_view = ViewRecord(candidacy.epoch, context.me, replicas, dict(voters), before)
         for name in replicas:
@@ -82,7 +82,7 @@
         self._context.send(to, self._durable.state_copy.install_for(position))
 
     def on_installed(self, sender: str, message: Installed) -> None:
-        """Take note that a replica has the copy on disk."""
+        """Handle the acknowledgement that a replica has the copy on disk."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.INSTALL:
             return
@@ -91,7 +91,7 @@
             self._record_if_installed()
 
     def on_install_rejected(self, sender: str, message: InstallRejected) -> None:
-        """Send a replica what its copy lacks, from where it says that its copy is."""
+        """Send a replica an update from the position that it reports."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.INSTALL:
             return
@@ -114,7 +114,7 @@
         self._ask_to_record(candidacy, view)
 
     def _recorded(self, candidacy: Candidacy, ok: bool) -> None:
-        """Count the candidate's own disk among those that have the view."""
+        """Count the candidate among the machines that have the view on disk."""
         if ok and self._role.is_current(candidacy):
             self._durable.record_on_disk(candidacy.epoch)
             candidacy.recorded.add(self._context.me)
@@ -126,7 +126,7 @@
                 self._context.send(voter, RecordView(view))
 
     def on_view_recorded(self, sender: str, message: ViewRecorded) -> None:
-        """Take note that a voter has the view on disk."""
+        """Handle the acknowledgement that a voter has the view on disk."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.RECORD:
             return
@@ -134,7 +134,7 @@
         self._count_records(candidacy)
 
     def _count_records(self, candidacy: Candidacy) -> None:
-        """Begin the leadership once both majorities, this machine and all replicas have the view on disk."""
+        """Begin the leadership once this machine, all replicas and both majorities have the view on disk."""
         view, recorded = candidacy.next_view, candidacy.recorded
         assert view is not None
         if not {self._context.me, *view.replicas} <= recorded:
@@ -154,7 +154,7 @@
     # Time.
 
     def repeat(self, candidacy: Candidacy) -> None:
-        """Repeat what has no answer; silent replicas are excluded for a while and others chosen."""
+        """Repeat unanswered requests. Replicas that did not answer are excluded for a while, and others chosen."""
         if candidacy.stage is Stage.INSTALL:
             assert candidacy.next_view is not None
             for silent in set(candidacy.next_view.replicas) - candidacy.installed:
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -1,7 +1,7 @@
-"""How a voter answers candidates, records views, and answers heartbeats of a leader.
+"""The voter's side of the protocol: votes for candidates, records of views, and answers to a leader's heartbeats.
 
 A promise is on disk before the vote is sent, and each epoch is promised to one candidate only. A voter that has heard
-a leader votes for nobody else for `VOTER_GUARD_S`, which is longer than the leader's lease.
+a leader votes for no other machine for `VOTER_GUARD_S`, which is longer than the leader's lease.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class Voting:
-    """One node's part as a voter."""
+    """One node's handling of messages to a voter."""
 
     def __init__(self, context: Context, durable: DurableState, role: Role, joining: Joining) -> None:
         self._context = context
         self._durable = durable
         self._role = role
         self._joining = joining
-        self._recording_epoch: int | None = None  # of the view that is being written
+        self._recording_epoch: int | None = None  # epoch of the view that is being written to disk
 
     # Candidates.
 
@@ -49,7 +49,7 @@
         if self._context.me not in view.electorate or sender not in view.voters:
             self._reject(sender, message, view)
         elif message.epoch == durable.promised and sender == role.voted_for:
-            if role.vote_on_disk:  # its first answer was lost; otherwise the answer follows the write
+            if role.vote_on_disk:  # the first answer was lost; before that, the answer follows the write
                 self._send_vote(sender, message.epoch, view)
         elif message.epoch <= durable.promised or self._supports_another(sender, view):
             self._reject(sender, message, view)
@@ -65,7 +65,8 @@
         role.candidacy = None
         role.promise(epoch, Records(), partial(self._promised, sender, epoch, view))
         role.voted_for = sender
-        # The candidate gets the time that its attempt takes on slow networks and disks: another at once would end it.
+        # Leave the candidate the time that its attempt takes on slow networks and disks: an immediate candidacy of this
+        # machine would end it.
         role.postpone_candidacy(VOTE_YIELD_S, VOTE_YIELD_S)
 
     def _promised(self, sender: str, epoch: int, view: ViewRecord) -> None:
@@ -81,11 +82,11 @@
     # Views.
 
     def on_record_view(self, sender: str, message: RecordView) -> None:
-        """Write a view down for its candidate."""
+        """Record a view on disk at its candidate's request."""
         self._record(sender, message.view)
 
     def _record(self, sender: str, view: ViewRecord) -> None:
-        """Write a view down and acknowledge it; a machine that loses its vote by it records it too."""
+        """Write a view to disk and acknowledge it. A machine that the view removes from the voters records it too."""
         durable, role, me = self._durable, self._role, self._context.me
         if view.epoch < durable.promised or not self._may_record(view):
             return
@@ -114,8 +115,8 @@
     def _may_record(self, view: ViewRecord) -> bool:
         """Return whether this machine may record a view.
 
-        A voter may, also one that the view removes. A machine without a vote may if the view names it and it knows
-        what was promised.
+        A voter may, even if the view removes it. A machine without a vote may if it is a voter of the view and knows
+        the highest promise.
         """
         if self._joining.state_lost:
             return self._joining.ready_to_vote and self._context.me in view.voters
@@ -126,7 +127,7 @@
     # Heartbeats.
 
     def on_heartbeat(self, sender: str, message: Heartbeat) -> None:
-        """Answer the leader of an epoch, or depose it where a higher epoch was promised."""
+        """Answer the leader of an epoch, or depose it if this machine has promised a higher epoch."""
         durable, role, view = self._durable, self._role, message.view
         if self._joining.state_lost and not self._joining.ready_to_vote:
             return
@@ -152,6 +153,7 @@
             return
         durable.adopt(view)
         if view.epoch >= durable.view.epoch:
-            # This machine has promised more, but no later epoch is known to have begun: callers are answered there.
+            # This machine has promised a higher epoch, but knows of none that has begun: that leader still answers
+            # callers.
             self._role.leader_seen_at = self._context.now
         self._context.send(sender, Deposed(view.epoch, durable.promised, durable.view))
