--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -1,4 +1,4 @@
-"""Steps that the tests of the control state share: a simulated core, and single nodes."""
+"""Helpers shared by the tests of the control state: a simulated core, and single nodes."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def founded_core(machines: int = 3, seed: int = 1) -> Cluster:
-    """Return a founded core with one configuration in force."""
+    """Return a core that has been founded and has one committed configuration."""
     core = Cluster(seed, machines)
     core.version = 1
     core.clock.at(2.5, lambda: core.operators.put(1, "c1"))
@@ -31,17 +31,17 @@
 
 
 def put_configuration(core: Cluster, addresses=None) -> int:
-    """Have an operator send the next configuration, to some machines or any; returns its number."""
+    """Have an operator send the next configuration to `addresses`, by default to any machine; return its number."""
     core.version += 1
     core.operators.put(core.version, f"c{core.version}", addresses)
     return core.version
 
 
 def wait_until(core: Cluster, condition, timeout_s: float = 10.0) -> float:
-    """Run until a condition holds; returns how long that took, in seconds."""
+    """Run until a condition holds, and return how long that took, in simulated seconds."""
     begin = core.clock.now
     while not condition():
-        assert core.clock.now < begin + timeout_s, "it did not come to be"
+        assert core.clock.now < begin + timeout_s, "the condition did not become true in time"
         core.clock.run(core.clock.now + 0.0005)
     return core.clock.now - begin
 
@@ -55,7 +55,7 @@
 
 
 def finish_after(core: Cluster, quiet_s: float = 6.0) -> None:
-    """Run until the core has been undisturbed for a while, and check that it has recovered."""
+    """Run until the core has been undisturbed for `quiet_s` seconds, and check that it has recovered."""
     core.clock.run(max(core.clock.now, core.calm_since) + quiet_s)
     finish(core)
 
@@ -68,7 +68,7 @@
 
 
 def started_node(me: str, view: ViewRecord = VIEW) -> ControlNode:
-    """A process that starts with the record of a view on its disk."""
+    """Return a node that starts with a recorded view on its disk, and as a copy holder with an empty copy."""
     stored = StoredState(promised=view.epoch, view=view)
     if me in view.replica_set:
         stored.position = Position(view.epoch, 0, 0)
--- a/tests/control/test_drawn_days.py
+++ b/tests/control/test_drawn_days.py
@@ -1,4 +1,4 @@
-"""Drawn days break no rule, and the checker sees a fault."""
+"""Randomly drawn scenarios violate no rule, and the rule checker detects a fault."""
 
 import ast
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("seed", [4000043, 2000105, 3000395])
 def test_days_that_were_found_and_fixed(seed):
-    """Slow ways: two that may lead asked in turns, each ending the other's attempt, for ever."""
+    """In these scenarios two eligible machines became candidates in turn, and ended each other's attempts forever."""
     run(seed)
 
 
@@ -35,7 +35,7 @@
 
 
 def test_the_time_of_day_is_read_nowhere_but_for_names():
-    """So it may jump: all times are those of the steady clock, which each machine's own is in the simulation."""
+    """The system clock may jump, so only the steady clock may be used; in the simulation each machine has its own."""
     found = []
     for package in ("common", "configuration", "transport", "control", "registry", "proxy"):
         for path in Path("thistleusher", package).rglob("*.py"):
@@ -49,7 +49,7 @@
 
 
 def test_the_checker_sees_a_wiped_machine_that_votes(monkeypatch):
-    """With the guard against forgetting taken out, some of the same days break a rule."""
+    """If a machine with a wiped disk may vote at once, a scenario violates a rule and the checker reports it."""
     real = ControlNode.__init__
 
     def naive(self, me, zone, seeds, bootstrap, stored, *rest, **more):
--- a/tests/control/test_founding.py
+++ b/tests/control/test_founding.py
@@ -1,4 +1,4 @@
-"""How the system is founded, on simulated machines."""
+"""Tests of the founding of the system, on simulated machines."""
 
 import pytest
 
@@ -20,5 +20,5 @@
     core.links.partition("10.0.0.1", "10.0.0.2", 5.0)
     core.links.partition("10.0.0.1", "10.0.0.3", 5.0)
     core.clock.run(5.0)
-    assert core.leader() is None  # with all seeds or not at all
+    assert core.leader() is None  # the first epoch begins only with all seeds
     finish_after(core)
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -1,4 +1,4 @@
-"""How a leader hands over, and how a voter that has promised more votes again."""
+"""Hand-over by a leader that stops, and the return of a voter that has promised a higher epoch."""
 
 from tests.control.helpers import finish_after, founded_core, machines_by_role, run_for
 
@@ -16,7 +16,7 @@
 def test_a_voter_that_has_promised_more_votes_again():
     core = founded_core()
     first, replica, _ = machines_by_role(core)
-    # It asks, and the witness guards the leader that it hears.
+    # The replica becomes a candidate, but the witness still hears the leader and guards it.
     core.links.partition(first.address, replica.address, 3.0)
     core.disturb(core.clock.now + 3.0)
     run_for(core, 8.0)
--- a/tests/control/test_leases.py
+++ b/tests/control/test_leases.py
@@ -1,4 +1,4 @@
-"""The lease of a singleton role: one holder at a time, rising terms, and somebody holds it in the end."""
+"""The lease of a singleton role: one holder at a time, increasing terms, and the role is eventually held."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class SimulatedRole:
-    """Three grantors and three that would do the role."""
+    """Three grantors, and three processes that compete for the role."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -64,12 +64,13 @@
     role.clock.run(4.0)
     now = role.clock.now
     holding = [ip for ip, h in role.holders.items() if h.holds_lease(now)]
-    assert len(holding) == 1  # also where all three began at once: none keeps a minority's grants for ever
+    # All three processes start at once: none may keep the grants of a minority forever.
+    assert len(holding) == 1
     gone = holding[0]
     if seed % 2:
         role.cut = {(gone, ip) for ip in IPS}
     else:
-        # A new incarnation, which knows nothing.
+        # A new incarnation of the process, without any state of the earlier one.
         role.holders[gone] = LeaseHolder("d", f"{gone}/2", now, random.Random(seed))
     role.clock.run(now + 3.5)
     assert any(h.holds_lease(role.clock.now) for h in role.holders.values())
@@ -100,14 +101,14 @@
     assert isinstance(grantor.decide(GRANT_S, request, 1).answer, LeaseGranted)
     assert isinstance(grantor.decide(GRANT_S + 0.2, request, 2).answer, LeaseGranted)
     other = LeaseRequest("d", "y", (1 << 20) + 4, 1.0)
-    # A term of an epoch that is over.
+    # The term belongs to an earlier epoch.
     assert isinstance(grantor.decide(3 * GRANT_S, other, 2).answer, LeaseRejected)
 
 
 def test_one_that_knows_no_term_has_a_free_role_within_two_ticks():
     role = SimulatedRole(1)
     role.clock.run(3.0)
-    # Grants of an earlier incarnation, long over.
+    # Grants to an earlier incarnation, which expired long ago.
     role.grantors = {ip: LeaseGrantor(0.0, {"d": ("a", 9 << 20)}) for ip in IPS}
     role.rng = random.Random(5)
     for n, ip in enumerate(IPS):
@@ -119,7 +120,7 @@
 
 
 def test_a_machine_that_has_just_got_a_vote_grants_nothing_new_for_a_leases_time():
-    """Else grants of the voters before an exchange and of those after it would make two majorities."""
+    """Otherwise the grants of the voters before and after a change of the voters could form two majorities."""
     grantor = LeaseGrantor(0.0)
     grantor.pause(10.0)
     request = LeaseRequest("d", "x", 5 << 20, 1.0)
--- a/tests/control/test_losses.py
+++ b/tests/control/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses of processes, power and disks: nothing that was acknowledged is lost."""
+"""Losses of processes, power and disks: no acknowledged change is lost."""
 
 import pytest
 
@@ -39,7 +39,7 @@
 def test_a_wiped_machine_votes_for_nothing_until_the_others_have_sent_their_status():
     core = founded_core()
     _, replica, witness = machines_by_role(core)
-    core.end(replica)  # stays away
+    core.end(replica)  # not restarted before the end of the test
     core.end(witness, wipe=True, back_s=0.5)
     run_for(core, 4.0)
     assert witness.node.state_lost and core.lease_holder() is None  # one voter is no majority
@@ -64,7 +64,7 @@
         core.end(machine, power=True, back_s=3.0)
     put_configuration(core)
     run_for(core, 2.5)
-    assert core.history.acknowledged == 1  # one disk is no promise
+    assert core.history.acknowledged == 1  # a change on one disk only is not acknowledged
     finish_after(core)
     assert core.history.acknowledged >= 2
 
@@ -86,7 +86,8 @@
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == 3 and len({m.zone for m in holders}) > 1
     assert all(m.disk.item("config")["v"] == number for m in holders)
-    for machine in core.machines.values():  # two of the three lose their disks, and all others power
+    # Two of the three copy holders lose their disks, and all machines lose power.
+    for machine in core.machines.values():
         core.end(machine, power=True, wipe=machine in holders[:2], back_s=0.5 + core.rng.random())
     core.operators.read()
     finish_after(core)
@@ -107,7 +108,7 @@
     for machine in core.machines.values():
         core.end(machine, back_s=60.0)
     core.start(first)
-    run_for(core, 0.2)  # it has asked, and nobody was there
+    run_for(core, 0.2)  # the machine has requested votes while no other machine was running
     core.start(witness)
     core.start(replica)
     assert wait_until(core, lambda: core.lease_holder() is not None) < 0.1
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -1,4 +1,4 @@
-"""Learners, exchanges of voters, and processes that stop."""
+"""Learners, replacement of voters, and processes that stop."""
 
 import random
 
@@ -191,7 +191,7 @@
         put_configuration(core, ["10.0.0.2"])
         run_for(core, 0.05)
     assert current_voters(core) == {"10.0.0.2", "10.0.0.3", spare.address}
-    assert first.node.promised > core.leader().node.view.epoch  # it stood again and again
+    assert first.node.promised > core.leader().node.view.epoch  # it has repeatedly been a candidate
     core.remove(core.machines["10.0.0.3"])
     core.change_seeds()
     run_for(core, 4.0)
@@ -211,7 +211,7 @@
     core = founded_core()
     first, replica, witness = machines_by_role(core)
     core.end(first, power=True, back_s=20.0)
-    wait_until(core, lambda: not witness.node._role.guards_leader())  # the replica is about to stand
+    wait_until(core, lambda: not witness.node._role.guards_leader())  # the replica is about to become a candidate
     core.terminate(witness, back_s=20.0)
     wait_until(core, lambda: core.lease_holder() is replica, timeout_s=2.0)
     core.disturb(core.clock.now + 20.0)
@@ -225,16 +225,14 @@
     core.links.partition(first.address, replica.address, 12.0)
     core.disturb(core.clock.now + 12.0)
     new = core.add(replica.zone)
-    wait_until(
-        core, lambda: new.disk.position.epoch == 3
-    )  # the witness has voted for the epoch that exchanges the replica
-    for machine in (first, new):  # each half has one that holds a copy
+    # By then the witness has voted for the epoch that replaces the replica.
+    wait_until(core, lambda: new.disk.position.epoch == 3)
+    for machine in (first, new):  # each half of the partition has a copy holder
         for other in (replica, witness):
             core.links.partition(machine.address, other.address, 8.0)
-    wait_until(
-        core, lambda: core.lease_holder() is witness, timeout_s=4.0
-    )  # with the vote of the replica, which has not lost it
-    run_for(core, 2.0)  # the rules see whether both lead
+    # The witness wins with the vote of the replica, which is still a voter.
+    wait_until(core, lambda: core.lease_holder() is witness, timeout_s=4.0)
+    run_for(core, 2.0)  # the rule checker would report two leaders
     finish_after(core)
 
 
@@ -243,7 +241,7 @@
     first, replica, _ = machines_by_role(core)
     core.remove(replica)
     new = core.add(replica.zone)
-    wait_until(core, lambda: new.disk.position.epoch == 3)  # it holds a copy for the epoch that gives it a vote
+    wait_until(core, lambda: new.disk.position.epoch == 3)  # the copy of the epoch in which it becomes a voter
     assert new.disk.view is not None and new.address not in new.disk.view.voters
     core.end(new, back_s=0.2)
     wait_until(core, lambda: core.lease_holder() is not None and new.address in current_voters(core), timeout_s=6.0)
--- a/tests/control/test_node_guards.py
+++ b/tests/control/test_node_guards.py
@@ -1,4 +1,4 @@
-"""Guards of the control node, each by itself: other guards stand behind most, so that drawn days do not show them."""
+"""Single safety checks of the control node. Most are backed by further checks, so simulated runs do not show them."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 class Driven:
-    """One node whose writes end as they come."""
+    """Drives one node; its writes complete at once."""
 
     def __init__(self, leader: str, replicas: tuple[str, ...], epoch: int = 3) -> None:
         stored = StoredState(epoch, ViewRecord(epoch, leader, replicas, VOTERS), POSITION, 0, {"old": (5, "x")})
@@ -35,7 +35,7 @@
         self.answers: list = []
 
     def take(self, now: float, outputs) -> list:
-        """All that is sent because of some outputs."""
+        """Execute some outputs, and return all messages that are sent as a result."""
         sent, waiting = [], list(outputs)
         while waiting:
             out = waiting.pop(0)
@@ -51,7 +51,7 @@
         return self.take(now, self.node.receive(now, sender, message))
 
     def installed(self, now: float) -> int:
-        """Have it stand and its replica take the copy; the epoch."""
+        """Make the node a candidate whose replica has installed the copy; return the epoch."""
         [request, *_] = [m for m in self.take(now, self.node.tick(now)) if isinstance(m, VoteRequest)]
         self.hear(now, "3", Vote(request.epoch, self.node.view, POSITION))
         sent = self.hear(now, "2", Vote(request.epoch, self.node.view, POSITION))
@@ -60,7 +60,7 @@
         return request.epoch
 
     def lead(self, now: float) -> int:
-        """Have it lead with "2" as its replica; the epoch."""
+        """Make the node the leader with "2" as its replica; return the epoch."""
         epoch = self.installed(now)
         for voter in ("2", "3"):
             self.hear(now, voter, ViewRecorded(epoch))
@@ -71,7 +71,7 @@
 def test_nobody_leads_before_its_replicas_have_the_view():
     driven = Driven("1", ("2",))
     epoch = driven.installed(1.0)
-    driven.hear(1.0, "3", ViewRecorded(epoch))  # a majority with itself
+    driven.hear(1.0, "3", ViewRecorded(epoch))  # a majority together with the candidate itself
     assert driven.node.leadership is None
     driven.hear(1.0, "2", ViewRecorded(epoch))
     assert driven.node.leadership is not None
@@ -88,7 +88,7 @@
 
 
 def test_one_whose_copy_is_of_an_earlier_epoch_does_not_stand():
-    driven = Driven("2", ("1",), epoch=4)  # it holds by that view, and its copy is of the one before
+    driven = Driven("2", ("1",), epoch=4)  # the view names it as a replica, but its copy is of the previous epoch
     sent = [m for n in range(60) for m in driven.take(0.1 * n, driven.node.tick(0.1 * n))]
     assert not any(isinstance(message, VoteRequest) for message in sent)
 
@@ -116,7 +116,10 @@
 
 
 def voters_in_time(position: Position | None) -> set[str]:
-    """Who votes after a leader has been without its voter "3" for long, with a learner whose copy is at a position."""
+    """Return the voters after voter "3" has been silent for long, with a learner whose copy is at `position`.
+
+    None: the learner's copy is at the leader's position.
+    """
     driven = Driven("1", ("2",))
     driven.lead(1.0)
     now, asked = 1.0, []
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' orders on the simulated core, across faults."""
+"""Operators' orders on the simulated core in the presence of faults."""
 
 from tests.control.helpers import finish_after, founded_core, put_configuration, run_for, wait_until_acknowledged
 
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders: what each is known by, what is answered, what is in force (docs/hardening/orders.md)."""
+"""Operators' orders: their identity, the answers to them, and the resulting state (docs/hardening/orders.md)."""
 
 import json
 import zlib
@@ -29,14 +29,14 @@
 
 
 class Leader:
-    """A control node that keeps the contract of `orders`: one change at a time, settled by the state in force."""
+    """A control node that follows the contract of `orders`: one change at a time, decided on the committed state."""
 
     def __init__(self, state: State) -> None:
         self.state, self.acked, self.waiting, self.calls = state, [], [], 0
         self.pending = None
 
     def send(self, body: bytes) -> int | None:
-        """The call that an order became, None for one that was refused."""
+        """Return the id of the call that an order became, or None if it was rejected."""
         try:
             order = orders.parse(body, self.state)
         except ExceptionGroup:
@@ -65,7 +65,7 @@
         self.step()
 
     def successor(self, has_last: bool) -> "Leader":
-        """The next leader; `has_last`: whether it has the change that was being kept."""
+        """Return the next leader; `has_last`: whether it has the change that was pending."""
         state = self.state.copy()
         if has_last and self.pending is not None:
             state.apply(state.number + 1, self.pending[1])
@@ -136,7 +136,7 @@
     leader = holding(7)
     leader.send(document(8, "a"))
     other = leader.send(document(8, "b"))
-    assert other not in leader.acked  # not before something stands under its number
+    assert other not in leader.acked  # not before a configuration with its number is committed
     successor = leader.successor(False)
     successor.send(document(8, "b"))
     successor.commit()
@@ -147,10 +147,10 @@
 
 
 def stricter(monkeypatch):
-    """From here on every document is invalid."""
+    """Make every document invalid from now on."""
 
     def refuse(config):
-        yield "a check of later"
+        yield "a check of a later release"
 
     monkeypatch.setattr(checks, "_faults", refuse)
 
@@ -164,7 +164,7 @@
     for number in (2, REMEMBERED_DIGESTS + 1):
         assert leader.send(document(number)) in leader.acked
     assert leader.send(document(REMEMBERED_DIGESTS + 1, "b")) is None
-    assert leader.send(document(1)) is None  # no longer remembered: docs/hardening/orders.md says so
+    assert leader.send(document(1)) is None  # its digest is no longer stored, as docs/hardening/orders.md states
 
 
 def test_what_release_0_1_took_with_faults_that_it_did_not_see_is_a_repeat_by_its_bytes():
@@ -193,7 +193,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.data())
 def test_no_number_is_confirmed_for_what_is_neither_committed_nor_superseded_nor_second(data):
-    """Operators, lost answers and changes of the leader, in any order; a repeat is never refused."""
+    """Orders, lost answers and changes of the leader occur in any order; a repeat is never rejected."""
     leader, sent = Leader(State()), []
     confirmed: dict[int, int] = {}
     for _ in range(data.draw(st.integers(1, 25))):
@@ -225,7 +225,7 @@
 
 
 def order_evacuation(leader: Leader, begin: bool, zone: str = "z") -> bool:
-    """Whether it was acknowledged without a change; else it is kept."""
+    """Send an order and commit its change, if any; return whether it was acknowledged without a change."""
     call = leader.call(lambda number: orders.evacuation_change(number, zone, begin))
     acknowledged = call in leader.acked
     if not acknowledged:
@@ -236,11 +236,11 @@
 
 def test_an_evacuation_sent_again_is_a_repeat_only_while_the_zone_is_as_it_asks():
     leader = Leader(State())
-    assert order_evacuation(leader, False)  # none to finish
+    assert order_evacuation(leader, False)  # there is no evacuation to finish
     assert not order_evacuation(leader, True)
     assert order_evacuation(leader, True)
     assert not order_evacuation(leader, False)
-    assert not order_evacuation(leader, True)  # after another's Finish: acknowledged only once it is in force
+    assert not order_evacuation(leader, True)  # after another operator's finish: acknowledged only once committed
     assert leader.state.value("evac:z")["n"] == 3
 
 
--- a/tests/control/test_partitions.py
+++ b/tests/control/test_partitions.py
@@ -1,4 +1,4 @@
-"""Machines that are cut off, frozen or slow: what they answer, and that the others go on."""
+"""Partitioned, frozen and slow machines: their answers are safe, and the other machines continue to serve."""
 
 import msgspec
 import pytest
@@ -24,9 +24,8 @@
     core.links.partition(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
     core.disturb(core.clock.now + 5.0)
     run_for(core, 2.5)
-    wait_until_acknowledged(
-        core, put_configuration(core), timeout_s=3.0
-    )  # two of three that hear each other are enough
+    # Two of three machines that hear each other are enough.
+    wait_until_acknowledged(core, put_configuration(core), timeout_s=3.0)
     finish_after(core)
 
 
@@ -38,7 +37,7 @@
     core.version = 3
     core.operators.put(2, "x2", [first.address])
     run_for(core, 2.0)
-    assert core.leader() is not first  # it answers heartbeats, and has lost the lease all the same
+    assert core.leader() is not first  # its messages still pass, but it has lost the lease
     core.operators.put(3, "c3")
     wait_until_acknowledged(core, 3, timeout_s=3.0)
     finish_after(core)
@@ -52,7 +51,7 @@
     core.disturb(core.clock.now + 4.0)
     run_for(core, 2.0)
     wait_until_acknowledged(core, put_configuration(core, [replica.address, witness.address]), timeout_s=1.0)
-    core.operators.read([first.address])  # it answers nothing, or the check finds an old number
+    core.operators.read([first.address])  # if it answered, the rule checker would report the old number
     run_for(core, 4.0)
     finish_after(core)
 
@@ -75,7 +74,7 @@
         core.operators.put(number, f"y{number}", [m.address for m in others])
         core.operators.evacuate("a", number % 2 == 0)
         run_for(core, 1.0)
-        assert core.history.acknowledged >= number - 3  # those that hear each other go on
+        assert core.history.acknowledged >= number - 3  # the machines that hear each other continue to serve
     assert not [at for at, address in core.operators.confirmations if address == first.address and at > begin + 1.0]
     finish_after(core)
 
@@ -94,7 +93,7 @@
         core.operators.put(number, f"y{number}", others)
         run_for(core, 1.0)
     assert core.history.acknowledged >= 16
-    run_for(core, 3.0)  # the rules see what it says as it thaws
+    run_for(core, 3.0)  # the rule checker sees all answers of the resumed leader
     assert core.leader() is not first
     finish_after(core)
 
@@ -103,11 +102,11 @@
     core = founded_core()
     first, replica, witness = machines_by_role(core)
     core.end(first, back_s=10.0)
-    wait_until(core, lambda: witness.disk.position.epoch == 2)  # what it says to that is under way
+    wait_until(core, lambda: witness.disk.position.epoch == 2)  # its acknowledgement is in transit
     replica.disk.stalled_until = core.clock.now + 0.75
     wait_until(core, lambda: replica.node.leadership is not None)
     assert not core.in_contact(replica)
-    assert core.lease_holder() is None  # until they have answered its heartbeat
+    assert core.lease_holder() is None  # the lease begins only once the voters have answered its heartbeat
     run_for(core, 0.1)
     assert core.lease_holder() is replica
     finish_after(core)
@@ -121,7 +120,7 @@
         core.links.partition(first.address, other.address, 3.0)
     core.disturb(core.clock.now + 3.0)
     for _ in range(40):
-        core.operators.read([first.address])  # the rules see who answers without contact
+        core.operators.read([first.address])  # the rule checker reports an answer without contact
         run_for(core, 0.05)
     finish_after(core)
 
@@ -137,7 +136,7 @@
         core.operators.read([first.address])
         run_for(core, 0.5)
         core.operators.read([first.address])
-        run_for(core, 1.5)  # the rules see whether both hold the lease, and what is answered
+        run_for(core, 1.5)  # the rule checker reports two lease holders, and stale answers
         finish_after(core)
 
 
@@ -146,10 +145,10 @@
         core = founded_core()
         first = core.leader()
         put_configuration(core, [first.address])
-        run_for(core, 0.001)  # on its way to the replica
+        run_for(core, 0.001)  # the change is in transit to the replica
         first.frozen_until = core.clock.now + 0.72 + 0.01 * step
         core.disturb(first.frozen_until)
-        run_for(core, 1.0)  # the rules see who confirms without contact
+        run_for(core, 1.0)  # the rule checker reports an acknowledgement without contact
         finish_after(core)
 
 
@@ -166,7 +165,7 @@
     first, replica, witness = machines_by_role(core)
     put_configuration(core, [first.address])
     wait_until(core, lambda: replica.disk.item("config")["v"] == 2)
-    core.end(first, back_s=10.0)  # before it could publish it
+    core.end(first, back_s=10.0)  # before it can publish the change
     assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [1, 1]
     wait_until(core, lambda: witness.disk.position.epoch == 2)
     replica.disk.stalled_until = core.clock.now + 0.75
--- a/tests/control/test_purity.py
+++ b/tests/control/test_purity.py
@@ -1,4 +1,4 @@
-"""Only the runtime of the control process knows sockets, clocks, threads and disks."""
+"""Only the runtime of the control process uses sockets, clocks, threads and disks."""
 
 import ast
 from pathlib import Path
--- a/tests/control/test_replica_updates.py
+++ b/tests/control/test_replica_updates.py
@@ -1,4 +1,4 @@
-"""Changes and copies are taken onto the position that they were made after, and onto no other."""
+"""Changes and copies are applied only to the position that they are based on."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 def drive(control: ControlNode, now: float, outputs) -> list:
-    """End the writes as they come; all that is sent."""
+    """Execute some outputs, with writes that complete at once; return all messages that are sent as a result."""
     sent, waiting = [], list(outputs)
     while waiting:
         out = waiting.pop(0)
--- a/tests/control/test_replication.py
+++ b/tests/control/test_replication.py
@@ -1,4 +1,4 @@
-"""Changes and copies: catching up, costs, and what is on which disk."""
+"""Replication of changes and copies: catch-up, cost, and the contents of the disks."""
 
 import random
 
@@ -67,7 +67,7 @@
             core.start(replica)
     wait_until(core, lambda: replica.node is not None, timeout_s=30.0)
     others = [m for m in core.machines.values() if m not in (replica, core.leader())]
-    core.end(others[0], back_s=60.0)  # so that it must hold the second copy
+    core.end(others[0], back_s=60.0)  # so that the returned machine must hold the second copy
     begin = core.clock.now
     while core.clock.now < begin + 3.0:
         put_configuration(core)
@@ -123,11 +123,11 @@
     core.links.partition(first.address, other.address, 1.0, both=False)
     core.operators.evacuate("q", True)
     wait_until(core, lambda: one.disk.item("evac:q") is not None)
-    core.operators._evacuations[-1].done = True  # its operator gives up
+    core.operators._evacuations[-1].done = True  # the operator does not repeat the order
     core.end(first, power=True, back_s=30.0)
     one.frozen_until = core.clock.now + 2.0
-    wait_until(core, lambda: core.lease_holder() is other)  # which has never heard of it
-    core.operators.evacuate("r", True)  # takes its number
+    wait_until(core, lambda: core.lease_holder() is other)  # the new leader has never received the change
+    core.operators.evacuate("r", True)  # this change gets the same number
     wait_until(core, lambda: core.history.evacuated.get("r") is True)
     run_for(core, 2.0)
     for replica in other.node.view.replicas:
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -1,4 +1,4 @@
-"""Grants of singleton roles by a control process: on disk before the answer, and none by a new voter."""
+"""Grants of singleton roles: they are on disk before the answer, and a new voter makes none."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 def finish(control: ControlService, now: float, outputs, ok: bool = True) -> list:
-    """End the writes that some outputs ask for; what follows from them."""
+    """Complete the writes among some outputs, and return the outputs that follow."""
     return [out for each in outputs if isinstance(each, Write) for out in control.write_completed(now, each.token, ok)]
 
 
--- a/tests/control/test_singleton_roles.py
+++ b/tests/control/test_singleton_roles.py
@@ -1,4 +1,4 @@
-"""Leases of singleton roles on the simulated core."""
+"""Tests of singleton-role leases on the simulated core."""
 
 import random
 
--- a/tests/control/test_storage.py
+++ b/tests/control/test_storage.py
@@ -1,4 +1,4 @@
-"""The writer of the control state: each write comes to an end, whatever it holds."""
+"""The writer of the control state completes each write, whatever the records contain."""
 
 import queue
 
--- a/tests/control/test_voting.py
+++ b/tests/control/test_voting.py
@@ -1,4 +1,4 @@
-"""A single node's votes and promises."""
+"""Votes and promises of a single node."""
 
 import random
 
@@ -17,19 +17,19 @@
 def test_one_that_has_promised_its_vote_does_not_ask_at_once_itself():
     core = founded_core()
     _, replica, _ = machines_by_role(core)
-    control, now = replica.node, core.time(replica) + 5.0  # its leader has been silent for long
+    control, now = replica.node, core.time(replica) + 5.0  # the leader's time-out has long passed
     [write] = control.receive(now, control.view.leader, VoteRequest(9, control.view))
     control.write_completed(now, write.token, True)
     assert VoteRequest not in sent_types(control.tick(now + 0.06)) and control.promised == 9
     control.tick(now + 1.0)
-    assert control.promised == 10  # but it does once that one has had its time
+    assert control.promised == 10  # it becomes a candidate once the other candidate's attempt has timed out
 
 
 def test_a_vote_whose_answer_was_lost_is_sent_again_to_its_candidate_only():
     control = started_node("10.0.0.3")
     ask = VoteRequest(2, VIEW)
     [write] = control.receive(1.0, "10.0.0.1", ask)
-    assert control.receive(1.01, "10.0.0.1", ask) == []  # not on disk yet: no answer, and no refusal
+    assert control.receive(1.01, "10.0.0.1", ask) == []  # not on disk yet: neither a vote nor a rejection
     assert sent_types(control.write_completed(1.02, write.token, True)) == [Vote]
     assert sent_types(control.receive(1.3, "10.0.0.1", ask)) == [Vote]
     assert sent_types(control.receive(1.3, "10.0.0.2", ask)) == [VoteRejected]
