--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -25,13 +25,13 @@
 
 EVERYWHERE = "everywhere = pending.on_own_disk and pending.on_replicas >= set(leadership.view.replicas)"
 RECORDED = "if not (view.has_majority(recorded) and candidacy.view.has_quorum(recorded)):"
-VOTE_REFUSED = "elif message.epoch <= durable.promised or self._supports_another(sender, view):"
+VOTE_REFUSED = "elif message.epoch <= durable.promised or self._supports_other_leader(sender, view):"
 ELIGIBLE = "return view is not None and self._context.me in view.replica_set and state_copy.epoch >= view.epoch"
 MAY_SERVE = "return current and leadership.pending is None and self._context.now < leadership.expires_at()"
 
 NOT_APPENDED = (
     "        if not ok:\n            durable.state_copy.mark_damaged()\n"
-    '            durable.note_failure("a change")\n        elif'
+    '            durable.log_write_failure("a change")\n        elif'
 )
 
 TAKES_CHANGES = "return self._context.me in view.replicas and durable.recorded_epoch == view.epoch == durable.promised"
@@ -120,7 +120,7 @@
     DeliberateFault(
         0,
         "a slow disk costs nothing",
-        "elif leadership.own_write_since is not None and now - leadership.own_write_since > DISK_TIMEOUT_S:",
+        "elif leadership.own_write_since is not None and now - leadership.own_write_since > OWN_WRITE_TIMEOUT_S:",
         "elif False:",
     ),
     # 1: cut off.
@@ -139,8 +139,8 @@
     DeliberateFault(
         1,
         "the lease of a new leader counts from a repeat",
-        "acked = {voter: candidacy.record_asked_at for voter in candidacy.recorded}",
-        "acked = {voter: candidacy.asked_at for voter in candidacy.recorded}",
+        "acked = {voter: candidacy.record_requested_at for voter in candidacy.recorded}",
+        "acked = {voter: candidacy.last_request_at for voter in candidacy.recorded}",
     ),
     DeliberateFault(
         1,
@@ -176,7 +176,7 @@
     DeliberateFault(
         2,
         "a change is confirmed as its leader steps down",
-        "        if leadership.pending is not None:\n            self._calls.put_back(leadership.pending.change)\n"
+        "        if leadership.pending is not None:\n            self._calls.requeue(leadership.pending.change)\n"
         "        self.send_step_down",
         "        if leadership.pending is not None:\n"
         "            self._context.answer(leadership.pending.change.call_id, None)\n        self.send_step_down",
@@ -224,7 +224,9 @@
         "return has_leader and me not in view.replica_set and not self._joining.learners.present()",
         "return True",
     ),
-    DeliberateFault(3, "a gone voter is exchanged late", "VOTER_EXCHANGE_S = 2.8 ", "VOTER_EXCHANGE_S = 8.0 "),
+    DeliberateFault(
+        3, "a gone voter is exchanged late", "VOTER_REPLACEMENT_TIMEOUT_S = 2.8 ", "VOTER_REPLACEMENT_TIMEOUT_S = 8.0 "
+    ),
     DeliberateFault(3, "a lost copy is not repaired", "            self.catch_up.repair_replicas(leadership)\n", ""),
     DeliberateFault(
         3,
@@ -273,8 +275,8 @@
     DeliberateFault(
         4,
         "a change that the disk refused counts",
-        '            durable.state_copy.mark_damaged()\n            durable.note_failure("a change")',
-        '            durable.note_failure("a change")',
+        '            durable.state_copy.mark_damaged()\n            durable.log_write_failure("a change")',
+        '            durable.log_write_failure("a change")',
     ),
     DeliberateFault(
         4,
@@ -336,19 +338,19 @@
     DeliberateFault(
         5,
         "a grant of an earlier term counts",
-        "if message.term == self.term and self.attempt_since is not None:",
-        "if self.attempt_since is not None:",
+        "if message.term == self.term and self.attempt_started_at is not None:",
+        "if self.attempt_started_at is not None:",
     ),
     DeliberateFault(
         5,
         "a holder counts on a grant for too long",
-        "return requested[majority - 1] + GRANT_S - MARGIN_S",
-        "return requested[majority - 1] + GRANT_S + MARGIN_S",
+        "return requested[majority - 1] + GRANT_DURATION_S - EXPIRY_MARGIN_S",
+        "return requested[majority - 1] + GRANT_DURATION_S + EXPIRY_MARGIN_S",
     ),
     DeliberateFault(
         5,
         "a process that starts grants at once",
-        'Grant(f"{machine}/", term, now + GRANT_S) for role',
+        'Grant(f"{machine}/", term, now + GRANT_DURATION_S) for role',
         'Grant(f"{machine}/", term, now) for role',
     ),
     # Faults of both guards, where one alone makes the other's loss harmless.
--- a/tests/control/test_leases.py
+++ b/tests/control/test_leases.py
@@ -5,7 +5,7 @@
 import pytest
 
 from simnet.clock import Clock
-from thistleusher.control.leases import GRANT_S, LeaseGrantor, LeaseHolder
+from thistleusher.control.leases import GRANT_DURATION_S, LeaseGrantor, LeaseHolder
 from thistleusher.transport.messages import LeaseGranted, LeaseRejected, LeaseReleased, LeaseRequest
 
 IPS = ("a", "b", "c")
@@ -79,16 +79,16 @@
 def test_a_grantor_that_has_started_anew_grants_nothing_for_a_while():
     grantor = LeaseGrantor(10.0)
     request = LeaseRequest("d", "x", 5 << 20, 1.0)
-    assert isinstance(grantor.decide(10.0 + GRANT_S / 2, request, 1).answer, LeaseRejected)
-    assert isinstance(grantor.decide(10.0 + GRANT_S, request, 1).answer, LeaseGranted)
+    assert isinstance(grantor.decide(10.0 + GRANT_DURATION_S / 2, request, 1).answer, LeaseRejected)
+    assert isinstance(grantor.decide(10.0 + GRANT_DURATION_S, request, 1).answer, LeaseGranted)
 
 
 def test_a_grantor_that_remembers_grants_at_once_to_the_holders_machine_alone():
     first = LeaseGrantor(0.0)
     term = 5 << 20
-    answer, changed = first.decide(GRANT_S, LeaseRequest("d", "x/1", term, 1.0), 1)
+    answer, changed = first.decide(GRANT_DURATION_S, LeaseRequest("d", "x/1", term, 1.0), 1)
     assert isinstance(answer, LeaseGranted) and changed
-    assert first.decide(GRANT_S, LeaseRequest("d", "x/1", term, 1.1), 1)[1] is False
+    assert first.decide(GRANT_DURATION_S, LeaseRequest("d", "x/1", term, 1.1), 1)[1] is False
     again = LeaseGrantor(10.0, first.to_records())
     assert isinstance(again.decide(10.1, LeaseRequest("d", "y/1", term + 1, 1.0), 1).answer, LeaseRejected)
     assert again.decide(10.1, LeaseRequest("d", "x/2", term, 1.0), 1).answer.free
@@ -98,11 +98,11 @@
 def test_a_new_epoch_does_not_end_a_lease():
     grantor = LeaseGrantor(0.0)
     request = LeaseRequest("d", "x", (1 << 20) + 3, 1.0)
-    assert isinstance(grantor.decide(GRANT_S, request, 1).answer, LeaseGranted)
-    assert isinstance(grantor.decide(GRANT_S + 0.2, request, 2).answer, LeaseGranted)
+    assert isinstance(grantor.decide(GRANT_DURATION_S, request, 1).answer, LeaseGranted)
+    assert isinstance(grantor.decide(GRANT_DURATION_S + 0.2, request, 2).answer, LeaseGranted)
     other = LeaseRequest("d", "y", (1 << 20) + 4, 1.0)
     # The term belongs to an earlier epoch.
-    assert isinstance(grantor.decide(3 * GRANT_S, other, 2).answer, LeaseRejected)
+    assert isinstance(grantor.decide(3 * GRANT_DURATION_S, other, 2).answer, LeaseRejected)
 
 
 def test_one_that_knows_no_term_has_a_free_role_within_two_ticks():
@@ -124,7 +124,7 @@
     grantor = LeaseGrantor(0.0)
     grantor.pause(10.0)
     request = LeaseRequest("d", "x", 5 << 20, 1.0)
-    assert isinstance(grantor.decide(10.0 + GRANT_S / 2, request, 1).answer, LeaseRejected)
-    assert isinstance(grantor.decide(10.0 + GRANT_S, request, 1).answer, LeaseGranted)
+    assert isinstance(grantor.decide(10.0 + GRANT_DURATION_S / 2, request, 1).answer, LeaseRejected)
+    assert isinstance(grantor.decide(10.0 + GRANT_DURATION_S, request, 1).answer, LeaseGranted)
     grantor.pause(30.0)
     assert isinstance(grantor.decide(30.1, LeaseRequest("d", "y", 6 << 20, 1.0), 1).answer, LeaseRejected)
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -3,7 +3,7 @@
 import random
 
 from thistleusher.control.interface import SendToClient, StoredState, Write
-from thistleusher.control.leases import GRANT_S, LeaseGrantor, LeaseHolder
+from thistleusher.control.leases import GRANT_DURATION_S, LeaseGrantor, LeaseHolder
 from thistleusher.control.node import ControlNode
 from thistleusher.control.service import ControlService
 from thistleusher.transport.messages import (
@@ -63,7 +63,7 @@
     in_contact(control, 5.0, view)
     assert control.node.in_contact(5.05)
     assert [type(message) for message in sent_to_clients(control.receive(5.1, "x", REQUEST))] == [LeaseRejected]
-    late = 5.1 + GRANT_S
+    late = 5.1 + GRANT_DURATION_S
     in_contact(control, late, view)
     assert any(isinstance(out, Write) for out in control.receive(late, "x", REQUEST))
 
--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -7,7 +7,7 @@
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.context import Context
 from thistleusher.control.interface import Call, Change
-from thistleusher.control.timing import CALL_WAIT_S
+from thistleusher.control.timing import CALL_TIMEOUT_S
 
 
 class CallQueue:
@@ -21,15 +21,15 @@
         return len(self._waiting)
 
     def add(self, call: Call) -> None:
-        """Add a new call, which expires after `CALL_WAIT_S`."""
-        self._waiting.append(call._replace(deadline=self._context.now + CALL_WAIT_S))
+        """Add a new call, which expires after `CALL_TIMEOUT_S`."""
+        self._waiting.append(call._replace(deadline=self._context.now + CALL_TIMEOUT_S))
 
-    def put_back(self, change: Change) -> None:
+    def requeue(self, change: Change) -> None:
         """Put back a change that was pending when the leadership ended.
 
         It may or may not be committed later, so it can be neither acknowledged nor rejected yet.
         """
-        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * CALL_WAIT_S))
+        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * CALL_TIMEOUT_S))
 
     def take(self) -> Call:
         """Remove and return the oldest call."""
--- a/thistleusher/control/candidacy.py
+++ b/thistleusher/control/candidacy.py
@@ -27,14 +27,14 @@
     epoch: int
     view: ViewRecord  # the newest known view, which the next view follows
     begun_at: float
-    asked_at: float
+    last_request_at: float
     stage: Stage = Stage.PROMISE
     votes: dict[str, ViewRecord | None] = field(default_factory=dict)
     next_view: ViewRecord | None = None
     chosen: set[str] = field(default_factory=set)  # all machines that have been chosen as replicas so far
     installed: set[str] = field(default_factory=set)
     recorded: set[str] = field(default_factory=set)
-    record_asked_at: float = NEVER  # when voters were asked to record the view; they guard it from when they did
+    record_requested_at: float = NEVER  # when voters were asked to record the view; they guard it from when they did
     voters: Mapping[str, str] | None = None  # address -> zone; None: the epoch keeps the voters of `view`
     positions: dict[str, Position] = field(default_factory=dict)  # machine -> position of its copy
 
--- a/thistleusher/control/catch_up.py
+++ b/thistleusher/control/catch_up.py
@@ -57,7 +57,7 @@
                 self._sent_at[name] = now
                 self._context.send(name, state_copy.install_for(lagging.position))
 
-    def feed_learners(self, leadership: Leadership) -> None:
+    def update_learners(self, leadership: Leadership) -> None:
         """Send the copy to learners that lack it. They receive later changes as these are made."""
         now, state_copy = self._context.now, self._durable.state_copy
         if leadership.pending is not None:
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -128,12 +128,12 @@
         """Record that the view of an epoch is on disk."""
         self.recorded_epoch = max(self.recorded_epoch, epoch)
 
-    def note_view(self, view: ViewRecord) -> None:
+    def log_view(self, view: ViewRecord) -> None:
         """Log a view that this machine records."""
         replicas = ", ".join(view.replicas)
         voters = ", ".join(sorted(view.voters))
         self._context.note(Event.VIEW_ADOPTED, view.epoch, view.leader, replicas, voters)
 
-    def note_failure(self, what: str) -> None:
+    def log_write_failure(self, what: str) -> None:
         """Log a failed write."""
         self._context.note(Event.DISK_FAILED, f"{what} not written")
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -24,14 +24,14 @@
 from thistleusher.control.joining import Joining
 from thistleusher.control.role import Role
 from thistleusher.control.timing import (
-    ABANDONED_PAUSE_S,
-    ABANDONED_SPREAD_S,
+    ABANDONED_RETRY_DELAY_S,
+    ABANDONED_RETRY_JITTER_S,
+    BETTER_REPLICA_WAIT_S,
     CANDIDACY_TIMEOUT_S,
-    LATE_EXCLUSION_S,
-    REJECTED_PAUSE_S,
-    REJECTED_SPREAD_S,
-    RENEWAL_REPLICA_WAIT_S,
-    REPLICA_WAIT_S,
+    LATE_VOTER_EXCLUSION_S,
+    REJECTED_RETRY_DELAY_S,
+    REJECTED_RETRY_JITTER_S,
+    RENEWAL_BETTER_REPLICA_WAIT_S,
     RETRY_INTERVAL_S,
     VOTER_GUARD_S,
 )
@@ -70,27 +70,27 @@
         else:
             role.forget_stale_leadership()
         role.candidacy = Candidacy(epoch, durable.view, self._context.now, self._context.now, voters=voters)
-        role.promise(epoch, Records(), self._begin_asking)
+        role.promise(epoch, Records(), self._begin_voting)
 
     def _promised_by(self, voters: Mapping[str, str]) -> int:
         """Return the highest promise of the learners among `voters`: one that was partitioned may be far ahead."""
         learners = self._joining.learners.present()
         return max((learners[name].promised for name in voters if name in learners), default=0)
 
-    def _begin_asking(self) -> None:
+    def _begin_voting(self) -> None:
         if self._role.candidacy is not None and self._role.is_current(self._role.candidacy):
             self._role.candidacy.stage = Stage.VOTE
-            self._ask()
+            self._request_votes()
 
     def connected(self, peer: str) -> None:
         """Request a vote again over a new connection, as earlier messages to the voter may have been lost."""
         candidacy = self._role.candidacy
         if candidacy is not None and candidacy.stage is Stage.VOTE and peer not in candidacy.votes:
-            self._ask()
+            self._request_votes()
 
     # Votes.
 
-    def _ask(self) -> None:
+    def _request_votes(self) -> None:
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != self._durable.promised:
             return
@@ -112,7 +112,7 @@
             self._role.candidacy = None
             # This machine has given no vote in that epoch; the number goes to disk with the next promise.
             durable.promised = max(durable.promised, message.promised)
-            self._role.postpone_candidacy(REJECTED_PAUSE_S, REJECTED_SPREAD_S)
+            self._role.postpone_candidacy(REJECTED_RETRY_DELAY_S, REJECTED_RETRY_JITTER_S)
 
     def on_vote(self, sender: str, message: Vote) -> None:
         """Count a voter's vote."""
@@ -137,7 +137,7 @@
         if newest.epoch > candidacy.view.epoch:  # its voters may differ from those asked so far
             candidacy.view = newest
             candidacy.voters = None
-            self._ask()
+            self._request_votes()
         return newest
 
     def _enter_if_eligible(self, candidacy: Candidacy) -> None:
@@ -165,11 +165,11 @@
         if not better:
             return False
         renewal = self._role.previous is not None
-        wait_s = RENEWAL_REPLICA_WAIT_S if renewal else REPLICA_WAIT_S
+        wait_s = RENEWAL_BETTER_REPLICA_WAIT_S if renewal else BETTER_REPLICA_WAIT_S
         if self._context.now - candidacy.begun_at < wait_s:
             return True
         for name in better:
-            self._role.excluded_until[name] = self._context.now + LATE_EXCLUSION_S
+            self._role.excluded_until[name] = self._context.now + LATE_VOTER_EXCLUSION_S
         return False
 
     def _better_replicas(self, candidacy: Candidacy) -> set[str]:
@@ -197,12 +197,12 @@
         assert candidacy is not None
         if not self._joining.founding and now - candidacy.begun_at > CANDIDACY_TIMEOUT_S:
             self._role.candidacy = None
-            self._role.postpone_candidacy(ABANDONED_PAUSE_S, ABANDONED_SPREAD_S)
-        elif candidacy.stage is Stage.VOTE and now - candidacy.begun_at > REPLICA_WAIT_S:
+            self._role.postpone_candidacy(ABANDONED_RETRY_DELAY_S, ABANDONED_RETRY_JITTER_S)
+        elif candidacy.stage is Stage.VOTE and now - candidacy.begun_at > BETTER_REPLICA_WAIT_S:
             self._count_votes(candidacy)
-        if self._role.candidacy is candidacy and now - candidacy.asked_at > RETRY_INTERVAL_S:
-            candidacy.asked_at = now
+        if self._role.candidacy is candidacy and now - candidacy.last_request_at > RETRY_INTERVAL_S:
+            candidacy.last_request_at = now
             if candidacy.stage is Stage.VOTE:
-                self._ask()
+                self._request_votes()
             else:
                 self.view_change.repeat(candidacy)
--- a/thistleusher/control/founding.py
+++ b/thistleusher/control/founding.py
@@ -40,10 +40,10 @@
             return
         if self._role.candidacy is not None:
             self._elections.tick()
-        elif self._all_have_come():
+        elif self._all_founders_known():
             self._begin()
 
-    def _all_have_come(self) -> bool:
+    def _all_founders_known(self) -> bool:
         joining, context = self._joining, self._context
         joining.on_founder_announcement(context.me, FounderAnnouncement(context.zone))
         newest = max(founder.first_heard for founder in joining.founders.values())
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -106,9 +106,9 @@
                 return
         self._context.known.update(message.view.voters)
         self._statuses[sender] = message
-        self._consider_statuses()
+        self._evaluate_statuses()
 
-    def _consider_statuses(self) -> None:
+    def _evaluate_statuses(self) -> None:
         """Become ready to vote, or a voter again, if enough machines have sent their status."""
         newest = max((status.view for status in self._statuses.values()), key=lambda view: view.epoch)
         answered = [name for name in self._statuses if name in newest.electorate and name != self._context.me]
@@ -142,7 +142,7 @@
             return
         self.state_lost = False
         self._durable.record_on_disk(newest.epoch)
-        self._durable.note_view(newest)
+        self._durable.log_view(newest)
 
     # Answers to status requests.
 
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -23,7 +23,7 @@
 from thistleusher.control.reconfiguration import Reconfiguration
 from thistleusher.control.role import Role
 from thistleusher.control.serving import Serving
-from thistleusher.control.timing import DISK_TIMEOUT_S, LEASE_S, RENEWAL_MIN_AGE_S
+from thistleusher.control.timing import LEASE_S, OWN_WRITE_TIMEOUT_S, RENEWAL_MIN_AGE_S
 from thistleusher.transport.messages import Deposed, HeartbeatAck, Leaving
 
 
@@ -50,11 +50,11 @@
         assert view is not None
         # The voters guard this leader from when they recorded its view, so its lease starts at the first request to
         # record it.
-        acked = {voter: candidacy.record_asked_at for voter in candidacy.recorded}
+        acked = {voter: candidacy.record_requested_at for voter in candidacy.recorded}
         acked[self._context.me] = now
         last_heard = dict.fromkeys(view.voters, now)
         leadership = Leadership(view, now, acked, last_heard, heard_since={}, voters_since=now)
-        self._carry_over(leadership)
+        self._keep_contact_times(leadership)
         for voter in candidacy.recorded:
             leadership.last_heard[voter] = now
         self._role.leadership = leadership
@@ -66,7 +66,7 @@
         self._heartbeats.send(leadership)
         self.serving.serve()
 
-    def _carry_over(self, leadership: Leadership) -> None:
+    def _keep_contact_times(self, leadership: Leadership) -> None:
         """Keep the known contact times of the voters, so that an election does not restart their time-outs."""
         previous, role = self._role.previous, self._role
         if previous is not None:
@@ -76,7 +76,7 @@
             if previous.view.voters == leadership.view.voters:
                 leadership.voters_since = previous.voters_since
         elif role.last_leader and role.last_leader in leadership.last_heard:
-            heard_at = max(role.last_leader_at, self._context.started_at)
+            heard_at = max(role.last_leader_heard_at, self._context.started_at)
             leadership.last_heard[role.last_leader] = min(self._context.now, heard_at)
 
     # Time.
@@ -89,12 +89,12 @@
         self._heartbeats.send_if_due(leadership)
         if now > leadership.expires_at() + LEASE_S:
             self._role.step_down("no majority of the voters answers")
-        elif leadership.own_write_since is not None and now - leadership.own_write_since > DISK_TIMEOUT_S:
+        elif leadership.own_write_since is not None and now - leadership.own_write_since > OWN_WRITE_TIMEOUT_S:
             self._role.step_down("a disk write takes too long")
         elif now < leadership.expires_at():
-            self._work(leadership)
+            self._run_leased_actions(leadership)
 
-    def _work(self, leadership: Leadership) -> None:
+    def _run_leased_actions(self, leadership: Leadership) -> None:
         """Run the actions that need a valid lease. Each may end the leadership, so the later ones check it again."""
         self.replication.repeat_pending(leadership)
         self._reconfiguration.consider(leadership)
@@ -102,7 +102,7 @@
             self.hand_over.step_down_if_possible()
         if self._role.leadership is leadership:
             self.catch_up.repair_replicas(leadership)
-            self.catch_up.feed_learners(leadership)
+            self.catch_up.update_learners(leadership)
             self.serving.serve()
 
     # Answers of voters.
--- a/thistleusher/control/learners.py
+++ b/thistleusher/control/learners.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from thistleusher.control.context import Context
-from thistleusher.control.timing import LEARNER_STEADY_S, LEARNER_TIMEOUT_S
+from thistleusher.control.timing import LEARNER_MIN_HEARD_S, LEARNER_TIMEOUT_S
 from thistleusher.transport.messages import Position
 
 
@@ -50,4 +50,6 @@
 
     def steady(self) -> Mapping[str, Learner]:
         """Return the present learners that have been heard for long enough to become voters."""
-        return {name: each for name, each in self.present().items() if each.last_heard - each.since > LEARNER_STEADY_S}
+        return {
+            name: each for name, each in self.present().items() if each.last_heard - each.since > LEARNER_MIN_HEARD_S
+        }
--- a/thistleusher/control/membership.py
+++ b/thistleusher/control/membership.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from thistleusher.control.learners import Learner
-from thistleusher.control.timing import MIN_VOTERS, VOTER_EXCHANGE_S, VOTER_REMOVAL_S
+from thistleusher.control.timing import MIN_VOTERS, VOTER_REMOVAL_TIMEOUT_S, VOTER_REPLACEMENT_TIMEOUT_S
 
 
 class Preference(NamedTuple):
@@ -88,7 +88,7 @@
         reasons = (f"{new} replaces {old}" for old, new in sorted(replacements.items()))
         return VoterChange(after, ", ".join(reasons))
     if len(voters) % 2 == 0 or len(voters) < MIN_VOTERS:
-        return _to_odd(voters, observation)
+        return _change_to_odd_count(voters, observation)
     return None
 
 
@@ -96,7 +96,7 @@
     """Return the voters to be replaced: first those that are leaving, then the silent ones, longest silence first."""
     leaving = sorted(name for name in voters if name in observation.leaving and name != observation.me)
     silent_s = observation.silent_s
-    silent = [name for name in voters if silent_s.get(name, 0.0) > VOTER_EXCHANGE_S and name not in leaving]
+    silent = [name for name in voters if silent_s.get(name, 0.0) > VOTER_REPLACEMENT_TIMEOUT_S and name not in leaving]
     return leaving + sorted(silent, key=lambda name: -silent_s[name])
 
 
@@ -113,13 +113,13 @@
     return replacements
 
 
-def _to_odd(voters: Mapping[str, str], observation: Observation) -> VoterChange | None:
+def _change_to_odd_count(voters: Mapping[str, str], observation: Observation) -> VoterChange | None:
     """Return the change to an odd number of voters: an even number tolerates no more losses than one voter fewer."""
     waiting = sorted(name for name in observation.learners if name not in voters)
     if waiting:
         learner = waiting[0]
         return VoterChange({**voters, learner: observation.learners[learner].zone}, f"{learner} becomes a voter")
-    gone = [name for name in voters if observation.silent_s.get(name, 0.0) > VOTER_REMOVAL_S]
+    gone = [name for name in voters if observation.silent_s.get(name, 0.0) > VOTER_REMOVAL_TIMEOUT_S]
     if gone and len(voters) > MIN_VOTERS:
         remaining = {name: zone for name, zone in voters.items() if name != gone[0]}
         return VoterChange(remaining, f"no message from {gone[0]} in time")
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -168,7 +168,7 @@
         return self._context.flush()
 
     def submit(self, now: float, call: Call) -> list[Output]:
-        """Accept a call. Its `Answer` comes at once or, if there is no leader, within about `CALL_WAIT_S`."""
+        """Accept a call. Its `Answer` comes at once or, if there is no leader, within about `CALL_TIMEOUT_S`."""
         self._context.advance(now)
         if self._role.stopping:
             self._context.answer(call.call_id, ServiceError(ErrorKind.SHUTTING_DOWN))
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -40,8 +40,8 @@
 MAX_BODY_BYTES = 64 * 1024 * 1024
 READ_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 30.0
-FLUSH_S = 0.15  # time for the last messages to be sent before the sockets are closed
-HAND_OVER_POLL_S = 0.03  # interval between checks whether this process may stop
+FLUSH_DELAY_S = 0.15  # time for the last messages to be sent before the sockets are closed
+HAND_OVER_POLL_INTERVAL_S = 0.03  # interval between checks whether this process may stop
 CLOSING_RESERVE_S = 0.8  # part of the platform's grace period that is reserved for closing
 PRELOAD_DELAY_S = 2.0  # time after the start at which this process imports the validation of configurations
 
@@ -109,8 +109,8 @@
         self._carry_out(self.service.stop(time.monotonic()))
         deadline = time.monotonic() + self.node_settings.bounds.grace_s - CLOSING_RESERVE_S
         while not self.service.node.can_stop and time.monotonic() < deadline:  # noqa: ASYNC110 (the node is pure)
-            await asyncio.sleep(HAND_OVER_POLL_S)
-        await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(HAND_OVER_POLL_INTERVAL_S)
+        await asyncio.sleep(FLUSH_DELAY_S)
         self.api.close()
         self.listener.close()
         for link in self.outgoing.values():
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -14,11 +14,11 @@
     LEASE_S,
     MAX_LEARNER_LAG,
     NEVER,
-    OTHER_ZONE_STEADY_S,
+    OTHER_ZONE_MIN_HEARD_S,
     REPLICA_EXCLUSION_S,
     REPLICA_TIMEOUT_S,
     RETRY_INTERVAL_S,
-    VOTERS_STABLE_S,
+    VOTER_CHANGE_INTERVAL_S,
 )
 
 LEAVING_TIMEOUT_S = 4 * RETRY_INTERVAL_S  # a voter's announcement that its process is stopping expires after this time
@@ -43,8 +43,8 @@
         free = [name for name in leadership.view.voters if self._is_free(name, leadership)]
         if late and free:
             self._exclude(late)
-        why = self._replicas_due(leadership, late, free)
-        change = self._voters_due(leadership)
+        why = self._replica_change_reason(leadership, late, free)
+        change = self._next_voter_change(leadership)
         if change is not None:
             self._elections.start_candidacy(change.why, change.voters)
         elif why:
@@ -62,7 +62,7 @@
         for name in late:
             self._role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
 
-    def _replicas_due(self, leadership: Leadership, late: list[str], free: list[str]) -> str:
+    def _replica_change_reason(self, leadership: Leadership, late: list[str], free: list[str]) -> str:
         """Return the reason to choose other replicas, or an empty string if there is none.
 
         `late`: replicas that are late; `free`: voters that may replace a replica.
@@ -96,18 +96,18 @@
             return False
         return any(
             view.voters[name] not in zones
-            and now - leadership.heard_since.get(name, now) > OTHER_ZONE_STEADY_S
+            and now - leadership.heard_since.get(name, now) > OTHER_ZONE_MIN_HEARD_S
             and self._role.excluded_until.get(name, NEVER) < now
             for name in free
         )
 
     # Voters.
 
-    def _voters_due(self, leadership: Leadership) -> membership.VoterChange | None:
+    def _next_voter_change(self, leadership: Leadership) -> membership.VoterChange | None:
         now, view = self._context.now, leadership.view
         if leadership.pending is not None and now - leadership.pending.begun_at < REPLICA_TIMEOUT_S:
             return None  # let the pending change be committed first
-        if now - leadership.voters_since < VOTERS_STABLE_S:
+        if now - leadership.voters_since < VOTER_CHANGE_INTERVAL_S:
             return None
         last_heard, me = leadership.last_heard, self._context.me
         silent_s = {voter: now - last_heard.get(voter, NEVER) for voter in view.voters if voter != me}
--- a/thistleusher/control/replica_updates.py
+++ b/thistleusher/control/replica_updates.py
@@ -99,7 +99,7 @@
         durable = self._durable
         if not ok:
             durable.state_copy.mark_damaged()
-            durable.note_failure("a copy")
+            durable.log_write_failure("a copy")
         elif self._may_acknowledge(epoch):
             self._context.send(sender, Installed(epoch, position))
 
@@ -132,7 +132,7 @@
         durable = self._durable
         if not ok:
             durable.state_copy.mark_damaged()
-            durable.note_failure("a change")
+            durable.log_write_failure("a change")
         elif self._may_acknowledge(message.epoch):
             self._context.send(sender, Appended(message.epoch, message.position.number))
 
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -47,7 +47,7 @@
         self.contact_at = NEVER  # when a leader was last heard that also hears this voter
         self.confirmed_epoch = 0  # the newest epoch whose leader has been heard
         self.last_leader = ""  # the leader that was heard most recently
-        self.last_leader_at = NEVER
+        self.last_leader_heard_at = NEVER
         self.leaving: dict[str, float] = {}  # voters whose process is stopping -> when they last announced it
         self.excluded_until: dict[str, float] = {}  # machine that failed as a replica -> when it may be chosen again
         self.next_candidacy_at = NEVER
@@ -94,11 +94,11 @@
 
     # Changes.
 
-    def hear_leader(self, leader: str) -> None:
+    def record_leader_heard(self, leader: str) -> None:
         """Record that a leader's heartbeat or view has arrived."""
         self.leader_heard_at = self.leader_seen_at = self._context.now
         self.last_leader = leader
-        self.last_leader_at = self._context.now
+        self.last_leader_heard_at = self._context.now
 
     def promise(
         self,
@@ -124,7 +124,7 @@
         self, epoch: int, promised: Callable[[], None], failed: Callable[[], None] | None, ok: bool
     ) -> None:
         if not ok:
-            self._durable.note_failure(f"promise of epoch {epoch}")
+            self._durable.log_write_failure(f"promise of epoch {epoch}")
             if failed is not None:
                 failed()
         elif self._durable.promised == epoch:
@@ -142,7 +142,7 @@
         self.previous = self.leadership
         self.leadership = None
         if self.previous is not None and self.previous.pending is not None:
-            self._calls.put_back(self.previous.pending.change)
+            self._calls.requeue(self.previous.pending.change)
 
     def forget_stale_leadership(self) -> None:
         """Drop the previous leadership if its contact times are too old to be carried over to the next one."""
@@ -160,7 +160,7 @@
             return
         self._context.note(Event.LEADERSHIP_LOST, leadership.view.epoch, why)
         if leadership.pending is not None:
-            self._calls.put_back(leadership.pending.change)
+            self._calls.requeue(leadership.pending.change)
         self.send_step_down(leadership.view)
         self.postpone_candidacy(2 * VOTER_GUARD_S)
         self.leader_seen_at = NEVER
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -123,7 +123,7 @@
 
         A new grant is on disk before its answer is sent, so that a restarted process cannot grant the role to another.
         """
-        self._track_vote(now)
+        self._track_voter_status(now)
         view = self.node.view
         if view is None or not self.node.in_contact(now):
             return []
@@ -134,7 +134,7 @@
         self._pending_grants[token] = SendToClient(name, answer)
         return [Write(token, Records(leases=self.grantor.to_records()))]
 
-    def _track_vote(self, now: float) -> None:
+    def _track_voter_status(self, now: float) -> None:
         """Pause the grantor if this machine has just become a voter."""
         is_voter = self.node.founding or self.node.is_voter
         if is_voter and not self._was_voter:
@@ -171,7 +171,7 @@
 
     def _announce_core(self, now: float) -> list[ServiceOutput]:
         """Notify subscribers of a new view, and when this machine's lease becomes valid."""
-        self._track_vote(now)
+        self._track_voter_status(now)
         view, holds_lease = self.node.view, self.node.holds_lease(now)
         begun = holds_lease and not self._held_lease
         self._held_lease = holds_lease
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -54,7 +54,7 @@
         if candidacy is None:
             return
         candidacy.stage = Stage.INSTALL
-        candidacy.asked_at = context.now
+        candidacy.last_request_at = context.now
         voters = candidacy.next_voters()
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
         candidacy.chosen |= set(replicas)
@@ -109,9 +109,9 @@
         if not candidacy.installed >= set(view.replicas):
             return
         candidacy.stage = Stage.RECORD
-        candidacy.asked_at = candidacy.record_asked_at = self._context.now
+        candidacy.last_request_at = candidacy.record_requested_at = self._context.now
         self._durable.write(Records(view=view, promised=candidacy.epoch), partial(self._recorded, candidacy))
-        self._ask_to_record(candidacy, view)
+        self._request_records(candidacy, view)
 
     def _recorded(self, candidacy: Candidacy, ok: bool) -> None:
         """Count the candidate among the machines that have the view on disk."""
@@ -120,7 +120,7 @@
             candidacy.recorded.add(self._context.me)
             self._count_records(candidacy)
 
-    def _ask_to_record(self, candidacy: Candidacy, view: ViewRecord) -> None:
+    def _request_records(self, candidacy: Candidacy, view: ViewRecord) -> None:
         for voter in {**candidacy.view.electorate, **view.voters}:
             if voter not in candidacy.recorded and voter != self._context.me:
                 self._context.send(voter, RecordView(view))
@@ -162,6 +162,6 @@
             self.install()
         elif candidacy.stage is Stage.RECORD:
             assert candidacy.next_view is not None
-            self._ask_to_record(candidacy, candidacy.next_view)
+            self._request_records(candidacy, candidacy.next_view)
             if self._joining.founding:
                 self._count_records(candidacy)
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -13,7 +13,7 @@
 from thistleusher.control.interface import Records
 from thistleusher.control.joining import Joining
 from thistleusher.control.role import Role
-from thistleusher.control.timing import VOTE_YIELD_S
+from thistleusher.control.timing import VOTE_YIELD_MIN_S
 from thistleusher.transport.messages import (
     Deposed,
     Heartbeat,
@@ -51,12 +51,12 @@
         elif message.epoch == durable.promised and sender == role.voted_for:
             if role.vote_on_disk:  # the first answer was lost; before that, the answer follows the write
                 self._send_vote(sender, message.epoch, view)
-        elif message.epoch <= durable.promised or self._supports_another(sender, view):
+        elif message.epoch <= durable.promised or self._supports_other_leader(sender, view):
             self._reject(sender, message, view)
         else:
             self._promise(sender, message.epoch, view)
 
-    def _supports_another(self, sender: str, view: ViewRecord) -> bool:
+    def _supports_other_leader(self, sender: str, view: ViewRecord) -> bool:
         guarded = self._role.guards_leader() and sender != view.leader
         return guarded or self._role.holds_lease(self._context.now)
 
@@ -67,7 +67,7 @@
         role.voted_for = sender
         # Leave the candidate the time that its attempt takes on slow networks and disks: an immediate candidacy of this
         # machine would end it.
-        role.postpone_candidacy(VOTE_YIELD_S, VOTE_YIELD_S)
+        role.postpone_candidacy(VOTE_YIELD_MIN_S, VOTE_YIELD_MIN_S)
 
     def _promised(self, sender: str, epoch: int, view: ViewRecord) -> None:
         self._role.vote_on_disk = True
@@ -100,10 +100,10 @@
         durable.view = view
         self._context.known.update(view.voters)
         self._joining.record_membership(me in view.voters)
-        role.hear_leader(view.leader)
+        role.record_leader_heard(view.leader)
         recorded = partial(self._recorded, sender, view.epoch)
         role.promise(view.epoch, Records(view=view), recorded, self._record_failed)
-        durable.note_view(view)
+        durable.log_view(view)
 
     def _recorded(self, sender: str, epoch: int) -> None:
         self._durable.record_on_disk(epoch)
@@ -137,7 +137,7 @@
         if self._context.me not in view.voters:
             durable.adopt(view)
             return
-        role.hear_leader(sender)
+        role.record_leader_heard(sender)
         role.confirmed_epoch = max(role.confirmed_epoch, view.epoch)
         if durable.view is not None and durable.view.epoch == view.epoch:
             durable.confirm()
