--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -127,8 +127,8 @@
     DeliberateFault(
         1,
         "state updates are sent without the lease",
-        "                if self.node.holds_lease(now):\n                    carried +=",
-        "                if True:\n                    carried +=",
+        "                if self.node.holds_lease(now):\n                    converted +=",
+        "                if True:\n                    converted +=",
     ),
     DeliberateFault(
         1,
@@ -215,7 +215,7 @@
     DeliberateFault(
         3,
         "a learner without a copy gets a vote",
-        "return state_copy.follows(learner.position) and lag <= MAX_LEARNER_LAG",
+        "return state_copy.has_changes_since(learner.position) and lag <= MAX_LEARNER_LAG",
         "return True",
     ),
     DeliberateFault(
@@ -324,8 +324,8 @@
     DeliberateFault(
         5,
         "an answer bears the number of another call",
-        "self._carry_out(now, self.node.submit(now, make(call_id)))",
-        "self._carry_out(now, self.node.submit(now, make(max(1, call_id - 1))))",
+        "self._convert_outputs(now, self.node.submit(now, make(call_id)))",
+        "self._convert_outputs(now, self.node.submit(now, make(max(1, call_id - 1))))",
     ),
     DeliberateFault(5, "a grant is answered before it is on disk", "        if not changed:\n", "        if True:\n"),
     DeliberateFault(5, "a new voter grants at once", "            self.grantor.pause(now)\n", "            pass\n"),
@@ -402,7 +402,7 @@
     DeliberateFault(
         3,
         "a view counts as agreed to once it is recorded",
-        "        durable.view = view\n        self._context.known.update(view.voters)",
-        "        durable.view = view = view.confirmed()\n        self._context.known.update(view.voters)",
+        "        durable.view = view\n        self._context.known_machines.update(view.voters)",
+        "        durable.view = view = view.confirmed()\n        self._context.known_machines.update(view.voters)",
     ),
 )
--- a/simnet/core/runner.py
+++ b/simnet/core/runner.py
@@ -119,8 +119,8 @@
         self._rules.check_published(machine)
         for out in outputs:
             if isinstance(out, Send):
-                if out.to in self._machines:
-                    self._links.send(machine.address, out.to, out.message)
+                if out.destination in self._machines:
+                    self._links.send(machine.address, out.destination, out.message)
             elif isinstance(out, Write):
                 self._write(machine, out)
             elif isinstance(out, Answer):
--- a/simnet/search/world.py
+++ b/simnet/search/world.py
@@ -179,8 +179,8 @@
 
     def _execute(self, address: str, outputs: Iterable[Output]) -> None:
         for out in outputs:
-            if isinstance(out, Send) and out.to in self.nodes and (address, out.to) not in self.cut:
-                self.in_flight.setdefault((address, out.to), deque()).append(out.message)
+            if isinstance(out, Send) and out.destination in self.nodes and (address, out.destination) not in self.cut:
+                self.in_flight.setdefault((address, out.destination), deque()).append(out.message)
             elif isinstance(out, Write):
                 self.pending_writes[address].append(copy.deepcopy(out))
             elif isinstance(out, Answer):
--- a/simnet/system/control_process.py
+++ b/simnet/system/control_process.py
@@ -77,7 +77,7 @@
         network = self._environment.network
         for out in outputs:
             if isinstance(out, Send):
-                network.send(self, f"control@{out.to}", out.message)
+                network.send(self, f"control@{out.destination}", out.message)
             elif isinstance(out, SendToClient):
                 network.reply(self, out.name, out.message)
             elif isinstance(out, Write):
--- a/tests/control/test_drawn_days.py
+++ b/tests/control/test_drawn_days.py
@@ -1,4 +1,4 @@
-"""Randomly drawn scenarios violate no rule, and the rule checker detects a fault."""
+"""Randomly drawn simulated days violate no rule, and the rule checker detects a fault."""
 
 import ast
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("seed", [4000043, 2000105, 3000395])
 def test_days_that_were_found_and_fixed(seed):
-    """In these scenarios two eligible machines became candidates in turn, and ended each other's attempts forever."""
+    """On these days two eligible machines became candidates in turn, and ended each other's attempts forever."""
     run(seed)
 
 
@@ -49,7 +49,7 @@
 
 
 def test_the_checker_sees_a_wiped_machine_that_votes(monkeypatch):
-    """If a machine with a wiped disk may vote at once, a scenario violates a rule and the checker reports it."""
+    """If a machine with a wiped disk may vote at once, a rule is violated and the checker reports it."""
     real = ControlNode.__init__
 
     def naive(self, me, zone, seeds, bootstrap, stored, *rest, **more):
--- a/tests/control/test_replication.py
+++ b/tests/control/test_replication.py
@@ -31,7 +31,7 @@
     ended = []
     durable.state_copy.apply(Position(1, 1, 1), {"config": (1, 1)})
     durable.write_state_copy({"config": (1, 1)}, False, lambda ok: ended.append(("first", ok)))
-    durable.state_copy.enter(2)
+    durable.state_copy.enter_epoch(2)
     durable.write_state_copy(None, False, lambda ok: ended.append(("second", ok)))
     durable.write_completed(1, False)
     assert ended == [("first", False), ("second", False)]
--- a/thistleusher/control/candidacy.py
+++ b/thistleusher/control/candidacy.py
@@ -31,7 +31,7 @@
     stage: Stage = Stage.PROMISE
     votes: dict[str, ViewRecord | None] = field(default_factory=dict)
     next_view: ViewRecord | None = None
-    chosen: set[str] = field(default_factory=set)  # all machines that have been chosen as replicas so far
+    chosen_replicas: set[str] = field(default_factory=set)  # all machines that have been chosen as replicas so far
     installed: set[str] = field(default_factory=set)
     recorded: set[str] = field(default_factory=set)
     record_requested_at: float = NEVER  # when voters were asked to record the view; they guard it from when they did
--- a/thistleusher/control/catch_up.py
+++ b/thistleusher/control/catch_up.py
@@ -34,7 +34,7 @@
         """Reset for a new leadership."""
         self._sent_at = {}
 
-    def compare(self, leadership: Leadership, sender: str, position: Position) -> None:
+    def update_lagging(self, leadership: Leadership, sender: str, position: Position) -> None:
         """Update `Leadership.lagging` from the position of a replica's copy.
 
         While a change is pending, no replica counts as lagging: one that lacks earlier changes rejects the pending one.
@@ -44,7 +44,7 @@
             leadership.lagging.pop(sender, None)
             return
         known = leadership.lagging.get(sender)
-        since = known.since if known is not None else self._context.now
+        since = known.differs_since if known is not None else self._context.now
         leadership.lagging[sender] = LaggingReplica(position, since)
 
     def repair_replicas(self, leadership: Leadership) -> None:
@@ -53,7 +53,7 @@
         if leadership.pending is not None:
             return
         for name, lagging in leadership.lagging.items():
-            if now - max(lagging.since, self._sent_at.get(name, NEVER)) > RETRY_INTERVAL_S:
+            if now - max(lagging.differs_since, self._sent_at.get(name, NEVER)) > RETRY_INTERVAL_S:
                 self._sent_at[name] = now
                 self._context.send(name, state_copy.install_for(lagging.position))
 
@@ -64,7 +64,7 @@
             return
         for name, learner in self._joining.learners.present().items():
             waited_s = now - self._sent_at.get(name, NEVER)
-            timeout_s = RETRY_INTERVAL_S if state_copy.follows(learner.position) else INSTALL_TIMEOUT_S
+            timeout_s = RETRY_INTERVAL_S if state_copy.has_changes_since(learner.position) else INSTALL_TIMEOUT_S
             if learner.position == state_copy.position or waited_s < timeout_s:
                 continue
             self._sent_at[name] = now
--- a/thistleusher/control/context.py
+++ b/thistleusher/control/context.py
@@ -24,7 +24,7 @@
         self.started_at = now
         self.now = now
         self.seeds = set(seeds)
-        self.known: set[str] = set()  # machines of the core that have sent a message or were named by a view
+        self.known_machines: set[str] = set()  # machines of the core that have sent a message or were named by a view
         self._outputs: list[Output] = []
 
     def advance(self, now: float) -> None:
@@ -35,15 +35,15 @@
         """Add an output."""
         self._outputs.append(output)
 
-    def send(self, to: str, message: AnyMessage) -> None:
+    def send(self, destination: str, message: AnyMessage) -> None:
         """Send a message to the control process on a machine."""
-        self.emit(Send(to, message))
+        self.emit(Send(destination, message))
 
     def answer(self, call_id: int, answer: object) -> None:
         """Answer a call. Each call is answered exactly once."""
         self.emit(Answer(call_id, answer))
 
-    def note(self, event: Event, *fields: object) -> None:
+    def log(self, event: Event, *fields: object) -> None:
         """Log an event."""
         self.emit(LogEvent(event, fields))
 
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -110,7 +110,7 @@
 
         From then on this machine takes no part in lower epochs, even if it is a voter or replica there.
         """
-        self._context.known.update(view.voters)
+        self._context.known_machines.update(view.voters)
         if self.view is None or view.epoch > self.view.epoch:
             self.view = view
         elif view.epoch == self.view.epoch and not view.previous_voters:
@@ -132,8 +132,8 @@
         """Log a view that this machine records."""
         replicas = ", ".join(view.replicas)
         voters = ", ".join(sorted(view.voters))
-        self._context.note(Event.VIEW_ADOPTED, view.epoch, view.leader, replicas, voters)
+        self._context.log(Event.VIEW_ADOPTED, view.epoch, view.leader, replicas, voters)
 
     def log_write_failure(self, what: str) -> None:
         """Log a failed write."""
-        self._context.note(Event.DISK_FAILED, f"{what} not written")
+        self._context.log(Event.DISK_FAILED, f"{what} not written")
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -48,23 +48,23 @@
         durable: DurableState,
         role: Role,
         joining: Joining,
-        elected: Callable[[Candidacy], None],
+        on_elected: Callable[[Candidacy], None],
     ) -> None:
-        """Create the elections; `elected` is called with each candidacy that succeeds."""
+        """Create the elections; `on_elected` is called with each candidacy that succeeds."""
         self._context = context
         self._durable = durable
         self._role = role
         self._joining = joining
-        self.view_change = ViewChange(context, durable, role, joining, elected)
+        self.view_change = ViewChange(context, durable, role, joining, on_elected)
 
     # Candidacies.
 
-    def start_candidacy(self, why: str, voters: Mapping[str, str] | None = None) -> None:
+    def start_candidacy(self, reason: str, voters: Mapping[str, str] | None = None) -> None:
         """Become a candidate for the next epoch. `voters` (address -> zone) replaces the voters, None keeps them."""
         durable, role = self._durable, self._role
         assert durable.view is not None
         epoch = max(durable.promised, durable.view.epoch, self._promised_by(voters or {})) + 1
-        self._context.note(Event.CANDIDACY_STARTED, epoch, why)
+        self._context.log(Event.CANDIDACY_STARTED, epoch, reason)
         if role.leadership is not None:  # the voters still guard this leader, so they vote for it
             role.start_renewal()
         else:
@@ -153,7 +153,7 @@
             return
         # This machine's copy must be on disk as one of the new epoch before any view names this machine as leader.
         candidacy.stage = Stage.ENTER
-        self._durable.state_copy.enter(candidacy.epoch)
+        self._durable.state_copy.enter_epoch(candidacy.epoch)
         self._durable.write_state_copy(None, False, partial(self._entered, candidacy))
 
     def _awaits_replicas(self, candidacy: Candidacy) -> bool:
@@ -164,7 +164,7 @@
         better = self._better_replicas(candidacy)
         if not better:
             return False
-        renewal = self._role.previous is not None
+        renewal = self._role.previous_leadership is not None
         wait_s = RENEWAL_BETTER_REPLICA_WAIT_S if renewal else BETTER_REPLICA_WAIT_S
         if self._context.now - candidacy.begun_at < wait_s:
             return True
--- a/thistleusher/control/founding.py
+++ b/thistleusher/control/founding.py
@@ -54,11 +54,11 @@
     def _begin(self) -> None:
         context = self._context
         voters = {name: founder.zone for name, founder in self._joining.founders.items()}
-        before_all = ViewRecord(0, context.me, (), voters)
-        candidacy = Candidacy(FIRST_EPOCH, before_all, context.now, context.now)
+        empty_view = ViewRecord(0, context.me, (), voters)
+        candidacy = Candidacy(FIRST_EPOCH, empty_view, context.now, context.now)
         candidacy.votes = dict.fromkeys(voters, None)
         self._role.candidacy = candidacy
-        position = self._durable.state_copy.enter(FIRST_EPOCH)
-        context.note(Event.CANDIDACY_STARTED, FIRST_EPOCH, "founding")
+        position = self._durable.state_copy.enter_epoch(FIRST_EPOCH)
+        context.log(Event.CANDIDACY_STARTED, FIRST_EPOCH, "founding")
         records = Records(position=position, items={}, complete=True)
         self._role.promise(FIRST_EPOCH, records, self._elections.view_change.install)
--- a/thistleusher/control/interface.py
+++ b/thistleusher/control/interface.py
@@ -104,7 +104,7 @@
 class Send(NamedTuple):
     """Send a message to the control process at an address."""
 
-    to: str
+    destination: str
     message: AnyMessage
 
 
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -53,7 +53,7 @@
         """Return the addresses of all machines of the core that are known, except this one."""
         view = self._durable.view
         voters = view.voters if view is not None else {}
-        return sorted({*self._context.seeds, *self._context.known, *voters} - {self._context.me})
+        return sorted({*self._context.seeds, *self._context.known_machines, *voters} - {self._context.me})
 
     def record_membership(self, is_voter: bool) -> None:
         """Record whether this machine is a voter in a view that it records."""
@@ -104,7 +104,7 @@
             self._durable.adopt(message.view)
             if self.is_voter:
                 return
-        self._context.known.update(message.view.voters)
+        self._context.known_machines.update(message.view.voters)
         self._statuses[sender] = message
         self._evaluate_statuses()
 
@@ -157,10 +157,10 @@
         elif message.ready:
             self.learners.record_heard(sender, message.zone, message.position, message.promised)
 
-    def send_status(self, to: str) -> None:
+    def send_status(self, destination: str) -> None:
         """Send this machine's status to another machine."""
         view = self._durable.view
         if view is None:
             return
         leader_heard = self._role.holds_lease(self._context.now) or self._role.leader_seen()
-        self._context.send(to, Status(view, self._durable.promised, leader_heard))
+        self._context.send(destination, Status(view, self._durable.promised, leader_heard))
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -60,7 +60,7 @@
         self._role.leadership = leadership
         self._heartbeats.restart()
         self.catch_up.restart()
-        self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
+        self._context.log(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
         # Published as a copy, because the next change modifies the node's own state before it is committed.
         self._context.emit(Publish(self._durable.state_copy.state.copy()))
         self._heartbeats.send(leadership)
@@ -68,7 +68,7 @@
 
     def _keep_contact_times(self, leadership: Leadership) -> None:
         """Keep the known contact times of the voters, so that an election does not restart their time-outs."""
-        previous, role = self._role.previous, self._role
+        previous, role = self._role.previous_leadership, self._role
         if previous is not None:
             known = {voter: at for voter, at in previous.last_heard.items() if voter in leadership.last_heard}
             leadership.last_heard.update(known)
@@ -97,7 +97,7 @@
     def _run_leased_actions(self, leadership: Leadership) -> None:
         """Run the actions that need a valid lease. Each may end the leadership, so the later ones check it again."""
         self.replication.repeat_pending(leadership)
-        self._reconfiguration.consider(leadership)
+        self._reconfiguration.start_candidacy_if_due(leadership)
         if self._role.leadership is leadership and self._role.stopping:
             self.hand_over.step_down_if_possible()
         if self._role.leadership is leadership:
@@ -113,7 +113,7 @@
         if leadership is None or message.epoch != leadership.view.epoch:
             return
         self._heartbeats.record_ack(leadership, sender, message)
-        self.catch_up.compare(leadership, sender, message.position)
+        self.catch_up.update_lagging(leadership, sender, message.position)
         self.replication.advance()
 
     def on_deposed(self, sender: str, message: Deposed) -> None:
--- a/thistleusher/control/leadership.py
+++ b/thistleusher/control/leadership.py
@@ -30,7 +30,7 @@
     """A replica whose copy differs from the leader's: the copy's position, and since when it has differed."""
 
     position: Position
-    since: float
+    differs_since: float
 
 
 @dataclass(slots=True)
--- a/thistleusher/control/learners.py
+++ b/thistleusher/control/learners.py
@@ -14,7 +14,7 @@
     """One learner."""
 
     zone: str
-    since: float  # since when it has been heard without a gap of LEARNER_TIMEOUT_S
+    heard_since: float  # since when it has been heard without a gap of LEARNER_TIMEOUT_S
     last_heard: float  # when it was last heard
     position: Position  # position of its copy on disk
     promised: int = 0  # the highest epoch that it has promised
@@ -31,7 +31,7 @@
         """Record a learner's status request. After `LEARNER_TIMEOUT_S` of silence the learner counts as a new one."""
         now = self._context.now
         known = self._learners.get(name)
-        since = known.since if known is not None and now - known.last_heard < LEARNER_TIMEOUT_S else now
+        since = known.heard_since if known is not None and now - known.last_heard < LEARNER_TIMEOUT_S else now
         self._learners[name] = Learner(zone, since, now, position, promised)
 
     def record_position(self, name: str, position: Position) -> None:
@@ -48,8 +48,10 @@
         now = self._context.now
         return {name: each for name, each in self._learners.items() if now - each.last_heard < LEARNER_TIMEOUT_S}
 
-    def steady(self) -> Mapping[str, Learner]:
+    def stable(self) -> Mapping[str, Learner]:
         """Return the present learners that have been heard for long enough to become voters."""
         return {
-            name: each for name, each in self.present().items() if each.last_heard - each.since > LEARNER_MIN_HEARD_S
+            name: each
+            for name, each in self.present().items()
+            if each.last_heard - each.heard_since > LEARNER_MIN_HEARD_S
         }
--- a/thistleusher/control/membership.py
+++ b/thistleusher/control/membership.py
@@ -21,7 +21,7 @@
     """A candidate's knowledge of machines that may hold a copy, as sets of addresses."""
 
     installed: Set[str]  # machines that already have this epoch's copy
-    chosen: Set[str]  # machines that were chosen as replicas earlier in this candidacy
+    chosen_replicas: Set[str]  # machines that were chosen as replicas earlier in this candidacy
     excluded: Set[str]  # machines that recently failed as replicas
     leaving: Set[str]  # machines whose processes are stopping
     answered: Set[str]  # machines that have answered in this candidacy, and present learners
@@ -31,7 +31,7 @@
     """The new voters (address -> zone), and the reason for the change, for the log."""
 
     voters: dict[str, str]
-    why: str
+    reason: str
 
 
 class Observation(NamedTuple):
@@ -56,7 +56,7 @@
             name not in preference.answered,
             name in preference.leaving,
             name not in preference.installed,
-            name in preference.chosen,
+            name in preference.chosen_replicas,
             name in preference.excluded,
             voters[name] == voters.get(me),
             name,
@@ -75,7 +75,7 @@
 def _is_fit(name: str, preference: Preference) -> bool:
     """Return whether a machine may be preferred to better ranked machines because of its zone."""
     willing = name in preference.answered and name not in preference.leaving and name not in preference.excluded
-    return willing and (name in preference.installed or name not in preference.chosen)
+    return willing and (name in preference.installed or name not in preference.chosen_replicas)
 
 
 def next_voters(voters: Mapping[str, str], observation: Observation) -> VoterChange | None:
@@ -119,8 +119,8 @@
     if waiting:
         learner = waiting[0]
         return VoterChange({**voters, learner: observation.learners[learner].zone}, f"{learner} becomes a voter")
-    gone = [name for name in voters if observation.silent_s.get(name, 0.0) > VOTER_REMOVAL_TIMEOUT_S]
-    if gone and len(voters) > MIN_VOTERS:
-        remaining = {name: zone for name, zone in voters.items() if name != gone[0]}
-        return VoterChange(remaining, f"no message from {gone[0]} in time")
+    silent = [name for name in voters if observation.silent_s.get(name, 0.0) > VOTER_REMOVAL_TIMEOUT_S]
+    if silent and len(voters) > MIN_VOTERS:
+        remaining = {name: zone for name, zone in voters.items() if name != silent[0]}
+        return VoterChange(remaining, f"no message from {silent[0]} in time")
     return None
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -149,7 +149,7 @@
     def receive(self, now: float, sender: str, message: AnyMessage) -> list[Output]:
         """Handle a message from another machine of the core. Messages of other types are ignored."""
         self._context.advance(now)
-        self._context.known.add(sender)
+        self._context.known_machines.add(sender)
         handle = self._handlers.get(type(message))
         if handle is not None:
             handle(sender, message)
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -106,7 +106,7 @@
         Closes once no other machine depends on this process, or when the grace period is nearly over.
         """
         self.api.shutting_down = self.api.draining = True
-        self._carry_out(self.service.stop(time.monotonic()))
+        self._execute(self.service.stop(time.monotonic()))
         deadline = time.monotonic() + self.node_settings.bounds.grace_s - CLOSING_RESERVE_S
         while not self.service.node.can_stop and time.monotonic() < deadline:  # noqa: ASYNC110 (the node is pure)
             await asyncio.sleep(HAND_OVER_POLL_INTERVAL_S)
@@ -126,7 +126,7 @@
         for ip in self.service.node.known_peers():
             if ip not in self.outgoing:
                 self.outgoing[ip] = self._connect(ip)
-        self._carry_out(self.service.tick(time.monotonic()))
+        self._execute(self.service.tick(time.monotonic()))
 
     def _connect(self, ip: str) -> ReconnectingLink:
         port = self.node_settings.port(CONTROL)
@@ -134,7 +134,7 @@
 
     def _hello(self, ip: str) -> Hello:
         """Return the first message on a new connection. The service is notified after the message has been sent."""
-        self.loop.call_soon(lambda: self._carry_out(self.service.connected(time.monotonic(), ip)))
+        self.loop.call_soon(lambda: self._execute(self.service.connected(time.monotonic(), ip)))
         return Hello(self.node_settings.ip)
 
     # Messages.
@@ -149,7 +149,7 @@
             return
         if link.name:
             self.incoming[link.name] = link
-            self._carry_out(self.service.receive(time.monotonic(), link.name, message))
+            self._execute(self.service.receive(time.monotonic(), link.name, message))
 
     def _disconnected(self, link: Link) -> None:
         if self.incoming.get(link.name) is link:  # ignore an older connection of a client that has reconnected
@@ -161,14 +161,14 @@
         self.loop.call_soon_threadsafe(self._handle_write_completed, token, ok)
 
     def _handle_write_completed(self, token: int, ok: bool) -> None:
-        self._carry_out(self.service.write_completed(time.monotonic(), token, ok))
+        self._execute(self.service.write_completed(time.monotonic(), token, ok))
 
     # Outputs.
 
-    def _carry_out(self, outputs: Iterable[ServiceOutput]) -> None:
+    def _execute(self, outputs: Iterable[ServiceOutput]) -> None:
         for output in outputs:
             if isinstance(output, Send):
-                outgoing = self.outgoing.get(output.to)
+                outgoing = self.outgoing.get(output.destination)
                 if outgoing is not None:
                     outgoing.send(output.message)
             elif isinstance(output, SendToClient):
@@ -190,7 +190,7 @@
         # The outputs may already include the answer, so the call is registered first.
         self.pending_calls[self.service.next_call_id] = self._answered(on_answer)
         _, outputs = self.service.submit(time.monotonic(), make)
-        self._carry_out(outputs)
+        self._execute(outputs)
 
     def _answered(self, on_answer: OnAnswer) -> OnAnswer:
         """Return `on_answer` with a final check: an answer that relies on the lease is sent only while it is valid."""
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -36,19 +36,19 @@
         self._joining = joining
         self._elections = elections
 
-    def consider(self, leadership: Leadership) -> None:
+    def start_candidacy_if_due(self, leadership: Leadership) -> None:
         """Start a candidacy for the next epoch if the replicas or voters have to change."""
         self._forget_stale_leaving()
         late = [name for name in leadership.view.replicas if self._is_late(name, leadership)]
         free = [name for name in leadership.view.voters if self._is_free(name, leadership)]
         if late and free:
             self._exclude(late)
-        why = self._replica_change_reason(leadership, late, free)
+        reason = self._replica_change_reason(leadership, late, free)
         change = self._next_voter_change(leadership)
         if change is not None:
-            self._elections.start_candidacy(change.why, change.voters)
-        elif why:
-            self._elections.start_candidacy(why)
+            self._elections.start_candidacy(change.reason, change.voters)
+        elif reason:
+            self._elections.start_candidacy(reason)
 
     def _forget_stale_leaving(self) -> None:
         now, leaving = self._context.now, self._role.leaving
@@ -111,7 +111,7 @@
             return None
         last_heard, me = leadership.last_heard, self._context.me
         silent_s = {voter: now - last_heard.get(voter, NEVER) for voter in view.voters if voter != me}
-        learners = {name: each for name, each in self._joining.learners.steady().items() if self._caught_up(each)}
+        learners = {name: each for name, each in self._joining.learners.stable().items() if self._caught_up(each)}
         observation = membership.Observation(me, silent_s, set(self._role.leaving), learners)
         change = membership.next_voters(view.voters, observation)
         return change if change is not None and self._can_decide(change, leadership) else None
@@ -127,4 +127,4 @@
     def _caught_up(self, learner: Learner) -> bool:
         state_copy = self._durable.state_copy
         lag = state_copy.position.number - learner.position.number
-        return state_copy.follows(learner.position) and lag <= MAX_LEARNER_LAG
+        return state_copy.has_changes_since(learner.position) and lag <= MAX_LEARNER_LAG
--- a/thistleusher/control/replication.py
+++ b/thistleusher/control/replication.py
@@ -115,6 +115,6 @@
         if not everywhere or self._context.now >= leadership.expires_at():
             return
         leadership.pending = None
-        self._context.note(Event.CHANGE_COMMITTED, pending.position.number, pending.change.description)
+        self._context.log(Event.CHANGE_COMMITTED, pending.position.number, pending.change.description)
         self._context.answer(pending.change.call_id, None)
         self._context.emit(PublishChange(pending.position.number, pending.items))
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -36,7 +36,8 @@
         self._calls = calls
         self.leadership: Leadership | None = None
         self.candidacy: Candidacy | None = None
-        self.previous: Leadership | None = None  # the latest leadership that was ended in order to start a new epoch
+        # The latest leadership that was ended in order to start a new epoch.
+        self.previous_leadership: Leadership | None = None
         self.stopping = False
         self.voted_for = ""  # the candidate that received this process's latest promise
         self.vote_on_disk = False  # whether that promise is on disk, so that the vote may be sent
@@ -104,12 +105,12 @@
         self,
         epoch: int,
         records: Records,
-        promised: Callable[[], None],
-        failed: Callable[[], None] | None = None,
+        on_promised: Callable[[], None],
+        on_failed: Callable[[], None] | None = None,
     ) -> None:
         """Promise an epoch and write the promise to disk together with `records`.
 
-        `promised` is called once both are on disk, unless a higher epoch has been promised meanwhile. `failed` is
+        `on_promised` is called once both are on disk, unless a higher epoch has been promised meanwhile. `on_failed` is
         called if the write fails.
         """
         durable = self._durable
@@ -118,17 +119,17 @@
         self.vote_on_disk = False
         if self.leadership is not None and epoch > self.leadership.view.epoch:
             self.step_down(f"this machine promised epoch {epoch}")
-        durable.write(records._replace(promised=epoch), partial(self._promise_written, epoch, promised, failed))
+        durable.write(records._replace(promised=epoch), partial(self._promise_written, epoch, on_promised, on_failed))
 
     def _promise_written(
-        self, epoch: int, promised: Callable[[], None], failed: Callable[[], None] | None, ok: bool
+        self, epoch: int, on_promised: Callable[[], None], on_failed: Callable[[], None] | None, ok: bool
     ) -> None:
         if not ok:
             self._durable.log_write_failure(f"promise of epoch {epoch}")
-            if failed is not None:
-                failed()
+            if on_failed is not None:
+                on_failed()
         elif self._durable.promised == epoch:
-            promised()
+            on_promised()
 
     def postpone_candidacy(self, minimum_s: float, spread_s: float = 1.0) -> None:
         """Start no candidacy for `minimum_s` plus a random delay of up to `spread_s`, both in seconds.
@@ -139,26 +140,26 @@
 
     def start_renewal(self) -> None:
         """End the leadership so that this machine can win the next epoch. The pending change is queued until then."""
-        self.previous = self.leadership
+        self.previous_leadership = self.leadership
         self.leadership = None
-        if self.previous is not None and self.previous.pending is not None:
-            self._calls.requeue(self.previous.pending.change)
+        if self.previous_leadership is not None and self.previous_leadership.pending is not None:
+            self._calls.requeue(self.previous_leadership.pending.change)
 
     def forget_stale_leadership(self) -> None:
         """Drop the previous leadership if its contact times are too old to be carried over to the next one."""
-        if self.previous is None:
+        if self.previous_leadership is None:
             return
-        if self._context.now - max(self.previous.last_heard.values()) > CONTACT_TIMEOUT_S:
-            self.previous = None
+        if self._context.now - max(self.previous_leadership.last_heard.values()) > CONTACT_TIMEOUT_S:
+            self.previous_leadership = None
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """End the leadership and notify the voters. The pending change may or may not be committed later."""
         leadership = self.leadership
         self.leadership = None
         self.candidacy = None
         if leadership is None:
             return
-        self._context.note(Event.LEADERSHIP_LOST, leadership.view.epoch, why)
+        self._context.log(Event.LEADERSHIP_LOST, leadership.view.epoch, reason)
         if leadership.pending is not None:
             self._calls.requeue(leadership.pending.change)
         self.send_step_down(leadership.view)
--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -69,16 +69,16 @@
 
     def tick(self, now: float) -> list[ServiceOutput]:
         """Run all actions that are due. Must be called at least ten times a second."""
-        return [*self._carry_out(now, self.node.tick(now)), *self._announce_core(now)]
+        return [*self._convert_outputs(now, self.node.tick(now)), *self._announce_core(now)]
 
     def connected(self, now: float, peer: str) -> list[ServiceOutput]:
         """Handle a new connection to a machine of the core."""
-        return self._carry_out(now, self.node.connected(now, peer))
+        return self._convert_outputs(now, self.node.connected(now, peer))
 
     def write_completed(self, now: float, token: int, ok: bool) -> list[ServiceOutput]:
         """Handle the end of a write; `ok`: whether the records are on disk."""
         if token >= 0:
-            return self._carry_out(now, self.node.write_completed(now, token, ok))
+            return self._convert_outputs(now, self.node.write_completed(now, token, ok))
         answer = self._pending_grants.pop(token, None)
         return [answer] if ok and answer is not None and self.node.in_contact(now) else []
 
@@ -89,11 +89,11 @@
         """
         call_id = self.next_call_id
         self.next_call_id += 1
-        return call_id, self._carry_out(now, self.node.submit(now, make(call_id)))
+        return call_id, self._convert_outputs(now, self.node.submit(now, make(call_id)))
 
     def stop(self, now: float) -> list[ServiceOutput]:
         """Begin a graceful stop, which is complete once `ControlNode.can_stop` is true."""
-        return self._carry_out(now, self.node.stop(now))
+        return self._convert_outputs(now, self.node.stop(now))
 
     def receive(self, now: float, name: str, message: AnyMessage) -> list[ServiceOutput]:
         """Handle a message from a machine of the core or from a client."""
@@ -108,7 +108,7 @@
         elif isinstance(message, PersistItems):
             return self._persist(now, name, message)
         elif name:
-            return self._carry_out(now, self.node.receive(now, name, message))
+            return self._convert_outputs(now, self.node.receive(now, name, message))
         return []
 
     def disconnected(self, name: str) -> None:
@@ -173,13 +173,13 @@
         """Notify subscribers of a new view, and when this machine's lease becomes valid."""
         self._track_voter_status(now)
         view, holds_lease = self.node.view, self.node.holds_lease(now)
-        begun = holds_lease and not self._held_lease
+        lease_began = holds_lease and not self._held_lease
         self._held_lease = holds_lease
-        if not begun and (view is None or view.epoch == self._announced_epoch):
+        if not lease_began and (view is None or view.epoch == self._announced_epoch):
             return []
         self._announced_epoch = view.epoch if view is not None else NO_EPOCH
         outputs: list[ServiceOutput] = [SendToClient(name, self._core_info()) for name in sorted(self.subscribers)]
-        if begun:  # changes that were committed before the lease became valid
+        if lease_began:  # changes that were committed before the lease became valid
             outputs += self._updates(self.publisher.updates_due())
         return outputs
 
@@ -188,22 +188,22 @@
 
     # Outputs of the node.
 
-    def _carry_out(self, now: float, outputs: Iterable[Output]) -> list[ServiceOutput]:
+    def _convert_outputs(self, now: float, outputs: Iterable[Output]) -> list[ServiceOutput]:
         """Convert the node's outputs into those of the process, in order."""
-        carried: list[ServiceOutput] = []
+        converted: list[ServiceOutput] = []
         for output in outputs:
             if isinstance(output, Publish | PublishChange):
                 self._publish(output)
-                carried += self._announce_core(now)
+                converted += self._announce_core(now)
                 if self.node.holds_lease(now):
-                    carried += self._updates(self.publisher.updates_due())
+                    converted += self._updates(self.publisher.updates_due())
             elif isinstance(output, Answer) and output.call_id in self._persist_requests:
                 request = self._persist_requests.pop(output.call_id)
                 persisted = not isinstance(output.answer, ServiceError)
-                carried.append(SendToClient(request.client, ItemsPersisted(request.request, persisted)))
+                converted.append(SendToClient(request.client, ItemsPersisted(request.request, persisted)))
             else:
-                carried.append(output)
-        return carried
+                converted.append(output)
+        return converted
 
     def _publish(self, publish: Publish | PublishChange) -> None:
         """Update the committed state; the node's own copy may be ahead of it."""
--- a/thistleusher/control/serving.py
+++ b/thistleusher/control/serving.py
@@ -52,7 +52,7 @@
     def _serve_change(self, leadership: Leadership, change: Change) -> None:
         """Begin a change, or acknowledge it at once if the committed state makes it unnecessary."""
         if change.is_redundant(self._durable.state_copy.state):
-            self._context.note(Event.CHANGE_WITHOUT_EFFECT, change.description)
+            self._context.log(Event.CHANGE_WITHOUT_EFFECT, change.description)
             self._context.answer(change.call_id, None)
         else:
             self.replication.begin_change(leadership, change)
--- a/thistleusher/control/state_copy.py
+++ b/thistleusher/control/state_copy.py
@@ -40,7 +40,7 @@
         """The latest epoch in which this copy was complete, or `NO_EPOCH` if there is none."""
         return self.position.epoch
 
-    def enter(self, epoch: int) -> Position:
+    def enter_epoch(self, epoch: int) -> Position:
         """Mark the copy as complete in a new epoch, and return its position."""
         self.position = Position(epoch, self.position.number, self.position.change_epoch)
         return self.position
@@ -85,7 +85,7 @@
         while len(self._history) > MAX_HISTORY:
             self._history.popitem(last=False)
 
-    def follows(self, position: Position) -> bool:
+    def has_changes_since(self, position: Position) -> bool:
         """Return whether a copy at `position` lacks only changes that are in this copy's history."""
         known = self._history.get(position.number) == position.change_epoch
         return position.epoch != NO_EPOCH and known and position.number >= self.state.floor
@@ -95,7 +95,7 @@
 
         It contains only the changed items if the history suffices, otherwise all items.
         """
-        if position is not None and self.follows(position):
+        if position is not None and self.has_changes_since(position):
             items = self.state.changed_after(position.number)
             return Install(self.epoch, position, self.position, self.state.floor, items)
         return Install(self.epoch, None, self.position, self.state.floor, self.state.items)
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -43,12 +43,12 @@
 class Storage:
     """The storage in one data folder."""
 
-    def __init__(self, folder: Path, disk_mb: float, completed: OnCompleted) -> None:
-        """Open the folder; `completed(token, ok)` is called from the writer thread at the end of each write."""
+    def __init__(self, folder: Path, disk_mb: float, on_completed: OnCompleted) -> None:
+        """Open the folder; `on_completed(token, ok)` is called from the writer thread at the end of each write."""
         folder.mkdir(parents=True, exist_ok=True)
         map_bytes = int(min(MAX_MAP_MB, max(MIN_MAP_MB, disk_mb * MAP_FRACTION)) * BYTES_PER_MB)
         self._environment = lmdb.open(str(folder), map_size=map_bytes, max_dbs=0, metasync=True, sync=True, lock=False)
-        self._completed = completed
+        self._on_completed = on_completed
         self._jobs: queue.SimpleQueue[tuple[int, Records] | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
@@ -81,7 +81,7 @@
             except Exception as error:  # the thread must go on to complete later writes, whatever the error
                 log_event(Event.DISK_FAILED, repr(error))
                 ok = False
-            self._completed(token, ok)
+            self._on_completed(token, ok)
 
     def close(self) -> None:
         """Let the writer thread finish the queued writes and end. Does not wait for it: the process may exit before."""
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -37,14 +37,14 @@
         durable: DurableState,
         role: Role,
         joining: Joining,
-        elected: Callable[[Candidacy], None],
+        on_elected: Callable[[Candidacy], None],
     ) -> None:
-        """Create the view change; `elected` is called with each candidacy that succeeds."""
+        """Create the view change; `on_elected` is called with each candidacy that succeeds."""
         self._context = context
         self._durable = durable
         self._role = role
         self._joining = joining
-        self._elected = elected
+        self._on_elected = on_elected
 
     # Replicas.
 
@@ -57,7 +57,7 @@
         candidacy.last_request_at = context.now
         voters = candidacy.next_voters()
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
-        candidacy.chosen |= set(replicas)
+        candidacy.chosen_replicas |= set(replicas)
         same_voters = voters.keys() == candidacy.view.voters.keys()
         # If the voters change, the previous ones stay in the electorate until the leader of the new epoch is heard.
         before = candidacy.view.previous_voters if same_voters else candidacy.view.voters
@@ -70,16 +70,16 @@
     def _preference(self, candidacy: Candidacy) -> membership.Preference:
         return membership.Preference(
             installed=candidacy.installed,
-            chosen=candidacy.chosen,
+            chosen_replicas=candidacy.chosen_replicas,
             excluded=self._role.excluded(),
             leaving=set(self._role.leaving),
             answered={*candidacy.votes, *self._joining.learners.present()},
         )
 
-    def _send_copy(self, to: str, candidacy: Candidacy) -> None:
-        learner = self._joining.learners.present().get(to)
-        position = candidacy.positions.get(to, learner.position if learner is not None else None)
-        self._context.send(to, self._durable.state_copy.install_for(position))
+    def _send_copy(self, destination: str, candidacy: Candidacy) -> None:
+        learner = self._joining.learners.present().get(destination)
+        position = candidacy.positions.get(destination, learner.position if learner is not None else None)
+        self._context.send(destination, self._durable.state_copy.install_for(position))
 
     def on_installed(self, sender: str, message: Installed) -> None:
         """Handle the acknowledgement that a replica has the copy on disk."""
@@ -144,12 +144,12 @@
         if self._joining.founding:
             if self._context.now - candidacy.begun_at < CANDIDACY_TIMEOUT_S and len(recorded) < len(view.voters):
                 return
-            self._context.note(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
+            self._context.log(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
         self._durable.view = view
         self._durable.confirm()
         self._joining.record_membership(True)
         self._role.candidacy = None
-        self._elected(candidacy)
+        self._on_elected(candidacy)
 
     # Time.
 
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -98,7 +98,7 @@
         role.candidacy = None
         self._recording_epoch = view.epoch
         durable.view = view
-        self._context.known.update(view.voters)
+        self._context.known_machines.update(view.voters)
         self._joining.record_membership(me in view.voters)
         role.record_leader_heard(view.leader)
         recorded = partial(self._recorded, sender, view.epoch)
