--- a/tests/control/test_founding.py
+++ b/tests/control/test_founding.py
@@ -15,7 +15,7 @@
     assert first.zone != replica.zone
 
 
-def test_two_that_both_believe_they_found_end_in_one_electorate():
+def test_two_machines_that_both_found_the_system_end_in_one_electorate():
     core = Cluster(3)
     core.links.partition("10.0.0.1", "10.0.0.2", 5.0)
     core.links.partition("10.0.0.1", "10.0.0.3", 5.0)
--- a/tests/control/test_leases.py
+++ b/tests/control/test_leases.py
@@ -20,7 +20,7 @@
         self.clock.after_each = self.check
         self.grantors = {ip: LeaseGrantor(0.0) for ip in IPS}
         self.holders = {ip: LeaseHolder("d", f"{ip}/1", 0.0, random.Random(seed + n)) for n, ip in enumerate(IPS)}
-        self.cut: set[tuple[str, str]] = set()
+        self.partitioned: set[tuple[str, str]] = set()
         self.terms: dict[int, str] = {}
         self.served = 0
         for holder in self.holders.values():
@@ -30,23 +30,23 @@
 
     def tick(self, ip: str) -> None:
         holder = self.holders[ip]
-        holder.tick(self.clock.now, lambda to, message: self.ask(ip, holder, to, message))
+        holder.tick(self.clock.now, lambda to, message: self.deliver(ip, holder, to, message))
         self.clock.later(0.06, lambda: self.tick(ip))
 
-    def ask(self, ip, holder, to, message):
-        if (ip, to) in self.cut or self.rng.random() < 0.02:
+    def deliver(self, ip, holder, to, message):
+        if (ip, to) in self.partitioned or self.rng.random() < 0.02:
             return
 
-        def there() -> None:
+        def arrive() -> None:
             grantor = self.grantors[to]
             if isinstance(message, LeaseReleased):
                 grantor.release(message)
                 return
             answer, _ = grantor.decide(self.clock.now, message, 1)
-            if (to, ip) not in self.cut:
+            if (to, ip) not in self.partitioned:
                 self.clock.later(0.002 * self.rng.random(), lambda: holder.receive(to, answer))
 
-        self.clock.later(0.002 * self.rng.random(), there)
+        self.clock.later(0.002 * self.rng.random(), arrive)
 
     def check(self) -> None:
         now = self.clock.now
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_one_holds_it_and_when_it_goes_another_does(seed):
+def test_one_process_holds_the_role_and_another_takes_over_when_it_is_gone(seed):
     role = SimulatedRole(seed)
     role.clock.run(4.0)
     now = role.clock.now
@@ -68,7 +68,7 @@
     assert len(holding) == 1
     gone = holding[0]
     if seed % 2:
-        role.cut = {(gone, ip) for ip in IPS}
+        role.partitioned = {(gone, ip) for ip in IPS}
     else:
         # A new incarnation of the process, without any state of the earlier one.
         role.holders[gone] = LeaseHolder("d", f"{gone}/2", now, random.Random(seed))
@@ -105,7 +105,7 @@
     assert isinstance(grantor.decide(3 * GRANT_DURATION_S, other, 2).answer, LeaseRejected)
 
 
-def test_one_that_knows_no_term_has_a_free_role_within_two_ticks():
+def test_a_process_that_knows_no_term_gets_a_free_role_within_two_ticks():
     role = SimulatedRole(1)
     role.clock.run(3.0)
     # Grants to an earlier incarnation, which expired long ago.
--- a/tests/control/test_losses.py
+++ b/tests/control/test_losses.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("how", ["kill", "power", "wipe"])
 @pytest.mark.parametrize("after", [0.0, 0.001, 0.004])
-def test_the_acknowledger_ends_right_after_its_answer(how, after):
+def test_the_leader_fails_right_after_an_acknowledgement(how, after):
     core = founded_core()
     wait_until_acknowledged(core, put_configuration(core, [core.leader().address]))
     run_for(core, after)
@@ -58,7 +58,7 @@
     finish_after(core)
 
 
-def test_the_dark_zone_holds_two_of_three():
+def test_a_zone_with_two_of_three_machines_loses_power():
     core = founded_core()
     for machine in [m for m in core.machines.values() if m.zone == "a"]:
         core.end(machine, power=True, back_s=3.0)
@@ -102,7 +102,7 @@
     finish_after(core)
 
 
-def test_a_voter_that_comes_up_after_the_question_is_asked_at_once():
+def test_a_voter_that_starts_after_a_vote_request_is_asked_at_once():
     core = founded_core()
     first, replica, witness = machines_by_role(core)
     for machine in core.machines.values():
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -178,7 +178,7 @@
     finish_after(core)
 
 
-def test_a_member_that_stood_for_long_and_lost_its_vote_may_have_one_again():
+def test_a_voter_that_was_a_candidate_for_long_and_was_replaced_may_vote_again():
     core = founded_core()
     first = core.leader()
     spare = core.add(first.zone)
@@ -199,7 +199,7 @@
     finish_after(core)
 
 
-def test_holders_stand_in_their_turn_when_a_leader_steps_down():
+def test_copy_holders_become_candidates_in_turn_when_a_leader_steps_down():
     for seed in range(6):
         core = founded_core(5, seed=seed)
         core.terminate(core.leader())
@@ -207,7 +207,7 @@
         assert wait_until(core, lambda c=core: c.lease_holder() not in (None, c.machines["10.0.0.1"])) < 0.15
 
 
-def test_a_voter_that_is_stopped_stays_to_vote_where_nobody_leads():
+def test_a_voter_that_is_stopped_stays_to_vote_while_there_is_no_leader():
     core = founded_core()
     first, replica, witness = machines_by_role(core)
     core.end(first, power=True, back_s=20.0)
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -72,7 +72,7 @@
         return Leader(state)
 
 
-def holding(number: int) -> Leader:
+def leader_with_configuration(number: int) -> Leader:
     leader = Leader(State())
     leader.send(document(number))
     leader.commit()
@@ -95,7 +95,7 @@
     ],
 )
 def test_the_highest_number_prevails_and_one_no_higher_alters_nothing(sent, status):
-    leader = holding(7)
+    leader = leader_with_configuration(7)
     assert orders.classify(leader.state, orders.parse(sent)) is status
     call = leader.send(sent)
     if status is OrderStatus.NEWER:
@@ -107,14 +107,14 @@
 
 @pytest.mark.parametrize("number", [6, 7, 8])
 def test_an_invalid_one_is_refused_under_any_number(number):
-    leader = holding(7)
+    leader = leader_with_configuration(7)
     assert leader.send(invalid(number)) is None
     assert in_force(leader) == json.loads(document(7))
 
 
 @pytest.mark.parametrize("has_last", [False, True])
 def test_a_repeat_after_a_lost_answer_is_acknowledged_by_the_next_leader(has_last):
-    first = holding(7)
+    first = leader_with_configuration(7)
     first.send(document(8))
     second = first.successor(has_last)
     call = second.send(document(8))
@@ -125,7 +125,7 @@
 
 
 def test_a_repeat_that_comes_while_the_first_is_pending_waits_for_it():
-    leader = holding(7)
+    leader = leader_with_configuration(7)
     first, second = leader.send(document(8)), leader.send(document(8))
     assert not {first, second} & set(leader.acked)
     leader.commit()
@@ -133,7 +133,7 @@
 
 
 def test_two_operators_under_one_number_leave_one_in_force_whichever_machine_leads():
-    leader = holding(7)
+    leader = leader_with_configuration(7)
     leader.send(document(8, "a"))
     other = leader.send(document(8, "b"))
     assert other not in leader.acked  # not before a configuration with its number is committed
@@ -146,7 +146,7 @@
     assert orders.configuration_change(1, late).is_redundant(successor.state)
 
 
-def stricter(monkeypatch):
+def reject_all_documents(monkeypatch):
     """Make every document invalid from now on."""
 
     def refuse(config):
@@ -160,7 +160,7 @@
     for number in range(1, REMEMBERED_DIGESTS + 2):
         leader.send(document(number))
         leader.commit()
-    stricter(monkeypatch)
+    reject_all_documents(monkeypatch)
     for number in (2, REMEMBERED_DIGESTS + 1):
         assert leader.send(document(number)) in leader.acked
     assert leader.send(document(REMEMBERED_DIGESTS + 1, "b")) is None
@@ -180,14 +180,16 @@
     leader.send(document(8))
     leader.commit()
     assert in_force(leader) == json.loads(document(8))
-    stricter(monkeypatch)
+    reject_all_documents(monkeypatch)
     assert leader.send(document(7)) in leader.acked
 
 
 def test_reading_gives_the_document_or_says_that_there_is_none():
     none = orders.read_configuration(1).answer(State())
     assert isinstance(none, ServiceError) and none.kind is ErrorKind.NO_LEADER
-    assert json.loads(orders.read_configuration(1).answer(holding(7).state)) == json.loads(document(7))
+    assert json.loads(orders.read_configuration(1).answer(leader_with_configuration(7).state)) == json.loads(
+        document(7)
+    )
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -263,6 +265,6 @@
 
 
 def test_a_change_of_one_route_sets_its_item_the_header_and_one_digest():
-    leader = holding(7)
+    leader = leader_with_configuration(7)
     changed = changes(leader.state, 8, document(8, "b"))
     assert set(changed) == {"config", "route:r", "taken:2"}
--- a/tests/control/test_partitions.py
+++ b/tests/control/test_partitions.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("machines", [3, 5])
-def test_a_leader_thaws_after_twenty_seconds_with_calls_in_its_sockets(machines):
+def test_a_leader_resumes_after_twenty_seconds_with_calls_in_its_sockets(machines):
     core = founded_core(machines)
     first = core.leader()
     first.frozen_until = core.clock.now + 20.0
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_leader_thaws_as_another_is_elected_with_reads_and_answers_in_its_sockets(seed):
+def test_a_leader_resumes_as_another_is_elected_with_reads_and_answers_in_its_sockets(seed):
     for step in range(12):
         core = founded_core(seed=seed)
         first = core.leader()
@@ -140,7 +140,7 @@
         finish_after(core)
 
 
-def test_a_leader_that_thaws_after_its_lease_confirms_nothing_by_old_answers():
+def test_a_leader_that_resumes_after_its_lease_confirms_nothing_by_old_answers():
     for step in range(8):
         core = founded_core()
         first = core.leader()
--- a/tests/control/test_voting.py
+++ b/tests/control/test_voting.py
@@ -14,7 +14,7 @@
 )
 
 
-def test_one_that_has_promised_its_vote_does_not_ask_at_once_itself():
+def test_a_voter_that_has_voted_is_not_a_candidate_at_once():
     core = founded_core()
     _, replica, _ = machines_by_role(core)
     control, now = replica.node, core.time(replica) + 5.0  # the leader's time-out has long passed
