--- a/thistleusher/control/context.py
+++ b/thistleusher/control/context.py
@@ -27,7 +27,7 @@
         self.known_machines: set[str] = set()  # machines of the core that have sent a message or were named by a view
         self._outputs: list[Output] = []
 
-    def advance(self, now: float) -> None:
+    def set_time(self, now: float) -> None:
         """Set the time of the current input, in seconds of the steady clock."""
         self.now = max(self.now, now)
 
--- a/thistleusher/control/durable.py
+++ b/thistleusher/control/durable.py
@@ -105,7 +105,7 @@
         records = Records(position=state_copy.position, floor=state_copy.state.floor, items=items, complete=complete)
         self.write(records, on_written)
 
-    def adopt(self, view: ViewRecord) -> None:
+    def adopt_view(self, view: ViewRecord) -> None:
         """Adopt a view that another machine has recorded, if it is newer than the known one.
 
         From then on this machine takes no part in lower epochs, even if it is a voter or replica there.
@@ -114,9 +114,9 @@
         if self.view is None or view.epoch > self.view.epoch:
             self.view = view
         elif view.epoch == self.view.epoch and not view.previous_voters:
-            self.confirm()
+            self.confirm_view()
 
-    def confirm(self) -> None:
+    def confirm_view(self) -> None:
         """Record that the leader of the newest view leads: the previous voters need not be asked any more."""
         if self.view is None or not self.view.previous_voters:
             return
@@ -124,7 +124,7 @@
         if self.recorded_epoch == self.view.epoch:
             self.write(Records(view=self.view), _ignore_result)
 
-    def record_on_disk(self, epoch: int) -> None:
+    def mark_view_recorded(self, epoch: int) -> None:
         """Record that the view of an epoch is on disk."""
         self.recorded_epoch = max(self.recorded_epoch, epoch)
 
@@ -134,6 +134,6 @@
         voters = ", ".join(sorted(view.voters))
         self._context.log(Event.VIEW_ADOPTED, view.epoch, view.leader, replicas, voters)
 
-    def log_write_failure(self, what: str) -> None:
+    def log_write_failure(self, record: str) -> None:
         """Log a failed write."""
-        self._context.log(Event.DISK_FAILED, f"{what} not written")
+        self._context.log(Event.DISK_FAILED, f"writing {record} failed")
--- a/thistleusher/control/elections.py
+++ b/thistleusher/control/elections.py
@@ -107,7 +107,7 @@
         candidacy, durable = self._role.candidacy, self._durable
         if candidacy is None or candidacy.epoch != message.epoch:
             return
-        durable.adopt(message.view)
+        durable.adopt_view(message.view)
         if message.promised >= candidacy.epoch:
             self._role.candidacy = None
             # This machine has given no vote in that epoch; the number goes to disk with the next promise.
@@ -133,7 +133,7 @@
     def _follow_newest_view(self, candidacy: Candidacy) -> ViewRecord:
         """Adopt and return the newest view among the votes. If it was not known, request votes from its voters too."""
         newest = max((view for view in candidacy.votes.values() if view is not None), key=lambda view: view.epoch)
-        self._durable.adopt(newest)
+        self._durable.adopt_view(newest)
         if newest.epoch > candidacy.view.epoch:  # its voters may differ from those asked so far
             candidacy.view = newest
             candidacy.voters = None
@@ -175,7 +175,7 @@
     def _better_replicas(self, candidacy: Candidacy) -> set[str]:
         """Return the voters that have not answered and would improve the choice of replicas."""
         context, voters = self._context, candidacy.next_voters()
-        unfit = self._role.excluded() | self._role.leaving.keys()
+        unfit = self._role.excluded_replicas() | self._role.leaving.keys()
         fit = {name: zone for name, zone in voters.items() if name != context.me and name not in unfit}
         heard = candidacy.votes.keys() | self._joining.learners.present().keys()
         answered = {name: zone for name, zone in fit.items() if name in heard}
--- a/thistleusher/control/founding.py
+++ b/thistleusher/control/founding.py
@@ -46,7 +46,7 @@
     def _all_founders_known(self) -> bool:
         joining, context = self._joining, self._context
         joining.on_founder_announcement(context.me, FounderAnnouncement(context.zone))
-        newest = max(founder.first_heard for founder in joining.founders.values())
+        newest = max(founder.first_heard_at for founder in joining.founders.values())
         complete = context.seeds <= joining.founders.keys()
         waited = context.now - context.started_at > FOUNDING_WAIT_S and context.now - newest > FOUNDING_WAIT_S / 2
         return complete and waited
--- a/thistleusher/control/joining.py
+++ b/thistleusher/control/joining.py
@@ -24,7 +24,7 @@
     """A machine that takes part in founding the system: its zone, and when it was first heard."""
 
     zone: str
-    first_heard: float
+    first_heard_at: float
 
 
 class Joining:
@@ -101,7 +101,7 @@
             if sender == message.view.leader:
                 self._role.confirmed_epoch = max(self._role.confirmed_epoch, message.view.epoch)
         if not self.state_lost:
-            self._durable.adopt(message.view)
+            self._durable.adopt_view(message.view)
             if self.is_voter:
                 return
         self._context.known_machines.update(message.view.voters)
@@ -113,7 +113,7 @@
         newest = max((status.view for status in self._statuses.values()), key=lambda view: view.epoch)
         answered = [name for name in self._statuses if name in newest.electorate and name != self._context.me]
         if self._context.me not in newest.voters:
-            self._durable.adopt(newest)
+            self._durable.adopt_view(newest)
             if newest.has_quorum(answered):
                 self.ready_to_vote = True
                 self._durable.promised = max(self._durable.promised, self._highest_promise())
@@ -132,7 +132,7 @@
         """
         durable = self._durable
         durable.promised = max(durable.promised, self._highest_promise())
-        durable.adopt(newest)
+        durable.adopt_view(newest)
         self._role.leader_heard_at = self._context.now
         self._statuses = {}
         durable.write(Records(promised=durable.promised, view=newest), partial(self._restored, newest))
@@ -141,7 +141,7 @@
         if not ok:
             return
         self.state_lost = False
-        self._durable.record_on_disk(newest.epoch)
+        self._durable.mark_view_recorded(newest.epoch)
         self._durable.log_view(newest)
 
     # Answers to status requests.
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -114,7 +114,7 @@
             return
         self._heartbeats.record_ack(leadership, sender, message)
         self.catch_up.update_lagging(leadership, sender, message.position)
-        self.replication.advance()
+        self.replication.commit_and_serve()
 
     def on_deposed(self, sender: str, message: Deposed) -> None:
         """Step down if a later epoch has begun.
@@ -127,7 +127,7 @@
             return
         if message.view.epoch > leadership.view.epoch:
             self._role.step_down(f"epoch {message.view.epoch} has begun")
-            self._durable.adopt(message.view)
+            self._durable.adopt_view(message.view)
             self._role.leader_heard_at = now
         elif message.epoch == leadership.view.epoch:
             stable = leadership.pending is None and now - leadership.begun_at > RENEWAL_MIN_AGE_S
--- a/thistleusher/control/node.py
+++ b/thistleusher/control/node.py
@@ -133,7 +133,7 @@
 
     def tick(self, now: float) -> list[Output]:
         """Run all actions that are due. Must be called at least ten times a second."""
-        self._context.advance(now)
+        self._context.set_time(now)
         if self._joining.founding:
             self._founding.tick()
         elif self._joining.is_voter:
@@ -148,7 +148,7 @@
 
     def receive(self, now: float, sender: str, message: AnyMessage) -> list[Output]:
         """Handle a message from another machine of the core. Messages of other types are ignored."""
-        self._context.advance(now)
+        self._context.set_time(now)
         self._context.known_machines.add(sender)
         handle = self._handlers.get(type(message))
         if handle is not None:
@@ -157,19 +157,19 @@
 
     def connected(self, now: float, peer: str) -> list[Output]:
         """Handle a new connection to a machine of the core. Messages sent to it earlier may have been lost."""
-        self._context.advance(now)
+        self._context.set_time(now)
         self._elections.connected(peer)
         return self._context.flush()
 
     def write_completed(self, now: float, token: int, ok: bool) -> list[Output]:
         """Handle the end of a write; `ok`: whether the records are on disk."""
-        self._context.advance(now)
+        self._context.set_time(now)
         self._durable.write_completed(token, ok)
         return self._context.flush()
 
     def submit(self, now: float, call: Call) -> list[Output]:
         """Accept a call. Its `Answer` comes at once or, if there is no leader, within about `CALL_TIMEOUT_S`."""
-        self._context.advance(now)
+        self._context.set_time(now)
         if self._role.stopping:
             self._context.answer(call.call_id, ServiceError(ErrorKind.SHUTTING_DOWN))
         else:
@@ -180,7 +180,7 @@
 
     def stop(self, now: float) -> list[Output]:
         """Begin a graceful stop: hand over leadership, vote and copy until `can_stop` is true."""
-        self._context.advance(now)
+        self._context.set_time(now)
         self._role.stopping = True
         self._hand_over.step_down_if_possible()
         self._calls.reject_all()
--- a/thistleusher/control/replication.py
+++ b/thistleusher/control/replication.py
@@ -55,7 +55,7 @@
         leadership.own_write_since = None
         if ok:
             pending.on_own_disk = True
-            self.advance()
+            self.commit_and_serve()
         elif self._role.leadership is leadership and state_copy.position == pending.position:
             # Replicas may have the change, and a later leader may commit it. This machine's disk lacks it, so the copy
             # in memory reverts to the position before it.
@@ -99,14 +99,14 @@
         pending = leadership.pending
         if pending is not None and sender in leadership.view.replicas and position == pending.position:
             pending.on_replicas.add(sender)
-            self.advance()
+            self.commit_and_serve()
 
-    def advance(self) -> None:
+    def commit_and_serve(self) -> None:
         """Commit the pending change if it is on all required disks, and serve the next calls."""
-        self._commit()
+        self._commit_if_replicated()
         self._serve()
 
-    def _commit(self) -> None:
+    def _commit_if_replicated(self) -> None:
         leadership = self._role.leadership
         if leadership is None or leadership.pending is None:
             return
--- a/thistleusher/control/role.py
+++ b/thistleusher/control/role.py
@@ -89,7 +89,7 @@
         """Return whether a candidacy is still active and no higher epoch has been promised since it started."""
         return self.candidacy is candidacy and candidacy.epoch == self._durable.promised
 
-    def excluded(self) -> set[str]:
+    def excluded_replicas(self) -> set[str]:
         """Return the machines that failed as replicas and must not be chosen again yet."""
         return {name for name, until in self.excluded_until.items() if until > self._context.now}
 
@@ -125,7 +125,7 @@
         self, epoch: int, on_promised: Callable[[], None], on_failed: Callable[[], None] | None, ok: bool
     ) -> None:
         if not ok:
-            self._durable.log_write_failure(f"promise of epoch {epoch}")
+            self._durable.log_write_failure(f"the promise of epoch {epoch}")
             if on_failed is not None:
                 on_failed()
         elif self._durable.promised == epoch:
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -71,7 +71,7 @@
         return membership.Preference(
             installed=candidacy.installed,
             chosen_replicas=candidacy.chosen_replicas,
-            excluded=self._role.excluded(),
+            excluded=self._role.excluded_replicas(),
             leaving=set(self._role.leaving),
             answered={*candidacy.votes, *self._joining.learners.present()},
         )
@@ -116,7 +116,7 @@
     def _recorded(self, candidacy: Candidacy, ok: bool) -> None:
         """Count the candidate among the machines that have the view on disk."""
         if ok and self._role.is_current(candidacy):
-            self._durable.record_on_disk(candidacy.epoch)
+            self._durable.mark_view_recorded(candidacy.epoch)
             candidacy.recorded.add(self._context.me)
             self._count_records(candidacy)
 
@@ -146,7 +146,7 @@
                 return
             self._context.log(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
         self._durable.view = view
-        self._durable.confirm()
+        self._durable.confirm_view()
         self._joining.record_membership(True)
         self._role.candidacy = None
         self._on_elected(candidacy)
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -44,7 +44,7 @@
         durable, role = self._durable, self._role
         if durable.view is None or self._joining.state_lost:
             return
-        durable.adopt(message.view)
+        durable.adopt_view(message.view)
         view = durable.view
         if self._context.me not in view.electorate or sender not in view.voters:
             self._reject(sender, message, view)
@@ -106,7 +106,7 @@
         durable.log_view(view)
 
     def _recorded(self, sender: str, epoch: int) -> None:
-        self._durable.record_on_disk(epoch)
+        self._durable.mark_view_recorded(epoch)
         self._context.send(sender, ViewRecorded(epoch))
 
     def _record_failed(self) -> None:
@@ -135,12 +135,12 @@
             self._depose(sender, view)
             return
         if self._context.me not in view.voters:
-            durable.adopt(view)
+            durable.adopt_view(view)
             return
         role.record_leader_heard(sender)
         role.confirmed_epoch = max(role.confirmed_epoch, view.epoch)
         if durable.view is not None and durable.view.epoch == view.epoch:
-            durable.confirm()
+            durable.confirm_view()
         if message.in_contact:
             role.contact_at = self._context.now
         if durable.recorded_epoch < view.epoch:
@@ -151,7 +151,7 @@
         durable = self._durable
         if durable.view is None:
             return
-        durable.adopt(view)
+        durable.adopt_view(view)
         if view.epoch >= durable.view.epoch:
             # This machine has promised a higher epoch, but knows of none that has begun: that leader still answers
             # callers.
