--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -27,7 +27,7 @@
     return ControlService(node, LeaseGrantor(0.0))
 
 
-def finish(control: ControlService, now: float, outputs, ok: bool = True) -> list:
+def complete_writes(control: ControlService, now: float, outputs, ok: bool = True) -> list:
     """Complete the writes among some outputs, and return the outputs that follow."""
     return [out for each in outputs if isinstance(each, Write) for out in control.write_completed(now, each.token, ok)]
 
@@ -37,7 +37,7 @@
 
 
 def in_contact(control: ControlService, now: float, view: ViewRecord) -> None:
-    finish(control, now, control.receive(now, view.leader, Heartbeat(view, now, True)))
+    complete_writes(control, now, control.receive(now, view.leader, Heartbeat(view, now, True)))
 
 
 def test_a_grant_is_answered_only_once_it_is_on_disk():
@@ -45,11 +45,11 @@
     in_contact(control, 5.0, VIEW)
     asked = control.receive(5.1, "x", REQUEST)
     assert sent_to_clients(asked) == [] and any(isinstance(out, Write) for out in asked)
-    assert finish(control, 5.2, asked, ok=False) == []
+    assert complete_writes(control, 5.2, asked, ok=False) == []
     control = service(StoredState(3, VIEW, Position(2, 1, 1)))
     in_contact(control, 5.0, VIEW)
     asked = control.receive(5.1, "x", REQUEST)
-    assert [type(message) for message in sent_to_clients(finish(control, 5.2, asked))] == [LeaseGranted]
+    assert [type(message) for message in sent_to_clients(complete_writes(control, 5.2, asked))] == [LeaseGranted]
 
 
 def test_a_new_voter_grants_nothing_for_a_leases_time():
@@ -59,7 +59,7 @@
         control.receive(4.0, other, Status(before, 3, True))
     control.tick(4.5)
     view = ViewRecord(4, "2", ("3",), VOTERS)
-    finish(control, 5.0, control.receive(5.0, "2", RecordView(view)))
+    complete_writes(control, 5.0, control.receive(5.0, "2", RecordView(view)))
     in_contact(control, 5.0, view)
     assert control.node.in_contact(5.05)
     assert [type(message) for message in sent_to_clients(control.receive(5.1, "x", REQUEST))] == [LeaseRejected]
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -117,7 +117,7 @@
         return number_of(state) >= number
 
     def items(state: State) -> dict[str, Any]:
-        assert order.parts is not None, "a repeat is redundant wherever it was accepted"
+        assert order.parts is not None, "a repeat is redundant in every state that has accepted it"
         return difference(state, order.parts)
 
     description = f"configuration {number:08x}, contents {digest[:DIGEST_DIGITS_LOGGED]}"
