--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -157,10 +157,10 @@
         items = message.items
         self._persist_requests[self.next_call_id] = PersistRequest(name, message.request_id)
 
-        def persisted(state: State) -> bool:
+        def is_persisted(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
 
-        _, outputs = self.submit(now, lambda call: Change(call, persisted, lambda state: items, "the registry's items"))
+        _, outputs = self.submit(now, lambda call: Change(call, is_persisted, lambda state: items, "the registry's items"))
         return outputs
 
     def _core_info(self) -> CoreInfo:
--- a/thistleusher/control/voting.py
+++ b/thistleusher/control/voting.py
@@ -83,9 +83,9 @@
 
     def on_record_view(self, sender: str, message: RecordView) -> None:
         """Record a view on disk at its candidate's request."""
-        self._record(sender, message.view)
+        self._record_view(sender, message.view)
 
-    def _record(self, sender: str, view: ViewRecord) -> None:
+    def _record_view(self, sender: str, view: ViewRecord) -> None:
         """Write a view to disk and acknowledge it. A machine that the view removes from the voters records it too."""
         durable, role, me = self._durable, self._role, self._context.me
         if view.epoch < durable.promised or not self._may_record(view):
@@ -144,7 +144,7 @@
         if message.in_contact:
             role.contact_at = self._context.now
         if durable.recorded_epoch < view.epoch:
-            self._record(sender, view)
+            self._record_view(sender, view)
         self._context.send(sender, HeartbeatAck(view.epoch, message.sent, durable.state_copy.position))
 
     def _depose(self, sender: str, view: ViewRecord) -> None:
