--- a/thistleusher/control/service.py
+++ b/thistleusher/control/service.py
@@ -160,7 +160,9 @@
         def is_persisted(state: State) -> bool:
             return all(state.value(item) == value for item, value in items.items())
 
-        _, outputs = self.submit(now, lambda call: Change(call, is_persisted, lambda state: items, "the registry's items"))
+        _, outputs = self.submit(
+            now, lambda call: Change(call, is_persisted, lambda state: items, "the registry's items")
+        )
         return outputs
 
     def _core_info(self) -> CoreInfo:
