--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -231,7 +231,7 @@
     DeliberateFault(
         3,
         "copies stay in one zone",
-        "if leadership.pending is None and not late and self._can_spread(leadership, free):",
+        "if leadership.pending is None and not late and self._can_spread(leadership, available):",
         "if False:",
     ),
     DeliberateFault(
@@ -243,9 +243,9 @@
     DeliberateFault(
         3,
         "a silent replica is not replaced",
-        "if late and free:\n            return",
+        "if late and available:\n            return",
         "if False:\n            return",
-        (("if late and free:\n            self._exclude", "if False:\n            self._exclude"),),
+        (("if late and available:\n            self._exclude", "if False:\n            self._exclude"),),
     ),
     DeliberateFault(
         3,
--- a/thistleusher/control/candidacy.py
+++ b/thistleusher/control/candidacy.py
@@ -27,14 +27,16 @@
     epoch: int
     view: ViewRecord  # the newest known view, which the next view follows
     begun_at: float
-    last_request_at: float
+    last_request_at: float  # when the requests of the current stage were last sent
     stage: Stage = Stage.PROMISE
-    votes: dict[str, ViewRecord | None] = field(default_factory=dict)
+    votes: dict[str, ViewRecord | None] = field(default_factory=dict)  # voter -> the newest view that it knows
     next_view: ViewRecord | None = None
     chosen_replicas: set[str] = field(default_factory=set)  # all machines that have been chosen as replicas so far
-    installed: set[str] = field(default_factory=set)
-    recorded: set[str] = field(default_factory=set)
-    record_requested_at: float = NEVER  # when voters were asked to record the view; they guard it from when they did
+    installed: set[str] = field(default_factory=set)  # replicas that have the candidate's copy on disk
+    recorded: set[str] = field(default_factory=set)  # machines that have the view on disk
+    # When voters were first asked to record the view. Each guards the new leader from a later time on, namely from when
+    # it recorded the view.
+    record_requested_at: float = NEVER
     voters: Mapping[str, str] | None = None  # address -> zone; None: the epoch keeps the voters of `view`
     positions: dict[str, Position] = field(default_factory=dict)  # machine -> position of its copy
 
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -40,10 +40,10 @@
         """Start a candidacy for the next epoch if the replicas or voters have to change."""
         self._forget_stale_leaving()
         late = [name for name in leadership.view.replicas if self._is_late(name, leadership)]
-        free = [name for name in leadership.view.voters if self._is_free(name, leadership)]
-        if late and free:
+        available = [name for name in leadership.view.voters if self._is_available(name, leadership)]
+        if late and available:
             self._exclude(late)
-        reason = self._replica_change_reason(leadership, late, free)
+        reason = self._replica_change_reason(leadership, late, available)
         change = self._next_voter_change(leadership)
         if change is not None:
             self._elections.start_candidacy(change.reason, change.voters)
@@ -62,17 +62,17 @@
         for name in late:
             self._role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
 
-    def _replica_change_reason(self, leadership: Leadership, late: list[str], free: list[str]) -> str:
+    def _replica_change_reason(self, leadership: Leadership, late: list[str], available: list[str]) -> str:
         """Return the reason to choose other replicas, or an empty string if there is none.
 
-        `late`: replicas that are late; `free`: voters that may replace a replica.
+        `late`: replicas that are late; `available`: voters that may replace a replica.
         """
         leaving = [name for name in leadership.view.replicas if name in self._role.leaving]
-        if late and free:
+        if late and available:
             return f"no answer in time from {', '.join(late)}"
-        if leaving and free:
+        if leaving and available:
             return f"{', '.join(leaving)} is stopping"
-        if leadership.pending is None and not late and self._can_spread(leadership, free):
+        if leadership.pending is None and not late and self._can_spread(leadership, available):
             return "all copies are in one zone"
         return ""
 
@@ -83,12 +83,12 @@
             return True
         return pending is not None and name not in pending.on_replicas and now - pending.begun_at > REPLICA_TIMEOUT_S
 
-    def _is_free(self, name: str, leadership: Leadership) -> bool:
+    def _is_available(self, name: str, leadership: Leadership) -> bool:
         """Return whether a voter may replace a replica."""
         acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
         return acked and name not in leadership.view.replica_set and name not in self._role.leaving
 
-    def _can_spread(self, leadership: Leadership, free: list[str]) -> bool:
+    def _can_spread(self, leadership: Leadership, available: list[str]) -> bool:
         """Return whether all copies are in one zone and a voter of another zone has been heard for long enough."""
         view, now = leadership.view, self._context.now
         zones = {view.voters[name] for name in view.replica_set if name in view.voters}
@@ -98,7 +98,7 @@
             view.voters[name] not in zones
             and now - leadership.heard_since.get(name, now) > OTHER_ZONE_MIN_HEARD_S
             and self._role.excluded_until.get(name, NEVER) < now
-            for name in free
+            for name in available
         )
 
     # Voters.
