--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a leader: answered by one, redirected to another machine, or refused after a time-out."""
+"""The queue of calls: a call is answered by the leader, redirected to another machine, or rejected after a time-out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.control.context import Context
 from thistleusher.control.interface import Call, Change
-from thistleusher.control.timing import CALL_WAIT_S
+from thistleusher.control.timing import CALL_TIMEOUT_S
 
 
 class CallQueue:
@@ -21,22 +21,22 @@
         return len(self._waiting)
 
     def add(self, call: Call) -> None:
-        """Add a call that has come."""
-        self._waiting.append(call._replace(deadline=self._context.now + CALL_WAIT_S))
+        """Add a new call, which expires after `CALL_TIMEOUT_S`."""
+        self._waiting.append(call._replace(deadline=self._context.now + CALL_TIMEOUT_S))
 
-    def put_back(self, change: Change) -> None:
-        """Put a change back whose leadership is over.
+    def requeue(self, change: Change) -> None:
+        """Put back a change that was pending when the leadership ended.
 
-        It may be in force later or not, so it can be neither acknowledged nor refused yet.
+        It may or may not be committed later, so it can be neither acknowledged nor rejected yet.
         """
-        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * CALL_WAIT_S))
+        self._waiting.appendleft(change._replace(deadline=self._context.now + 2 * CALL_TIMEOUT_S))
 
     def take(self) -> Call:
         """Remove and return the oldest call."""
         return self._waiting.popleft()
 
     def redirect(self, leader: str) -> None:
-        """Redirect all callers to the machine that leads."""
+        """Redirect all callers to the leader's machine."""
         self._answer_all(ServiceError(ErrorKind.REDIRECTED, where=leader))
 
     def reject_all(self) -> None:
@@ -44,7 +44,7 @@
         self._answer_all(ServiceError(ErrorKind.SHUTTING_DOWN))
 
     def expire(self) -> None:
-        """Reject the calls that have waited too long."""
+        """Reject the calls whose deadline has passed."""
         late = [call for call in self._waiting if self._context.now > call.deadline]
         if late:
             self._waiting = deque(call for call in self._waiting if self._context.now <= call.deadline)
--- a/thistleusher/control/leader.py
+++ b/thistleusher/control/leader.py
@@ -1,8 +1,9 @@
-"""What a leader does in each tick, and what ends or renews its leadership.
+"""The leader's periodic work, and the beginning, renewal and end of its leadership.
 
-The parts have a module each: `heartbeats` renews the lease, `serving` and `replication` serve reads and changes,
-`catch_up` sends copies, `reconfiguration` decides on replicas and voters, `hand_over` ends it in order. The lease ends
-before any voter votes for another: `LEASE_S` from sending, `VOTER_GUARD_S` from hearing.
+Each task has its own module: `heartbeats` renews the lease, `serving` and `replication` serve reads and changes,
+`catch_up` sends copies, `reconfiguration` decides on replicas and voters, and `hand_over` ends a leadership gracefully.
+The lease ends before any voter votes for another candidate: it lasts `LEASE_S` from the sending of a heartbeat, while
+voters guard the leader for `VOTER_GUARD_S` from its receipt.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from thistleusher.control.reconfiguration import Reconfiguration
 from thistleusher.control.role import Role
 from thistleusher.control.serving import Serving
-from thistleusher.control.timing import DISK_TIMEOUT_S, LEASE_S, RENEWAL_MIN_AGE_S
+from thistleusher.control.timing import LEASE_S, OWN_WRITE_TIMEOUT_S, RENEWAL_MIN_AGE_S
 from thistleusher.transport.messages import Deposed, HeartbeatAck, Leaving
 
 
 class Leader:
-    """One node's leadership, while it has one."""
+    """One node's work as a leader; does nothing while the node does not lead."""
 
     def __init__(self, context: Context, durable: DurableState, role: Role, joining: Joining, calls: CallQueue) -> None:
         self._context = context
@@ -44,29 +45,30 @@
     # Beginning.
 
     def _begin(self, candidacy: Candidacy) -> None:
-        """Lead the epoch of a candidacy that has succeeded."""
+        """Begin to lead the epoch of a candidacy that has succeeded."""
         view, now = self._durable.view, self._context.now
         assert view is not None
-        # The voters that recorded the view guard this leader since then, so its lease counts from the first request.
-        acked = {voter: candidacy.record_asked_at for voter in candidacy.recorded}
+        # The voters guard this leader from when they recorded its view, so its lease starts at the first request to
+        # record it.
+        acked = {voter: candidacy.record_requested_at for voter in candidacy.recorded}
         acked[self._context.me] = now
         last_heard = dict.fromkeys(view.voters, now)
         leadership = Leadership(view, now, acked, last_heard, heard_since={}, voters_since=now)
-        self._carry_over(leadership)
+        self._keep_contact_times(leadership)
         for voter in candidacy.recorded:
             leadership.last_heard[voter] = now
         self._role.leadership = leadership
         self._heartbeats.restart()
         self.catch_up.restart()
-        self._context.note(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
-        # A copy, as the node's own state goes ahead of what is in force with the next change.
+        self._context.log(Event.LEADERSHIP_GAINED, view.epoch, ", ".join(view.replicas))
+        # Published as a copy, because the next change modifies the node's own state before it is committed.
         self._context.emit(Publish(self._durable.state_copy.state.copy()))
         self._heartbeats.send(leadership)
         self.serving.serve()
 
-    def _carry_over(self, leadership: Leadership) -> None:
-        """Take over what this machine knew of the voters, so that silence goes on counting through an election."""
-        previous, role = self._role.previous, self._role
+    def _keep_contact_times(self, leadership: Leadership) -> None:
+        """Keep the known contact times of the voters, so that an election does not restart their time-outs."""
+        previous, role = self._role.previous_leadership, self._role
         if previous is not None:
             known = {voter: at for voter, at in previous.last_heard.items() if voter in leadership.last_heard}
             leadership.last_heard.update(known)
@@ -74,67 +76,67 @@
             if previous.view.voters == leadership.view.voters:
                 leadership.voters_since = previous.voters_since
         elif role.last_leader and role.last_leader in leadership.last_heard:
-            heard_at = max(role.last_leader_at, self._context.started_at)
+            heard_at = max(role.last_leader_heard_at, self._context.started_at)
             leadership.last_heard[role.last_leader] = min(self._context.now, heard_at)
 
     # Time.
 
     def tick(self) -> None:
-        """Do all that is due, or step down."""
+        """Run all actions of the leader that are due, or step down."""
         leadership = self._role.leadership
         assert leadership is not None
         now = self._context.now
         self._heartbeats.send_if_due(leadership)
         if now > leadership.expires_at() + LEASE_S:
-            self._role.step_down("no majority")
-        elif leadership.own_write_since is not None and now - leadership.own_write_since > DISK_TIMEOUT_S:
-            self._role.step_down("the disk is slow")
+            self._role.step_down("no majority of the voters answers")
+        elif leadership.own_write_since is not None and now - leadership.own_write_since > OWN_WRITE_TIMEOUT_S:
+            self._role.step_down("a disk write takes too long")
         elif now < leadership.expires_at():
-            self._work(leadership)
+            self._run_leased_actions(leadership)
 
-    def _work(self, leadership: Leadership) -> None:
-        """Do what needs a valid lease. Each step may end the leadership, so the later ones ask again."""
+    def _run_leased_actions(self, leadership: Leadership) -> None:
+        """Run the actions that need a valid lease. Each may end the leadership, so the later ones check it again."""
         self.replication.repeat_pending(leadership)
-        self._reconfiguration.consider(leadership)
+        self._reconfiguration.start_candidacy_if_due(leadership)
         if self._role.leadership is leadership and self._role.stopping:
             self.hand_over.step_down_if_possible()
         if self._role.leadership is leadership:
             self.catch_up.repair_replicas(leadership)
-            self.catch_up.feed_learners(leadership)
+            self.catch_up.update_learners(leadership)
             self.serving.serve()
 
     # Answers of voters.
 
     def on_heartbeat_ack(self, sender: str, message: HeartbeatAck) -> None:
-        """Renew the lease by a voter's answer."""
+        """Handle a voter's heartbeat acknowledgement, which may renew the lease."""
         leadership = self._role.leadership
         if leadership is None or message.epoch != leadership.view.epoch:
             return
         self._heartbeats.record_ack(leadership, sender, message)
-        self.catch_up.compare(leadership, sender, message.position)
-        self.replication.advance()
+        self.catch_up.update_lagging(leadership, sender, message.position)
+        self.replication.commit_and_serve()
 
     def on_deposed(self, sender: str, message: Deposed) -> None:
-        """Step down where a later epoch has begun.
+        """Step down if a later epoch has begun.
 
-        A voter that has only promised a higher epoch is lost to this leadership. The others go on with it until it may
-        start a new epoch above that promise, which wins the voter back.
+        A voter that has only promised a higher epoch no longer supports this leadership. The leadership continues with
+        the other voters until it may start a new epoch above that promise, which wins the voter back.
         """
         leadership, now = self._role.leadership, self._context.now
         if leadership is None:
             return
         if message.view.epoch > leadership.view.epoch:
             self._role.step_down(f"epoch {message.view.epoch} has begun")
-            self._durable.adopt(message.view)
+            self._durable.adopt_view(message.view)
             self._role.leader_heard_at = now
         elif message.epoch == leadership.view.epoch:
             stable = leadership.pending is None and now - leadership.begun_at > RENEWAL_MIN_AGE_S
             if now > leadership.expires_at() or stable:
                 self._durable.promised = max(self._durable.promised, message.promised)
-                self.elections.start_candidacy("a voter has promised more")
+                self.elections.start_candidacy("a voter has promised a higher epoch")
 
     def on_leaving(self, sender: str, message: Leaving) -> None:
-        """Take note that a voter's process is stopping, and replace it at once where that is possible."""
+        """Record that a voter's process is stopping, and replace the voter at once if possible."""
         self._role.leaving[sender] = self._context.now
         if self._role.holds_lease(self._context.now):
             self.tick()
--- a/thistleusher/control/reconfiguration.py
+++ b/thistleusher/control/reconfiguration.py
@@ -1,4 +1,4 @@
-"""When a leader starts a new epoch because other machines are to hold copies or to vote."""
+"""A leader's decision to start a new epoch in order to change the replicas or the voters."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
     LEASE_S,
     MAX_LEARNER_LAG,
     NEVER,
-    OTHER_ZONE_STEADY_S,
+    OTHER_ZONE_MIN_HEARD_S,
     REPLICA_EXCLUSION_S,
     REPLICA_TIMEOUT_S,
     RETRY_INTERVAL_S,
-    VOTERS_STABLE_S,
+    VOTER_CHANGE_INTERVAL_S,
 )
 
-LEAVING_TIMEOUT_S = 4 * RETRY_INTERVAL_S  # since a voter last announced that its process is stopping
+LEAVING_TIMEOUT_S = 4 * RETRY_INTERVAL_S  # a voter's announcement that its process is stopping expires after this time
 
 
 class Reconfiguration:
-    """One node's decisions on replicas and voters, while it leads."""
+    """One node's decisions on replicas and voters while it leads."""
 
     def __init__(
         self, context: Context, durable: DurableState, role: Role, joining: Joining, elections: Elections
@@ -36,19 +36,19 @@
         self._joining = joining
         self._elections = elections
 
-    def consider(self, leadership: Leadership) -> None:
-        """Start a candidacy for the next epoch where other replicas or voters are due."""
+    def start_candidacy_if_due(self, leadership: Leadership) -> None:
+        """Start a candidacy for the next epoch if the replicas or voters have to change."""
         self._forget_stale_leaving()
         late = [name for name in leadership.view.replicas if self._is_late(name, leadership)]
-        free = [name for name in leadership.view.voters if self._is_free(name, leadership)]
-        if late and free:
+        available = [name for name in leadership.view.voters if self._is_available(name, leadership)]
+        if late and available:
             self._exclude(late)
-        why = self._replicas_due(leadership, late, free)
-        change = self._voters_due(leadership)
+        reason = self._replica_change_reason(leadership, late, available)
+        change = self._next_voter_change(leadership)
         if change is not None:
-            self._elections.start_candidacy(change.why, change.voters)
-        elif why:
-            self._elections.start_candidacy(why)
+            self._elections.start_candidacy(change.reason, change.voters)
+        elif reason:
+            self._elections.start_candidacy(reason)
 
     def _forget_stale_leaving(self) -> None:
         now, leaving = self._context.now, self._role.leaving
@@ -62,17 +62,17 @@
         for name in late:
             self._role.excluded_until[name] = self._context.now + REPLICA_EXCLUSION_S
 
-    def _replicas_due(self, leadership: Leadership, late: list[str], free: list[str]) -> str:
-        """Return why other machines are to hold the copies; empty where they are not.
+    def _replica_change_reason(self, leadership: Leadership, late: list[str], available: list[str]) -> str:
+        """Return the reason to choose other replicas, or an empty string if there is none.
 
-        `late`: replicas that are late; `free`: voters that may hold a copy in place of another.
+        `late`: replicas that are late; `available`: voters that may replace a replica.
         """
         leaving = [name for name in leadership.view.replicas if name in self._role.leaving]
-        if late and free:
-            return f"{', '.join(late)} is silent"
-        if leaving and free:
-            return f"{', '.join(leaving)} is about to end"
-        if leadership.pending is None and not late and self._can_spread(leadership, free):
+        if late and available:
+            return f"no answer in time from {', '.join(late)}"
+        if leaving and available:
+            return f"{', '.join(leaving)} is stopping"
+        if leadership.pending is None and not late and self._can_spread(leadership, available):
             return "all copies are in one zone"
         return ""
 
@@ -83,41 +83,41 @@
             return True
         return pending is not None and name not in pending.on_replicas and now - pending.begun_at > REPLICA_TIMEOUT_S
 
-    def _is_free(self, name: str, leadership: Leadership) -> bool:
-        """Return whether a voter may hold a copy in place of another."""
+    def _is_available(self, name: str, leadership: Leadership) -> bool:
+        """Return whether a voter may replace a replica."""
         acked = self._context.now - leadership.acked.get(name, NEVER) < LEASE_S
         return acked and name not in leadership.view.replica_set and name not in self._role.leaving
 
-    def _can_spread(self, leadership: Leadership, free: list[str]) -> bool:
-        """Return whether all copies are in one zone, and a voter of another one has been heard for long enough."""
+    def _can_spread(self, leadership: Leadership, available: list[str]) -> bool:
+        """Return whether all copies are in one zone and a voter of another zone has been heard for long enough."""
         view, now = leadership.view, self._context.now
         zones = {view.voters[name] for name in view.replica_set if name in view.voters}
         if len(zones) > 1:
             return False
         return any(
             view.voters[name] not in zones
-            and now - leadership.heard_since.get(name, now) > OTHER_ZONE_STEADY_S
+            and now - leadership.heard_since.get(name, now) > OTHER_ZONE_MIN_HEARD_S
             and self._role.excluded_until.get(name, NEVER) < now
-            for name in free
+            for name in available
         )
 
     # Voters.
 
-    def _voters_due(self, leadership: Leadership) -> membership.VoterChange | None:
+    def _next_voter_change(self, leadership: Leadership) -> membership.VoterChange | None:
         now, view = self._context.now, leadership.view
         if leadership.pending is not None and now - leadership.pending.begun_at < REPLICA_TIMEOUT_S:
-            return None  # the pending change first, if it can be committed
-        if now - leadership.voters_since < VOTERS_STABLE_S:
+            return None  # let the pending change be committed first
+        if now - leadership.voters_since < VOTER_CHANGE_INTERVAL_S:
             return None
         last_heard, me = leadership.last_heard, self._context.me
         silent_s = {voter: now - last_heard.get(voter, NEVER) for voter in view.voters if voter != me}
-        learners = {name: each for name, each in self._joining.learners.steady().items() if self._caught_up(each)}
+        learners = {name: each for name, each in self._joining.learners.stable().items() if self._caught_up(each)}
         observation = membership.Observation(me, silent_s, set(self._role.leaving), learners)
         change = membership.next_voters(view.voters, observation)
         return change if change is not None and self._can_decide(change, leadership) else None
 
     def _can_decide(self, change: membership.VoterChange, leadership: Leadership) -> bool:
-        """Return whether majorities of the voters before and after a change are there to decide it."""
+        """Return whether a majority of the voters before a change and a majority of those after it are available."""
         now = self._context.now
         present = {name for name, at in leadership.last_heard.items() if now - at < LEASE_S}
         present |= self._joining.learners.present().keys()
@@ -127,4 +127,4 @@
     def _caught_up(self, learner: Learner) -> bool:
         state_copy = self._durable.state_copy
         lag = state_copy.position.number - learner.position.number
-        return state_copy.follows(learner.position) and lag <= MAX_LEARNER_LAG
+        return state_copy.has_changes_since(learner.position) and lag <= MAX_LEARNER_LAG
--- a/thistleusher/control/view_change.py
+++ b/thistleusher/control/view_change.py
@@ -1,7 +1,7 @@
-"""How an elected candidate begins its epoch: its replicas install its copy, voters record the view, then it leads.
+"""The last stages of a candidacy: the replicas install the candidate's copy and the voters record its view.
 
-The copies go out by this module also where a leader replaces a replica, as that takes a new epoch; `catch_up` sends
-copies within an epoch.
+This module also sends the copy when a leader replaces a replica, as that takes a new epoch. `catch_up` sends copies
+within an epoch.
 """
 
 from __future__ import annotations
@@ -37,29 +37,29 @@
         durable: DurableState,
         role: Role,
         joining: Joining,
-        elected: Callable[[Candidacy], None],
+        on_elected: Callable[[Candidacy], None],
     ) -> None:
-        """`elected` is called with a candidacy that has succeeded."""
+        """Create the view change; `on_elected` is called with each candidacy that succeeds."""
         self._context = context
         self._durable = durable
         self._role = role
         self._joining = joining
-        self._elected = elected
+        self._on_elected = on_elected
 
     # Replicas.
 
     def install(self) -> None:
-        """Choose the replicas of the next epoch and send them what their copies lack."""
+        """Choose the replicas of the next epoch and bring their copies up to date."""
         candidacy, context = self._role.candidacy, self._context
         if candidacy is None:
             return
         candidacy.stage = Stage.INSTALL
-        candidacy.asked_at = context.now
+        candidacy.last_request_at = context.now
         voters = candidacy.next_voters()
         replicas = membership.choose_replicas(context.me, voters, context.tolerance, self._preference(candidacy))
-        candidacy.chosen |= set(replicas)
+        candidacy.chosen_replicas |= set(replicas)
         same_voters = voters.keys() == candidacy.view.voters.keys()
-        # The voters before an exchange stay in the electorate until the leader of the new epoch is heard.
+        # If the voters change, the previous ones stay in the electorate until the leader of the new epoch is heard.
         before = candidacy.view.previous_voters if same_voters else candidacy.view.voters
         candidacy.next_view = ViewRecord(candidacy.epoch, context.me, replicas, dict(voters), before)
         for name in replicas:
@@ -70,19 +70,19 @@
     def _preference(self, candidacy: Candidacy) -> membership.Preference:
         return membership.Preference(
             installed=candidacy.installed,
-            chosen=candidacy.chosen,
-            excluded=self._role.excluded(),
+            chosen_replicas=candidacy.chosen_replicas,
+            excluded=self._role.excluded_replicas(),
             leaving=set(self._role.leaving),
             answered={*candidacy.votes, *self._joining.learners.present()},
         )
 
-    def _send_copy(self, to: str, candidacy: Candidacy) -> None:
-        learner = self._joining.learners.present().get(to)
-        position = candidacy.positions.get(to, learner.position if learner is not None else None)
-        self._context.send(to, self._durable.state_copy.install_for(position))
+    def _send_copy(self, destination: str, candidacy: Candidacy) -> None:
+        learner = self._joining.learners.present().get(destination)
+        position = candidacy.positions.get(destination, learner.position if learner is not None else None)
+        self._context.send(destination, self._durable.state_copy.install_for(position))
 
     def on_installed(self, sender: str, message: Installed) -> None:
-        """Take note that a replica has the copy on disk."""
+        """Handle the acknowledgement that a replica has the copy on disk."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.INSTALL:
             return
@@ -91,7 +91,7 @@
             self._record_if_installed()
 
     def on_install_rejected(self, sender: str, message: InstallRejected) -> None:
-        """Send a replica what its copy lacks, from where it says that its copy is."""
+        """Send a replica an update from the position that it reports."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.INSTALL:
             return
@@ -109,24 +109,24 @@
         if not candidacy.installed >= set(view.replicas):
             return
         candidacy.stage = Stage.RECORD
-        candidacy.asked_at = candidacy.record_asked_at = self._context.now
+        candidacy.last_request_at = candidacy.record_requested_at = self._context.now
         self._durable.write(Records(view=view, promised=candidacy.epoch), partial(self._recorded, candidacy))
-        self._ask_to_record(candidacy, view)
+        self._request_records(candidacy, view)
 
     def _recorded(self, candidacy: Candidacy, ok: bool) -> None:
-        """Count the candidate's own disk among those that have the view."""
+        """Count the candidate among the machines that have the view on disk."""
         if ok and self._role.is_current(candidacy):
-            self._durable.record_on_disk(candidacy.epoch)
+            self._durable.mark_view_recorded(candidacy.epoch)
             candidacy.recorded.add(self._context.me)
             self._count_records(candidacy)
 
-    def _ask_to_record(self, candidacy: Candidacy, view: ViewRecord) -> None:
+    def _request_records(self, candidacy: Candidacy, view: ViewRecord) -> None:
         for voter in {**candidacy.view.electorate, **view.voters}:
             if voter not in candidacy.recorded and voter != self._context.me:
                 self._context.send(voter, RecordView(view))
 
     def on_view_recorded(self, sender: str, message: ViewRecorded) -> None:
-        """Take note that a voter has the view on disk."""
+        """Handle the acknowledgement that a voter has the view on disk."""
         candidacy = self._role.candidacy
         if candidacy is None or candidacy.epoch != message.epoch or candidacy.stage is not Stage.RECORD:
             return
@@ -134,7 +134,7 @@
         self._count_records(candidacy)
 
     def _count_records(self, candidacy: Candidacy) -> None:
-        """Begin the leadership once both majorities, this machine and all replicas have the view on disk."""
+        """Begin the leadership once this machine, all replicas and both majorities have the view on disk."""
         view, recorded = candidacy.next_view, candidacy.recorded
         assert view is not None
         if not {self._context.me, *view.replicas} <= recorded:
@@ -144,17 +144,17 @@
         if self._joining.founding:
             if self._context.now - candidacy.begun_at < CANDIDACY_TIMEOUT_S and len(recorded) < len(view.voters):
                 return
-            self._context.note(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
+            self._context.log(Event.CLUSTER_FOUNDED, ", ".join(sorted(view.voters)))
         self._durable.view = view
-        self._durable.confirm()
+        self._durable.confirm_view()
         self._joining.record_membership(True)
         self._role.candidacy = None
-        self._elected(candidacy)
+        self._on_elected(candidacy)
 
     # Time.
 
     def repeat(self, candidacy: Candidacy) -> None:
-        """Repeat what has no answer; silent replicas are excluded for a while and others chosen."""
+        """Repeat unanswered requests. Replicas that did not answer are excluded for a while, and others chosen."""
         if candidacy.stage is Stage.INSTALL:
             assert candidacy.next_view is not None
             for silent in set(candidacy.next_view.replicas) - candidacy.installed:
@@ -162,6 +162,6 @@
             self.install()
         elif candidacy.stage is Stage.RECORD:
             assert candidacy.next_view is not None
-            self._ask_to_record(candidacy, candidacy.next_view)
+            self._request_records(candidacy, candidacy.next_view)
             if self._joining.founding:
                 self._count_records(candidacy)
