--- a/thistleusher/registry/__init__.py
+++ b/thistleusher/registry/__init__.py
@@ -1,4 +1,5 @@
-"""The registry: which proxies and backends there are, and the counter service for tenants' rate limits.
+"""The registry: lists proxies and backends, and runs the counter service for tenants' rate limits.
 
-One registry at a time works, under the lease of a singleton role; the others subscribe to its list and can take over.
+One registry at a time is active, under the lease of a singleton role. The others subscribe to its list and can take
+over.
 """
--- a/thistleusher/registry/backend_poller.py
+++ b/thistleusher/registry/backend_poller.py
@@ -1,11 +1,11 @@
-"""The platform's list of backends, read page by page, and what changes between two readings of it.
+"""Reads the platform's list of backends page by page and reports the changes between two readings.
 
-A reading counts only when complete: a page that fails, cannot be read or does not come ends it, and the list stays as
-it was. A list that is suddenly empty must be read `EMPTY_READINGS` times before it is believed. The calls of the whole
-fleet are those of the one registry that holds the singleton role: one reading each `POLL_S`, one call a page, well
-below the platform's rate limit.
+Only a complete reading takes effect. A page that fails, cannot be parsed or does not arrive aborts the reading, and the
+list stays as it was. If the list suddenly becomes empty, `EMPTY_READINGS` consecutive readings must confirm it before
+it is accepted. Only the registry that holds the singleton role calls the platform. It starts one reading every `POLL_S`
+with one call per page, which stays well below the platform's rate limit.
 
-Pure; seconds on the steady clock.
+No I/O. Times are seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from typing import Any
 from urllib.parse import quote
 
-POLL_S = 0.4  # between the beginnings of two readings
-RATE_PART = 0.5  # of the platform's calls a second, that are used at most
+POLL_S = 0.4  # Interval between the starts of two readings.
+RATE_PART = 0.5  # Maximum fraction of the platform's rate limit that the poller uses.
 MIN_RATE_PER_S = 0.5
-BACKOFF_S = 1.0  # after a 429
+BACKOFF_S = 1.0  # Delay before the next call after a 429 response.
 EMPTY_READINGS = 5
-WARM_UP_TOLERANCE_S = 0.4  # by which the end of a warm-up may differ between readings and still be the same
+WARM_UP_TOLERANCE_S = 0.4  # End times of a warm-up that differ by less than this are treated as equal.
 MAX_PAGES = 200
 TOO_MANY_REQUESTS = 429
 
-# A backend as it is published: s(ervice), a(ddress), z(one), c(apacity), p(hase), cold: ms of warm-up that are left.
+# A published backend: s(ervice), a(ddress), z(one), c(apacity), p(hase), cold (remaining warm-up in ms).
 Backend = dict[str, Any]
 FIXED_FIELDS = ("s", "a", "z", "c", "p")
 
 
 class UnreadableAnswerError(ValueError):
-    """An answer of the platform that cannot be read."""
+    """The platform's response cannot be parsed."""
 
 
 def read_backend(raw: dict[str, Any]) -> tuple[str, Backend]:
-    """Return one backend's id and record. Raise UnreadableAnswerError where a field is missing or wrong."""
+    """Return one backend's id and record. Raise UnreadableAnswerError if a field is missing or invalid."""
     try:
         host, _, port = raw["address"].rpartition(":")
         if not host or not 0 < int(port) < 65536 or not raw["id"]:
@@ -47,29 +47,32 @@
             "cold": max(0.0, float(raw.get("cold_left_ms") or 0.0)),
         }
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise UnreadableAnswerError(f"an instance that cannot be read: {error!r}") from None
+        raise UnreadableAnswerError(f"invalid instance: {error!r}") from None
 
 
 class BackendPoller:
-    """Readings of the list, one after the other."""
+    """Reads the list repeatedly, one reading at a time."""
 
     def __init__(self, now: float, rate_per_s: float) -> None:
-        """Begin at once; `rate_per_s` is the platform's rate limit."""
+        """Create a poller whose first call is due immediately; `rate_per_s` is the platform's rate limit."""
         self.call_spacing_s = 1.0 / max(MIN_RATE_PER_S, RATE_PART * rate_per_s)
         self.next_call_at = now
         self.reading_began_at = now
-        self.read_at = now  # when a reading was last complete, and at first when this poller began
+        self.read_at = now  # Time of the last complete reading; the start of this poller until there is one.
         self.in_flight = False
-        self.page_token: str | None = None  # of the next page; None at the start of a reading
+        self.page_token: str | None = None  # Token of the next page; None at the start of a reading.
         self.pages = 0
-        self.reading: dict[str, Backend] = {}  # the present reading, until it is complete
+        self.reading: dict[str, Backend] = {}  # Backends found so far by the current reading.
         self.empty_readings = 0
-        self.has_list = False  # a reading was complete
+        self.has_list = False  # Whether any reading has completed.
         self.backends: dict[str, Backend] = {}
-        self.warm_at: dict[str, float] = {}  # by backend, when its warm-up ends; 0 for one that is warm
+        self.warm_at: dict[str, float] = {}  # Backend -> end time of its warm-up; 0 if it is already warm.
 
     def begin_call(self, now: float) -> str | None:
-        """Begin the call that is due, return its target (None: no call). `receive_page` or `call_failed` ends it."""
+        """Start the next call if it is due and return its request target, else None.
+
+        The caller must end each call with `receive_page` or `call_failed`.
+        """
         if self.in_flight or now < self.next_call_at:
             return None
         if self.page_token is None:
@@ -80,15 +83,15 @@
         return "/instances" + (f"?page_token={quote(self.page_token, safe='')}" if self.page_token else "")
 
     def call_failed(self, now: float, status: int = 0) -> None:
-        """Begin the reading anew, after a pause: the call brought nothing that can be used."""
+        """Handle a failed call: schedule a new reading, from the first page, after a delay."""
         self.in_flight = False
         self.page_token = None
         self.next_call_at = now + (BACKOFF_S if status == TOO_MANY_REQUESTS else POLL_S)
 
     def receive_page(self, now: float, body: bytes) -> dict[str, Backend | None] | None:
-        """Take in a page; return with the last one what has changed (None: removed).
+        """Process a page. Return the changed backends (None: removed) once the reading is complete, else None.
 
-        Raise UnreadableAnswerError where it cannot be read; the reading then begins anew.
+        Raise UnreadableAnswerError if the page cannot be parsed; the reading then restarts from the first page.
         """
         try:
             table = json.loads(body)
@@ -117,7 +120,7 @@
         return self._replace_list(now)
 
     def _replace_list(self, now: float) -> dict[str, Backend | None]:
-        """Put the complete reading in the list's place; return what has changed."""
+        """Replace the list by the complete reading; return the changed backends (None: removed)."""
         changes: dict[str, Backend | None] = {name: None for name in self.backends.keys() - self.reading.keys()}
         for name, backend in self.reading.items():
             if not self._is_unchanged(now, name, backend):
@@ -130,7 +133,7 @@
         return changes
 
     def _is_unchanged(self, now: float, name: str, backend: Backend) -> bool:
-        """Return whether a backend is as it was published, its warm-up having gone on as it should."""
+        """Return whether a backend equals its published record and its warm-up still ends at the expected time."""
         old = self.backends.get(name)
         if old is None or any(old[field] != backend[field] for field in FIXED_FIELDS):
             return False
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -1,12 +1,12 @@
-"""Charges by their identity: each counts once and is refunded once, however often and in whatever order it arrives.
+"""Deduplicates charges: each is counted at most once and refunded at most once, in whatever order messages arrive.
 
-A charge is identified by its sender's incarnation and a number. This counter remembers what became of the last
-`REMEMBERED_CHARGES` charges of each sender's present incarnation; a number at or below the highest forgotten one is
-never counted, so the bound on memory costs answers and never a second count. A charge that is refunded before it has
-arrived is not counted when it arrives. A new counter begins with an empty table: it knows no charge of another
-counter's, and refunds none. A refund is a `Charge` message with the number of the charge and a negative amount.
+A charge is identified by its sender's incarnation and a number. The counter keeps the results of the last
+`REMEMBERED_CHARGES` charges of each sender's current incarnation. A number at or below the highest evicted one is never
+counted, so the memory bound can cost an answer but never causes a second count. A charge whose refund arrives first is
+not counted when it arrives. A new counter starts with an empty table: it does not know the charges of another counter
+and refunds none of them. A refund is a `Charge` message with the number of the charge and a negative amount.
 
-Pure; seconds on the steady clock. Cost: a dictionary look-up a charge.
+No I/O. Times are seconds on the steady clock. Cost: one dictionary look-up per charge.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import Charge, ChargeResult
 
-# Of a sender's incarnation. A charge that comes later than so many others is neither counted nor refunded.
+# Number of charges kept per sender. A charge that arrives after this many later ones is neither counted nor refunded.
 REMEMBERED_CHARGES = 256
 
 
 class RememberedCharge:
-    """One charge that is remembered."""
+    """One charge and its result."""
 
     __slots__ = ("tenant", "amount", "at", "result", "refunded")
 
     def __init__(self, tenant: str, amount: float, at: float, result: CountResult | None) -> None:
-        """Remember a charge and its `result`; None for one that was refunded before it arrived."""
+        """Store a charge and its `result`; None if the charge was refunded before it arrived."""
         self.tenant = tenant
         self.amount = amount
         self.at = at
@@ -36,14 +36,17 @@
         self.refunded = result is None
 
     def repeated(self, now: float) -> CountResult | None:
-        """Return the answer to a repetition, None where there is none; the time until the next window has shrunk."""
+        """Return the result for a duplicate, with the time until the next window brought up to date.
+
+        Return None if the charge was refunded before it arrived.
+        """
         if self.result is None:
             return None
         return self.result._replace(seconds=max(0.0, self.result.seconds - (now - self.at)))
 
 
 class SenderCharges:
-    """The charges of one incarnation of a sender."""
+    """The charges of one sender's incarnation."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
@@ -51,7 +54,7 @@
         self.highest_forgotten = 0
 
     def remember(self, number: int, charge: RememberedCharge) -> None:
-        """Add a charge; beyond `REMEMBERED_CHARGES` the one that came first is forgotten."""
+        """Add a charge; evict the oldest one if there are more than `REMEMBERED_CHARGES`."""
         self.charges[number] = charge
         if len(self.charges) > REMEMBERED_CHARGES:
             first = next(iter(self.charges))
@@ -60,16 +63,16 @@
 
 
 class ChargeTable:
-    """The charges that one counter has seen."""
+    """The charges that one counter has received, by sender."""
 
     def __init__(self, counter: QuotaCounter) -> None:
         self.counter = counter
         self.senders: dict[str, SenderCharges] = {}
 
     def receive(self, now: float, sender: str, charge: Charge) -> ChargeResult | None:
-        """Count or refund a charge; return the answer, if there is one to give.
+        """Count or refund a charge; return the reply, or None if none is sent.
 
-        Raise UnexpectedMessageError where the amount is 0 or not finite.
+        Raise UnexpectedMessageError if the amount is 0 or not finite.
         """
         if not math.isfinite(charge.amount) or charge.amount == 0:
             raise UnexpectedMessageError(charge)
@@ -85,7 +88,7 @@
         return ChargeResult(charge.incarnation, charge.number, result.verdict, result.seconds, result.window)
 
     def _charges_of(self, sender: str, incarnation: str) -> SenderCharges | None:
-        """Return the charges of a sender's present incarnation; None for a message of another one."""
+        """Return the charges of a sender's current incarnation; None if the message is from another incarnation."""
         proxy = self.counter.shares.proxies.get(sender)
         if proxy is None or proxy.incarnation != incarnation:
             return None
--- a/thistleusher/registry/members.py
+++ b/thistleusher/registry/members.py
@@ -1,10 +1,11 @@
-"""Which proxies there are: who has reported of late, what their watchers report, and who may be sent clients.
+"""Tracks the proxies: their heartbeats, their watchers' reports, and whether clients may be sent to them.
 
-A proxy is sent clients while it says that it is ready, and is not silent by two sources. One that shuts down says so
-first. A verdict needs two sources: this registry's own silence counts as one, a watcher's report as another. Only
-after `SILENT_ALONE_S` does this registry's own silence decide alone.
+Clients are sent to a proxy while it reports itself as ready and fewer than two sources consider it silent. A proxy that
+shuts down first reports that it is not ready. One source is this registry, if it has received no heartbeat for
+`SILENT_S`; each watcher that reports the proxy as silent is another. After `SILENT_ALONE_S` without a heartbeat, this
+registry's own observation is sufficient.
 
-Pure; seconds on the steady clock.
+No I/O. Times are seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -12,39 +13,39 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SILENT_S = 0.9  # without a heartbeat here, which counts as one report
-SILENT_ALONE_S = 1.8  # without a heartbeat here, after which no watcher's report is needed
-REPORT_VALID_S = 1.0  # for which a watcher's report counts
-FORGET_S = 30.0  # without a heartbeat, after which a proxy is forgotten altogether
+SILENT_S = 0.9  # Time without a heartbeat that counts as one report of silence.
+SILENT_ALONE_S = 1.8  # Time without a heartbeat after which no watcher's report is needed.
+REPORT_VALID_S = 1.0  # Time for which a watcher's report counts.
+FORGET_S = 30.0  # Time without a heartbeat after which a proxy is removed.
 REPORTS_FOR_VERDICT = 2
 
 
 @dataclass(slots=True)
 class Member:
-    """One proxy as it reported itself: the attributes under which it is listed, and whether it is ready."""
+    """One proxy, as last reported by itself and by its watchers."""
 
     attributes: dict[str, Any]
     incarnation: str
     last_heard: float
     ready: bool = False
-    silence_reports: dict[str, float] = field(default_factory=dict)  # watchers that call it silent, and when
+    silence_reports: dict[str, float] = field(default_factory=dict)  # Watcher -> time of its last report of silence.
 
 
 class Members:
-    """All proxies."""
+    """All known proxies, by name."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
 
     def restore(self, now: float, proxy_name: str, entry: dict[str, Any]) -> None:
-        """Add a proxy from the list that an earlier registry published."""
+        """Add a proxy from the list that an earlier holder of the role published."""
         attributes = {key: value for key, value in entry.items() if key != "up"}
         self.members.setdefault(proxy_name, Member(attributes, "", now, bool(entry.get("up"))))
 
     def record_report(
         self, now: float, proxy_name: str, attributes: dict[str, Any], incarnation: str, ready: bool, silent: list[str]
     ) -> None:
-        """Record a proxy's full heartbeat: what it says of itself, and which of those it watches are silent."""
+        """Record a proxy's full heartbeat: its own state, and the watched proxies that it reports as silent."""
         member = self.members.get(proxy_name)
         if member is None or member.incarnation != incarnation:
             member = self.members[proxy_name] = Member(attributes, incarnation, now)
@@ -56,19 +57,19 @@
                 self.members[other].silence_reports[proxy_name] = now
 
     def record_heartbeat(self, now: float, proxy_name: str, incarnation: str) -> None:
-        """Record a short heartbeat: the proxy is there, and as it last reported."""
+        """Record a short heartbeat: the proxy is alive and its last report still holds."""
         member = self.members.get(proxy_name)
         if member is not None and member.incarnation == incarnation:
             member.last_heard = now
 
     def is_up(self, now: float, member: Member) -> bool:
-        """Return whether clients may be sent there."""
+        """Return whether clients may be sent to a proxy."""
         quiet = now - member.last_heard
         reports = sum(1 for at in member.silence_reports.values() if now - at < REPORT_VALID_S)
         return member.ready and quiet < SILENT_ALONE_S and reports + (quiet > SILENT_S) < REPORTS_FOR_VERDICT
 
     def entries(self, now: float) -> dict[str, dict[str, Any]]:
-        """Return every proxy as it is published, with whether it is up. Forgets those gone for `FORGET_S`."""
+        """Return the published entry of each proxy; first remove those without a heartbeat for `FORGET_S`."""
         for proxy_name in [name for name, member in self.members.items() if now - member.last_heard > FORGET_S]:
             del self.members[proxy_name]
         return {
--- a/thistleusher/registry/outputs.py
+++ b/thistleusher/registry/outputs.py
@@ -1,4 +1,4 @@
-"""What the registry's state machine asks its process to do."""
+"""The outputs of the registry's state machine: actions that its process carries out."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class SendToControl(NamedTuple):
-    """Send a message to the control process on a machine; to each one, where `address` is empty."""
+    """Send a message to the control process on a machine, or to every one if `address` is empty."""
 
     address: str
     message: AnyMessage
 
 
 class SendToSubscriber(NamedTuple):
-    """Send a message to a subscriber, by its name, if the role is still held when it leaves."""
+    """Send a message to a subscriber, by name, if the role is still held at the time of sending."""
 
     name: str
     message: AnyMessage
 
 
 class CallPlatform(NamedTuple):
-    """Call the platform; give the answer to `Registry.platform_answered`, with the call's number.
+    """Call the platform and pass the response, with the call's number, to `Registry.platform_answered`.
 
-    The calls are made one at a time: one that is still in flight has been given up.
+    Calls are made one at a time: an earlier call that is still in flight has been abandoned.
     """
 
     number: int
@@ -33,7 +33,7 @@
 
 
 class ConnectToCore(NamedTuple):
-    """Connect to these machines of the core."""
+    """Connect to these core machines."""
 
     addresses: tuple[str, ...]
 
--- a/thistleusher/registry/platform_calls.py
+++ b/thistleusher/registry/platform_calls.py
@@ -1,10 +1,10 @@
-"""The calls to the platform, by whichever registry holds the singleton role: one at a time, each with an end.
+"""Calls to the platform by the registry that holds the singleton role: one at a time, each with a time limit.
 
-Guaranteed: while the role is held, a call is begun when the poller says that one is due, whatever became of the one
-before. One whose end is not learnt within `CALL_LIMIT_S` is given up, and its late answer is dropped by its number: as
-nobody else reads the list, nothing that happens to one call may keep it from being read.
+Guarantee: while the role is held, a call is started whenever the poller reports one as due, regardless of the outcome
+of the previous call. A call without a result after `CALL_LIMIT_S` is abandoned, and its late response is recognised by
+its number and dropped. No other process reads the list, so a single call must never be able to block further readings.
 
-Pure; seconds on the steady clock.
+No I/O. Times are seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from thistleusher.registry.backend_poller import Backend, BackendPoller, UnreadableAnswerError
 from thistleusher.registry.outputs import CallPlatform, LogEvent, Output
 
-CALL_LIMIT_S = 1.5  # of a call; its process ends it before (`platform_client.CALL_TIMEOUT_S`)
-LIST_OVERDUE_S = 1.5  # without a complete reading of the platform's list, after which that is logged, again and again
+CALL_LIMIT_S = 1.5  # Time after which a call is abandoned; normally `platform_client.CALL_TIMEOUT_S` ends it earlier.
+LIST_OVERDUE_S = 1.5  # Time without a complete reading before the event is logged, and the interval of its repetition.
 OK = 200
 NO_ANSWER = "no answer"
 
 
 class CallInFlight(NamedTuple):
-    """The call that has no answer yet: its number, the poller that it is for, and since when."""
+    """A call without a response so far: its number, the poller that requested it, and its start time."""
 
     number: int
     poller: BackendPoller
@@ -31,17 +31,17 @@
 
 
 class Answered(NamedTuple):
-    """What an answer led to: what a complete reading has changed (None: nothing is complete), and outputs."""
+    """The result of a response: the changes of a complete reading (None: not complete yet), and outputs."""
 
     changes: dict[str, Backend | None] | None
     outputs: list[Output]
 
 
 class PlatformCalls:
-    """The poller of the present term, and the call that is in flight."""
+    """The poller of the current term, and the call in flight."""
 
     def __init__(self, now: float, rate_per_s: float) -> None:
-        """`rate_per_s`: the platform's rate limit."""
+        """Create the poller; `rate_per_s` is the platform's rate limit."""
         self.rate_per_s = rate_per_s
         self.poller = BackendPoller(now, rate_per_s)
         self._in_flight: CallInFlight | None = None
@@ -49,14 +49,14 @@
         self._overdue_report_at = now
 
     def begin_term(self, now: float, known: Mapping[str, Backend]) -> None:
-        """Begin to read for a new term of the role; `known`: the backends that are published, by name."""
+        """Start polling for a new term of the role; `known` holds the published backends by name."""
         self.poller = BackendPoller(now, self.rate_per_s)
-        # How much of a warm-up is left is not known here, so the first reading publishes those backends anew.
+        # The remaining warm-up times are not known here, so the first reading publishes the cold backends again.
         self.poller.backends = {name: {**backend, "cold": 0.0} for name, backend in known.items()}
         self.poller.warm_at = {name: now for name, backend in known.items() if backend["cold"] > 0}
 
     def tick(self, now: float) -> list[Output]:
-        """Begin the call that is due; say it where the list has not been read for long."""
+        """Start the next call if it is due; log an event if the last complete reading is overdue."""
         outputs = self._give_up_overdue(now)
         if self._in_flight is None:
             target = self.poller.begin_call(now)
@@ -82,16 +82,16 @@
         return [LogEvent(Event.PLATFORM_FAILED, (status or NO_ANSWER,))]
 
     def answered(self, now: float, number: int, status: int, body: bytes) -> Answered | None:
-        """Take in the answer to the call of this number; `status` 0: none came.
+        """Process the response to a call; `status` is 0 if there was none.
 
-        None: it is dropped, as its call was given up, or was made under an earlier term.
+        Return None if the response is dropped because its call was abandoned or belongs to an earlier term.
         """
         call = self._in_flight
         if call is None or call.number != number:
             return None
         self._in_flight = None
         if call.poller is not self.poller:
-            return None  # a page of a reading that ended with an earlier term is no complete list
+            return None  # The reading ended with the earlier term, so its pages cannot complete a list.
         if status != OK:
             return Answered(None, self._failed(now, status))
         try:
--- a/thistleusher/registry/platform_client.py
+++ b/thistleusher/registry/platform_client.py
@@ -1,7 +1,7 @@
-"""Calls to the platform: one connection, one call at a time, each with a time limit.
+"""HTTP client for the platform: one connection, one call at a time, each with a time-out.
 
-Guaranteed: a call ends within `CALL_TIMEOUT_S`, with a response or with None, whatever becomes of its connection. Its
-caller relies on that: it makes no other call before.
+Guarantee: a call ends within `CALL_TIMEOUT_S` with a response or None, whatever happens to its connection. The caller
+relies on this, as it starts no other call before.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def get(self, target: str) -> Response | None:
-        """Return the complete response; None where none came within `CALL_TIMEOUT_S`."""
+        """Return the complete response, or None if none arrived within `CALL_TIMEOUT_S`."""
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._get(target)
         except (OSError, TimeoutError, EOFError):
             self.disconnect()
             return None
-        except Exception as error:  # a fault here must not leave the caller without an answer
+        except Exception as error:  # An internal error must not leave the caller without a result.
             self.disconnect()
             log_event(Event.FAULT, "a call to the platform", repr(error))
             return None
         except asyncio.CancelledError:
-            self.disconnect()  # the response would else be taken for the next call's
+            self.disconnect()  # Otherwise the late response would be read as that of the next call.
             raise
 
     async def _get(self, target: str) -> Response:
@@ -59,7 +59,7 @@
                 return responses[0]
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Return the open connection's streams, or those of a new one where it has ended since the last call."""
+        """Return the streams of the open connection; open a new one if it has ended since the last call."""
         if self.streams is not None and self._has_ended(*self.streams):
             self.disconnect()
         if self.streams is None:
@@ -71,11 +71,11 @@
 
     @staticmethod
     def _has_ended(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Return whether the platform has closed or reset the connection; uvloop raises RuntimeError on its use."""
+        """Return whether the platform has closed or reset the connection; uvloop raises RuntimeError if it is used."""
         return writer.is_closing() or reader.at_eof()
 
     def disconnect(self) -> None:
-        """Close the connection; the next call opens one."""
+        """Close the connection; the next call opens a new one."""
         if self.streams is not None:
             self.streams[1].transport.abort()
             self.streams = None
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -1,7 +1,7 @@
-"""The registry as a process: its machine's links, the platform's calls, ticks.
+"""The registry process: links to other processes, calls to the platform, and ticks.
 
-The clock is read anew for each input and before each answer: `loop.time()` is that of the loop's iteration, and a
-process that was paused within one would take it for the present.
+The clock is read for each input and before each reply. `loop.time()` is fixed for one iteration of the event loop, so
+a process that was paused within an iteration would use an outdated time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
-SHUTDOWN_S = 0.1  # for the last messages to leave
+SHUTDOWN_S = 0.1  # Delay before links are closed, so that the last messages are sent.
 
 
 class RegistryProgram:
@@ -65,7 +65,7 @@
         self.subscribers: dict[str, Link] = {}
 
     async def run(self) -> None:
-        """Serve until the process is asked to shut down."""
+        """Serve until the process receives a signal to shut down."""
         await self.listener.listen(self.boot.ip, self.boot.port(REGISTRY))
         self._connect_to(self.boot.core_ips)
         self.tick()
@@ -88,7 +88,7 @@
         self.peers.connect_to(addresses)
 
     def tick(self) -> None:
-        """Let the state machine do what is due."""
+        """Run one tick of the state machine and carry out its outputs."""
         self._carry_out(self.registry.tick(time.monotonic()))
 
     # Outputs.
@@ -110,13 +110,13 @@
                 log_event(output.event, *output.fields)
 
     def _send_to_subscriber(self, output: SendToSubscriber) -> None:
-        """Send what only a holder of the role may send, if the role is still held."""
+        """Send a message that only the holder of the role may send, if the role is still held."""
         link = self.subscribers.get(output.name)
         if link is not None and self.registry.can_answer(time.monotonic()):
             link.send(output.message)
 
     def _start_call(self, call: CallPlatform) -> None:
-        """Begin a call; one that is still in flight was given up, and ends first."""
+        """Start a call; cancel an earlier one that is still in flight, as the state machine has abandoned it."""
         if self.platform_call is not None:
             self.platform_call.cancel()
         self.platform_call = start_background(self.loop, self._call_platform(call), "a call to the platform")
@@ -143,13 +143,13 @@
 
     def _from_subscriber(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
-            raise UnexpectedMessageError(message)  # it has not said who it is
+            raise UnexpectedMessageError(message)  # The sender has not identified itself.
         if isinstance(message, SubscribeRequest):
             self.subscribers[link.name] = link
-            for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
+            for links in (self.control, self.peers):  # If the peer is a core machine, it is up: reconnect now.
                 links.retry_now(link.peer_address)
         elif self.subscribers.get(link.name) is not link:
-            return  # a newer connection has taken this one's place, maybe of a newer incarnation
+            return  # A newer connection, possibly of a newer incarnation, has replaced this one.
         self._carry_out(self.registry.receive_from_subscriber(time.monotonic(), link.name, message))
 
     def _subscriber_gone(self, link: Link) -> None:
@@ -159,5 +159,5 @@
 
 
 async def main(settings: SettingsFile) -> None:
-    """Run what `python -m thistleusher.system registry` starts."""
+    """Run the registry process, which `python -m thistleusher.system registry` starts."""
     await RegistryProgram(settings).run()
--- a/thistleusher/registry/proxy_shares.py
+++ b/thistleusher/registry/proxy_shares.py
@@ -1,10 +1,10 @@
-"""The proxies' parts of all limits: who may spend alone, since when, and how much of the span it may have spent.
+"""Tracks the proxies' shares of all limits and deducts what out-of-contact proxies may admit by themselves.
 
-A share is persisted in the control state before it is handed out. It is deducted from what the count admits, second by
-second, for as long as its proxy might go by it. Of the time before the start the worst is assumed, until all proxies
-that may have admitted anything then have reported it.
+A share is persisted in the control state before it is handed out. For as long as a proxy might use its share, the share
+is deducted continuously from what the counter admits. For the time before the counter's start the worst case is
+assumed, until all proxies that may have admitted requests then have reported them.
 
-Pure; seconds on the steady clock. The sum over all proxies is made once in `DEDUCTION_REFRESH_S`.
+No I/O. Times are seconds on the steady clock. The sum over all proxies is computed once per `DEDUCTION_REFRESH_S`.
 """
 
 from __future__ import annotations
@@ -26,28 +26,29 @@
     SHARE_GATHERING_S,
 )
 
-FORMER_INCARNATIONS = 4  # of each proxy that are remembered, so that a late message of one does not bring it back
+# Number of former incarnations kept per proxy, so that a late message does not make one of them current again.
+FORMER_INCARNATIONS = 4
 NEVER = float("-inf")
 
 
 @dataclass(slots=True)
 class ProxyState:
-    """What the counter knows of one proxy.
+    """The counter's state for one proxy.
 
-    `confirmed_at`: when the newest echo was sent that the proxy is known to have received. `echoed_at`: when it was
-    sent the newest echo of all.
+    `confirmed_at`: send time of the newest echo that the proxy is known to have received. `echoed_at`: send time of the
+    newest echo, whether received or not.
     """
 
     incarnation: str = ""
     share: float = 0.0
     confirmed_at: float = NEVER
     echoed_at: float = NEVER
-    reported_incarnation: str | None = None  # whose report is taken in
+    reported_incarnation: str | None = None  # Incarnation whose admission report has been counted.
     former_incarnations: deque[str] = field(default_factory=lambda: deque(maxlen=FORMER_INCARNATIONS))
 
 
 class Deduction(NamedTuple):
-    """The part of all limits that proxies could accrue alone, from one time to another."""
+    """The share of all limits that proxies may have accrued on their own between two times."""
 
     start: float
     end: float
@@ -55,7 +56,7 @@
 
 
 class ReportKind(Enum):
-    """A proxy's report: the first of its incarnation, that one again, or one of another incarnation."""
+    """Kind of a proxy's report: the first of its incarnation, a repetition, or one of another incarnation."""
 
     FIRST = "first"
     REPEATED = "repeated"
@@ -63,24 +64,24 @@
 
 
 class ProxyShares:
-    """All proxies as one counter knows them."""
+    """The proxies known to one counter, and the deductions for their shares."""
 
     def __init__(self, now: float, span_s: float) -> None:
-        """`span_s`: the length of the spans over which the users' rule is judged."""
+        """Create the state of a new counter; `span_s` is the length over which the quota rule is judged."""
         self.started_at = now
-        self.known_since = now  # from when on it is known what all proxies admitted
+        self.known_since = now  # Start of the period for which the admissions of all proxies are known.
         self.span_s = span_s
         self.proxies: dict[str, ProxyState] = {}
-        self.awaited: set[str] = set()  # that may have admitted something before and have not reported
-        self.reported_since = NEVER  # from when on all that were awaited and have reported know it
+        self.awaited: set[str] = set()  # Proxies that may have admitted requests before the start and must report them.
+        self.reported_since = NEVER  # Start of the period that the reports received from awaited proxies all cover.
         self.first_share_wanted_at: float | None = None
         self.deductions: deque[Deduction] = deque()
-        self.deducted_part = 1.0  # at the last refresh
-        self.deducted_s = span_s  # the sum of the parts over the present span, each for its time
+        self.deducted_part = 1.0  # Deducted share at the last refresh.
+        self.deducted_s = span_s  # Integral of the deducted share over the current span, in seconds.
         self.refreshed_at = now
 
     def set_shares(self, shares: Mapping[str, float]) -> None:
-        """Set the shares that are persisted."""
+        """Set the persisted shares, by proxy."""
         self.expect_reports(shares)
         for proxy_name, share in shares.items():
             self.proxies[proxy_name].share = share
@@ -93,10 +94,10 @@
         echoed: float | None,
         never_echoed_for: float | None = None,
     ) -> bool:
-        """Record a heartbeat, which is echoed now; return whether it counts, as it is not of a former incarnation.
+        """Record a heartbeat, which is echoed now; return False if it is of a former incarnation and thus ignored.
 
-        `echoed`: when, on this counter's clock, the newest echo was sent that the heartbeat's sender has received.
-        `never_echoed_for`: for how many seconds the sender has run, where it has had no echo of any counter.
+        `echoed`: send time, on this counter's clock, of the newest echo that the heartbeat's sender has received.
+        `never_echoed_for`: uptime of the sender in seconds if it has not received an echo from any counter, else None.
         """
         self.refresh(now)
         proxy = self.proxies.setdefault(proxy_name, ProxyState())
@@ -107,7 +108,7 @@
             proxy.incarnation = incarnation
             if never_echoed_for is not None:
                 self._return_unspent(now, proxy, now - never_echoed_for)
-                proxy.confirmed_at = now  # without an echo it spends nothing; the one that follows is confirmed soon
+                proxy.confirmed_at = now  # Without an echo it spends nothing; it will soon confirm the one sent now.
             else:
                 proxy.confirmed_at = NEVER
         proxy.echoed_at = now
@@ -115,10 +116,10 @@
             proxy.confirmed_at = max(proxy.confirmed_at, echoed)
         return True
 
-    # What was admitted before the start.
+    # Admissions before the counter's start.
 
     def expect_reports(self, proxy_names: Iterable[str]) -> None:
-        """Wait for the reports of proxies that have a share or are listed, but for those that were heard of before."""
+        """Await the reports of proxies that have a share or are listed, except those that are already known."""
         for proxy_name in proxy_names:
             if proxy_name not in self.proxies:
                 self.proxies[proxy_name] = ProxyState()
@@ -126,7 +127,7 @@
                 self.known_since = self.started_at
 
     def record_report(self, now: float, proxy_name: str, incarnation: str, covered_s: float) -> ReportKind:
-        """Record that a proxy has reported what it admitted in the last `covered_s` seconds; return which report."""
+        """Record a proxy's report of its admissions in the last `covered_s` seconds; return the report's kind."""
         self.refresh(now)
         proxy = self.proxies.get(proxy_name)
         if proxy is None or proxy.incarnation != incarnation:
@@ -134,7 +135,7 @@
         if proxy.reported_incarnation == incarnation:
             return ReportKind.REPEATED
         proxy.reported_incarnation = incarnation
-        if proxy_name in self.awaited:  # a later incarnation's report cannot know more than this one
+        if proxy_name in self.awaited:  # The report of a later incarnation cannot cover more than this one.
             self.awaited.remove(proxy_name)
             self.reported_since = max(self.reported_since, now - covered_s)
             if not self.awaited:
@@ -144,10 +145,10 @@
     # Shares.
 
     def missing_shares(self, now: float) -> dict[str, float]:
-        """Return shares to persist for proxies that have none; they hold once `configure` brings them back.
+        """Return shares to persist for proxies that have none; they take effect once `set_shares` gets them.
 
-        The first proxies share `FIRST_SHARES_PART` evenly; a later one gets a little less than the smallest share, and
-        at most `LATER_SHARE_PART` of what is left.
+        The first proxies divide `FIRST_SHARES_PART` evenly. Each later one gets slightly less than the smallest share,
+        and at most `LATER_SHARE_PART` of what is unassigned.
         """
         lacking = [
             proxy_name
@@ -172,26 +173,26 @@
         return shares
 
     def part_out_of_contact(self, now: float) -> float:
-        """Return the part of all limits that proxies might accrue now by their shares.
+        """Return the total share of the proxies that may be using their shares now.
 
-        A share that nobody can still be spending, `SHARE_FORGOTTEN_S` after the last echo, is not in it.
+        A share is excluded `SHARE_FORGOTTEN_S` after the last echo to its proxy, when it can no longer be in use.
         """
         part = 0.0
         for proxy in self.proxies.values():
             in_contact = proxy.confirmed_at >= self.started_at and now - proxy.confirmed_at < SHARE_DEDUCTED_S
-            # An echo that is not known to have arrived counts too: its proxy may go by its share from then on.
+            # An unconfirmed echo counts too: its proxy may use its share from then on.
             if not in_contact and now - max(proxy.echoed_at, self.started_at) < SHARE_FORGOTTEN_S:
                 part += proxy.share
         return min(1.0, part)
 
     def refresh(self, now: float) -> None:
-        """Bring the deductions up to date, unless they are new."""
+        """Update the deductions if the last refresh was at least `DEDUCTION_REFRESH_S` ago."""
         since = now - self.refreshed_at
         if since < DEDUCTION_REFRESH_S:
             return
         before, self.deducted_part = self.deducted_part, self.part_out_of_contact(now)
         part = max(before, self.deducted_part)
-        if since >= SHARE_DEDUCTED_S:  # nothing was heard: all may have been out of contact meanwhile
+        if since >= SHARE_DEDUCTED_S:  # No message was processed, so every proxy may have been out of contact.
             part = min(1.0, sum(proxy.share for proxy in self.proxies.values()))
         self._deduct(Deduction(self.refreshed_at, now, part))
         self.refreshed_at = now
@@ -202,7 +203,7 @@
         self.deducted_s = accrued_s + max(0.0, self.known_since - (now - self.span_s))
 
     def _return_unspent(self, now: float, proxy: ProxyState, since: float) -> None:
-        """Take back what was deducted for a proxy since its new incarnation started: that one had no share to spend."""
+        """Reverse what was deducted for a proxy since its new incarnation started, as that one had no share to use."""
         if now - max(proxy.echoed_at, self.started_at) >= SHARE_FORGOTTEN_S:
             return
         deducted_from = max(self.started_at, proxy.confirmed_at + SHARE_DEDUCTED_S) + DEDUCTION_REFRESH_S
@@ -211,7 +212,7 @@
             self.deductions.append(Deduction(start, self.refreshed_at, -proxy.share))
 
     def _deduct(self, deduction: Deduction) -> None:
-        """Add a deduction, to the one before it where that is of the same part."""
+        """Append a deduction, or extend the last one if it has the same share."""
         last = self.deductions[-1] if self.deductions else None
         if last is not None and last.part == deduction.part:
             self.deductions[-1] = last._replace(end=deduction.end)
--- a/thistleusher/registry/quota_counter.py
+++ b/thistleusher/registry/quota_counter.py
@@ -1,13 +1,13 @@
-"""The counter service: one global count for each tenant, in windows of burst / rate seconds, one burst a window.
+"""The counter service: one global count per tenant, in windows of burst / rate seconds that each admit one burst.
 
-Where that is longer than `MAX_WINDOW_S`, the window is that long and what it allows is the rate times that.
+A window is at most `MAX_WINDOW_S` long; a window of that length admits the rate times `MAX_WINDOW_S`.
 
-Guaranteed, over all proxies and their incarnations: in any span of `span_s` seconds (the length over which the users'
-rule is judged) the count and what the proxies' shares accrue there come to the rate times the span plus one burst at
-most. How: beside its window, a charge must find room in the span that ends now, from which `registry.proxy_shares`
-deducts what proxies may have spent without the count.
+Guarantee, over all proxies and their incarnations: in any span of `span_s` seconds (the length over which the quota
+rule is judged), the count plus what accrues by the proxies' shares is at most the rate times the span plus one burst.
+To this end, a charge must fit into its window and also into the span that ends now, from which
+`registry.proxy_shares` deducts what proxies may have admitted without the counter.
 
-Pure; seconds on the steady clock. Cost: one message and one answer a request; a few additions.
+No I/O. Times are seconds on the steady clock. Cost per request: one message, one answer and a few additions.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from thistleusher.registry.span_count import SpanCount
 
 MAX_WINDOW_S = 60.0
-NO_WINDOW = -1  # the number of no window
-ROUNDING = 1e-9  # of sums that are compared with a limit
+NO_WINDOW = -1  # Window number of a charge that no window counts, as its tenant has no limit.
+ROUNDING = 1e-9  # Tolerance for rounding errors when a sum is compared with a limit.
 
 
 @dataclass(slots=True)
 class Window:
-    """One tenant's present window: when it began, its length in seconds, what it allows and what it has admitted.
+    """One tenant's current window: its start, its length in seconds, its allowance and what it has admitted.
 
-    `allowance` is the tenant's burst (at least 1), or its rate times `MAX_WINDOW_S` where that is less. `in_span` is
-    what was admitted in the present span, also in earlier windows.
+    `allowance` is the tenant's burst (at least 1), or its rate times `MAX_WINDOW_S` if that is less. `in_span` counts
+    what was admitted in the current span, including earlier windows.
     """
 
     start: float
@@ -43,7 +43,10 @@
 
 
 class CountResult(NamedTuple):
-    """What became of a charge: the verdict, seconds until the tenant's next window, and the window's number."""
+    """The result of a charge: verdict, seconds until the tenant should retry, and the number of the window.
+
+    `seconds` is the time until the next window; for a charge that does not fit into the span, the length of a slot.
+    """
 
     verdict: int
     seconds: float
@@ -51,19 +54,19 @@
 
 
 class QuotaCounter:
-    """All counts of one holder of the singleton role; the next holder begins with new ones."""
+    """All counts of one holder of the singleton role; the next holder starts with new ones."""
 
     def __init__(self, now: float, span_s: float = 5.0) -> None:
-        """`span_s`: the length of the spans over which the users' rule is judged (`quota_window_s`)."""
+        """Create empty counts; `span_s` is the length over which the quota rule is judged (`quota_window_s`)."""
         self.started_at = now
         self.span_s = span_s
         self.slot_s = span_s / SLOTS_PER_SPAN
         self.shares = ProxyShares(now, span_s)
-        self.limits: dict[str, tuple[float, float]] = {}  # tenant -> (rate, burst)
+        self.limits: dict[str, tuple[float, float]] = {}  # Tenant -> (rate, burst).
         self.windows: dict[str, Window] = {}
 
     def configure(self, limits: Mapping[str, tuple[float, float]], shares: Mapping[str, float]) -> None:
-        """Set the tenants' (rate, burst), and the proxies' shares that are persisted."""
+        """Set the tenants' limits as (rate, burst), and the proxies' persisted shares."""
         self.limits = dict(limits)
         self.shares.set_shares(shares)
 
@@ -75,11 +78,11 @@
         covered_s: float,
         admitted: Mapping[str, Iterable[tuple[float, int]]],
     ) -> bool:
-        """Take in what a proxy admitted before this counter's first echo reached it; return whether it is known now.
+        """Count what a proxy admitted before it received this counter's first echo; return whether it is counted now.
 
-        Complete for the last `covered_s` seconds, but for what is older than a span; `admitted` holds for each tenant
-        how many seconds ago, and how many requests. Each incarnation's report counts once. False: another incarnation
-        is the present one.
+        The report is complete for the last `covered_s` seconds, except for what is older than a span. `admitted` holds
+        (age in seconds, number of requests) for each tenant. Each incarnation's report counts once. Return False if
+        the report is not from the proxy's current incarnation.
         """
         kind = self.shares.record_report(now, proxy_name, incarnation, covered_s)
         if kind is ReportKind.FIRST:
@@ -98,7 +101,7 @@
     # Charges.
 
     def charge(self, now: float, tenant: str, amount: float) -> CountResult:
-        """Charge a tenant's count. What is over the limit is not counted."""
+        """Charge a tenant's count; a charge that exceeds the limit is rejected and not counted."""
         limit = self.limits.get(tenant)
         if limit is None or limit[0] <= 0:
             return CountResult(ALLOWED, 0.0, NO_WINDOW)
@@ -113,9 +116,9 @@
         return CountResult(ALLOWED, window.start + window.length - now, window.number)
 
     def refund(self, now: float, tenant: str, amount: float, number: int, charged_at: float) -> None:
-        """Take back a charge that was counted at a time, in the window of a number.
+        """Refund a charge that was counted at `charged_at` in the window `number`.
 
-        Frees nothing in a window or span that the charge does not count in any more.
+        A window or span that no longer includes the charge is not changed.
         """
         limit = self.limits.get(tenant)
         if limit is None or limit[0] <= 0:
@@ -126,16 +129,16 @@
         window.in_span.take_back(charged_at, amount)
 
     def _span_limit(self, now: float, rate: float, burst: float) -> float:
-        """Return what the count may have admitted in the span that ends now."""
+        """Return the maximum that the counter may admit in the span that ends now."""
         accrued = rate * (self.span_s - self.shares.deducted_s)
-        if now - self.shares.known_since < self.span_s:  # the burst may have been admitted before
+        if now - self.shares.known_since < self.span_s:  # The burst may have been admitted before that time.
             return accrued
-        # Proxies can spend a full reserve in a span, and what fills it again meanwhile.
+        # Within a span, proxies can spend a full reserve and also what refills it.
         from_reserve = (1.0 + self.span_s / RESERVE_FILLED_S) * burst_in_reserve(rate, burst, self.span_s)
         return accrued + max(1.0, burst - from_reserve)
 
     def _window(self, now: float, tenant: str, rate: float, burst: float) -> Window:
-        """Return a tenant's present window, by its present limit; one that is under way keeps its count."""
+        """Return a tenant's current window, with its current limit; a changed limit does not reset the count."""
         length = min(MAX_WINDOW_S, max(burst, 1.0) / rate)
         window = self.windows.get(tenant)
         if window is None:
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -1,15 +1,15 @@
 """The registry's state machine: the lease of its singleton role, backends, proxies, the counter, subscribers.
 
-Ingresses are the proxies: `members` holds what they report of themselves, `counter` what they may spend. Subscribers
-are the proxies and the other registries.
+`members` holds the state that proxies report, `counter` the tenants' counts and the proxies' shares. Subscribers are
+the proxies and the other registries.
 
-Guaranteed: only a holder of the role calls the platform, publishes and counts. Whether it holds the role is checked on
-the clock of each input, and once more when an answer leaves (`can_answer`), so a process that was paused answers
-nothing of what waited for it meanwhile. What it publishes begins above every number of an earlier holder, so a
-subscriber never goes back; registries without the role keep a copy of the list and go on from there.
+Guarantee: only the holder of the role calls the platform, publishes and counts. The lease is checked at the time of
+each input, and again when a reply is sent (`can_answer`), so a process that was paused does not answer messages that
+arrived during the pause. Published numbers start above those of every earlier holder, so a subscriber's number never
+decreases. Registries without the role keep a copy of the list and continue from it when they acquire the role.
 
 Inputs are ticks, messages from the control processes, from other registries and from subscribers, and the platform's
-answers; outputs are in `thistleusher.registry.outputs`. Pure; seconds on the steady clock.
+responses. Outputs are defined in `thistleusher.registry.outputs`. No I/O. Times are seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -59,14 +59,14 @@
 from thistleusher.transport.state_updates import Subscriber
 
 REGISTRAR_ROLE = "registrar"
-PERSIST_SPACING_S = 1.0  # between requests to persist shares
-LEADER_MACHINE_DELAY_S = 0.3  # by which the registry on the control leader's machine attempts the lease later
-WATCH_INTERVAL_S = 0.25  # between looks at which subscribers lag
+PERSIST_SPACING_S = 1.0  # Interval between requests to persist shares.
+LEADER_MACHINE_DELAY_S = 0.3  # Additional delay before the registry on the control leader's machine requests the lease.
+WATCH_INTERVAL_S = 0.25  # Interval between checks for lagging subscribers.
 DRAINING_PHASE = "draining"
 
 
 class Registry:
-    """One registry."""
+    """The state machine of one registry."""
 
     def __init__(
         self,
@@ -80,8 +80,8 @@
     ) -> None:
         """Create a registry without the role.
 
-        `name` names the machine and this incarnation; `platform_rate_per_s` is the rate limit of the platform, if
-        there is one (`has_platform`). `quota_window_s` is the length over which the users' quota rule is judged.
+        `name` identifies the machine and this incarnation. `platform_rate_per_s` is the platform's rate limit, used
+        only with `has_platform`. `quota_window_s` is the length of the span over which the quota rule is judged.
         """
         self.name = name
         self.address = address
@@ -94,8 +94,8 @@
         self.configuration = ConfigurationFollower()
         self.list = PublishedList(name)
         self.members = Members()
-        self.counter: QuotaCounter | None = None  # only while it holds the role
-        self.counter_name = ""  # of the present counter, or the last one
+        self.counter: QuotaCounter | None = None  # Set only while this registry holds the role.
+        self.counter_name = ""  # Name of the current counter, or of the last one.
         self.charges: ChargeTable | None = None
         self.platform_calls = PlatformCalls(now, platform_rate_per_s)
         self.next_persist_at = now
@@ -105,13 +105,13 @@
 
     @property
     def poller(self) -> BackendPoller:
-        """Return the poller of the present term."""
+        """Return the poller of the current term."""
         return self.platform_calls.poller
 
     # Inputs.
 
     def tick(self, now: float) -> list[Output]:
-        """Let time pass; to be called ten times a second or more."""
+        """Run the actions that are due; must be called at least ten times a second."""
         self._update_role(now)
         if self.holds_role:
             self._work(now)
@@ -127,9 +127,9 @@
     def receive_from_control(
         self, now: float, address: str, message: AnyMessage
     ) -> tuple[list[Output], AnyMessage | None]:
-        """Take in a message of the control process on a machine; return what follows, and the reply to it.
+        """Process a message from the control process at `address`; return the outputs and the reply, if any.
 
-        Raise UnexpectedMessageError for a message that no registry takes from there.
+        Raise UnexpectedMessageError for a message that a registry does not accept from a control process.
         """
         self._check_lease(now)
         reply: AnyMessage | None = None
@@ -143,14 +143,14 @@
             if changed:
                 self.configuration.update(self.control_state.state, changed)
                 self._configure_counter()
-        elif not isinstance(message, ItemsPersisted):  # the state itself shows what was persisted
+        elif not isinstance(message, ItemsPersisted):  # Ignored: the control state itself shows what was persisted.
             raise UnexpectedMessageError(message)
         return self._flush(), reply
 
     def receive_from_peer(self, now: float, message: AnyMessage) -> tuple[list[Output], AnyMessage | None]:
-        """Take in another registry's update, which one without the role applies; return the reply to it too.
+        """Process an update from another registry; return the outputs and the reply, if any.
 
-        Raise UnexpectedMessageError for anything else.
+        The update is applied only without the role. Raise UnexpectedMessageError for any other message.
         """
         self._check_lease(now)
         if not isinstance(message, StateUpdate):
@@ -159,9 +159,9 @@
         return self._flush(), reply
 
     def receive_from_subscriber(self, now: float, name: str, message: AnyMessage) -> list[Output]:
-        """Take in a message of a proxy or of another registry.
+        """Process a message from a subscriber: a proxy or another registry.
 
-        Raise UnexpectedMessageError for a message that no registry takes from there.
+        Raise UnexpectedMessageError for a message that a registry does not accept from a subscriber.
         """
         self._check_lease(now)
         if isinstance(message, Charge):
@@ -179,13 +179,13 @@
         return self._flush()
 
     def subscriber_gone(self, name: str) -> None:
-        """Take note that a subscriber's connection has ended."""
+        """Remove a subscriber whose connection has ended."""
         self.list.unsubscribe(name)
 
     def platform_answered(self, now: float, number: int, status: int, body: bytes) -> list[Output]:
-        """Take in the platform's answer to the call of this number; `status` 0: none came.
+        """Process the platform's response to a call; `status` is 0 if there was none.
 
-        The answer to a call that was given up is dropped.
+        The response to an abandoned call is dropped.
         """
         self._check_lease(now)
         answered = self.platform_calls.answered(now, number, status, body)
@@ -197,7 +197,7 @@
         return self._flush()
 
     def can_answer(self, now: float) -> bool:
-        """Return whether an answer may leave now; ends the role first where its lease is over."""
+        """Return whether a reply may be sent now; first end the role if its lease has expired."""
         self._check_lease(now)
         return self.holds_role
 
@@ -223,17 +223,17 @@
         if not self.core.update(info):
             return
         self.lease.set_grantors(info.voters)
-        # The leader's machine would lose two roles at the same time.
+        # If the leader's machine also held this role, its failure would end two roles at once.
         self.lease.attempt_delay_s = LEADER_MACHINE_DELAY_S if info.leader == self.address else 0.0
         self._outputs.append(ConnectToCore(info.voters))
 
     def _check_lease(self, now: float) -> None:
-        """End the role if its lease is over on the clock of this input, whatever the last tick knew."""
+        """End the role if its lease has expired at the time of this input, without waiting for the next tick."""
         if self.holds_role and not self.lease.holds_lease(now):
-            self._end_role("the lease has ended")
+            self._end_role("the lease has expired")
 
     def _update_role(self, now: float) -> None:
-        """Ask for the lease when it is due; begin the role as soon as it is held, end it as soon as it is not."""
+        """Request the lease when due; begin the role once the lease is held, end the role once it is not."""
         self.lease.tick(now, self._send_to_control)
         self._check_lease(now)
         if self.lease.holds_lease(now) and not self.holds_role and self.control_state.state.number > 0:
@@ -261,7 +261,7 @@
             self._log(Event.ROLE_LOST, reason)
 
     def _work(self, now: float) -> None:
-        """Do what is due for a holder of the role: call the platform, have shares persisted, publish members."""
+        """Run the holder's actions that are due: call the platform, request to persist shares, publish members."""
         assert self.counter is not None
         if self.has_platform:
             self._outputs += self.platform_calls.tick(now)
@@ -275,7 +275,7 @@
         self._publish_members(now)
 
     def _resend_to_lagging(self, now: float) -> None:
-        """Have what subscribers have not acknowledged for long sent to them again, and say so."""
+        """Log each lagging subscriber and resend the updates that it has not acknowledged."""
         if now < self.next_watch_at or not self._has_list():
             return
         self.next_watch_at = now + WATCH_INTERVAL_S
@@ -315,7 +315,7 @@
         self._publish(changes)
 
     def _publish(self, changes: dict[str, Any]) -> None:
-        """Apply changes to the list and send it to subscribers, once there is a list of backends."""
+        """Apply changes to the list; send it to subscribers if the list of backends is known."""
         self.list.change(changes)
         if self._has_list():
             for name, update in self.list.updates_due():
@@ -324,7 +324,7 @@
     # The counter.
 
     def _configure_counter(self) -> None:
-        """Give the counter the tenants' limits and the shares that are persisted."""
+        """Set the counter's limits and shares from the configuration and the control state."""
         if self.counter is None:
             return
         tenants = self.configuration.tenants
--- a/thistleusher/registry/span_count.py
+++ b/thistleusher/registry/span_count.py
@@ -1,6 +1,6 @@
-"""What was admitted of one tenant in the span of time that ends now, by slots.
+"""Sliding-window count of one tenant's admitted requests, in slots.
 
-Pure; seconds on the steady clock. A count leaves the span one slot late at most.
+No I/O. Times are seconds on the steady clock. A count leaves the span at most one slot late.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """What was admitted in one slot of time, by its number."""
+    """The count of one slot; slot `number` starts at `number` times the slot length."""
 
     number: int
     count: float = 0.0
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True)
 class SpanCount:
-    """The slots of the present span, the oldest first, and their sum in `total`. `slot_s`: length of a slot."""
+    """The slots of the current span, oldest first; `total` is their sum and `slot_s` the length of a slot."""
 
     slot_s: float
     slots: deque[Slot] = field(default_factory=deque)
     total: float = 0.0
 
     def add(self, at: float, amount: float) -> None:
-        """Add what was admitted at a time, which may lie before what is counted already."""
+        """Add an amount admitted at time `at`, which may be earlier than the newest slot."""
         number = int(at // self.slot_s)
         position = len(self.slots)
         while position and self.slots[position - 1].number > number:
@@ -40,7 +40,7 @@
         self.total += amount
 
     def take_back(self, at: float, amount: float) -> None:
-        """Take back what was added for a time, as far as its slot is in the span."""
+        """Subtract an amount that was added for time `at`, at most what its slot still holds."""
         number = int(at // self.slot_s)
         for slot in self.slots:
             if slot.number == number:
@@ -49,7 +49,7 @@
                 self.total -= returned
 
     def leave_behind(self, now: float) -> None:
-        """Drop the slots that lie before the span that ends now."""
+        """Remove the slots that lie before the span that ends now."""
         oldest = int(now // self.slot_s) - SLOTS_PER_SPAN
         while self.slots and self.slots[0].number < oldest:
             self.total -= self.slots.popleft().count
--- a/thistleusher/registry/subscriber_watch.py
+++ b/thistleusher/registry/subscriber_watch.py
@@ -1,7 +1,7 @@
-"""Which subscribers have not acknowledged the published list, and for how long.
+"""Detects subscribers that do not acknowledge the published list.
 
-A connection that is open proves nothing of what its other side has in force; an acknowledgement does. Pure; seconds on
-the steady clock. Cost: a step for each subscriber and check.
+An open connection does not prove that its peer has applied the list; an acknowledgement does. No I/O. Times are seconds
+on the steady clock. Cost: constant time per subscriber and check.
 """
 
 from __future__ import annotations
@@ -10,12 +10,13 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-LAG_S = 1.6  # without progress, after which a subscriber lags; a dead connection has ended by then (`links.SILENT_S`)
-LONGEST_WAIT_S = 12.8  # between two reports of one that makes no progress; the wait doubles up to there
+# Time without progress after which a subscriber lags; a dead connection is closed earlier (`links.SILENT_S`).
+LAG_S = 1.6
+LONGEST_WAIT_S = 12.8  # Maximum interval between reports of one subscriber; the interval doubles up to this value.
 
 
 class Lag(NamedTuple):
-    """A subscriber that lags: the number that it has acknowledged, unchanged for `for_s` seconds."""
+    """A lagging subscriber: its acknowledged number has not changed for `for_s` seconds."""
 
     subscriber: str
     acknowledged: int
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True)
 class _Delay:
-    """One subscriber's lack of progress."""
+    """The state of a subscriber that has not acknowledged the current number."""
 
     acknowledged: int
     since: float
@@ -33,13 +34,16 @@
 
 
 class SubscriberWatch:
-    """Watches the acknowledgements of one list's subscribers."""
+    """Tracks the acknowledgements of the subscribers of one list."""
 
     def __init__(self) -> None:
         self._delays: dict[str, _Delay] = {}
 
     def check(self, now: float, number: int, acknowledged: Mapping[str, int]) -> list[Lag]:
-        """Return who lags and is due to be reported; `acknowledged`: by subscriber, of the published `number`."""
+        """Return the lagging subscribers whose report is due.
+
+        `number` is the published number; `acknowledged` holds each subscriber's acknowledged number.
+        """
         for name in self._delays.keys() - acknowledged.keys():
             del self._delays[name]
         lags: list[Lag] = []
