--- a/thistleusher/transport/__init__.py
+++ b/thistleusher/transport/__init__.py
@@ -1,4 +1,4 @@
 """Communication between the system's processes: links, numbered state updates, the heartbeat ring, the call server.
 
-A message on a link arrives complete and in order or the link ends; nothing else is promised.
+A link delivers messages complete and in order, or it ends. It gives no other guarantee.
 """
--- a/thistleusher/transport/call_server.py
+++ b/thistleusher/transport/call_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for calls: reads a request into its call, hands it to the call's handler, writes what comes back."""
+"""The HTTP server for calls: parses each request into a call, passes it to its handler and writes the response."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 MAX_CONNECTIONS = 400
 JSON_HEADER = b"Content-Type: application/json\r\n"
-MAX_SHOWN_PATH = 80  # characters of an unknown path that its answer repeats
+MAX_SHOWN_PATH = 80  # Maximum number of characters of an unknown path that the error response includes.
 
 C = TypeVar("C")
 Done = Callable[[CallAnswer | ServiceError], None]
 
 
 class Handler(NamedTuple, Generic[C]):
-    """What answers one type of call: `answer(call, done)` calls `done` once, with an answer or a ServiceError."""
+    """The handler of one type of call: `answer(call, done)` calls `done` once, with an answer or a ServiceError."""
 
     call: type[C]
     answer: Callable[[C, Done], None]
 
 
 class RoutedCall(NamedTuple):
-    """A call with its handler; `target` is the request's own, for a redirect."""
+    """A call with its handler; `target` is the request target, for a redirect."""
 
     call: Any
     handler: Handler[Any]
@@ -39,7 +39,7 @@
 
 
 class CallServer(Server):
-    """An HTTP server that knows only the calls for which it has handlers."""
+    """An HTTP server that serves the calls for which it has handlers."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.handlers = {handler.call: handler for handler in handlers}
 
     def read_request(self, connection: ClientConnection) -> RoutedCall | ImmediateResponse:
-        """Return the call that a request makes, or the response to one that makes none."""
+        """Return the call of a request, or an error response if the request is not a known call."""
         if connection.over_limit:
             return error_response(ServiceError(ErrorKind.TOO_MANY_CONNECTIONS))
         target = connection.url.decode("latin-1")
@@ -68,7 +68,7 @@
         return error_response(ServiceError(ErrorKind.UNKNOWN_CALL, f"no such call: {method} {path[:MAX_SHOWN_PATH]}"))
 
     def handle_request(self, request: RoutedCall, reply: Reply) -> None:
-        """Hand a call to its handler."""
+        """Pass a call to its handler."""
 
         def done(answer: CallAnswer | ServiceError) -> None:
             if isinstance(answer, ServiceError):
@@ -81,13 +81,13 @@
             request.handler.answer(request.call, done)
         except ServiceError as error:
             done(error)
-        except Exception as error:  # a fault in one call ends that call only
+        except Exception as error:  # An error in one call ends only that call.
             log_event(Event.FAULT, type(request.call).__name__, repr(error))
             done(ServiceError(ErrorKind.INTERNAL_ERROR))
 
 
 def _call_of(kind: Any, path: str, query: str, body: bytearray) -> Any:
-    """Return the call of one kind that a path makes, None where it makes none."""
+    """Return the call of type `kind` that a path requests, or None if the path requests another call."""
     takes_argument = kind.PATH.endswith("/")
     if takes_argument and path.startswith(kind.PATH) and path != kind.PATH:
         return kind(unquote(path[len(kind.PATH) :]))
@@ -102,7 +102,7 @@
 
 
 def error_response(error: ServiceError, target: str = "") -> ImmediateResponse:
-    """Return the HTTP response to an error, by the table `RESPONSES`; `target`: the request's, for a redirect."""
+    """Return the HTTP response for an error, according to `RESPONSES`; `target` is the request target of a redirect."""
     lines = JSON_HEADER + retry_after_header(error.kind)
     if error.kind is ErrorKind.REDIRECTED:
         lines += b"Location: http://%s%s\r\n" % (error.where.encode(), target.encode("latin-1"))
--- a/thistleusher/transport/calls.py
+++ b/thistleusher/transport/calls.py
@@ -1,7 +1,7 @@
-"""The calls of operators, of clients that ask where to go, and of the platform, and the answers to them.
+"""The HTTP calls of operators, of clients that resolve a host, and of the platform, with their answers.
 
-A call is a type with its HTTP method and path; a path that ends with a slash is followed by the call's one argument.
-An answer has a `body`; a call that fails is answered by a `ServiceError` instead.
+A call is a type with an HTTP method and path. A path that ends with a slash is followed by the call's only argument.
+An answer has a `body`; a call that fails is answered with a `ServiceError` instead.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The process is ready; anything else is a `ServiceError`."""
+    """The process is ready; a process that is not ready answers with a `ServiceError`."""
 
     def body(self) -> bytes:
         """Return an empty body."""
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resolve:
-    """GET /resolve: where a client in `zone` of `region` should go for host `name`."""
+    """GET /resolve: the proxies that a client in `zone` of `region` should use for host `name`."""
 
     METHOD: ClassVar[str] = "GET"
     PATH: ClassVar[str] = "/resolve"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """`host:port` of at most 64 ingresses, and for how many seconds the client may keep them."""
+    """`host:port` of at most 64 proxies, and the number of seconds for which the client may cache them."""
 
     addresses: tuple[str, ...]
     ttl_s: float
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConfiguration:
-    """POST /Config.Replace: a complete configuration, as its bytes came."""
+    """POST /Config.Replace: a complete configuration, as received."""
 
     METHOD: ClassVar[str] = "POST"
     PATH: ClassVar[str] = "/Config.Replace"
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginEvacuation:
-    """POST /Evacuation.Begin/ZONE: send nothing more to the zone's backends."""
+    """POST /Evacuation.Begin/ZONE: stop sending requests to the zone's backends."""
 
     METHOD: ClassVar[str] = "POST"
     PATH: ClassVar[str] = "/Evacuation.Begin/"
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeCommitted:
-    """The change is durable, or one that prevails over it is."""
+    """The change is durable, or a change that takes precedence over it is."""
 
     def body(self) -> bytes:
         """Return an empty JSON object."""
--- a/thistleusher/transport/codec.py
+++ b/thistleusher/transport/codec.py
@@ -1,10 +1,10 @@
-"""Messages to bytes and back: one table of types, by their tags (`messages.AnyMessage`).
+"""Encodes and decodes messages; the types, identified by their tags, are those of `messages.AnyMessage`.
 
-On a link each message is preceded by its length in four bytes (big-endian), whose highest bit says that what follows is
-compressed, as complete states are. Bytes that do not fit a type, or are more than `MAX_BYTES`, are a
-`MalformedMessageError`: the connection that brought them is closed, as nothing after them can be trusted.
+On a link, each message is preceded by its length in four bytes (big-endian). The highest bit is set if the message is
+compressed, which is useful for complete states. Data that does not match a type or exceeds `MAX_BYTES` raises
+`MalformedMessageError`, and its connection is closed, as the data that follows cannot be trusted.
 
-Cost: one pass over the bytes of each message; one that goes to many, one after the other, is encoded once.
+Cost: one pass over the bytes of each message. A message that is sent to several peers in succession is encoded once.
 """
 
 from __future__ import annotations
@@ -19,25 +19,26 @@
 
 MAX_BYTES = 64 * 1024 * 1024
 LENGTH = struct.Struct(">I")
-COMPRESSED = 1 << 31  # set in the length of a message that is compressed
-MIN_COMPRESSED_BYTES = 1024  # shorter messages are sent as they are
-COMPRESSION_LEVEL = 3  # of zlib: complete states shrink by over ten, at a third of the time of the usual 6
+COMPRESSED = 1 << 31  # Flag in the length of a compressed message.
+MIN_COMPRESSED_BYTES = 1024  # Shorter messages are sent uncompressed.
+# zlib level: complete states shrink by a factor of over ten, in a third of the time that the default level 6 takes.
+COMPRESSION_LEVEL = 3
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[AnyMessage] = msgspec.msgpack.Decoder(AnyMessage)
 
 
 class MalformedMessageError(ValueError):
-    """Bytes that are no message, or one whose fields do not fit its type."""
+    """Data that is not a message, or a message whose fields do not match its type."""
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's bytes, as a datagram carries them."""
+    """Return a message's bytes without a length, as sent in a datagram."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes | bytearray | memoryview) -> AnyMessage:
-    """Return the message in some bytes. Raise MalformedMessageError where they are none."""
+    """Decode one message. Raise MalformedMessageError if the data is not a valid message."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as error:
@@ -45,7 +46,7 @@
 
 
 class Framer:
-    """Encodes messages as a link carries them; keeps the newest one's bytes, as it often goes to many."""
+    """Encodes messages for links; caches the bytes of the last message, as it is often sent to several peers."""
 
     def __init__(self) -> None:
         self._message: Message | None = None
@@ -72,7 +73,7 @@
     except zlib.error as error:
         raise MalformedMessageError(str(error)) from None
     if not expander.eof:
-        raise MalformedMessageError("cut off, or too long when expanded")
+        raise MalformedMessageError(f"compressed message truncated, or larger than {MAX_BYTES} bytes")
     return expanded
 
 
@@ -81,13 +82,13 @@
 
 
 class Deframer:
-    """Splits a stream of bytes, which may arrive in any pieces, into messages."""
+    """Splits a stream of bytes, which may arrive in fragments of any size, into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[AnyMessage]:
-        """Yield the messages that are complete now. Raise MalformedMessageError, which ends the stream."""
+        """Add received data and yield the complete messages. Raise MalformedMessageError, which ends the stream."""
         self._buffer += data
         while len(self._buffer) >= LENGTH.size:
             (head,) = LENGTH.unpack_from(self._buffer)
--- a/thistleusher/transport/core_links.py
+++ b/thistleusher/transport/core_links.py
@@ -1,7 +1,7 @@
-"""Links to one service on each core machine that is known.
+"""Links to one service on each known core machine.
 
-Links are only added, as settings and the newest view may name different machines: one that leaves the core is still
-tried.
+Links are added but never removed, as the settings and the newest view may name different machines. Connections to a
+machine that has left the core are therefore still attempted.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         on_message: Callable[[ReconnectingLink, AnyMessage], None],
         own_address: str = "",
     ) -> None:
-        """Create without any link; `own_address` is never connected to."""
+        """Create an object without links; it never connects to `own_address`."""
         self.loop = loop
         self.port = port
         self.first_message = first_message
@@ -33,7 +33,7 @@
         self.links: dict[str, ReconnectingLink] = {}
 
     def connect_to(self, addresses: Iterable[str]) -> None:
-        """Open a link to each machine that is not known yet."""
+        """Open a link to each machine that has none yet."""
         for address in addresses:
             if address != self.own_address and address not in self.links:
                 self.links[address] = ReconnectingLink(
@@ -41,18 +41,18 @@
                 )
 
     def send(self, address: str, message: Message) -> None:
-        """Send to one machine; dropped where no connection is up."""
+        """Send a message to one machine; drop it if no connection is open."""
         link = self.links.get(address)
         if link is not None:
             link.send(message)
 
     def broadcast(self, message: Message) -> None:
-        """Send to each machine whose connection is up."""
+        """Send a message to each machine with an open connection."""
         for link in self.links.values():
             link.send(message)
 
     def retry_now(self, address: str) -> None:
-        """Connect at once if the link is down: something has come from that machine, so it is up."""
+        """Connect at once if the link is down; called when data has arrived from that machine, which is thus up."""
         if address in self.links:
             self.links[address].retry_now()
 
--- a/thistleusher/transport/core_members.py
+++ b/thistleusher/transport/core_members.py
@@ -1,4 +1,4 @@
-"""The core machines as their subscribers know them. Pure."""
+"""The core machines as known to their subscribers. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CoreMembers:
-    """The core's members, of the newest epoch heard of."""
+    """The core's voters and leader, of the newest known epoch."""
 
     def __init__(self) -> None:
         self.epoch = 0
@@ -14,7 +14,7 @@
         self.leader = ""
 
     def update(self, info: CoreInfo) -> bool:
-        """Take in what a control process says; return False where it is of an older epoch or names no voters."""
+        """Apply a control process's message; return False if it is of an older epoch or names no voters."""
         if info.epoch < self.epoch or not info.voters:
             return False
         self.epoch = info.epoch
--- a/thistleusher/transport/errors.py
+++ b/thistleusher/transport/errors.py
@@ -6,7 +6,7 @@
 
 
 class UnexpectedMessageError(ValueError):
-    """A well-formed message of a type, or with a value, that its receiver does not accept."""
+    """A well-formed message whose type or value the receiver does not accept."""
 
     def __init__(self, message: Message) -> None:
         super().__init__(f"{type(message).__name__} is not accepted here")
--- a/thistleusher/transport/heartbeat_ring.py
+++ b/thistleusher/transport/heartbeat_ring.py
@@ -1,14 +1,14 @@
-"""Heartbeats on a ring: each ingress sends heartbeats to a few watchers, which its position on the ring determines.
+"""Heartbeats on a ring: each proxy sends heartbeats to a few watchers, which its position on the ring determines.
 
-Positions are hashes of names. An ingress's watchers are the next `WATCHERS` on the ring, so each watches as many on
-average, and the sum of heartbeats grows with the fleet, not with its square. One watcher's report is no verdict:
-whoever judges wants two (`thistleusher.registry.members`).
+Positions are hashes of names. A proxy's watchers are the next `WATCHERS` proxies on the ring, so each proxy watches the
+same number on average, and the number of heartbeats grows linearly, not quadratically, with the number of proxies. One
+watcher's report is not sufficient: the registry requires two sources (`thistleusher.registry.members`).
 
-Watchers also hand over what a watched ingress lacks of both states: they go on sending heartbeats to a silent one, and
-once the numbers in an ingress's own heartbeats have lagged behind theirs, unchanged, for `UPDATE_WAIT_S`, they send the
-difference. Why it lags is not asked.
+Watchers also transfer the updates that a watched proxy lacks, for both states. They keep sending heartbeats to a silent
+proxy. If the numbers in a proxy's own heartbeats are lower than the watcher's and have not changed for `UPDATE_WAIT_S`,
+the watcher sends the missing updates, whatever the reason for the lag.
 
-Pure; times are seconds on a steady clock.
+No I/O. Times are seconds on the steady clock.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 WATCHERS = 3
 HEARTBEAT_S = 0.25
-UPDATE_WAIT_S = 0.6  # in which the core may send the updates itself, before a watcher hands them over
-SILENT_S = 0.9  # without a heartbeat, after which a watcher reports an ingress as silent
+UPDATE_WAIT_S = 0.6  # Time that the core has to send updates itself before a watcher transfers them.
+SILENT_S = 0.9  # Time without a heartbeat after which a watcher reports a proxy as silent.
 
 
 def ring_position(name: str) -> int:
@@ -29,19 +29,19 @@
 
 
 class HeartbeatRing:
-    """One ingress's view of the ring: who watches it, whom it watches, who is silent."""
+    """One proxy's view of the ring: its watchers, the proxies that it watches, and which of those are silent."""
 
     def __init__(self, name: str, now: float) -> None:
         self.name = name
-        self.order: list[tuple[int, str]] = []  # (position, name) of all members
-        self.last_heard: dict[str, float] = {}  # of those watched
-        self.met: set[str] = set()  # of those watched, heard from at least once
+        self.order: list[tuple[int, str]] = []  # (position, name) of all members, sorted.
+        self.last_heard: dict[str, float] = {}  # Watched proxy -> time of its last heartbeat.
+        self.met: set[str] = set()  # Watched proxies from which at least one heartbeat has arrived.
         self.next_heartbeat = now
-        # By name, of those watched that lack updates: the numbers that they have, and since when.
+        # Watched proxy that lacks updates -> the numbers that it has, and the time since which they are unchanged.
         self.lacking: dict[str, tuple[tuple[int, int], float]] = {}
 
     def set_members(self, now: float, names: Iterable[str]) -> None:
-        """Set the ring's members; this ingress is always one of them."""
+        """Set the ring's members; this proxy is always one of them."""
         self.order = sorted((ring_position(name), name) for name in {*names, self.name})
         watched = self.watched()
         self.last_heard = {name: self.last_heard.get(name, now) for name in watched}
@@ -54,11 +54,11 @@
         return [self.order[(own + step * k) % size][1] for k in range(1, min(WATCHERS, size - 1) + 1)]
 
     def watchers(self) -> list[str]:
-        """Return who watches this ingress."""
+        """Return the names of the proxies that watch this one."""
         return self._neighbours(1) if len(self.order) > 1 else []
 
     def watched(self) -> set[str]:
-        """Return whom this ingress watches."""
+        """Return the names of the proxies that this one watches."""
         return set(self._neighbours(-1)) if len(self.order) > 1 else set()
 
     def record_heartbeat(self, now: float, name: str) -> bool:
@@ -71,16 +71,20 @@
         return was_silent
 
     def heartbeats_due(self, now: float) -> list[str]:
-        """Return whom to send a heartbeat to now, and count it as sent: the watchers, then the silent ones watched."""
+        """Return the recipients of the heartbeat that is due now: the watchers, then the silent watched proxies.
+
+        The heartbeat counts as sent; the list is empty if none is due.
+        """
         if now < self.next_heartbeat:
             return []
         self.next_heartbeat = now + HEARTBEAT_S
         return [*self.watchers(), *sorted(self.silent(now) - set(self.watchers()))]
 
     def needs_hand_over(self, now: float, name: str, theirs: tuple[int, int], own: tuple[int, int]) -> bool:
-        """Note which numbers a watched ingress has; return whether it has lagged, unchanged, for `UPDATE_WAIT_S`.
+        """Record a watched proxy's numbers; return whether it has lagged without progress for `UPDATE_WAIT_S`.
 
-        `theirs` and `own` are the numbers of the control's and the registry's state. After True the wait begins anew.
+        `theirs` and `own` are the numbers of the control state and the registry's list, of the watched proxy and of
+        this one. After a result of True the waiting time restarts.
         """
         if name not in self.last_heard or (theirs[0] >= own[0] and theirs[1] >= own[1]):
             self.lacking.pop(name, None)
@@ -92,5 +96,5 @@
         return stuck
 
     def silent(self, now: float) -> set[str]:
-        """Return those watched that have not been heard of for `SILENT_S`."""
+        """Return the watched proxies that have not been heard from for `SILENT_S`."""
         return {name for name, at in self.last_heard.items() if now - at > SILENT_S}
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -1,14 +1,14 @@
-"""Long-lived connections between the system's own processes: framed messages, one after the other, over TCP.
+"""Long-lived connections between the system's own processes: a stream of framed messages over TCP.
 
-`ReconnectingLink` keeps one connection to an address and opens it again when it ends; `Listener` accepts others'
-connections. Both sides send a `KeepAlive` when they have nothing else to send, and close a connection on which nothing
-came for `SILENT_S`: behind a network partition nothing else would show that the other side is gone. What was written to
-a connection that ends may be lost; whoever needs an answer asks again.
+`ReconnectingLink` maintains one connection to an address and reopens it when it ends; `Listener` accepts connections.
+Both sides send a `KeepAlive` when they have nothing else to send, and close a connection on which nothing has arrived
+for `SILENT_S`: in a network partition nothing else would show that the peer is unreachable. Data written to a
+connection that ends may be lost; a sender that needs an answer must repeat its request.
 
-A message that does not fit its type (`MalformedMessageError`), or that its receiver does not accept
-(`UnexpectedMessageError`), is logged, and its connection is closed.
+If a message does not match its type (`MalformedMessageError`) or is not accepted by its receiver
+(`UnexpectedMessageError`), the error is logged and the connection is closed.
 
-Cost over the fleet: a keep-alive each `KEEP_ALIVE_S` for each connection and direction.
+Cost: one keep-alive per `KEEP_ALIVE_S`, connection and direction.
 """
 
 from __future__ import annotations
@@ -28,17 +28,18 @@
 
 KEEP_ALIVE_S = 0.4
 SILENT_S = 1.5
-CONNECT_S = 0.3  # for a connection to open; a lost opening packet would be sent again only after 1 s
-SLOW_ATTEMPT_EACH = 4  # one attempt in so many may take `SILENT_S` in place of `CONNECT_S`: the route may be slow
+CONNECT_S = 0.3  # Time-out of a connection attempt; a lost SYN would be retransmitted only after 1 s.
+# Every n-th attempt has the time-out `SILENT_S` instead of `CONNECT_S`, as the route may be slow.
+SLOW_ATTEMPT_EACH = 4
 RECONNECT_S = 0.1
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # beyond which the connection of a peer that does not read is closed
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # With more unsent data, the peer does not read and its connection is closed.
 MAX_LINKS = 1024
 BACKLOG = 256
 KEEP_ALIVE_FRAME = frame(KeepAlive())
 
 
 class Link(asyncio.Protocol):
-    """One connection."""
+    """One connection, of either side."""
 
     def __init__(
         self,
@@ -56,14 +57,14 @@
         self.deframer = Deframer()
         self.last_received = loop.time()
         self.last_sent = self.last_received
-        self.name = ""  # the peer's, once it has sent it
+        self.name = ""  # The peer's name, once known.
         self.peer_address = ""
         self.open = False
         self.close_reason = "closed"
         self.keep_alive_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to watch the connection and to send keep-alives."""
+        """Configure the socket and start the keep-alive timer."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -73,7 +74,7 @@
         self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the messages that are complete; an error in one closes the connection."""
+        """Deliver the complete messages; an error in one of them closes the connection."""
         self.last_received = self.loop.time()
         try:
             for message in self.deframer.feed(data):
@@ -84,19 +85,19 @@
         except (MalformedMessageError, UnexpectedMessageError) as error:
             log_event(Event.MESSAGE_REJECTED, self.name or self.peer_address, error)
             self.close(str(error))
-        except Exception as error:  # whoever handles messages repairs what it could not put in force on the next link
+        except Exception as error:  # The handler requests what it could not apply again on the next connection.
             log_event(Event.FAULT, f"a message of {self.name or self.peer_address}", repr(error))
             self.close(repr(error))
 
     def send(self, message: Message) -> None:
-        """Send one message; dropped where the connection has ended."""
+        """Send one message; drop it if the connection has ended."""
         self.write(frame(message))
 
     def write(self, data: bytes) -> None:
-        """Send a message that is framed already; closes the connection of a peer that does not read."""
+        """Send a framed message; close the connection if the peer does not read."""
         if not self.open or self.transport is None:
             return
-        if self.transport.is_closing():  # given up while it was being opened: no other callback reports its end
+        if self.transport.is_closing():  # Abandoned while it was being opened: no other callback reports its end.
             self._ended()
             return
         self.last_sent = self.loop.time()
@@ -116,14 +117,14 @@
         self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_S, self._keep_alive)
 
     def close(self, reason: str = "closed") -> None:
-        """Close the connection at once; what is unsent is lost."""
+        """Close the connection at once and discard unsent data."""
         self.close_reason = reason
         if self.transport is not None:
             self.transport.abort()
         self._ended()
 
     def abandon(self) -> None:
-        """Give the connection up while it is being opened: nobody has had it, so `on_end` is not called."""
+        """Abandon the connection while it is being opened; `on_end` is not called, as no caller has received it."""
         self.open = False
         self._cancel_keep_alive()
 
@@ -145,7 +146,7 @@
 
 
 class ReconnectingLink:
-    """A link to one address that is opened again, `RECONNECT_S` after its end, until it is closed."""
+    """A link to one address that is reopened `RECONNECT_S` after its end, until it is closed."""
 
     def __init__(
         self,
@@ -156,7 +157,7 @@
         on_message: Callable[[ReconnectingLink, AnyMessage], None],
         on_end: Callable[[ReconnectingLink], None] | None = None,
     ) -> None:
-        """Begin to connect; `first_message` makes the message that is sent first on each connection."""
+        """Start connecting; `first_message` returns the first message to send on each connection."""
         self.loop = loop
         self.host = host
         self.port = port
@@ -166,7 +167,7 @@
         self.link: Link | None = None
         self.closed = False
         self.opening: asyncio.Task[Link] | None = None
-        self.peer_seen = asyncio.Event()  # the other side has shown that it is up
+        self.peer_seen = asyncio.Event()  # Set when the peer has shown that it is up.
         self.task = start_background(loop, self._run(), f"the link to {host}:{port}")
 
     @property
@@ -191,7 +192,7 @@
             except asyncio.CancelledError:
                 if self.closed:
                     raise
-                continue  # by `retry_now`
+                continue  # Cancelled by `retry_now`.
             except (OSError, TimeoutError):
                 await self._pause()
                 continue
@@ -199,7 +200,7 @@
             attempts = 0
             try:
                 await self._use(link, ended)
-            except Exception as error:  # a fault in a caller's part must not be the link's last act
+            except Exception as error:  # An error in a caller's callback must not stop reconnection.
                 log_event(Event.FAULT, f"the link to {self.host}:{self.port}", repr(error))
                 link.close()
             await self._pause()
@@ -222,7 +223,7 @@
             async with asyncio.timeout(timeout_s):
                 await self.loop.create_connection(lambda: link, self.host, self.port)
         except BaseException:
-            link.abandon()  # it may be open already, and the loop closes it without calling back
+            link.abandon()  # It may already be open; the event loop then closes it without calling back.
             raise
         return link
 
@@ -233,7 +234,7 @@
                 await self.peer_seen.wait()
 
     def retry_now(self) -> None:
-        """Connect at once if the link is down: something has come from the other side, so it is up."""
+        """Connect at once if the link is down; called when data has arrived from the peer, which is thus up."""
         if self.is_up:
             return
         self.peer_seen.set()
@@ -244,14 +245,14 @@
         self.on_message(self, message)
 
     def send(self, message: Message) -> bool:
-        """Send one message; return False where no connection is open."""
+        """Send one message; return False if no connection is open."""
         if self.link is None or not self.link.open:
             return False
         self.link.send(message)
         return True
 
     def close(self) -> None:
-        """Close the link for good."""
+        """Close the link permanently."""
         self.closed = True
         self.task.cancel()
         if self.opening is not None:
@@ -261,7 +262,7 @@
 
 
 class Listener:
-    """Accepts links; each is named by the `sender` of its first `Hello`, `SubscribeRequest` or `HandOver`."""
+    """Accepts links; each takes its name from the `sender` of its first `Hello`, `SubscribeRequest` or `HandOver`."""
 
     def __init__(
         self,
@@ -270,7 +271,7 @@
         on_end: Callable[[Link], None],
         max_links: int = MAX_LINKS,
     ) -> None:
-        """Create a listener that is not open yet; `on_end` is called for named links only."""
+        """Create a listener whose port is not open yet; `on_end` is called only for named links."""
         self.loop = loop
         self.on_message = on_message
         self.on_end = on_end
@@ -279,7 +280,7 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Open the port. Raise OSError where it cannot be opened."""
+        """Open the port. Raise OSError if it cannot be opened."""
         self.server = await self.loop.create_server(
             lambda: Link(self.loop, self._opened, self._message, self._ended), host, port, backlog=BACKLOG
         )
@@ -303,7 +304,7 @@
             self.on_end(link)
 
     def close(self) -> None:
-        """Close the port and all links that came through it."""
+        """Close the port and all accepted links."""
         if self.server is not None:
             self.server.close()
         for link in list(self.links):
--- a/thistleusher/transport/messages/__init__.py
+++ b/thistleusher/transport/messages/__init__.py
@@ -1,8 +1,8 @@
-"""The messages between the system's own processes, each with its fields: the one place where their form is stated.
+"""The messages between the system's own processes; this package alone defines their format.
 
-On the wire a message is an array in msgpack that begins with its tag; tags, and the order and types of fields, never
-change (`codec` packs, unpacks and checks them). Times are seconds on the steady clock of the machine that the field's
-comment names, and mean nothing on another one.
+On the wire, a message is a msgpack array that begins with its tag. Tags and the order and types of fields never change
+(`codec` encodes, decodes and validates messages). Times are seconds on the steady clock of the machine that the
+docstring names, and have no meaning on other machines.
 """
 
 from __future__ import annotations
--- a/thistleusher/transport/messages/base.py
+++ b/thistleusher/transport/messages/base.py
@@ -1,4 +1,4 @@
-"""The base class of all messages, and the records that several messages carry."""
+"""The base class of all messages, and the records that several messages contain."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     """The leader, replicas and voters of one epoch.
 
     `replicas` hold a copy of the control state beside the leader's own. `voters` maps address to zone.
-    `previous_voters` are those of the view before, for as long as this view's leader is not known to lead; empty once
-    it is, or where the voters are the same.
+    `previous_voters` are those of the preceding view until this view's leader is confirmed; empty afterwards, or if the
+    voters have not changed.
     """
 
     epoch: int
@@ -31,12 +31,12 @@
 
     @property
     def majority(self) -> int:
-        """Return how many voters form a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def replica_set(self) -> tuple[str, ...]:
-        """Return the leader and its replicas: each has every change acknowledged in this epoch."""
+        """Return the leader and its replicas, each of which has every change acknowledged in this epoch."""
         return self.leader, *self.replicas
 
     def has_majority(self, names: Iterable[str]) -> bool:
@@ -45,13 +45,13 @@
 
     @property
     def electorate(self) -> dict[str, str]:
-        """Return all machines that are asked to decide on the next view: the voters and the previous ones."""
+        """Return all machines that vote on the next view: the voters and the previous voters, with their zones."""
         return {**self.previous_voters, **self.voters}
 
     def has_quorum(self, names: Iterable[str]) -> bool:
-        """Return whether `names` may decide on the view that follows this one.
+        """Return whether `names` form a quorum for the view that follows this one.
 
-        As long as it is not known whether the previous voters agreed to this view, a majority of them is needed too.
+        Until the previous voters are known to have agreed to this view, a majority of them is required as well.
         """
         agreed = set(names)
         previous = self.previous_voters
@@ -59,14 +59,14 @@
         return previous_agreed and self.has_majority(agreed)
 
     def confirmed(self) -> ViewRecord:
-        """Return the same view, of which the leader is now known to lead."""
+        """Return this view with its leader confirmed."""
         return msgspec.structs.replace(self, previous_voters={})
 
 
 class Position(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """How far a copy of the control state has got.
+    """The position of a copy of the control state in the sequence of changes.
 
-    `epoch` is the one in which the copy was last complete, -1 for none; `number` counts changes; `change_epoch` is the
+    `epoch` is the last epoch in which the copy was complete, or -1; `number` counts changes; `change_epoch` is the
     epoch in which the newest change was written. The leader of an epoch assigns each number once, so a number and its
     `change_epoch` identify one change, and two copies with the same newest change have the same history.
     """
--- a/thistleusher/transport/messages/bootstrap.py
+++ b/thistleusher/transport/messages/bootstrap.py
@@ -1,4 +1,4 @@
-"""Between control processes: bootstrap of the cluster, and recovery of one that starts again."""
+"""Messages between control processes: bootstrap of the cluster, and recovery of a restarted process."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class FounderAnnouncement(Message, tag="found", frozen=True):
-    """A founder informs the first seed that it is up."""
+    """A founder informs the first seed that it is running."""
 
     zone: str
 
 
 class StatusRequest(Message, tag="status-request", frozen=True):
-    """A process that has no vote asks what the others know.
+    """A process that may not vote requests the status of the others.
 
-    `ready`: it knows from a majority which epoch was promised. `position`: of the copy on its disk.
+    `ready`: whether a majority has told the sender which epoch is promised. `position`: that of the copy on its disk.
     """
 
     zone: str
@@ -24,7 +24,7 @@
 
 
 class Status(Message, tag="status", frozen=True):
-    """The answer: the newest view, the newest promise, and whether a leader was heard of late."""
+    """The reply: the newest view, the newest promise, and whether a leader has been heard from recently."""
 
     view: ViewRecord
     promised: int
--- a/thistleusher/transport/messages/connection.py
+++ b/thistleusher/transport/messages/connection.py
@@ -1,4 +1,4 @@
-"""Messages that any connection may carry."""
+"""Messages that may be sent on any connection."""
 
 from __future__ import annotations
 
@@ -12,4 +12,4 @@
 
 
 class KeepAlive(Message, tag="beat", frozen=True):
-    """Sent on a connection that has carried nothing else for a while, to show that the sender is up."""
+    """Sent on an idle connection to show that the sender is up."""
--- a/thistleusher/transport/messages/election.py
+++ b/thistleusher/transport/messages/election.py
@@ -1,7 +1,7 @@
-"""Between control processes: elections.
+"""Messages between control processes: elections.
 
-A candidate asks for the promise of an epoch (`VoteRequest`, `Vote`, `VoteRejected`) and then has the view of the new
-epoch recorded (`RecordView`, `ViewRecorded`): the prepare and accept phases of Paxos.
+A candidate requests promises for an epoch (`VoteRequest`, `Vote`, `VoteRejected`) and then asks the voters to record
+the view of the new epoch (`RecordView`, `ViewRecorded`). These are the prepare and accept phases of Paxos.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class VoteRequest(Message, tag="vote-request", frozen=True):
-    """A member of the newest view that it knows asks for the promise of an epoch."""
+    """A member of the newest view known to it requests the promise of an epoch."""
 
     epoch: int
     view: ViewRecord
 
 
 class Vote(Message, tag="vote", frozen=True):
-    """The promise of an epoch, already on disk; with the newest view that the voter knows and its copy's position."""
+    """The promise of an epoch, already on disk, with the voter's newest view and the position of its copy."""
 
     epoch: int
     view: ViewRecord
@@ -25,7 +25,7 @@
 
 
 class VoteRejected(Message, tag="vote-refused", frozen=True):
-    """No promise: the leader is alive, or a higher epoch (`promised`) was promised already."""
+    """The promise is refused: the leader is alive, or a higher epoch (`promised`) has already been promised."""
 
     epoch: int
     promised: int
@@ -33,7 +33,7 @@
 
 
 class RecordView(Message, tag="record-view", frozen=True):
-    """Ask to write the view of a new epoch to disk."""
+    """A request to write the view of a new epoch to disk."""
 
     view: ViewRecord
 
--- a/thistleusher/transport/messages/leadership.py
+++ b/thistleusher/transport/messages/leadership.py
@@ -1,4 +1,4 @@
-"""Between control processes: the leader's heartbeats, and its end."""
+"""Messages between control processes: the leader's heartbeats, and the end of its leadership."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class Heartbeat(Message, tag="heartbeat", frozen=True):
     """The leader's heartbeat.
 
-    `sent`: when, on the leader's clock. `in_contact`: a majority and the receiver have answered of late.
+    `sent`: send time on the leader's clock. `in_contact`: whether a majority and the receiver have answered recently.
     """
 
     view: ViewRecord
@@ -17,7 +17,7 @@
 
 
 class HeartbeatAck(Message, tag="heartbeat-ack", frozen=True):
-    """The answer to a heartbeat: its `sent` value, and the position of the copy here."""
+    """The reply to a heartbeat: the heartbeat's `sent` value, and the position of the sender's copy."""
 
     epoch: int
     sent: float
@@ -25,7 +25,7 @@
 
 
 class Deposed(Message, tag="deposed", frozen=True):
-    """The answer to a heartbeat of an old epoch: what has been promised and recorded since."""
+    """The reply to a heartbeat of an old epoch: the newer promise and the newest recorded view."""
 
     epoch: int
     promised: int
@@ -33,13 +33,13 @@
 
 
 class StepDown(Message, tag="step-down", frozen=True):
-    """The leader of an epoch leads no longer; `leaving`: because its process shuts down."""
+    """The leader of an epoch has stepped down; `leaving`: whether this is because its process shuts down."""
 
     epoch: int
     leaving: bool
 
 
 class Leaving(Message, tag="leaving", frozen=True):
-    """A voter's process is about to shut down, and hands over its roles first."""
+    """A voter's process is about to shut down and first hands over its roles."""
 
     epoch: int
--- a/thistleusher/transport/messages/lease.py
+++ b/thistleusher/transport/messages/lease.py
@@ -1,6 +1,6 @@
-"""Between the holder of a singleton role and the voters that grant its lease.
+"""Messages between the holder of a singleton role and the voters that grant its lease.
 
-The term of a lease is its fencing token: terms of successive holders rise.
+The term of a lease is its fencing token: each holder has a higher term than its predecessors.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class LeaseRequest(Message, tag="lease-request", frozen=True):
-    """Ask for the lease of a role, or renew it; `sent`: when, on the holder's clock."""
+    """A request for the lease of a role, or for its renewal; `sent`: send time on the holder's clock."""
 
     singleton_role: str
     holder: str
@@ -18,7 +18,7 @@
 
 
 class LeaseGranted(Message, tag="lease-granted", frozen=True):
-    """One voter grants the lease under a term, for the lease's length counted from `sent`."""
+    """One voter grants the lease under a term; the lease's duration starts at `sent` of the request."""
 
     singleton_role: str
     term: int
@@ -26,7 +26,7 @@
 
 
 class LeaseRejected(Message, tag="lease-taken", frozen=True):
-    """Not granted: the highest term seen, and whether the lease is free under a higher one."""
+    """The lease is refused: the highest term seen, and whether the lease is free under a higher term."""
 
     singleton_role: str
     term: int
@@ -34,7 +34,7 @@
 
 
 class LeaseReleased(Message, tag="lease-released", frozen=True):
-    """The holder gives the lease of a term up."""
+    """The holder releases the lease of a term."""
 
     singleton_role: str
     holder: str
--- a/thistleusher/transport/messages/peer.py
+++ b/thistleusher/transport/messages/peer.py
@@ -1,4 +1,4 @@
-"""Between proxies."""
+"""Messages between proxies."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RingHeartbeat(Message, tag="ring-beat", frozen=True):
-    """A datagram of the heartbeat ring: the sender, and the numbers of the two states that it has."""
+    """A datagram of the heartbeat ring: the sender, and the numbers of its copies of both states."""
 
     sender: str
     control_number: int
@@ -15,7 +15,7 @@
 
 
 class HandOver(Message, tag="hand-over", frozen=True):
-    """A watcher's copy of both states, for a proxy that has lacked them for a while."""
+    """A watcher's transfer of both states to a proxy that has lagged behind."""
 
     sender: str
     control: StateUpdate
@@ -23,4 +23,4 @@
 
 
 class HandOverAccepted(Message, tag="hand-over-taken", frozen=True):
-    """The copy was applied."""
+    """The transferred states have been applied."""
--- a/thistleusher/transport/messages/replication.py
+++ b/thistleusher/transport/messages/replication.py
@@ -1,4 +1,4 @@
-"""Between control processes: replication of the control state from the leader to replicas and learners."""
+"""Messages between control processes: replication of the control state from the leader to replicas and learners."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class Install(Message, tag="install", frozen=True):
     """A copy of the control state for a replica or learner to write to disk.
 
-    `base` is the position that `items` continue from; None: they are the complete state. `floor` is the number of the
-    newest removal that the state no longer remembers.
+    `base` is the position that `items` continue from, or None if they are the complete state. `floor` is the number of
+    the newest removal that the state no longer retains.
     """
 
     epoch: int
@@ -27,14 +27,14 @@
 
 
 class InstallRejected(Message, tag="install-refused", frozen=True):
-    """The copy here is at `position`, from which the items sent do not continue."""
+    """The sender's copy is at `position`, from which the received items do not continue."""
 
     epoch: int
     position: Position
 
 
 class Append(Message, tag="append", frozen=True):
-    """One change, following `base`, to write to disk."""
+    """One change that follows `base`, to be written to disk."""
 
     epoch: int
     base: Position
--- a/thistleusher/transport/messages/subscription.py
+++ b/thistleusher/transport/messages/subscription.py
@@ -1,4 +1,4 @@
-"""Between the publisher of a state (control process, registry) and its subscribers (proxies, registries)."""
+"""Messages between the publisher of a state (control process, registry) and its subscribers (proxies, registries)."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class SubscribeRequest(Message, tag="follow", frozen=True):
-    """A subscriber's first message: its name, and the number of the state that it has (0: nothing)."""
+    """A subscriber's first message: its name, and the number of its copy of the state (0: no copy)."""
 
     sender: str
     number: int
 
 
 class StateUpdate(Message, tag="news", frozen=True):
-    """The items that changed after state `base` (None: the complete state), which lead to state `number`."""
+    """The items changed between state `base` and state `number`; all items of `number` if `base` is None."""
 
     number: int
     base: int | None
@@ -29,7 +29,7 @@
 
 
 class CoreInfo(Message, tag="core", frozen=True):
-    """The core machines: who votes, in which epoch, and who leads."""
+    """The core machines: the voters and the leader of an epoch."""
 
     voters: tuple[str, ...]
     epoch: int
@@ -37,14 +37,14 @@
 
 
 class PersistItems(Message, tag="keep", frozen=True):
-    """The registry asks the control process to persist items; `request_id` identifies the call."""
+    """The registry asks the control process to persist items; `request_id` identifies the request."""
 
     request_id: str
     items: dict[str, Any]
 
 
 class ItemsPersisted(Message, tag="kept", frozen=True):
-    """The answer: `ok` says whether the items were persisted."""
+    """The reply: `ok` is True if the items were persisted."""
 
     request_id: str
     ok: bool
--- a/thistleusher/transport/messages/usage.py
+++ b/thistleusher/transport/messages/usage.py
@@ -1,4 +1,4 @@
-"""Between proxies and the registry: heartbeats, and the counter service's charges."""
+"""Messages between proxies and the registry: heartbeats, and the counter service's charges."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 class ProxyHeartbeat(Message, tag="presence", frozen=True):
     """A proxy's short heartbeat.
 
-    `sent`: when, on the proxy's clock. `echo`: the newest echo that the proxy has received, as (counter, its time).
+    `sent`: send time on the proxy's clock. `echo`: the newest echo that the proxy has received, as (counter's name,
+    send time on the registry's clock), or None.
     """
 
     incarnation: str
@@ -19,8 +20,8 @@
 class ProxyStatusReport(Message, tag="presence-report", frozen=True):
     """A proxy's full heartbeat.
 
-    Beyond the short one: whether the proxy is ready, which of the peers it watches are silent, and the `attributes`
-    under which it is listed (`front`, `ip`, `zone`, `region`).
+    In addition to the short one, it states whether the proxy is ready, which of the peers that it watches are silent,
+    and the `attributes` published in the list (`front`, `ip`, `zone`, `region`).
     """
 
     incarnation: str
@@ -32,11 +33,11 @@
 
 
 class HeartbeatEcho(Message, tag="echo", frozen=True):
-    """The registry's answer to a heartbeat.
+    """The registry's reply to a heartbeat.
 
-    `registry`: the counter's name, `common.incarnations.counter_name`; in release 0.2 its registry's alone. `sent` is
-    the heartbeat's own, on the proxy's clock; `registry_time` is on the registry's clock; `share` is the part of each
-    rate limit that the proxy may grant alone while it does not hear the registry.
+    `registry`: the counter's name (`common.incarnations.counter_name`); in release 0.2 the registry's name. `sent`: the
+    heartbeat's value, on the proxy's clock. `registry_time`: send time on the registry's clock. `share`: the fraction
+    of each rate limit that the proxy may grant by itself while it is out of contact with the registry.
     """
 
     registry: str
@@ -48,8 +49,8 @@
 class Charge(Message, tag="charge", frozen=True):
     """Charge a tenant's global count.
 
-    `incarnation` and `number` identify the charge: an answer is matched to its caller by them, and a charge that
-    arrives twice counts once. An `amount` below 0 returns a charge of `window`.
+    `incarnation` and `number` identify the charge: they match an answer to its request, and a charge that arrives twice
+    counts once. A negative `amount` refunds a charge of `window`.
     """
 
     incarnation: str
@@ -60,7 +61,7 @@
 
 
 class ChargeResult(Message, tag="charge-result", frozen=True):
-    """The verdict, its seconds and the number of the window that was charged: `registry.quota_counter.CountResult`."""
+    """The result of a charge; `verdict`, `seconds` and `window` are those of `registry.quota_counter.CountResult`."""
 
     incarnation: str
     number: int
@@ -70,10 +71,10 @@
 
 
 class AdmissionReport(Message, tag="admission-report", frozen=True):
-    """What a proxy admitted before the first echo of a new counter reached it.
+    """The requests that a proxy admitted before it received the first echo of a new counter.
 
-    Complete for the last `covered_s` seconds, but for what is older than a span of the users' rule. `admitted` holds
-    for each tenant how many seconds ago, at least, and how many requests.
+    The report is complete for the last `covered_s` seconds, except for what is older than a span of the quota rule.
+    `admitted` holds (minimum age in seconds, number of requests) for each tenant.
     """
 
     incarnation: str
@@ -83,6 +84,6 @@
 
 
 class AdmissionReportAck(Message, tag="admission-report-ack", frozen=True):
-    """The counter of a name has taken in the receiver's report."""
+    """The named counter has processed the receiver's report."""
 
     counter: str
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -1,12 +1,12 @@
 """Numbered state updates: named items, each with the number of the change that last set it.
 
-Guaranteed: a subscriber's number never falls within its incarnation, whoever sends it updates, and it has exactly the
-items of the numbered state that it names. How: a publisher sends each subscriber what changed since the number that
-the subscriber has. An update that does not begin at that number leaves a gap; the subscriber answers it by subscribing
-again, and gets what lies between, or the complete state where removals in between have been forgotten.
+Guarantee: within an incarnation, a subscriber's number never decreases, whichever publisher sends updates, and the
+subscriber has exactly the items of the state with that number. To this end, a publisher sends each subscriber the items
+changed since the subscriber's number. If an update starts at a later number, there is a gap: the subscriber answers by
+subscribing again, and receives the missing changes, or the complete state if removals among them have been discarded.
 
-Pure: whoever has the connection sends the messages. Cost: one message a change and subscriber, of the size of what
-changed; a complete state for each new connection that lacks more than is remembered.
+No I/O: the owner of the connection sends the messages. Cost: one message per change and subscriber, proportional to
+the change in size; a complete state for each new connection whose subscriber lags behind the retained removals.
 """
 
 from __future__ import annotations
@@ -16,17 +16,18 @@
 
 from thistleusher.transport.messages import Items, StateUpdate, StateUpdateAck, SubscribeRequest
 
-NOTHING_KNOWN = -1  # in place of a subscriber's number, where a publisher does not know which one it has
-MAX_REMOVED_ITEMS = 2000  # removed items that are remembered; a subscriber further behind gets the complete state
+NOTHING_KNOWN = -1  # Used as a subscriber's number if the publisher does not know it.
+MAX_REMOVED_ITEMS = 2000  # Maximum number of retained removals; a subscriber further behind gets the complete state.
 
 
 class State:
-    """Items with their numbers. A removed item stays for a while, with the value None."""
+    """Items with their numbers. A removed item is retained for a while, with the value None."""
 
     def __init__(self, number: int = 0, items: Mapping[str, tuple[int, Any]] | None = None, floor: int = 0) -> None:
         """Create a state.
 
-        `floor`: a subscriber with a lower number gets the complete state, as some removals up to there are forgotten.
+        A subscriber whose number is below `floor` gets the complete state, as some removals up to `floor` have been
+        discarded.
         """
         self.number = number
         self.floor = floor
@@ -34,16 +35,16 @@
         self.removed_count = sum(1 for _, value in self.items.values() if value is None)
 
     def copy(self) -> State:
-        """Return a separate state with the same items."""
+        """Return an independent copy of the state."""
         return State(self.number, self.items, self.floor)
 
     def value(self, name: str) -> Any:
-        """Return an item's value, None where there is none."""
+        """Return an item's value, or None if there is no such item."""
         item = self.items.get(name)
         return item[1] if item is not None else None
 
     def values(self, prefix: str) -> dict[str, Any]:
-        """Return the values of all items whose names begin with `prefix`, by the rest of their names."""
+        """Return the values of all items whose names begin with `prefix`, keyed by the rest of the name."""
         return {
             name[len(prefix) :]: value
             for name, (_, value) in self.items.items()
@@ -51,11 +52,11 @@
         }
 
     def apply(self, number: int, changes: Mapping[str, Any]) -> None:
-        """Set values (None: remove) under one number. Of more than `MAX_REMOVED_ITEMS` removals half is forgotten."""
+        """Set values (None: remove) under one number; discard old removals if more than `MAX_REMOVED_ITEMS` exist."""
         self.merge(number, {name: (number, value) for name, value in changes.items()})
 
     def merge(self, number: int, items: Items) -> None:
-        """Set items that have their numbers already."""
+        """Set items that already have their numbers."""
         self.number = max(self.number, number)
         for name, item in items.items():
             old = self.items.get(name)
@@ -65,7 +66,7 @@
             self._forget_removals()
 
     def _forget_removals(self) -> None:
-        """Forget the older half of the removals."""
+        """Discard the older half of the removals."""
         removed = sorted((number, name) for name, (number, value) in self.items.items() if value is None)
         for number, name in removed[: len(removed) // 2]:
             del self.items[name]
@@ -77,7 +78,7 @@
         return {name: item for name, item in self.items.items() if item[0] > number}
 
     def update_since(self, number: int) -> StateUpdate:
-        """Return what a subscriber at `number` lacks; the complete state where that is not known any more."""
+        """Return the update for a subscriber at `number`; the complete state if removals since then are discarded."""
         if number < self.floor or number > self.number:
             present = {name: item for name, item in self.items.items() if item[1] is not None}
             return StateUpdate(self.number, None, present)
@@ -85,15 +86,18 @@
 
 
 class Publisher:
-    """Sends one state to its subscribers, and counts which of them have acknowledged which number."""
+    """Produces the updates of one state for its subscribers, and tracks which numbers they have acknowledged."""
 
     def __init__(self, state: State) -> None:
         self.state = state
-        self.sent: dict[str, int] = {}  # subscriber -> the number that it was sent last
-        self.acknowledged: dict[str, int] = {}  # subscriber -> the number that it has acknowledged or subscribed with
+        self.sent: dict[str, int] = {}  # Subscriber -> last number sent to it.
+        self.acknowledged: dict[str, int] = {}  # Subscriber -> number that it has acknowledged or subscribed with.
 
     def subscribe(self, subscriber: str, number: int) -> list[tuple[str, StateUpdate]]:
-        """Add a subscriber that has `number` (0: nothing), or serve one that asks again after a gap."""
+        """Add a subscriber that has `number` (0: nothing), or one that subscribes again after a gap.
+
+        Return the update that it lacks, if any.
+        """
         self.acknowledged[subscriber] = min(number, self.state.number)
         if number == self.state.number:
             self.sent[subscriber] = number
@@ -102,14 +106,14 @@
         return [(subscriber, self.state.update_since(number))]
 
     def unsubscribe(self, subscriber: str) -> None:
-        """Remove a subscriber, whose connection has ended."""
+        """Remove a subscriber whose connection has ended."""
         self.sent.pop(subscriber, None)
         self.acknowledged.pop(subscriber, None)
 
     def updates_due(self) -> list[tuple[str, StateUpdate]]:
-        """Return the updates for all who were not sent the present number, and count them as sent.
+        """Return the updates for all subscribers that have not been sent the current number; they count as sent.
 
-        Subscribers at one number share one message, so it is encoded once.
+        Subscribers with the same number share one message, so it is encoded once.
         """
         updates: list[tuple[str, StateUpdate]] = []
         shared: dict[int, StateUpdate] = {}
@@ -123,46 +127,46 @@
         return updates
 
     def acknowledge(self, subscriber: str, number: int) -> None:
-        """Record that a subscriber has applied a number."""
+        """Record that a subscriber has applied the update of this number."""
         if subscriber in self.acknowledged:
             self.acknowledged[subscriber] = max(self.acknowledged[subscriber], number)
 
     def resend(self, subscriber: str) -> None:
-        """Count as not sent what a subscriber has not acknowledged, so that the next updates bring it again."""
+        """Mark what a subscriber has not acknowledged as unsent, so that the next updates include it again."""
         if subscriber in self.sent:
             self.sent[subscriber] = self.acknowledged.get(subscriber, NOTHING_KNOWN)
 
     def acknowledged_count(self) -> tuple[int, int]:
-        """Return how many subscribers have the present number, and how many there are."""
+        """Return how many subscribers have acknowledged the current number, and how many there are."""
         current = sum(1 for number in self.acknowledged.values() if number >= self.state.number)
         return current, len(self.acknowledged)
 
 
 class UpdateResult(NamedTuple):
-    """What an update led to: the values that it changed (None: nothing was applied), and the reply to send."""
+    """The result of an update: the changed values (None: not applied), and the reply to send."""
 
     changed: dict[str, Any] | None
     reply: StateUpdateAck | SubscribeRequest
 
 
 class Subscriber:
-    """A subscriber's copy of a state; `State.number` never falls."""
+    """A subscriber's copy of a state; `State.number` does not decrease, except that `discard` resets it."""
 
     def __init__(self, name: str = "", state: State | None = None) -> None:
-        """Create a subscriber; `name`: the one that it subscribes under."""
+        """Create a subscriber; `name` identifies it to the publisher."""
         self.name = name
         self.state = state or State()
-        self.least_number = 0  # of states that count: that of the copy that was discarded last
+        self.least_number = 0  # Minimum number of an update to apply: that of the last discarded copy.
 
     def subscribe_request(self) -> SubscribeRequest:
         """Return the first message to a publisher, which is also the reply to a gap."""
         return SubscribeRequest(self.name, self.state.number)
 
     def discard(self) -> None:
-        """Discard the copy, as what was applied last could not be put in force: everything is asked for again.
+        """Discard the copy because its last update could not be put into effect; request the complete state again.
 
-        No state older than the discarded one counts, so whoever sends it, what is in force does not go back. A number
-        is discarded once: what cannot be put in force the second time either would be asked for without end.
+        Updates older than the discarded copy are ignored, so the state in effect does not go back, whichever publisher
+        sends them. A number is discarded only once: if the second attempt fails too, requests would repeat forever.
         """
         if self.state.number > self.least_number:
             self.least_number = self.state.number
@@ -183,7 +187,7 @@
         return UpdateResult(changed, StateUpdateAck(update.number))
 
     def _replace(self, update: StateUpdate) -> dict[str, Any]:
-        """Replace the state by a complete one; return the values that this changed."""
+        """Replace the state by a complete one; return the changed values."""
         old = self.state
         changed = {name: item[1] for name, item in update.items.items() if old.value(name) != item[1]}
         removed = [name for name, item in old.items.items() if name not in update.items and item[1] is not None]
