--- a/tests/common/test_errors.py
+++ b/tests/common/test_errors.py
@@ -1,4 +1,4 @@
-"""The table of error kinds and their responses."""
+"""The table of error kinds and their HTTP responses."""
 
 from thistleusher.common.errors import NOT_EXECUTED, RESPONSES, ErrorKind
 
--- a/tests/common/test_incarnations.py
+++ b/tests/common/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Names of incarnations tell for how long a process had run when it sent a message."""
+"""The uptime of a process, computed from its incarnation's name and the send time of a message."""
 
 import pytest
 
--- a/tests/common/test_node_settings.py
+++ b/tests/common/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: read with unknown fields ignored; what is wrong is reported in one line a fault."""
+"""Settings files: unknown fields are ignored, and each error is reported in one line."""
 
 import pytest
 
--- a/tests/common/test_process.py
+++ b/tests/common/test_process.py
@@ -1,4 +1,4 @@
-"""What the programs have in common: faults beside the work itself are said, and end nothing else."""
+"""Functions shared by the programs: errors in ticks and background tasks are logged and stop nothing else."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class BrokenSettings:
-    """Settings whose every reading is a fault."""
+    """Settings whose reload always raises an unexpected exception."""
 
     class node_settings:  # noqa: N801
         node_name = "n"
--- a/tests/common/test_quota_shares.py
+++ b/tests/common/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""Shares of all limits: what all ingresses hold in whole requests is bounded at any number of them."""
+"""Shares of limits: the whole requests that all proxies hold in reserve are bounded for any number of proxies."""
 
 import random
 
@@ -22,7 +22,7 @@
         rate, burst = 10 ** (3 * rng.random()), 1000 * rng.random()
         held = [holding(interval, f"tenant {n}", rate, burst, BOUNDS) for interval in intervals]
         reserve = 0.025 * (5 * rate + burst) + 10 + min(0.4 * rate, max(0.0, burst - 0.25 * rate))
-        slack = 1 if part > 0.99 else 6 + 0.2 * reserve  # some of the intervals are drawn
+        slack = 1 if part > 0.99 else 6 + 0.2 * reserve  # Only a sample of the intervals is added up.
         assert part * reserve - slack - 1 <= sum(each.reserve for each in held) <= part * reserve + slack
         assert all(0 <= each.reserve <= each.isolated for each in held)
         if part > 0.99:
--- a/tests/registry/test_backend_poller.py
+++ b/tests/registry/test_backend_poller.py
@@ -25,7 +25,7 @@
 
 
 def read(poller, now, *pages):
-    """A reading of some pages; what changed."""
+    """Let the poller read pages; return the time of the last one and the changes."""
     changes = None
     for body in pages:
         while poller.begin_call(now) is None:
@@ -81,9 +81,9 @@
     now, _ = read(poller, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(poller, now + 1, page(entry(1), token="p"))
     poller.begin_call(now + 1)
-    poller.call_failed(now + 1)  # the second page never comes
+    poller.call_failed(now + 1)  # The second page never arrives.
     assert set(poller.backends) == {"i1", "i2"}
-    assert poller.begin_call(now + 3) == "/instances"  # from the start again
+    assert poller.begin_call(now + 3) == "/instances"  # The reading restarts from the first page.
 
 
 def test_an_empty_list_is_believed_only_after_some_readings():
@@ -114,7 +114,7 @@
     assert changes["i1"]["cold"] == 3000
     now, changes = read(poller, now + 1.0, page(entry(1, cold=2000)))
     assert changes == {}
-    now, changes = read(poller, now + 1.0, page(entry(1, cold=3500)))  # cold anew
+    now, changes = read(poller, now + 1.0, page(entry(1, cold=3500)))  # The backend has restarted its warm-up.
     assert changes["i1"]["cold"] == 3500
     now, changes = read(poller, now + 4.0, page(entry(1)))
     assert changes["i1"]["cold"] == 0
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -1,6 +1,6 @@
-"""Charges on a network that loses, repeats and reorders, between sides that begin anew.
+"""Charges over a network that loses, duplicates and reorders messages, while proxies and counters restart.
 
-Each counts once, and what is admitted stays within the allowance. A model beside it counts with sets.
+Each charge counts once and admissions stay within the allowance, as compared with a model that counts by sets.
 """
 
 import random
@@ -45,7 +45,7 @@
 
 
 class Fleet:
-    """Some proxies, one counter at a time, and all that is under way between them."""
+    """Simulates several proxies, one counter at a time, and the messages in flight between them."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -54,11 +54,11 @@
         self.proxies = {}
         self.incarnations = self.requests = self.counters = 0
         self.to_counter, self.to_proxy = [], []
-        self.open = {}  # request -> its proxy
-        self.let_in = {}  # request -> counter, window
-        self.answers = {}  # (incarnation, number) -> the first answer of the present counter
-        self.counted = {}  # the model: (incarnation, number) -> window, of the present counter
-        self.given_back = set()
+        self.open = {}  # Request -> its proxy.
+        self.let_in = {}  # Admitted request -> (counter, window).
+        self.answers = {}  # (incarnation, number) -> first answer of the current counter.
+        self.counted = {}  # The model: (incarnation, number) -> window, for the current counter.
+        self.given_back = set()  # (incarnation, number) of the refunded charges.
         for name in self.names:
             self.restart(name)
         self.take_over()
@@ -88,10 +88,10 @@
         self.carry(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", 1)))
 
     def decide(self, name, counted):
-        assert self.open.pop(counted.request, None) is self.proxies[name], "an answer for nobody who waits"
+        assert self.open.pop(counted.request, None) is self.proxies[name], "answer for a request that is not waiting"
         if counted.verdict == ALLOWED:
             self.let_in[counted.request] = self.counters, counted.window
-        if counted.verdict != ALLOWED or self.rng.random() < 0.1:  # refused after all: it never ran
+        if counted.verdict != ALLOWED or self.rng.random() < 0.1:  # Rejected after its admission.
             self.let_in.pop(counted.request, None)
             self.give_back(name, counted.request)
 
@@ -102,7 +102,7 @@
             self.give_back(name, request)
 
     def give_back(self, name, request):
-        for _ in range(self.rng.choice((1, 1, 2))):  # the decisions' own mistake would cost nothing either
+        for _ in range(self.rng.choice((1, 1, 2))):  # A duplicate refund by the caller must have no effect.
             self.carry(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", -1)))
 
     def beat(self, name):
@@ -110,7 +110,7 @@
         self.to_counter.append((name, ProxyHeartbeat(proxy.incarnation, self.now, None)))
 
     def arrive(self, bag):
-        """One of the messages under way arrives, or is lost; now and then it comes again."""
+        """Deliver or lose one of the messages in flight; some of the delivered ones stay in flight as duplicates."""
         if not bag:
             return None
         at = self.rng.choice((0, self.rng.randrange(len(bag))))
@@ -132,7 +132,7 @@
             assert (result.verdict, result.window) == (
                 first.verdict,
                 first.window,
-            ), "a repeated charge has another answer"
+            ), "a duplicate charge has a different answer"
             if result.verdict == ALLOWED:
                 self.counted[key] = result.window
             self.to_proxy.append((name, result))
@@ -181,11 +181,11 @@
             fleet.check()
         let_in += len(fleet.let_in)
         given_back += len(fleet.given_back)
-    assert let_in > 100 and given_back > 100  # it is no empty run
+    assert let_in > 100 and given_back > 100  # Guards against a run in which nothing happens.
 
 
 def known(table, name="p", incarnation="x", now=2.0):
-    """A proxy that is counted, by a counter that has been in contact with it for longer than a span."""
+    """Return the table after its counter has been in contact with a proxy for longer than a span."""
     at = now - 7.0
     while at < now:
         table.counter.shares.record_heartbeat(at, name, incarnation, at)
@@ -213,7 +213,7 @@
     later = known(counter_of(-10.0))
     for number in range(2, 6):
         later.receive(2.0, "p", Charge("x", number, "t", 1, -1))
-    later.receive(2.1, "p", Charge("x", 1, "t", -1, first.window))  # its windows have the same numbers
+    later.receive(2.1, "p", Charge("x", 1, "t", -1, first.window))  # Both counters use the same window numbers.
     assert later.counter.windows["t"].count == 4
 
 
@@ -246,11 +246,11 @@
     assert proxy.from_registry(5.1, "c", ChargeResult("w", 1, ALLOWED, 0.5, 3)) == ([], None)
     (back,) = proxy.charge(5.1, ChargeTenant("r1", "t", -1))
     assert back.message == Charge("x", 1, "t", -1, -1)
-    assert proxy.charge(5.1, ChargeTenant("r1", "t", -1)) == []  # once
+    assert proxy.charge(5.1, ChargeTenant("r1", "t", -1)) == []  # A charge is refunded only once.
     assert proxy.from_registry(5.2, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)
     (verdict,), _ = proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3))
     assert verdict.answer.request == "r2"
-    assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3)) == ([], None)  # it comes again
+    assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3)) == ([], None)  # A duplicate.
 
 
 def test_a_verdict_that_lay_in_a_socket_lets_nothing_in():
@@ -285,7 +285,7 @@
     assert not reports_of(proxy.tick(6.5, True))
     commands, _ = proxy.from_registry(6.6, "c", HeartbeatEcho("c/1#7", 6.5, 1.0, 0.1))
     assert not reports_of(commands)
-    commands, _ = proxy.from_registry(6.7, "c", HeartbeatEcho("c/1#8", 6.6, 1.0, 0.1))  # the same registry, once more
+    commands, _ = proxy.from_registry(6.7, "c", HeartbeatEcho("c/1#8", 6.6, 1.0, 0.1))  # The same registry, later term.
     assert [report.counter for report in reports_of(commands)] == ["c/1#8"]
 
 
@@ -296,6 +296,6 @@
     commands, _ = proxy.from_registry(5.2, "d", HeartbeatEcho("d/1#2", 5.1, 1.0, 0.1))
     charges = [(c.ip, c.message.number) for c in commands if isinstance(getattr(c, "message", None), Charge)]
     assert charges == [("d", 2)]
-    assert proxy.from_registry(5.3, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)  # of the former counter
+    assert proxy.from_registry(5.3, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3)) == ([], None)  # From the old counter.
     (verdict,), _ = proxy.from_registry(5.3, "d", ChargeResult("x", 2, ALLOWED, 0.5, 3))
     assert verdict.answer.verdict == ALLOWED
--- a/tests/registry/test_delays.py
+++ b/tests/registry/test_delays.py
@@ -1,4 +1,4 @@
-"""Where the way of a change from the platform to the subscribers stands still: it is said, and does not last."""
+"""Delays between a change at the platform and its arrival at subscribers: they are logged, and repaired by retries."""
 
 from tests.registry.test_backend_poller import entry, page
 from tests.registry.test_registry import holding_role
@@ -11,9 +11,10 @@
 
 
 def run(registry, now, until, answer=None, acknowledges=True):
-    """Tick on while the lease is renewed; return what came out with its times.
+    """Run ticks and renew the lease; return the outputs with their times.
 
-    `answer`: the body with which the platform answers each call, None: it never does. `acknowledges`: whether `d` does.
+    `answer` is the body of the platform's response to each call, or None if it never responds. `acknowledges` is
+    whether the subscriber `d` acknowledges updates.
     """
     outputs = []
     while now < until:
@@ -80,7 +81,7 @@
     gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
     assert 1.5 < times[0] < 2.1 and gaps == sorted(gaps) and LONGEST_WAIT_S <= gaps[-1] < LONGEST_WAIT_S + 0.5
     assert watch.check(50.0, 7, {"a": 4}) == watch.check(51.0, 7, {"a": 4}) == [] and watch.check(52.0, 7, {"a": 4})
-    assert watch.check(60.0, 7, {}) == watch.check(60.1, 7, {"a": 4}) == []  # one that came back
+    assert watch.check(60.0, 7, {}) == watch.check(60.1, 7, {"a": 4}) == []  # Reconnected: its lag restarts.
 
 
 def test_a_call_to_the_platform_that_never_ends_does_not_end_the_reading():
--- a/tests/registry/test_members.py
+++ b/tests/registry/test_members.py
@@ -1,4 +1,4 @@
-"""Which ingresses are up: a verdict needs more than one source."""
+"""Which proxies are up: a proxy is considered silent only on the evidence of two sources."""
 
 from thistleusher.registry.members import SILENT_ALONE_S, SILENT_S, Members
 
@@ -10,14 +10,14 @@
     for at in (0.5, 1.0):
         for node in "abcd" if at == 0.5 else "bcd":
             members.record_report(at, node, {"front": node}, "1", True, ["a"] if node == "b" else [])
-    assert members.entries(1.0)["a"]["up"]  # one watcher's report
+    assert members.entries(1.0)["a"]["up"]  # One watcher's report.
     members.record_report(1.1, "c", {"front": "c"}, "1", True, ["a"])
-    assert not members.entries(1.1)["a"]["up"]  # two watchers'
+    assert not members.entries(1.1)["a"]["up"]  # Two watchers' reports.
     members.record_report(1.2, "a", {"front": "a"}, "1", True, [])
     for at in (2.0, 2.6):
         for node in "bcd":
             members.record_report(at, node, {"front": node}, "1", True, [])
-    assert members.entries(1.2 + SILENT_S + 0.3)["a"]["up"]  # silent here alone
-    assert not members.entries(1.2 + SILENT_ALONE_S)["a"]["up"]  # for too long
+    assert members.entries(1.2 + SILENT_S + 0.3)["a"]["up"]  # Only this registry has received no heartbeat.
+    assert not members.entries(1.2 + SILENT_ALONE_S)["a"]["up"]  # The registry's own observation now suffices.
     members.record_report(4.0, "d", {"front": "d"}, "1", False, [])
-    assert not members.entries(4.0)["d"]["up"]  # it says so itself, as it ends
+    assert not members.entries(4.0)["d"]["up"]  # The proxy itself reports that it is not ready, as it shuts down.
--- a/tests/registry/test_platform_client.py
+++ b/tests/registry/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform over real sockets: whatever becomes of its connection, a call ends and the next is made."""
+"""Calls to the platform over real sockets: each call ends whatever happens to its connection, and the next succeeds."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,12 @@
 from standins.http import read_message
 from thistleusher.registry.platform_client import PlatformClient
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the connection is reset as it is closed
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which closing resets the connection.
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
 
 class RestingPlatform:
-    """Answers calls, and ends their connections when `end` is called."""
+    """Answers calls, and closes or resets their connections when `end` is called."""
 
     def __init__(self, resets):
         self.resets = resets
@@ -42,7 +42,7 @@
 
 
 async def calls_around_an_end(resets):
-    """Return the statuses of a call before its connection ends while nobody calls, and of two after it."""
+    """Return the statuses of one call before the idle connection ends, and of two calls after it."""
     platform = RestingPlatform(resets)
     client = PlatformClient(await platform.start())
     statuses = [(await client.get("/instances")).status]
@@ -50,7 +50,7 @@
     platform.end()
     with contextlib.suppress(ConnectionResetError):
         async with asyncio.timeout(5):
-            await reader.read()  # until the end has reached this side
+            await reader.read()  # Wait until the client's side has seen the end of the connection.
     for _ in range(2):
         response = await client.get("/instances")
         statuses.append(response.status if response is not None else 0)
--- a/tests/registry/test_quota_recovery.py
+++ b/tests/registry/test_quota_recovery.py
@@ -1,4 +1,4 @@
-"""A new counter learns from the proxies what was admitted before its start, and assumes the worst until then."""
+"""A new counter learns from proxies what was admitted before its start, and assumes the worst until it has done so."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def heartbeats(counter, now, names=("p1", "p2")):
-    """Let proxies hear the counter and confirm it, so that nothing is deducted for them."""
+    """Let proxies receive and confirm an echo of the counter, so that nothing is deducted for them."""
     for name in names:
         counter.shares.record_heartbeat(now, name, f"{name}@0.000", None)
         counter.shares.record_heartbeat(now + 0.05, name, f"{name}@0.000", now)
@@ -69,7 +69,7 @@
     counter = new_counter()
     heartbeats(counter, STARTED_AT)
     counter.record_admissions(STARTED_AT + 0.1, "p1", "p1@0.000", 10.0, {})
-    counter.record_admissions(STARTED_AT + 0.1, "p2", "p2@0.000", 2.0, {})  # it knows 1.9 s before the counter's start
+    counter.record_admissions(STARTED_AT + 0.1, "p2", "p2@0.000", 2.0, {})  # Covers 1.9 s before the counter's start.
     assert admitted_at_once(counter, STARTED_AT + 0.2) <= 2.1 * RATE
 
 
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry's state machine: what it does while it holds the singleton role, and stops doing without its lease."""
+"""The registry's state machine: its actions while it holds the singleton role, and that they stop with the lease."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 def grant(registry, now):
-    """The registry asks for the lease, and all three control processes grant it."""
+    """Let the registry request the lease and all three control processes grant it; return the time of the grant."""
     requests = []
     while not requests:
         asked = [out.message for out in registry.tick(now) if isinstance(out, SendToControl)]
@@ -40,7 +40,7 @@
 
 
 def holding_role(now=10.0):
-    """A registry that holds the role by three grants, with control state, and the subscriber `d`."""
+    """Return a registry that holds the role by three grants, with control state and the subscriber `d`."""
     registry = Registry("m/1", "1", now, random.Random(1), 50.0, True)
     registry.receive_from_control(now, "1", CoreInfo(("1", "2", "3"), 1, "2"))
     registry.receive_from_control(now, "1", StateUpdate(1, 0, {"share:d": (1, 0.1)}))
@@ -77,8 +77,8 @@
     assert sent_types(registry.receive_from_subscriber(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
     assert (
         sent_types(registry.receive_from_subscriber(12.0, "f", SubscribeRequest("f", 0))) == []
-    )  # on the clock of that very input
-    now = grant(registry, 12.5)  # the role is held anew: those who came meanwhile get the list
+    )  # The lease is checked at the time of this input.
+    now = grant(registry, 12.5)  # The role is acquired again: subscribers that connected in between get the list.
     assert registry.holds_role
     outputs = registry.tick(now + 0.1)
     assert {
@@ -94,7 +94,7 @@
     registry = holding_role()
     assert registry.can_answer(10.1)
     assert not registry.can_answer(12.0) and not registry.holds_role
-    grants = [LeaseGranted("registrar", registry.lease.term, 10.0)]  # lay in a socket meanwhile
+    grants = [LeaseGranted("registrar", registry.lease.term, 10.0)]  # Arrived during the pause.
     assert [registry.receive_from_control(12.0, "1", message)[0] for message in grants] and not registry.holds_role
 
 
@@ -123,7 +123,7 @@
     registry.platform_answered(10.06, 1, 200, page(entry(1), token="p"))
     assert [o.target for o in registry.tick(10.2) if isinstance(o, CallPlatform)] == ["/instances?page_token=p"]
     registry._end_role("lost")
-    registry._begin_role(10.3)  # again, while the second page is on its way
+    registry._begin_role(10.3)  # A new term begins while the second page is in flight.
     assert registry.platform_answered(10.31, 2, 200, page(entry(2))) == [] and not registry.poller.has_list
     assert [o.target for o in registry.tick(10.4) if isinstance(o, CallPlatform)] == ["/instances"]
 
@@ -134,7 +134,7 @@
     name, term = echo.message.registry, registry.lease.term
     assert name == f"{registry.name}#{term}"
     later = ProxyHeartbeat("x", 1.1, (f"{registry.name}#{term - 1}", 10.1))
-    registry.receive_from_subscriber(10.15, "d", later)  # it has heard the counter of an earlier term, not this one
+    registry.receive_from_subscriber(10.15, "d", later)  # It has received only an earlier term's echo.
     assert registry.counter.shares.proxies["d"].confirmed_at < 0
     registry.receive_from_subscriber(10.2, "d", ProxyHeartbeat("x", 1.2, (name, 10.1)))
     assert registry.counter.shares.proxies["d"].confirmed_at == 10.1
--- a/tests/registry/test_span_count.py
+++ b/tests/registry/test_span_count.py
@@ -1,4 +1,4 @@
-"""What was admitted within a span, counted by slots."""
+"""The sliding-window count of admitted requests, in slots."""
 
 import random
 
--- a/tests/transport/test_call_server.py
+++ b/tests/transport/test_call_server.py
@@ -1,4 +1,4 @@
-"""The call server and its clients: each answer goes to its own call, complete, and only once."""
+"""The call server: each answer is sent to its own call, completely and only once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CallServerClient:
-    """A client of a call server whose handler keeps the calls that it is given."""
+    """A client of a call server whose handler stores the calls, so that the test can answer them."""
 
     def __init__(self, world: World) -> None:
         self.done: list[Callable[[Any], None]] = []
@@ -54,7 +54,7 @@
             await asyncio.sleep(0.5)
             wire.taken(1)
             assert not wire.ended
-        world.loop.script.now += FREEZE_S  # what the client takes meanwhile shows only afterwards
+        world.loop.script.now += FREEZE_S  # What the client reads during the freeze becomes visible only afterwards.
         await asyncio.sleep(0.1)
         assert not wire.ended
         wire.taken(1)
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages on a stream: compression, pieces of any size, what is malformed."""
+"""Messages on a stream: compression, fragments of any size, malformed data."""
 
 import struct
 import zlib
--- a/tests/transport/test_core_members.py
+++ b/tests/transport/test_core_members.py
@@ -1,4 +1,4 @@
-"""The core's members as their subscribers know them."""
+"""The core machines as known to their subscribers."""
 
 from thistleusher.transport.core_members import CoreMembers
 from thistleusher.transport.messages import CoreInfo
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -1,4 +1,4 @@
-"""Links over loopback: when to connect again; which messages are rejected."""
+"""Links over loopback: reconnection, and rejected messages."""
 
 import asyncio
 import struct
@@ -24,7 +24,7 @@
         port = listener.server.sockets[0].getsockname()[1]
         listener.close()
         link = ReconnectingLink(loop, "127.0.0.1", port, lambda: Hello("x"), lambda link, message: None)
-        while link.opening is None or not link.opening.done():  # refused: nobody listens there
+        while link.opening is None or not link.opening.done():  # Refused: no process listens on the port.
             await asyncio.sleep(0)
         await listener.listen("127.0.0.1", port)
         link.retry_now()
@@ -58,10 +58,10 @@
 @pytest.mark.parametrize(
     "data",
     [
-        struct.pack(">I", 3) + b"\xff\xff\xff",  # no message
-        struct.pack(">I", 1 << 31),  # longer than any
-        struct.pack(">I", 8) + msgspec.msgpack.encode(["hello", 5]),  # a field of another type
-        frame(StateUpdateAck(1)),  # well formed, and not taken here
+        struct.pack(">I", 3) + b"\xff\xff\xff",  # Not a message.
+        struct.pack(">I", 1 << 31),  # An empty compressed message.
+        struct.pack(">I", 8) + msgspec.msgpack.encode(["hello", 5]),  # A field of the wrong type.
+        frame(StateUpdateAck(1)),  # Well formed, but not accepted here.
     ],
     ids=["no message", "too long", "wrong type", "not taken"],
 )
@@ -94,7 +94,7 @@
 
 
 def test_a_connection_that_stands_as_it_is_given_up_says_nothing_more():
-    """`retry_now` cancels an attempt that has just connected: the loop closes it and calls nobody back."""
+    """`retry_now` may cancel an attempt that has just connected; the event loop then closes it without a callback."""
 
     async def play() -> list[str]:
         loop = asyncio.get_running_loop()
@@ -123,7 +123,7 @@
 
 
 async def reach(take, first_message):
-    """A link to a listener that takes messages by `take`; returns once `take` has had two, and the faults logged."""
+    """Connect a link to a listener that passes messages to `take`; return the first two messages received."""
     loop = asyncio.get_running_loop()
     came, both = [], loop.create_future()
 
@@ -145,7 +145,7 @@
 
 
 def test_a_fault_of_any_kind_in_a_message_ends_its_connection_and_not_the_link(monkeypatch):
-    """Whatever handling a message raises: it is logged, and a new connection subscribes again."""
+    """Any exception raised by a message handler is logged, and a new connection sends the first message again."""
     logged = []
     monkeypatch.setattr(links, "RECONNECT_S", 0.0)
     monkeypatch.setattr(links, "log_event", lambda event, *fields: logged.append(event.name))
@@ -168,7 +168,7 @@
         return Hello("x")
 
     def fail(message):
-        raise ValueError  # so that the link connects once more
+        raise ValueError  # Closes the connection, so that the link reconnects.
 
     assert asyncio.run(reach(fail, first_message)) == [Hello("x")] * 2
     assert logged[0] == "FAULT"
--- a/tests/transport/test_state_updates.py
+++ b/tests/transport/test_state_updates.py
@@ -1,4 +1,4 @@
-"""Numbered state updates: gaps, complete states, and numbers that never fall."""
+"""Numbered state updates: gaps, complete states, and numbers that never decrease."""
 
 import random
 
@@ -57,7 +57,7 @@
             publisher.state.apply(number, {rng.choice("abcde"): rng.choice([None, rng.random()])})
             for _, message in publisher.updates_due():
                 if rng.random() < 0.4:
-                    continue  # lost with the connection
+                    continue  # Lost with the connection.
                 before = subscriber.state.number
                 _, reply = subscriber.apply(message)
                 assert subscriber.state.number >= before
@@ -82,7 +82,7 @@
     assert subscriber.apply(older).changed is None and subscriber.state.number == 0
     ((_, message),) = publisher.subscribe("f", 0)
     assert subscriber.apply(message).changed == {"a": 1, "b": 2}
-    subscriber.discard()  # the same number fails again: it is kept, else it would be asked for without end
+    subscriber.discard()  # The same number fails again: the copy is kept, else requests would repeat forever.
     assert subscriber.state.number == 4
 
 
@@ -90,7 +90,7 @@
     publisher, subscriber = Publisher(State()), Subscriber("f")
     publisher.subscribe("f", 0)
     publisher.state.apply(1, {"a": 1})
-    publisher.updates_due()  # never arrives
+    publisher.updates_due()  # The update never arrives.
     assert publisher.updates_due() == []
     publisher.resend("f")
     publisher.resend("stranger")
