--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -18,7 +18,7 @@
 from thistleusher.proxy.decisions import Decisions
 from thistleusher.proxy.placement import ListedBackend
 from thistleusher.registry.backend_poller import BackendPoller
-from thistleusher.registry.charges import REMEMBERED_CHARGES, ChargeTable
+from thistleusher.registry.charges import MAX_RECORDED_CHARGES, ChargeTable
 from thistleusher.registry.quota_counter import QuotaCounter
 from thistleusher.services.addresses import read_address
 from thistleusher.transport.codec import decode, encode
@@ -190,14 +190,14 @@
     before = resident_mb()
 
     def charge_all() -> None:
-        for number in range(1, REMEMBERED_CHARGES + 1):
+        for number in range(1, MAX_RECORDED_CHARGES + 1):
             for name in names:
                 charges.receive(2.0, name, Charge("life", number, tenants[number % len(tenants)], 1, -1))
 
     spent_s = timed(charge_all)
     return {
         "memory of the charge table MB": resident_mb() - before,
-        "processor of one charge, without its messages us": 1e6 * spent_s / (REMEMBERED_CHARGES * senders),
+        "processor of one charge, without its messages us": 1e6 * spent_s / (MAX_RECORDED_CHARGES * senders),
     }
 
 
--- a/simnet/system/registry_process.py
+++ b/simnet/system/registry_process.py
@@ -72,7 +72,7 @@
 
     def disconnected(self, client: str) -> None:
         """Tell the registry that a subscriber's connection has ended."""
-        self.registry.subscriber_gone(client)
+        self.registry.remove_subscriber(client)
 
     def _execute(self, outputs: Sequence[Output]) -> None:
         network = self._environment.network
@@ -92,7 +92,7 @@
     def _call_platform(self, call: CallPlatform) -> None:
         def answered() -> None:
             status, body = self._platform.respond(call.target)
-            self._execute(self.registry.platform_answered(self._now(), call.number, status, body))
+            self._execute(self.registry.receive_platform_response(self._now(), call.number, status, body))
 
         if self._platform.loses_call():
             return
--- a/tests/common/test_incarnations.py
+++ b/tests/common/test_incarnations.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from thistleusher.common.incarnations import incarnation_name, new_incarnation, running_for
+from thistleusher.common.incarnations import incarnation_name, new_incarnation, uptime_at
 
 
 def test_a_name_tells_how_long_its_process_has_run():
-    assert running_for(new_incarnation(12.5), 20.0) == pytest.approx(7.5)
-    assert running_for(incarnation_name("a@b", 3.0), 3.0) == 0.0
+    assert uptime_at(new_incarnation(12.5), 20.0) == pytest.approx(7.5)
+    assert uptime_at(incarnation_name("a@b", 3.0), 3.0) == 0.0
     assert new_incarnation(1.0) != new_incarnation(1.0)
 
 
 @pytest.mark.parametrize("name", ["", "18a9f3", "18a9f3@", "18a9f3@x", "18a9f3@nan", "18a9f3@inf", "18a9f3@21.0"])
 def test_a_name_that_does_not_tell_it_is_no_error(name):
-    assert running_for(name, 20.0) is None
+    assert uptime_at(name, 20.0) is None
--- a/tests/common/test_quota_shares.py
+++ b/tests/common/test_quota_shares.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_shares import holding, share_interval
+from thistleusher.common.quota_shares import reserve_limits, share_interval
 from thistleusher.registry.quota_counter import QuotaCounter
 
 BOUNDS = Bounds(quota_window_s=5.0, quota_excess=0.1, quota_slack=20.0)
@@ -20,7 +20,7 @@
     part = sum(interval.end - interval.start for interval in intervals)
     for n in range(20):
         rate, burst = 10 ** (3 * rng.random()), 1000 * rng.random()
-        held = [holding(interval, f"tenant {n}", rate, burst, BOUNDS) for interval in intervals]
+        held = [reserve_limits(interval, f"tenant {n}", rate, burst, BOUNDS) for interval in intervals]
         reserve = 0.025 * (5 * rate + burst) + 10 + min(0.4 * rate, max(0.0, burst - 0.25 * rate))
         slack = 1 if part > 0.99 else 6 + 0.2 * reserve  # Only a sample of the intervals is added up.
         assert part * reserve - slack - 1 <= sum(each.reserve for each in held) <= part * reserve + slack
@@ -37,7 +37,7 @@
         counts.configure({}, shares)
         counts.shares.record_heartbeat(1.0, f"a{n}", "x", 1.0)
         counts.shares.record_heartbeat(1.0, f"z{n}", "x", 1.0)
-        shares.update(counts.shares.missing_shares(1.0))
+        shares.update(counts.shares.new_shares(1.0))
         now = {name: share_interval(shares, name) for name in shares}
         assert {name: now[name] for name in before} == before
         before = now
--- a/tests/proxy/quota_fleet.py
+++ b/tests/proxy/quota_fleet.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 from simnet.clock import Clock
-from thistleusher.common.incarnations import counter_name, incarnation_name, running_for
+from thistleusher.common.incarnations import counter_name, incarnation_name, uptime_at
 from thistleusher.common.node_settings import Bounds
 from thistleusher.proxy.cluster_view import ClusterView
 from thistleusher.proxy.commands import DeliverChargeAnswer, SendToRegistry
@@ -153,7 +153,7 @@
 
     def persist_shares(self):
         if self.counter is not None:
-            missing = self.counter.shares.missing_shares(self.clock.now)
+            missing = self.counter.shares.new_shares(self.clock.now)
             if missing:
                 self.shares.update(missing)
                 self.share_number += 1
@@ -197,8 +197,8 @@
                 self.deliver(proxy.name, lambda: proxy.receive(AdmissionReportAck(registry)))
             return
         echoed = message.echo[1] if message.echo is not None and message.echo[0] == registry else None
-        never_echoed_for = running_for(message.incarnation, message.sent) if message.echo is None else None
-        if self.counter.shares.record_heartbeat(now, proxy.name, message.incarnation, echoed, never_echoed_for):
+        uptime_without_echo = uptime_at(message.incarnation, message.sent) if message.echo is None else None
+        if self.counter.shares.record_heartbeat(now, proxy.name, message.incarnation, echoed, uptime_without_echo):
             share = self.counter.shares.proxies[proxy.name].share
             echo = HeartbeatEcho(registry, message.sent, now, share)
             self.deliver(proxy.name, lambda: proxy.receive(echo))
--- a/tests/proxy/test_decisions.py
+++ b/tests/proxy/test_decisions.py
@@ -6,7 +6,7 @@
 
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_shares import ShareInterval
-from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, RESERVE_FILLED_S, VERDICT_WAIT_S
+from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, RESERVE_FILL_S, VERDICT_TIMEOUT_S
 from thistleusher.common.record_reader import read_record
 from thistleusher.configuration.index import RouteMatch
 from thistleusher.configuration.records import Configuration
@@ -165,7 +165,7 @@
     # A standing share that has had no time to fill.
     rig.decisions.quota.started_at, rig.decisions.quota.slack = rig.now, 0.0
     name, _ = rig.ask(tenant="t")
-    assert kinds(rig.do(events.TimerFired(1), VERDICT_WAIT_S + 0.01)) == []  # no answer, no share: it waits
+    assert kinds(rig.do(events.TimerFired(1), VERDICT_TIMEOUT_S + 0.01)) == []  # no answer, no share: it waits
     acts = rig.do(events.TimerFired(1), LOCAL_QUOTA_FROM_S)
     assert kinds(acts) == [ChargeTenant, actions.Refuse] and acts[1].retry_in == 0.0  # and is rejected, not admitted
     assert kinds(rig.do(ChargeAnswered(name, ALLOWED, 0.5))) == []
@@ -173,11 +173,11 @@
 
 def test_without_a_verdict_the_reserve_decides():
     rig = Rig()
-    rig.now += RESERVE_FILLED_S
+    rig.now += RESERVE_FILL_S
     rig.decisions.quota.interval = ShareInterval(0.0, 0.5)
     rig.decisions.quota.record_echo(rig.now, Echo("c", 5.0), rig.now - 0.1, 0.5)
     name, _ = rig.ask(tenant="t")
-    acts = rig.do(events.TimerFired(1), VERDICT_WAIT_S + 0.01)
+    acts = rig.do(events.TimerFired(1), VERDICT_TIMEOUT_S + 0.01)
     assert kinds(acts) == [ChargeTenant, actions.Attempt]
     assert acts[0] == ChargeTenant(name, "t", -1)  # it needs its charge no more
     assert kinds(rig.do(ChargeAnswered(name, OVER_LIMIT, 0.5))) == []
--- a/tests/proxy/test_quota.py
+++ b/tests/proxy/test_quota.py
@@ -13,10 +13,10 @@
     HEARTBEAT_S,
     LOCAL_QUOTA_FROM_S,
     LOCAL_QUOTA_UNTIL_S,
-    RESERVE_FILLED_S,
-    SHARE_DEDUCTED_S,
-    SHARE_FORGOTTEN_S,
-    VERDICT_WAIT_S,
+    RESERVE_FILL_S,
+    SHARE_DEDUCTION_END_S,
+    SHARE_DEDUCTION_START_S,
+    VERDICT_TIMEOUT_S,
 )
 from thistleusher.proxy.quota import Echo, LocalQuota, RateLimit
 from thistleusher.registry.quota_counter import QuotaCounter
@@ -71,7 +71,7 @@
 
     def persist_shares(self):
         if self.counter is not None:
-            self.shares.update(self.counter.shares.missing_shares(self.clock.now))
+            self.shares.update(self.counter.shares.new_shares(self.clock.now))
             self.counter.configure({"t": (RATE, BURST)}, self.shares)
             for name, ingress in self.ingresses.items():
                 ingress.quota.interval = share_interval(self.shares, name)
@@ -101,8 +101,8 @@
     def request(self, name):
         request = OpenRequest(self.ingresses[name])
         self.deliver(name, "c", lambda: self.charge(request))
-        self.clock.later(VERDICT_WAIT_S, lambda: self.decide_without_verdict(request))
-        self.clock.later(max(VERDICT_WAIT_S, LOCAL_QUOTA_FROM_S), lambda: self.decide_without_verdict(request))
+        self.clock.later(VERDICT_TIMEOUT_S, lambda: self.decide_without_verdict(request))
+        self.clock.later(max(VERDICT_TIMEOUT_S, LOCAL_QUOTA_FROM_S), lambda: self.decide_without_verdict(request))
         self.clock.later(self.rng.expovariate(1 / self.gap), lambda: self.request(name))
 
     def charge(self, request):
@@ -209,8 +209,8 @@
     filled = LocalQuota(0.0, BOUNDS)
     filled.set_limits({"t": RateLimit(10.0, 10.0)})
     filled.interval = ShareInterval(0.0, 0.2)
-    filled.record_echo(RESERVE_FILLED_S, Echo("c", 1.0), RESERVE_FILLED_S, 0.2)
-    assert sum(filled.spend(RESERVE_FILLED_S, "t") for _ in range(20)) in (3, 4)  # a fifth of 15
+    filled.record_echo(RESERVE_FILL_S, Echo("c", 1.0), RESERVE_FILL_S, 0.2)
+    assert sum(filled.spend(RESERVE_FILL_S, "t") for _ in range(20)) in (3, 4)  # a fifth of 15
 
 
 def test_an_isolated_ingress_admits_its_share_of_the_rate_and_holds_no_more_than_its_points():
@@ -226,8 +226,8 @@
     shares = {f"i{n}": 0.8 / 71 for n in range(71)}
     quotas = [isolated_quota(share_interval(shares, name), rate=5.0, burst=5.0) for name in shares]
     for quota in quotas:
-        quota.record_echo(RESERVE_FILLED_S, Echo("c", 2.0), RESERVE_FILLED_S, 0.8 / 71)
-    late = RESERVE_FILLED_S + LOCAL_QUOTA_UNTIL_S - 0.1
+        quota.record_echo(RESERVE_FILL_S, Echo("c", 2.0), RESERVE_FILL_S, 0.8 / 71)
+    late = RESERVE_FILL_S + LOCAL_QUOTA_UNTIL_S - 0.1
     assert 6 <= sum(quota.spend(late, "t") for quota in quotas for _ in range(3)) <= 17  # reserve 12, carried 5
 
 
@@ -295,15 +295,15 @@
 
 
 def test_a_share_is_deducted_from_the_count_before_it_may_be_spent_locally():
-    assert SHARE_DEDUCTED_S + DEDUCTION_REFRESH_S + 0.15 <= LOCAL_QUOTA_FROM_S
+    assert SHARE_DEDUCTION_START_S + DEDUCTION_REFRESH_S + 0.15 <= LOCAL_QUOTA_FROM_S
     counts, now = counter_in_contact(shares={"i": 0.3, "j": 0.3})
-    assert counts.shares.part_out_of_contact(now) == 0.0
+    assert counts.shares.share_out_of_contact(now) == 0.0
     last_of_i = now
     counts.shares.record_heartbeat(last_of_i, "i", "x", last_of_i)
-    while now < last_of_i + SHARE_DEDUCTED_S + DEDUCTION_REFRESH_S:
+    while now < last_of_i + SHARE_DEDUCTION_START_S + DEDUCTION_REFRESH_S:
         now += 0.05
         counts.shares.record_heartbeat(now, "j", "x", now)
-    assert counts.shares.part_out_of_contact(now) == pytest.approx(0.3)
+    assert counts.shares.share_out_of_contact(now) == pytest.approx(0.3)
     assert charges_allowed(counts, now, 20) == 7  # 0.7 of ten
 
 
@@ -325,10 +325,10 @@
     """It may have arrived all the same, and its ingress then go by its share, cut off in one direction only."""
     counts = QuotaCounter(100.0)
     counts.configure({"t": (10.0, 10.0)}, {"i": 0.3})
-    now = 100.0 + SHARE_FORGOTTEN_S + 5.0
+    now = 100.0 + SHARE_DEDUCTION_END_S + 5.0
     counts.shares.record_heartbeat(now, "i", "new", None)
-    assert counts.shares.part_out_of_contact(now + LOCAL_QUOTA_UNTIL_S) == pytest.approx(0.3)
-    assert counts.shares.part_out_of_contact(now + SHARE_FORGOTTEN_S + 0.1) == 0.0
+    assert counts.shares.share_out_of_contact(now + LOCAL_QUOTA_UNTIL_S) == pytest.approx(0.3)
+    assert counts.shares.share_out_of_contact(now + SHARE_DEDUCTION_END_S + 0.1) == 0.0
 
 
 def test_what_was_deducted_for_a_restarted_ingress_is_given_back_from_its_start_on():
@@ -336,10 +336,10 @@
     counts = QuotaCounter(100.0)
     counts.configure({"t": (10.0, 10.0)}, {"i": 0.8})
     counts.shares.record_heartbeat(101.0, "j", "x", None)
-    counts.shares.record_heartbeat(103.0, "i", "new", None, never_echoed_for=2.0)
+    counts.shares.record_heartbeat(103.0, "i", "new", None, uptime_without_echo=2.0)
     counts.shares.record_heartbeat(103.1, "j", "x", None)
     assert counts.shares.deducted_s == pytest.approx(0.8 * 1.0 + 1.9, abs=0.1)
-    assert counts.shares.part_out_of_contact(103.1) == 0.0
+    assert counts.shares.share_out_of_contact(103.1) == 0.0
 
 
 def test_an_incarnation_that_was_echoed_by_another_counter_gives_nothing_back():
--- a/tests/proxy/test_quota_fleets.py
+++ b/tests/proxy/test_quota_fleets.py
@@ -92,7 +92,7 @@
     now = 145.5 + away_s
     fleet.clock.run(now)
     admitted = sum(now - BOUNDS.quota_window_s < at for at in fleet.admitted["t"])
-    assert fleet.counter.shares.known_since < now - BOUNDS.quota_window_s
+    assert fleet.counter.shares.admissions_known_since < now - BOUNDS.quota_window_s
     assert (
         admitted <= fleet.counter.windows["t"].in_span.total <= admitted + 2 * 0.25 * 100.0
     )  # a slot late, and rounded to slots
--- a/tests/registry/test_backend_poller.py
+++ b/tests/registry/test_backend_poller.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thistleusher.registry.backend_poller import EMPTY_READINGS, BackendPoller, UnreadableAnswerError
+from thistleusher.registry.backend_poller import REQUIRED_EMPTY_READINGS, BackendPoller, UnreadableAnswerError
 
 
 def entry(n, phase="ready", cold=0):
@@ -89,9 +89,9 @@
 def test_an_empty_list_is_believed_only_after_some_readings():
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1)))
-    for n in range(EMPTY_READINGS):
+    for n in range(REQUIRED_EMPTY_READINGS):
         now, changes = read(poller, now + 1, page())
-        assert (changes is None) == (n < EMPTY_READINGS - 1)
+        assert (changes is None) == (n < REQUIRED_EMPTY_READINGS - 1)
     assert changes == {"i1": None}
 
 
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -8,7 +8,7 @@
 import pytest
 
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, SHARE_DEDUCTED_S
+from thistleusher.common.quota_timing import ALLOWED, LOCAL_QUOTA_FROM_S, OVER_LIMIT, SHARE_DEDUCTION_START_S
 from thistleusher.proxy.cluster_view import ClusterView
 from thistleusher.proxy.commands import DeliverChargeAnswer, SendToRegistry
 from thistleusher.proxy.decisions import Decisions
@@ -195,7 +195,7 @@
 
 
 def test_memory_is_bounded_and_a_forgotten_charge_counts_no_second_time(monkeypatch):
-    monkeypatch.setattr(charges, "REMEMBERED_CHARGES", 8)
+    monkeypatch.setattr(charges, "MAX_RECORDED_CHARGES", 8)
     table = known(counter_of(-10.0))
     table.counter.configure({"t": (100.0, 100.0)}, {})
     for number in range(1, 20):
@@ -258,7 +258,7 @@
     proxy.counter = "c"
     proxy.charge(5.0, ChargeTenant("r", "t", 1))
     (verdict,), _ = proxy.from_registry(5.0 + ANSWER_MAX_AGE_S, "c", ChargeResult("x", 1, ALLOWED, 0.5, 3))
-    assert verdict.answer.verdict == OVER_LIMIT and SHARE_DEDUCTED_S < ANSWER_MAX_AGE_S <= LOCAL_QUOTA_FROM_S
+    assert verdict.answer.verdict == OVER_LIMIT and SHARE_DEDUCTION_START_S < ANSWER_MAX_AGE_S <= LOCAL_QUOTA_FROM_S
 
 
 def test_an_echo_that_lay_in_a_socket_does_not_name_the_counter():
--- a/tests/registry/test_delays.py
+++ b/tests/registry/test_delays.py
@@ -4,7 +4,7 @@
 from tests.registry.test_registry import holding_role
 from thistleusher.common.events import Event
 from thistleusher.registry.outputs import CallPlatform, LogEvent, SendToControl, SendToSubscriber
-from thistleusher.registry.subscriber_watch import LAG_S, LONGEST_WAIT_S, SubscriberWatch
+from thistleusher.registry.subscriber_watch import LAG_THRESHOLD_S, MAX_REPORT_INTERVAL_S, SubscriberWatch
 from thistleusher.transport.messages import LeaseGranted, LeaseRequest, StateUpdate, StateUpdateAck
 
 TICK_S = 0.06
@@ -22,7 +22,7 @@
         due = registry.tick(now)
         for out in due:
             if isinstance(out, CallPlatform) and answer is not None:
-                due = due + registry.platform_answered(now, out.number, 200, answer)
+                due = due + registry.receive_platform_response(now, out.number, 200, answer)
             elif isinstance(out, SendToControl) and isinstance(out.message, LeaseRequest):
                 granted = LeaseGranted("registrar", out.message.term, out.message.sent)
                 for address in "123":
@@ -62,8 +62,12 @@
 def test_a_subscriber_that_does_not_acknowledge_is_named():
     registry = holding_role()
     outputs = run(registry, 10.1, 14.5, page(entry(1)), acknowledges=False)
-    ((name, has, number, for_s),) = said(outputs, Event.SUBSCRIBER_LAGS)
-    assert (name, number) == ("d", registry.list.state.number) and has < number and LAG_S <= for_s < LAG_S + 0.5
+    ((name, has, number, stalled_s),) = said(outputs, Event.SUBSCRIBER_LAGS)
+    assert (
+        (name, number) == ("d", registry.list.state.number)
+        and has < number
+        and LAG_THRESHOLD_S <= stalled_s < LAG_THRESHOLD_S + 0.5
+    )
 
 
 def test_what_a_subscriber_does_not_acknowledge_is_sent_again():
@@ -79,7 +83,11 @@
     watch = SubscriberWatch()
     times = [n / 4 for n in range(200) if watch.check(n / 4, 7, {"a": 3, "b": 7})]
     gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
-    assert 1.5 < times[0] < 2.1 and gaps == sorted(gaps) and LONGEST_WAIT_S <= gaps[-1] < LONGEST_WAIT_S + 0.5
+    assert (
+        1.5 < times[0] < 2.1
+        and gaps == sorted(gaps)
+        and MAX_REPORT_INTERVAL_S <= gaps[-1] < MAX_REPORT_INTERVAL_S + 0.5
+    )
     assert watch.check(50.0, 7, {"a": 4}) == watch.check(51.0, 7, {"a": 4}) == [] and watch.check(52.0, 7, {"a": 4})
     assert watch.check(60.0, 7, {}) == watch.check(60.1, 7, {"a": 4}) == []  # Reconnected: its lag restarts.
 
@@ -97,5 +105,5 @@
     registry = holding_role()
     calls = [out.number for _, out in run(registry, 10.1, 12.3) if isinstance(out, CallPlatform)]
     assert calls == [1, 2]
-    assert registry.platform_answered(12.31, 1, 200, page(entry(1))) == [] and not registry.poller.has_list
-    assert registry.platform_answered(12.32, 2, 200, page(entry(2))) and set(registry.list.backends()) == {"i2"}
+    assert registry.receive_platform_response(12.31, 1, 200, page(entry(1))) == [] and not registry.poller.has_list
+    assert registry.receive_platform_response(12.32, 2, 200, page(entry(2))) and set(registry.list.backends()) == {"i2"}
--- a/tests/registry/test_members.py
+++ b/tests/registry/test_members.py
@@ -1,6 +1,6 @@
 """Which proxies are up: a proxy is considered silent only on the evidence of two sources."""
 
-from thistleusher.registry.members import SILENT_ALONE_S, SILENT_S, Members
+from thistleusher.registry.members import SILENT_S, SILENT_WITHOUT_REPORTS_S, Members
 
 
 def test_a_verdict_needs_more_than_one_report():
@@ -18,6 +18,6 @@
         for node in "bcd":
             members.record_report(at, node, {"front": node}, "1", True, [])
     assert members.entries(1.2 + SILENT_S + 0.3)["a"]["up"]  # Only this registry has received no heartbeat.
-    assert not members.entries(1.2 + SILENT_ALONE_S)["a"]["up"]  # The registry's own observation now suffices.
+    assert not members.entries(1.2 + SILENT_WITHOUT_REPORTS_S)["a"]["up"]  # The registry's observation now suffices.
     members.record_report(4.0, "d", {"front": "d"}, "1", False, [])
     assert not members.entries(4.0)["d"]["up"]  # The proxy itself reports that it is not ready, as it shuts down.
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -73,7 +73,7 @@
 def test_a_registry_paused_beyond_its_lease_sends_no_list_to_a_new_subscriber():
     registry = holding_role()
     registry.tick(10.05)
-    registry.platform_answered(10.06, 1, 200, page(entry(1)))
+    registry.receive_platform_response(10.06, 1, 200, page(entry(1)))
     assert sent_types(registry.receive_from_subscriber(10.1, "e", SubscribeRequest("e", 0))) == [StateUpdate]
     assert (
         sent_types(registry.receive_from_subscriber(12.0, "f", SubscribeRequest("f", 0))) == []
@@ -120,11 +120,11 @@
 def test_a_page_that_an_earlier_duty_asked_for_is_no_list_of_the_next():
     registry = holding_role()
     assert [o for o in registry.tick(10.05) if isinstance(o, CallPlatform)]
-    registry.platform_answered(10.06, 1, 200, page(entry(1), token="p"))
+    registry.receive_platform_response(10.06, 1, 200, page(entry(1), token="p"))
     assert [o.target for o in registry.tick(10.2) if isinstance(o, CallPlatform)] == ["/instances?page_token=p"]
     registry._end_role("lost")
     registry._begin_role(10.3)  # A new term begins while the second page is in flight.
-    assert registry.platform_answered(10.31, 2, 200, page(entry(2))) == [] and not registry.poller.has_list
+    assert registry.receive_platform_response(10.31, 2, 200, page(entry(2))) == [] and not registry.poller.has_list
     assert [o.target for o in registry.tick(10.4) if isinstance(o, CallPlatform)] == ["/instances"]
 
 
@@ -141,9 +141,9 @@
     report = AdmissionReport("x", name, 9.0, {})
     stale = AdmissionReport("x", f"{registry.name}#{term - 1}", 9.0, {})
     assert registry.receive_from_subscriber(10.2, "d", stale) == []
-    assert registry.counter.shares.known_since == registry.counter.started_at
+    assert registry.counter.shares.admissions_known_since == registry.counter.started_at
     assert [out.message for out in registry.receive_from_subscriber(10.2, "d", report)] == [AdmissionReportAck(name)]
-    assert registry.counter.shares.known_since == pytest.approx(1.2)
+    assert registry.counter.shares.admissions_known_since == pytest.approx(1.2)
 
 
 def test_a_listed_proxy_without_a_share_is_waited_for_by_the_next_counter():
@@ -155,4 +155,4 @@
     assert "e" in registry.list.members()
     registry._end_role("lost")
     registry._begin_role(10.3)
-    assert "e" in registry.counter.shares.awaited
+    assert "e" in registry.counter.shares.awaited_reports
--- a/tests/registry/test_span_count.py
+++ b/tests/registry/test_span_count.py
@@ -18,7 +18,7 @@
             at = now - rng.choice([0.0, 0.0, rng.random() * SPAN_S])
             count.add(at, 1.0)
             added.append(at)
-            count.leave_behind(now)
+            count.drop_expired(now)
             in_span = sum(1 for each in added if each > now - SPAN_S)
             in_span_or_slot = sum(1 for each in added if each > now - SPAN_S - SLOT_S)
             assert in_span <= count.total <= in_span_or_slot
@@ -30,6 +30,6 @@
     count = SpanCount(SLOT_S)
     count.add(10.0, 2.0)
     count.add(11.0, 1.0)
-    count.take_back(10.1, 5.0)
-    count.take_back(20.0, 1.0)
+    count.subtract(10.1, 5.0)
+    count.subtract(20.0, 1.0)
     assert count.total == 1.0
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -14,7 +14,7 @@
 
 
 def test_a_link_that_waits_is_retried_at_once_when_the_other_side_shows(monkeypatch):
-    monkeypatch.setattr(links, "RECONNECT_S", 60.0)
+    monkeypatch.setattr(links, "RECONNECT_DELAY_S", 60.0)
 
     async def play() -> Message:
         loop = asyncio.get_running_loop()
@@ -147,7 +147,7 @@
 def test_a_fault_of_any_kind_in_a_message_ends_its_connection_and_not_the_link(monkeypatch):
     """Any exception raised by a message handler is logged, and a new connection sends the first message again."""
     logged = []
-    monkeypatch.setattr(links, "RECONNECT_S", 0.0)
+    monkeypatch.setattr(links, "RECONNECT_DELAY_S", 0.0)
     monkeypatch.setattr(links, "log_event", lambda event, *fields: logged.append(event.name))
 
     def fail(message):
@@ -159,7 +159,7 @@
 
 def test_a_fault_as_a_link_opens_is_not_its_last_act(monkeypatch):
     logged, faults = [], iter([ZeroDivisionError()])
-    monkeypatch.setattr(links, "RECONNECT_S", 0.0)
+    monkeypatch.setattr(links, "RECONNECT_DELAY_S", 0.0)
     monkeypatch.setattr(links, "log_event", lambda event, *fields: logged.append(event.name))
 
     def first_message():
--- a/thistleusher/cli/programs.py
+++ b/thistleusher/cli/programs.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from thistleusher.cli.commands import Control, Events, ProgramOptions, Proxy, Registry
-from thistleusher.common.events import page
+from thistleusher.common.events import render_table
 from thistleusher.common.launcher import start
 
 
@@ -31,5 +31,5 @@
 
 def print_events(_: Events) -> int:
     """Print the catalogue of log events."""
-    print(page(), end="")
+    print(render_table(), end="")
     return 0
--- a/thistleusher/common/errors.py
+++ b/thistleusher/common/errors.py
@@ -71,12 +71,12 @@
 class ServiceError(Exception):
     """An error of one kind, with a one-line explanation."""
 
-    def __init__(self, kind: ErrorKind, text: str = "", where: str = "") -> None:
-        """Create an error; `where` is the address of the machine that answers instead, for REDIRECTED only."""
+    def __init__(self, kind: ErrorKind, text: str = "", location: str = "") -> None:
+        """Create an error; `location` is that of the machine that answers instead, for REDIRECTED only."""
         super().__init__(text or kind.value)
         self.kind = kind
         self.text = text or kind.value
-        self.where = where
+        self.location = location
 
 
 def retry_after_header(kind: ErrorKind, retry_after_s: float | None = None) -> bytes:
--- a/thistleusher/common/events.py
+++ b/thistleusher/common/events.py
@@ -1,4 +1,4 @@
-"""The catalogue of log events. `page` generates docs/events.md from it.
+"""The catalogue of log events. `render_table` generates docs/events.md from it.
 
 A log line is an event's number followed by its text. Numbers are never reused for another event. Numbers 100 to 199
 belong to all processes, 200 to 299 to control processes, 300 to 399 to registries and 400 to 499 to proxies.
@@ -201,7 +201,7 @@
     _LOG[entry.level]("%d " + entry.text, entry.number, *fields)
 
 
-def page() -> str:
+def render_table() -> str:
     """Return the catalogue as a Markdown table, the content of docs/events.md."""
     head = "| number | level | event | text | meaning | action |\n| --- | --- | --- | --- | --- | --- |\n"
     return head + "".join(_row(event) for event in Event)
--- a/thistleusher/common/incarnations.py
+++ b/thistleusher/common/incarnations.py
@@ -24,7 +24,7 @@
     return f"{unique}@{started_at:.3f}"
 
 
-def running_for(incarnation: str, sent_at: float) -> float | None:
+def uptime_at(incarnation: str, sent_at: float) -> float | None:
     """Return a process's uptime in seconds when it sent a message, or None if its name contains no start time."""
     _, separator, start = incarnation.rpartition("@")
     try:
@@ -39,6 +39,6 @@
     return f"{registry}#{term}"
 
 
-def names_a_term(counter: str) -> bool:
+def has_lease_term(counter: str) -> bool:
     """Return whether a counter's name contains its lease term."""
     return "#" in counter
--- a/thistleusher/common/node_settings.py
+++ b/thistleusher/common/node_settings.py
@@ -156,9 +156,9 @@
     return {bound: figure for bound, _, figure in (part.partition("=") for part in parts)}
 
 
-REQUIRED = ("node_name", "ip", "zone", "seed_nodes")
-MORE_THAN_0 = ("limits.cpu_share", "limits.cores", "limits.mem_mb", "limits.link_mbps", "cloud_api.rate_per_s")
-AT_LEAST = {
+REQUIRED_FIELDS = ("node_name", "ip", "zone", "seed_nodes")
+POSITIVE_FIELDS = ("limits.cpu_share", "limits.cores", "limits.mem_mb", "limits.link_mbps", "cloud_api.rate_per_s")
+MINIMUMS = {
     "limits.fd_limit": 64,
     "limits.disk_mb": 0,
     "cloud_api.lag_ms": 0,
@@ -175,15 +175,15 @@
         part, _, field = name.partition(".")
         return getattr(getattr(settings, part), field)
 
-    for name in REQUIRED:
+    for name in REQUIRED_FIELDS:
         if not getattr(settings, name):
             yield f"{name}: expected at least one, found none"
-    for name in MORE_THAN_0:
+    for name in POSITIVE_FIELDS:
         if not value(name) > 0:
             yield f"{name}: expected more than 0, found {value(name):g}"
-    for name, least in AT_LEAST.items():
-        if not value(name) >= least:
-            yield f"{name}: expected {least} or more, found {value(name):g}"
+    for name, minimum in MINIMUMS.items():
+        if not value(name) >= minimum:
+            yield f"{name}: expected {minimum} or more, found {value(name):g}"
     yield from _address_faults(settings)
     low, high = settings.port_range
     if not 0 < low <= high - (PORT_COUNT - 1) <= MAX_PORT - (PORT_COUNT - 1):
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -86,9 +86,9 @@
             except Exception as error:  # An error in one tick ends neither the program nor later ticks.
                 log_event(Event.FAULT, f"{name}: tick", repr(error))
 
-    ticking = loop.create_task(run_ticks())
+    tick_task = loop.create_task(run_ticks())
     reason = await stopped
     log_event(Event.STOPPING, settings.node_settings.node_name, reason)
     await shut_down()
-    ticking.cancel()
+    tick_task.cancel()
     log_event(Event.STOPPED, settings.node_settings.node_name)
--- a/thistleusher/common/quota_shares.py
+++ b/thistleusher/common/quota_shares.py
@@ -5,8 +5,9 @@
 proxy may hold as many requests as there are points in its interval. The sum over all proxies is thus at most n for any
 number of proxies: 2,800 proxies hold no more than nine do, and most of them hold nothing of a small limit.
 
-Shares are laid out in descending order. A later share is smaller than all earlier ones (`LATER_SHARE_OF_SMALLEST`) and
-is placed at the end, so a copy of the state without the newest shares has the others at the same positions.
+Shares are laid out in descending order. A later share is smaller than all earlier ones
+(`LATER_SHARE_TO_SMALLEST_RATIO`) and is placed at the end, so a copy of the state without the newest shares has the
+others at the same positions.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 
 from thistleusher.common.node_settings import Bounds
 from thistleusher.common.quota_timing import (
-    CARRIED_S,
-    RESERVE_OF_BURST_S,
-    RESERVE_OF_EXCESS,
-    RESERVE_OF_SLACK,
+    ISOLATED_RESERVE_S,
+    RESERVE_BURST_S,
+    RESERVE_EXCESS_FRACTION,
+    RESERVE_SLACK_FRACTION,
     SLOTS_PER_SPAN,
 )
 
@@ -36,27 +37,27 @@
     end: float
 
 
-class Holding(NamedTuple):
+class ReserveLimits(NamedTuple):
     """The maximum number of whole requests of one tenant that a proxy may hold in reserve.
 
     `reserve` applies in contact with the counter; it comes from the burst and from the excess that the guarantee
-    allows. `isolated` applies out of contact; it adds up to `CARRIED_S` of the share's accrual, which the counter also
-    deducts.
+    allows. `isolated` applies out of contact; it adds up to `ISOLATED_RESERVE_S` of the share's accrual, which the
+    counter also deducts.
     """
 
     reserve: int
     isolated: int
 
 
-NOTHING_HELD = Holding(0, 0)
+NO_RESERVE = ReserveLimits(0, 0)
 
 
-def share_interval(shares: Mapping[str, float], ingress: str) -> ShareInterval | None:
+def share_interval(shares: Mapping[str, float], proxy: str) -> ShareInterval | None:
     """Return the interval of a proxy's share among all persisted ones, or None if it has no share."""
     start = 0.0
     for name, share in sorted(shares.items(), key=lambda item: (-item[1], item[0])):
         end = start + share
-        if name == ingress:
+        if name == proxy:
             return ShareInterval(start, end)
         start = end
     return None
@@ -67,18 +68,22 @@
 
     The part of the burst that is needed to sustain the rate is left out: a count leaves its span one slot late.
     """
-    return min(RESERVE_OF_BURST_S * rate_per_s, max(0.0, burst - rate_per_s * span_s / SLOTS_PER_SPAN))
+    return min(RESERVE_BURST_S * rate_per_s, max(0.0, burst - rate_per_s * span_s / SLOTS_PER_SPAN))
 
 
-def holding(interval: ShareInterval, tenant: str, rate_per_s: float, burst: float, bounds: Bounds) -> Holding:
+def reserve_limits(
+    interval: ShareInterval, tenant: str, rate_per_s: float, burst: float, bounds: Bounds
+) -> ReserveLimits:
     """Return how many requests of a tenant's limit a proxy may hold in reserve."""
     excess = bounds.quota_excess * (rate_per_s * bounds.quota_window_s + burst)
     offset = zlib.crc32(tenant.encode()) / HASH_VALUES
-    of_burst = burst_in_reserve(rate_per_s, burst, bounds.quota_window_s)
-    in_reserve = math.floor(RESERVE_OF_EXCESS * excess + RESERVE_OF_SLACK * bounds.quota_slack + of_burst)
-    reserve = _points_within(interval, in_reserve, offset)
-    carried = _points_within(interval, math.floor(CARRIED_S * rate_per_s), (offset + 0.5) % 1.0)
-    return Holding(reserve, reserve + carried)
+    burst_reserve = burst_in_reserve(rate_per_s, burst, bounds.quota_window_s)
+    total_reserve = math.floor(
+        RESERVE_EXCESS_FRACTION * excess + RESERVE_SLACK_FRACTION * bounds.quota_slack + burst_reserve
+    )
+    reserve = _points_within(interval, total_reserve, offset)
+    isolated_extra = _points_within(interval, math.floor(ISOLATED_RESERVE_S * rate_per_s), (offset + 0.5) % 1.0)
+    return ReserveLimits(reserve, reserve + isolated_extra)
 
 
 def _points_within(interval: ShareInterval, count: int, offset: float) -> int:
--- a/thistleusher/common/record_reader.py
+++ b/thistleusher/common/record_reader.py
@@ -52,7 +52,7 @@
 @functools.cache
 def _fields_with_records(kind: type) -> frozenset[str]:
     """Return the fields of a record whose values contain records themselves, at any depth."""
-    return frozenset(name for name, of in fields_of(kind).items() if _contains_record(of))
+    return frozenset(name for name, field_type in fields_of(kind).items() if _contains_record(field_type))
 
 
 def _contains_record(kind: Any) -> bool:
@@ -110,12 +110,14 @@
 
 
 def _record_reader(kind: Any, _: tuple[Any, ...]) -> Reader:
-    fields = [(name, of, _reader(of)) for name, of in fields_of(kind).items()]
+    fields = [(name, field_type, _reader(field_type)) for name, field_type in fields_of(kind).items()]
 
     def read(found: Any, where: str) -> Any:
         values = {
-            name: found[name] if type(found[name]) is of else inner(found[name], f"{where}.{name}" if where else name)
-            for name, of, inner in fields
+            name: found[name]
+            if type(found[name]) is field_type
+            else inner(found[name], f"{where}.{name}" if where else name)
+            for name, field_type, inner in fields
             if name in found
         }
         if len(values) < len(fields):
@@ -131,19 +133,19 @@
 
 
 def _list_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
-    read, of = _reader(inner[0]), inner[0]
+    read, field_type = _reader(inner[0]), inner[0]
 
     def read_all(found: Any, where: str) -> Any:
-        return tuple([value if type(value) is of else read(value, where) for value in _as_list(found)])
+        return tuple([value if type(value) is field_type else read(value, where) for value in _as_list(found)])
 
     return read_all
 
 
 def _tuple_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
-    reads = [_reader(of) for of in inner]
+    readers = [_reader(field_type) for field_type in inner]
 
     def read_each(found: Any, where: str) -> Any:
-        return tuple([read(value, where) for read, value in zip(reads, _as_list(found), strict=True)])
+        return tuple([read(value, where) for read, value in zip(readers, _as_list(found), strict=True)])
 
     return read_each
 
--- a/thistleusher/common/settings_validation.py
+++ b/thistleusher/common/settings_validation.py
@@ -25,11 +25,11 @@
     return []
 
 
-def fault_lines(error: ValidationError, whole: str) -> Iterable[str]:
-    """Yield one line for each error that pydantic reports; `whole` is the location of an error outside any field."""
+def fault_lines(error: ValidationError, root_name: str) -> Iterable[str]:
+    """Yield one line for each error that pydantic reports; `root_name` is the location of errors outside any field."""
     for fault in error.errors(include_url=False):
-        at = ".".join(str(step) for step in fault["loc"]) or whole
+        location = ".".join(str(step) for step in fault["loc"]) or root_name
         if fault["type"].startswith("missing"):
-            yield f"{at}: Field required"
+            yield f"{location}: Field required"
         else:
-            yield f"{at}: {fault['msg']}, found {str(fault.get('input'))[:MAX_SHOWN]!r}"
+            yield f"{location}: {fault['msg']}, found {str(fault.get('input'))[:MAX_SHOWN]!r}"
--- a/thistleusher/control/calls.py
+++ b/thistleusher/control/calls.py
@@ -37,7 +37,7 @@
 
     def redirect(self, leader: str) -> None:
         """Redirect all callers to the machine that leads."""
-        self._answer_all(ServiceError(ErrorKind.REDIRECTED, where=leader))
+        self._answer_all(ServiceError(ErrorKind.REDIRECTED, location=leader))
 
     def reject_all(self) -> None:
         """Reject all calls because this process is stopping."""
--- a/thistleusher/control/program.py
+++ b/thistleusher/control/program.py
@@ -197,7 +197,7 @@
 
         def check_and_answer(answer: Any) -> None:
             if isinstance(answer, ServiceError) and answer.kind is ErrorKind.REDIRECTED:
-                answer = ServiceError(ErrorKind.REDIRECTED, where=f"{answer.where}:{self.control_port}")
+                answer = ServiceError(ErrorKind.REDIRECTED, location=f"{answer.location}:{self.control_port}")
             elif self._relies_on_lease(answer) and not self.service.node.holds_lease(time.monotonic()):
                 answer = ServiceError(ErrorKind.NO_LEADER)
             on_answer(ChangeCommitted() if answer is None else answer)
--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from thistleusher.common.quota_timing import ALLOWED, VERDICT_WAIT_S
+from thistleusher.common.quota_timing import ALLOWED, VERDICT_TIMEOUT_S
 from thistleusher.proxy.admission_tally import AdmissionTally
 from thistleusher.proxy.admitted_requests import AdmittedRequests
 from thistleusher.proxy.quota import LocalQuota
@@ -79,7 +79,7 @@
         """Yield rulings by this ingress's own share on requests whose verdict is late.
 
         Each is to be acted on before the next is taken. While this ingress is isolated, all that wait are ruled on.
-        Else only those are that have waited for `VERDICT_WAIT_S` and that the share admits; the others wait on.
+        Else only those are that have waited for `VERDICT_TIMEOUT_S` and that the share admits; the others wait on.
         """
         isolated = self.quota.is_isolated(now)
         for name, since in list(self.awaiting_verdict.items()):
@@ -89,7 +89,7 @@
             elif isolated:
                 del self.awaiting_verdict[name]
                 yield request, self._rule_locally(now, request, request.tenant)
-            elif now - since < VERDICT_WAIT_S:
+            elif now - since < VERDICT_TIMEOUT_S:
                 break  # the oldest come first
             elif self.quota.spend(now, request.tenant):
                 del self.awaiting_verdict[name]
--- a/thistleusher/proxy/admitted_requests.py
+++ b/thistleusher/proxy/admitted_requests.py
@@ -12,7 +12,7 @@
 
 from collections import defaultdict, deque
 
-from thistleusher.common.incarnations import names_a_term
+from thistleusher.common.incarnations import has_lease_term
 from thistleusher.common.quota_timing import SLOTS_PER_SPAN
 from thistleusher.transport.messages import AdmissionReport
 
@@ -72,7 +72,7 @@
         self.counter = counter
         self.since = self.admitted.since(now)
         self.by_tenant = self.admitted.by_tenant()
-        self.next_at = now if names_a_term(counter) else None
+        self.next_at = now if has_lease_term(counter) else None
 
     def due(self, now: float) -> AdmissionReport | None:
         """Return the report, if it is due; it stays the same but for the ages."""
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -170,7 +170,7 @@
         if 0 in mine and theirs > mine:
             # Without a list a proxy does not know its watchers: it answers all who know more, so that one hands over.
             self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
-        if self.ring.needs_hand_over(now, heartbeat.sender, theirs, mine):
+        if self.ring.needs_state_transfer(now, heartbeat.sender, theirs, mine):
             control = self.control.state.update_since(theirs[0])
             registry = self.registry.state.update_since(theirs[1])
             self.commands.append(SendHandOver(heartbeat.sender, ip, HandOver(self.name, control, registry)))
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -1,7 +1,7 @@
 """This ingress's side of the tenants' rate limits: when to contact the counter, and what holds while it is silent.
 
 Each request is charged against its tenant's central count before it is sent on, and the count's verdict decides.
-Without a verdict for `VERDICT_WAIT_S` this ingress's reserve may admit the request; what it does not admit waits on.
+Without a verdict for `VERDICT_TIMEOUT_S` this ingress's reserve may admit the request; what it does not admit waits on.
 Without an echo for `LOCAL_QUOTA_FROM_S` this ingress goes by its share: a token bucket for each tenant that refills at
 the share of the rate, as the counter deducts that share meanwhile.
 
@@ -21,13 +21,13 @@
 from typing import NamedTuple
 
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_shares import NOTHING_HELD, Holding, ShareInterval, holding
+from thistleusher.common.quota_shares import NO_RESERVE, ReserveLimits, ShareInterval, reserve_limits
 from thistleusher.common.quota_timing import (
-    ECHO_MISSED_S,
+    ECHO_TIMEOUT_S,
     HEARTBEAT_S,
     LOCAL_QUOTA_FROM_S,
     LOCAL_QUOTA_UNTIL_S,
-    RESERVE_FILLED_S,
+    RESERVE_FILL_S,
     STATUS_REPORT_S,
 )
 
@@ -73,8 +73,8 @@
     """The counter's echoes, this ingress's share, and the tenants' token buckets.
 
     Invariant: out of contact a bucket gains what this ingress's share accrues, in contact its part of the reserve in
-    `RESERVE_FILLED_S`, and it holds no more than `Holding` says. The counter takes the share of a silent ingress off
-    its count before that ingress spends it.
+    `RESERVE_FILL_S`, and it holds no more than `ReserveLimits` says. The counter takes the share of a silent ingress
+    off its count before that ingress spends it.
     """
 
     def __init__(self, now: float, bounds: Bounds, started_at: float | None = None) -> None:
@@ -106,9 +106,9 @@
     def heartbeat_due(self, now: float) -> HeartbeatScope | None:
         """Return to whom a heartbeat is due now, and count it as sent.
 
-        All registries get one after `ECHO_MISSED_S` without an echo: another of them may hold the counter's role.
+        All registries get one after `ECHO_TIMEOUT_S` without an echo: another of them may hold the counter's role.
         """
-        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_MISSED_S
+        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_TIMEOUT_S
         report_due = now >= self.next_report_at or echo_missed
         if not report_due and now < self.next_heartbeat_at:
             return None
@@ -150,7 +150,7 @@
             bucket = self.buckets[tenant] = TokenBucket(0.0, self.started_at)
         isolated_at = self.echoed_sent_at + LOCAL_QUOTA_FROM_S
         if bucket.updated_at < isolated_at:
-            bucket.refill(min(now, isolated_at), held.reserve / RESERVE_FILLED_S, held.reserve)
+            bucket.refill(min(now, isolated_at), held.reserve / RESERVE_FILL_S, held.reserve)
         if now >= isolated_at:
             bucket.refill(now, self.share * limit.rate_per_s, held.isolated)
         if bucket.level < 1.0:
@@ -158,7 +158,7 @@
         bucket.level -= 1.0
         return True
 
-    def _holding(self, tenant: str, limit: RateLimit) -> Holding:
+    def _holding(self, tenant: str, limit: RateLimit) -> ReserveLimits:
         if self.interval is None:
-            return NOTHING_HELD
-        return holding(self.interval, tenant, limit.rate_per_s, limit.burst, self.bounds)
+            return NO_RESERVE
+        return reserve_limits(self.interval, tenant, limit.rate_per_s, limit.burst, self.bounds)
--- a/thistleusher/registry/backend_poller.py
+++ b/thistleusher/registry/backend_poller.py
@@ -1,9 +1,9 @@
 """Reads the platform's list of backends page by page and reports the changes between two readings.
 
 Only a complete reading takes effect. A page that fails, cannot be parsed or does not arrive aborts the reading, and the
-list stays as it was. If the list suddenly becomes empty, `EMPTY_READINGS` consecutive readings must confirm it before
-it is accepted. Only the registry that holds the singleton role calls the platform. It starts one reading every `POLL_S`
-with one call per page, which stays well below the platform's rate limit.
+list stays as it was. If the list suddenly becomes empty, `REQUIRED_EMPTY_READINGS` consecutive readings must confirm it
+before it is accepted. Only the registry that holds the singleton role calls the platform. It starts one reading every
+`POLL_INTERVAL_S` with one call per page, which stays well below the platform's rate limit.
 
 No I/O. Times are seconds on the steady clock.
 """
@@ -14,18 +14,18 @@
 from typing import Any
 from urllib.parse import quote
 
-POLL_S = 0.4  # Interval between the starts of two readings.
-RATE_PART = 0.5  # Maximum fraction of the platform's rate limit that the poller uses.
+POLL_INTERVAL_S = 0.4  # Interval between the starts of two readings.
+MAX_RATE_FRACTION = 0.5  # Maximum fraction of the platform's rate limit that the poller uses.
 MIN_RATE_PER_S = 0.5
 BACKOFF_S = 1.0  # Delay before the next call after a 429 response.
-EMPTY_READINGS = 5
+REQUIRED_EMPTY_READINGS = 5
 WARM_UP_TOLERANCE_S = 0.4  # End times of a warm-up that differ by less than this are treated as equal.
 MAX_PAGES = 200
 TOO_MANY_REQUESTS = 429
 
 # A published backend: s(ervice), a(ddress), z(one), c(apacity), p(hase), cold (remaining warm-up in ms).
 Backend = dict[str, Any]
-FIXED_FIELDS = ("s", "a", "z", "c", "p")
+COMPARED_FIELDS = ("s", "a", "z", "c", "p")
 
 
 class UnreadableAnswerError(ValueError):
@@ -55,10 +55,10 @@
 
     def __init__(self, now: float, rate_per_s: float) -> None:
         """Create a poller whose first call is due immediately; `rate_per_s` is the platform's rate limit."""
-        self.call_spacing_s = 1.0 / max(MIN_RATE_PER_S, RATE_PART * rate_per_s)
+        self.call_spacing_s = 1.0 / max(MIN_RATE_PER_S, MAX_RATE_FRACTION * rate_per_s)
         self.next_call_at = now
-        self.reading_began_at = now
-        self.read_at = now  # Time of the last complete reading; the start of this poller until there is one.
+        self.reading_started_at = now
+        self.last_complete_at = now  # Time of the last complete reading; the start of this poller until there is one.
         self.in_flight = False
         self.page_token: str | None = None  # Token of the next page; None at the start of a reading.
         self.pages = 0
@@ -78,7 +78,7 @@
         if self.page_token is None:
             self.reading = {}
             self.pages = 0
-            self.reading_began_at = now
+            self.reading_started_at = now
         self.in_flight = True
         return "/instances" + (f"?page_token={quote(self.page_token, safe='')}" if self.page_token else "")
 
@@ -86,7 +86,7 @@
         """Handle a failed call: schedule a new reading, from the first page, after a delay."""
         self.in_flight = False
         self.page_token = None
-        self.next_call_at = now + (BACKOFF_S if status == TOO_MANY_REQUESTS else POLL_S)
+        self.next_call_at = now + (BACKOFF_S if status == TOO_MANY_REQUESTS else POLL_INTERVAL_S)
 
     def receive_page(self, now: float, body: bytes) -> dict[str, Backend | None] | None:
         """Process a page. Return the changed backends (None: removed) once the reading is complete, else None.
@@ -109,14 +109,14 @@
             self.next_call_at = now + self.call_spacing_s
             return None
         self.page_token = None
-        self.next_call_at = max(now + self.call_spacing_s, self.reading_began_at + POLL_S)
+        self.next_call_at = max(now + self.call_spacing_s, self.reading_started_at + POLL_INTERVAL_S)
         if not self.reading and self.backends:
             self.empty_readings += 1
-            if self.empty_readings < EMPTY_READINGS:
+            if self.empty_readings < REQUIRED_EMPTY_READINGS:
                 return None
         self.empty_readings = 0
         self.has_list = True
-        self.read_at = now
+        self.last_complete_at = now
         return self._replace_list(now)
 
     def _replace_list(self, now: float) -> dict[str, Backend | None]:
@@ -135,7 +135,7 @@
     def _is_unchanged(self, now: float, name: str, backend: Backend) -> bool:
         """Return whether a backend equals its published record and its warm-up still ends at the expected time."""
         old = self.backends.get(name)
-        if old is None or any(old[field] != backend[field] for field in FIXED_FIELDS):
+        if old is None or any(old[field] != backend[field] for field in COMPARED_FIELDS):
             return False
         known_warm_at = self.warm_at.get(name, 0.0)
         if backend["cold"] <= 0:
--- a/thistleusher/registry/charges.py
+++ b/thistleusher/registry/charges.py
@@ -1,10 +1,10 @@
 """Deduplicates charges: each is counted at most once and refunded at most once, in whatever order messages arrive.
 
 A charge is identified by its sender's incarnation and a number. The counter keeps the results of the last
-`REMEMBERED_CHARGES` charges of each sender's current incarnation. A number at or below the highest evicted one is never
-counted, so the memory bound can cost an answer but never causes a second count. A charge whose refund arrives first is
-not counted when it arrives. A new counter starts with an empty table: it does not know the charges of another counter
-and refunds none of them. A refund is a `Charge` message with the number of the charge and a negative amount.
+`MAX_RECORDED_CHARGES` charges of each sender's current incarnation. A number at or below the highest evicted one is
+never counted, so the memory bound can cost an answer but never causes a second count. A charge whose refund arrives
+first is not counted when it arrives. A new counter starts with an empty table: it does not know the charges of another
+counter and refunds none of them. A refund is a `Charge` message with the number of the charge and a negative amount.
 
 No I/O. Times are seconds on the steady clock. Cost: one dictionary look-up per charge.
 """
@@ -19,10 +19,10 @@
 from thistleusher.transport.messages import Charge, ChargeResult
 
 # Number of charges kept per sender. A charge that arrives after this many later ones is neither counted nor refunded.
-REMEMBERED_CHARGES = 256
+MAX_RECORDED_CHARGES = 256
 
 
-class RememberedCharge:
+class RecordedCharge:
     """One charge and its result."""
 
     __slots__ = ("tenant", "amount", "at", "result", "refunded")
@@ -35,7 +35,7 @@
         self.result = result
         self.refunded = result is None
 
-    def repeated(self, now: float) -> CountResult | None:
+    def duplicate_result(self, now: float) -> CountResult | None:
         """Return the result for a duplicate, with the time until the next window brought up to date.
 
         Return None if the charge was refunded before it arrived.
@@ -50,16 +50,16 @@
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.charges: dict[int, RememberedCharge] = {}
-        self.highest_forgotten = 0
+        self.charges: dict[int, RecordedCharge] = {}
+        self.highest_evicted = 0
 
-    def remember(self, number: int, charge: RememberedCharge) -> None:
-        """Add a charge; evict the oldest one if there are more than `REMEMBERED_CHARGES`."""
+    def record(self, number: int, charge: RecordedCharge) -> None:
+        """Add a charge; evict the oldest one if there are more than `MAX_RECORDED_CHARGES`."""
         self.charges[number] = charge
-        if len(self.charges) > REMEMBERED_CHARGES:
+        if len(self.charges) > MAX_RECORDED_CHARGES:
             first = next(iter(self.charges))
             del self.charges[first]
-            self.highest_forgotten = max(self.highest_forgotten, first)
+            self.highest_evicted = max(self.highest_evicted, first)
 
 
 class ChargeTable:
@@ -100,18 +100,18 @@
     def _count(self, now: float, charges: SenderCharges, charge: Charge) -> CountResult | None:
         known = charges.charges.get(charge.number)
         if known is not None:
-            return known.repeated(now)
-        if charge.number <= charges.highest_forgotten:
+            return known.duplicate_result(now)
+        if charge.number <= charges.highest_evicted:
             return None
         result = self.counter.charge(now, charge.tenant, charge.amount)
-        charges.remember(charge.number, RememberedCharge(charge.tenant, charge.amount, now, result))
+        charges.record(charge.number, RecordedCharge(charge.tenant, charge.amount, now, result))
         return result
 
     def _refund(self, now: float, charges: SenderCharges, charge: Charge) -> None:
         known = charges.charges.get(charge.number)
         if known is None:
-            if charge.number > charges.highest_forgotten:
-                charges.remember(charge.number, RememberedCharge(charge.tenant, -charge.amount, now, None))
+            if charge.number > charges.highest_evicted:
+                charges.record(charge.number, RecordedCharge(charge.tenant, -charge.amount, now, None))
             return
         if known.refunded or known.result is None:
             return
--- a/thistleusher/registry/members.py
+++ b/thistleusher/registry/members.py
@@ -2,8 +2,8 @@
 
 Clients are sent to a proxy while it reports itself as ready and fewer than two sources consider it silent. A proxy that
 shuts down first reports that it is not ready. One source is this registry, if it has received no heartbeat for
-`SILENT_S`; each watcher that reports the proxy as silent is another. After `SILENT_ALONE_S` without a heartbeat, this
-registry's own observation is sufficient.
+`SILENT_S`; each watcher that reports the proxy as silent is another. After `SILENT_WITHOUT_REPORTS_S` without a
+heartbeat, this registry's own observation is sufficient.
 
 No I/O. Times are seconds on the steady clock.
 """
@@ -14,10 +14,10 @@
 from typing import Any
 
 SILENT_S = 0.9  # Time without a heartbeat that counts as one report of silence.
-SILENT_ALONE_S = 1.8  # Time without a heartbeat after which no watcher's report is needed.
+SILENT_WITHOUT_REPORTS_S = 1.8  # Time without a heartbeat after which no watcher's report is needed.
 REPORT_VALID_S = 1.0  # Time for which a watcher's report counts.
-FORGET_S = 30.0  # Time without a heartbeat after which a proxy is removed.
-REPORTS_FOR_VERDICT = 2
+REMOVE_AFTER_S = 30.0  # Time without a heartbeat after which a proxy is removed.
+REQUIRED_SILENCE_SOURCES = 2
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
 
     attributes: dict[str, Any]
     incarnation: str
-    last_heard: float
+    last_heartbeat_at: float
     ready: bool = False
     silence_reports: dict[str, float] = field(default_factory=dict)  # Watcher -> time of its last report of silence.
 
@@ -51,26 +51,32 @@
             member = self.members[proxy_name] = Member(attributes, incarnation, now)
         member.attributes = attributes
         member.ready = ready
-        member.last_heard = now
-        for other in silent:
-            if other in self.members:
-                self.members[other].silence_reports[proxy_name] = now
+        member.last_heartbeat_at = now
+        for watched_name in silent:
+            if watched_name in self.members:
+                self.members[watched_name].silence_reports[proxy_name] = now
 
     def record_heartbeat(self, now: float, proxy_name: str, incarnation: str) -> None:
         """Record a short heartbeat: the proxy is alive and its last report still holds."""
         member = self.members.get(proxy_name)
         if member is not None and member.incarnation == incarnation:
-            member.last_heard = now
+            member.last_heartbeat_at = now
 
     def is_up(self, now: float, member: Member) -> bool:
         """Return whether clients may be sent to a proxy."""
-        quiet = now - member.last_heard
+        silence_s = now - member.last_heartbeat_at
         reports = sum(1 for at in member.silence_reports.values() if now - at < REPORT_VALID_S)
-        return member.ready and quiet < SILENT_ALONE_S and reports + (quiet > SILENT_S) < REPORTS_FOR_VERDICT
+        return (
+            member.ready
+            and silence_s < SILENT_WITHOUT_REPORTS_S
+            and reports + (silence_s > SILENT_S) < REQUIRED_SILENCE_SOURCES
+        )
 
     def entries(self, now: float) -> dict[str, dict[str, Any]]:
-        """Return the published entry of each proxy; first remove those without a heartbeat for `FORGET_S`."""
-        for proxy_name in [name for name, member in self.members.items() if now - member.last_heard > FORGET_S]:
+        """Return the published entry of each proxy; first remove those without a heartbeat for `REMOVE_AFTER_S`."""
+        for proxy_name in [
+            name for name, member in self.members.items() if now - member.last_heartbeat_at > REMOVE_AFTER_S
+        ]:
             del self.members[proxy_name]
         return {
             proxy_name: {**member.attributes, "up": self.is_up(now, member)}
--- a/thistleusher/registry/outputs.py
+++ b/thistleusher/registry/outputs.py
@@ -23,7 +23,7 @@
 
 
 class CallPlatform(NamedTuple):
-    """Call the platform and pass the response, with the call's number, to `Registry.platform_answered`.
+    """Call the platform and pass the response, with the call's number, to `Registry.receive_platform_response`.
 
     Calls are made one at a time: an earlier call that is still in flight has been abandoned.
     """
--- a/thistleusher/registry/platform_calls.py
+++ b/thistleusher/registry/platform_calls.py
@@ -1,8 +1,8 @@
 """Calls to the platform by the registry that holds the singleton role: one at a time, each with a time limit.
 
 Guarantee: while the role is held, a call is started whenever the poller reports one as due, regardless of the outcome
-of the previous call. A call without a result after `CALL_LIMIT_S` is abandoned, and its late response is recognised by
-its number and dropped. No other process reads the list, so a single call must never be able to block further readings.
+of the previous call. A call without a result after `CALL_DEADLINE_S` is abandoned, and its late response is recognised
+by its number and dropped. No other process reads the list, so a single call must never block further readings.
 
 No I/O. Times are seconds on the steady clock.
 """
@@ -16,10 +16,11 @@
 from thistleusher.registry.backend_poller import Backend, BackendPoller, UnreadableAnswerError
 from thistleusher.registry.outputs import CallPlatform, LogEvent, Output
 
-CALL_LIMIT_S = 1.5  # Time after which a call is abandoned; normally `platform_client.CALL_TIMEOUT_S` ends it earlier.
+# Time after which a call is abandoned; normally `platform_client.CALL_TIMEOUT_S` ends it earlier.
+CALL_DEADLINE_S = 1.5
 LIST_OVERDUE_S = 1.5  # Time without a complete reading before the event is logged, and the interval of its repetition.
 OK = 200
-NO_ANSWER = "no answer"
+NO_RESPONSE = "no answer"
 
 
 class CallInFlight(NamedTuple):
@@ -27,10 +28,10 @@
 
     number: int
     poller: BackendPoller
-    began_at: float
+    started_at: float
 
 
-class Answered(NamedTuple):
+class ResponseResult(NamedTuple):
     """The result of a response: the changes of a complete reading (None: not complete yet), and outputs."""
 
     changes: dict[str, Backend | None] | None
@@ -64,24 +65,24 @@
                 self._count += 1
                 self._in_flight = CallInFlight(self._count, self.poller, now)
                 outputs.append(CallPlatform(self._count, target))
-        self._overdue_report_at = max(self._overdue_report_at, self.poller.read_at + LIST_OVERDUE_S)
+        self._overdue_report_at = max(self._overdue_report_at, self.poller.last_complete_at + LIST_OVERDUE_S)
         if now >= self._overdue_report_at:
             self._overdue_report_at = now + LIST_OVERDUE_S
-            outputs.append(LogEvent(Event.LIST_OVERDUE, (round(now - self.poller.read_at, 1),)))
+            outputs.append(LogEvent(Event.LIST_OVERDUE, (round(now - self.poller.last_complete_at, 1),)))
         return outputs
 
     def _give_up_overdue(self, now: float) -> list[Output]:
         call = self._in_flight
-        if call is None or now - call.began_at <= CALL_LIMIT_S:
+        if call is None or now - call.started_at <= CALL_DEADLINE_S:
             return []
         self._in_flight = None
-        return self._failed(now) if call.poller is self.poller else []
+        return self._record_failure(now) if call.poller is self.poller else []
 
-    def _failed(self, now: float, status: int = 0) -> list[Output]:
+    def _record_failure(self, now: float, status: int = 0) -> list[Output]:
         self.poller.call_failed(now, status)
-        return [LogEvent(Event.PLATFORM_FAILED, (status or NO_ANSWER,))]
+        return [LogEvent(Event.PLATFORM_FAILED, (status or NO_RESPONSE,))]
 
-    def answered(self, now: float, number: int, status: int, body: bytes) -> Answered | None:
+    def receive_response(self, now: float, number: int, status: int, body: bytes) -> ResponseResult | None:
         """Process the response to a call; `status` is 0 if there was none.
 
         Return None if the response is dropped because its call was abandoned or belongs to an earlier term.
@@ -93,8 +94,8 @@
         if call.poller is not self.poller:
             return None  # The reading ended with the earlier term, so its pages cannot complete a list.
         if status != OK:
-            return Answered(None, self._failed(now, status))
+            return ResponseResult(None, self._record_failure(now, status))
         try:
-            return Answered(self.poller.receive_page(now, body), [])
+            return ResponseResult(self.poller.receive_page(now, body), [])
         except UnreadableAnswerError as error:
-            return Answered(None, [LogEvent(Event.PLATFORM_FAILED, (error,))])
+            return ResponseResult(None, [LogEvent(Event.PLATFORM_FAILED, (error,))])
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -26,7 +26,7 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
-SHUTDOWN_S = 0.1  # Delay before links are closed, so that the last messages are sent.
+SHUTDOWN_DELAY_S = 0.1  # Delay before links are closed, so that the last messages are sent.
 
 
 class RegistryProgram:
@@ -34,54 +34,54 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        self.boot = settings.node_settings
+        self.node_settings = settings.node_settings
         self.loop = asyncio.get_running_loop()
-        platform = self.boot.cloud_api
+        platform = self.node_settings.cloud_api
         self.platform = PlatformClient(read_address(platform.address)) if platform.address else None
         self.registry = Registry(
-            f"{self.boot.node_name}/{new_incarnation(PROCESS_STARTED_AT)}",
-            self.boot.ip,
+            f"{self.node_settings.node_name}/{new_incarnation(PROCESS_STARTED_AT)}",
+            self.node_settings.ip,
             time.monotonic(),
             random.Random(),
             platform.rate_per_s,
             self.platform is not None,
-            self.boot.bounds.quota_window_s,
+            self.node_settings.bounds.quota_window_s,
         )
         self.platform_call: asyncio.Task[None] | None = None
         self.control = CoreLinks(
             self.loop,
-            lambda: self.boot.port(CONTROL),
+            lambda: self.node_settings.port(CONTROL),
             self.registry.control_state.subscribe_request,
-            self._from_control,
+            self._receive_from_control,
         )
         self.peers = CoreLinks(
             self.loop,
-            lambda: self.boot.port(REGISTRY),
+            lambda: self.node_settings.port(REGISTRY),
             self.registry.list.subscribe_request,
-            self._from_peer,
-            own_address=self.boot.ip,
+            self._receive_from_peer,
+            own_address=self.node_settings.ip,
         )
-        self.listener = Listener(self.loop, self._from_subscriber, self._subscriber_gone)
+        self.listener = Listener(self.loop, self._receive_from_subscriber, self._remove_subscriber)
         self.subscribers: dict[str, Link] = {}
 
     async def run(self) -> None:
         """Serve until the process receives a signal to shut down."""
-        await self.listener.listen(self.boot.ip, self.boot.port(REGISTRY))
-        self._connect_to(self.boot.core_ips)
+        await self.listener.listen(self.node_settings.ip, self.node_settings.port(REGISTRY))
+        self._connect_to(self.node_settings.core_ips)
         self.tick()
         await serve("registry", self.settings, self.tick, self._settings_changed, self.shut_down)
 
     async def shut_down(self) -> None:
         """Release the singleton role, then close all links."""
-        self._carry_out(self.registry.stop())
-        await asyncio.sleep(SHUTDOWN_S)
+        self._execute(self.registry.stop())
+        await asyncio.sleep(SHUTDOWN_DELAY_S)
         self.listener.close()
         self.control.close()
         self.peers.close()
 
     def _settings_changed(self) -> None:
-        self.boot = self.settings.node_settings
-        self._connect_to(self.boot.core_ips)
+        self.node_settings = self.settings.node_settings
+        self._connect_to(self.node_settings.core_ips)
 
     def _connect_to(self, addresses: Iterable[str]) -> None:
         self.control.connect_to(addresses)
@@ -89,11 +89,11 @@
 
     def tick(self) -> None:
         """Run one tick of the state machine and carry out its outputs."""
-        self._carry_out(self.registry.tick(time.monotonic()))
+        self._execute(self.registry.tick(time.monotonic()))
 
     # Outputs.
 
-    def _carry_out(self, outputs: list[Output]) -> None:
+    def _execute(self, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, SendToSubscriber):
                 self._send_to_subscriber(output)
@@ -125,23 +125,23 @@
         assert self.platform is not None
         response = await self.platform.get(call.target)
         status, body = (response.status, response.body) if response is not None else (0, b"")
-        self._carry_out(self.registry.platform_answered(time.monotonic(), call.number, status, body))
+        self._execute(self.registry.receive_platform_response(time.monotonic(), call.number, status, body))
 
     # Messages.
 
-    def _from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
+    def _receive_from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.receive_from_control(time.monotonic(), link.host, message)
         if reply is not None:
             link.send(reply)
-        self._carry_out(outputs)
+        self._execute(outputs)
 
-    def _from_peer(self, link: ReconnectingLink, message: AnyMessage) -> None:
+    def _receive_from_peer(self, link: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.receive_from_peer(time.monotonic(), message)
         if reply is not None:
             link.send(reply)
-        self._carry_out(outputs)
+        self._execute(outputs)
 
-    def _from_subscriber(self, link: Link, message: AnyMessage) -> None:
+    def _receive_from_subscriber(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
             raise UnexpectedMessageError(message)  # The sender has not identified itself.
         if isinstance(message, SubscribeRequest):
@@ -150,12 +150,12 @@
                 links.retry_now(link.peer_address)
         elif self.subscribers.get(link.name) is not link:
             return  # A newer connection, possibly of a newer incarnation, has replaced this one.
-        self._carry_out(self.registry.receive_from_subscriber(time.monotonic(), link.name, message))
+        self._execute(self.registry.receive_from_subscriber(time.monotonic(), link.name, message))
 
-    def _subscriber_gone(self, link: Link) -> None:
+    def _remove_subscriber(self, link: Link) -> None:
         if self.subscribers.get(link.name) is link:
             del self.subscribers[link.name]
-            self.registry.subscriber_gone(link.name)
+            self.registry.remove_subscriber(link.name)
 
 
 async def main(settings: SettingsFile) -> None:
--- a/thistleusher/registry/proxy_shares.py
+++ b/thistleusher/registry/proxy_shares.py
@@ -16,18 +16,18 @@
 from typing import NamedTuple
 
 from thistleusher.common.quota_timing import (
-    CARRIED_S,
     DEDUCTION_REFRESH_S,
-    FIRST_SHARES_PART,
-    LATER_SHARE_OF_SMALLEST,
-    LATER_SHARE_PART,
-    SHARE_DEDUCTED_S,
-    SHARE_FORGOTTEN_S,
-    SHARE_GATHERING_S,
+    FIRST_SHARES_FRACTION,
+    ISOLATED_RESERVE_S,
+    LATER_SHARE_MAX_FRACTION,
+    LATER_SHARE_TO_SMALLEST_RATIO,
+    SHARE_COLLECTION_S,
+    SHARE_DEDUCTION_END_S,
+    SHARE_DEDUCTION_START_S,
 )
 
 # Number of former incarnations kept per proxy, so that a late message does not make one of them current again.
-FORMER_INCARNATIONS = 4
+MAX_FORMER_INCARNATIONS = 4
 NEVER = float("-inf")
 
 
@@ -44,7 +44,7 @@
     confirmed_at: float = NEVER
     echoed_at: float = NEVER
     reported_incarnation: str | None = None  # Incarnation whose admission report has been counted.
-    former_incarnations: deque[str] = field(default_factory=lambda: deque(maxlen=FORMER_INCARNATIONS))
+    former_incarnations: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_FORMER_INCARNATIONS))
 
 
 class Deduction(NamedTuple):
@@ -52,7 +52,7 @@
 
     start: float
     end: float
-    part: float
+    total_share: float
 
 
 class ReportKind(Enum):
@@ -69,14 +69,15 @@
     def __init__(self, now: float, span_s: float) -> None:
         """Create the state of a new counter; `span_s` is the length over which the quota rule is judged."""
         self.started_at = now
-        self.known_since = now  # Start of the period for which the admissions of all proxies are known.
+        self.admissions_known_since = now  # Start of the period for which the admissions of all proxies are known.
         self.span_s = span_s
         self.proxies: dict[str, ProxyState] = {}
-        self.awaited: set[str] = set()  # Proxies that may have admitted requests before the start and must report them.
-        self.reported_since = NEVER  # Start of the period that the reports received from awaited proxies all cover.
-        self.first_share_wanted_at: float | None = None
+        # Proxies that may have admitted requests before the start and have not reported them yet.
+        self.awaited_reports: set[str] = set()
+        self.reports_cover_from = NEVER  # Start of the period that the reports received from awaited proxies all cover.
+        self.first_share_requested_at: float | None = None
         self.deductions: deque[Deduction] = deque()
-        self.deducted_part = 1.0  # Deducted share at the last refresh.
+        self.deducted_share = 1.0  # Deducted share at the last refresh.
         self.deducted_s = span_s  # Integral of the deducted share over the current span, in seconds.
         self.refreshed_at = now
 
@@ -92,12 +93,12 @@
         proxy_name: str,
         incarnation: str,
         echoed: float | None,
-        never_echoed_for: float | None = None,
+        uptime_without_echo: float | None = None,
     ) -> bool:
         """Record a heartbeat, which is echoed now; return False if it is of a former incarnation and thus ignored.
 
         `echoed`: send time, on this counter's clock, of the newest echo that the heartbeat's sender has received.
-        `never_echoed_for`: uptime of the sender in seconds if it has not received an echo from any counter, else None.
+        `uptime_without_echo`: uptime of the sender in seconds if it has received no echo of any counter, else None.
         """
         self.refresh(now)
         proxy = self.proxies.setdefault(proxy_name, ProxyState())
@@ -106,13 +107,13 @@
         if proxy.incarnation != incarnation:
             proxy.former_incarnations.append(proxy.incarnation)
             proxy.incarnation = incarnation
-            if never_echoed_for is not None:
-                self._return_unspent(now, proxy, now - never_echoed_for)
+            if uptime_without_echo is not None:
+                self._reverse_deduction(now, proxy, now - uptime_without_echo)
                 proxy.confirmed_at = now  # Without an echo it spends nothing; it will soon confirm the one sent now.
             else:
                 proxy.confirmed_at = NEVER
         proxy.echoed_at = now
-        if echoed is not None and now - echoed < SHARE_DEDUCTED_S:
+        if echoed is not None and now - echoed < SHARE_DEDUCTION_START_S:
             proxy.confirmed_at = max(proxy.confirmed_at, echoed)
         return True
 
@@ -123,8 +124,8 @@
         for proxy_name in proxy_names:
             if proxy_name not in self.proxies:
                 self.proxies[proxy_name] = ProxyState()
-                self.awaited.add(proxy_name)
-                self.known_since = self.started_at
+                self.awaited_reports.add(proxy_name)
+                self.admissions_known_since = self.started_at
 
     def record_report(self, now: float, proxy_name: str, incarnation: str, covered_s: float) -> ReportKind:
         """Record a proxy's report of its admissions in the last `covered_s` seconds; return the report's kind."""
@@ -135,78 +136,82 @@
         if proxy.reported_incarnation == incarnation:
             return ReportKind.REPEATED
         proxy.reported_incarnation = incarnation
-        if proxy_name in self.awaited:  # The report of a later incarnation cannot cover more than this one.
-            self.awaited.remove(proxy_name)
-            self.reported_since = max(self.reported_since, now - covered_s)
-            if not self.awaited:
-                self.known_since = min(self.started_at, self.reported_since)
+        if proxy_name in self.awaited_reports:  # The report of a later incarnation cannot cover more than this one.
+            self.awaited_reports.remove(proxy_name)
+            self.reports_cover_from = max(self.reports_cover_from, now - covered_s)
+            if not self.awaited_reports:
+                self.admissions_known_since = min(self.started_at, self.reports_cover_from)
         return ReportKind.FIRST
 
     # Shares.
 
-    def missing_shares(self, now: float) -> dict[str, float]:
+    def new_shares(self, now: float) -> dict[str, float]:
         """Return shares to persist for proxies that have none; they take effect once `set_shares` gets them.
 
-        The first proxies divide `FIRST_SHARES_PART` evenly. Each later one gets slightly less than the smallest share,
-        and at most `LATER_SHARE_PART` of what is unassigned.
+        The first proxies divide `FIRST_SHARES_FRACTION` evenly. Each later one gets slightly less than the smallest
+        share, and at most `LATER_SHARE_MAX_FRACTION` of what is unassigned.
         """
-        lacking = [
+        without_share = [
             proxy_name
             for proxy_name, proxy in self.proxies.items()
-            if proxy.share <= 0 and now - proxy.confirmed_at < SHARE_DEDUCTED_S
+            if proxy.share <= 0 and now - proxy.confirmed_at < SHARE_DEDUCTION_START_S
         ]
-        if not lacking:
+        if not without_share:
             return {}
-        if self.first_share_wanted_at is None:
-            self.first_share_wanted_at = now
+        if self.first_share_requested_at is None:
+            self.first_share_requested_at = now
         assigned = sum(proxy.share for proxy in self.proxies.values())
         if assigned <= 0:
-            if now - self.first_share_wanted_at < SHARE_GATHERING_S:
+            if now - self.first_share_requested_at < SHARE_COLLECTION_S:
                 return {}
-            return dict.fromkeys(lacking, FIRST_SHARES_PART / len(lacking))
+            return dict.fromkeys(without_share, FIRST_SHARES_FRACTION / len(without_share))
         smallest = min(proxy.share for proxy in self.proxies.values() if proxy.share > 0)
         shares: dict[str, float] = {}
-        for proxy_name in lacking:
-            smallest = min(smallest * LATER_SHARE_OF_SMALLEST, max(0.0, 1.0 - assigned) * LATER_SHARE_PART)
+        for proxy_name in without_share:
+            smallest = min(
+                smallest * LATER_SHARE_TO_SMALLEST_RATIO, max(0.0, 1.0 - assigned) * LATER_SHARE_MAX_FRACTION
+            )
             shares[proxy_name] = smallest
             assigned += smallest
         return shares
 
-    def part_out_of_contact(self, now: float) -> float:
+    def share_out_of_contact(self, now: float) -> float:
         """Return the total share of the proxies that may be using their shares now.
 
-        A share is excluded `SHARE_FORGOTTEN_S` after the last echo to its proxy, when it can no longer be in use.
+        A share is excluded `SHARE_DEDUCTION_END_S` after the last echo to its proxy, when it can no longer be in use.
         """
-        part = 0.0
+        total_share = 0.0
         for proxy in self.proxies.values():
-            in_contact = proxy.confirmed_at >= self.started_at and now - proxy.confirmed_at < SHARE_DEDUCTED_S
+            in_contact = proxy.confirmed_at >= self.started_at and now - proxy.confirmed_at < SHARE_DEDUCTION_START_S
             # An unconfirmed echo counts too: its proxy may use its share from then on.
-            if not in_contact and now - max(proxy.echoed_at, self.started_at) < SHARE_FORGOTTEN_S:
-                part += proxy.share
-        return min(1.0, part)
+            if not in_contact and now - max(proxy.echoed_at, self.started_at) < SHARE_DEDUCTION_END_S:
+                total_share += proxy.share
+        return min(1.0, total_share)
 
     def refresh(self, now: float) -> None:
         """Update the deductions if the last refresh was at least `DEDUCTION_REFRESH_S` ago."""
-        since = now - self.refreshed_at
-        if since < DEDUCTION_REFRESH_S:
+        elapsed_s = now - self.refreshed_at
+        if elapsed_s < DEDUCTION_REFRESH_S:
             return
-        before, self.deducted_part = self.deducted_part, self.part_out_of_contact(now)
-        part = max(before, self.deducted_part)
-        if since >= SHARE_DEDUCTED_S:  # No message was processed, so every proxy may have been out of contact.
-            part = min(1.0, sum(proxy.share for proxy in self.proxies.values()))
-        self._deduct(Deduction(self.refreshed_at, now, part))
+        before, self.deducted_share = self.deducted_share, self.share_out_of_contact(now)
+        total_share = max(before, self.deducted_share)
+        if (
+            elapsed_s >= SHARE_DEDUCTION_START_S
+        ):  # No message was processed, so every proxy may have been out of contact.
+            total_share = min(1.0, sum(proxy.share for proxy in self.proxies.values()))
+        self._deduct(Deduction(self.refreshed_at, now, total_share))
         self.refreshed_at = now
-        horizon = now - self.span_s - CARRIED_S
+        horizon = now - self.span_s - ISOLATED_RESERVE_S
         while self.deductions and self.deductions[0].end <= horizon:
             self.deductions.popleft()
-        accrued_s = sum((each.end - max(each.start, horizon)) * each.part for each in self.deductions)
-        self.deducted_s = accrued_s + max(0.0, self.known_since - (now - self.span_s))
+        accrued_s = sum((each.end - max(each.start, horizon)) * each.total_share for each in self.deductions)
+        self.deducted_s = accrued_s + max(0.0, self.admissions_known_since - (now - self.span_s))
 
-    def _return_unspent(self, now: float, proxy: ProxyState, since: float) -> None:
+    def _reverse_deduction(self, now: float, proxy: ProxyState, since: float) -> None:
         """Reverse what was deducted for a proxy since its new incarnation started, as that one had no share to use."""
-        if now - max(proxy.echoed_at, self.started_at) >= SHARE_FORGOTTEN_S:
+        if now - max(proxy.echoed_at, self.started_at) >= SHARE_DEDUCTION_END_S:
             return
-        deducted_from = max(self.started_at, proxy.confirmed_at + SHARE_DEDUCTED_S) + DEDUCTION_REFRESH_S
+        deducted_from = max(self.started_at, proxy.confirmed_at + SHARE_DEDUCTION_START_S) + DEDUCTION_REFRESH_S
         start = max(since, deducted_from)
         if start < self.refreshed_at:
             self.deductions.append(Deduction(start, self.refreshed_at, -proxy.share))
@@ -214,7 +219,7 @@
     def _deduct(self, deduction: Deduction) -> None:
         """Append a deduction, or extend the last one if it has the same share."""
         last = self.deductions[-1] if self.deductions else None
-        if last is not None and last.part == deduction.part:
+        if last is not None and last.total_share == deduction.total_share:
             self.deductions[-1] = last._replace(end=deduction.end)
         else:
             self.deductions.append(deduction)
--- a/thistleusher/registry/published_list.py
+++ b/thistleusher/registry/published_list.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from thistleusher.transport.messages import StateUpdate, StateUpdateAck, SubscribeRequest
-from thistleusher.transport.state_updates import NOTHING_KNOWN, Publisher, State, Subscriber
+from thistleusher.transport.state_updates import UNKNOWN_NUMBER, Publisher, State, Subscriber
 
 TERM_BITS = 24  # Number of low bits of a published number that count updates; the bits above hold the holder's term.
 
@@ -62,8 +62,8 @@
         self._publisher = Publisher(self.state)
         for name in sorted(self.subscribers):
             # The subscriber's number is not known, so it gets the complete state.
-            self._publisher.sent[name] = NOTHING_KNOWN
-            self._publisher.acknowledged[name] = NOTHING_KNOWN
+            self._publisher.sent[name] = UNKNOWN_NUMBER
+            self._publisher.acknowledged[name] = UNKNOWN_NUMBER
 
     def subscribe(self, name: str, number: int) -> Updates:
         """Add a subscriber that has the list at `number`; return the updates that it lacks."""
--- a/thistleusher/registry/quota_counter.py
+++ b/thistleusher/registry/quota_counter.py
@@ -17,13 +17,13 @@
 from typing import NamedTuple
 
 from thistleusher.common.quota_shares import burst_in_reserve
-from thistleusher.common.quota_timing import ALLOWED, OVER_LIMIT, RESERVE_FILLED_S, SLOTS_PER_SPAN
+from thistleusher.common.quota_timing import ALLOWED, OVER_LIMIT, RESERVE_FILL_S, SLOTS_PER_SPAN
 from thistleusher.registry.proxy_shares import ProxyShares, ReportKind
 from thistleusher.registry.span_count import SpanCount
 
 MAX_WINDOW_S = 60.0
 NO_WINDOW = -1  # Window number of a charge that no window counts, as its tenant has no limit.
-ROUNDING = 1e-9  # Tolerance for rounding errors when a sum is compared with a limit.
+ROUNDING_TOLERANCE = 1e-9  # Tolerance for rounding errors when a sum is compared with a limit.
 
 
 @dataclass(slots=True)
@@ -107,9 +107,9 @@
             return CountResult(ALLOWED, 0.0, NO_WINDOW)
         self.shares.refresh(now)
         window = self._window(now, tenant, *limit)
-        if window.count + amount > window.allowance * (1.0 - self.shares.deducted_part) + ROUNDING:
+        if window.count + amount > window.allowance * (1.0 - self.shares.deducted_share) + ROUNDING_TOLERANCE:
             return CountResult(OVER_LIMIT, window.start + window.length - now, window.number)
-        if window.in_span.total + amount > self._span_limit(now, *limit) + ROUNDING:
+        if window.in_span.total + amount > self._span_limit(now, *limit) + ROUNDING_TOLERANCE:
             return CountResult(OVER_LIMIT, self.slot_s, window.number)
         window.count += amount
         window.in_span.add(now, amount)
@@ -126,15 +126,15 @@
         window = self._window(now, tenant, *limit)
         if window.number == number:
             window.count = max(0.0, window.count - amount)
-        window.in_span.take_back(charged_at, amount)
+        window.in_span.subtract(charged_at, amount)
 
     def _span_limit(self, now: float, rate: float, burst: float) -> float:
         """Return the maximum that the counter may admit in the span that ends now."""
         accrued = rate * (self.span_s - self.shares.deducted_s)
-        if now - self.shares.known_since < self.span_s:  # The burst may have been admitted before that time.
+        if now - self.shares.admissions_known_since < self.span_s:  # The burst may have been admitted before that time.
             return accrued
         # Within a span, proxies can spend a full reserve and also what refills it.
-        from_reserve = (1.0 + self.span_s / RESERVE_FILLED_S) * burst_in_reserve(rate, burst, self.span_s)
+        from_reserve = (1.0 + self.span_s / RESERVE_FILL_S) * burst_in_reserve(rate, burst, self.span_s)
         return accrued + max(1.0, burst - from_reserve)
 
     def _window(self, now: float, tenant: str, rate: float, burst: float) -> Window:
@@ -149,5 +149,5 @@
             window.start += (now - window.start) // length * length
             window.number += 1
             window.count = 0.0
-        window.in_span.leave_behind(now)
+        window.in_span.drop_expired(now)
         return window
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from thistleusher.common.events import Event
-from thistleusher.common.incarnations import counter_name, running_for
+from thistleusher.common.incarnations import counter_name, uptime_at
 from thistleusher.common.quota_shares import SHARE_ITEM
 from thistleusher.configuration.items import ConfigurationFollower
 from thistleusher.control.leases import LeaseHolder
@@ -59,9 +59,9 @@
 from thistleusher.transport.state_updates import Subscriber
 
 REGISTRAR_ROLE = "registrar"
-PERSIST_SPACING_S = 1.0  # Interval between requests to persist shares.
+PERSIST_INTERVAL_S = 1.0  # Interval between requests to persist shares.
 LEADER_MACHINE_DELAY_S = 0.3  # Additional delay before the registry on the control leader's machine requests the lease.
-WATCH_INTERVAL_S = 0.25  # Interval between checks for lagging subscribers.
+LAG_CHECK_INTERVAL_S = 0.25  # Interval between checks for lagging subscribers.
 DRAINING_PHASE = "draining"
 
 
@@ -100,7 +100,7 @@
         self.platform_calls = PlatformCalls(now, platform_rate_per_s)
         self.next_persist_at = now
         self.subscriber_watch = SubscriberWatch()
-        self.next_watch_at = now
+        self.next_lag_check_at = now
         self._outputs: list[Output] = []
 
     @property
@@ -114,7 +114,7 @@
         """Run the actions that are due; must be called at least ten times a second."""
         self._update_role(now)
         if self.holds_role:
-            self._work(now)
+            self._run_role(now)
         return self._flush()
 
     def stop(self) -> list[Output]:
@@ -178,22 +178,22 @@
             raise UnexpectedMessageError(message)
         return self._flush()
 
-    def subscriber_gone(self, name: str) -> None:
+    def remove_subscriber(self, name: str) -> None:
         """Remove a subscriber whose connection has ended."""
         self.list.unsubscribe(name)
 
-    def platform_answered(self, now: float, number: int, status: int, body: bytes) -> list[Output]:
+    def receive_platform_response(self, now: float, number: int, status: int, body: bytes) -> list[Output]:
         """Process the platform's response to a call; `status` is 0 if there was none.
 
         The response to an abandoned call is dropped.
         """
         self._check_lease(now)
-        answered = self.platform_calls.answered(now, number, status, body)
-        if answered is None:
+        response_result = self.platform_calls.response_result(now, number, status, body)
+        if response_result is None:
             return []
-        self._outputs += answered.outputs
-        if answered.changes is not None and self.holds_role:
-            self._publish_backends(answered.changes)
+        self._outputs += response_result.outputs
+        if response_result.changes is not None and self.holds_role:
+            self._publish_backends(response_result.changes)
         return self._flush()
 
     def can_answer(self, now: float) -> bool:
@@ -260,15 +260,15 @@
             self.charges = None
             self._log(Event.ROLE_LOST, reason)
 
-    def _work(self, now: float) -> None:
+    def _run_role(self, now: float) -> None:
         """Run the holder's actions that are due: call the platform, request to persist shares, publish members."""
         assert self.counter is not None
         if self.has_platform:
             self._outputs += self.platform_calls.tick(now)
         if now >= self.next_persist_at:
-            shares = self.counter.shares.missing_shares(now)
+            shares = self.counter.shares.new_shares(now)
             if shares:
-                self.next_persist_at = now + PERSIST_SPACING_S
+                self.next_persist_at = now + PERSIST_INTERVAL_S
                 items = {f"{SHARE_ITEM}{name}": share for name, share in shares.items()}
                 self._send_to_control("", PersistItems(self.name, items))
         self._resend_to_lagging(now)
@@ -276,12 +276,12 @@
 
     def _resend_to_lagging(self, now: float) -> None:
         """Log each lagging subscriber and resend the updates that it has not acknowledged."""
-        if now < self.next_watch_at or not self._has_list():
+        if now < self.next_lag_check_at or not self._has_list():
             return
-        self.next_watch_at = now + WATCH_INTERVAL_S
+        self.next_lag_check_at = now + LAG_CHECK_INTERVAL_S
         number = self.list.state.number
         for lag in self.subscriber_watch.check(now, number, self.list.acknowledged()):
-            self._log(Event.SUBSCRIBER_LAGS, lag.subscriber, lag.acknowledged, number, round(lag.for_s, 1))
+            self._log(Event.SUBSCRIBER_LAGS, lag.subscriber, lag.acknowledged, number, round(lag.stalled_s, 1))
             self.list.resend(lag.subscriber)
 
     # The list.
@@ -347,8 +347,8 @@
         if self.counter is None:
             return
         echoed = heartbeat.echo[1] if heartbeat.echo is not None and heartbeat.echo[0] == self.counter_name else None
-        never_echoed_for = running_for(heartbeat.incarnation, heartbeat.sent) if heartbeat.echo is None else None
-        if self.counter.shares.record_heartbeat(now, name, heartbeat.incarnation, echoed, never_echoed_for):
+        uptime_without_echo = uptime_at(heartbeat.incarnation, heartbeat.sent) if heartbeat.echo is None else None
+        if self.counter.shares.record_heartbeat(now, name, heartbeat.incarnation, echoed, uptime_without_echo):
             share = self.counter.shares.proxies[name].share
             self._send_to_subscriber(name, HeartbeatEcho(self.counter_name, heartbeat.sent, now, share))
 
--- a/thistleusher/registry/span_count.py
+++ b/thistleusher/registry/span_count.py
@@ -39,7 +39,7 @@
         self.slots[position - 1].count += amount
         self.total += amount
 
-    def take_back(self, at: float, amount: float) -> None:
+    def subtract(self, at: float, amount: float) -> None:
         """Subtract an amount that was added for time `at`, at most what its slot still holds."""
         number = int(at // self.slot_s)
         for slot in self.slots:
@@ -48,7 +48,7 @@
                 slot.count -= returned
                 self.total -= returned
 
-    def leave_behind(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Remove the slots that lie before the span that ends now."""
         oldest = int(now // self.slot_s) - SLOTS_PER_SPAN
         while self.slots and self.slots[0].number < oldest:
--- a/thistleusher/registry/subscriber_watch.py
+++ b/thistleusher/registry/subscriber_watch.py
@@ -10,52 +10,52 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# Time without progress after which a subscriber lags; a dead connection is closed earlier (`links.SILENT_S`).
-LAG_S = 1.6
-LONGEST_WAIT_S = 12.8  # Maximum interval between reports of one subscriber; the interval doubles up to this value.
+# Time without progress after which a subscriber lags; a dead connection is closed earlier (`links.RECEIVE_TIMEOUT_S`).
+LAG_THRESHOLD_S = 1.6
+MAX_REPORT_INTERVAL_S = 12.8  # Maximum interval between reports of one subscriber; the interval doubles up to it.
 
 
 class Lag(NamedTuple):
-    """A lagging subscriber: its acknowledged number has not changed for `for_s` seconds."""
+    """A lagging subscriber: its acknowledged number has not changed for `stalled_s` seconds."""
 
     subscriber: str
     acknowledged: int
-    for_s: float
+    stalled_s: float
 
 
 @dataclass(slots=True)
-class _Delay:
+class _Stall:
     """The state of a subscriber that has not acknowledged the current number."""
 
     acknowledged: int
-    since: float
+    stalled_since: float
     report_at: float
-    wait_s: float
+    report_interval_s: float
 
 
 class SubscriberWatch:
     """Tracks the acknowledgements of the subscribers of one list."""
 
     def __init__(self) -> None:
-        self._delays: dict[str, _Delay] = {}
+        self._stalls: dict[str, _Stall] = {}
 
     def check(self, now: float, number: int, acknowledged: Mapping[str, int]) -> list[Lag]:
         """Return the lagging subscribers whose report is due.
 
         `number` is the published number; `acknowledged` holds each subscriber's acknowledged number.
         """
-        for name in self._delays.keys() - acknowledged.keys():
-            del self._delays[name]
+        for name in self._stalls.keys() - acknowledged.keys():
+            del self._stalls[name]
         lags: list[Lag] = []
-        for name, has in acknowledged.items():
-            if has >= number:
-                self._delays.pop(name, None)
+        for name, acknowledged_number in acknowledged.items():
+            if acknowledged_number >= number:
+                self._stalls.pop(name, None)
                 continue
-            delay = self._delays.get(name)
-            if delay is None or delay.acknowledged != has:
-                self._delays[name] = _Delay(has, now, now + LAG_S, LAG_S)
-            elif now >= delay.report_at:
-                delay.wait_s = min(LONGEST_WAIT_S, 2 * delay.wait_s)
-                delay.report_at = now + delay.wait_s
-                lags.append(Lag(name, has, now - delay.since))
+            stall = self._stalls.get(name)
+            if stall is None or stall.acknowledged != acknowledged_number:
+                self._stalls[name] = _Stall(acknowledged_number, now, now + LAG_THRESHOLD_S, LAG_THRESHOLD_S)
+            elif now >= stall.report_at:
+                stall.report_interval_s = min(MAX_REPORT_INTERVAL_S, 2 * stall.report_interval_s)
+                stall.report_at = now + stall.report_interval_s
+                lags.append(Lag(name, acknowledged_number, now - stall.stalled_since))
         return lags
--- a/thistleusher/transport/call_server.py
+++ b/thistleusher/transport/call_server.py
@@ -20,14 +20,14 @@
 MAX_SHOWN_PATH = 80  # Maximum number of characters of an unknown path that the error response includes.
 
 C = TypeVar("C")
-Done = Callable[[CallAnswer | ServiceError], None]
+DoneCallback = Callable[[CallAnswer | ServiceError], None]
 
 
 class Handler(NamedTuple, Generic[C]):
     """The handler of one type of call: `answer(call, done)` calls `done` once, with an answer or a ServiceError."""
 
     call: type[C]
-    answer: Callable[[C, Done], None]
+    answer: Callable[[C, DoneCallback], None]
 
 
 class RoutedCall(NamedTuple):
@@ -62,7 +62,7 @@
             handler = self.handlers.get(kind)
             if handler is None or method != kind.METHOD:
                 continue
-            call = _call_of(kind, path, query, connection.body)
+            call = _parse_call(kind, path, query, connection.body)
             if call is not None:
                 return RoutedCall(call, handler, target)
         return error_response(ServiceError(ErrorKind.UNKNOWN_CALL, f"no such call: {method} {path[:MAX_SHOWN_PATH]}"))
@@ -86,7 +86,7 @@
             done(ServiceError(ErrorKind.INTERNAL_ERROR))
 
 
-def _call_of(kind: Any, path: str, query: str, body: bytearray) -> Any:
+def _parse_call(kind: Any, path: str, query: str, body: bytearray) -> Any:
     """Return the call of type `kind` that a path requests, or None if the path requests another call."""
     takes_argument = kind.PATH.endswith("/")
     if takes_argument and path.startswith(kind.PATH) and path != kind.PATH:
@@ -105,6 +105,6 @@
     """Return the HTTP response for an error, according to `RESPONSES`; `target` is the request target of a redirect."""
     lines = JSON_HEADER + retry_after_header(error.kind)
     if error.kind is ErrorKind.REDIRECTED:
-        lines += b"Location: http://%s%s\r\n" % (error.where.encode(), target.encode("latin-1"))
+        lines += b"Location: http://%s%s\r\n" % (error.location.encode(), target.encode("latin-1"))
     body = json.dumps({"error": error.text, "kind": error.kind.value})
     return ImmediateResponse(RESPONSES[error.kind].status, body, lines)
--- a/thistleusher/transport/codec.py
+++ b/thistleusher/transport/codec.py
@@ -55,26 +55,26 @@
     def frame(self, message: Message) -> bytes:
         """Return a message's bytes, preceded by their length."""
         if message is not self._message:
-            self._message, self._data = message, _framed(_encoder.encode(message))
+            self._message, self._data = message, _with_length(_encoder.encode(message))
         return self._data
 
 
-def _framed(data: bytes) -> bytes:
+def _with_length(data: bytes) -> bytes:
     if len(data) < MIN_COMPRESSED_BYTES:
         return LENGTH.pack(len(data)) + data
     packed = zlib.compress(data, COMPRESSION_LEVEL)
     return LENGTH.pack(len(packed) | COMPRESSED) + packed
 
 
-def _expanded(data: bytes) -> bytes:
-    expander = zlib.decompressobj()
+def _decompress(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        expanded = expander.decompress(data, MAX_BYTES)
+        decompressed = decompressor.decompress(data, MAX_BYTES)
     except zlib.error as error:
         raise MalformedMessageError(str(error)) from None
-    if not expander.eof:
+    if not decompressor.eof:
         raise MalformedMessageError(f"compressed message truncated, or larger than {MAX_BYTES} bytes")
-    return expanded
+    return decompressed
 
 
 _framer = Framer()
@@ -100,4 +100,4 @@
                 return
             body = bytes(self._buffer[LENGTH.size : end])
             del self._buffer[:end]
-            yield decode(_expanded(body) if head & COMPRESSED else body)
+            yield decode(_decompress(body) if head & COMPRESSED else body)
--- a/thistleusher/transport/heartbeat_ring.py
+++ b/thistleusher/transport/heartbeat_ring.py
@@ -1,8 +1,8 @@
 """Heartbeats on a ring: each proxy sends heartbeats to a few watchers, which its position on the ring determines.
 
-Positions are hashes of names. A proxy's watchers are the next `WATCHERS` proxies on the ring, so each proxy watches the
-same number on average, and the number of heartbeats grows linearly, not quadratically, with the number of proxies. One
-watcher's report is not sufficient: the registry requires two sources (`thistleusher.registry.members`).
+Positions are hashes of names. A proxy's watchers are the next `WATCHER_COUNT` proxies on the ring, so each proxy
+watches the same number on average, and the number of heartbeats grows linearly, not quadratically, with the number of
+proxies. One watcher's report is not sufficient: the registry requires two sources (`thistleusher.registry.members`).
 
 Watchers also transfer the updates that a watched proxy lacks, for both states. They keep sending heartbeats to a silent
 proxy. If the numbers in a proxy's own heartbeats are lower than the watcher's and have not changed for `UPDATE_WAIT_S`,
@@ -17,7 +17,7 @@
 import zlib
 from collections.abc import Iterable
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 HEARTBEAT_S = 0.25
 UPDATE_WAIT_S = 0.6  # Time that the core has to send updates itself before a watcher transfers them.
 SILENT_S = 0.9  # Time without a heartbeat after which a watcher reports a proxy as silent.
@@ -34,24 +34,24 @@
     def __init__(self, name: str, now: float) -> None:
         self.name = name
         self.order: list[tuple[int, str]] = []  # (position, name) of all members, sorted.
-        self.last_heard: dict[str, float] = {}  # Watched proxy -> time of its last heartbeat.
-        self.met: set[str] = set()  # Watched proxies from which at least one heartbeat has arrived.
+        self.last_heartbeat_at: dict[str, float] = {}  # Watched proxy -> time of its last heartbeat.
+        self.heard_from: set[str] = set()  # Watched proxies from which at least one heartbeat has arrived.
         self.next_heartbeat = now
         # Watched proxy that lacks updates -> the numbers that it has, and the time since which they are unchanged.
-        self.lacking: dict[str, tuple[tuple[int, int], float]] = {}
+        self.peers_behind: dict[str, tuple[tuple[int, int], float]] = {}
 
     def set_members(self, now: float, names: Iterable[str]) -> None:
         """Set the ring's members; this proxy is always one of them."""
         self.order = sorted((ring_position(name), name) for name in {*names, self.name})
         watched = self.watched()
-        self.last_heard = {name: self.last_heard.get(name, now) for name in watched}
-        self.met &= watched
+        self.last_heartbeat_at = {name: self.last_heartbeat_at.get(name, now) for name in watched}
+        self.heard_from &= watched
 
     def _neighbours(self, step: int) -> list[str]:
-        """Return the next `WATCHERS` members in one direction (`step` 1 or -1)."""
+        """Return the next `WATCHER_COUNT` members in one direction (`step` 1 or -1)."""
         own = bisect.bisect_left(self.order, (ring_position(self.name), self.name))
         size = len(self.order)
-        return [self.order[(own + step * k) % size][1] for k in range(1, min(WATCHERS, size - 1) + 1)]
+        return [self.order[(own + step * k) % size][1] for k in range(1, min(WATCHER_COUNT, size - 1) + 1)]
 
     def watchers(self) -> list[str]:
         """Return the names of the proxies that watch this one."""
@@ -63,11 +63,11 @@
 
     def record_heartbeat(self, now: float, name: str) -> bool:
         """Record a heartbeat; return whether its sender is watched and was silent until now."""
-        if name not in self.last_heard:
+        if name not in self.last_heartbeat_at:
             return False
-        was_silent = now - self.last_heard[name] > SILENT_S
-        self.last_heard[name] = now
-        self.met.add(name)
+        was_silent = now - self.last_heartbeat_at[name] > SILENT_S
+        self.last_heartbeat_at[name] = now
+        self.heard_from.add(name)
         return was_silent
 
     def heartbeats_due(self, now: float) -> list[str]:
@@ -80,21 +80,21 @@
         self.next_heartbeat = now + HEARTBEAT_S
         return [*self.watchers(), *sorted(self.silent(now) - set(self.watchers()))]
 
-    def needs_hand_over(self, now: float, name: str, theirs: tuple[int, int], own: tuple[int, int]) -> bool:
+    def needs_state_transfer(self, now: float, name: str, theirs: tuple[int, int], own: tuple[int, int]) -> bool:
         """Record a watched proxy's numbers; return whether it has lagged without progress for `UPDATE_WAIT_S`.
 
         `theirs` and `own` are the numbers of the control state and the registry's list, of the watched proxy and of
         this one. After a result of True the waiting time restarts.
         """
-        if name not in self.last_heard or (theirs[0] >= own[0] and theirs[1] >= own[1]):
-            self.lacking.pop(name, None)
+        if name not in self.last_heartbeat_at or (theirs[0] >= own[0] and theirs[1] >= own[1]):
+            self.peers_behind.pop(name, None)
             return False
-        had, since = self.lacking.get(name, (theirs, now))
-        stuck = had == theirs and now - since >= UPDATE_WAIT_S
-        if stuck or had != theirs or name not in self.lacking:
-            self.lacking[name] = theirs, now
-        return stuck
+        previous, unchanged_since = self.peers_behind.get(name, (theirs, now))
+        has_stalled = previous == theirs and now - unchanged_since >= UPDATE_WAIT_S
+        if has_stalled or previous != theirs or name not in self.peers_behind:
+            self.peers_behind[name] = theirs, now
+        return has_stalled
 
     def silent(self, now: float) -> set[str]:
         """Return the watched proxies that have not been heard from for `SILENT_S`."""
-        return {name for name, at in self.last_heard.items() if now - at > SILENT_S}
+        return {name for name, at in self.last_heartbeat_at.items() if now - at > SILENT_S}
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -2,13 +2,13 @@
 
 `ReconnectingLink` maintains one connection to an address and reopens it when it ends; `Listener` accepts connections.
 Both sides send a `KeepAlive` when they have nothing else to send, and close a connection on which nothing has arrived
-for `SILENT_S`: in a network partition nothing else would show that the peer is unreachable. Data written to a
+for `RECEIVE_TIMEOUT_S`: in a network partition nothing else would show that the peer is unreachable. Data written to a
 connection that ends may be lost; a sender that needs an answer must repeat its request.
 
 If a message does not match its type (`MalformedMessageError`) or is not accepted by its receiver
 (`UnexpectedMessageError`), the error is logged and the connection is closed.
 
-Cost: one keep-alive per `KEEP_ALIVE_S`, connection and direction.
+Cost: one keep-alive per `KEEP_ALIVE_INTERVAL_S`, connection and direction.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from thistleusher.transport.errors import UnexpectedMessageError
 from thistleusher.transport.messages import AnyMessage, HandOver, Hello, KeepAlive, Message, SubscribeRequest
 
-KEEP_ALIVE_S = 0.4
-SILENT_S = 1.5
-CONNECT_S = 0.3  # Time-out of a connection attempt; a lost SYN would be retransmitted only after 1 s.
-# Every n-th attempt has the time-out `SILENT_S` instead of `CONNECT_S`, as the route may be slow.
-SLOW_ATTEMPT_EACH = 4
-RECONNECT_S = 0.1
+KEEP_ALIVE_INTERVAL_S = 0.4
+RECEIVE_TIMEOUT_S = 1.5
+CONNECT_TIMEOUT_S = 0.3  # Time-out of a connection attempt; a lost SYN would be retransmitted only after 1 s.
+# Every n-th attempt has the time-out `RECEIVE_TIMEOUT_S` instead of `CONNECT_TIMEOUT_S`, as the route may be slow.
+SLOW_ATTEMPT_INTERVAL = 4
+RECONNECT_DELAY_S = 0.1
 MAX_UNSENT_BYTES = 16 * 1024 * 1024  # With more unsent data, the peer does not read and its connection is closed.
 MAX_LINKS = 1024
 BACKLOG = 256
@@ -68,9 +68,9 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        enable_dead_peer_detection(sock, SILENT_S)
+        enable_dead_peer_detection(sock, RECEIVE_TIMEOUT_S)
         self.open = True
-        self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_S, self._keep_alive)
+        self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_INTERVAL_S, self._keep_alive)
         self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
@@ -109,12 +109,12 @@
         if not self.open:
             return
         now = self.loop.time()
-        if now - self.last_received > SILENT_S:
+        if now - self.last_received > RECEIVE_TIMEOUT_S:
             self.close("silent")
             return
-        if now - self.last_sent >= KEEP_ALIVE_S * 0.9:
+        if now - self.last_sent >= KEEP_ALIVE_INTERVAL_S * 0.9:
             self.write(KEEP_ALIVE_FRAME)
-        self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_S, self._keep_alive)
+        self.keep_alive_timer = self.loop.call_later(KEEP_ALIVE_INTERVAL_S, self._keep_alive)
 
     def close(self, reason: str = "closed") -> None:
         """Close the connection at once and discard unsent data."""
@@ -146,7 +146,7 @@
 
 
 class ReconnectingLink:
-    """A link to one address that is reopened `RECONNECT_S` after its end, until it is closed."""
+    """A link to one address that is reopened `RECONNECT_DELAY_S` after its end, until it is closed."""
 
     def __init__(
         self,
@@ -185,7 +185,7 @@
                 if not ended.done():
                     ended.set_result(reason)
 
-            timeout_s = SILENT_S if attempts % SLOW_ATTEMPT_EACH == 0 else CONNECT_S
+            timeout_s = RECEIVE_TIMEOUT_S if attempts % SLOW_ATTEMPT_INTERVAL == 0 else CONNECT_TIMEOUT_S
             self.opening = self.loop.create_task(self._open(end, timeout_s))
             try:
                 link = await self.opening
@@ -230,7 +230,7 @@
     async def _pause(self) -> None:
         self.peer_seen.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(RECONNECT_S):
+            async with asyncio.timeout(RECONNECT_DELAY_S):
                 await self.peer_seen.wait()
 
     def retry_now(self) -> None:
--- a/thistleusher/transport/state_updates.py
+++ b/thistleusher/transport/state_updates.py
@@ -16,8 +16,8 @@
 
 from thistleusher.transport.messages import Items, StateUpdate, StateUpdateAck, SubscribeRequest
 
-NOTHING_KNOWN = -1  # Used as a subscriber's number if the publisher does not know it.
-MAX_REMOVED_ITEMS = 2000  # Maximum number of retained removals; a subscriber further behind gets the complete state.
+UNKNOWN_NUMBER = -1  # Used as a subscriber's number if the publisher does not know it.
+MAX_RETAINED_REMOVALS = 2000  # A subscriber that lags behind the retained removals gets the complete state.
 
 
 class State:
@@ -52,7 +52,7 @@
         }
 
     def apply(self, number: int, changes: Mapping[str, Any]) -> None:
-        """Set values (None: remove) under one number; discard old removals if more than `MAX_REMOVED_ITEMS` exist."""
+        """Set values (None: remove) under one number; discard old removals beyond `MAX_RETAINED_REMOVALS`."""
         self.merge(number, {name: (number, value) for name, value in changes.items()})
 
     def merge(self, number: int, items: Items) -> None:
@@ -62,10 +62,10 @@
             old = self.items.get(name)
             self.removed_count += (item[1] is None) - (old is not None and old[1] is None)
             self.items[name] = item
-        if self.removed_count > MAX_REMOVED_ITEMS:
-            self._forget_removals()
+        if self.removed_count > MAX_RETAINED_REMOVALS:
+            self._discard_old_removals()
 
-    def _forget_removals(self) -> None:
+    def _discard_old_removals(self) -> None:
         """Discard the older half of the removals."""
         removed = sorted((number, name) for name, (number, value) in self.items.items() if value is None)
         for number, name in removed[: len(removed) // 2]:
@@ -134,7 +134,7 @@
     def resend(self, subscriber: str) -> None:
         """Mark what a subscriber has not acknowledged as unsent, so that the next updates include it again."""
         if subscriber in self.sent:
-            self.sent[subscriber] = self.acknowledged.get(subscriber, NOTHING_KNOWN)
+            self.sent[subscriber] = self.acknowledged.get(subscriber, UNKNOWN_NUMBER)
 
     def acknowledged_count(self) -> tuple[int, int]:
         """Return how many subscribers have acknowledged the current number, and how many there are."""
@@ -156,7 +156,7 @@
         """Create a subscriber; `name` identifies it to the publisher."""
         self.name = name
         self.state = state or State()
-        self.least_number = 0  # Minimum number of an update to apply: that of the last discarded copy.
+        self.min_number = 0  # Minimum number of an update to apply: that of the last discarded copy.
 
     def subscribe_request(self) -> SubscribeRequest:
         """Return the first message to a publisher, which is also the reply to a gap."""
@@ -168,13 +168,13 @@
         Updates older than the discarded copy are ignored, so the state in effect does not go back, whichever publisher
         sends them. A number is discarded only once: if the second attempt fails too, requests would repeat forever.
         """
-        if self.state.number > self.least_number:
-            self.least_number = self.state.number
+        if self.state.number > self.min_number:
+            self.min_number = self.state.number
             self.state = State()
 
     def apply(self, update: StateUpdate) -> UpdateResult:
         """Apply an update. An older one is only acknowledged; one that leaves a gap is not applied."""
-        if update.number <= self.state.number or update.number < self.least_number:
+        if update.number <= self.state.number or update.number < self.min_number:
             return UpdateResult(None, StateUpdateAck(self.state.number))
         if update.base is None:
             changed = self._replace(update)
