--- a/tests/common/test_process.py
+++ b/tests/common/test_process.py
@@ -43,7 +43,7 @@
     assert logged.count("FAULT") >= 3
 
 
-def test_a_task_that_nobody_awaits_says_its_fault_at_once(monkeypatch):
+def test_a_failed_background_task_is_logged_at_once(monkeypatch):
     logged = []
     monkeypatch.setattr(background, "log_event", lambda event, *fields: logged.append((event.name, *fields)))
 
--- a/tests/common/test_quota_shares.py
+++ b/tests/common/test_quota_shares.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 9, 71, 195, 2800])
-def test_what_all_ingresses_hold_of_a_limit_does_not_grow_with_their_number(count):
+def test_the_reserve_of_all_proxies_does_not_grow_with_their_number(count):
     rng = random.Random(count)
     weights = [rng.choice([1.0, 1.0, rng.random()]) for _ in range(count)]
     shares = {f"i{n}": weight / sum(weights) for n, weight in enumerate(weights)}
@@ -29,7 +29,7 @@
             assert sum(each.isolated for each in held) <= reserve + rate
 
 
-def test_a_later_share_goes_to_the_end_and_moves_no_other():
+def test_a_later_share_is_placed_at_the_end_and_moves_no_other():
     counts = QuotaCounter(0.0)
     shares = {f"m{n}": 0.8 / 7 for n in range(7)}
     before = {name: share_interval(shares, name) for name in shares}
@@ -46,5 +46,5 @@
     assert all(a.end <= b.start for a, b in zip(ends, ends[1:], strict=False))
 
 
-def test_an_ingress_without_a_share_has_no_interval():
+def test_a_proxy_without_a_share_has_no_interval():
     assert share_interval({"i": 0.5}, "j") is None
--- a/tests/registry/test_backend_poller.py
+++ b/tests/registry/test_backend_poller.py
@@ -34,7 +34,7 @@
     return now, changes
 
 
-def test_a_backend_that_drains_on_page_two_is_found():
+def test_a_backend_that_drains_on_page_two_is_detected():
     poller = BackendPoller(0.0, 47.0)
     now, changes = read(poller, 0.0, page(entry(1), entry(2), token="p-50"), page(entry(3)))
     assert changes.keys() == {"i1", "i2", "i3"}
@@ -76,7 +76,7 @@
     assert changes == {}
 
 
-def test_an_incomplete_reading_is_no_list():
+def test_an_incomplete_reading_does_not_change_the_list():
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(poller, now + 1, page(entry(1), token="p"))
@@ -86,7 +86,7 @@
     assert poller.begin_call(now + 3) == "/instances"  # The reading restarts from the first page.
 
 
-def test_an_empty_list_is_believed_only_after_some_readings():
+def test_an_empty_list_is_accepted_only_after_several_readings():
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1)))
     for n in range(REQUIRED_EMPTY_READINGS):
@@ -95,7 +95,7 @@
     assert changes == {"i1": None}
 
 
-def test_calls_stay_below_the_platforms_bound_and_back_off_after_a_429():
+def test_calls_stay_below_the_platforms_rate_limit_and_back_off_after_a_429():
     poller, calls, now = BackendPoller(0.0, 4.0), 0, 0.0
     while now < 10.0:
         if poller.begin_call(now) is not None:
--- a/tests/registry/test_charges.py
+++ b/tests/registry/test_charges.py
@@ -39,12 +39,12 @@
 
 
 def counter_of(now, shares=()):
-    counts = QuotaCounter(now)
-    counts.configure(LIMITS, dict.fromkeys(shares, 0.1))
-    return ChargeTable(counts)
+    counter = QuotaCounter(now)
+    counter.configure(LIMITS, dict.fromkeys(shares, 0.1))
+    return ChargeTable(counter)
 
 
-class Fleet:
+class Simulation:
     """Simulates several proxies, one counter at a time, and the messages in flight between them."""
 
     def __init__(self, seed):
@@ -54,71 +54,71 @@
         self.proxies = {}
         self.incarnations = self.requests = self.counters = 0
         self.to_counter, self.to_proxy = [], []
-        self.open = {}  # Request -> its proxy.
-        self.let_in = {}  # Admitted request -> (counter, window).
+        self.pending = {}  # Request -> its proxy.
+        self.admitted = {}  # Admitted request -> (counter, window).
         self.answers = {}  # (incarnation, number) -> first answer of the current counter.
         self.counted = {}  # The model: (incarnation, number) -> window, for the current counter.
-        self.given_back = set()  # (incarnation, number) of the refunded charges.
+        self.refunded = set()  # (incarnation, number) of the refunded charges.
         for name in self.names:
             self.restart(name)
-        self.take_over()
+        self.start_counter()
 
-    def take_over(self):
+    def start_counter(self):
         self.table = counter_of(self.now, self.names)
         self.counters += 1
-        self.answers, self.counted, self.given_back = {}, {}, set()
+        self.answers, self.counted, self.refunded = {}, {}, set()
 
     def restart(self, name):
         self.incarnations += 1
         self.proxies[name] = proxy_of(name, f"life {self.incarnations}", self.now)
         self.proxies[name].counter = "c"
-        self.open = {request: proxy for request, proxy in self.open.items() if proxy.name != name}
+        self.pending = {request: proxy for request, proxy in self.pending.items() if proxy.name != name}
 
-    def carry(self, name, outputs):
+    def execute(self, name, outputs):
         for out in outputs:
             if isinstance(out, SendToRegistry):
                 self.to_counter.append((name, out.message))
             elif isinstance(out, DeliverChargeAnswer):
-                self.decide(name, out.answer)
+                self.receive_verdict(name, out.answer)
 
-    def ask(self, name):
+    def send_charge(self, name):
         self.requests += 1
         request = f"request {self.requests}"
-        self.open[request] = self.proxies[name]
-        self.carry(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", 1)))
+        self.pending[request] = self.proxies[name]
+        self.execute(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", 1)))
 
-    def decide(self, name, counted):
-        assert self.open.pop(counted.request, None) is self.proxies[name], "answer for a request that is not waiting"
+    def receive_verdict(self, name, counted):
+        assert self.pending.pop(counted.request, None) is self.proxies[name], "answer for a request that is not waiting"
         if counted.verdict == ALLOWED:
-            self.let_in[counted.request] = self.counters, counted.window
+            self.admitted[counted.request] = self.counters, counted.window
         if counted.verdict != ALLOWED or self.rng.random() < 0.1:  # Rejected after its admission.
-            self.let_in.pop(counted.request, None)
-            self.give_back(name, counted.request)
+            self.admitted.pop(counted.request, None)
+            self.refund(name, counted.request)
 
-    def give_up(self):
-        if self.open:
-            request = self.rng.choice(sorted(self.open))
-            name = self.open.pop(request).name
-            self.give_back(name, request)
+    def cancel_request(self):
+        if self.pending:
+            request = self.rng.choice(sorted(self.pending))
+            name = self.pending.pop(request).name
+            self.refund(name, request)
 
-    def give_back(self, name, request):
+    def refund(self, name, request):
         for _ in range(self.rng.choice((1, 1, 2))):  # A duplicate refund by the caller must have no effect.
-            self.carry(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", -1)))
+            self.execute(name, self.proxies[name].charge(self.now, ChargeTenant(request, "t", -1)))
 
-    def beat(self, name):
+    def send_heartbeat(self, name):
         proxy = self.proxies[name]
         self.to_counter.append((name, ProxyHeartbeat(proxy.incarnation, self.now, None)))
 
-    def arrive(self, bag):
+    def deliver_or_lose(self, in_flight):
         """Deliver or lose one of the messages in flight; some of the delivered ones stay in flight as duplicates."""
-        if not bag:
+        if not in_flight:
             return None
-        at = self.rng.choice((0, self.rng.randrange(len(bag))))
+        at = self.rng.choice((0, self.rng.randrange(len(in_flight))))
         fate = self.rng.random()
-        message = bag[at] if fate < 0.15 else bag.pop(at)
+        message = in_flight[at] if fate < 0.15 else in_flight.pop(at)
         return None if fate > 0.93 else message
 
-    def at_counter(self, name, message):
+    def receive_at_counter(self, name, message):
         if isinstance(message, ProxyHeartbeat):
             self.table.counter.shares.record_heartbeat(self.now, name, message.incarnation, self.now)
             return
@@ -126,7 +126,7 @@
         key = message.incarnation, message.number
         if message.amount < 0:
             if self.table.counter.shares.proxies[name].incarnation == message.incarnation:
-                self.given_back.add(key)
+                self.refunded.add(key)
         elif result is not None:
             first = self.answers.setdefault(key, result)
             assert (result.verdict, result.window) == (
@@ -139,52 +139,54 @@
 
     def step(self):
         name = self.rng.choice(self.names)
-        what = self.rng.random()
-        if what < 0.2:
-            self.ask(name)
-        elif what < 0.26:
-            self.beat(name)
-        elif what < 0.29:
-            self.give_up()
-        elif what < 0.66:
-            if (came := self.arrive(self.to_counter)) is not None:
-                self.at_counter(*came)
-        elif what < 0.995:
-            if (came := self.arrive(self.to_proxy)) is not None:
-                self.carry(came[0], self.proxies[came[0]].from_registry(self.now, "c", came[1])[0])
-        elif what < 0.998:
+        action = self.rng.random()
+        if action < 0.2:
+            self.send_charge(name)
+        elif action < 0.26:
+            self.send_heartbeat(name)
+        elif action < 0.29:
+            self.cancel_request()
+        elif action < 0.66:
+            if (delivered := self.deliver_or_lose(self.to_counter)) is not None:
+                self.receive_at_counter(*delivered)
+        elif action < 0.995:
+            if (delivered := self.deliver_or_lose(self.to_proxy)) is not None:
+                self.execute(delivered[0], self.proxies[delivered[0]].from_registry(self.now, "c", delivered[1])[0])
+        elif action < 0.998:
             self.restart(name)
-        elif what < 0.9988:
-            self.take_over()
+        elif action < 0.9988:
+            self.start_counter()
         self.now += 0.01 * self.rng.random()
 
     def check(self):
         window = self.table.counter.windows.get("t")
         if window is not None:
             charged = {key for key, number in self.counted.items() if number == window.number}
-            assert window.count == len(charged - self.given_back)
+            assert window.count == len(charged - self.refunded)
         in_window = {}
-        for key in self.let_in.values():
+        for key in self.admitted.values():
             in_window[key] = in_window.get(key, 0) + 1
         assert all(count <= ALLOWANCE for count in in_window.values())
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
-def test_each_charge_counts_once_and_what_is_let_in_stays_within_the_allowance(first):
-    let_in = given_back = 0
+def test_each_charge_counts_once_and_admissions_stay_within_the_allowance(first):
+    admitted = refunded = 0
     for seed in range(first, first + 10):
-        fleet = Fleet(seed)
-        for name in fleet.names:
-            fleet.at_counter(name, ProxyHeartbeat(fleet.proxies[name].incarnation, fleet.now, None))
+        simulation = Simulation(seed)
+        for name in simulation.names:
+            simulation.receive_at_counter(
+                name, ProxyHeartbeat(simulation.proxies[name].incarnation, simulation.now, None)
+            )
         for _ in range(1500):
-            fleet.step()
-            fleet.check()
-        let_in += len(fleet.let_in)
-        given_back += len(fleet.given_back)
-    assert let_in > 100 and given_back > 100  # Guards against a run in which nothing happens.
+            simulation.step()
+            simulation.check()
+        admitted += len(simulation.admitted)
+        refunded += len(simulation.refunded)
+    assert admitted > 100 and refunded > 100  # Guards against a run in which nothing happens.
 
 
-def known(table, name="p", incarnation="x", now=2.0):
+def with_contact(table, name="p", incarnation="x", now=2.0):
     """Return the table after its counter has been in contact with a proxy for longer than a span."""
     at = now - 7.0
     while at < now:
@@ -194,9 +196,9 @@
     return table
 
 
-def test_memory_is_bounded_and_a_forgotten_charge_counts_no_second_time(monkeypatch):
+def test_memory_is_bounded_and_an_evicted_charge_is_not_counted_again(monkeypatch):
     monkeypatch.setattr(charges, "MAX_RECORDED_CHARGES", 8)
-    table = known(counter_of(-10.0))
+    table = with_contact(counter_of(-10.0))
     table.counter.configure({"t": (100.0, 100.0)}, {})
     for number in range(1, 20):
         table.receive(2.0, "p", Charge("x", number, "t", 1, -1))
@@ -207,38 +209,38 @@
     assert table.counter.windows["t"].count == count
 
 
-def test_a_new_counter_gives_no_charge_of_another_back():
-    table = known(counter_of(-10.0))
+def test_a_new_counter_refunds_no_charge_of_another_counter():
+    table = with_contact(counter_of(-10.0))
     first = table.receive(2.0, "p", Charge("x", 1, "t", 1, -1))
-    later = known(counter_of(-10.0))
+    later = with_contact(counter_of(-10.0))
     for number in range(2, 6):
         later.receive(2.0, "p", Charge("x", number, "t", 1, -1))
     later.receive(2.1, "p", Charge("x", 1, "t", -1, first.window))  # Both counters use the same window numbers.
     assert later.counter.windows["t"].count == 4
 
 
-def test_a_charge_that_comes_after_it_was_given_back_is_not_counted():
-    table = known(counter_of(-10.0))
+def test_a_charge_that_arrives_after_its_refund_is_not_counted():
+    table = with_contact(counter_of(-10.0))
     table.receive(2.0, "p", Charge("x", 2, "t", 1, -1))
     table.receive(2.0, "p", Charge("x", 1, "t", -1, -1))
     assert table.receive(2.0, "p", Charge("x", 1, "t", 1, -1)) is None
     assert table.counter.windows["t"].count == 1
 
 
-def test_a_message_of_a_former_incarnation_neither_counts_nor_brings_it_back():
-    table = known(known(counter_of(-10.0), incarnation="old"), incarnation="new")
+def test_a_message_of_a_former_incarnation_neither_counts_nor_restores_it():
+    table = with_contact(with_contact(counter_of(-10.0), incarnation="old"), incarnation="new")
     assert table.receive(2.0, "p", Charge("old", 1, "t", 1, -1)) is None
     assert not table.counter.shares.record_heartbeat(2.1, "p", "old", 2.1)
     assert table.receive(2.1, "p", Charge("new", 1, "t", 1, -1)).verdict == ALLOWED
 
 
 @pytest.mark.parametrize("amount", [0.0, float("nan"), float("inf"), float("-inf")])
-def test_an_amount_that_is_none_is_refused(amount):
+def test_an_invalid_amount_is_rejected(amount):
     with pytest.raises(UnexpectedMessageError):
-        known(counter_of(-10.0)).receive(2.0, "p", Charge("x", 1, "t", amount, -1))
+        with_contact(counter_of(-10.0)).receive(2.0, "p", Charge("x", 1, "t", amount, -1))
 
 
-def test_an_answer_for_an_earlier_incarnation_or_a_request_that_was_given_up_reaches_nobody():
+def test_an_answer_for_an_earlier_incarnation_or_a_cancelled_request_is_dropped():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
     proxy.charge(5.0, ChargeTenant("r1", "t", 1))
@@ -253,7 +255,7 @@
     assert proxy.from_registry(5.2, "c", ChargeResult("x", 2, ALLOWED, 0.5, 3)) == ([], None)  # A duplicate.
 
 
-def test_a_verdict_that_lay_in_a_socket_lets_nothing_in():
+def test_a_verdict_that_is_processed_too_late_admits_nothing():
     proxy = proxy_of("p", "x", 5.0)
     proxy.counter = "c"
     proxy.charge(5.0, ChargeTenant("r", "t", 1))
@@ -261,7 +263,7 @@
     assert verdict.answer.verdict == OVER_LIMIT and SHARE_DEDUCTION_START_S < ANSWER_MAX_AGE_S <= LOCAL_QUOTA_FROM_S
 
 
-def test_an_echo_that_lay_in_a_socket_does_not_name_the_counter():
+def test_an_echo_that_is_processed_too_late_does_not_change_the_counter():
     proxy = proxy_of("p", "x", 5.0)
     report = [out.message for out in proxy.tick(5.0, True) if isinstance(out, SendToRegistry)]
     assert [type(message) for message in report] == [ProxyStatusReport]
--- a/tests/registry/test_delays.py
+++ b/tests/registry/test_delays.py
@@ -35,7 +35,7 @@
     return outputs
 
 
-def said(outputs, event):
+def logged(outputs, event):
     return [out.fields for _, out in outputs if isinstance(out, LogEvent) and out.event is event]
 
 
@@ -43,26 +43,26 @@
     return [out.message for _, out in outputs if isinstance(out, SendToSubscriber) and type(out.message) is StateUpdate]
 
 
-def test_a_calm_registry_says_of_no_delay_and_of_each_drain_once():
+def test_without_delays_none_is_logged_and_each_drain_is_logged_once():
     registry = holding_role()
-    calm = run(registry, 10.1, 14.0, page(entry(1), entry(2)))
+    undisturbed = run(registry, 10.1, 14.0, page(entry(1), entry(2)))
     drained = run(registry, 14.0, 18.0, page(entry(1), entry(2, "draining")))
-    for outputs in (calm, drained):
-        assert not said(outputs, Event.LIST_OVERDUE) and not said(outputs, Event.SUBSCRIBER_LAGS)
-    assert said(drained, Event.BACKEND_DRAINING) == [(registry.list.state.number, "i2")]
+    for outputs in (undisturbed, drained):
+        assert not logged(outputs, Event.LIST_OVERDUE) and not logged(outputs, Event.SUBSCRIBER_LAGS)
+    assert logged(drained, Event.BACKEND_DRAINING) == [(registry.list.state.number, "i2")]
 
 
-def test_a_list_that_is_not_read_any_more_is_said_with_its_age():
+def test_a_list_that_is_no_longer_read_is_logged_with_its_age():
     registry = holding_role()
     run(registry, 10.1, 12.0, page(entry(1)))
-    ages = [float(age) for (age,) in said(run(registry, 12.0, 17.0), Event.LIST_OVERDUE)]
+    ages = [float(age) for (age,) in logged(run(registry, 12.0, 17.0), Event.LIST_OVERDUE)]
     assert len(ages) == 3 and 1.4 < ages[0] < 2.1 and ages == sorted(ages)
 
 
-def test_a_subscriber_that_does_not_acknowledge_is_named():
+def test_a_subscriber_that_does_not_acknowledge_is_logged():
     registry = holding_role()
     outputs = run(registry, 10.1, 14.5, page(entry(1)), acknowledges=False)
-    ((name, has, number, stalled_s),) = said(outputs, Event.SUBSCRIBER_LAGS)
+    ((name, has, number, stalled_s),) = logged(outputs, Event.SUBSCRIBER_LAGS)
     assert (
         (name, number) == ("d", registry.list.state.number)
         and has < number
@@ -79,7 +79,7 @@
     assert again[0].items["b:i2"][1]["p"] == "draining" and again[0].base == lost[0].base
 
 
-def test_one_that_lags_is_reported_less_and_less_often_and_anew_after_progress():
+def test_a_lagging_subscriber_is_reported_at_increasing_intervals_that_progress_resets():
     watch = SubscriberWatch()
     times = [n / 4 for n in range(200) if watch.check(n / 4, 7, {"a": 3, "b": 7})]
     gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
@@ -92,7 +92,7 @@
     assert watch.check(60.0, 7, {}) == watch.check(60.1, 7, {"a": 4}) == []  # Reconnected: its lag restarts.
 
 
-def test_a_call_to_the_platform_that_never_ends_does_not_end_the_reading():
+def test_a_call_to_the_platform_that_never_ends_does_not_stop_polling():
     registry = holding_role()
     run(registry, 10.1, 12.0, page(entry(1), entry(2)))
     calls = [at for at, out in run(registry, 12.0, 17.0) if isinstance(out, CallPlatform)]
@@ -101,7 +101,7 @@
     assert registry.list.backends()["i2"]["p"] == "draining"
 
 
-def test_the_answer_to_a_call_that_was_given_up_is_dropped():
+def test_the_response_to_an_abandoned_call_is_dropped():
     registry = holding_role()
     calls = [out.number for _, out in run(registry, 10.1, 12.3) if isinstance(out, CallPlatform)]
     assert calls == [1, 2]
--- a/tests/registry/test_quota_recovery.py
+++ b/tests/registry/test_quota_recovery.py
@@ -54,7 +54,7 @@
     assert admitted_at_once(counter, STARTED_AT + 0.2) <= 0.2 * RATE
 
 
-def test_a_listed_proxy_without_a_share_is_waited_for_too():
+def test_the_report_of_a_listed_proxy_without_a_share_is_awaited_too():
     counter = new_counter()
     counter.shares.expect_reports(["p3"])
     heartbeats(counter, STARTED_AT, ("p1", "p2", "p3"))
@@ -65,7 +65,7 @@
     assert admitted_at_once(counter, STARTED_AT + 0.3) > 50
 
 
-def test_a_proxy_that_has_just_started_does_not_know_what_the_one_before_it_admitted():
+def test_a_new_proxy_does_not_know_what_its_predecessor_admitted():
     counter = new_counter()
     heartbeats(counter, STARTED_AT)
     counter.record_admissions(STARTED_AT + 0.1, "p1", "p1@0.000", 10.0, {})
@@ -73,7 +73,7 @@
     assert admitted_at_once(counter, STARTED_AT + 0.2) <= 2.1 * RATE
 
 
-def test_a_proxy_that_started_after_the_counter_does_not_undo_what_its_forerunner_reported():
+def test_a_proxy_started_after_the_counter_does_not_undo_its_predecessors_report():
     counter = new_counter()
     heartbeats(counter, STARTED_AT)
     for name in SHARES:
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -98,7 +98,7 @@
     assert [registry.receive_from_control(12.0, "1", message)[0] for message in grants] and not registry.holds_role
 
 
-def test_a_message_that_nobody_here_takes_is_refused():
+def test_an_unexpected_message_is_rejected():
     registry = holding_role()
     for take in (
         lambda m: registry.receive_from_subscriber(10.1, "d", m),
@@ -117,7 +117,7 @@
     assert asked >= {"4"} and "3" not in asked and registry.lease.attempt_delay_s == 0.0
 
 
-def test_a_page_that_an_earlier_duty_asked_for_is_no_list_of_the_next():
+def test_a_page_requested_in_an_earlier_term_is_ignored_in_the_next():
     registry = holding_role()
     assert [o for o in registry.tick(10.05) if isinstance(o, CallPlatform)]
     registry.receive_platform_response(10.06, 1, 200, page(entry(1), token="p"))
@@ -146,7 +146,7 @@
     assert registry.counter.shares.admissions_known_since == pytest.approx(1.2)
 
 
-def test_a_listed_proxy_without_a_share_is_waited_for_by_the_next_counter():
+def test_the_next_counter_awaits_the_report_of_a_listed_proxy_without_a_share():
     registry = holding_role()
     registry.receive_from_subscriber(10.1, "d", PRESENCE)
     attributes = {"front": "f", "ip": "i", "zone": "z", "region": "r"}
--- a/tests/registry/test_span_count.py
+++ b/tests/registry/test_span_count.py
@@ -26,7 +26,7 @@
             assert numbers == sorted(set(numbers))
 
 
-def test_what_is_taken_back_is_no_more_than_its_slot_holds():
+def test_at_most_the_count_of_its_slot_is_subtracted():
     count = SpanCount(SLOT_S)
     count.add(10.0, 2.0)
     count.add(11.0, 1.0)
--- a/tests/transport/test_call_server.py
+++ b/tests/transport/test_call_server.py
@@ -29,7 +29,7 @@
         self.client.asked.append((b"p", 0.0))
 
 
-def test_a_handler_that_answers_twice_answers_nobody_else() -> None:
+def test_a_second_answer_of_a_handler_reaches_no_other_call() -> None:
     async def scenario(world: World) -> None:
         calls = CallServerClient(world)
         calls.ask()
@@ -43,7 +43,7 @@
     play(scenario)
 
 
-def test_a_last_answer_goes_out_whole_to_a_client_that_takes_it_slowly() -> None:
+def test_a_last_answer_is_sent_completely_to_a_slow_client() -> None:
     async def scenario(world: World) -> None:
         calls = CallServerClient(world)
         wire = calls.client.wire
@@ -63,7 +63,7 @@
     play(scenario)
 
 
-def test_a_connection_with_unread_requests_is_not_reset_under_its_last_answer() -> None:
+def test_a_connection_with_unread_requests_is_not_reset_before_its_last_answer_is_read() -> None:
     async def scenario(world: World) -> None:
         calls = CallServerClient(world)
         calls.ask()
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -9,7 +9,7 @@
 from thistleusher.transport.messages import KeepAlive, StateUpdate
 
 
-def test_a_large_message_goes_compressed_and_comes_whole_in_any_pieces():
+def test_a_large_message_is_compressed_and_reassembled_from_any_fragments():
     update = StateUpdate(7, None, {f"route:{n}": (n, "x" * 50) for n in range(400)})
     data = frame(update) + frame(KeepAlive()) + frame(update)
     assert len(data) < 400 * 50
@@ -20,6 +20,6 @@
 
 
 @pytest.mark.parametrize("body", [b"no such stream", zlib.compress(b"x" * 2000)[:-5], zlib.compress(b"x" * 2000)])
-def test_what_expands_to_no_message_is_malformed(body):
+def test_data_that_does_not_decompress_to_a_message_is_malformed(body):
     with pytest.raises(MalformedMessageError):
         list(Deframer().feed(struct.pack(">I", len(body) | COMPRESSED) + body))
--- a/tests/transport/test_heartbeat_ring.py
+++ b/tests/transport/test_heartbeat_ring.py
@@ -4,7 +4,7 @@
 from thistleusher.transport.heartbeat_ring import UPDATE_WAIT_S, HeartbeatRing
 
 
-def test_each_ingress_is_watched_by_a_few_that_its_position_determines():
+def test_each_proxy_is_watched_by_a_few_that_its_position_determines():
     names = [f"n{k}" for k in range(9)]
     rings = {name: HeartbeatRing(name, 0.0) for name in names}
     for ring in rings.values():
--- a/tests/transport/test_links.py
+++ b/tests/transport/test_links.py
@@ -13,13 +13,15 @@
 from thistleusher.transport.messages import Hello, KeepAlive, Message, StateUpdateAck
 
 
-def test_a_link_that_waits_is_retried_at_once_when_the_other_side_shows(monkeypatch):
+def test_a_waiting_link_reconnects_at_once_when_the_peer_is_seen(monkeypatch):
     monkeypatch.setattr(links, "RECONNECT_DELAY_S", 60.0)
 
     async def play() -> Message:
         loop = asyncio.get_running_loop()
-        came: asyncio.Future = loop.create_future()
-        listener = Listener(loop, lambda link, message: came.done() or came.set_result(message), lambda link: None)
+        received: asyncio.Future = loop.create_future()
+        listener = Listener(
+            loop, lambda link, message: received.done() or received.set_result(message), lambda link: None
+        )
         await listener.listen("127.0.0.1", 0)
         port = listener.server.sockets[0].getsockname()[1]
         listener.close()
@@ -30,7 +32,7 @@
         link.retry_now()
         try:
             async with asyncio.timeout(5.0):
-                return await came
+                return await received
         finally:
             link.close()
             listener.close()
@@ -38,7 +40,7 @@
     assert asyncio.run(play()) == Hello("x")
 
 
-def test_a_connection_given_up_while_it_was_opened_ends_quietly():
+def test_a_connection_abandoned_while_opening_ends_without_an_error():
     class Closed:
         def is_closing(self) -> bool:
             return True
@@ -65,14 +67,14 @@
     ],
     ids=["no message", "too long", "wrong type", "not taken"],
 )
-def test_what_is_malformed_or_not_accepted_is_logged_and_closes_its_connection(monkeypatch, data):
-    said, came = [], []
-    monkeypatch.setattr(links, "log_event", lambda event, *fields: said.append(event.name))
+def test_a_malformed_or_unexpected_message_is_logged_and_closes_its_connection(monkeypatch, data):
+    logged, received = [], []
+    monkeypatch.setattr(links, "log_event", lambda event, *fields: logged.append(event.name))
 
     def take(link, message):
         if not isinstance(message, Hello):
             raise UnexpectedMessageError(message)
-        came.append(message)
+        received.append(message)
 
     async def play() -> bytes:
         loop = asyncio.get_running_loop()
@@ -90,10 +92,10 @@
             listener.close()
 
     assert asyncio.run(play()) == b""
-    assert came == [Hello("x")] and said == ["MESSAGE_REJECTED"]
+    assert received == [Hello("x")] and logged == ["MESSAGE_REJECTED"]
 
 
-def test_a_connection_that_stands_as_it_is_given_up_says_nothing_more():
+def test_an_attempt_cancelled_after_it_connected_reports_nothing():
     """`retry_now` may cancel an attempt that has just connected; the event loop then closes it without a callback."""
 
     async def play() -> list[str]:
@@ -102,14 +104,14 @@
         loop.set_exception_handler(lambda loop, context: faults.append(str(context.get("exception"))))
         links_made: list[links.Link] = []
 
-        async def stands_and_is_cancelled(factory, host, port):
+        async def connects_and_is_cancelled(factory, host, port):
             link = factory()
             links_made.append(link)
             link.open, link.transport = True, None
             link.keep_alive_timer = loop.call_later(0, faults.append, "the beat of a link that nobody has")
             raise asyncio.CancelledError
 
-        loop.create_connection = stands_and_is_cancelled
+        loop.create_connection = connects_and_is_cancelled
         link = ReconnectingLink(loop, "127.0.0.1", 1, lambda: Hello("x"), lambda link, message: None)
         while not links_made:
             await asyncio.sleep(0)
@@ -122,14 +124,14 @@
     assert asyncio.run(play()) == []
 
 
-async def reach(take, first_message):
+async def first_two_messages(take, first_message):
     """Connect a link to a listener that passes messages to `take`; return the first two messages received."""
     loop = asyncio.get_running_loop()
-    came, both = [], loop.create_future()
+    received, both = [], loop.create_future()
 
     def receive(link, message):
-        came.append(message)
-        if len(came) == 2:
+        received.append(message)
+        if len(received) == 2:
             both.set_result(None)
         take(message)
 
@@ -141,10 +143,10 @@
         await both
     link.close()
     listener.close()
-    return came
+    return received
 
 
-def test_a_fault_of_any_kind_in_a_message_ends_its_connection_and_not_the_link(monkeypatch):
+def test_any_error_in_a_message_handler_ends_the_connection_but_not_the_link(monkeypatch):
     """Any exception raised by a message handler is logged, and a new connection sends the first message again."""
     logged = []
     monkeypatch.setattr(links, "RECONNECT_DELAY_S", 0.0)
@@ -153,11 +155,11 @@
     def fail(message):
         raise ZeroDivisionError
 
-    assert asyncio.run(reach(fail, lambda: Hello("x"))) == [Hello("x")] * 2
+    assert asyncio.run(first_two_messages(fail, lambda: Hello("x"))) == [Hello("x")] * 2
     assert "FAULT" in logged
 
 
-def test_a_fault_as_a_link_opens_is_not_its_last_act(monkeypatch):
+def test_a_link_reconnects_after_an_error_while_opening(monkeypatch):
     logged, faults = [], iter([ZeroDivisionError()])
     monkeypatch.setattr(links, "RECONNECT_DELAY_S", 0.0)
     monkeypatch.setattr(links, "log_event", lambda event, *fields: logged.append(event.name))
@@ -170,5 +172,5 @@
     def fail(message):
         raise ValueError  # Closes the connection, so that the link reconnects.
 
-    assert asyncio.run(reach(fail, first_message)) == [Hello("x")] * 2
+    assert asyncio.run(first_two_messages(fail, first_message)) == [Hello("x")] * 2
     assert logged[0] == "FAULT"
--- a/tests/transport/test_state_updates.py
+++ b/tests/transport/test_state_updates.py
@@ -6,7 +6,7 @@
 from thistleusher.transport.state_updates import Publisher, State, Subscriber
 
 
-def test_a_follower_gets_what_changed_and_acknowledges_it():
+def test_a_subscriber_receives_changes_and_acknowledges_them():
     publisher, subscriber = Publisher(State()), Subscriber()
     publisher.state.apply(1, {"a": 1})
     ((name, message),) = publisher.subscribe("f", 0)
@@ -21,7 +21,7 @@
     assert publisher.acknowledged_count() == (1, 1) and publisher.updates_due() == []
 
 
-def test_a_gap_is_answered_by_the_whole():
+def test_a_gap_is_answered_with_the_complete_state():
     publisher, subscriber = Publisher(State()), Subscriber("f")
     for number in range(1, 4):
         publisher.state.apply(number, {f"k{number}": number})
@@ -40,15 +40,15 @@
     assert subscriber.state.value("a") == "new" and subscriber.state.number == 9
 
 
-def test_what_is_missing_from_a_whole_state_is_gone():
+def test_items_missing_from_a_complete_state_are_removed():
     subscriber = Subscriber("f", State(3, {"a": (1, 1), "b": (3, 2)}))
-    whole = State(8, {"b": (3, 2)}, floor=8).update_since(3)
-    assert whole.base is None
-    assert subscriber.apply(whole)[0] == {"a": None}
+    complete = State(8, {"b": (3, 2)}, floor=8).update_since(3)
+    assert complete.base is None
+    assert subscriber.apply(complete)[0] == {"a": None}
     assert subscriber.state.values("") == {"b": 2}
 
 
-def test_followers_agree_with_the_publisher_whatever_is_lost():
+def test_subscribers_agree_with_the_publisher_whatever_is_lost():
     rng = random.Random(5)
     for _ in range(200):
         publisher, subscriber = Publisher(State()), Subscriber()
@@ -72,7 +72,7 @@
         assert subscriber.state.values("") == publisher.state.values("")
 
 
-def test_a_discarded_copy_is_asked_for_whole_once_and_does_not_go_back():
+def test_a_discarded_copy_is_requested_again_once_and_does_not_go_back():
     publisher, subscriber = Publisher(State(4, {"a": (2, 1), "b": (4, 2)})), Subscriber("f")
     ((_, message),) = publisher.subscribe("f", 0)
     subscriber.apply(message)
@@ -86,7 +86,7 @@
     assert subscriber.state.number == 4
 
 
-def test_what_was_not_acknowledged_is_sent_again_with_the_next_updates():
+def test_unacknowledged_changes_are_sent_again_with_the_next_updates():
     publisher, subscriber = Publisher(State()), Subscriber("f")
     publisher.subscribe("f", 0)
     publisher.state.apply(1, {"a": 1})
--- a/thistleusher/common/process.py
+++ b/thistleusher/common/process.py
@@ -71,7 +71,7 @@
     loop.add_signal_handler(signal.SIGINT, stop, "SIGINT")
     loop.add_signal_handler(signal.SIGHUP, reload)
     log_event(Event.STARTED, settings.node_settings.node_name, name)
-    gc.freeze()  # Exclude the objects loaded at start-up, which stay alive; collection was disabled until now.
+    gc.freeze()  # Objects created at start-up stay alive. `thistleusher.system` had disabled collection.
     gc.enable()
 
     async def run_ticks() -> None:
--- a/thistleusher/common/quota_shares.py
+++ b/thistleusher/common/quota_shares.py
@@ -41,8 +41,8 @@
     """The maximum number of whole requests of one tenant that a proxy may hold in reserve.
 
     `reserve` applies in contact with the counter; it comes from the burst and from the excess that the guarantee
-    allows. `isolated` applies out of contact; it adds up to `ISOLATED_RESERVE_S` of the share's accrual, which the
-    counter also deducts.
+    allows. `isolated` applies out of contact and adds up to `ISOLATED_RESERVE_S` of the share's accrual; the counter
+    keeps its deductions for that much longer, so they cover this addition.
     """
 
     reserve: int
--- a/thistleusher/registry/platform_client.py
+++ b/thistleusher/registry/platform_client.py
@@ -1,7 +1,7 @@
 """HTTP client for the platform: one connection, one call at a time, each with a time-out.
 
 Guarantee: a call ends within `CALL_TIMEOUT_S` with a response or None, whatever happens to its connection. The caller
-relies on this, as it starts no other call before.
+relies on this, as it starts no other call before that.
 """
 
 from __future__ import annotations
--- a/thistleusher/transport/links.py
+++ b/thistleusher/transport/links.py
@@ -32,7 +32,7 @@
 # Every n-th attempt has the time-out `RECEIVE_TIMEOUT_S` instead of `CONNECT_TIMEOUT_S`, as the route may be slow.
 SLOW_ATTEMPT_INTERVAL = 4
 RECONNECT_DELAY_S = 0.1
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # With more unsent data, the peer does not read and its connection is closed.
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # With more unsent data, the peer is considered not to read: the link is closed.
 MAX_LINKS = 1024
 BACKLOG = 256
 KEEP_ALIVE_FRAME = frame(KeepAlive())
@@ -85,7 +85,7 @@
         except (MalformedMessageError, UnexpectedMessageError) as error:
             log_event(Event.MESSAGE_REJECTED, self.name or self.peer_address, error)
             self.close(str(error))
-        except Exception as error:  # The handler requests what it could not apply again on the next connection.
+        except Exception as error:  # On the next connection, the handler requests again what it could not apply.
             log_event(Event.FAULT, f"a message of {self.name or self.peer_address}", repr(error))
             self.close(repr(error))
 
