--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -131,7 +131,7 @@
 def test_a_counter_is_named_by_its_term_and_takes_reports_and_echoes_of_that_term_only():
     registry = holding_role()
     (echo,) = registry.receive_from_subscriber(10.1, "d", PRESENCE)
-    name, term = echo.message.registry, registry.lease.term
+    name, term = echo.message.counter_name, registry.lease.term
     assert name == f"{registry.name}#{term}"
     later = ProxyHeartbeat("x", 1.1, (f"{registry.name}#{term - 1}", 10.1))
     registry.receive_from_subscriber(10.15, "d", later)  # It has received only an earlier term's echo.
--- a/thistleusher/common/record_reader.py
+++ b/thistleusher/common/record_reader.py
@@ -21,7 +21,7 @@
 
 
 class InvalidTableError(ValueError):
-    """A field is missing or cannot be converted to its declared type; the message says where, expected and found."""
+    """A field is missing or not convertible to its declared type; the message states path, expected type and value."""
 
 
 @functools.cache
@@ -82,12 +82,12 @@
 Reader = Callable[[Any, str], Any]  # Arguments: the value found, and the path of its field.
 
 
-def read_record(kind: type[R], found: Any, where: str = "") -> R:
+def read_record(kind: type[R], found: Any, path: str = "") -> R:
     """Return a record of type `kind` from a table. Raise InvalidTableError for a missing or invalid field.
 
-    `where` is the path of the table, for error messages.
+    `path` is the path of the table, for error messages.
     """
-    made: R = _reader(cast(Any, kind))(found, where)
+    made: R = _reader(cast(Any, kind))(found, path)
     return made
 
 
@@ -97,14 +97,14 @@
     shape, inner = _shape(kind)
     read = _READER_MAKERS[shape](kind, inner)
 
-    def guarded(found: Any, where: str) -> Any:
+    def guarded(found: Any, path: str) -> Any:
         try:
-            return read(found, where)
+            return read(found, path)
         except InvalidTableError:
             raise
         except (ValueError, TypeError, AttributeError, OverflowError):
             expected = getattr(kind, "__name__", kind)
-            raise InvalidTableError(f"{where}: expected {expected}, found {str(found)[:MAX_SHOWN]!r}") from None
+            raise InvalidTableError(f"{path}: expected {expected}, found {str(found)[:MAX_SHOWN]!r}") from None
 
     return guarded
 
@@ -112,16 +112,16 @@
 def _record_reader(kind: Any, _: tuple[Any, ...]) -> Reader:
     fields = [(name, field_type, _reader(field_type)) for name, field_type in fields_of(kind).items()]
 
-    def read(found: Any, where: str) -> Any:
+    def read(found: Any, path: str) -> Any:
         values = {
             name: found[name]
             if type(found[name]) is field_type
-            else inner(found[name], f"{where}.{name}" if where else name)
+            else inner(found[name], f"{path}.{name}" if path else name)
             for name, field_type, inner in fields
             if name in found
         }
         if len(values) < len(fields):
-            _check_complete(kind, values, where)
+            _check_complete(kind, values, path)
         return kind(**values)
 
     return read
@@ -129,14 +129,14 @@
 
 def _optional_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     read = _reader(inner[0])
-    return lambda found, where: None if found is None else read(found, where)
+    return lambda found, path: None if found is None else read(found, path)
 
 
 def _list_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     read, field_type = _reader(inner[0]), inner[0]
 
-    def read_all(found: Any, where: str) -> Any:
-        return tuple([value if type(value) is field_type else read(value, where) for value in _as_list(found)])
+    def read_all(found: Any, path: str) -> Any:
+        return tuple([value if type(value) is field_type else read(value, path) for value in _as_list(found)])
 
     return read_all
 
@@ -144,19 +144,19 @@
 def _tuple_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     readers = [_reader(field_type) for field_type in inner]
 
-    def read_each(found: Any, where: str) -> Any:
-        return tuple([read(value, where) for read, value in zip(readers, _as_list(found), strict=True)])
+    def read_each(found: Any, path: str) -> Any:
+        return tuple([read(value, path) for read, value in zip(readers, _as_list(found), strict=True)])
 
     return read_each
 
 
 def _table_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     read = _reader(inner[0])
-    return lambda found, where: {name: read(value, f"{where}.{name}") for name, value in found.items()}
+    return lambda found, path: {name: read(value, f"{path}.{name}") for name, value in found.items()}
 
 
 def _plain_reader(kind: Any, _: tuple[Any, ...]) -> Reader:
-    return lambda found, where: _plain(kind, found)
+    return lambda found, path: _plain(kind, found)
 
 
 _READER_MAKERS: dict[str, Callable[[Any, tuple[Any, ...]], Reader]] = {
@@ -169,10 +169,10 @@
 }
 
 
-def _check_complete(kind: Any, values: Mapping[str, Any], where: str) -> None:
+def _check_complete(kind: Any, values: Mapping[str, Any], path: str) -> None:
     missing = [name for name in kind._fields if name not in values and name not in kind._field_defaults]
     if missing:
-        raise InvalidTableError(f"{where or 'table'}: {', '.join(missing)} missing")
+        raise InvalidTableError(f"{path or 'table'}: {', '.join(missing)} missing")
 
 
 def _as_list(found: Any) -> Any:
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -250,7 +250,7 @@
             if answer is not None:
                 self.commands.append(DeliverChargeAnswer(answer))
         elif isinstance(message, HeartbeatEcho):
-            echo = Echo(message.registry, message.registry_time)
+            echo = Echo(message.counter_name, message.registry_time)
             if self.decisions.quota.record_echo(now, echo, message.sent, message.share):
                 self._echo_recorded(now, ip, echo.counter)
         elif isinstance(message, AdmissionReportAck):
--- a/thistleusher/transport/messages/usage.py
+++ b/thistleusher/transport/messages/usage.py
@@ -35,12 +35,12 @@
 class HeartbeatEcho(Message, tag="echo", frozen=True):
     """The registry's reply to a heartbeat.
 
-    `registry`: the counter's name (`common.incarnations.counter_name`); in release 0.2 the registry's name. `sent`: the
+    `counter_name`: see `common.incarnations.counter_name`; in release 0.2 the registry's name. `sent`: the
     heartbeat's value, on the proxy's clock. `registry_time`: send time on the registry's clock. `share`: the fraction
     of each rate limit that the proxy may grant by itself while it is out of contact with the registry.
     """
 
-    registry: str
+    counter_name: str
     sent: float
     registry_time: float
     share: float
