--- a/simnet/core/operators.py
+++ b/simnet/core/operators.py
@@ -202,9 +202,9 @@
         redirected = status == REDIRECT_STATUS and attempt.redirects < MOST_REDIRECTS
         if status in FINAL_STATUSES:
             request.done = True
-        elif redirected and error.where in self._core.machines:
+        elif redirected and error.location in self._core.machines:
             redirects = attempt.redirects + 1
-            self._core.clock.later(REDIRECT_S, lambda: self._send(request, error.where, redirects))
+            self._core.clock.later(REDIRECT_S, lambda: self._send(request, error.location, redirects))
         else:
             self._send_again(request)
 
--- a/thistleusher/registry/registry.py
+++ b/thistleusher/registry/registry.py
@@ -188,7 +188,7 @@
         The response to an abandoned call is dropped.
         """
         self._check_lease(now)
-        response_result = self.platform_calls.response_result(now, number, status, body)
+        response_result = self.platform_calls.receive_response(now, number, status, body)
         if response_result is None:
             return []
         self._outputs += response_result.outputs
