--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from thistleusher.cli.main import main
-from thistleusher.common.events import Event, page
+from thistleusher.common.events import Event, render_table
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -37,6 +37,6 @@
 
 
 def test_the_catalogue_of_events_is_the_page():
-    assert page() in (ROOT / "docs" / "events.md").read_text()
+    assert render_table() in (ROOT / "docs" / "events.md").read_text()
     numbers = [e.value.number for e in Event]
     assert len(numbers) == len(set(numbers))
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -42,17 +42,17 @@
     program.loop, program.registry, program.subscribers = StoppedLoop(), holding_role(), {"d": link}
     clock = iter((10.1, 10.1, 10.2, 12.0, 12.0, 12.0))
     monkeypatch.setattr(registry_program.time, "monotonic", lambda: next(clock))
-    program._from_subscriber(link, PRESENCE)
+    program._receive_from_subscriber(link, PRESENCE)
     assert [type(message) for message in link.messages] == [HeartbeatEcho]
-    program._from_subscriber(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
-    program._from_subscriber(link, PRESENCE)
+    program._receive_from_subscriber(link, PRESENCE)  # decided at 10.2, and it stood still before the answer left
+    program._receive_from_subscriber(link, PRESENCE)
     assert len(link.messages) == 1 and not program.registry.holds_role
 
 
 def test_a_message_on_a_replaced_connection_is_ignored():
     program, old, new = RegistryProgram.__new__(RegistryProgram), RecordedLink(), RecordedLink()
     program.registry, program.subscribers = holding_role(), {"d": new}
-    program._from_subscriber(old, PRESENCE)
+    program._receive_from_subscriber(old, PRESENCE)
     assert old.messages == new.messages == [] and program.registry.counter.shares.proxies["d"].incarnation == ""
 
 
