--- a/tests/common/test_process.py
+++ b/tests/common/test_process.py
@@ -1,4 +1,4 @@
-"""What the programs have in common: faults beside the work itself are said, and end nothing else."""
+"""Functions shared by the programs: errors in ticks and background tasks are logged and stop nothing else."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class BrokenSettings:
-    """Settings whose every reading is a fault."""
+    """Settings whose reload always raises an unexpected exception."""
 
     class node_settings:  # noqa: N801
         node_name = "n"
@@ -43,7 +43,7 @@
     assert logged.count("FAULT") >= 3
 
 
-def test_a_task_that_nobody_awaits_says_its_fault_at_once(monkeypatch):
+def test_a_failed_background_task_is_logged_at_once(monkeypatch):
     logged = []
     monkeypatch.setattr(background, "log_event", lambda event, *fields: logged.append((event.name, *fields)))
 
--- a/tests/common/test_quota_shares.py
+++ b/tests/common/test_quota_shares.py
@@ -1,18 +1,18 @@
-"""Shares of all limits: what all ingresses hold in whole requests is bounded at any number of them."""
+"""Shares of limits: the whole requests that all proxies hold in reserve are bounded for any number of proxies."""
 
 import random
 
 import pytest
 
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_shares import holding, share_interval
+from thistleusher.common.quota_shares import reserve_limits, share_interval
 from thistleusher.registry.quota_counter import QuotaCounter
 
 BOUNDS = Bounds(quota_window_s=5.0, quota_excess=0.1, quota_slack=20.0)
 
 
 @pytest.mark.parametrize("count", [1, 9, 71, 195, 2800])
-def test_what_all_ingresses_hold_of_a_limit_does_not_grow_with_their_number(count):
+def test_the_reserve_of_all_proxies_does_not_grow_with_their_number(count):
     rng = random.Random(count)
     weights = [rng.choice([1.0, 1.0, rng.random()]) for _ in range(count)]
     shares = {f"i{n}": weight / sum(weights) for n, weight in enumerate(weights)}
@@ -20,16 +20,16 @@
     part = sum(interval.end - interval.start for interval in intervals)
     for n in range(20):
         rate, burst = 10 ** (3 * rng.random()), 1000 * rng.random()
-        held = [holding(interval, f"tenant {n}", rate, burst, BOUNDS) for interval in intervals]
+        held = [reserve_limits(interval, f"tenant {n}", rate, burst, BOUNDS) for interval in intervals]
         reserve = 0.025 * (5 * rate + burst) + 10 + min(0.4 * rate, max(0.0, burst - 0.25 * rate))
-        slack = 1 if part > 0.99 else 6 + 0.2 * reserve  # some of the intervals are drawn
+        slack = 1 if part > 0.99 else 6 + 0.2 * reserve  # Only a sample of the intervals is added up.
         assert part * reserve - slack - 1 <= sum(each.reserve for each in held) <= part * reserve + slack
         assert all(0 <= each.reserve <= each.isolated for each in held)
         if part > 0.99:
             assert sum(each.isolated for each in held) <= reserve + rate
 
 
-def test_a_later_share_goes_to_the_end_and_moves_no_other():
+def test_a_later_share_is_placed_at_the_end_and_moves_no_other():
     counts = QuotaCounter(0.0)
     shares = {f"m{n}": 0.8 / 7 for n in range(7)}
     before = {name: share_interval(shares, name) for name in shares}
@@ -37,7 +37,7 @@
         counts.configure({}, shares)
         counts.shares.record_heartbeat(1.0, f"a{n}", "x", 1.0)
         counts.shares.record_heartbeat(1.0, f"z{n}", "x", 1.0)
-        shares.update(counts.shares.missing_shares(1.0))
+        shares.update(counts.shares.new_shares(1.0))
         now = {name: share_interval(shares, name) for name in shares}
         assert {name: now[name] for name in before} == before
         before = now
@@ -46,5 +46,5 @@
     assert all(a.end <= b.start for a, b in zip(ends, ends[1:], strict=False))
 
 
-def test_an_ingress_without_a_share_has_no_interval():
+def test_a_proxy_without_a_share_has_no_interval():
     assert share_interval({"i": 0.5}, "j") is None
--- a/tests/registry/test_backend_poller.py
+++ b/tests/registry/test_backend_poller.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thistleusher.registry.backend_poller import EMPTY_READINGS, BackendPoller, UnreadableAnswerError
+from thistleusher.registry.backend_poller import REQUIRED_EMPTY_READINGS, BackendPoller, UnreadableAnswerError
 
 
 def entry(n, phase="ready", cold=0):
@@ -25,7 +25,7 @@
 
 
 def read(poller, now, *pages):
-    """A reading of some pages; what changed."""
+    """Let the poller read pages; return the time of the last one and the changes."""
     changes = None
     for body in pages:
         while poller.begin_call(now) is None:
@@ -34,7 +34,7 @@
     return now, changes
 
 
-def test_a_backend_that_drains_on_page_two_is_found():
+def test_a_backend_that_drains_on_page_two_is_detected():
     poller = BackendPoller(0.0, 47.0)
     now, changes = read(poller, 0.0, page(entry(1), entry(2), token="p-50"), page(entry(3)))
     assert changes.keys() == {"i1", "i2", "i3"}
@@ -76,26 +76,26 @@
     assert changes == {}
 
 
-def test_an_incomplete_reading_is_no_list():
+def test_an_incomplete_reading_does_not_change_the_list():
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1), token="p"), page(entry(2)))
     now, _ = read(poller, now + 1, page(entry(1), token="p"))
     poller.begin_call(now + 1)
-    poller.call_failed(now + 1)  # the second page never comes
+    poller.call_failed(now + 1)  # The second page never arrives.
     assert set(poller.backends) == {"i1", "i2"}
-    assert poller.begin_call(now + 3) == "/instances"  # from the start again
+    assert poller.begin_call(now + 3) == "/instances"  # The reading restarts from the first page.
 
 
-def test_an_empty_list_is_believed_only_after_some_readings():
+def test_an_empty_list_is_accepted_only_after_several_readings():
     poller = BackendPoller(0.0, 47.0)
     now, _ = read(poller, 0.0, page(entry(1)))
-    for n in range(EMPTY_READINGS):
+    for n in range(REQUIRED_EMPTY_READINGS):
         now, changes = read(poller, now + 1, page())
-        assert (changes is None) == (n < EMPTY_READINGS - 1)
+        assert (changes is None) == (n < REQUIRED_EMPTY_READINGS - 1)
     assert changes == {"i1": None}
 
 
-def test_calls_stay_below_the_platforms_bound_and_back_off_after_a_429():
+def test_calls_stay_below_the_platforms_rate_limit_and_back_off_after_a_429():
     poller, calls, now = BackendPoller(0.0, 4.0), 0, 0.0
     while now < 10.0:
         if poller.begin_call(now) is not None:
@@ -114,7 +114,7 @@
     assert changes["i1"]["cold"] == 3000
     now, changes = read(poller, now + 1.0, page(entry(1, cold=2000)))
     assert changes == {}
-    now, changes = read(poller, now + 1.0, page(entry(1, cold=3500)))  # cold anew
+    now, changes = read(poller, now + 1.0, page(entry(1, cold=3500)))  # The backend has restarted its warm-up.
     assert changes["i1"]["cold"] == 3500
     now, changes = read(poller, now + 4.0, page(entry(1)))
     assert changes["i1"]["cold"] == 0
--- a/tests/registry/test_quota_recovery.py
+++ b/tests/registry/test_quota_recovery.py
@@ -1,4 +1,4 @@
-"""A new counter learns from the proxies what was admitted before its start, and assumes the worst until then."""
+"""A new counter learns from proxies what was admitted before its start, and assumes the worst until it has done so."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def heartbeats(counter, now, names=("p1", "p2")):
-    """Let proxies hear the counter and confirm it, so that nothing is deducted for them."""
+    """Let proxies receive and confirm an echo of the counter, so that nothing is deducted for them."""
     for name in names:
         counter.shares.record_heartbeat(now, name, f"{name}@0.000", None)
         counter.shares.record_heartbeat(now + 0.05, name, f"{name}@0.000", now)
@@ -54,7 +54,7 @@
     assert admitted_at_once(counter, STARTED_AT + 0.2) <= 0.2 * RATE
 
 
-def test_a_listed_proxy_without_a_share_is_waited_for_too():
+def test_the_report_of_a_listed_proxy_without_a_share_is_awaited_too():
     counter = new_counter()
     counter.shares.expect_reports(["p3"])
     heartbeats(counter, STARTED_AT, ("p1", "p2", "p3"))
@@ -65,15 +65,15 @@
     assert admitted_at_once(counter, STARTED_AT + 0.3) > 50
 
 
-def test_a_proxy_that_has_just_started_does_not_know_what_the_one_before_it_admitted():
+def test_a_new_proxy_does_not_know_what_its_predecessor_admitted():
     counter = new_counter()
     heartbeats(counter, STARTED_AT)
     counter.record_admissions(STARTED_AT + 0.1, "p1", "p1@0.000", 10.0, {})
-    counter.record_admissions(STARTED_AT + 0.1, "p2", "p2@0.000", 2.0, {})  # it knows 1.9 s before the counter's start
+    counter.record_admissions(STARTED_AT + 0.1, "p2", "p2@0.000", 2.0, {})  # Covers 1.9 s before the counter's start.
     assert admitted_at_once(counter, STARTED_AT + 0.2) <= 2.1 * RATE
 
 
-def test_a_proxy_that_started_after_the_counter_does_not_undo_what_its_forerunner_reported():
+def test_a_proxy_started_after_the_counter_does_not_undo_its_predecessors_report():
     counter = new_counter()
     heartbeats(counter, STARTED_AT)
     for name in SHARES:
--- a/thistleusher/common/record_reader.py
+++ b/thistleusher/common/record_reader.py
@@ -1,10 +1,10 @@
-"""Reads records out of tables (JSON, settings): the fields that a record has, as the types that it names, no others.
+"""Converts tables (JSON, settings) to records; fields that a record does not declare are ignored.
 
-This is how a process that starts while clients wait reads its settings, and how a proxy reads what a control node has
-checked: pydantic, which checks, takes 0.13 s of a front machine to load. For every table that passes its checks, both
-give the same record (`tests/configuration/test_validation.py`).
+A process reads its settings this way, as it may start while clients wait, and a proxy reads the configuration that a
+control process has validated. pydantic, which validates, takes 0.13 s to load on a front machine. For every table that
+passes pydantic's validation, both produce the same record (`tests/configuration/test_validation.py`).
 
-Pure. Cost: one step a field.
+No I/O. Cost: linear in the number of fields.
 """
 
 from __future__ import annotations
@@ -17,21 +17,24 @@
 R = TypeVar("R")
 TRUE_WORDS = ("true", "1", "yes", "on", "t", "y")
 FALSE_WORDS = ("false", "0", "no", "off", "f", "n")
-MAX_SHOWN = 60  # characters of a wrong value that its error shows
+MAX_SHOWN = 60  # Maximum number of characters of an invalid value that its error message includes.
 
 
 class InvalidTableError(ValueError):
-    """A field that is missing or cannot be read as the type that its record names: where, expected, found."""
+    """A field is missing or not convertible to its declared type; the message states path, expected type and value."""
 
 
 @functools.cache
 def fields_of(kind: type) -> Mapping[str, Any]:
-    """Return a record's fields and their types; empty where `kind` is no record."""
+    """Return the names and types of a record's fields; empty if `kind` is not a record type."""
     return get_type_hints(kind) if issubclass(kind, tuple) and hasattr(kind, "_fields") else {}
 
 
 def _uncached_shape(kind: Any) -> tuple[str, tuple[Any, ...]]:
-    """Return a type's shape ('record', 'optional', 'list' of any length, 'tuple', 'table', 'plain') and inner types."""
+    """Return a type's shape ('record', 'optional', 'list', 'tuple', 'table' or 'plain') and its inner types.
+
+    A 'list' is a tuple of any length, a 'tuple' one of fixed length.
+    """
     origin = get_origin(kind)
     if origin in (Union, types.UnionType):
         return "optional", tuple(arg for arg in get_args(kind) if arg is not type(None))
@@ -49,7 +52,7 @@
 @functools.cache
 def _fields_with_records(kind: type) -> frozenset[str]:
     """Return the fields of a record whose values contain records themselves, at any depth."""
-    return frozenset(name for name, of in fields_of(kind).items() if _contains_record(of))
+    return frozenset(name for name, field_type in fields_of(kind).items() if _contains_record(field_type))
 
 
 def _contains_record(kind: Any) -> bool:
@@ -58,7 +61,7 @@
 
 
 def known_fields_only(kind: Any, found: Any) -> Any:
-    """Return a table without the fields that its record does not have; what is no table stays as it is."""
+    """Return a table without the fields that its record type does not declare; return other values unchanged."""
     shape, inner = _shape(kind)
     if shape == "record" and isinstance(found, dict):
         fields, nested = fields_of(kind), _fields_with_records(kind)
@@ -76,44 +79,49 @@
     return found
 
 
-Reader = Callable[[Any, str], Any]  # takes what was found, and where
+Reader = Callable[[Any, str], Any]  # Arguments: the value found, and the path of its field.
+
 
+def read_record(kind: type[R], found: Any, path: str = "") -> R:
+    """Return a record of type `kind` from a table. Raise InvalidTableError for a missing or invalid field.
 
-def read_record(kind: type[R], found: Any, where: str = "") -> R:
-    """Return a record of a kind out of a table. Raise InvalidTableError for what is missing or of another type."""
-    made: R = _reader(cast(Any, kind))(found, where)
+    `path` is the path of the table, for error messages.
+    """
+    made: R = _reader(cast(Any, kind))(found, path)
     return made
 
 
 @functools.cache
 def _reader(kind: Any) -> Reader:
-    """Return what reads a type; made once for each."""
+    """Return the reader of a type; it is built once per type."""
     shape, inner = _shape(kind)
     read = _READER_MAKERS[shape](kind, inner)
 
-    def guarded(found: Any, where: str) -> Any:
+    def guarded(found: Any, path: str) -> Any:
         try:
-            return read(found, where)
+            return read(found, path)
         except InvalidTableError:
             raise
         except (ValueError, TypeError, AttributeError, OverflowError):
             expected = getattr(kind, "__name__", kind)
-            raise InvalidTableError(f"{where}: expected {expected}, found {str(found)[:MAX_SHOWN]!r}") from None
+            raise InvalidTableError(f"{path}: expected {expected}, found {str(found)[:MAX_SHOWN]!r}") from None
 
     return guarded
 
 
 def _record_reader(kind: Any, _: tuple[Any, ...]) -> Reader:
-    fields = [(name, of, _reader(of)) for name, of in fields_of(kind).items()]
+    fields = [(name, field_type, _reader(field_type)) for name, field_type in fields_of(kind).items()]
 
-    def read(found: Any, where: str) -> Any:
+    def read(found: Any, path: str) -> Any:
         values = {
-            name: found[name] if type(found[name]) is of else inner(found[name], f"{where}.{name}" if where else name)
-            for name, of, inner in fields
+            name: found[name]
+            if type(found[name]) is field_type
+            else inner(found[name], f"{path}.{name}" if path else name)
+            for name, field_type, inner in fields
             if name in found
         }
         if len(values) < len(fields):
-            _check_complete(kind, values, where)
+            _check_complete(kind, values, path)
         return kind(**values)
 
     return read
@@ -121,34 +129,34 @@
 
 def _optional_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     read = _reader(inner[0])
-    return lambda found, where: None if found is None else read(found, where)
+    return lambda found, path: None if found is None else read(found, path)
 
 
 def _list_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
-    read, of = _reader(inner[0]), inner[0]
+    read, field_type = _reader(inner[0]), inner[0]
 
-    def read_all(found: Any, where: str) -> Any:
-        return tuple([value if type(value) is of else read(value, where) for value in _as_list(found)])
+    def read_all(found: Any, path: str) -> Any:
+        return tuple([value if type(value) is field_type else read(value, path) for value in _as_list(found)])
 
     return read_all
 
 
 def _tuple_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
-    reads = [_reader(of) for of in inner]
+    readers = [_reader(field_type) for field_type in inner]
 
-    def read_each(found: Any, where: str) -> Any:
-        return tuple([read(value, where) for read, value in zip(reads, _as_list(found), strict=True)])
+    def read_each(found: Any, path: str) -> Any:
+        return tuple([read(value, path) for read, value in zip(readers, _as_list(found), strict=True)])
 
     return read_each
 
 
 def _table_reader(_: Any, inner: tuple[Any, ...]) -> Reader:
     read = _reader(inner[0])
-    return lambda found, where: {name: read(value, f"{where}.{name}") for name, value in found.items()}
+    return lambda found, path: {name: read(value, f"{path}.{name}") for name, value in found.items()}
 
 
 def _plain_reader(kind: Any, _: tuple[Any, ...]) -> Reader:
-    return lambda found, where: _plain(kind, found)
+    return lambda found, path: _plain(kind, found)
 
 
 _READER_MAKERS: dict[str, Callable[[Any, tuple[Any, ...]], Reader]] = {
@@ -161,10 +169,10 @@
 }
 
 
-def _check_complete(kind: Any, values: Mapping[str, Any], where: str) -> None:
+def _check_complete(kind: Any, values: Mapping[str, Any], path: str) -> None:
     missing = [name for name in kind._fields if name not in values and name not in kind._field_defaults]
     if missing:
-        raise InvalidTableError(f"{where or 'table'}: {', '.join(missing)} missing")
+        raise InvalidTableError(f"{path or 'table'}: {', '.join(missing)} missing")
 
 
 def _as_list(found: Any) -> Any:
--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from thistleusher.common.quota_timing import ALLOWED, VERDICT_WAIT_S
+from thistleusher.common.quota_timing import ALLOWED, VERDICT_TIMEOUT_S
 from thistleusher.proxy.admission_tally import AdmissionTally
 from thistleusher.proxy.admitted_requests import AdmittedRequests
 from thistleusher.proxy.quota import LocalQuota
@@ -83,7 +83,7 @@
         """Yield decisions, made by this proxy's own share, on requests whose verdict is late.
 
         The caller must act on each decision before it takes the next one. While this proxy is isolated, every waiting
-        request is decided. Otherwise only requests that have waited for `VERDICT_WAIT_S` and that the share admits are
+        request is decided. Otherwise only requests that have waited for `VERDICT_TIMEOUT_S` and that the share admits are
         decided; all others keep waiting.
         """
         isolated = self.quota.is_isolated(now)
@@ -94,7 +94,7 @@
             elif isolated:
                 del self.awaiting_verdict[name]
                 yield request, self._decide_locally(now, request, request.tenant)
-            elif now - charged_at < VERDICT_WAIT_S:
+            elif now - charged_at < VERDICT_TIMEOUT_S:
                 break  # ordered by age: all further requests have waited for less
             elif self.quota.spend(now, request.tenant):
                 del self.awaiting_verdict[name]
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -171,7 +171,7 @@
             # A proxy without a list does not know its watchers. It answers every proxy with a newer state, so that
             # one of them sends a copy.
             self.commands.append(SendHeartbeat(ip, self._ring_heartbeat()))
-        if self.ring.needs_hand_over(now, heartbeat.sender, theirs, mine):
+        if self.ring.needs_state_transfer(now, heartbeat.sender, theirs, mine):
             control = self.control.state.update_since(theirs[0])
             registry = self.registry.state.update_since(theirs[1])
             self.commands.append(SendHandOver(heartbeat.sender, ip, HandOver(self.name, control, registry)))
@@ -252,7 +252,7 @@
             if answer is not None:
                 self.commands.append(DeliverChargeAnswer(answer))
         elif isinstance(message, HeartbeatEcho):
-            echo = Echo(message.registry, message.registry_time)
+            echo = Echo(message.counter_name, message.registry_time)
             if self.decisions.quota.record_echo(now, echo, message.sent, message.share):
                 self._echo_recorded(now, ip, echo.counter)
         elif isinstance(message, AdmissionReportAck):
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -1,7 +1,7 @@
 """The proxy's part in the tenants' rate limits: contact with the counter, and local limits while it does not answer.
 
 Each request is charged against its tenant's central count before it is forwarded, and the counter's verdict decides.
-After `VERDICT_WAIT_S` without a verdict, this proxy's reserve may admit the request; otherwise the request keeps
+After `VERDICT_TIMEOUT_S` without a verdict, this proxy's reserve may admit the request; otherwise the request keeps
 waiting. After `LOCAL_QUOTA_FROM_S` without an echo, this proxy uses its share: a token bucket per tenant that refills
 at the share of the rate. The counter deducts that share from what it admits centrally during this time.
 
@@ -23,13 +23,13 @@
 from typing import NamedTuple
 
 from thistleusher.common.node_settings import Bounds
-from thistleusher.common.quota_shares import NOTHING_HELD, Holding, ShareInterval, holding
+from thistleusher.common.quota_shares import NO_RESERVE, ReserveLimits, ShareInterval, reserve_limits
 from thistleusher.common.quota_timing import (
-    ECHO_MISSED_S,
+    ECHO_TIMEOUT_S,
     HEARTBEAT_S,
     LOCAL_QUOTA_FROM_S,
     LOCAL_QUOTA_UNTIL_S,
-    RESERVE_FILLED_S,
+    RESERVE_FILL_S,
     STATUS_REPORT_S,
 )
 
@@ -75,7 +75,7 @@
     """The counter's echoes, this proxy's share, and the tenants' token buckets.
 
     Invariants: without contact to the counter, a bucket refills at this proxy's share of the rate. With contact, it
-    fills up to this proxy's part of the reserve within `RESERVE_FILLED_S`. It never holds more than `Holding` allows.
+    fills up to this proxy's part of the reserve within `RESERVE_FILL_S`. It never holds more than `ReserveLimits` allows.
     The counter deducts the share of a proxy that has not been heard from before that proxy starts to spend it.
     """
 
@@ -108,9 +108,9 @@
     def heartbeat_due(self, now: float) -> HeartbeatScope | None:
         """Return the recipients of the heartbeat that is due, None if none is due; it counts as sent then.
 
-        After `ECHO_MISSED_S` without an echo all registries get one, as another registry may hold the counter's role.
+        After `ECHO_TIMEOUT_S` without an echo all registries get one, as another registry may hold the counter's role.
         """
-        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_MISSED_S
+        echo_missed = now >= self.next_heartbeat_at and now - self.echoed_sent_at > ECHO_TIMEOUT_S
         report_due = now >= self.next_report_at or echo_missed
         if not report_due and now < self.next_heartbeat_at:
             return None
@@ -152,7 +152,7 @@
             bucket = self.buckets[tenant] = TokenBucket(0.0, self.started_at)
         isolated_at = self.echoed_sent_at + LOCAL_QUOTA_FROM_S
         if bucket.updated_at < isolated_at:
-            bucket.refill(min(now, isolated_at), held.reserve / RESERVE_FILLED_S, held.reserve)
+            bucket.refill(min(now, isolated_at), held.reserve / RESERVE_FILL_S, held.reserve)
         if now >= isolated_at:
             bucket.refill(now, self.share * limit.rate_per_s, held.isolated)
         if bucket.level < 1.0:
@@ -160,7 +160,7 @@
         bucket.level -= 1.0
         return True
 
-    def _holding(self, tenant: str, limit: RateLimit) -> Holding:
+    def _holding(self, tenant: str, limit: RateLimit) -> ReserveLimits:
         if self.interval is None:
-            return NOTHING_HELD
-        return holding(self.interval, tenant, limit.rate_per_s, limit.burst, self.bounds)
+            return NO_RESERVE
+        return reserve_limits(self.interval, tenant, limit.rate_per_s, limit.burst, self.bounds)
--- a/thistleusher/registry/program.py
+++ b/thistleusher/registry/program.py
@@ -1,7 +1,7 @@
-"""The registry as a process: its machine's links, the platform's calls, ticks.
+"""The registry process: links to other processes, calls to the platform, and ticks.
 
-The clock is read anew for each input and before each answer: `loop.time()` is that of the loop's iteration, and a
-process that was paused within one would take it for the present.
+The clock is read for each input and before each reply. `loop.time()` is fixed for one iteration of the event loop, so
+a process that was paused within an iteration would use an outdated time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from thistleusher.transport.links import Link, Listener, ReconnectingLink
 from thistleusher.transport.messages import AnyMessage, SubscribeRequest
 
-SHUTDOWN_S = 0.1  # for the last messages to leave
+SHUTDOWN_DELAY_S = 0.1  # Delay before links are closed, so that the last messages are sent.
 
 
 class RegistryProgram:
@@ -34,66 +34,66 @@
 
     def __init__(self, settings: SettingsFile) -> None:
         self.settings = settings
-        self.boot = settings.node_settings
+        self.node_settings = settings.node_settings
         self.loop = asyncio.get_running_loop()
-        platform = self.boot.cloud_api
+        platform = self.node_settings.cloud_api
         self.platform = PlatformClient(read_address(platform.address)) if platform.address else None
         self.registry = Registry(
-            f"{self.boot.node_name}/{new_incarnation(PROCESS_STARTED_AT)}",
-            self.boot.ip,
+            f"{self.node_settings.node_name}/{new_incarnation(PROCESS_STARTED_AT)}",
+            self.node_settings.ip,
             time.monotonic(),
             random.Random(),
             platform.rate_per_s,
             self.platform is not None,
-            self.boot.bounds.quota_window_s,
+            self.node_settings.bounds.quota_window_s,
         )
         self.platform_call: asyncio.Task[None] | None = None
         self.control = CoreLinks(
             self.loop,
-            lambda: self.boot.port(CONTROL),
+            lambda: self.node_settings.port(CONTROL),
             self.registry.control_state.subscribe_request,
-            self._from_control,
+            self._receive_from_control,
         )
         self.peers = CoreLinks(
             self.loop,
-            lambda: self.boot.port(REGISTRY),
+            lambda: self.node_settings.port(REGISTRY),
             self.registry.list.subscribe_request,
-            self._from_peer,
-            own_address=self.boot.ip,
+            self._receive_from_peer,
+            own_address=self.node_settings.ip,
         )
-        self.listener = Listener(self.loop, self._from_subscriber, self._subscriber_gone)
+        self.listener = Listener(self.loop, self._receive_from_subscriber, self._remove_subscriber)
         self.subscribers: dict[str, Link] = {}
 
     async def run(self) -> None:
-        """Serve until the process is asked to shut down."""
-        await self.listener.listen(self.boot.ip, self.boot.port(REGISTRY))
-        self._connect_to(self.boot.core_ips)
+        """Serve until the process receives a signal to shut down."""
+        await self.listener.listen(self.node_settings.ip, self.node_settings.port(REGISTRY))
+        self._connect_to(self.node_settings.core_ips)
         self.tick()
         await serve("registry", self.settings, self.tick, self._settings_changed, self.shut_down)
 
     async def shut_down(self) -> None:
         """Release the singleton role, then close all links."""
-        self._carry_out(self.registry.stop())
-        await asyncio.sleep(SHUTDOWN_S)
+        self._execute(self.registry.stop())
+        await asyncio.sleep(SHUTDOWN_DELAY_S)
         self.listener.close()
         self.control.close()
         self.peers.close()
 
     def _settings_changed(self) -> None:
-        self.boot = self.settings.node_settings
-        self._connect_to(self.boot.core_ips)
+        self.node_settings = self.settings.node_settings
+        self._connect_to(self.node_settings.core_ips)
 
     def _connect_to(self, addresses: Iterable[str]) -> None:
         self.control.connect_to(addresses)
         self.peers.connect_to(addresses)
 
     def tick(self) -> None:
-        """Let the state machine do what is due."""
-        self._carry_out(self.registry.tick(time.monotonic()))
+        """Run one tick of the state machine and carry out its outputs."""
+        self._execute(self.registry.tick(time.monotonic()))
 
     # Outputs.
 
-    def _carry_out(self, outputs: list[Output]) -> None:
+    def _execute(self, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, SendToSubscriber):
                 self._send_to_subscriber(output)
@@ -110,13 +110,13 @@
                 log_event(output.event, *output.fields)
 
     def _send_to_subscriber(self, output: SendToSubscriber) -> None:
-        """Send what only a holder of the role may send, if the role is still held."""
+        """Send a message that only the holder of the role may send, if the role is still held."""
         link = self.subscribers.get(output.name)
         if link is not None and self.registry.can_answer(time.monotonic()):
             link.send(output.message)
 
     def _start_call(self, call: CallPlatform) -> None:
-        """Begin a call; one that is still in flight was given up, and ends first."""
+        """Start a call; cancel an earlier one that is still in flight, as the state machine has abandoned it."""
         if self.platform_call is not None:
             self.platform_call.cancel()
         self.platform_call = start_background(self.loop, self._call_platform(call), "a call to the platform")
@@ -125,39 +125,39 @@
         assert self.platform is not None
         response = await self.platform.get(call.target)
         status, body = (response.status, response.body) if response is not None else (0, b"")
-        self._carry_out(self.registry.platform_answered(time.monotonic(), call.number, status, body))
+        self._execute(self.registry.receive_platform_response(time.monotonic(), call.number, status, body))
 
     # Messages.
 
-    def _from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
+    def _receive_from_control(self, link: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.receive_from_control(time.monotonic(), link.host, message)
         if reply is not None:
             link.send(reply)
-        self._carry_out(outputs)
+        self._execute(outputs)
 
-    def _from_peer(self, link: ReconnectingLink, message: AnyMessage) -> None:
+    def _receive_from_peer(self, link: ReconnectingLink, message: AnyMessage) -> None:
         outputs, reply = self.registry.receive_from_peer(time.monotonic(), message)
         if reply is not None:
             link.send(reply)
-        self._carry_out(outputs)
+        self._execute(outputs)
 
-    def _from_subscriber(self, link: Link, message: AnyMessage) -> None:
+    def _receive_from_subscriber(self, link: Link, message: AnyMessage) -> None:
         if not link.name:
-            raise UnexpectedMessageError(message)  # it has not said who it is
+            raise UnexpectedMessageError(message)  # The sender has not identified itself.
         if isinstance(message, SubscribeRequest):
             self.subscribers[link.name] = link
-            for links in (self.control, self.peers):  # a registry's machine: both of its programs are up
+            for links in (self.control, self.peers):  # If the peer is a core machine, it is up: reconnect now.
                 links.retry_now(link.peer_address)
         elif self.subscribers.get(link.name) is not link:
-            return  # a newer connection has taken this one's place, maybe of a newer incarnation
-        self._carry_out(self.registry.receive_from_subscriber(time.monotonic(), link.name, message))
+            return  # A newer connection, possibly of a newer incarnation, has replaced this one.
+        self._execute(self.registry.receive_from_subscriber(time.monotonic(), link.name, message))
 
-    def _subscriber_gone(self, link: Link) -> None:
+    def _remove_subscriber(self, link: Link) -> None:
         if self.subscribers.get(link.name) is link:
             del self.subscribers[link.name]
-            self.registry.subscriber_gone(link.name)
+            self.registry.remove_subscriber(link.name)
 
 
 async def main(settings: SettingsFile) -> None:
-    """Run what `python -m thistleusher.system registry` starts."""
+    """Run the registry process, which `python -m thistleusher.system registry` starts."""
     await RegistryProgram(settings).run()
