--- a/thistleusher/proxy/admission.py
+++ b/thistleusher/proxy/admission.py
@@ -83,8 +83,8 @@
         """Yield decisions, made by this proxy's own share, on requests whose verdict is late.
 
         The caller must act on each decision before it takes the next one. While this proxy is isolated, every waiting
-        request is decided. Otherwise only requests that have waited for `VERDICT_TIMEOUT_S` and that the share admits are
-        decided; all others keep waiting.
+        request is decided. Otherwise only requests that have waited for `VERDICT_TIMEOUT_S` and that the share admits
+        are decided; all others keep waiting.
         """
         isolated = self.quota.is_isolated(now)
         for name, charged_at in list(self.awaiting_verdict.items()):
--- a/thistleusher/proxy/quota.py
+++ b/thistleusher/proxy/quota.py
@@ -75,8 +75,8 @@
     """The counter's echoes, this proxy's share, and the tenants' token buckets.
 
     Invariants: without contact to the counter, a bucket refills at this proxy's share of the rate. With contact, it
-    fills up to this proxy's part of the reserve within `RESERVE_FILL_S`. It never holds more than `ReserveLimits` allows.
-    The counter deducts the share of a proxy that has not been heard from before that proxy starts to spend it.
+    fills up to this proxy's part of the reserve within `RESERVE_FILL_S`. It never holds more than `ReserveLimits`
+    allows. The counter deducts the share of a proxy that has not been heard from before that proxy starts to spend it.
     """
 
     def __init__(self, now: float, bounds: Bounds, started_at: float | None = None) -> None:
