--- a/thistleusher/gossip/__init__.py
+++ b/thistleusher/gossip/__init__.py
@@ -1,7 +1,8 @@
-"""What the ingresses of a large fleet say to one another: to whom, when and within which budget; pure.
+"""Messages between the ingresses of a large deployment: their receivers, timing and rate limits. Pure.
 
-What one ingress sends a second is bounded whatever its traffic and the size of the fleet; what waits is merged, never
-queued without end; and a customer whose set is too wide for updates has one account, at its owner.
+The messages that one ingress sends a second are bounded, whatever its traffic and the number of ingresses. Waiting
+updates are merged, so the queue is bounded. A customer whose ingress set is too large for updates has a single account,
+kept by its owner.
 """
 
 from thistleusher.gossip.outbox import Outbox
--- a/thistleusher/gossip/messages.py
+++ b/thistleusher/gossip/messages.py
@@ -1,10 +1,10 @@
-"""Messages between the owner of an account and the ingresses of its customer's set, byte by byte.
+"""Datagram formats of the messages between the owner of an account and the other ingresses of the customer's set.
 
     07  query           number (2), customer and plan (5), set: first (2), width (2), quarter units (2)  14 bytes
     08  reply           number (2), 1 admitted / 0 not (1), headroom in quarter units, signed (2)         6 bytes
-    09  reconciliation  rows of customer and plan (5), quarter units more or less, signed (2)             7 bytes a row
+    09  reconciliation  rows of customer and plan (5), difference in quarter units, signed (2)            7 bytes a row
 
-Numbers are big-endian. A message of another length is ignored.
+Sizes in parentheses are in bytes. Numbers are big-endian. A message of another length is ignored.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 MAX_MESSAGE_BYTES = 256
 MAX_ROWS = (MAX_MESSAGE_BYTES - 1) // ROW_FORMAT.size
 QUARTERS_PER_UNIT = 4
-MAX_QUARTERS = 0xFFFF  # unsigned
-MIN_SIGNED, MAX_SIGNED = -0x8000, 0x7FFF
+MAX_QUARTERS = 0xFFFF  # largest unsigned 16-bit number of quarter units
+MIN_SIGNED, MAX_SIGNED = -0x8000, 0x7FFF  # range of a signed 16-bit number of quarter units
 
 
 class Query(NamedTuple):
@@ -35,8 +35,8 @@
     number: int
     plan: int
     customer: int
-    first: int  # of the customer's set
-    width: int
+    first: int  # first ingress of the customer's ingress set
+    width: int  # number of ingresses in the set
     units: float
 
     def encode(self) -> bytes:
@@ -47,7 +47,7 @@
 
 
 def decode_query(payload: bytes) -> Query | None:
-    """Return a query; None where the length is wrong."""
+    """Return the decoded query; None if the length is wrong."""
     if len(payload) != 1 + QUERY_FORMAT.size:
         return None
     number, name, first, width, quarters = QUERY_FORMAT.unpack_from(payload, 1)
@@ -59,16 +59,16 @@
 
     number: int
     admitted: bool
-    headroom: float  # units; below 0 where more was spent
+    headroom: float  # in units; negative if the account is overspent
 
     def encode(self) -> bytes:
-        """Return the message's bytes; headroom is rounded down, as none must not become enough."""
+        """Return the message's bytes; headroom is rounded down, so that it is never overstated."""
         quarters = max(MIN_SIGNED, min(MAX_SIGNED, math.floor(QUARTERS_PER_UNIT * self.headroom)))
         return REPLY_MARK + REPLY_FORMAT.pack(self.number, self.admitted, quarters)
 
 
 def decode_reply(payload: bytes) -> Reply | None:
-    """Return a reply; None where the length is wrong."""
+    """Return the decoded reply; None if the length is wrong."""
     if len(payload) != 1 + REPLY_FORMAT.size:
         return None
     number, admitted, quarters = REPLY_FORMAT.unpack_from(payload, 1)
@@ -76,7 +76,7 @@
 
 
 class ReconciliationRow(NamedTuple):
-    """Units that a customer used more (or less) than its owner was asked for."""
+    """Units that a customer used beyond those requested from its owner; negative if it used fewer."""
 
     customer: int
     plan: int
@@ -84,7 +84,7 @@
 
 
 def encode_reconciliations(rows: Sequence[tuple[bytes, float]]) -> list[bytes]:
-    """Return the messages that hold the rows of encoded customer and plan, and units rounded to quarters."""
+    """Return messages with the rows of (encoded customer and plan, units); units are rounded to quarters."""
     encoded = [
         ROW_FORMAT.pack(name, max(MIN_SIGNED, min(MAX_SIGNED, round(QUARTERS_PER_UNIT * units))))
         for name, units in rows
@@ -93,7 +93,7 @@
 
 
 def decode_reconciliations(payload: bytes) -> list[ReconciliationRow]:
-    """Return the rows of a message; none where the length is wrong."""
+    """Return the rows of a message; an empty list if the length is wrong."""
     if (len(payload) - 1) % ROW_FORMAT.size:
         return []
     rows: list[ReconciliationRow] = []
--- a/thistleusher/gossip/pending.py
+++ b/thistleusher/gossip/pending.py
@@ -1,45 +1,45 @@
-"""Requests that wait for shares which peers were asked for: few at once, each for a bounded time; pure.
+"""Requests that wait for shares demanded from peers; bounded in number, each for a bounded time. Pure.
 
-An ingress whose share of a ceiling is short asks peers of the set, and what they give comes a round trip later: too
-late for a request that is rejected at once, though the set has headroom. So it waits, is looked at again with each
-transfer, and is decided on for good when its time is up.
+An ingress whose share of a ceiling is too small demands more from the peers of the set, and their transfers arrive one
+round trip later. A request that is rejected immediately would miss them although the set has headroom. So the request
+waits, is reconsidered after each transfer, and gets a final decision at its deadline.
 
-Guaranteed: a request is here once; it leaves with `take` or `expire`, at its deadline at the latest. Cost: constant a
-request; a transfer costs a look at all that wait, `MAX_PENDING` at most.
+Guarantee: a request is held once, and leaves with `take` or `expire`, at its deadline at the latest. Cost: constant per
+request; a transfer costs one check of each waiting request, at most `MAX_PENDING`.
 """
 
 from __future__ import annotations
 
-MAX_PENDING = 64  # requests that wait at once; beyond it none does
+MAX_PENDING = 64  # maximum number of waiting requests; further requests do not wait
 
 
 class PendingRequests:
-    """Names of requests and their deadlines, in seconds of one clock; in the order in which they came."""
+    """Ids of waiting requests with their deadlines in seconds of one clock, in order of arrival."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without requests."""
         self._deadlines: dict[str, float] = {}
 
     def add(self, request: str, deadline: float) -> bool:
-        """Keep a request until its deadline; return False where too many wait."""
+        """Hold a request until its deadline; return False if too many requests wait already."""
         if len(self._deadlines) >= MAX_PENDING:
             return False
         self._deadlines[request] = deadline
         return True
 
     def take(self) -> list[str]:
-        """Return all of them, to be looked at again; they are pending no longer."""
+        """Remove and return all requests, to be reconsidered."""
         requests = list(self._deadlines)
         self._deadlines.clear()
         return requests
 
     def expire(self, now: float) -> list[str]:
-        """Return those whose time is up; they are pending no longer."""
+        """Remove and return the requests whose deadline has passed."""
         requests = [request for request, deadline in self._deadlines.items() if deadline <= now]
         for request in requests:
             del self._deadlines[request]
         return requests
 
     def next_deadline(self) -> float | None:
-        """Return when the first one's time is up; None where none waits."""
+        """Return the earliest deadline; None if no request waits."""
         return min(self._deadlines.values(), default=None)
--- a/thistleusher/gossip/queries.py
+++ b/thistleusher/gossip/queries.py
@@ -1,8 +1,9 @@
-"""Queries to owners that have no reply yet, and at an owner, the replies of late.
+"""Outstanding queries to owners and, at an owner, a cache of its recent replies.
 
-Guaranteed: a query has one end, a reply or its deadline; at most `MAX_QUERIES` are outstanding. One without a reply is
-sent once more, and an owner that knows it repeats what it has replied: a message that was lost charges nothing twice.
-Cost: constant a request; over the fleet two messages of 14 and 6 bytes a request, and one of 8 bytes to reconcile.
+Guarantees: a query ends exactly once, with a reply or at its deadline; at most `MAX_QUERIES` are outstanding. A query
+without a reply is retransmitted once, and an owner that has already received it repeats its reply, so a lost message
+never causes a second charge. Cost: constant per request; on the network two messages of 14 and 6 bytes per request, and
+one of 8 bytes for a reconciliation.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 from thistleusher.gossip.owners import Owners
 
-MAX_QUERIES = 512  # outstanding at once; beyond it there is none
-REPLY_TIMEOUT_S = 0.1  # for both ways between ingresses; without a reply by then a query is sent once more
-REPLIES_KEPT_S = 1.0  # for which an owner knows what it was asked
-REPLIES_KEPT = 2048  # at most
+MAX_QUERIES = 512  # maximum number of outstanding queries; beyond it no query is created
+REPLY_TIMEOUT_S = 0.1  # bound on a round trip between ingresses; a query without a reply is then retransmitted once
+REPLIES_KEPT_S = 1.0  # time for which an owner keeps a received query and its reply
+REPLIES_KEPT = 2048  # maximum number of received queries that an owner keeps
 NUMBER_MASK = 0xFFFF
 
 
 class OutstandingQuery(NamedTuple):
-    """Whose request a query is for, who was asked, until when a reply helps, and for what."""
+    """A query to an owner: the request it is for, the peer asked, the deadline for a reply, and the units requested."""
 
     request: str
     peer: int
@@ -32,15 +33,20 @@
 
 
 class OutstandingQueries:
-    """Queries of one ingress by their numbers, the oldest first. Times in seconds of one clock."""
+    """Queries of one ingress by number, oldest first. Times are in seconds of one clock."""
 
     def __init__(self, owners: Owners, timeout: float) -> None:
-        """`timeout`: seconds for a reply, once a query was sent again; misses are recorded at `owners`."""
+        """Start without queries.
+
+        owners: records the queries that got no reply in time
+        timeout: seconds to wait for a reply after the retransmission
+        """
         self.owners = owners
         self.timeout = timeout
         self._outstanding = OrderedDict[int, OutstandingQuery]()
-        self._sent_once = OrderedDict[int, tuple[float, bytes]]()  # of these: until when, and the message
-        self.expired = OrderedDict[int, OutstandingQuery]()  # for a reply that still comes
+        # By number of a query sent only once: time at which it is retransmitted, and the message.
+        self._sent_once = OrderedDict[int, tuple[float, bytes]]()
+        self.expired = OrderedDict[int, OutstandingQuery]()  # kept to recognize late replies
         self._last_number = 0
 
     def add(
@@ -53,7 +59,7 @@
         units: float,
         encode: Callable[[int], bytes],
     ) -> bytes | None:
-        """Return the message of a query, encoded with its number; None where too many are outstanding."""
+        """Register a query and return its message, encoded with its number; None if too many are outstanding."""
         if len(self._outstanding) >= MAX_QUERIES:
             return None
         self._last_number = number = (self._last_number + 1) & NUMBER_MASK
@@ -65,7 +71,7 @@
         return message
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the queries that are to be sent once more, to whom."""
+        """Return the queries to retransmit now as (peer, message)."""
         due: list[tuple[int, bytes]] = []
         while self._sent_once and next(iter(self._sent_once.values()))[0] <= now:
             number, (_, message) = self._sent_once.popitem(last=False)
@@ -73,7 +79,7 @@
         return due
 
     def resolve(self, peer: int, number: int) -> tuple[OutstandingQuery, bool] | None:
-        """Return what a reply is for, and whether it came in time; None where it was not asked for."""
+        """Return the query that a reply belongs to and whether it came in time; None if there is no such query."""
         for queries in (self._outstanding, self.expired):
             query = queries.get(number)
             if query is not None and query.peer == peer:
@@ -83,7 +89,7 @@
         return None
 
     def expire(self, now: float) -> list[str]:
-        """Return the requests whose queries had no reply in time."""
+        """Expire the queries whose deadline has passed; return the requests that they were for."""
         requests: list[str] = []
         while self._outstanding:
             number, query = next(iter(self._outstanding.items()))
@@ -99,7 +105,7 @@
         return requests
 
     def next_deadline(self) -> float | None:
-        """Return when the oldest query is to be sent again or expires; None where none is outstanding."""
+        """Return the time of the next retransmission or expiry; None if no query is outstanding."""
         deadlines = []
         if self._outstanding:
             deadlines.append(next(iter(self._outstanding.values())).deadline)
@@ -109,7 +115,7 @@
 
 
 class ReceivedQuery(NamedTuple):
-    """A query that an owner has received: when, its bytes, and the reply; empty where it has none yet."""
+    """A query received by an owner: arrival time, message, and the reply, which is empty until there is one."""
 
     at: float
     payload: bytes
@@ -117,17 +123,17 @@
 
 
 class ReplyCache:
-    """What an owner was asked of late, and has replied, by peer and number. Times in seconds of one clock."""
+    """Queries that an owner received recently, with its replies, by peer and number. Times are in seconds."""
 
     def __init__(self) -> None:
-        """Know no query."""
+        """Create an empty cache."""
         self.received = OrderedDict[tuple[int, int], ReceivedQuery]()
 
     def receive(self, now: float, peer: int, number: int, payload: bytes) -> bytes | None:
-        """Return the reply that a query has had, empty where it has none yet; None where the query is new."""
+        """Record a query; return its earlier reply, empty if it has none yet, or None if the query is new."""
         self._forget_old(now)
         known = self.received.get((peer, number))
-        # Numbers wrap, and begin anew in another incarnation: the same number may be another query.
+        # Numbers wrap around and restart with each incarnation, so an equal number may belong to a different query.
         if known is not None and known.payload == payload:
             return known.reply
         self.received[peer, number] = ReceivedQuery(now, payload, b"")
@@ -135,7 +141,7 @@
         return None
 
     def record_reply(self, peer: int, number: int, reply: bytes) -> None:
-        """Note the reply to a query."""
+        """Store the reply to a received query."""
         known = self.received.get((peer, number))
         if known is not None:
             self.received[peer, number] = known._replace(reply=reply)
--- a/thistleusher/gossip/reconciliations.py
+++ b/thistleusher/gossip/reconciliations.py
@@ -1,6 +1,6 @@
-"""Differences between what owners were asked for and what was used, merged until they are sent.
+"""Differences between the units requested from owners and the units used, merged until they are sent.
 
-Bounded: `MAX_RECONCILIATIONS` rows wait at once; beyond it those of the owner that waits longest are forgotten.
+Bounded: at most `MAX_RECONCILIATIONS` rows wait; beyond that, the rows of the longest waiting owner are dropped.
 """
 
 from __future__ import annotations
@@ -8,19 +8,19 @@
 from thistleusher.core.datagrams import encode_customer
 from thistleusher.gossip.messages import encode_reconciliations
 
-MAX_RECONCILIATIONS = 4096
+MAX_RECONCILIATIONS = 4096  # maximum number of waiting rows of all owners
 
 
 class Reconciliations:
-    """Units more (or less) than owners were asked for, by owner and by customer and plan."""
+    """Units used beyond (or, if negative, below) those requested from owners, by owner and by customer and plan."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without rows."""
         self.waiting: dict[int, dict[bytes, float]] = {}
-        self._count = 0  # rows of all owners
+        self._count = 0  # number of rows of all owners
 
     def add(self, owner: int, customer: int, plan: int, units: float) -> None:
-        """Add units to what waits for an owner."""
+        """Add units to the row of a customer and plan that waits for an owner."""
         name = encode_customer(plan, customer)
         if name not in self.waiting.get(owner, ()):
             if self._count >= MAX_RECONCILIATIONS:
@@ -34,7 +34,7 @@
         self._count -= len(rows)
 
     def take(self) -> list[tuple[int, bytes]]:
-        """Return the messages of all that waits, each owner's together; nothing waits any more."""
+        """Remove all rows and return their messages as (owner, message)."""
         out = [
             (owner, message)
             for owner, rows in self.waiting.items()
--- a/thistleusher/quota/__init__.py
+++ b/thistleusher/quota/__init__.py
@@ -1,7 +1,7 @@
-"""Holds a customer to its allowance while the counter cannot be trusted: shares in escrow, with a stated bound.
+"""Enforce customers' allowances with escrowed shares while the counter is unreliable, within a stated bound.
 
-Pure: no I/O and no clock. The ingresses of a customer's set never let in more than the whole allowance between them;
-the decision module asks for verdicts through `core.decision_ports.Escrow`.
+Pure: no I/O and no clock. Together, the ingresses of a customer's ingress set never admit more than the whole
+allowance. The decision module requests verdicts through `core.decision_ports.Escrow`.
 """
 
 from thistleusher.quota.bound import Bound, bound_of
--- a/thistleusher/quota/bootstrap.py
+++ b/thistleusher/quota/bootstrap.py
@@ -1,19 +1,20 @@
-"""How an ingress starts: the handshake by which each pair of ingresses agrees before shares are used in full.
+"""Start-up of an ingress: pairs of ingresses exchange handshakes before either uses its full share.
 
-Guaranteed, for messages lost, late, doubled and out of order:
+Guarantees, if messages are lost, delayed, duplicated or reordered:
 
-- a pair of ingresses is reconciled only by a message that was addressed to this very incarnation of the other: it says
-  whether shares have gone between them in an epoch that is not over;
-- the headroom with which a fleet starts is granted to an ingress once in an unbroken chain of overlapping incarnations.
+- a pair of ingresses is reconciled only by a message addressed to the current incarnation of the receiver; the message
+  says whether shares were transferred between the two in an epoch that is not over;
+- the headroom of a joint start is granted to an ingress once per unbroken chain of overlapping incarnations.
 
-How. Whoever starts sends a handshake to all others, again and again until each has answered or the longest epoch is
-over. A handshake holds the own incarnation, the receiver's as known, when the chain of incarnations that the sender is
-part of began (its origin), and flags: an earlier incarnation of the receiver was known, and shares went between the
-two. A pair of which both have started anew starts at nothing on both sides: what one's earlier incarnation gave to the
-other's is lost with both. Where one of the two goes on, its balance is the true one.
+Protocol: an ingress that starts sends handshakes to all other ingresses and repeats them until each has answered or
+the longest epoch is over. A handshake holds the sender's incarnation, the receiver's incarnation as known to the
+sender, the start of the chain of overlapping incarnations to which the sender belongs (its origin), and flags: whether
+the sender knew an earlier incarnation of the receiver, and whether shares were transferred between the two. If both
+ingresses of a pair have restarted, both start with empty totals: transfers between their earlier incarnations are lost
+on both sides. If only one has restarted, the balance of the other one is authoritative.
 
-Cost: constant a message, and one handshake each `handshake_interval` to each ingress that has not answered. The design
-note is docs/bootstrap.md; `quota.incarnations` says which incarnation is listened to.
+Cost: constant per message, and one handshake per `handshake_interval` to each ingress that has not answered. The
+design note is docs/bootstrap.md. `quota.incarnations` decides which incarnation's messages are accepted.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 from thistleusher.quota.incarnations import Incarnations, Sender
 from thistleusher.quota.messages import Handshake, HandshakeFlag, decode_handshake
 
-JOINT_START_MS = 5000  # after a chain's origin, within which a start counts as one of those that started together
-REPEAT_S = 0.4  # between two handshakes to one peer in a large fleet
-FIRST_PHASE_S, SECOND_PHASE_S = 1.0, 5.0  # age until which handshakes are frequent, and less frequent
-FIRST_INTERVAL_S, SECOND_INTERVAL_S, LAST_INTERVAL_S = 0.05, 0.25, 1.0
-INTERVAL_TOLERANCE = 0.9  # of an interval, after which the next handshake is due: timers are not exact
-MARGIN_S = 1.0  # behind the longest epoch, until which handshakes are sent
+JOINT_START_MS = 5000  # an ingress that starts at most this long after its chain's origin is part of a joint start
+REPEAT_S = 0.4  # minimum interval between handshakes to the same peer if handshakes are sent on demand
+FIRST_PHASE_S, SECOND_PHASE_S = 1.0, 5.0  # ages of the incarnation at which the handshake interval grows
+FIRST_INTERVAL_S, SECOND_INTERVAL_S, LAST_INTERVAL_S = 0.05, 0.25, 1.0  # handshake interval in each phase
+INTERVAL_TOLERANCE = 0.9  # handshakes are due after this fraction of the interval, as timers may fire early
+MARGIN_S = 1.0  # handshakes are sent until this long after the longest epoch
 
 
 class Bootstrap:
-    """Progress of one ingress's start, by handshakes. Times in seconds of the one clock."""
+    """Handshake state of one starting ingress. Times are in seconds of the shared clock."""
 
     def __init__(
         self, instances: int, me: int, started_at: float, longest_epoch: float, on_demand: bool = False
     ) -> None:
-        """Start at `started_at`.
+        """Begin an incarnation at `started_at`.
 
-        longest_epoch: in seconds; after that much time this ingress needs nobody's message
-        on_demand: of a large fleet only those get handshakes with whom this ingress is to reconcile (`require`)
+        longest_epoch: length in seconds of the longest epoch; after it this ingress needs no peer's message
+        on_demand: send handshakes only to the peers given to `require`, as in a large deployment, instead of to all
         """
         self.me = me
         self.started_at = started_at
@@ -49,15 +50,16 @@
         self.incarnations = Incarnations(started_at)
         self.origin = self.incarnations.own
         self.on_demand = on_demand
-        self.known_before = False  # a peer knew an earlier incarnation of this ingress
-        self.restored = False  # its own folder knows one, of an epoch that is not over
-        # By peer, when it confirmed to this incarnation that nothing had gone between the two; inf: something had.
+        self.known_before = False  # whether a peer knew an earlier incarnation of this ingress
+        self.restored = False  # whether the state folder has an earlier incarnation of an epoch that is not over
+        # By peer: time at which it confirmed to this incarnation that nothing was transferred between the two; inf if
+        # something was.
         self.reconciled_at: dict[int, float] = {}
         self._others = [n for n in range(instances) if n != me]
-        self._transfers_until: dict[int, float] = {}  # by peer, end of the last epoch in which shares went between us
-        self._pending = set[int]() if on_demand else set(self._others)  # peers that are to answer a handshake
+        self._transfers_until: dict[int, float] = {}  # by peer, end of the last epoch with a transfer to or from it
+        self._pending = set[int]() if on_demand else set(self._others)  # peers that have not answered a handshake
         self._last_sent_at = -math.inf
-        self._sent_at: dict[int, float] = {}  # by peer, where handshakes are sent on demand
+        self._sent_at: dict[int, float] = {}  # by peer, time of the last handshake; used only if `on_demand`
 
     @property
     def incarnation(self) -> int:
@@ -65,11 +67,11 @@
         return self.incarnations.own
 
     def record_transfer(self, peer: int, until: float) -> None:
-        """Note that shares have gone to or come from a peer in an epoch that ends at `until`."""
+        """Record a transfer to or from a peer in an epoch that ends at `until`."""
         self._transfers_until[peer] = max(until, self._transfers_until.get(peer, 0.0))
 
     def handshake(self, now: float, peer: int, shutting_down: bool = False) -> bytes:
-        """Return the handshake to a peer."""
+        """Return the encoded handshake for a peer."""
         flags = 0
         if peer in self.incarnations.restarted:
             flags |= HandshakeFlag.KNEW_EARLIER
@@ -81,7 +83,7 @@
         return Handshake(self.incarnation, known, self.origin, flags).encode()
 
     def receive(self, now: float, peer: int, payload: bytes) -> bytes | None:
-        """Take in a peer's handshake; return the answer to it where the peer has not had one."""
+        """Process a peer's handshake; return the answer, or None if the handshake needs none."""
         message = decode_handshake(payload)
         if message is None or peer == self.me:
             return None
@@ -100,19 +102,19 @@
         return self.handshake(now, peer) if sender is Sender.NEW or not addressed else None
 
     def handshake_interval(self, now: float) -> float:
-        """Return the seconds between handshakes at this age."""
+        """Return the interval between handshakes in seconds; it grows with the age of this incarnation."""
         age = now - self.started_at
         if age < FIRST_PHASE_S:
             return FIRST_INTERVAL_S
         return SECOND_INTERVAL_S if age < SECOND_PHASE_S else LAST_INTERVAL_S
 
     def require(self, peers: Iterable[int]) -> None:
-        """Note that this ingress is to be reconciled with these, where handshakes are sent on demand."""
+        """Send handshakes to these peers until they answer; has no effect unless handshakes are sent on demand."""
         if self.on_demand:
             self._pending.update(p for p in peers if p != self.me and p not in self.reconciled_at)
 
     def due_handshakes(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the handshakes that are due, one to each peer that has not answered."""
+        """Return the handshakes that are due as (peer, message), one for each peer that has not answered."""
         interval = INTERVAL_TOLERANCE * self.handshake_interval(now)
         if now > self.until or now - self._last_sent_at < interval:
             return []
@@ -124,21 +126,21 @@
         return [(peer, self.handshake(now, peer)) for peer in sorted(due)]
 
     def handshake_delay(self, now: float) -> float | None:
-        """Return the seconds until the next handshake; None where none is due any more."""
+        """Return the seconds until the next handshake; None if no more handshakes will be sent."""
         if now > self.until or not self._pending:
             return None
         return self.handshake_interval(now)
 
     def known_peers(self) -> list[int]:
-        """Return the peers that may hold anything of this ingress's, or wait for its message."""
+        """Return the peers that may hold shares of this ingress or wait for a message from it."""
         return [p for p in self._others if not self.on_demand or p in self.incarnations.current]
 
     def reconciled_by(self, peer: int, time: float) -> bool:
-        """Return whether a peer had confirmed to this incarnation by then that no shares had gone between the two."""
+        """Return whether a peer had confirmed by `time` that no shares were transferred between it and this ingress."""
         return self.reconciled_at.get(peer, math.inf) <= time
 
     def started_together(self, members: Iterable[int]) -> bool:
-        """Return whether this ingress and the others of a set started together, as far as anybody in it knows."""
+        """Return whether all ingresses of a set started together, as far as any of them knows."""
         return (
             not self.known_before
             and not self.restored
--- a/thistleusher/quota/bound.py
+++ b/thistleusher/quota/bound.py
@@ -1,6 +1,6 @@
-"""How far a quota and a ceiling can be exceeded while the counter fails, stated in advance.
+"""Upper bounds on how far a quota and a ceiling can be exceeded while the counter fails.
 
-The derivation is in docs/counter-loss.md; figures are units, times seconds.
+The derivation is in docs/counter-loss.md. Amounts are in units, times in seconds.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from thistleusher.quota.reservations import RESERVED_FRACTION
 from thistleusher.quota.terms import GUARANTEED_FRACTION
 
-MISSES = 8  # misses in a row after which an ingress counts the counter as down
-TOUCH_S = 1.0  # without a peer's message, after which it is out of touch
-NEGLIGIBLE = 1e-6  # chance of a run of lost messages that is left out
+MISSES = 8  # consecutive failed calls after which an ingress considers the counter down
+TOUCH_S = 1.0  # seconds without a message from a peer after which it counts as out of touch
+NEGLIGIBLE = 1e-6  # probability below which a run of lost messages is ignored
 
 
 @dataclass(frozen=True, slots=True)
 class Assumptions:
-    """What the figures hold under.
-
-    loss: share of datagrams lost
-    delay: of a datagram, at most
-    update_interval: between two updates of usage
-    skew: clocks apart
-    outage: its length
-    folders: every ingress has a state folder, so that headroom outlives a kill
+    """Conditions under which the bounds hold. Times are in seconds.
+
+    loss: fraction of datagrams that are lost
+    delay: maximum delay of a datagram
+    update_interval: interval between two usage updates
+    skew: maximum difference between two ingresses' clocks
+    outage: length of the counter's outage
+    folders: whether every ingress has a state folder, so that headroom survives a kill
     """
 
     loss: float = 0.0
@@ -40,7 +40,7 @@
     folders: bool = False
 
     def __post_init__(self) -> None:
-        """Raise ValueError where a value cannot be."""
+        """Raise ValueError if a value is out of range."""
         if not 0 <= self.loss < 1:
             raise ValueError(f"loss: expected 0 or more and under 1, got {self.loss!r}")
         for name in ("delay", "update_interval", "skew", "outage"):
@@ -49,33 +49,33 @@
 
 
 class Bound(NamedTuple):
-    """Units that a customer of one plan can get beyond its quota and its ceiling; `ceiling` is None without one."""
+    """Units that a customer of one plan can get beyond its quota and its ceiling; `ceiling` is None if it has none."""
 
     plan: str
     width: int
-    staleness: float  # seconds after which all in touch know what one has let in
-    quota_in_touch: float
-    quota_cut_off: float
-    quota_split: float  # cut off, with totals from a counter of its own
+    staleness: float  # seconds until all ingresses that are in touch know what one of them has admitted
+    quota_in_touch: float  # excess while the ingresses receive each other's messages
+    quota_cut_off: float  # excess while the ingresses do not receive each other's messages
+    quota_split: float  # excess while an ingress is cut off and gets totals from a counter of its own
     ceiling: float | None
-    quota_restart: float  # more for each time that all of a set restart together while the counter is silent
-    ceiling_restart: float | None  # the same of the ceiling; one ingress alone that restarts gets nothing more
+    quota_restart: float  # added for each joint restart of a whole ingress set while the counter does not answer
+    ceiling_restart: float | None  # the same for the ceiling; a restart of a single ingress adds nothing
 
 
 def staleness(assumed: Assumptions, interval: float = 0.0) -> float:
-    """Return the seconds until an update has come: some are lost, and the next one makes up for them.
+    """Return the seconds until an update has arrived; each update also makes up for lost earlier ones.
 
-    `interval`: between two updates to one peer, where it is longer than `update_interval`.
+    `interval`: seconds between two updates to one peer, if longer than `update_interval`.
     """
     attempts = 1 if assumed.loss == 0 else max(1, math.ceil(math.log(NEGLIGIBLE) / math.log(assumed.loss)))
     return attempts * max(assumed.update_interval, interval) + assumed.delay
 
 
 def paced_interval(settings: Settings, width: int) -> float:
-    """Return the seconds between two updates to one peer in a large fleet, 0 in a small one.
+    """Return the seconds between two updates to one peer in a large deployment; 0 in a small one.
 
-    An ingress of a set shares sets with 2 (width - 1) others. Assumed of the inbox: it takes in `peer_in_per_s`, and
-    sets lie evenly, so that others send what is sent to them.
+    An ingress shares ingress sets with 2 (width - 1) others. Assumes that each ingress accepts `peer_in_per_s` messages
+    a second, and that ingress sets are spread evenly, so that each ingress sends as many messages as it receives.
     """
     if not settings.large:
         return 0.0
@@ -83,22 +83,22 @@
 
 
 def has_owner(settings: Settings, plan: PlanSettings, width: int) -> bool:
-    """Return whether members of such a set have an owner of their account."""
+    """Return whether customers of this plan with a set of `width` ingresses have an owner that keeps their account."""
     return settings.large and plan.wide(width) and plan.ceiling_rate <= 0
 
 
 def bound_of(settings: Settings, plan: PlanSettings, assumed: Assumptions, width: int = 0) -> Bound:
-    """Return the most that a customer whose requests come through `width` ingresses (0: all) can get too much.
+    """Return the maximum excess of a customer whose requests come through `width` ingresses (0: all of them).
 
-    In touch, an ingress does not know what the others have let in for `staleness` seconds: each of them its burst and
-    what refills. Cut off from its peers, each has its share, and one whole request where that is less. The ceiling is
-    escrowed from the moment that an ingress counts the counter as down, or its peers as out of touch: until then each
-    lets in what its bucket allows. While calls are few the former takes longer than `notice`; all are in touch then,
-    and no more than `unseen` goes unknown. A large fleet holds ceilings by shares at all times but for what a total
-    lets in: the same figures are more than it needs.
+    In touch: for `staleness` seconds an ingress does not know what the others admit, at most a burst and its refill
+    each. Cut off from its peers: each ingress has its share, or one whole request if the share is smaller. The ceiling
+    is escrowed from the moment an ingress considers the counter down or its peers out of touch; until then each
+    ingress admits what its bucket allows. If calls are rare, detecting that the counter is down takes longer than
+    `notice`, but then all ingresses are in touch and at most `unseen` is unknown. A large deployment enforces ceilings
+    by shares at all times, except for what is admitted on a counter total, so these bounds hold there with a margin.
 
-    With folders a joint restart adds only what was let in on a total's or a peer's message since the last commit:
-    reservations promise `RESERVED_FRACTION` of what ingresses are always sure of at most.
+    With state folders, a joint restart adds only what was admitted on a counter total or a peer's message since the
+    last commit, because reservations cover at most `RESERVED_FRACTION` of the guaranteed shares.
     """
     width = width or settings.instances
     if has_owner(settings, plan, width):
@@ -121,8 +121,8 @@
             ceiling_restart=None,
         )
     spread = plan.ceiling_burst - plan.burst + max(0.0, plan.ceiling_rate - plan.rate) * assumed.outage
-    # Each lets in its bucket and what refills until then; the ceiling refills meanwhile, and of what it has more than
-    # the quota each has its share on entering.
+    # Until the ceiling is escrowed, each ingress admits its bucket and the bucket's refill, while the ceiling refills
+    # too. When escrow starts, each ingress holds its share of the ceiling's excess over the quota.
     refilled = max(0.0, width * plan.rate - plan.ceiling_rate) * (notice + stale + assumed.skew)
     most = (width - 1) * plan.burst + refilled
     ceiling = min(entering, most) + plan.ceiling_rate * assumed.skew
@@ -141,10 +141,10 @@
 
 
 def _bound_with_owner(settings: Settings, plan: PlanSettings, assumed: Assumptions, width: int) -> Bound:
-    """Return the bound of a customer whose account one ingress keeps.
+    """Return the bound of a customer whose account is kept by one ingress, its owner.
 
-    While ingresses disagree on the owner, each candidate keeps an account. Whoever reaches none, nor the counter, lets
-    in one request, and then its part of the rate.
+    While ingresses disagree about the owner, each candidate keeps an account. An ingress that reaches neither a
+    candidate nor the counter admits one request, and then its share of the rate.
     """
     stale = staleness(assumed)
     others = CANDIDATES - 1
@@ -164,25 +164,25 @@
 
 
 def joint_start_burst(plan: PlanSettings) -> float:
-    """Return the units that a set which starts together may let in at once: one quota's burst, as a full bucket has."""
+    """Return the units that an ingress set may admit at once after a joint start: one burst, like a full bucket."""
     return min(plan.burst, plan.ceiling_burst) if plan.ceiling_rate > 0 else plan.burst
 
 
 def after_restart(plan: PlanSettings, bound: Bound, seconds: float) -> tuple[float, float]:
-    """Return what a set that restarted together in an outage has let in at most by then, and what a full quota has."""
+    """Return the most units that a set admits within `seconds` of a joint restart, and the most that a quota allows."""
     rate = plan.ceiling_rate if plan.ceiling_rate > 0 else plan.rate
     at_once = bound.quota_restart if bound.ceiling_restart is None else bound.ceiling_restart
     return at_once + rate * seconds, plan.burst + plan.rate * seconds
 
 
 def listed_widths(instances: int) -> list[int]:
-    """Return the sizes of sets that are worth a line: all of a few, doublings of many."""
+    """Return the ingress set sizes to list: every size up to 8, then powers of two, and the maximum."""
     doublings = (1 << n for n in range(4, instances.bit_length()))
     return sorted({*range(1, min(instances, 8) + 1), *doublings, instances})
 
 
 def format_table(settings: Settings, assumed: Assumptions) -> list[str]:
-    """Return the figures of all plans as lines for people."""
+    """Return the bounds of all plans as human-readable lines."""
     lines = [
         f"{'plan':12} {'ingresses':>9} {'beyond quota, in touch':>23} {'cut off':>9} {'and split':>10}"
         f" {'beyond ceiling':>15}"
@@ -191,19 +191,19 @@
         lines += _plan_lines(settings, plan, assumed)
     lines += [
         "",
-        "all of a set restarted together while the counter is silent: units let in at most within 0, 1 and 5 s",
+        "joint restart of an ingress set while the counter does not answer: most units admitted within 0, 1 and 5 s",
     ]
     lines += [_restart_line(settings, plan, assumed) for plan in settings.plans if plan.rate > 0]
     if settings.large:
         lines.append(
-            f"{settings.instances} ingresses: words go to the sets of their members, sets wider than a burst"
-            f" have a home. Assumed: inboxes take in {settings.peer_in_per_s:g} messages a second,"
-            " and sets lie evenly"
+            f"{settings.instances} ingresses: updates go to each customer's ingress set; a customer whose set is larger"
+            f" than its burst has an owner. Assumed: inboxes take in {settings.peer_in_per_s:g} messages a second,"
+            " and ingress sets are spread evenly"
         )
     if assumed.folders:
         lines.append(
-            "with folders: a write-back whose note a kill loses is counted twice unless a total of its window"
-            " tells; a member may get that much less, a burst at most, and never more"
+            "with state folders: if a kill loses the record of a write-back, it is counted twice unless a total of its"
+            " window shows it; the customer may get that much less, at most a burst, and never more"
         )
     return lines
 
@@ -227,4 +227,4 @@
     pairs = [after_restart(plan, bound, seconds) for seconds in (0.0, 1.0, 5.0)]
     within = ", ".join(f"{let_in:.1f} (a full quota: {full:.1f})" for let_in, full in pairs)
     ceiling = "" if bound.ceiling_restart is None else f", its ceiling by {bound.ceiling_restart:.1f}"
-    return f"{plan.name:12} {within}; each time passes the quota by {bound.quota_restart:.1f}{ceiling} at most"
+    return f"{plan.name:12} {within}; each restart exceeds the quota by {bound.quota_restart:.1f}{ceiling} at most"
--- a/thistleusher/quota/demands.py
+++ b/thistleusher/quota/demands.py
@@ -1,7 +1,7 @@
-"""Demands: what an ingress asks of its peers where its headroom is short.
+"""Demands: requests to peers for headroom and share when an ingress runs short of headroom.
 
-Bounded: one message at a time is sent to all peers, or in a large fleet one to each of a few peers of the sets, with an
-interval between that keeps demands and their answers within half of what an ingress takes in.
+Bounded: one message at a time goes to all peers or, in a large deployment, one to each of a few peers of the ingress
+set. The interval between messages keeps demands and their answers within half of the messages that an ingress accepts.
 """
 
 from __future__ import annotations
@@ -16,46 +16,47 @@
 from thistleusher.quota.terms import GRAINS_PER_UNIT, AllowanceKey
 from thistleusher.quota.transfers import transfer_row
 
-DEMAND_INTERVAL_S = 0.05  # between two demands of one allowance, and between two messages
-PEERS_ASKED = 4  # of a set that are asked at once in a large fleet
-PREFETCH_FRACTION = 1 / 4  # of the headroom at most, below which more is asked for ahead
+DEMAND_INTERVAL_S = 0.05  # minimum interval between demands for one allowance, and between messages of demands
+PEERS_ASKED = 4  # maximum number of peers that get one demand in a large deployment
+PREFETCH_FRACTION = 1 / 4  # demand in advance when headroom falls below this fraction of its maximum
 
 
 class DemandQueue:
-    """Allowances whose headroom is short; the longest waiting is sent first."""
+    """Allowances that are short of headroom; the one that has waited longest is sent first."""
 
     def __init__(self, me: int, interval: float, interval_per_peer: float | None) -> None:
-        """Start empty.
+        """Create an empty queue.
 
-        interval: seconds at least between two messages; each brings two answers a peer at most
-        interval_per_peer: of a large fleet, in which demands go to peers of the set only, seconds for each peer asked
+        interval: minimum seconds between two messages; each message causes at most two answers per peer
+        interval_per_peer: in a large deployment, where demands go only to peers of the ingress set, the seconds to wait
+            per peer asked; None in a small one
         """
         self.me = me
         self.interval = interval
         self.interval_per_peer = interval_per_peer
-        self.pending: dict[AllowanceKey, float] = {}  # units wanted of each peer
+        self.pending: dict[AllowanceKey, float] = {}  # units to demand from each peer
         self._last_sent_at = -math.inf
 
     def check(self, now: float, key: AllowanceKey, allowance: Allowance, units: float) -> None:
-        """Ask peers for what is missing to `units`, also ahead of the next request."""
+        """Queue a demand if headroom is short of `units` plus the amount that is requested in advance."""
         ahead = min(allowance.terms.prefetch_below, allowance.max_headroom() * PREFETCH_FRACTION)
         short = units + ahead - allowance.headroom
         if short <= 0 or len(allowance.members) <= 1 or allowance.is_wide():
             return
         if now - allowance.last_demand_at >= DEMAND_INTERVAL_S:
             allowance.last_demand_at = now
-            # Of each peer twice its part: some have less.
+            # Demand twice each peer's even portion, as some peers have less.
             self.pending[key] = min(short, 2 * short / self._count_asked(allowance))
 
     def _count_asked(self, allowance: Allowance) -> int:
-        """Return how many peers of the set are asked at once: in a large fleet a few, others the next time."""
+        """Return how many peers of the set get one demand: all, or a few at a time in a large deployment."""
         others = len(allowance.members) - 1
         if self.interval_per_peer is None or allowance.unreconciled:
             return others
         return min(others, PEERS_ASKED)
 
     def _next_asked(self, allowance: Allowance) -> list[int]:
-        """Return the peers of the set whose turn it is, and move on by as many."""
+        """Return the next peers of the set in rotation, and advance the rotation by their number."""
         others = [peer for peer in allowance.members if peer != self.me]
         count = self._count_asked(allowance)
         allowance.last_asked = (allowance.last_asked + count) % max(1, len(others))
@@ -64,10 +65,10 @@
     def due_messages(
         self, now: float, allowances: Mapping[AllowanceKey, Allowance], incarnation: int
     ) -> list[tuple[int | None, bytes]]:
-        """Return the messages that are due, to whom (None: to all peers); each demand goes once, the rest waits.
+        """Return the messages that are due as (peer, message), with peer None for all; each demand is sent once.
 
-        Peers with whom this ingress is not reconciled yet are asked for their balances as well. A message holds demands
-        of one kind only: that of the longest waiting.
+        Demands for an unreconciled allowance are sent as balance requests. All messages of one call are of one kind,
+        that of the demand that has waited longest; other demands stay queued.
         """
         if not self.pending or now - self._last_sent_at < self.interval:
             return []
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -1,20 +1,20 @@
-"""Escrowed shares of an allowance: each ingress of a customer's set spends its own, and gives what others demand.
+"""Escrowed shares of an allowance: each ingress spends its own share and transfers shares to peers on demand.
 
-After the bounded counter of Balegas et al., "Extending Eventually Consistent Cloud Databases for Enforcing
-Numeric Invariants" (SRDS 2015), with rights that accrue at a rate, and begin anew in every epoch.
+Based on the bounded counter of Balegas et al., "Extending Eventually Consistent Cloud Databases for Enforcing
+Numeric Invariants" (SRDS 2015), with rights that accrue at a rate and are reset in every epoch.
 
-Guaranteed, for messages lost, late, doubled and out of order, and for ingresses that restart with nothing:
+Guarantees, if messages are lost, delayed, duplicated or reordered, and if ingresses restart without state:
 
 - the shares in effect at all ingresses of a set add up to at most 1, and their headroom to at most the burst;
-- so between any two times the set lets in at most the burst and the rate times the time between them.
+- therefore, between any two times, the set admits at most the burst plus the rate times the time between them.
 
-How. A share is a part of both the burst and the rate (`quota.allowance`). Shares follow the traffic: an ingress whose
-headroom is short demands more (`quota.demands`), and its peers give (`quota.transfers`). Messages of an incarnation
-that is over are ignored (`quota.incarnations`), and an ingress that starts is reconciled with each peer of a set before
-it holds its whole share there (`quota.bootstrap`). With a state folder headroom outlives a kill
-(`quota.reservations`); the joint start's burst is only for an ingress whose folder knows no earlier incarnation.
+A share is a fraction of both the burst and the rate (`quota.allowance`). Shares follow the traffic: an ingress that is
+short of headroom demands more (`quota.demands`), and its peers transfer shares to it (`quota.transfers`). Messages of
+superseded incarnations are ignored (`quota.incarnations`). An ingress that starts is reconciled with each peer of an
+ingress set before it holds its whole share there (`quota.bootstrap`). With a state folder, headroom survives a kill
+(`quota.reservations`); the burst of a joint start is only for ingresses whose folder has no earlier incarnation.
 
-Assumed: one clock. Clocks apart by s seconds add s x rate to the second bound. Cost: constant a request.
+Assumes synchronized clocks: a skew of s seconds adds s x rate to the second bound. Cost: constant per request.
 """
 
 from __future__ import annotations
@@ -40,14 +40,15 @@
 from thistleusher.quota.reservations import ReservationTracker, reservation_for
 from thistleusher.quota.terms import GRAINS_PER_UNIT, AllowanceKey, Terms, epoch_length
 
-RETENTION_EPOCHS = 3  # of the longest epoch, after which an idle allowance is forgotten
-SHUTDOWN_MESSAGES = 8  # at most, with which an ingress that shuts down hands its shares to one peer
+RETENTION_EPOCHS = 3  # an idle allowance is evicted after this many times the longest epoch
+SHUTDOWN_MESSAGES = 8  # maximum number of transfer messages to one peer at shutdown
 
 
 class EscrowTable:
     """All allowances at one ingress; implements `core.decision_ports.Escrow`.
 
-    Those long idle are forgotten: by then an epoch has made them even and full.
+    Allowances that have long been idle are evicted. That loses nothing: by then a new epoch has reset their shares, and
+    their headroom is full.
     """
 
     def __init__(
@@ -59,11 +60,12 @@
         demand_interval: float = DEMAND_INTERVAL_S,
         interval_per_peer: float | None = None,
     ) -> None:
-        """Start without allowances.
+        """Create an empty table.
 
-        plans: terms by the plan's number; None where a plan has no allowance
-        demand_interval: seconds at least between two messages of demands
-        interval_per_peer: of a large fleet, in which demands go to peers of the set only, seconds for each peer asked
+        plans: terms by the plan's number; None if a plan has no allowance
+        demand_interval: minimum seconds between two messages of demands
+        interval_per_peer: in a large deployment, where demands go only to peers of the ingress set, the seconds to wait
+            per peer asked; None in a small one
         """
         self.instances = instances
         self.me = me
@@ -73,64 +75,64 @@
         self.retention = RETENTION_EPOCHS * longest_epoch
         self.large = interval_per_peer is not None
         self.bootstrap = Bootstrap(instances, me, started_at, longest_epoch, on_demand=self.large)
-        self.allowances = OrderedDict[AllowanceKey, Allowance]()  # the longest idle first
+        self.allowances = OrderedDict[AllowanceKey, Allowance]()  # least recently used first
         self.demand_queue = DemandQueue(me, demand_interval, interval_per_peer)
         self.reservations = ReservationTracker()
 
     # Persistence.
 
     def restore(self, reservations: Iterable[SavedReservation], last_active: float | None) -> None:
-        """Record reservations from now on, and start with those of an earlier incarnation. Before anything is asked.
+        """Enable reservations and restore those of an earlier incarnation. Must be called before the first request.
 
-        `last_active`: until when that incarnation may have been active, None where there was none.
+        `last_active`: latest time at which that incarnation may have been active; None if there was none.
         """
         self.reservations.enable()
         if last_active is None or last_active <= self.bootstrap.started_at - self.longest_epoch:
-            return  # every epoch that it was in is over
+            return  # every epoch in which it was active is over
         self.bootstrap.restored = True
         self.reservations.restore(reservations, len(self.plans))
 
     def changed_reservations(self, now: float, limit: int) -> list[SavedReservation]:
-        """Return reservations of up to `limit` allowances that have changed, each once until it is committed."""
+        """Return changed reservations of up to `limit` allowances, at most one per allowance until it is committed."""
         return self.reservations.due(now, limit, self.allowances)
 
     def reservation_dropped(self, key: AllowanceKey) -> None:
-        """Note that an allowance's last reservation could not be handed over; another one will be due."""
+        """Record that an allowance's last reservation could not be handed over for writing; a new one becomes due."""
         self.reservations.dropped(key, self.allowances.get(key))
 
     def reservations_committed(self, keys: Iterable[AllowanceKey]) -> None:
-        """Note that the last reservations of these allowances are on disk."""
+        """Record that the last reservations of these allowances are on disk."""
         self.reservations.committed(keys, self.allowances)
 
     # Verdicts.
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
-        """Return whether a request may be let in on this ingress's own share; if not, demand more from peers."""
+        """Return whether this ingress's own share admits a request; queue a demand to peers if headroom is short."""
         allowance = self._use(now, plan, customer, first, width, spent)
         if allowance is None:
             return True
         if now - allowance.last_used_at > allowance.epoch_length:
-            # Meanwhile requests were let in by other verdicts.
+            # Since then, requests may have been admitted without the escrow.
             allowance.limit_to_unspent(now, spent)
         admitted = allowance.admit(now, units)
         self.demand_queue.check(now, (plan, customer), allowance, 0.0 if admitted else units)
         return admitted
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
-        """Take off units that were let in by another verdict."""
+        """Subtract units that were admitted without the escrow."""
         key = (plan, customer)
         allowance = self.allowances.get(key)
         if allowance is None:
             return
         allowance.spend(now, units)
         self.reservations.mark_changed(key)
-        if self.large:  # messages are few there: shares follow the use before they are needed
+        if self.large:  # messages are rationed in a large deployment, so shares are demanded before they are needed
             self.demand_queue.check(now, key, allowance, 0.0)
 
     def _use(self, now: float, plan: int, customer: int, first: int, width: int, spent: float) -> Allowance | None:
-        """Return a customer's allowance, brought up to now and created where needed; None where its plan has none.
+        """Return a customer's allowance, created if needed and advanced to `now`; None if its plan has no allowance.
 
-        Another set than before counts from the next epoch.
+        A change of the ingress set takes effect in the next epoch.
         """
         terms = self.plans[plan] if plan < len(self.plans) else None
         if terms is None or not 1 <= width <= self.instances:
@@ -141,7 +143,7 @@
         if allowance is None:
             allowance = self._create(now, key, terms, members, spent)
         allowance.next_members = members
-        allowance.advance(now)  # before idle ones are forgotten: it must not be one of them
+        allowance.advance(now)  # before the eviction, so that this allowance does not count as idle
         self.allowances.move_to_end(key)
         self._forget_idle(now)
         self.reservations.mark_changed(key)
@@ -156,9 +158,9 @@
         return allowance
 
     def _restored_headroom(self, key: AllowanceKey, terms: Terms, members: tuple[int, ...]) -> float | None:
-        """Return what an earlier incarnation's reservation restores at this one's start; None without one.
+        """Return the headroom restored at this start by an earlier incarnation's reservation; None if there is none.
 
-        A reservation under another set restores nothing.
+        A reservation that was made for a different ingress set restores nothing.
         """
         saved = self.reservations.claim(key)
         if saved is None:
@@ -168,7 +170,7 @@
         return reservation_for(terms, len(members)).restored((saved.units, saved.at), self.bootstrap.started_at)
 
     def _members(self, first: int, width: int) -> tuple[int, ...]:
-        """Return the ingresses of a set."""
+        """Return the ingresses of a set of `width` ingresses that begins at `first`."""
         return tuple((first + n) % self.instances for n in range(width))
 
     def _forget_idle(self, now: float) -> None:
@@ -181,11 +183,11 @@
     # Messages.
 
     def demands(self, now: float) -> list[tuple[int | None, bytes]]:
-        """Return the demands that are due, each once, to whom; None: to all peers."""
+        """Return the demands that are due as (peer, message), with peer None for all; each is returned once."""
         return self.demand_queue.due_messages(now, self.allowances, self.bootstrap.incarnation)
 
     def receive(self, now: float, peer: int, payload: bytes) -> list[bytes]:
-        """Take in a peer's message and return the answers to it. What is not for the escrow is ignored."""
+        """Process a peer's message and return the answers. Messages of other kinds are ignored."""
         if payload[:1] == HANDSHAKE_MARK:
             answer = self.bootstrap.receive(now, peer, payload)
             return [] if answer is None else [answer]
@@ -209,7 +211,7 @@
 
     def _receive_balances(self, now: float, peer: int, message: BalanceMessage) -> None:
         if message.receiver_incarnation != self.bootstrap.incarnation:
-            return  # it was for an earlier incarnation, and more may have been taken from that since
+            return  # addressed to an earlier incarnation, which may have given the peer more since then
         if self._is_superseded(now, peer, message.incarnation):
             return
         for row in message.rows:
@@ -247,26 +249,26 @@
     # Start and shutdown.
 
     def handshakes(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the handshakes that are due after this ingress's start, to whom."""
+        """Return the handshakes that are due after this ingress's start as (peer, message)."""
         return self.bootstrap.due_handshakes(now)
 
     def handshake_delay(self, now: float) -> float | None:
-        """Return the seconds until the next handshake; None where none is due any more."""
+        """Return the seconds until the next handshake; None if no more handshakes will be sent."""
         return self.bootstrap.handshake_delay(now)
 
     def has_shut_down(self, peer: int) -> bool:
-        """Return whether a peer has announced its shutdown, and has not started again."""
+        """Return whether a peer has announced its shutdown and has not restarted since."""
         return peer in self.bootstrap.incarnations.shut_down
 
     def has_restarted(self) -> bool:
-        """Return whether a peer has known an earlier incarnation of this ingress."""
+        """Return whether a peer knew an earlier incarnation of this ingress."""
         return self.bootstrap.known_before
 
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the last messages of an ingress that shuts down in order, to whom.
+        """Return the last messages of an ingress that shuts down gracefully as (peer, message).
 
-        Shares of customers that were here within an epoch go to a peer of their set each, those used last first. What
-        does not fit is lost until the epoch ends. A handshake says that the incarnation is over.
+        The shares of each customer seen within the last epoch go to one peer of its set, the most recently used first.
+        Shares that do not fit are unusable until the epoch ends. A handshake announces the end of the incarnation.
         """
         out: list[tuple[int, bytes]] = []
         for peer, rows in self._shutdown_transfers(now).items():
@@ -276,7 +278,7 @@
         return out
 
     def _shutdown_transfers(self, now: float) -> dict[int, list[bytes]]:
-        """Give all that can be spared of the recent allowances away; return the encoded rows by peer."""
+        """Transfer all that can be spared of the recently used allowances; return the encoded rows by peer."""
         rows: dict[int, list[bytes]] = {
             peer: [] for peer in self.bootstrap.known_peers() if not self.has_shut_down(peer)
         }
--- a/thistleusher/quota/incarnations.py
+++ b/thistleusher/quota/incarnations.py
@@ -1,41 +1,42 @@
-"""Which incarnation of each ingress is current.
+"""Tracks the current incarnation of each ingress.
 
-An incarnation is named by the millisecond in which it started. Of two incarnations of one ingress only the later one
-is listened to, so nothing that an earlier one gave is taken in after its successor has learned what had been taken.
+An incarnation is numbered by the millisecond in which it started. Messages are accepted only from the latest known
+incarnation of an ingress, so no transfer by an earlier incarnation is accepted after the later one has learned what
+had been received.
 
-Assumed: an ingress's own clock does not go back between its incarnations. Where it does, the new incarnation is
-listened to once the later-named one has been silent for `FORGET_AFTER_S`. Cost: constant a message.
+Assumes that an ingress's own clock does not go back between its incarnations. If it does, messages of the new
+incarnation are accepted once the higher-numbered one has sent none for `FORGET_AFTER_S`. Cost: constant per message.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-FORGET_AFTER_S = 10.0  # of silence, after which an incarnation gives way to one that is named earlier
+FORGET_AFTER_S = 10.0  # seconds without a message after which a lower-numbered incarnation replaces the current one
 MS_PER_S = 1000
 
 
 class Sender(Enum):
-    """What a message's sender is to the receiver."""
+    """How the incarnation that sent a message relates to the one known to the receiver."""
 
     CURRENT = "current"
     NEW = "new"
-    SUPERSEDED = "superseded"  # not to be listened to
+    SUPERSEDED = "superseded"  # its messages are ignored
 
 
 class Incarnations:
-    """The incarnations of all ingresses as known to one of them. Times in seconds of the one clock."""
+    """The incarnations of all ingresses as known to one of them. Times are in seconds of the shared clock."""
 
     def __init__(self, started_at: float) -> None:
-        """Know nobody but this ingress, whose incarnation has started at `started_at`."""
+        """Start without known peers; this ingress's own incarnation started at `started_at`."""
         self.own = max(1, int(started_at * MS_PER_S))
         self.current: dict[int, int] = {}  # by peer
-        self.last_message_at: dict[int, float] = {}
-        self.restarted = set[int]()  # peers of which another incarnation than the current one was known
-        self.shut_down = set[int]()  # peers whose current incarnation has announced its end
+        self.last_message_at: dict[int, float] = {}  # by peer
+        self.restarted = set[int]()  # peers with an incarnation known besides the current one
+        self.shut_down = set[int]()  # peers whose current incarnation has announced its shutdown
 
     def observe(self, now: float, peer: int, incarnation: int) -> Sender:
-        """Take in that a message of a peer's incarnation has come."""
+        """Record a message from an incarnation of a peer; return how it relates to the known one."""
         known = self.current.get(peer)
         if known is not None and incarnation < known and now - self.last_message_at[peer] < FORGET_AFTER_S:
             self.restarted.add(peer)
--- a/thistleusher/quota/messages.py
+++ b/thistleusher/quota/messages.py
@@ -1,13 +1,14 @@
-"""Messages between ingresses about escrowed shares, byte by byte.
+"""Datagram formats of the messages between ingresses about escrowed shares.
 
-    02  demands           rows: headroom wanted, in grains; share is 0
+    02  demands           rows: headroom requested, in grains; share is 0
     03  transfers         rows: share and headroom given to the receiver in the epoch so far
-    04  handshake         the sender's incarnation (8), the receiver's as known (8), origin of the chain (8), flags (1)
-    05  balance requests  as demands, by an ingress that is not reconciled with the receiver
+    04  handshake         incarnations: sender's (8), receiver's as known (8); origin of the chain (8), flags (1)
+    05  balance requests  like demands, from an ingress that is not reconciled with the receiver
     06  balances          receiver's incarnation (8), rows: see `BalanceRow`
 
-All but the handshake begin with the mark (1) and the sender's incarnation (8). Numbers are big-endian; epochs are
-their lowest 8 bits. A message that cannot be read is ignored.
+Sizes in parentheses are in bytes. Each message begins with its mark (1); in all but the handshake the sender's
+incarnation (8) follows. Numbers are big-endian; only the low 8 bits of an epoch are sent. Messages that cannot be
+decoded are ignored.
 """
 
 from __future__ import annotations
@@ -36,24 +37,24 @@
 HANDSHAKE_FORMAT = struct.Struct(">QQQB")
 MAX_TRANSFER_ROWS = (MAX_MESSAGE_BYTES - HEADER_BYTES) // TRANSFER_FORMAT.size
 MAX_BALANCE_ROWS = (MAX_MESSAGE_BYTES - BALANCE_HEADER_BYTES) // BALANCE_FORMAT.size
-MAX_FIELD = 0xFFFF  # of a share or of grains
+MAX_FIELD = 0xFFFF  # largest encodable share or number of grains
 EPOCH_MASK = 0xFF
 
 
 class HandshakeFlag(IntFlag):
-    """What a handshake says besides its numbers."""
+    """Flags of a handshake."""
 
-    KNEW_EARLIER = 1  # an earlier incarnation of the receiver was known to the sender
-    TRANSFERRED = 2  # shares went between the two in an epoch that is not over
-    SHUTTING_DOWN = 4  # the sender's incarnation is over
+    KNEW_EARLIER = 1  # the sender knew an earlier incarnation of the receiver
+    TRANSFERRED = 2  # shares were transferred between the two in an epoch that is not over
+    SHUTTING_DOWN = 4  # the sender's incarnation ends
 
 
 class Handshake(NamedTuple):
     """Announces an incarnation to a peer."""
 
     incarnation: int
-    receiver_incarnation: int  # as known to the sender; 0: none
-    origin: int  # start of the chain of overlapping incarnations that the sender is part of
+    receiver_incarnation: int  # as known to the sender; 0 if unknown
+    origin: int  # start of the chain of overlapping incarnations to which the sender belongs, in ms
     flags: int
 
     def encode(self) -> bytes:
@@ -62,20 +63,20 @@
 
 
 def decode_handshake(payload: bytes) -> Handshake | None:
-    """Return a handshake; None where the length is wrong."""
+    """Return the decoded handshake; None if the length is wrong."""
     if len(payload) != 1 + HANDSHAKE_FORMAT.size:
         return None
     return Handshake(*HANDSHAKE_FORMAT.unpack_from(payload, 1))
 
 
 class TransferRow(NamedTuple):
-    """An allowance, and share and headroom that were given of it or are wanted."""
+    """Share and headroom of one allowance that were given to the receiver, or are demanded from it."""
 
     plan: int
     customer: int
     epoch: int
-    first: int  # of the customer's set
-    width: int
+    first: int  # first ingress of the customer's ingress set
+    width: int  # number of ingresses in the set
     share: int
     grains: int
 
@@ -86,16 +87,16 @@
 
 
 class BalanceRow(NamedTuple):
-    """What has gone between the sender and the receiver's incarnations of an allowance in this epoch."""
+    """What the sender and all incarnations of the receiver have transferred of an allowance in this epoch."""
 
     plan: int
     customer: int
     epoch: int
-    given_share: int  # by the sender, the new part included
+    given_share: int  # given by the sender, including `new_share`
     given_grains: int
-    taken_share: int  # by the sender
+    taken_share: int  # received by the sender
     taken_grains: int
-    new_share: int  # first given with this message
+    new_share: int  # given for the first time with this message
     new_grains: int
 
     def encode(self) -> bytes:
@@ -108,20 +109,20 @@
     """Demands, transfers or balance requests."""
 
     mark: bytes
-    incarnation: int  # of the sender
+    incarnation: int  # the sender's
     rows: list[TransferRow]
 
 
 class BalanceMessage(NamedTuple):
     """Balances, addressed to one incarnation of the receiver."""
 
-    incarnation: int  # of the sender
+    incarnation: int  # the sender's
     receiver_incarnation: int
     rows: list[BalanceRow]
 
 
 def decode_rows(payload: bytes) -> RowMessage | BalanceMessage | None:
-    """Return a message that consists of rows; None where it cannot be one."""
+    """Return the decoded message if it consists of rows; None if its mark or length does not match."""
     mark = payload[:1]
     if mark == BALANCE_MARK:
         return _decode_balances(payload)
@@ -151,12 +152,12 @@
 
 
 def encode_rows(mark: bytes, incarnation: int, rows: Sequence[bytes]) -> list[bytes]:
-    """Return the messages that hold the encoded transfer rows, as many rows in each as fit."""
+    """Return messages with the encoded transfer rows, split at the maximum message size."""
     return _split(_header(mark, incarnation), rows, MAX_TRANSFER_ROWS)
 
 
 def encode_balances(incarnation: int, receiver_incarnation: int, rows: Sequence[bytes]) -> list[bytes]:
-    """Return the messages that hold the encoded balance rows, as many rows in each as fit."""
+    """Return messages with the encoded balance rows, split at the maximum message size."""
     header = _header(BALANCE_MARK, incarnation) + receiver_incarnation.to_bytes(INCARNATION_BYTES)
     return _split(header, rows, MAX_BALANCE_ROWS)
 
--- a/thistleusher/quota/transfers.py
+++ b/thistleusher/quota/transfers.py
@@ -1,9 +1,9 @@
 """Transfers of shares and headroom between two ingresses of a set.
 
-Whoever gives lowers its own share and headroom first, and then sends the running totals of what it has given to that
-peer in this epoch; the taker adds what is new in them. So a lost message is made up for by the next, a doubled one
-changes nothing, and one of another epoch is ignored. An ingress that starts asks its peers for their balances: what
-went between them and its earlier incarnations.
+The giver first lowers its own share and headroom, and then sends the running totals of what it has given to that peer
+in this epoch; the receiver adds the difference to the totals that it knows. So the next message makes up for a lost
+one, a duplicate changes nothing, and a message of another epoch is ignored. An ingress that starts asks its peers for
+their balances, i.e. for what they and its earlier incarnations have transferred to each other.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from thistleusher.quota.messages import EPOCH_MASK, MAX_FIELD, BalanceRow, TransferRow
 from thistleusher.quota.terms import GRAINS_PER_UNIT, WHOLE_SHARE, AllowanceKey
 
-IDLE_S = 0.5  # without a request for it here, after which all of an allowance can be given away
+IDLE_S = 0.5  # seconds without a request after which all spare headroom of an allowance may be given away
 
 
 def transfer_row(key: AllowanceKey, allowance: Allowance, share: int, grains: int) -> bytes:
-    """Return the encoded row of an allowance: what was given of it, or is wanted."""
+    """Return the encoded row of an allowance with the share and grains that were given or are demanded."""
     members = allowance.next_members
     return TransferRow(*key, allowance.epoch, members[0], len(members), share, grains).encode()
 
@@ -26,10 +26,10 @@
 def give(
     allowance: Allowance, now: float, peer: int, wanted: float = math.inf, shutting_down: bool = False
 ) -> Totals | None:
-    """Give `peer` of what can be spared: at most `wanted` units of headroom, and share.
+    """Give spare share and at most `wanted` units of spare headroom to `peer`.
 
-    Where the allowance is not in use here, all that can be spared is given. Returns the running totals given to the
-    peer in this epoch; None where nothing was given.
+    If the allowance is not in use here, all spare headroom may be given, otherwise half of it. Returns the running
+    totals given to the peer in this epoch; None if nothing has been given.
     """
     allowance.advance(now)
     if peer not in allowance.members or peer == allowance.me or allowance.unreconciled:
@@ -51,8 +51,8 @@
 def _sparable_share(allowance: Allowance, peer: int, given: Totals, shutting_down: bool) -> int:
     """Return the share that can be given to a peer.
 
-    Only its own is given on, and what came from the peer goes back: were what came from others given on, the balances
-    of both could be lost, and no share be left to make up for it.
+    An ingress gives its own share and returns share that it received from that peer, but never passes on share that it
+    received from others: if the balances with both were lost, no share would be left to make up for it.
     """
     spare = allowance.share - allowance.guaranteed_share()
     taken = allowance.taken.get(peer, NOTHING).share
@@ -67,7 +67,7 @@
 
 
 def receive(allowance: Allowance, now: float, peer: int, epoch: int, totals: Totals) -> None:
-    """Take in what `peer` has given in this epoch so far; older totals and other epochs' change nothing."""
+    """Apply the running totals given by `peer` in this epoch; older totals and other epochs change nothing."""
     allowance.advance(now)
     if not _is_current(allowance, peer, epoch) or peer in allowance.unreconciled:
         return
@@ -79,7 +79,7 @@
 
 
 def balance_for(key: AllowanceKey, allowance: Allowance, now: float, peer: int, wanted: float) -> bytes:
-    """Return the encoded balance with a peer that has started: given and taken so far, and what is given just now."""
+    """Return the encoded balance for a peer that has started: totals given and received, and what is given now."""
     allowance.advance(now)
     before = allowance.given.get(peer, NOTHING)
     given = give(allowance, now, peer, wanted) or before
@@ -89,12 +89,12 @@
 
 
 def reconcile(allowance: Allowance, now: float, peer: int, row: BalanceRow) -> None:
-    """Take in a peer's balance with this ingress's earlier incarnations, and what the peer has just given."""
+    """Apply a peer's balance with this ingress's earlier incarnations, and what the peer has just given."""
     allowance.advance(now)
     if not _is_current(allowance, peer, row.epoch):
         return
     given_by_peer = Totals(row.given_share, row.given_grains)
-    if peer not in allowance.unreconciled:  # reconciled before: only what is new since then counts
+    if peer not in allowance.unreconciled:  # already reconciled, so only what was given since then counts
         receive(allowance, now, peer, row.epoch, given_by_peer)
         return
     allowance.unreconciled.discard(peer)
@@ -107,7 +107,7 @@
 
 
 def _is_current(allowance: Allowance, peer: int, epoch: int) -> bool:
-    """Return whether a row of this epoch, and from a peer of the set, has come."""
+    """Return whether a row is of the current epoch and from a peer of the ingress set."""
     return epoch == allowance.epoch & EPOCH_MASK and peer in allowance.members and peer != allowance.me
 
 
--- a/thistleusher/services/__init__.py
+++ b/thistleusher/services/__init__.py
@@ -1,4 +1,5 @@
-"""Clients of what all ingresses share: the counter service, and datagrams between ingresses.
+"""Clients of the services that ingresses share: the counter service, and datagrams between ingresses.
 
-Each call to the counter has exactly one outcome, in time; nothing here knows of clients' requests or of backends.
+Each call to the counter gets exactly one outcome before its time-out. This package does not depend on clients' requests
+or on backends.
 """
--- a/thistleusher/services/addresses.py
+++ b/thistleusher/services/addresses.py
@@ -1,4 +1,4 @@
-"""Socket addresses in configuration, `host:port`."""
+"""Parsing of socket addresses in configuration (`host:port`)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def read_address(text: str) -> Address:
     """Return host and port of `host:port`; the host is numeric, IPv6 in brackets.
 
-    Raises ValueError for anything else.
+    Raises ValueError if the text has another form.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
--- a/thistleusher/services/counter_channel.py
+++ b/thistleusher/services/counter_channel.py
@@ -1,4 +1,4 @@
-"""A channel to the counter service: one connection after another, so that calls keep their order."""
+"""A channel to the counter service: one current connection, replaced when it fails; calls keep their order."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 log = logging.getLogger(__name__)
 
-STUCK_S = 1.0  # without any response to what is pending, after which a connection is replaced
-RETRY_S = 0.1
+STUCK_S = 1.0  # a connection with pending calls is replaced after this time without data from the counter
+RETRY_S = 0.1  # delay before the next attempt to connect
 CONNECT_TIMEOUT_S = 0.5
 
 
 class ChannelOwner(Protocol):
-    """What a channel asks of its client."""
+    """What a channel needs of its client."""
 
     loop: asyncio.AbstractEventLoop
     address: Address
 
     @property
     def report(self) -> Callable[..., Any]:
-        """The call `report(add, outcome, total)`, which takes the outcome of an add; only the first one counts."""
+        """The callback `report(add, outcome, total)` for the outcome of an add; only the first outcome counts."""
 
 
 class CounterChannel:
-    """Keeps one connection to wherever the counter is; calls that find none wait for it."""
+    """Keeps one connection to the counter's current address; calls wait while there is no connection."""
 
     def __init__(self, client: ChannelOwner) -> None:
         self.client = client
@@ -39,13 +39,13 @@
         self.report = client.report
         self.connection: CounterConnection | None = None
         self.unsent: deque[PendingAdd] = deque()
-        self.unreported: deque[PendingAdd] = deque()  # those without an outcome, oldest first
+        self.unreported: deque[PendingAdd] = deque()  # calls without an outcome, oldest first
         self.timer: asyncio.TimerHandle | None = None
         self.reconnect = asyncio.Event()
         self.task = self.loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Connect, and again when that connection is lost or the counter is elsewhere."""
+        """Connect, and reconnect whenever the connection is lost or the counter's address changes."""
         while True:
             address = self.client.address
             connection = CounterConnection(self)
@@ -55,12 +55,12 @@
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await self.loop.create_connection(self._factory(connection), *address)
             except (OSError, TimeoutError) as error:
-                log.debug("counter: connect: %r", error)
-            except Exception:  # whatever it was, calls must not wait for ever for a connection
+                log.debug("counter: connect failed: %r", error)
+            except Exception:  # keep reconnecting after any error, or calls would wait for a connection forever
                 log.exception("counter")
             else:
                 await self.reconnect.wait()
-                # One that has been of use, or was merely closed for being idle, is replaced at once.
+                # Reconnect without delay if the connection has served calls or was only closed for being idle.
                 lasted_s = self.loop.time() - started_at
                 if connection.has_served or lasted_s > STUCK_S or self.client.address != address:
                     continue
@@ -71,7 +71,7 @@
         return lambda: connection
 
     def connection_ready(self, connection: CounterConnection) -> None:
-        """Let a new connection take over, with the calls that waited for it."""
+        """Switch to a new connection, send the waiting calls over it, and retire the old one."""
         old = self.connection
         self.connection = connection
         waiting = [add for add in self.unsent if add.reply is None]
@@ -82,13 +82,13 @@
             old.retire()
 
     def connection_ended(self, connection: CounterConnection) -> None:
-        """Open another connection if this is the present one."""
+        """Open another connection if this was the current one."""
         if self.connection is connection:
             self.connection = None
             self.reconnect.set()
 
     def call(self, add: PendingAdd) -> None:
-        """Write a call, or let it wait for the connection as long as its time allows."""
+        """Write a call, or queue it until there is a connection or its deadline passes."""
         self.unreported.append(add)
         if self.connection is None:
             self.unsent.append(add)
@@ -97,14 +97,14 @@
         self._arm_timer()
 
     def _arm_timer(self) -> None:
-        """Have the oldest call without an outcome expire in time."""
+        """Set the timer to the deadline of the oldest call without an outcome."""
         while self.unreported and self.unreported[0].reply is not None:
             self.unreported.popleft()
         if self.timer is None and self.unreported:
             self.timer = self.loop.call_at(self.unreported[0].due_at, self._expire)
 
     def _expire(self) -> None:
-        """Report what is due; only what was never written is sure not to have been added."""
+        """Report the calls whose deadline has passed; only those never written are known not to have been added."""
         self.timer = None
         now = self.loop.time()
         connection = self.connection
@@ -113,14 +113,14 @@
         for add in unsent:
             self.unsent.remove(add)
         if connection is not None and connection.pending and now - connection.last_heard > STUCK_S:
-            log.warning("counter: no answer for %.1f s: opening a new connection", now - connection.last_heard)
+            log.warning("counter: no response for %.1f s; opening a new connection", now - connection.last_heard)
             connection.end("stuck")
         for add in late:
             self.report(add, Outcome.CONNECT_FAILED if add in unsent else Outcome.TIMEOUT)
         self._arm_timer()
 
     def close(self) -> None:
-        """Close the connection, and open none any more."""
+        """Close the connection and stop reconnecting."""
         self.task.cancel()
         if self.connection is not None:
-            self.connection.end("the program ends")
+            self.connection.end("client closed")
--- a/thistleusher/services/counter_client.py
+++ b/thistleusher/services/counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the counter service: each add has exactly one outcome, in time."""
+"""Client of the counter service; each add gets exactly one outcome before its time-out."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from thistleusher.services.counter_channel import CounterChannel
 from thistleusher.services.counter_connection import PendingAdd
 
-CHANNELS = 4  # a spoilt or stuck response holds up the calls of one channel; the counter takes 32 connections
-MAX_LIFETIME_MS = 60_000  # that the counter keeps a name
+CHANNELS = 4  # a malformed or stuck response delays only one channel's calls; the counter accepts 32 connections
+MAX_LIFETIME_MS = 60_000  # maximum time for which the counter keeps a name
 
 
 class CounterClient:
-    """The counter service. All calls of one name go over one channel, so that they keep their order there."""
+    """Client of one counter. All calls for one name go over one channel, so that they keep their order."""
 
     def __init__(
         self,
@@ -27,17 +27,17 @@
         on_reply: Callable[[events.CounterReply], None],
         time: Callable[[], float] | None = None,
     ) -> None:
-        """`timeout` in seconds; `time` measures how long calls took, and is the loop's own by default."""
+        """Open the channels; `timeout` in seconds; `time`: clock that measures the calls, by default the loop's."""
         self.loop = loop
         self.address = address
         self.timeout = timeout
         self.on_reply = on_reply
         self.time = time or loop.time
-        self.pending: dict[int, deque[PendingAdd]] = {}  # by name, until all calls before them have been reported
+        self.pending: dict[int, deque[PendingAdd]] = {}  # by name, calls not passed to `on_reply` yet
         self.channels = [CounterChannel(self) for _ in range(CHANNELS)]
 
     def move(self, address: Address) -> None:
-        """Follow the counter to another address; the old connections serve until the new ones are open."""
+        """Switch to another address of the counter; the old connections are used until the new ones are open."""
         if address != self.address:
             self.address = address
             for channel in self.channels:
@@ -56,10 +56,10 @@
         self.channels[name % CHANNELS].call(add)
 
     def report(self, add: PendingAdd, outcome: Outcome, total: float = 0.0) -> None:
-        """Report the outcome of a call; only the first one counts.
+        """Record the outcome of a call; only the first outcome counts.
 
-        Outcomes on one name are passed on in the order of the calls, also if an old connection and a new one carry
-        them at once: that is how the decision module knows which call is meant.
+        Outcomes for one name are passed to `on_reply` in the order of the calls, even if an old and a new connection
+        carry calls at the same time: the decision module matches outcomes to calls by this order.
         """
         if add.reply is not None:
             return
@@ -72,6 +72,6 @@
             del self.pending[add.name]
 
     def close(self) -> None:
-        """Close all connections; what is pending is reported as timed out."""
+        """Close all connections; calls that have been written but not answered are reported as timed out."""
         for channel in self.channels:
             channel.close()
--- a/thistleusher/services/counter_connection.py
+++ b/thistleusher/services/counter_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter service: adds go out, totals come back in their order."""
+"""One connection to the counter service: sends adds and receives totals in the same order."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_STALL_S = 0.05  # without a byte in the middle of a response, after which a connection is replaced
-RETIRE_S = 1.5  # for the pending responses of a connection that another has taken over from
-TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # not nan or inf; below 0 is possible by settling
+RESPONSE_STALL_S = 0.05  # a connection is replaced after this time without data in the middle of a response
+RETIRE_S = 1.5  # time for which a replaced connection waits for pending responses
+TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # excludes nan and inf; settled units can make it negative
 NOTHING_ADDED_STATUSES = (400, 404)
 
 
@@ -31,34 +31,34 @@
         self.request = request
         self.started_at = started_at
         self.due_at = due_at
-        self.reply: events.CounterReply | None = None  # its outcome, once there is one
+        self.reply: events.CounterReply | None = None  # the outcome; None until it is known
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its channel."""
+    """What a connection needs of its channel."""
 
     loop: asyncio.AbstractEventLoop
 
     @property
     def report(self) -> Callable[..., Any]:
-        """The call `report(add, outcome, total)`, which takes the outcome of an add; only the first one counts."""
+        """The callback `report(add, outcome, total)` for the outcome of an add; only the first outcome counts."""
 
     def connection_ready(self, connection: CounterConnection) -> None:
-        """Send over this connection from now on."""
+        """Use this connection for all further calls."""
 
     def connection_ended(self, connection: CounterConnection) -> None:
-        """Open another connection if this is the present one."""
+        """Open another connection if this was the current one."""
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection to the counter, from its start to its end. Responses come in the order of the calls."""
+    """One connection to the counter. Responses arrive in the order of the calls."""
 
     def __init__(self, channel: ConnectionOwner) -> None:
         self.channel = channel
         self.loop = channel.loop
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
-        # Written and not answered. They stay beyond their time, so that late responses find their call.
+        # Calls written but not answered. They stay here after their deadline, so that late responses match their call.
         self.pending: deque[PendingAdd] = deque()
         self.last_heard = 0.0
         self.has_served = False
@@ -67,8 +67,8 @@
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the channel."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        """Register as the channel's new connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self.channel.connection_ready(self)
 
     def write(self, add: PendingAdd) -> None:
@@ -80,7 +80,7 @@
         self.transport.write(add.request)
 
     def data_received(self, data: bytes) -> None:
-        """Give each complete response to its call; a spoilt or unfinished one ends the connection."""
+        """Match each complete response to its call; a malformed or stalled response ends the connection."""
         if self.closed:
             return
         self.last_heard = self.loop.time()
@@ -91,17 +91,17 @@
         if self.reader.error:
             self.end(f"spoilt: {self.reader.error}", spoilt=True)
         elif self.reader.partial and not self.closed:
-            self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.end, "spoilt: it stops midway", True)
+            self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.end, "response stalled", True)
 
     def _take(self, response: Response) -> None:
         """Report the outcome of the oldest pending call."""
         if self.closed:
             return
         if not self.pending:
-            self.end("a response to no call")
+            self.end("response without a pending call")
             return
         if response.status == 200 and TOTAL.fullmatch(response.body) is None:
-            self.end("spoilt: not a total", spoilt=True)
+            self.end("malformed response: body is not a total", spoilt=True)
             return
         add = self.pending.popleft()
         self.has_served = True
@@ -111,13 +111,13 @@
             self.channel.report(add, Outcome.FULL)
         else:
             nothing_added = response.status in NOTHING_ADDED_STATUSES
-            log.warning("counter: status %d", response.status)
+            log.warning("counter: unexpected status %d", response.status)
             self.channel.report(add, Outcome.CONNECT_FAILED if nothing_added else Outcome.TIMEOUT)
         if not response.keep_alive or (self.retired and not self.pending):
             self.end("done")
 
     def retire(self) -> None:
-        """Wait a while for pending responses, and end: another connection has taken over."""
+        """Close the connection after its pending responses, at the latest after `RETIRE_S`: it has been replaced."""
         self.retired = True
         if self.pending:
             self.loop.call_later(RETIRE_S, self.end, "retired")
@@ -125,18 +125,19 @@
             self.end("retired")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End."""
+        """Handle the loss of the connection."""
         self.end("closed")
 
     def end(self, reason: str, spoilt: bool = False) -> None:
-        """Close it, and report what is pending: it may have been added; a spoilt response says that the first was.
+        """Close the connection and report its pending calls, which may have been added.
 
-        The channel is informed first: an outcome may bring about the next call, which must not be written here.
+        A malformed response shows that the first pending call was added. The channel is informed first, because an
+        outcome may cause the next call, which must not be written to this connection.
         """
         if self.closed:
             return
         self.closed = True
-        log.debug("counter: %s", reason)
+        log.debug("counter: connection closed: %s", reason)
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         if self.transport is not None:
--- a/thistleusher/services/counter_group.py
+++ b/thistleusher/services/counter_group.py
@@ -1,4 +1,7 @@
-"""Several counters that share the names; each has a client of its own, so that a lost one holds up nobody else."""
+"""Client of several counters among which the names are distributed.
+
+Each counter has a client of its own, so that the failure of one does not delay calls to the others.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
 from thistleusher.services.addresses import read_address
 from thistleusher.services.counter_client import CounterClient
 
-REMOVAL_S = 2.0  # for the pending responses of a counter that was taken out
+REMOVAL_S = 2.0  # time for which the client of a removed counter stays open for pending responses
 
 
 class CounterGroup:
-    """Calls go to the counter that has their name. `place` changes the set in service."""
+    """Sends each call to the counter that holds its name. `place` changes the counters in use."""
 
     def __init__(
         self,
@@ -24,18 +27,18 @@
         on_reply: Callable[[events.CounterReply], None],
         time: Callable[[], float] | None = None,
     ) -> None:
-        """Take the same parameters as `CounterClient`, with a placement for the address."""
+        """Open a client for each counter; parameters as for `CounterClient`, with a placement instead of an address."""
         self.loop = loop
         self.timeout = timeout
         self.on_reply = on_reply
         self.time = time
         self.clients: dict[str, CounterClient] = {}
-        self.removed: dict[CounterClient, asyncio.TimerHandle] = {}
+        self.removed: dict[CounterClient, asyncio.TimerHandle] = {}  # by removed client, the timer that closes it
         self.placement = placement
         self.place(placement)
 
     def place(self, placement: Placement) -> None:
-        """Follow another set: connect to new counters; those that were taken out may still answer for a while."""
+        """Switch to other counters: connect to added ones, and close removed ones after `REMOVAL_S`."""
         self.placement = placement
         for address in placement.addresses:
             if address not in self.clients:
@@ -47,12 +50,12 @@
             self.removed[client] = self.loop.call_later(REMOVAL_S, self._drop, client)
 
     def _drop(self, client: CounterClient) -> None:
-        """Close a client that was taken out."""
+        """Close the client of a removed counter."""
         self.removed.pop(client).cancel()
         client.close()
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        """Add to a name at its counter."""
+        """Add to a name at the counter that holds it."""
         self.clients[self.placement.addresses[self.placement.of(name)]].add(name, amount, lifetime)
 
     def close(self) -> None:
--- a/thistleusher/services/http_responses.py
+++ b/thistleusher/services/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 responses as the peers of this process send them: backends, the counter, the platform."""
+"""Parsing of HTTP/1.1 responses from backends, the counter and the platform."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # headers that determine where the body ends
 
 
 class Response(NamedTuple):
-    """A complete response; the names of its headers are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -21,14 +21,14 @@
 
 
 class InvalidResponseError(Exception):
-    """What came is no HTTP response, or a larger one than is taken."""
+    """The received data is not a valid HTTP response, or exceeds the size limits."""
 
 
 class ResponseReader:
-    """Collects complete responses. One that only the end of its connection would end is never complete.
+    """Incremental parser of responses. A response that is delimited only by the end of the connection is an error.
 
-    What a peer sends may be spoilt at any point, also right behind a response that is good: complete responses are
-    returned first, and `error` then says why nothing more can be read here.
+    Invalid data may follow a valid response in the same bytes. The valid response is returned first; `error` then holds
+    the reason why nothing more can be read from this connection.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -38,11 +38,11 @@
         self.body = bytearray()
         self.responses: list[Response] = []
         self.error = ""
-        self.partial = False  # a response has begun and is not complete
-        self.bytes_read = 0  # since the last complete response
+        self.partial = False  # whether a response has begun and is not complete
+        self.bytes_read = 0  # bytes since the last complete response
 
     def feed(self, data: bytes) -> list[Response]:
-        """Take bytes in, and return the responses that are complete with them."""
+        """Parse more bytes and return the responses that they complete."""
         if not self.error:
             self.bytes_read += len(data)
             try:
@@ -50,27 +50,27 @@
             except httptools.HttpParserError as error:
                 self.error = str(error.__context__ or error)
             if self.bytes_read > 2 * self.max_body_bytes + MAX_HEAD_BYTES:
-                # A head without end is kept in the parser's memory.
-                self.error = self.error or "the answer is too long"
+                # The parser buffers an endless head in memory.
+                self.error = self.error or "response too long"
         responses = self.responses
         self.responses = []
         return responses
 
     def on_message_begin(self) -> None:
-        """Get ready for a new response."""
+        """Reset the state for a new response."""
         self.headers = {}
         self.body = bytearray()
         self.partial = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header. InvalidResponseError for a second one that says where the body ends."""
+        """Store a header; raises InvalidResponseError if a framing header occurs twice."""
         key = name.lower()
         if key in FRAMING_HEADERS and key in self.headers:
-            raise InvalidResponseError(f"{key.decode()}: more than one")
+            raise InvalidResponseError(f"duplicate header {key.decode()}")
         self.headers[key] = value
 
     def on_headers_complete(self) -> None:
-        """Check that the head says how long the response is, else its end could be taken for another's.
+        """Check that the head determines where the body ends; otherwise the body could be read as another response.
 
         Raises InvalidResponseError.
         """
@@ -78,20 +78,20 @@
             return
         length, coding = (self.headers.get(key) for key in FRAMING_HEADERS)
         if (length is None) == (coding is None):
-            raise InvalidResponseError("expected one of content-length and transfer-encoding")
+            raise InvalidResponseError("expected exactly one of content-length and transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
             raise InvalidResponseError("transfer-encoding: expected chunked")
         if length is not None and int(length) > self.max_body_bytes:
-            raise InvalidResponseError(f"a body of over {self.max_body_bytes} bytes")
+            raise InvalidResponseError(f"body is larger than {self.max_body_bytes} bytes")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body. InvalidResponseError beyond the limit."""
+        """Append to the body; raises InvalidResponseError if it exceeds the limit."""
         if len(self.body) + len(data) > self.max_body_bytes:
-            raise InvalidResponseError(f"a body of over {self.max_body_bytes} bytes")
+            raise InvalidResponseError(f"body is larger than {self.max_body_bytes} bytes")
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Add the complete response to those that are returned; an interim one is dropped."""
+        """Add the complete response to those to return; interim (1xx) responses are dropped."""
         self.partial = False
         status = self.parser.get_status_code()
         if status < 200:
--- a/thistleusher/services/options.py
+++ b/thistleusher/services/options.py
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterGroupOptions:
-    """Counters that share the names.
+    """Options of the counters among which the names are distributed.
 
-    addresses: host:port of each, the same at all ingresses; the order does not matter
+    addresses: host:port of each counter; must be the same at all ingresses, in any order
     """
 
     addresses: tuple[str, ...]
 
     def __post_init__(self) -> None:
-        """Check the addresses; raises InvalidValueError."""
+        """Raise InvalidValueError if an address is invalid, if there is none, or if one occurs twice."""
         try:
             for address in self.addresses:
                 read_address(address)
@@ -28,5 +28,5 @@
             raise InvalidValueError(found=str(error), key="addresses") from error
 
     def placement(self) -> Placement:
-        """Return which of them owns a name."""
+        """Return the placement of names on these counters."""
         return Placement(list(self.addresses))
--- a/thistleusher/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between ingresses; they may be lost."""
+"""Unreliable datagrams between ingresses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends to one ingress or to all, and passes on what comes with the number of its sender."""
+    """Sends datagrams to one ingress or to all, and passes on received ones with the number of the sender."""
 
     def __init__(
         self,
@@ -25,7 +25,12 @@
         me: int,
         on_message: Callable[[events.PeerMessage], None],
     ) -> None:
-        """`peers`: the ingresses' addresses by number, `me` this one's; `everyone`: an address that reaches all."""
+        """Create without a socket.
+
+        peers: addresses of all ingresses, by number
+        everyone: broadcast address that reaches all ingresses; None to send to each peer separately
+        me: number of this ingress
+        """
         self.peers = peers
         self.everyone = everyone
         self.me = me
@@ -34,23 +39,23 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self.transport = cast(asyncio.DatagramTransport, transport)  # no subclass of it under uvloop
+        """Store the transport."""
+        self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's transports are not subclasses of it
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Pass on what another ingress sent; drop what is too long or comes from elsewhere."""
+        """Pass on a datagram from another ingress; drop datagrams that are too long or from unknown senders."""
         sender = self.numbers.get((addr[0], addr[1]))
         if sender is not None and sender != self.me and len(data) <= MAX_DATAGRAM_BYTES:
             self.on_message(events.PeerMessage(sender, data))
 
     def error_received(self, exc: Exception) -> None:
-        """Log it: datagrams may be lost."""
-        log.debug("peers: %s", exc)
+        """Log the error; no recovery is needed, as datagrams may be lost."""
+        log.debug("peers: socket error: %s", exc)
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send to one ingress, or to all for None; a payload too long, or to nobody, is dropped and logged."""
+        """Send to one ingress, or to all if `peer` is None; an oversized payload or unknown peer is logged."""
         if len(payload) > MAX_DATAGRAM_BYTES or (peer is not None and not 0 <= peer < len(self.peers)):
-            log.error("peers: %d bytes to %r are not sent", len(payload), peer)
+            log.error("peers: datagram of %d bytes to peer %r not sent: too long or unknown peer", len(payload), peer)
         elif self.transport is not None:
             for address in self._addresses(peer):
                 self.transport.sendto(payload, address)
