--- a/tests/gossip/helpers.py
+++ b/tests/gossip/helpers.py
@@ -1,4 +1,4 @@
-"""What tests of gossip share."""
+"""Helpers shared by the tests of gossip."""
 
 from __future__ import annotations
 
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -1,4 +1,4 @@
-"""Sixty ingresses in scripted time: members of wide and narrow sets through everything that breaks between them."""
+"""Sixty ingresses in simulated time: customers with large and small ingress sets under faults between ingresses."""
 
 from __future__ import annotations
 
@@ -13,11 +13,14 @@
 
 FLEET, WIDE, NARROW = 60, 50, 5
 MEMBERS = 240
-CEILING_SLACK = 6.5  # units: a tenth of the ceiling's burst, as the users allow
+CEILING_SLACK = 6.5  # units; the users allow an excess of a tenth of the ceiling's burst
 
 
 def fleet(seed: int = 1, per_s: float = 250.0, offsets: tuple[float, ...] = ()) -> World:
-    """A counter that takes two calls for five requests, inboxes of 100 messages a second."""
+    """Create 60 ingresses with inboxes of 100 messages a second, and a counter that accepts `per_s` calls a second.
+
+    By default the counter accepts half as many calls as `load` sends requests.
+    """
     w = World(seed, FLEET, offsets=offsets)
     w.join(CounterModel(per_s))
     w.inbox = 100.0
@@ -25,13 +28,16 @@
 
 
 def load(w: World, seconds: float, rate: float = 500.0, hot: float = 0.0) -> None:
-    """Members of both plans ask through their sets, which lie all round the numbering; `hot`: share of one of them."""
+    """Send requests of customers of both plans through their ingress sets, which are spread over all ingresses.
+
+    `hot`: fraction of the requests that customer 0 sends.
+    """
     began, t = w.now, 0.0
     while (t := t + w.rng.expovariate(rate)) < seconds:
         member = 0 if w.rng.random() < hot else w.rng.randrange(MEMBERS)
         plan, width = ("basic", WIDE) if member % 2 else ("plus", NARROW)
         first = member * 7 % FLEET
-        n = (first + min(w.rng.randrange(width), w.rng.randrange(width))) % FLEET  # unevenly
+        n = (first + min(w.rng.randrange(width), w.rng.randrange(width))) % FLEET  # not uniformly distributed
         units = w.rng.choice((1.0, 2.0))
         w.at(
             t,
@@ -44,7 +50,7 @@
 
 
 def rejected_share(w: World) -> float:
-    """Share of requests that came with half of the quota unused and were not sent on."""
+    """Fraction of requests that were not forwarded although half of the customer's quota was unused on arrival."""
     return len(w.rejected_within_quota) / max(1, w.asked)
 
 
@@ -53,13 +59,13 @@
 
 
 def inbox_of_one(w: World) -> None:
-    """Somebody floods one ingress, and nothing of the fleet's gets through to it."""
+    """The inbox of ingress 7 is flooded, so that it receives no message of other ingresses."""
     plain = w.takes_in
     w.takes_in = lambda target: target != 7 and plain(target)  # type: ignore[method-assign]
 
 
 def heard_by_some(w: World) -> None:
-    """One ingress's messages reach the lower half only."""
+    """Messages of ingress 7 reach only the lower half of the ingresses."""
     give = w.give
     w.give = lambda n, e, incarnation=None: (  # type: ignore[method-assign]
         None if getattr(e, "sender", None) == 7 and n >= FLEET // 2 else give(n, e, incarnation)
@@ -67,7 +73,7 @@
 
 
 def killed(w: World) -> None:
-    """Seven in ten at once, and back after a second."""
+    """Kill 70% of the ingresses at once and restart them after a second."""
     gone = w.rng.sample(range(FLEET), 42)
     for n in gone:
         w.kill(n)
@@ -87,7 +93,8 @@
     w.join(CounterModel(250.0))
 
 
-# What happens, share of requests rejected with half of the quota unused, units beyond quota of a wide and a narrow set.
+# Fault, maximum fraction of requests rejected with half of the quota unused, maximum units beyond quota for a customer
+# with a large and with a small ingress set.
 FAULTS: list[tuple[Callable[[World], None], float, float, float]] = [
     (lambda w: None, 0.02, BASIC.burst, 36.0),
     (lost, 0.12, 5 * BASIC.burst, 72.0),
@@ -129,7 +136,7 @@
 
 
 def test_a_member_who_moves_to_another_set_keeps_its_quota():
-    """Its account moves to another owner, which begins full: one burst more, once."""
+    """The account moves to another owner, which starts with a full bucket: one extra burst, once."""
     w = fleet()
     for second in range(12):
         for n in range(20):
@@ -160,12 +167,12 @@
 
 @pytest.mark.parametrize("instances", [16, 60, 200])
 def test_what_an_ingress_says_does_not_grow_with_the_fleet(instances):
-    """Eight requests a second at each ingress, whatever their number; a third of its sets are wide."""
-    w = World(2, instances)  # as they begin
+    """Each ingress gets eight requests a second, whatever their number; a third of the ingress sets are large."""
+    w = World(2, instances)  # all ingresses have just started
     w.join(CounterModel(4.0 * instances))
     w.inbox = 100.0
     t = 0.0
-    w.at(1.0, w.rejected_within_quota.clear)  # who has only begun holds ceilings by what it is sure of
+    w.at(1.0, w.rejected_within_quota.clear)  # just after a start only guaranteed shares of ceilings are available
     while (t := t + w.rng.expovariate(8.0 * instances)) < 3.0:
         member = w.rng.randrange(4 * instances)
         plan, width = ("basic", max(11, instances // 2)) if member % 3 == 0 else ("plus", NARROW)
@@ -181,14 +188,17 @@
 
 
 def test_a_wide_member_cut_off_from_its_owner_and_the_counter_is_let_in_once_an_ingress():
-    """What the bound names W x u: neither a rejection for each, as a share under a unit is, nor without end."""
+    """Each ingress admits one request, the term W x u (width x largest request) of the bound.
+
+    Rejecting all would be the effect of shares below one unit; admitting without a limit would exceed the bound.
+    """
     w = fleet()
     w.run(1.0)
     w.counters[0].silent, w.loss = True, 1.0
     for n in range(3 * FLEET):
         w.at(n / 30, lambda n=n: w.ask(n % FLEET, 1, "basic", 4.0, 0, FLEET))  # type: ignore[misc]
     w.run(8.0)
-    assert FLEET - 2 <= w.served <= FLEET + FLEET // 10  # and what has refilled meanwhile
+    assert FLEET - 2 <= w.served <= FLEET + FLEET // 10  # one per ingress, plus the refill in the meantime
     assert w.beyond("basic")[0] <= bound_of(settings(0, FLEET), BASIC, Assumptions()).quota_cut_off
 
 
@@ -196,22 +206,25 @@
     parsed = settings(0, 200)
     wide, narrow = bound_of(parsed, BASIC, Assumptions(), 120), bound_of(parsed, parsed.plans[1], Assumptions(), 13)
     few = bound_of(settings(0, 3), parsed.plans[1], Assumptions(), 3)
-    assert wide.quota_in_touch < 4 * BASIC.burst  # as owners are few, not as the set is wide
-    assert narrow.staleness > few.staleness  # a budget over 24 peers
+    assert wide.quota_in_touch < 4 * BASIC.burst  # depends on the number of owner candidates, not on the set's size
+    assert narrow.staleness > few.staleness  # the update rate is divided among 24 peers
     lines = format_table(parsed, Assumptions())
     assert len(lines) < 40 and "inboxes take in 100" in "".join(lines)
     assert "inboxes" not in "".join(format_table(settings(0, 3), Assumptions()))
 
 
 def test_a_ceiling_is_kept_while_peers_are_deaf_and_a_crowded_counter_answers_few():
-    """Totals that come now and then are no message of peers: for a minute each let in by its own bucket alone."""
+    """Guards against treating occasional counter totals as messages of peers.
+
+    With that fault each ingress admitted requests by its own bucket alone for a minute.
+    """
     w = fleet(per_s=30.0)
-    load(w, 4.0)  # the counter is crowded: most is decided without it
+    load(w, 4.0)  # the counter is overloaded, so most decisions are made without it
     w.cut = set(range(FLEET))
-    for n in range(800):  # one member asks for 100 units a second through all of its set
+    for n in range(800):  # one customer requests 100 units a second through all ingresses of its set
         w.at(n / 100, lambda n=n: w.ask(n % NARROW, 0, "plus", 1.0, 0, NARROW))  # type: ignore[misc]
     load(w, 8.0, rate=100.0)
-    assert w.beyond("plus")[1] <= CEILING_SLACK  # 251 units by messages alone, 11 by messages of the last second
+    assert w.beyond("plus")[1] <= CEILING_SLACK  # 251 units with messages alone, 11 with messages of the last second
 
 
 @pytest.mark.parametrize(
@@ -219,7 +232,10 @@
     [(4, 1.0, True, 240.0), (4, 1.0, False, 30.0), (8, 0.7, True, 240.0), (13, 1.0, True, 240.0)],
 )
 def test_a_spike_in_the_very_second_in_which_messages_are_lost_does_not_pass_a_ceiling(width, lost, quiet, per_s):
-    """Messages of the last second are not enough: 110, 41, 16 and 48 units beyond by them, none by shares."""
+    """Guards against enforcing a ceiling by peers' messages of the last second instead of by shares.
+
+    By such messages the four cases exceeded the ceiling by 110, 41, 16 and 48 units; by shares they do not.
+    """
     w = fleet(per_s=per_s)
     for n in range(30):
         w.at(4.0 + n / 5, lambda n=n: w.ask(n % width, 1000, "plus", 1.0, 0, width))  # type: ignore[misc]
@@ -232,9 +248,10 @@
 
 
 def test_a_request_waits_for_shares_that_the_others_have():
-    """One ingress of twelve gets all that a member asks, four units at once.
+    """One of twelve ingresses gets all requests of a customer, each for four units.
 
-    Rejected at once, 26 of 30 are served: what peers give comes too late for the others.
+    If requests were rejected immediately, only 26 of 30 would be served, as peers' transfers arrive too late for the
+    others.
     """
     w = fleet()
     w.counters[0].silent = True
@@ -245,7 +262,10 @@
 
 
 def test_what_lost_messages_told_of_leaves_nobody_in_debt():
-    """Six seconds of use came at once when messages came again, and buckets stood at -20 to -43 for five seconds."""
+    """Guards against charging the usage of a whole period of lost messages at once when messages arrive again.
+
+    With that fault six seconds of usage were charged at once, and buckets stayed at -20 to -43 units for five seconds.
+    """
     w = World(1, FLEET)
     w.ask(0, 1000, "plus", 1.0, 0, NARROW)
     bucket = w.gateways[0].replication.customers[1000]
@@ -256,9 +276,9 @@
     update(4 * 2, 4 * 2)
     w.run(2.0)
     assert bucket.headroom(w.now) == 36.0
-    update(4 * 62, 4 * 6)  # 60 units since, of which 6 are new
+    update(4 * 62, 4 * 6)  # the total has grown by 60 units, of which 6 are recent
     assert bucket.headroom(w.now) == 0.0
     w.run(1.0)
     assert bucket.headroom(w.now) == 16.0
-    update(4 * 82, 4 * 20)  # no message was lost: others' use of this moment counts in full
+    update(4 * 82, 4 * 20)  # no message was lost, so the peer's recent usage counts in full
     assert bucket.headroom(w.now) == -4.0
--- a/tests/gossip/test_outbox.py
+++ b/tests/gossip/test_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox: updates merged, paced and bounded, and keep-alives."""
+"""The outbox: merging, rate limit and bounds of updates, and keep-alives."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 def test_no_traffic_makes_an_outbox_send_more_than_its_budget():
     rng, box, sent, now = random.Random(4), Outbox(50.0, 28, 0.0), [], 0.0
-    for _ in range(200):  # 20 s of ticks; 40 peers, all of them notified of something in each
+    for _ in range(200):  # 20 s of ticks; in each of them there are updates for all of 40 peers
         for _ in range(100):
             box.mark_changed(now, rng.randrange(1000), [rng.randrange(40) for _ in range(5)])
         sent += [(now, peer) for peer, _ in box.take(now)]
         now += 0.1
     assert len(sent) <= 50.0 * (20.0 + BURST_S)
-    assert len(sent) >= 45.0 * 20.0  # and it uses what it has
+    assert len(sent) >= 45.0 * 20.0  # the budget is used
     per = [sum(1 for _, peer in sent if peer == p) for p in range(40)]
-    assert max(per) <= min(per) + 2  # the longest waiting first: nobody is left out
+    assert max(per) <= min(per) + 2  # the longest waiting peer is served first, so no peer starves
 
 
 def test_what_waits_is_merged_and_a_message_holds_so_many():
--- a/tests/gossip/test_owners.py
+++ b/tests/gossip/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners: the same for all of a set, spread evenly, and skipped where they do not reply."""
+"""Owners: all ingresses of a set agree on them, they are spread evenly, and skipped if they do not reply."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert owners.owner_of(0.3 + SKIP_S, 7, 0, 100) == owner
     owners.skipped_until = {p: 9.0 for p in range(200)}
     assert owners.owner_of(1.0, 7, 0, 100) is None
-    owners.record_message(owner)  # any message of it will do
+    owners.record_message(owner)  # a message of any kind ends the skipping
     assert owners.owner_of(1.0, 7, 0, 100) == owner
     assert CANDIDATES > 1
 
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -1,4 +1,4 @@
-"""Twelve processes of the program, whose members come through all of them, and what breaks between them."""
+"""Twelve ingress processes, whose customers use all of them, under faults between the processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from standins.fleet import Fleet, run_fleet
 from standins.fleet_options import Options
 
-INGRESSES = 12  # more than send all updates to all
+INGRESSES = 12  # a large deployment, in which updates go to ingress sets instead of to all ingresses
 
 
 @pytest.mark.parametrize(
--- a/tests/gossip/test_queries.py
+++ b/tests/gossip/test_queries.py
@@ -1,4 +1,4 @@
-"""Queries, replies, requests that wait and reconciliations, and their bytes."""
+"""Queries, replies, pending requests and reconciliations, and their encodings."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     assert owner.receive_query(0.0, 3, message) == OwnerQuery(1, r.customer, 1, 190, 120, 2.25)
     reply = owner.create_reply(3, 1, True, 7.9)
     assert reply == REPLY_MARK + bytes.fromhex("0001" "01" "001f")
-    assert asker.receive_reply(8, reply) is None  # it was not asked
+    assert asker.receive_reply(8, reply) is None  # from a peer that was not asked
     assert asker.receive_reply(9, reply) == ("r1", True, 7.75)
-    assert asker.receive_reply(9, reply) is None  # a copy
+    assert asker.receive_reply(9, reply) is None  # a duplicate
     assert owner.receive_reply(3, owner.create_reply(3, 5, False, -1e9)) is None
 
 
@@ -31,22 +31,26 @@
     [b"", QUERY_MARK, QUERY_MARK + bytes(5), QUERY_MARK + bytes(13), QUERY_MARK + bytes(14), QUERY_MARK + b"\xff" * 13],
 )
 def test_what_cannot_be_a_query_is_none(payload):
-    assert gossip().receive_query(0.0, 3, payload) is None  # also sets of none, and of more than there are
+    assert gossip().receive_query(0.0, 3, payload) is None  # also sets of no ingress, and of more than exist
 
 
 def test_a_query_is_sent_once_more_and_its_owner_repeats_the_reply():
-    """A lost reply would otherwise charge twice: at the owner, and by the ingress that then decides for itself."""
+    """Without the repetition, a lost reply would cause two charges.
+
+    The owner would charge the request, and so would the ingress, which then decides without the owner.
+    """
     asker, owner = gossip(3), gossip(9)
     message = asker.create_query(0.0, 9, request(), 1)
     assert asker.timer_delay(0.0) == REPLY_TIMEOUT_S and asker.due_retransmissions(0.09) == []
-    assert asker.due_retransmissions(REPLY_TIMEOUT_S) == [(9, message)] and asker.due_retransmissions(0.2) == []  # once
+    # The query is retransmitted only once.
+    assert asker.due_retransmissions(REPLY_TIMEOUT_S) == [(9, message)] and asker.due_retransmissions(0.2) == []
     assert owner.receive_query(0.01, 3, message).answer == b""
-    assert owner.receive_query(0.12, 3, message) is None  # it is being decided on
+    assert owner.receive_query(0.12, 3, message) is None  # the query is still being decided
     reply = owner.create_reply(3, 1, True, 1.0)
     assert owner.receive_query(0.13, 3, message).answer == reply
-    assert owner.receive_query(0.13, 4, message).answer == b""  # another's of the same number
+    assert owner.receive_query(0.13, 4, message).answer == b""  # another peer's query with the same number
     other = QUERY_MARK + message[1:-1] + b"\x05"
-    assert owner.receive_query(0.14, 3, other).answer == b""  # another incarnation's: it asks for something else
+    assert owner.receive_query(0.14, 3, other).answer == b""  # same number, but sent by another incarnation
     assert asker.receive_reply(9, reply) is not None and asker.expired_requests(9.0) == []
     for n in range(2 * REPLIES_KEPT):
         owner.receive_query(0.2, n, message)
--- a/tests/quota/ingress_set.py
+++ b/tests/quota/ingress_set.py
@@ -1,4 +1,4 @@
-"""Ingresses that share an allowance, a network between them, and the bucket that they must not exceed."""
+"""Test model: ingresses that share an allowance, the network between them, and the bucket that they must not exceed."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from thistleusher.quota.messages import HEADER_BYTES
 from thistleusher.quota.terms import WHOLE_SHARE, Terms, epoch_length
 
-SEED = os.environ.get("SOAK_SEED")  # fresh ones for longer runs; CI has the same examples every time
-EXAMPLES = int(os.environ.get("LEDGER_EXAMPLES", "1200"))  # a longer run: LEDGER_EXAMPLES=20000 python -m pytest
+SEED = os.environ.get("SOAK_SEED")  # set it for new examples in longer runs; CI always uses the same examples
+EXAMPLES = int(os.environ.get("LEDGER_EXAMPLES", "1200"))  # for a longer run: LEDGER_EXAMPLES=20000 python -m pytest
 PLUS = Terms(10.0, 30.0)
 BASIC = Terms(2.0, 8.0, min_burst=4.0)
 START = 1000.0
@@ -20,7 +20,7 @@
 
 
 class ExactBucket:
-    """The allowance itself: what one bucket would have let in."""
+    """Reference model: a single bucket with the allowance; fails if more is admitted than it would admit."""
 
     def __init__(self, terms: Terms, width: int) -> None:
         self.rate, self.most = terms.rate, terms.burst + width * terms.min_burst
@@ -34,7 +34,7 @@
 
 
 class IngressSet:
-    """Ingresses with a network between them that loses, delays and copies."""
+    """Ingresses and a network between them that can lose, delay and duplicate messages."""
 
     def __init__(self, terms: Terms, count: int = 3, started_at: float = 0.0) -> None:
         self.terms, self.count, self.now = terms, count, START
@@ -44,7 +44,7 @@
         self.served = self.asked = 0
 
     def restart(self, node: int) -> None:
-        """A new incarnation, with nothing of the old one's; what that one sent is still on its way."""
+        """Replace an ingress by a new incarnation without state; messages sent by the old one stay in transit."""
         self.nodes[node] = EscrowTable(self.count, node, self.now, (self.terms,))
         self.send_handshakes(node)
 
@@ -57,7 +57,7 @@
         if good:
             self.served += 1
             self.bucket.pour(self.now, units)
-        for _, message in self.nodes[node].demands(self.now):  # to all
+        for _, message in self.nodes[node].demands(self.now):  # demands go to all peers
             self.wire += [(node, other, message) for other in range(self.count) if other != node]
         return good
 
@@ -67,7 +67,7 @@
         self.check()
 
     def check(self) -> None:
-        """The shares in effect add up to at most the whole, wherever all are in one epoch."""
+        """Check that the shares in effect add up to at most the whole if all ingresses are in the same epoch."""
         own = [a for node in self.nodes for a in node.allowances.values()]
         if {a.epoch for a in own} == {int(self.now // epoch_length(self.terms))}:
             assert sum(a.share for a in own) <= WHOLE_SHARE, [
@@ -79,7 +79,7 @@
             self.deliver(0)
 
     def step(self, kind: str, *args: Any) -> None:
-        """One of `STEP`."""
+        """Execute one step drawn from `STEP`."""
         if kind == "wait":
             self.now += args[0]
         elif kind == "ask":
--- a/tests/quota/starts.py
+++ b/tests/quota/starts.py
@@ -1,4 +1,4 @@
-"""Fleets that start in scripted time with the counter silent, and what their members must not exceed."""
+"""Helpers for start-up tests: ingresses start in simulated time while the counter does not answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def begun(offsets, moment=0.0, plan="plus", rate=70.0, members=20, seconds=SECONDS, skews=(), seed=3):
-    """A fleet whose counter is silent from the first request; one member in five asks far beyond its quota."""
+    """Start ingresses whose counter never answers, and send requests; one request in five is from customer 0.
+
+    Customer 0 thereby requests far more than its quota.
+    """
     w = World(seed, len(offsets), 5000.0 + moment, offsets=offsets, skews=skews)
     w.counters[0].silent = True
     ask_for(w, seconds, plan, rate, members, seed)
@@ -23,7 +26,7 @@
 
 
 def ask_for(w, seconds, plan="plus", rate=70.0, members=20, seed=3, units=(1.0, 2.0, 4.0)):
-    """Requests at random ingresses of those that are up by then."""
+    """Send requests to random ingresses among those that are running at the time."""
     rng, t = random.Random(seed), 0.0
     while (t := t + rng.expovariate(rate)) < seconds:
         member = rng.randrange(members) if rng.random() < 0.8 else 0
@@ -38,12 +41,12 @@
 
 
 def rejected_share(w):
-    """Share of the tries that came with half of the quota unused and were not sent on."""
+    """Fraction of requests that were not forwarded although half of the customer's quota was unused on arrival."""
     return len(w.rejected_within_quota) / w.asked
 
 
 def within(w, plan="plus", joint=0, assumed=None):
-    """No member has more than is stated, for so many joint restarts."""
+    """Assert that no customer exceeds the stated bound after `joint` joint restarts; return the excesses."""
     p = PLUS if plan == "plus" else BASIC
     b = bound_of(settings(0, w.instances), p, assumed or Assumptions(0.0, 0.01, outage=SECONDS))
     quota, ceiling = w.beyond(plan)
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""How a fleet, and an ingress that restarts, begin: with the counter silent, against the bound."""
+"""Start of all ingresses together and restart of single ones while the counter does not answer, against the bound."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
     assert rejected_share(w) < most + 0.1 * (plan == "basic"), rejected_share(w)
     w.rejected_within_quota.clear()
     w.asked = 0
-    w.run(20.0)  # the stores are full again
+    w.run(20.0)  # the quotas are full again
     ask_for(w, SECONDS, plan, 70.0 if plan == "plus" else 12.0, seed=4)
     assert rejected_share(w) < (0.25 if plan == "basic" and max(offsets) > 9 else 0.1), rejected_share(
         w
-    )  # one of three is away
+    )  # one of three ingresses is missing
     within(w, plan)
 
 
@@ -62,7 +62,7 @@
         w.loss, w.delay = 0.2, 0.5
         ask_for(w, SECONDS)
         within(w, assumed=Assumptions(0.2, 0.5, skew=0.5, outage=SECONDS))
-        # A handshake and its answer take half a second here, and a transfer as long.
+        # With this delay a handshake and its answer take half a second, and so does a transfer.
         assert rejected_share(w) < 0.35, rejected_share(w)
 
 
@@ -80,7 +80,7 @@
             w.restart(n)
         before = w.served
         ask_for(w, 0.6, members=1, rate=120.0)
-        assert w.served - before > 4  # served again, and not after an epoch
+        assert w.served - before > 4  # requests are admitted again before the epoch ends
     w.run(1.0)
     ask_for(w, 3.0, members=1, rate=120.0)
     within(w, joint=times)
@@ -111,7 +111,7 @@
     w.restart(1)
     w.run(0.1)
     served = w.served
-    w.ask(1, 0, units=4.0)  # its call has no answer, and its headroom is empty: it asks for peers'
+    w.ask(1, 0, units=4.0)  # the counter does not answer and headroom is empty, so it demands headroom from peers
     w.run(TIMEOUT + 0.03)
     w.ask(1, 0, units=4.0)
     w.run(TIMEOUT + 0.03)
@@ -125,7 +125,7 @@
         w.leave(n)
         others = [g for g in w.gateways if g is not None]
         w.run(0.05)
-        for g in others:  # one that has ended in order is not out of touch
+        for g in others:  # an ingress that has shut down gracefully does not count as out of touch
             c = g.replication.customers[0]
             assert (
                 g.replication.in_touch(w.now + 1.5, c, strict=True)
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("part", range(4))
 def test_random_restarts_keep_the_bound(part):
-    """Kills, orderly ends and starts at random moments of an outage, over lossy datagrams, of 2 to 6 ingresses."""
+    """Kill, shut down and start 2 to 6 ingresses at random times of an outage, in a third of the runs with loss."""
     for seed in range(FIRST + part * SCHEDULES // 4, FIRST + (part + 1) * SCHEDULES // 4):
         rng = random.Random(seed)
         count, plan = rng.randint(2, 6), ("plus", "basic")[seed % 2]
@@ -191,7 +191,7 @@
             ends += w.gateways[n] is None or w.incarnation[n] > 1
             joint += not any(w.gateways)
             ask_for(w, rng.choice((0.05, 0.3, 1.0)), plan, rng.choice((20.0, 80.0)), rng.choice((1, 3)), seed)
-        # Who begins while handshakes are lost may be one of those that begin together once more.
+        # If handshakes are lost, an ingress that restarts alone may count as part of a joint start once more.
         joint = ends if lossy else joint
         assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         try:
--- a/tests/quota/test_bound.py
+++ b/tests/quota/test_bound.py
@@ -1,4 +1,4 @@
-"""The bound as printed, and what it grows with."""
+"""The output of the bound command, and the inputs with which the bound grows."""
 
 from __future__ import annotations
 
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -1,4 +1,4 @@
-"""Escrowed shares against an exact model of the allowance: random losses, delays, copies, restarts, moves."""
+"""Escrowed shares against an exact model of the allowance, with lost, delayed and duplicated messages and restarts."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
         late = [x for x in late if x[0] > s.now]
         for _ in range(len(s.wire)):
             s.deliver(0)
-    assert s.bucket.worst > 0.9 * PLUS.burst or s.served > 100  # it was pressed
+    assert s.bucket.worst > 0.9 * PLUS.burst or s.served > 100  # the run was under load
 
 
 @pytest.mark.parametrize("number", range(20))
 def test_pressed_everywhere_through_restarts_and_messages_that_outlive_their_senders(number):
-    """All that any ingress would let in is asked for, so that a share which counts twice is spent twice."""
+    """Requests exhaust each ingress's headroom, so that a share that were counted twice would be spent twice."""
     rng = random.Random(number + 20 * int(SEED or 0))
     s = IngressSet(PLUS)
     late = []
@@ -65,7 +65,7 @@
         s.now += 0.05
         if rng.random() < 0.06:
             s.restart(rng.randrange(3))
-        pressed = rng.random() < 0.5  # else headroom and shares find other places
+        pressed = rng.random() < 0.5  # otherwise only one ingress is used, so that headroom and shares move to it
         for n in range(3) if pressed else (rng.randrange(3),):
             while s.ask(n, 1.0):
                 pass
@@ -80,7 +80,7 @@
         late = [x for x in late if x[0] > s.now]
         for _ in range(len(s.wire)):
             s.deliver(0)
-    assert s.served > 100  # it was pressed
+    assert s.served > 100  # the run was under load
 
 
 def test_a_member_that_comes_to_one_ingress_gets_the_whole_allowance_in_a_few_messages():
@@ -100,11 +100,11 @@
 def test_service_follows_a_member_that_moves_and_stays_close_to_one_bucket():
     s = IngressSet(PLUS)
     got, level, best = 0.0, 0.0, 0.0
-    for n in range(6000):  # a minute of 100 units a second, moving every 2 s
+    for n in range(6000):  # a minute at 100 units a second; the customer changes the ingress every 2 s
         s.now += 0.01
         home = n // 200 % 3
         got += s.ask(home, 1.0)
-        if n % 2:  # 20 ms for demand and answer
+        if n % 2:  # a demand and its answer take up to 20 ms
             s.settle()
         level = max(0.0, level - PLUS.rate * 0.01)
         if level + 1.0 <= PLUS.burst:
@@ -125,7 +125,7 @@
     s.now += 0.06
     s.ask(1, 4.0)
     s.wire = [w for w in s.wire if w[1] == 0]
-    s.deliver(0)  # asked again, it sends the same totals
+    s.deliver(0)  # the answer to the second demand holds the totals again
     s.settle()
     after = a.share, a.headroom
     assert after[0] > before[0] and after[1] > before[1]
@@ -148,7 +148,7 @@
     s.ask(1, 1.0)
     assert not s.nodes[1].allowances[0, 7].unreconciled and s.nodes[1].allowances[0, 7].fraction() >= 0.33
     s.restart(1)
-    s.wire = []  # nobody answers
+    s.wire = []  # no peer answers
     s.now += length
     s.ask(1, 1.0)
     assert s.nodes[1].allowances[0, 7].fraction() == pytest.approx(1 / 3, abs=0.01)
@@ -160,22 +160,22 @@
     while s.ask(1, 1.0):
         pass
     s.settle()
-    while s.ask(1, 1.0):  # what it was given
+    while s.ask(1, 1.0):  # spend the headroom received from peers
         pass
     s.restart(1)
     left = sum(n.allowances[0, 7].headroom for n in s.nodes if n is not s.nodes[1])
     s.ask(1, 1.0)
     s.settle()
     a = s.nodes[1].allowances[0, 7]
-    assert a.share > 0 and a.headroom < left  # peers' headroom, and nothing else
+    assert a.share > 0 and a.headroom < left  # all of it came from the peers' headroom
 
 
 def test_what_others_admitted_lowers_the_headroom_when_it_is_used_again():
     node = EscrowTable(3, 0, 0.0, (PLUS,))
-    assert not node.admit(START, 0, 7, 0, 3, 4.0, spent=20.0)  # a third of the 10 that are left
+    assert not node.admit(START, 0, 7, 0, 3, 4.0, spent=20.0)  # the headroom is a third of the 10 unspent units
     assert node.admit(START, 0, 7, 0, 3, 3.0, spent=20.0)
     node.spend(START, 0, 7, 100.0)
-    assert node.allowances[0, 7].headroom == -PLUS.burst  # not without end
+    assert node.allowances[0, 7].headroom == -PLUS.burst  # the deficit is limited to one burst
     assert not node.admit(START + 5.0, 0, 7, 0, 3, 1.0, spent=0.0)
 
 
@@ -233,7 +233,7 @@
     messages, now = [], START
     while demanded := node.demands(now):
         [(_, message)] = demanded
-        assert not node.demands(now)  # no more than one at a time, however many are short
+        assert not node.demands(now)  # one message at a time, however many allowances are short of headroom
         messages.append(message)
         now += 2 * node.demand_queue.interval
     assert (
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -1,4 +1,4 @@
-"""Quotas and ceilings under each failure of the counter, against the stated bound, in scripted time."""
+"""Quotas and ceilings under each failure of the counter, against the stated bound, in simulated time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def moving(every):
-    """The whole of a member's traffic, on another ingress every few seconds."""
+    """Send all of a customer's traffic to one ingress, another one every `every` seconds."""
     return lambda at: int(at // every) % 3
 
 
@@ -37,7 +37,7 @@
 def refuse_late(w):
     w.counters[0] = CounterModel()
     w.counters[0].counts = w.counters[1].counts
-    w.counters[0].delay = 0.2  # for one ingress only
+    w.counters[0].delay = 0.2  # longer than the time-out, for one ingress only
 
 
 def split(w):
@@ -123,7 +123,7 @@
 
 
 def stated(fault, bound):
-    """The bound on the quota that holds under a fault."""
+    """Return the bound on the excess over the quota that applies to a fault."""
     if fault in (split_and_cut_off, split_in_three, everything):
         return bound.quota_split
     away = (silent_and_restart, silent_and_all_restart, silent_and_cut_off, silent_with_lossy_peers)
@@ -131,7 +131,7 @@
 
 
 def played(fault, home, plan, seed=1, length=LENGTH, rate=40.0):
-    """Ten calm seconds, the fault for a while, and a good counter again; gives the world and the bound."""
+    """Run 10 s without faults, `length` seconds with the fault, and 10 s after recovery; return world and bound."""
     w = World(seed)
     w.traffic(10.0, rate, home, plan)
     good = w.counters[1]
@@ -157,12 +157,12 @@
 
 
 def at_once(fault, plan, length=LENGTH, rate=40.0):
-    """The worst that a member can do: its store full, the failure begins, and all ingresses meet a burst at once."""
+    """Run the worst case: the quota is full, the fault begins, and all ingresses get a burst at the same time."""
     w = World()
     for n in range(3):
         w.ask(n, plan=plan)
     w.run(20.0)
-    for n in range(3):  # they have just heard of one another
+    for n in range(3):  # the ingresses exchange messages just before the fault
         w.ask(n, plan=plan)
     w.run(0.15)
     fault(w)
@@ -204,7 +204,7 @@
 
 def test_a_replaced_counter_is_noticed_and_gets_again_what_it_lost():
     w = World()
-    while w.now % 2.25 > 0.01 or not w.served:  # some way into nothing in particular
+    while w.now % 2.25 > 0.01 or not w.served:  # stop at an arbitrary time after the first admitted request
         w.traffic(0.01, 40.0, lambda at: 1)
         if w.now > 5100:
             break
@@ -216,11 +216,11 @@
     w.act = lambda n, a: logs.append(a.text) if isinstance(a, actions.Log) else act(n, a)
     w.traffic(0.5, 30.0, lambda at: 1)
     assert [t for t in logs if "forgets" in t] and lost > 0
-    assert len([t for t in logs if "forgets" in t]) == 1  # said once
+    assert len([t for t in logs if "forgets" in t]) == 1  # logged once
 
 
 def within_a_window(w, seconds=0.6):
-    """Let time pass until no window of the member's turns for a while; gives what ingress 1 knows of it."""
+    """Advance time until the customer's window stays the same for `seconds`; return the customer at ingress 1."""
     w.run(10.0)
     w.ask(1, units=1.0)
     w.run(0.2)
@@ -242,7 +242,7 @@
         w.ask(1, units=1.0)
         w.run(0.05)
     total, _ = w.counters[1].counts[c.count_name(w.now)]
-    assert total + c.pending == pytest.approx(7.0)  # what was let in, in the count or on its way
+    assert total + c.pending == pytest.approx(7.0)  # all admitted units are in the count or pending
 
 
 def test_what_a_replaced_counter_lost_is_written_back_once():
@@ -265,7 +265,7 @@
     w.traffic(20.0, 40.0, spread())
     assert all(g.counters.by_number[0].is_silent(w.now) for g in w.gateways)
     w.run(3.0)  # the quota is full again
-    for n in range(3):  # and they are in touch
+    for n in range(3):  # and the ingresses are in touch
         w.ask(n, 0)
     w.run(0.12)
     for _ in range(36):
@@ -285,16 +285,16 @@
     act = w.act
     w.act = lambda n, a: sent.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
     w.run(5.0)
-    assert len(sent) <= 6  # and fall silent when no peer notifies them of anything
+    assert len(sent) <= 6  # messages stop when no peer sends notifications
 
 
 FIRST = 6 * int(os.environ.get("SOAK_SEED", "0"))
-SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))  # a longer run: LEDGER_SCHEDULES=5000
+SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))  # for a longer run: LEDGER_SCHEDULES=5000
 
 
 @pytest.mark.parametrize("part", range(4))
 def test_random_interleavings_of_all_failures_keep_the_bound(part):
-    """Loss, delay, restarts, splits, replacement, silence and moves at random times, against one exact store."""
+    """Loss, delay, restarts, splits, replacement, outages and moves at random times, against one exact bucket."""
     for seed in range(FIRST + part * SCHEDULES // 4, FIRST + (part + 1) * SCHEDULES // 4):
         rng = random.Random(seed)
         plan, rate = (("plus", 40.0), ("basic", 8.0))[seed % 2]
@@ -339,9 +339,9 @@
     w.counters[0].silent = False
     before = w.counters[0].adds
     w.traffic(1.0, 400.0, spread(), "basic", members=5000)
-    assert w.slowest <= 2 * TIMEOUT  # the counter's time-out, and a wait for a slot
+    assert w.slowest <= 2 * TIMEOUT  # the counter's time-out, and the wait for a free slot
     calls = w.counters[0].adds - before
-    assert calls <= 450, calls  # no more than requests come: what was let in meanwhile goes with them
+    assert calls <= 450, calls  # at most one call per request: units admitted in the outage are added with them
     quota, _ = w.beyond("basic")
     assert quota <= bound_of(settings(0), BASIC, Assumptions(outage=5.0)).quota_cut_off
 
--- a/tests/quota/test_handshakes.py
+++ b/tests/quota/test_handshakes.py
@@ -1,4 +1,4 @@
-"""Incarnations and the handshakes between them."""
+"""Handshakes between incarnations of ingresses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     demands = [m for m in s.wire if m[0] == 2 and m[1] == 1]
     s.wire = demands
     s.deliver(0)
-    late = [m for m in s.wire if m[0] == 1]  # what the earlier incarnation of 1 gave
+    late = [m for m in s.wire if m[0] == 1]  # transfers given by the earlier incarnation of ingress 1
     assert late and late[0][2][:1] == TRANSFER_MARK
     s.wire = []
     s.now += 0.01
@@ -37,7 +37,7 @@
     before = a.share, a.headroom
     s.wire = late
     s.settle()
-    assert (a.share, a.headroom) == before  # nobody was notified that it had been taken
+    assert (a.share, a.headroom) == before  # no peer has been notified of these transfers as received
     assert 1 in s.nodes[2].bootstrap.incarnations.restarted
 
 
@@ -46,7 +46,7 @@
 
 
 def exchange_handshakes(bootstraps, now, lost=()):
-    """All that is due and its answers go out; handshakes from or to `lost` do not come."""
+    """Deliver all due handshakes and their answers, except from and to `lost`; return the number of messages sent."""
     wire = [(sender.me, peer, m) for sender in bootstraps for peer, m in sender.due_handshakes(now)]
     sent = 0
     while wire:
@@ -91,13 +91,13 @@
         and not bootstraps[1].started_together((0, 1, 2))
         and bootstraps[0].started_together((0, 1, 2))
     )
-    for n in (0, 2):  # through the whole fleet, one overlapping the other
+    for n in (0, 2):  # restart the others one after another, so that each incarnation overlaps the next
         bootstraps[n] = Bootstrap(3, n, 102.0 + n, 6.0)
         exchange_handshakes(bootstraps, 102.0 + n)
         assert not bootstraps[n].started_together((0, 1, 2))
     bootstraps = bootstraps_of(
         3, [200.0, 200.0, 200.0 + 2 * JOINT_START_MS / 1000]
-    )  # the last begins long after the others
+    )  # the last one starts long after the others
     exchange_handshakes(bootstraps[:2] + [Bootstrap(3, 2, 0.0, 6.0)], 200.0, lost=(2,))
     exchange_handshakes(bootstraps, 215.0)
     assert not bootstraps[2].started_together((0, 1, 2)) and bootstraps[0].started_together((0, 1, 2))
@@ -132,4 +132,4 @@
         and not node.bootstrap.reconciled_at
         and node.bootstrap.origin == node.bootstrap.incarnation
     )
-    assert node.receive(START, 0, HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5, 0, 5, 0)) == []  # its own
+    assert node.receive(START, 0, HANDSHAKE_MARK + HANDSHAKE_FORMAT.pack(5, 0, 5, 0)) == []  # from itself
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -1,4 +1,4 @@
-"""Each failure of the counter on real sockets: daemons among stand-ins, judged at the match servers."""
+"""Each failure of the counter on real sockets: daemons among stand-ins, checked at the stand-in backends."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 SECONDS = 6.0
 AWAY = 3.5
-AT_A_TIME = 4  # fleets
+AT_A_TIME = 4  # number of scenarios that run concurrently
 SCENARIOS = {
     "silence": [Fault(1.0, "counter.silence", lasts=AWAY)],
     "split": [Fault(1.0, "counter.split", 0, AWAY)],
@@ -62,10 +62,10 @@
 
 
 def stated(o: Options, scenario: str) -> dict[str, PlanRule]:
-    """The plans, with the errors that the bound states for the scenario."""
+    """Return the plans with the excesses that the bound allows for the scenario."""
     parsed, _ = nested_settings(settings(o, 0))
     lossy, away = "lossy" in scenario, "restart" in scenario
-    # Everything that the machine adds to a datagram's way is the relay's delay here.
+    # The assumed delay covers the relay's delay and everything that the machine adds to it.
     assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.1, outage=SECONDS, folders=o.folders)
     out = {}
     for plan in parsed.plans:
@@ -105,7 +105,7 @@
 
 @functools.cache
 def group(number):
-    """Some scenarios at a time: a fleet mostly waits."""
+    """Run a group of scenarios concurrently, as each of them mostly waits."""
 
     async def main():
         names = list(SCENARIOS)[number * AT_A_TIME : (number + 1) * AT_A_TIME]
@@ -138,8 +138,8 @@
         verdict, _, sent = await run_fleet(Options(**size, plans=rules), records=records)
         assert verdict.kept and sent > 800, verdict.lines()
         served = sum(f.served for f in verdict.figures.values())
-        assert served > 0.9 * sent, verdict.lines()  # nearly all are within their quotas
+        assert served > 0.9 * sent, verdict.lines()  # nearly all customers are within their quotas
         back = [a.at for a in records.of(Added)]
-        assert len(back) <= 1.2 * sent  # no herd: what was let in meanwhile goes with later requests
+        assert len(back) <= 1.2 * sent  # no thundering herd: units admitted in the outage go with later requests
 
     asyncio.run(asyncio.wait_for(main(), 60))
--- a/tests/quota/test_outages.py
+++ b/tests/quota/test_outages.py
@@ -1,4 +1,4 @@
-"""One member through an outage, a pause and another outage, over sockets, on a clock of the test's own."""
+"""Requests of customers during two outages with a pause between them, over sockets, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "extra": {**SETTINGS["extra"], "counterTimeout": 0.05},
     "limits": {**SETTINGS["limits"], "peers": True},
 }
-RETENTION_S = 24.0  # three epochs of 2 x 8 / 2 s, after which an escrow table forgets an allowance
+RETENTION_S = 24.0  # three epochs of 2 x 8 / 2 s, after which an escrow table evicts an idle allowance
 
 
 @pytest.mark.parametrize("pause", [1.0, RETENTION_S - 0.1, RETENTION_S + 0.1, 3 * RETENTION_S])
@@ -36,11 +36,11 @@
             assert [await ask(f"a{n}", n) for n in range(3)] == [200] * 3
             counter.silence(False)
             clock[0] += 0.1
-            assert await ask("b", 9) == 200  # answered again: the outage is over
+            assert await ask("b", 9) == 200  # the counter answers again: the outage is over
             clock[0] += pause
             counter.silence(True)
-            assert [await ask(f"c{n}", n % 3) for n in range(6)] == [200] * 6  # a burst of 8 / 3 for each
-            assert await ask("d", 0) in (200, 503)  # beyond its share: rejected, and no fault
+            assert [await ask(f"c{n}", n % 3) for n in range(6)] == [200] * 6  # each customer's share is 8 / 3 units
+            assert await ask("d", 0) in (200, 503)  # beyond the share a request may be rejected, but must not fail
             held = daemon.gateway.replication.escrow.allowances
             assert {c for _, c in held} <= {0, 1, 2, 9} and len(held) >= 3
         counter.silence(False)
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -1,4 +1,4 @@
-"""Several counters: names are placed alike everywhere, a lost counter costs its own names, a set may change."""
+"""Several counters: consistent placement of names, failure of one counter, and changes of the set of counters."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     w = World(placement=Placement(ADDRESSES[:2]))
     rate = 40.0 if plan == "plus" else 6.0
     w.traffic(5.0, rate, spread(), plan)
-    for addresses in (after, ADDRESSES[:2], after):  # in mid-window, whatever the window
+    for addresses in (after, ADDRESSES[:2], after):  # the changes happen within windows, not at their boundaries
         w.place(Placement(addresses))
         w.traffic(3.3, rate, spread(), plan)
     quota, ceiling = w.beyond(plan)
@@ -109,7 +109,8 @@
         await add_all()
         assert {int(n) for s in services[:2] for n in s.totals()} == set(NAMES[:60]) and not services[2].totals()
         services[0].silence(True)
-        counters.add(next(n for n in NAMES if counters.placement.of(n) == 0), 1.0, 60.0)  # owed while it leaves
+        # This call is pending while its counter is removed.
+        counters.add(next(n for n in NAMES if counters.placement.of(n) == 0), 1.0, 60.0)
         counters.place(Placement(addresses[1:]))
         services[0].silence(False)
         await replies.get()
--- a/tests/quota/test_reservations.py
+++ b/tests/quota/test_reservations.py
@@ -1,4 +1,4 @@
-"""Headroom reserved on disk: whatever a kill loses, a set admits no more than one bucket would, and less is lost."""
+"""Headroom reserved on disk: after kills a set admits at most what one bucket would, and loses less headroom."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 JOINT_START = PLUS._replace(
     joint_start_burst=PLUS.burst
-)  # what a joint start may have at once, where nothing is restored
+)  # a joint start may admit one burst at once if nothing is restored
 EPOCH = epoch_length(PLUS)
 
 
 class PersistentSet(IngressSet):
-    """Ingresses with a folder each: records are handed over, committed in order, or lost by a kill."""
+    """Ingresses with a state folder each: records are handed over, committed in order, or lost by a kill."""
 
     def __init__(self, terms=JOINT_START) -> None:
         super().__init__(terms)
@@ -37,7 +37,7 @@
             self.in_flight[n].append(records)
 
     def commit(self, n, known=True):
-        """Commit the oldest records in flight; the ingress may be killed before it hears of it."""
+        """Commit the oldest records in flight; `known`: whether the ingress is notified of the commit."""
         if self.in_flight[n]:
             records = self.in_flight[n].pop(0)
             for record in records:
@@ -53,7 +53,7 @@
 
 
 def crash(persistent, committed, *which):
-    """Killed, all or some, with records in flight, of which so many are committed unheard."""
+    """Kill and restart some ingresses (default: all) after `committed` commits of which they are not notified."""
     for n in which or range(3):
         for _ in range(committed):
             persistent.commit(n, known=False)
@@ -61,7 +61,7 @@
 
 
 def commit_all(persistent):
-    """All record their headroom, and the disks take it."""
+    """Record and commit the headroom of all ingresses."""
     for n in range(3):
         persistent.record(n)
         persistent.commit(n)
@@ -103,7 +103,7 @@
 
 
 def pressed(s, seconds, step=0.05, units=1.0, reserves=True):
-    """All three ask for all they can get, records are committed with each step where there are any."""
+    """Exhaust the headroom of all three ingresses in each step, with a record and a commit if `reserves`."""
     before, end = s.served, s.now + seconds
     while s.now < end:
         s.now += step
@@ -124,7 +124,7 @@
 
 
 def disturb(s, what, some, rng):
-    """What happens to the whole set."""
+    """Execute a step that concerns the whole set."""
     if what == "quiet":
         s.now += rng.uniform(0.5, 1.5 * EPOCH)
     elif what == "moment":
@@ -133,7 +133,7 @@
         drain(s, rng)
     elif what == "settle":
         s.settle()
-    elif what == "move":  # one asks for all that the others can give
+    elif what == "move":  # one ingress demands all that the others can give
         for _ in range(10):
             s.ask(some[0], 4.0)
             s.settle()
@@ -160,7 +160,7 @@
 def begun(terms=JOINT_START):
     s = PersistentSet(terms)
     for n in range(3):
-        s.ask(n, 0.5)  # each knows the member
+        s.ask(n, 0.5)  # creates the allowance at each ingress
     commit_all(s)
     s.settle()
     return s
@@ -172,8 +172,8 @@
     for _ in range(5):
         crash(s, 1)
         s.settle()
-        pressed(s, 0.3)  # its own check: never over the burst
-    assert s.bucket.worst > 0.85 * PLUS.burst  # it was pressed
+        pressed(s, 0.3)  # the reference bucket checks that the burst is never exceeded
+    assert s.bucket.worst > 0.85 * PLUS.burst  # the run was under load
 
 
 def test_a_member_that_was_quiet_has_headroom_at_once_after_a_kill_and_without_a_record_none():
@@ -210,7 +210,8 @@
         and r.reserved(10.5) == 5.0
         and r.reserved(99.0) == RESERVED_FRACTION * 12.0
     )
-    assert r.reserve(11.0, 100.0) == RESERVED_FRACTION * 12.0  # beside the one before, until it is committed
+    # The earlier record stays in effect until this one is committed.
+    assert r.reserve(11.0, 100.0) == RESERVED_FRACTION * 12.0
     assert r.reserve(11.0, 0.0) == 0.0 and r.restored((3.0, 11.0), 5.0) == 3.0
     assert r.reserved(11.5) == max(0.0 + 2.0 * 1.5, 0.0 + 2.0 * 0.5)
     r.confirm()
@@ -224,11 +225,11 @@
     first = escrow.changed_reservations(1000.0, 10)
     assert [(n.plan, n.customer, n.first, n.width) for n in first] == [(0, 7, 0, 3)] and first[0].units > 0
     escrow.admit(1000.1, 0, 7, 0, 3, 1.0, 0.0)
-    assert escrow.changed_reservations(1000.1, 10) == []  # one at a time
+    assert escrow.changed_reservations(1000.1, 10) == []  # one record in flight at a time
     escrow.reservations_committed([(0, 7)])
     assert len(escrow.changed_reservations(1000.2, 10)) == 1
     escrow.reservations_committed([(0, 7)])
-    escrow.admit(1000.0 + 4 * EPOCH, 0, 8, 0, 3, 1.0, 0.0)  # the first is forgotten; its record stands
+    escrow.admit(1000.0 + 4 * EPOCH, 0, 8, 0, 3, 1.0, 0.0)  # the first allowance is evicted; its record stays in effect
     assert escrow.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, 0.5, 0.0)
     headroom = escrow.allowances[0, 7].headroom
     assert not escrow.admit(1000.0 + 4 * EPOCH, 0, 7, 0, 3, headroom, 0.0)
@@ -249,5 +250,5 @@
     good = SavedReservation(0, 7, 0, 3, 2.0, 999.9)
     assert 2.0 < headroom(good, 1000.0) < 2.5
     assert headroom(good._replace(first=1, width=2), 1000.0) == 0.0
-    assert headroom(good, 1000.0 - EPOCH - 0.1) == 0.0  # it waits for its peers like anybody who begins
+    assert headroom(good, 1000.0 - EPOCH - 0.1) == 0.0  # it waits for its peers like any ingress that starts
     assert headroom(good._replace(at=1005.0), 1000.0) == 2.0  # the clock was set back
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -1,6 +1,6 @@
-"""Ingresses, a member's requests, counters and a network in scripted time: every failure of the counter, exactly.
+"""Simulated ingresses, customers' requests, counters and network, with every failure of the counter at exact times.
 
-Only the decisions are real. What is let in is judged by a store of the test's own, at the moment it is sent on.
+Only the decision modules are real. Admitted units are checked against reference buckets when requests are forwarded.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 
 
 class CounterModel:
-    """A counter service with its faults."""
+    """A counter service with configurable faults."""
 
     def __init__(self, per_s: float = math.inf) -> None:
-        """`per_s`: calls a second that it takes; what comes beyond that within 40 ms is turned away."""
+        """`per_s`: calls a second that it processes; further calls are rejected once 40 ms worth of calls wait."""
         self.per_s, self.line, self.at = per_s, 0.0, 0.0
         self.counts: dict[int, tuple[float, float]] = {}
         self.delay = 0.002
@@ -54,7 +54,7 @@
         self.adds = 0
 
     def full(self, now: float) -> bool:
-        """Whether its line is too long for one more call."""
+        """Return whether the queue is full; if not, add one call to it."""
         if self.per_s == math.inf:
             return False
         self.line, self.at = max(0.0, self.line - self.per_s * (now - self.at)), now
@@ -71,7 +71,7 @@
 
 
 class Store:
-    """What one bucket would have let in."""
+    """Reference bucket: tracks by how much a customer exceeds one bucket's rate and burst."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, burst
@@ -87,7 +87,7 @@
 
 
 class World:
-    """Everything, moved by events in order of time."""
+    """Discrete-event simulation of ingresses, counters, network and customers."""
 
     def __init__(
         self,
@@ -98,23 +98,25 @@
         offsets: tuple[float, ...] = (),
         skews: tuple[float, ...] = (),
     ) -> None:
-        """`placement`: several counters share the names, each found in `parts` by its address.
+        """Create the world and start its ingresses.
 
-        `offsets`: seconds after which each ingress starts (inf: never); `skews`: by how much its clock is ahead.
+        placement: distributes the names among several counters, which are in `parts` by address
+        offsets: seconds after which each ingress starts (inf: never)
+        skews: seconds by which each ingress's clock is ahead
         """
         self.now, self.rng, self.instances = start, random.Random(seed), instances
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
-        self.counters = [CounterModel() for _ in range(instances)]  # by ingress: the same one, unless split
+        self.counters = [CounterModel() for _ in range(instances)]  # by ingress; all the same unless split
         self.join(CounterModel())
         self.placement = placement
         self.parts = {a: CounterModel() for a in placement.addresses} if placement else {}
         self.loss, self.delay = 0.0, 0.01
-        self.inbox = math.inf  # messages a second that an ingress takes in; what comes beyond it is lost
-        self.inboxes = [(0.0, start)] * instances  # how full each is, when
-        self.messages_sent = self.bytes_sent = 0  # as their receivers count them
-        self.overflowed = 0  # messages lost to full inboxes
-        self.cut: set[int] = set()  # ingresses that no datagram goes to or comes from
+        self.inbox = math.inf  # messages a second that an ingress accepts; further messages are lost
+        self.inboxes = [(0.0, start)] * instances  # by ingress, fill level of its inbox and time of that level
+        self.messages_sent = self.bytes_sent = 0  # a broadcast counts once per receiver
+        self.overflowed = 0  # messages lost because the receiver's inbox was full
+        self.cut: set[int] = set()  # ingresses that can neither send nor receive datagrams
         self.gateways: list[Any] = []
         self.incarnation = [0] * instances
         self.calls: dict[int, list[tuple[int, bool]]] = {}
@@ -130,19 +132,19 @@
         self.ceilings: dict[tuple[str, int], Store] = {}
         self.asked = self.served = self.fair = self.fair_served = 0
         self.ideal: dict[tuple[str, int], Store] = {}
-        self.let = 0.0  # units that came to the servers
+        self.let = 0.0  # units that were forwarded to the backends
         self.requests: dict[str, events.Request] = {}
-        self.began: dict[str, float] = {}  # of requests not decided on yet
-        # Requests that came with half of the quota unused, until they are sent on.
+        self.began: dict[str, float] = {}  # arrival times of requests without a decision yet
+        # Requests that arrived with half of the quota unused and have not been forwarded.
         self.rejected_within_quota: set[str] = set()
-        self.slowest = 0.0  # from a request to its first attempt or its rejection
+        self.slowest = 0.0  # longest time from a request to its first attempt or its rejection
 
     def join(self, counter: CounterModel) -> None:
-        """One counter for all."""
+        """Connect all ingresses to one counter."""
         self.counters = [counter] * self.instances
 
     def split(self) -> None:
-        """Ingress 0 meets another counter than the others, which begins at zero."""
+        """Connect ingress 0 to a counter of its own, which starts without counts."""
         self.counters = [CounterModel()] + self.counters[1:]
 
     def at(self, delay: float, what: Callable[[], None]) -> None:
@@ -157,7 +159,7 @@
         self.now = end
 
     def place(self, placement: Placement) -> None:
-        """Another set of counters, announced to all ingresses at once."""
+        """Switch all ingresses to another set of counters at once."""
         self.placement = placement
         for address in placement.addresses:
             self.parts.setdefault(address, CounterModel())
@@ -165,17 +167,17 @@
             gateway.counters.follow(placement)
 
     def kill(self, n: int) -> None:
-        """An ingress ends without a message; what it has sent is still on its way."""
+        """End an ingress without a message; messages that it has sent stay in transit."""
         self.incarnation[n] += 1
         self.gateways[n] = None
 
     def leave(self, n: int) -> None:
-        """An ingress ends in order."""
+        """Shut an ingress down gracefully."""
         self.give(n, events.Leaving())
         self.kill(n)
 
     def restart(self, n: int) -> None:
-        """An ingress starts with nothing of its own; what was on its way to it is gone."""
+        """Start an ingress without state; replies and timers of its earlier incarnation are dropped."""
         self.incarnation[n] += 1
         self.gateways[n] = make_gateway(
             settings(n, self.instances), self.rng.getrandbits(32), self.now + self.skews[n], self.placement
@@ -186,7 +188,7 @@
         )
 
     def remind(self, n: int) -> None:
-        """An ingress has been made, and nothing has happened to it yet: to restore state of an earlier incarnation."""
+        """Hook for subclasses: restore state into a new ingress before its first event."""
 
     def give(self, n: int, event: Event, incarnation: int | None = None) -> None:
         if self.gateways[n] is None or (incarnation is not None and incarnation != self.incarnation[n]):
@@ -217,7 +219,7 @@
                     self.at(late, lambda t=target: self.give(t, events.PeerMessage(n, a.payload)))  # type: ignore[misc]
 
     def takes_in(self, target: int) -> bool:
-        """Whether an ingress's inbox has space for one more message."""
+        """Return whether an ingress's inbox accepts one more message, and add it."""
         full, at = self.inboxes[target]
         full = max(0.0, full - self.inbox * (self.now - at)) if self.inbox < math.inf else 0.0
         good = full < self.inbox
@@ -250,12 +252,12 @@
             else:
                 reply(Outcome.OK, counter.delay, total)
 
-    # Members.
+    # Customers.
 
     def ask(
         self, n: int, member: int = 7, plan: str = "plus", units: float = 1.0, first: int = 0, width: int = 0
     ) -> None:
-        """One request; `fair` are those that one store with the quota would have let in. Its set is all by default."""
+        """Send one request; `fair` counts those that a single bucket would admit. Default ingress set: all."""
         p = PLUS if plan == "plus" else BASIC
         name = f"r{next(self.numbers)}"
         r = self.requests[name] = events.Request(name, "read", plan, member, 6.0, units, width or self.instances, first)
@@ -289,7 +291,7 @@
         members: int = 1,
         units: tuple[float, ...] = (1.0, 2.0, 4.0),
     ) -> None:
-        """Requests at `rate` a second, through the ingress that `home` names for the seconds gone by."""
+        """Send requests at `rate` a second to the ingress that `home` returns for the elapsed seconds."""
         began, t = self.now, 0.0
         while (t := t + self.rng.expovariate(rate)) < seconds:
             member, u = self.rng.randrange(members), self.rng.choice(units)
@@ -298,10 +300,10 @@
         assert self.now == began + seconds
 
     def beyond(self, plan: str = "plus") -> tuple[float, float]:
-        """Units beyond quota and ceiling, of the worst member."""
+        """Return the units beyond quota and beyond ceiling of the customer that exceeds each most."""
         quota = max((s.worst for (p, _), s in self.quotas.items() if p == plan), default=0.0)
         return quota, max((s.worst for (p, _), s in self.ceilings.items() if p == plan), default=0.0)
 
     def kept(self) -> float:
-        """Served, of what one store would have let in."""
+        """Return admitted requests as a fraction of those that a single bucket would have admitted."""
         return self.served / max(1, self.fair)
--- a/tests/services/test_counter_client.py
+++ b/tests/services/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter's client: order, late and spoilt responses, connections that are replaced."""
+"""The counter's client: order of calls, late and malformed responses, and replaced connections."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from thistleusher.services import counter_client as client_module
 from thistleusher.services.counter_client import CounterClient
 
-LONG = 10.0  # a time-out that no test waits for
+LONG = 10.0  # a time-out in seconds that no test reaches
 
 
 class Watching:
-    """A counter with all its replies."""
+    """A counter client that records its replies."""
 
     def __init__(self, port: int, timeout: float = LONG) -> None:
         self.replies: list[events.CounterReply] = []
@@ -79,7 +79,7 @@
         (b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n", Outcome.CONNECT_FAILED),
         (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", Outcome.CONNECT_FAILED),
         (b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", Outcome.TIMEOUT),
-        # Spoilt: added, and the connection is of no further use.
+        # Malformed responses: the units were added, and the connection cannot be used any further.
         *((ok(total), Outcome.ERROR) for total in (b"many", b"--3", b"nan", b"inf", b"", b"1e999", b"7 8")),
         (b"rubbish\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n", Outcome.ERROR),
@@ -143,7 +143,7 @@
 
 
 def test_events_of_an_old_connection_do_not_reach_the_new_one():
-    """One object for both once let the late end of the old connection take the new one down."""
+    """Guards against shared state of two connections, with which the late end of the old one closed the new one."""
 
     async def main():
         service = await Peer.start(None)
@@ -180,11 +180,11 @@
         await until(lambda: old.seen)
         first = channel.connection
         w.counter.move((HOST, new.port))
-        w.counter.add(8, 1.0, 3.0)  # the new one is not open yet: the old one takes it
+        w.counter.add(8, 1.0, 3.0)  # sent over the old connection, as the new one is not open yet
         await until(lambda: channel.connection is not first)
         w.counter.add(4, 1.0, 3.0)
         await until(lambda: new.seen and channel.connection.has_served)
-        assert not w.replies  # the new one's answer waits for the one before it
+        assert not w.replies  # the answer on the new connection waits for the one to the earlier call
         go.set()
         assert [(r.name, r.total) for r in await w.some(3)] == [(4, 1.0), (4, 2.0), (8, 1.0)]
         await until(lambda: first.closed)
--- a/tests/services/test_peers.py
+++ b/tests/services/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between ingresses."""
+"""Datagrams between ingresses: receivers, senders, and the size limit."""
 
 from __future__ import annotations
 
