--- a/tests/gossip/test_owners.py
+++ b/tests/gossip/test_owners.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thistleusher.gossip import Owners
-from thistleusher.gossip.owners import CANDIDATES, MAX_MISSES, SKIP_S
+from thistleusher.gossip.owners import MAX_MISSES, OWNER_CANDIDATES, OWNER_SKIP_S
 from thistleusher.gossip.queries import MAX_QUERIES, OutstandingQueries
 
 
@@ -36,12 +36,12 @@
         assert queries.expire(0.27) == [] and queries.expire(0.28) == [f"r{n}"]
     other = owners.owner_of(0.3, 7, 0, 100)
     assert other not in (owner, None)
-    assert owners.owner_of(0.3 + SKIP_S, 7, 0, 100) == owner
+    assert owners.owner_of(0.3 + OWNER_SKIP_S, 7, 0, 100) == owner
     owners.skipped_until = {p: 9.0 for p in range(200)}
     assert owners.owner_of(1.0, 7, 0, 100) is None
     owners.record_message(owner)  # a message of any kind ends the skipping
     assert owners.owner_of(1.0, 7, 0, 100) == owner
-    assert CANDIDATES > 1
+    assert OWNER_CANDIDATES > 1
 
 
 def test_one_lost_message_does_not_change_an_owner():
--- a/tests/gossip/test_queries.py
+++ b/tests/gossip/test_queries.py
@@ -8,7 +8,7 @@
 from thistleusher.core.decision_ports import OwnerQuery
 from thistleusher.gossip.messages import QUERY_MARK, RECONCILIATION_MARK, REPLY_MARK
 from thistleusher.gossip.pending import MAX_PENDING, PendingRequests
-from thistleusher.gossip.queries import REPLIES_KEPT, REPLIES_KEPT_S, REPLY_TIMEOUT_S
+from thistleusher.gossip.queries import REPLY_CACHE_S, REPLY_CACHE_SIZE, REPLY_TIMEOUT_S
 from thistleusher.gossip.reconciliations import MAX_RECONCILIATIONS
 
 
@@ -52,12 +52,10 @@
     other = QUERY_MARK + message[1:-1] + b"\x05"
     assert owner.receive_query(0.14, 3, other).answer == b""  # same number, but sent by another incarnation
     assert asker.receive_reply(9, reply) is not None and asker.expired_requests(9.0) == []
-    for n in range(2 * REPLIES_KEPT):
+    for n in range(2 * REPLY_CACHE_SIZE):
         owner.receive_query(0.2, n, message)
-    assert len(owner.replies.received) <= REPLIES_KEPT + 1
-    assert (
-        owner.receive_query(0.2 + REPLIES_KEPT_S + 0.1, 3, message).answer == b"" and len(owner.replies.received) == 1
-    )
+    assert len(owner.replies.received) <= REPLY_CACHE_SIZE + 1
+    assert owner.receive_query(0.2 + REPLY_CACHE_S + 0.1, 3, message).answer == b"" and len(owner.replies.received) == 1
 
 
 def test_requests_wait_for_transfers_in_their_order_for_so_long_and_so_many():
--- a/tests/quota/ingress_set.py
+++ b/tests/quota/ingress_set.py
@@ -71,7 +71,7 @@
         own = [a for node in self.nodes for a in node.allowances.values()]
         if {a.epoch for a in own} == {int(self.now // epoch_length(self.terms))}:
             assert sum(a.share for a in own) <= WHOLE_SHARE, [
-                (a.me, a.share, a.given, a.taken, a.unreconciled) for a in own
+                (a.me, a.share, a.given_totals, a.received_totals, a.unreconciled) for a in own
             ]
 
     def settle(self) -> None:
--- a/tests/quota/starts.py
+++ b/tests/quota/starts.py
@@ -46,7 +46,7 @@
 
 
 def within(w, plan="plus", joint=0, assumed=None):
-    """Assert that no customer exceeds the stated bound after `joint` joint restarts; return the excesses."""
+    """Assert that no customer exceeds the stated bound after `joint` simultaneous restarts; return the excesses."""
     p = PLUS if plan == "plus" else BASIC
     b = bound_of(settings(0, w.instances), p, assumed or Assumptions(0.0, 0.01, outage=SECONDS))
     quota, ceiling = w.beyond(plan)
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -160,7 +160,7 @@
     allowances = {
         g.replication.escrow.me: g.replication.escrow.allowances.get((1, 0)) for g in w.gateways if g is not None
     }
-    gained = sum(a.taken.get(1, (0, 0))[0] for a in allowances.values() if a is not None)
+    gained = sum(a.received_totals.get(1, (0, 0))[0] for a in allowances.values() if a is not None)
     assert 0 < gained < share and [
         a for a in sent if isinstance(a, actions.SendToPeer) and a.payload[:1] == TRANSFER_MARK
     ]
@@ -191,7 +191,7 @@
             ends += w.gateways[n] is None or w.incarnation[n] > 1
             joint += not any(w.gateways)
             ask_for(w, rng.choice((0.05, 0.3, 1.0)), plan, rng.choice((20.0, 80.0)), rng.choice((1, 3)), seed)
-        # If handshakes are lost, an ingress that restarts alone may count as part of a joint start once more.
+        # If handshakes are lost, an ingress that restarts alone may count as part of a simultaneous start once more.
         joint = ends if lossy else joint
         assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         try:
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -17,7 +17,7 @@
 
 
 def test_the_bound_is_stated_with_the_decisions_own_times():
-    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, usage_replication.TOUCH_S)
+    assert (bound.DOWN_MISSES, bound.PEER_TIMEOUT_S) == (health.DOWN_MISSES, usage_replication.TOUCH_S)
 
 
 def moving(every):
--- a/tests/quota/test_handshakes.py
+++ b/tests/quota/test_handshakes.py
@@ -6,8 +6,8 @@
 
 from tests.quota.ingress_set import PLUS as TERMS
 from tests.quota.ingress_set import START, IngressSet
-from thistleusher.quota.bootstrap import JOINT_START_MS, Bootstrap
-from thistleusher.quota.incarnations import FORGET_AFTER_S
+from thistleusher.quota.bootstrap import SIMULTANEOUS_START_MS, Bootstrap
+from thistleusher.quota.incarnations import INCARNATION_TIMEOUT_S
 from thistleusher.quota.messages import HANDSHAKE_FORMAT, HANDSHAKE_MARK, HEADER_BYTES, TRANSFER_MARK
 from thistleusher.quota.terms import epoch_length
 
@@ -87,7 +87,7 @@
     bootstraps[1] = Bootstrap(3, 1, 101.0, 6.0)
     exchange_handshakes(bootstraps, 101.0)
     assert (
-        bootstraps[1].known_before
+        bootstraps[1].peer_knew_earlier
         and not bootstraps[1].started_together((0, 1, 2))
         and bootstraps[0].started_together((0, 1, 2))
     )
@@ -96,7 +96,7 @@
         exchange_handshakes(bootstraps, 102.0 + n)
         assert not bootstraps[n].started_together((0, 1, 2))
     bootstraps = bootstraps_of(
-        3, [200.0, 200.0, 200.0 + 2 * JOINT_START_MS / 1000]
+        3, [200.0, 200.0, 200.0 + 2 * SIMULTANEOUS_START_MS / 1000]
     )  # the last one starts long after the others
     exchange_handshakes(bootstraps[:2] + [Bootstrap(3, 2, 0.0, 6.0)], 200.0, lost=(2,))
     exchange_handshakes(bootstraps, 215.0)
@@ -109,7 +109,7 @@
     assert a.receive(100.0, 1, late.handshake(100.0, 0)) is not None
     assert a.receive(101.0, 1, early.handshake(101.0, 0)) is None and a.incarnations.current[1] == late.incarnation
     assert (
-        a.receive(101.0 + FORGET_AFTER_S, 1, early.handshake(111.0, 0)) is not None
+        a.receive(101.0 + INCARNATION_TIMEOUT_S, 1, early.handshake(111.0, 0)) is not None
         and a.incarnations.current[1] == early.incarnation
     )
 
--- a/tests/quota/test_reservations.py
+++ b/tests/quota/test_reservations.py
@@ -16,8 +16,8 @@
 from thistleusher.quota.terms import GUARANTEED_FRACTION, epoch_length
 
 JOINT_START = PLUS._replace(
-    joint_start_burst=PLUS.burst
-)  # a joint start may admit one burst at once if nothing is restored
+    simultaneous_start_burst=PLUS.burst
+)  # a simultaneous start may admit one burst at once if nothing is restored
 EPOCH = epoch_length(PLUS)
 
 
@@ -212,7 +212,7 @@
     )
     # The earlier record stays in effect until this one is committed.
     assert r.reserve(11.0, 100.0) == RESERVED_FRACTION * 12.0
-    assert r.reserve(11.0, 0.0) == 0.0 and r.restored((3.0, 11.0), 5.0) == 3.0
+    assert r.reserve(11.0, 0.0) == 0.0 and r.restorable((3.0, 11.0), 5.0) == 3.0
     assert r.reserved(11.5) == max(0.0 + 2.0 * 1.5, 0.0 + 2.0 * 0.5)
     r.confirm()
     assert r.reserved(11.5) == 1.0
@@ -237,7 +237,7 @@
     gone = [n for n in escrow.changed_reservations(1000.0 + 4 * EPOCH, 10) if n.customer == 7]
     assert gone == [SavedReservation(0, 7, 0, 1, 0.0, -math.inf)]
     escrow.reservations_committed([(0, 7)])
-    assert not escrow.reservations.forgotten
+    assert not escrow.reservations.evicted
 
 
 def test_a_record_of_another_set_or_of_an_epoch_that_is_over_adds_nothing():
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -7,7 +7,7 @@
 from thistleusher.gossip import Gossip
 from thistleusher.policy import Gateway
 from thistleusher.quota import EscrowTable, Placement
-from thistleusher.quota.bound import joint_start_burst
+from thistleusher.quota.bound import simultaneous_start_burst
 from thistleusher.quota.demands import DEMAND_INTERVAL_S
 from thistleusher.quota.terms import Terms
 
@@ -30,11 +30,14 @@
     """Return the allowance that shares are of; `most`: units of a request. None where a plan has no limit at all."""
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(
-            plan.ceiling_rate, plan.ceiling_burst, joint_start_burst=joint_start_burst(plan), prefetch_below=most
+            plan.ceiling_rate,
+            plan.ceiling_burst,
+            simultaneous_start_burst=simultaneous_start_burst(plan),
+            prefetch_below=most,
         )
     if plan.rate <= 0 or plan.burst <= 0:
         return None
-    return Terms(plan.rate, plan.burst, most, joint_start_burst(plan), strict=False, prefetch_below=most)
+    return Terms(plan.rate, plan.burst, most, simultaneous_start_burst(plan), strict=False, prefetch_below=most)
 
 
 def allowance_terms(settings: Settings) -> dict[str, tuple[float, float]]:
--- a/thistleusher/gossip/outbox.py
+++ b/thistleusher/gossip/outbox.py
@@ -45,7 +45,7 @@
 
     def answer_update(self, now: float, peer: int) -> None:
         """Queue a message to a peer that has sent an update, to show presence, unless one was sent recently."""
-        if self._silence(now, peer) >= KEEP_ALIVE_S * PRESENCE_FRACTION:
+        if self._seconds_since_sent(now, peer) >= KEEP_ALIVE_S * PRESENCE_FRACTION:
             self.waiting.setdefault(peer, {})
             self.due.setdefault(peer, now)
 
@@ -88,10 +88,10 @@
         for peer, until in list(self.contact_until.items()):
             if until < now:
                 del self.contact_until[peer]
-            elif self.tokens >= 1.0 and self._silence(now, peer) >= KEEP_ALIVE_S:
+            elif self.tokens >= 1.0 and self._seconds_since_sent(now, peer) >= KEEP_ALIVE_S:
                 self._send(now, peer, [], out)
 
-    def _silence(self, now: float, peer: int) -> float:
+    def _seconds_since_sent(self, now: float, peer: int) -> float:
         """Return the seconds since the last message to a peer; if there was none, enough for a keep-alive to be due."""
         return now - self.last_sent_at.get(peer, -KEEP_ALIVE_S)
 
--- a/thistleusher/gossip/queries.py
+++ b/thistleusher/gossip/queries.py
@@ -16,8 +16,8 @@
 
 MAX_QUERIES = 512  # maximum number of outstanding queries; beyond it no query is created
 REPLY_TIMEOUT_S = 0.1  # bound on a round trip between ingresses; a query without a reply is then retransmitted once
-REPLIES_KEPT_S = 1.0  # time for which an owner keeps a received query and its reply
-REPLIES_KEPT = 2048  # maximum number of received queries that an owner keeps
+REPLY_CACHE_S = 1.0  # time for which an owner keeps a received query and its reply
+REPLY_CACHE_SIZE = 2048  # maximum number of received queries that an owner keeps
 NUMBER_MASK = 0xFFFF
 
 
@@ -45,7 +45,7 @@
         self.timeout = timeout
         self._outstanding = OrderedDict[int, OutstandingQuery]()
         # By number of a query sent only once: time at which it is retransmitted, and the message.
-        self._sent_once = OrderedDict[int, tuple[float, bytes]]()
+        self._awaiting_retransmission = OrderedDict[int, tuple[float, bytes]]()
         self.expired = OrderedDict[int, OutstandingQuery]()  # kept to recognize late replies
         self._last_number = 0
 
@@ -67,14 +67,14 @@
         deadline = now + REPLY_TIMEOUT_S + self.timeout
         self._outstanding[number] = OutstandingQuery(request, peer, deadline, customer, plan, units)
         message = encode(number)
-        self._sent_once[number] = (now + REPLY_TIMEOUT_S, message)
+        self._awaiting_retransmission[number] = (now + REPLY_TIMEOUT_S, message)
         return message
 
     def due_retransmissions(self, now: float) -> list[tuple[int, bytes]]:
         """Return the queries to retransmit now as (peer, message)."""
         due: list[tuple[int, bytes]] = []
-        while self._sent_once and next(iter(self._sent_once.values()))[0] <= now:
-            number, (_, message) = self._sent_once.popitem(last=False)
+        while self._awaiting_retransmission and next(iter(self._awaiting_retransmission.values()))[0] <= now:
+            number, (_, message) = self._awaiting_retransmission.popitem(last=False)
             due.append((self._outstanding[number].peer, message))
         return due
 
@@ -84,7 +84,7 @@
             query = queries.get(number)
             if query is not None and query.peer == peer:
                 del queries[number]
-                self._sent_once.pop(number, None)
+                self._awaiting_retransmission.pop(number, None)
                 return query, queries is self._outstanding
         return None
 
@@ -96,7 +96,7 @@
             if query.deadline > now:
                 break
             del self._outstanding[number]
-            self._sent_once.pop(number, None)
+            self._awaiting_retransmission.pop(number, None)
             self.expired[number] = query
             if len(self.expired) > MAX_QUERIES:
                 self.expired.popitem(last=False)
@@ -109,8 +109,8 @@
         deadlines = []
         if self._outstanding:
             deadlines.append(next(iter(self._outstanding.values())).deadline)
-        if self._sent_once:
-            deadlines.append(next(iter(self._sent_once.values()))[0])
+        if self._awaiting_retransmission:
+            deadlines.append(next(iter(self._awaiting_retransmission.values()))[0])
         return min(deadlines, default=None)
 
 
@@ -131,7 +131,7 @@
 
     def receive(self, now: float, peer: int, number: int, payload: bytes) -> bytes | None:
         """Record a query; return its earlier reply, empty if it has none yet, or None if the query is new."""
-        self._forget_old(now)
+        self._evict_old(now)
         known = self.received.get((peer, number))
         # Numbers wrap around and restart with each incarnation, so an equal number may belong to a different query.
         if known is not None and known.payload == payload:
@@ -146,9 +146,9 @@
         if known is not None:
             self.received[peer, number] = known._replace(reply=reply)
 
-    def _forget_old(self, now: float) -> None:
+    def _evict_old(self, now: float) -> None:
         while self.received:
             oldest = next(iter(self.received.values()))
-            if len(self.received) <= REPLIES_KEPT and oldest.at >= now - REPLIES_KEPT_S:
+            if len(self.received) <= REPLY_CACHE_SIZE and oldest.at >= now - REPLY_CACHE_S:
                 break
             self.received.popitem(last=False)
--- a/thistleusher/gossip/reconciliations.py
+++ b/thistleusher/gossip/reconciliations.py
@@ -24,12 +24,12 @@
         name = encode_customer(plan, customer)
         if name not in self.waiting.get(owner, ()):
             if self._count >= MAX_RECONCILIATIONS:
-                self._forget_oldest()
+                self._drop_oldest()
             self._count += 1
         rows = self.waiting.setdefault(owner, {})
         rows[name] = rows.get(name, 0.0) + units
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest(self) -> None:
         rows = self.waiting.pop(next(iter(self.waiting)))
         self._count -= len(rows)
 
--- a/thistleusher/gossip/updates.py
+++ b/thistleusher/gossip/updates.py
@@ -22,7 +22,7 @@
 from thistleusher.gossip.queries import REPLY_TIMEOUT_S, OutstandingQueries, ReplyCache
 from thistleusher.gossip.reconciliations import Reconciliations
 
-UPDATES_FRACTION = 0.5  # maximum rate of outgoing updates, as a fraction of the message rate that an ingress accepts
+OUTGOING_UPDATES_FRACTION = 0.5  # maximum rate of outgoing updates / message rate that an ingress accepts
 MIN_TIMER_S = 0.001
 
 
@@ -37,7 +37,7 @@
         """
         self.instances = instances
         self.me = me
-        self.outbox = Outbox(UPDATES_FRACTION * per_s, rows, now)
+        self.outbox = Outbox(OUTGOING_UPDATES_FRACTION * per_s, rows, now)
         self.owners = Owners(instances, me)
         self.queries = OutstandingQueries(self.owners, REPLY_TIMEOUT_S + counter_timeout)
         self.replies = ReplyCache()
--- a/thistleusher/quota/allowance.py
+++ b/thistleusher/quota/allowance.py
@@ -5,7 +5,7 @@
 incarnation transferred. Until it is reconciled with every peer of the ingress set, it holds only its guaranteed share,
 which is never transferred; then it also holds the remainder. Its headroom refills from its own start only, because the
 earlier incarnation may have spent everything before that. If all ingresses of a set start together, they also get
-`Terms.joint_start_burst` units between them. `quota.transfers` moves shares between ingresses.
+`Terms.simultaneous_start_burst` units between them. `quota.transfers` moves shares between ingresses.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from thistleusher.quota.terms import WHOLE_SHARE, Terms, epoch_length, guaranteed_share
 
 
-class Totals(NamedTuple):
+class TransferTotals(NamedTuple):
     """Running totals of the share and headroom transferred in one direction between two ingresses in one epoch."""
 
     share: int = 0
     grains: int = 0
 
 
-NOTHING = Totals()
+NO_TRANSFERS = TransferTotals()
 
 
 class Allowance:
@@ -44,8 +44,8 @@
         "share",
         "headroom",
         "at",
-        "given",
-        "taken",
+        "given_totals",
+        "received_totals",
         "last_demand_at",
         "last_used_at",
         "reservation",
@@ -60,14 +60,14 @@
         now: float,
         bootstrap: Bootstrap,
         spent: float,
-        restored: float | None = None,
+        restored_headroom: float | None = None,
     ) -> None:
         """Create the local state of an allowance.
 
         members: the ingresses of the customer's ingress set
         spent: units of the whole allowance that are known to be spent
-        restored: headroom restored at this incarnation's start from a reservation of the earlier one; None if there is
-            no reservation
+        restored_headroom: headroom restored at this incarnation's start from a reservation of the earlier one; None if
+            there is no reservation
         """
         self.terms = terms
         self.members = members
@@ -84,39 +84,39 @@
         self.share = 0  # numerator over WHOLE_SHARE
         self.headroom = 0.0
         self.at = now  # time of the last refill of `headroom`
-        self.given: dict[int, Totals] = {}
-        self.taken: dict[int, Totals] = {}
+        self.given_totals: dict[int, TransferTotals] = {}
+        self.received_totals: dict[int, TransferTotals] = {}
         self.last_demand_at = now - 2 * self.epoch_length
         self.last_used_at = self.last_demand_at
         self.reservation: Reservation | None = None  # None until headroom is first recorded on disk
         self.last_asked = me  # index into the other members; rotates so that demands go to them in turn
-        self._begin(now, restored)
-        unspent = terms.burst if self.is_wide() else self.fraction() * max(0.0, terms.burst - spent)
-        self.headroom = min(self.headroom + (restored or 0.0), unspent, self.max_headroom())
+        self._begin(now, restored_headroom)
+        unspent = terms.burst if self.even_share_below_unit() else self.fraction() * max(0.0, terms.burst - spent)
+        self.headroom = min(self.headroom + (restored_headroom or 0.0), unspent, self.max_headroom())
 
-    def _begin(self, now: float, restored: float | None) -> None:
+    def _begin(self, now: float, restored_headroom: float | None) -> None:
         """Set the initial share and headroom from what is known about this ingress's start."""
         first_whole_epoch = int(self.bootstrap.started_at // self.epoch_length) + 1
         if not self.terms.strict:
-            self._begin_lenient(now, restored)
+            self._begin_lenient(now, restored_headroom)
         elif self.epoch < first_whole_epoch:
             self.unreconciled = {peer for peer in self.members if peer != self.me}
             self.share = self.guaranteed_share() if self.me in self.members else 0
             age = max(0.0, now - self.bootstrap.started_at)
             self.headroom = self.fraction() * self.terms.rate * age
-            self.settle()
+            self.update_unreconciled()
         else:
             self._begin_in_whole_epoch(now, first_whole_epoch * self.epoch_length)
 
-    def _begin_lenient(self, now: float, restored: float | None) -> None:
+    def _begin_lenient(self, now: float, restored_headroom: float | None) -> None:
         """Start with the even share immediately: for these plans availability has priority over the bound."""
         terms, bootstrap = self.terms, self.bootstrap
         self.share = self.even_share()
-        starts_anew = not bootstrap.known_before and restored is None
-        joint_start = terms.joint_start_burst if starts_anew else 0.0
+        starts_anew = not bootstrap.peer_knew_earlier and restored_headroom is None
+        start_burst = terms.simultaneous_start_burst if starts_anew else 0.0
         age = max(0.0, now - bootstrap.started_at)
-        self.headroom = self.fraction() * (terms.rate * age + joint_start)
-        if self.is_wide():  # a share below one unit would admit nothing, so allow one request
+        self.headroom = self.fraction() * (terms.rate * age + start_burst)
+        if self.even_share_below_unit():  # a share below one unit would admit nothing, so allow one request
             self.headroom = max(self.headroom, terms.min_burst)
 
     def _begin_in_whole_epoch(self, now: float, first_whole_epoch_at: float) -> None:
@@ -127,23 +127,23 @@
         peers = (peer for peer in self.members if peer != self.me)
         reconciled = all(bootstrap.reconciled_by(peer, first_whole_epoch_at) for peer in peers)
         since = bootstrap.started_at if reconciled else first_whole_epoch_at
-        joint_start = terms.joint_start_burst if bootstrap.started_together(self.members) else 0.0
-        self.headroom = self.fraction() * (terms.rate * (now - since) + joint_start)
+        start_burst = terms.simultaneous_start_burst if bootstrap.started_together(self.members) else 0.0
+        self.headroom = self.fraction() * (terms.rate * (now - since) + start_burst)
 
-    def settle(self) -> None:
+    def update_unreconciled(self) -> None:
         """Drop reconciled peers from `unreconciled`; when none is left, add the rest of the share and its headroom."""
         self.unreconciled = {p for p in self.unreconciled if not self.bootstrap.reconciled_by(p, self.at)}
         if self.unreconciled or self.me not in self.members:
             return
-        own = self.even_share() - self.guaranteed_share()
-        self.share = min(WHOLE_SHARE, self.share + max(0, own + self.earlier_net_share))
+        transferable = self.even_share() - self.guaranteed_share()
+        self.share = min(WHOLE_SHARE, self.share + max(0, transferable + self.earlier_net_share))
         # Share that peers gave to this ingress may have refilled a peer's headroom before the transfer, so only share
         # that never left this ingress counts from its start. That refill is capped at the same share of the burst.
         age = max(0.0, self.at - self.bootstrap.started_at)
-        always_had = max(0, own - self.earlier_given_share) / WHOLE_SHARE
-        self.headroom += always_had * min(self.terms.burst, self.terms.rate * age)
+        never_given = max(0, transferable - self.earlier_given_share) / WHOLE_SHARE
+        self.headroom += never_given * min(self.terms.burst, self.terms.rate * age)
         if self.bootstrap.started_together(self.members):
-            self.headroom += self.fraction() * self.terms.joint_start_burst
+            self.headroom += self.fraction() * self.terms.simultaneous_start_burst
         self.headroom = min(self.headroom, self.max_headroom())
 
     def guaranteed_share(self) -> int:
@@ -154,7 +154,7 @@
         """Return the share held at the start of an epoch."""
         return WHOLE_SHARE // len(self.members) if self.me in self.members else 0
 
-    def is_wide(self) -> bool:
+    def even_share_below_unit(self) -> bool:
         """Return whether the even share of the burst is less than one unit.
 
         In that case each ingress may admit `min_burst` at once; otherwise none of them could admit anything.
@@ -178,12 +178,12 @@
             self.members = self.next_members
             self.unreconciled.clear()
             self.share = self.even_share()
-            self.given.clear()
-            self.taken.clear()
+            self.given_totals.clear()
+            self.received_totals.clear()
             self.headroom = min(self.headroom, self.max_headroom())
         self._refill(now)
         if self.unreconciled:
-            self.settle()
+            self.update_unreconciled()
 
     def epoch_end(self) -> float:
         """Return the time at which the current epoch ends."""
@@ -228,6 +228,6 @@
     def limit_to_unspent(self, now: float, spent: float) -> None:
         """Cap the headroom at this ingress's share of the unspent allowance; headroom is never raised."""
         self.advance(now)
-        if self.is_wide():
+        if self.even_share_below_unit():
             return  # a share of the unspent units is always below one request, so the cap would remove `min_burst`
         self.headroom = min(self.headroom, self.fraction() * max(0.0, self.terms.burst - spent))
--- a/thistleusher/quota/bootstrap.py
+++ b/thistleusher/quota/bootstrap.py
@@ -4,7 +4,7 @@
 
 - a pair of ingresses is reconciled only by a message addressed to the current incarnation of the receiver; the message
   says whether shares were transferred between the two in an epoch that is not over;
-- the headroom of a joint start is granted to an ingress once per unbroken chain of overlapping incarnations.
+- the headroom of a simultaneous start is granted to an ingress once per unbroken chain of overlapping incarnations.
 
 Protocol: an ingress that starts sends handshakes to all other ingresses and repeats them until each has answered or
 the longest epoch is over. A handshake holds the sender's incarnation, the receiver's incarnation as known to the
@@ -25,12 +25,12 @@
 from thistleusher.quota.incarnations import Incarnations, Sender
 from thistleusher.quota.messages import Handshake, HandshakeFlag, decode_handshake
 
-JOINT_START_MS = 5000  # an ingress that starts at most this long after its chain's origin is part of a joint start
-REPEAT_S = 0.4  # minimum interval between handshakes to the same peer if handshakes are sent on demand
+SIMULTANEOUS_START_MS = 5000  # maximum time from a chain's origin to a start that still counts as simultaneous
+HANDSHAKE_REPEAT_S = 0.4  # minimum interval between handshakes to the same peer if handshakes are sent on demand
 FIRST_PHASE_S, SECOND_PHASE_S = 1.0, 5.0  # ages of the incarnation at which the handshake interval grows
 FIRST_INTERVAL_S, SECOND_INTERVAL_S, LAST_INTERVAL_S = 0.05, 0.25, 1.0  # handshake interval in each phase
 INTERVAL_TOLERANCE = 0.9  # handshakes are due after this fraction of the interval, as timers may fire early
-MARGIN_S = 1.0  # handshakes are sent until this long after the longest epoch
+HANDSHAKE_MARGIN_S = 1.0  # handshakes are sent until this long after the longest epoch
 
 
 class Bootstrap:
@@ -46,12 +46,13 @@
         """
         self.me = me
         self.started_at = started_at
-        self.until = started_at + longest_epoch + MARGIN_S
+        self.handshakes_until = started_at + longest_epoch + HANDSHAKE_MARGIN_S
         self.incarnations = Incarnations(started_at)
         self.origin = self.incarnations.own
         self.on_demand = on_demand
-        self.known_before = False  # whether a peer knew an earlier incarnation of this ingress
-        self.restored = False  # whether the state folder has an earlier incarnation of an epoch that is not over
+        self.peer_knew_earlier = False  # whether a peer knew an earlier incarnation of this ingress
+        # Whether the state folder has an earlier incarnation that was active in an epoch that is not over.
+        self.folder_has_earlier = False
         # By peer: time at which it confirmed to this incarnation that nothing was transferred between the two; inf if
         # something was.
         self.reconciled_at: dict[int, float] = {}
@@ -95,7 +96,7 @@
         if addressed and peer not in self.reconciled_at:
             self.reconciled_at[peer] = math.inf if message.flags & HandshakeFlag.TRANSFERRED else now
             self._pending.discard(peer)
-            self.known_before |= bool(message.flags & HandshakeFlag.KNEW_EARLIER)
+            self.peer_knew_earlier |= bool(message.flags & HandshakeFlag.KNEW_EARLIER)
         if message.flags & HandshakeFlag.SHUTTING_DOWN:
             self.incarnations.shut_down.add(peer)
             return None
@@ -116,18 +117,18 @@
     def due_handshakes(self, now: float) -> list[tuple[int, bytes]]:
         """Return the handshakes that are due as (peer, message), one for each peer that has not answered."""
         interval = INTERVAL_TOLERANCE * self.handshake_interval(now)
-        if now > self.until or now - self._last_sent_at < interval:
+        if now > self.handshakes_until or now - self._last_sent_at < interval:
             return []
         self._last_sent_at = now
         due = list(self._pending)
         if self.on_demand:
-            due = [peer for peer in due if now - self._sent_at.get(peer, -math.inf) >= REPEAT_S]
+            due = [peer for peer in due if now - self._sent_at.get(peer, -math.inf) >= HANDSHAKE_REPEAT_S]
             self._sent_at.update(dict.fromkeys(due, now))
         return [(peer, self.handshake(now, peer)) for peer in sorted(due)]
 
     def handshake_delay(self, now: float) -> float | None:
         """Return the seconds until the next handshake; None if no more handshakes will be sent."""
-        if now > self.until or not self._pending:
+        if now > self.handshakes_until or not self._pending:
             return None
         return self.handshake_interval(now)
 
@@ -142,8 +143,8 @@
     def started_together(self, members: Iterable[int]) -> bool:
         """Return whether all ingresses of a set started together, as far as any of them knows."""
         return (
-            not self.known_before
-            and not self.restored
-            and self.origin >= self.incarnation - JOINT_START_MS
+            not self.peer_knew_earlier
+            and not self.folder_has_earlier
+            and self.origin >= self.incarnation - SIMULTANEOUS_START_MS
             and all(peer in self.reconciled_at for peer in members if peer != self.me)
         )
--- a/thistleusher/quota/bound.py
+++ b/thistleusher/quota/bound.py
@@ -10,14 +10,14 @@
 from typing import NamedTuple
 
 from thistleusher.core.settings import PlanSettings, Settings
-from thistleusher.gossip.owners import CANDIDATES, SKIP_S
-from thistleusher.gossip.updates import UPDATES_FRACTION
+from thistleusher.gossip.owners import OWNER_CANDIDATES, OWNER_SKIP_S
+from thistleusher.gossip.updates import OUTGOING_UPDATES_FRACTION
 from thistleusher.quota.reservations import RESERVED_FRACTION
 from thistleusher.quota.terms import GUARANTEED_FRACTION
 
-MISSES = 8  # consecutive failed calls after which an ingress considers the counter down
-TOUCH_S = 1.0  # seconds without a message from a peer after which it counts as out of touch
-NEGLIGIBLE = 1e-6  # probability below which a run of lost messages is ignored
+DOWN_MISSES = 8  # consecutive failed calls after which an ingress considers the counter down
+PEER_TIMEOUT_S = 1.0  # seconds without a message from a peer after which it counts as out of touch
+NEGLIGIBLE_PROBABILITY = 1e-6  # probability below which a run of lost messages is ignored
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     quota_cut_off: float  # excess while the ingresses do not receive each other's messages
     quota_split: float  # excess while an ingress is cut off and gets totals from a counter of its own
     ceiling: float | None
-    quota_restart: float  # added for each joint restart of a whole ingress set while the counter does not answer
+    quota_restart: float  # added for each simultaneous restart of a whole ingress set while the counter does not answer
     ceiling_restart: float | None  # the same for the ceiling; a restart of a single ingress adds nothing
 
 
@@ -67,7 +67,7 @@
 
     `interval`: seconds between two updates to one peer, if longer than `update_interval`.
     """
-    attempts = 1 if assumed.loss == 0 else max(1, math.ceil(math.log(NEGLIGIBLE) / math.log(assumed.loss)))
+    attempts = 1 if assumed.loss == 0 else max(1, math.ceil(math.log(NEGLIGIBLE_PROBABILITY) / math.log(assumed.loss)))
     return attempts * max(assumed.update_interval, interval) + assumed.delay
 
 
@@ -79,7 +79,7 @@
     """
     if not settings.large:
         return 0.0
-    return min(settings.instances - 1, 2 * (width - 1)) / (UPDATES_FRACTION * settings.peer_in_per_s)
+    return min(settings.instances - 1, 2 * (width - 1)) / (OUTGOING_UPDATES_FRACTION * settings.peer_in_per_s)
 
 
 def has_owner(settings: Settings, plan: PlanSettings, width: int) -> bool:
@@ -94,49 +94,50 @@
     each. Cut off from its peers: each ingress has its share, or one whole request if the share is smaller. The ceiling
     is escrowed from the moment an ingress considers the counter down or its peers out of touch; until then each
     ingress admits what its bucket allows. If calls are rare, detecting that the counter is down takes longer than
-    `notice`, but then all ingresses are in touch and at most `unseen` is unknown. A large deployment enforces ceilings
-    by shares at all times, except for what is admitted on a counter total, so these bounds hold there with a margin.
+    `detection_time`, but then all ingresses are in touch and at most `unseen` is unknown. A large deployment enforces
+    ceilings by shares at all times, except for what is admitted on a counter total, so these bounds hold there with a
+    margin.
 
-    With state folders, a joint restart adds only what was admitted on a counter total or a peer's message since the
-    last commit, because reservations cover at most `RESERVED_FRACTION` of the guaranteed shares.
+    With state folders, a simultaneous restart adds only what was admitted on a counter total or a peer's message since
+    the last commit, because reservations cover at most `RESERVED_FRACTION` of the guaranteed shares.
     """
     width = width or settings.instances
     if has_owner(settings, plan, width):
         return _bound_with_owner(settings, plan, assumed, width)
     stale = staleness(assumed, paced_interval(settings, width))
-    notice = max(MISSES * settings.counter_timeout, TOUCH_S + assumed.delay)
+    detection_time = max(DOWN_MISSES * settings.counter_timeout, PEER_TIMEOUT_S + assumed.delay)
     unseen = (width - 1) * (plan.burst + plan.rate * (stale + assumed.skew))
-    entering = (width - 1) * (plan.burst + plan.rate * (notice + assumed.skew))
-    at_start = joint_start_burst(plan)
+    before_escrow = (width - 1) * (plan.burst + plan.rate * (detection_time + assumed.skew))
+    start_burst = simultaneous_start_burst(plan)
     if plan.ceiling_rate <= 0:
         return Bound(
             plan.name,
             width,
             stale,
             quota_in_touch=unseen,
-            quota_cut_off=entering + width * settings.max_units,
-            quota_split=entering + (width - 1) * plan.rate * assumed.outage,
+            quota_cut_off=before_escrow + width * settings.max_units,
+            quota_split=before_escrow + (width - 1) * plan.rate * assumed.outage,
             ceiling=None,
-            quota_restart=at_start,
+            quota_restart=start_burst,
             ceiling_restart=None,
         )
-    spread = plan.ceiling_burst - plan.burst + max(0.0, plan.ceiling_rate - plan.rate) * assumed.outage
+    ceiling_over_quota = plan.ceiling_burst - plan.burst + max(0.0, plan.ceiling_rate - plan.rate) * assumed.outage
     # Until the ceiling is escrowed, each ingress admits its bucket and the bucket's refill, while the ceiling refills
     # too. When escrow starts, each ingress holds its share of the ceiling's excess over the quota.
-    refilled = max(0.0, width * plan.rate - plan.ceiling_rate) * (notice + stale + assumed.skew)
-    most = (width - 1) * plan.burst + refilled
-    ceiling = min(entering, most) + plan.ceiling_rate * assumed.skew
+    refilled = max(0.0, width * plan.rate - plan.ceiling_rate) * (detection_time + stale + assumed.skew)
+    max_before_escrow = (width - 1) * plan.burst + refilled
+    ceiling = min(before_escrow, max_before_escrow) + plan.ceiling_rate * assumed.skew
     reserved = RESERVED_FRACTION * GUARANTEED_FRACTION * plan.ceiling_burst
     return Bound(
         plan.name,
         width,
         stale,
-        quota_in_touch=min(unseen, spread + ceiling),
-        quota_cut_off=spread + ceiling,
-        quota_split=spread + ceiling,
+        quota_in_touch=min(unseen, ceiling_over_quota + ceiling),
+        quota_cut_off=ceiling_over_quota + ceiling,
+        quota_split=ceiling_over_quota + ceiling,
         ceiling=ceiling,
         quota_restart=min(plan.burst, reserved) if assumed.folders else plan.burst,
-        ceiling_restart=min(at_start, reserved) if assumed.folders else at_start,
+        ceiling_restart=min(start_burst, reserved) if assumed.folders else start_burst,
     )
 
 
@@ -147,29 +148,29 @@
     candidate nor the counter admits one request, and then its share of the rate.
     """
     stale = staleness(assumed)
-    others = CANDIDATES - 1
+    other_candidates = OWNER_CANDIDATES - 1
     one_request_each = width * settings.max_units
-    cut_off = others * (plan.burst + plan.rate * assumed.outage) + one_request_each
+    cut_off = other_candidates * (plan.burst + plan.rate * assumed.outage) + one_request_each
     return Bound(
         plan.name,
         width,
         stale,
-        quota_in_touch=others * (plan.burst + plan.rate * (SKIP_S + stale)),
+        quota_in_touch=other_candidates * (plan.burst + plan.rate * (OWNER_SKIP_S + stale)),
         quota_cut_off=cut_off,
         quota_split=cut_off,
         ceiling=None,
-        quota_restart=joint_start_burst(plan) + one_request_each,
+        quota_restart=simultaneous_start_burst(plan) + one_request_each,
         ceiling_restart=None,
     )
 
 
-def joint_start_burst(plan: PlanSettings) -> float:
-    """Return the units that an ingress set may admit at once after a joint start: one burst, like a full bucket."""
+def simultaneous_start_burst(plan: PlanSettings) -> float:
+    """Return the units that an ingress set may admit at once after a simultaneous start: one burst of the quota."""
     return min(plan.burst, plan.ceiling_burst) if plan.ceiling_rate > 0 else plan.burst
 
 
-def after_restart(plan: PlanSettings, bound: Bound, seconds: float) -> tuple[float, float]:
-    """Return the most units that a set admits within `seconds` of a joint restart, and the most that a quota allows."""
+def units_after_restart(plan: PlanSettings, bound: Bound, seconds: float) -> tuple[float, float]:
+    """Return the most units that a set admits within `seconds` of a simultaneous restart, and what a quota allows."""
     rate = plan.ceiling_rate if plan.ceiling_rate > 0 else plan.rate
     at_once = bound.quota_restart if bound.ceiling_restart is None else bound.ceiling_restart
     return at_once + rate * seconds, plan.burst + plan.rate * seconds
@@ -191,7 +192,7 @@
         lines += _plan_lines(settings, plan, assumed)
     lines += [
         "",
-        "joint restart of an ingress set while the counter does not answer: most units admitted within 0, 1 and 5 s",
+        "simultaneous restart of an ingress set without a counter: most units admitted within 0, 1 and 5 s",
     ]
     lines += [_restart_line(settings, plan, assumed) for plan in settings.plans if plan.rate > 0]
     if settings.large:
@@ -224,7 +225,7 @@
 
 def _restart_line(settings: Settings, plan: PlanSettings, assumed: Assumptions) -> str:
     bound = bound_of(settings, plan, assumed)
-    pairs = [after_restart(plan, bound, seconds) for seconds in (0.0, 1.0, 5.0)]
+    pairs = [units_after_restart(plan, bound, seconds) for seconds in (0.0, 1.0, 5.0)]
     within = ", ".join(f"{let_in:.1f} (a full quota: {full:.1f})" for let_in, full in pairs)
     ceiling = "" if bound.ceiling_restart is None else f", its ceiling by {bound.ceiling_restart:.1f}"
     return f"{plan.name:12} {within}; each restart exceeds the quota by {bound.quota_restart:.1f}{ceiling} at most"
--- a/thistleusher/quota/demands.py
+++ b/thistleusher/quota/demands.py
@@ -17,7 +17,7 @@
 from thistleusher.quota.transfers import transfer_row
 
 DEMAND_INTERVAL_S = 0.05  # minimum interval between demands for one allowance, and between messages of demands
-PEERS_ASKED = 4  # maximum number of peers that get one demand in a large deployment
+MAX_PEERS_PER_DEMAND = 4  # maximum number of peers that get one demand in a large deployment
 PREFETCH_FRACTION = 1 / 4  # demand in advance when headroom falls below this fraction of its maximum
 
 
@@ -37,28 +37,28 @@
         self.pending: dict[AllowanceKey, float] = {}  # units to demand from each peer
         self._last_sent_at = -math.inf
 
-    def check(self, now: float, key: AllowanceKey, allowance: Allowance, units: float) -> None:
+    def add_if_short(self, now: float, key: AllowanceKey, allowance: Allowance, units: float) -> None:
         """Queue a demand if headroom is short of `units` plus the amount that is requested in advance."""
-        ahead = min(allowance.terms.prefetch_below, allowance.max_headroom() * PREFETCH_FRACTION)
-        short = units + ahead - allowance.headroom
-        if short <= 0 or len(allowance.members) <= 1 or allowance.is_wide():
+        prefetch = min(allowance.terms.prefetch_below, allowance.max_headroom() * PREFETCH_FRACTION)
+        shortfall = units + prefetch - allowance.headroom
+        if shortfall <= 0 or len(allowance.members) <= 1 or allowance.even_share_below_unit():
             return
         if now - allowance.last_demand_at >= DEMAND_INTERVAL_S:
             allowance.last_demand_at = now
             # Demand twice each peer's even portion, as some peers have less.
-            self.pending[key] = min(short, 2 * short / self._count_asked(allowance))
+            self.pending[key] = min(shortfall, 2 * shortfall / self._peers_per_demand(allowance))
 
-    def _count_asked(self, allowance: Allowance) -> int:
+    def _peers_per_demand(self, allowance: Allowance) -> int:
         """Return how many peers of the set get one demand: all, or a few at a time in a large deployment."""
         others = len(allowance.members) - 1
         if self.interval_per_peer is None or allowance.unreconciled:
             return others
-        return min(others, PEERS_ASKED)
+        return min(others, MAX_PEERS_PER_DEMAND)
 
-    def _next_asked(self, allowance: Allowance) -> list[int]:
+    def _next_peers(self, allowance: Allowance) -> list[int]:
         """Return the next peers of the set in rotation, and advance the rotation by their number."""
         others = [peer for peer in allowance.members if peer != self.me]
-        count = self._count_asked(allowance)
+        count = self._peers_per_demand(allowance)
         allowance.last_asked = (allowance.last_asked + count) % max(1, len(others))
         return [others[(allowance.last_asked + n) % len(others)] for n in range(count)]
 
@@ -85,7 +85,7 @@
             grains = max(0, min(MAX_FIELD, int(units * GRAINS_PER_UNIT) + 1))
             row = transfer_row(key, allowance, 0, grains)
             count += 1
-            for peer in (None,) if self.interval_per_peer is None else self._next_asked(allowance):
+            for peer in (None,) if self.interval_per_peer is None else self._next_peers(allowance):
                 rows.setdefault(peer, []).append(row)
         if self.interval_per_peer is not None:
             self.interval = max(DEMAND_INTERVAL_S, self.interval_per_peer * len(rows))
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -12,7 +12,7 @@
 short of headroom demands more (`quota.demands`), and its peers transfer shares to it (`quota.transfers`). Messages of
 superseded incarnations are ignored (`quota.incarnations`). An ingress that starts is reconciled with each peer of an
 ingress set before it holds its whole share there (`quota.bootstrap`). With a state folder, headroom survives a kill
-(`quota.reservations`); the burst of a joint start is only for ingresses whose folder has no earlier incarnation.
+(`quota.reservations`); the burst of a simultaneous start is only for ingresses whose folder has no earlier incarnation.
 
 Assumes synchronized clocks: a skew of s seconds adds s x rate to the second bound. Cost: constant per request.
 """
@@ -24,7 +24,7 @@
 
 from thistleusher.core.snapshots import SavedReservation
 from thistleusher.quota import messages, transfers
-from thistleusher.quota.allowance import Allowance, Totals
+from thistleusher.quota.allowance import Allowance, TransferTotals
 from thistleusher.quota.bootstrap import Bootstrap
 from thistleusher.quota.demands import DEMAND_INTERVAL_S, DemandQueue
 from thistleusher.quota.incarnations import Sender
@@ -73,8 +73,8 @@
         longest_epoch = max((epoch_length(terms) for terms in plans if terms is not None), default=1.0)
         self.longest_epoch = longest_epoch
         self.retention = RETENTION_EPOCHS * longest_epoch
-        self.large = interval_per_peer is not None
-        self.bootstrap = Bootstrap(instances, me, started_at, longest_epoch, on_demand=self.large)
+        self.large_deployment = interval_per_peer is not None
+        self.bootstrap = Bootstrap(instances, me, started_at, longest_epoch, on_demand=self.large_deployment)
         self.allowances = OrderedDict[AllowanceKey, Allowance]()  # least recently used first
         self.demand_queue = DemandQueue(me, demand_interval, interval_per_peer)
         self.reservations = ReservationTracker()
@@ -89,7 +89,7 @@
         self.reservations.enable()
         if last_active is None or last_active <= self.bootstrap.started_at - self.longest_epoch:
             return  # every epoch in which it was active is over
-        self.bootstrap.restored = True
+        self.bootstrap.folder_has_earlier = True
         self.reservations.restore(reservations, len(self.plans))
 
     def changed_reservations(self, now: float, limit: int) -> list[SavedReservation]:
@@ -108,14 +108,14 @@
 
     def admit(self, now: float, plan: int, customer: int, first: int, width: int, units: float, spent: float) -> bool:
         """Return whether this ingress's own share admits a request; queue a demand to peers if headroom is short."""
-        allowance = self._use(now, plan, customer, first, width, spent)
+        allowance = self._get_or_create(now, plan, customer, first, width, spent)
         if allowance is None:
             return True
         if now - allowance.last_used_at > allowance.epoch_length:
             # Since then, requests may have been admitted without the escrow.
             allowance.limit_to_unspent(now, spent)
         admitted = allowance.admit(now, units)
-        self.demand_queue.check(now, (plan, customer), allowance, 0.0 if admitted else units)
+        self.demand_queue.add_if_short(now, (plan, customer), allowance, 0.0 if admitted else units)
         return admitted
 
     def spend(self, now: float, plan: int, customer: int, units: float) -> None:
@@ -126,10 +126,12 @@
             return
         allowance.spend(now, units)
         self.reservations.mark_changed(key)
-        if self.large:  # messages are rationed in a large deployment, so shares are demanded before they are needed
-            self.demand_queue.check(now, key, allowance, 0.0)
+        if self.large_deployment:  # messages are rationed there, so shares are demanded before they are needed
+            self.demand_queue.add_if_short(now, key, allowance, 0.0)
 
-    def _use(self, now: float, plan: int, customer: int, first: int, width: int, spent: float) -> Allowance | None:
+    def _get_or_create(
+        self, now: float, plan: int, customer: int, first: int, width: int, spent: float
+    ) -> Allowance | None:
         """Return a customer's allowance, created if needed and advanced to `now`; None if its plan has no allowance.
 
         A change of the ingress set takes effect in the next epoch.
@@ -145,14 +147,14 @@
         allowance.next_members = members
         allowance.advance(now)  # before the eviction, so that this allowance does not count as idle
         self.allowances.move_to_end(key)
-        self._forget_idle(now)
+        self._evict_idle(now)
         self.reservations.mark_changed(key)
         return allowance
 
     def _create(self, now: float, key: AllowanceKey, terms: Terms, members: tuple[int, ...], spent: float) -> Allowance:
-        restored = self._restored_headroom(key, terms, members)
-        allowance = Allowance(terms, members, self.me, now, self.bootstrap, spent, restored)
-        allowance.reservation = self.reservations.forgotten.pop(key, None)
+        restored_headroom = self._restored_headroom(key, terms, members)
+        allowance = Allowance(terms, members, self.me, now, self.bootstrap, spent, restored_headroom)
+        allowance.reservation = self.reservations.evicted.pop(key, None)
         self.allowances[key] = allowance
         self.bootstrap.require(allowance.unreconciled)
         return allowance
@@ -167,17 +169,17 @@
             return None
         if members != self._members(saved.first, saved.width) or self.me not in members:
             return 0.0
-        return reservation_for(terms, len(members)).restored((saved.units, saved.at), self.bootstrap.started_at)
+        return reservation_for(terms, len(members)).restorable((saved.units, saved.at), self.bootstrap.started_at)
 
     def _members(self, first: int, width: int) -> tuple[int, ...]:
         """Return the ingresses of a set of `width` ingresses that begins at `first`."""
         return tuple((first + n) % self.instances for n in range(width))
 
-    def _forget_idle(self, now: float) -> None:
+    def _evict_idle(self, now: float) -> None:
         while next(iter(self.allowances.values())).at < now - self.retention:
             key, idle = self.allowances.popitem(last=False)
             if idle.reservation is not None:
-                self.reservations.forgotten[key] = idle.reservation
+                self.reservations.evicted[key] = idle.reservation
                 self.reservations.mark_changed(key)
 
     # Messages.
@@ -221,14 +223,14 @@
 
     def _receive_transfers(self, now: float, peer: int, rows: list[TransferRow]) -> None:
         for row in rows:
-            allowance = self._use(now, row.plan, row.customer, row.first, row.width, 0.0)
+            allowance = self._get_or_create(now, row.plan, row.customer, row.first, row.width, 0.0)
             if allowance is not None:
-                transfers.receive(allowance, now, peer, row.epoch, Totals(row.share, row.grains))
+                transfers.receive(allowance, now, peer, row.epoch, TransferTotals(row.share, row.grains))
 
     def _answer_demands(self, now: float, peer: int, rows: list[TransferRow]) -> list[bytes]:
         answers: list[bytes] = []
         for row in rows:
-            allowance = self._use(now, row.plan, row.customer, row.first, row.width, 0.0)
+            allowance = self._get_or_create(now, row.plan, row.customer, row.first, row.width, 0.0)
             if allowance is None:
                 continue
             given = transfers.give(allowance, now, peer, row.grains / GRAINS_PER_UNIT)
@@ -239,7 +241,7 @@
     def _answer_balance_request(self, now: float, peer: int, message: RowMessage) -> list[bytes]:
         answers: list[bytes] = []
         for row in message.rows:
-            allowance = self._use(now, row.plan, row.customer, row.first, row.width, 0.0)
+            allowance = self._get_or_create(now, row.plan, row.customer, row.first, row.width, 0.0)
             if allowance is None:
                 continue
             key = (row.plan, row.customer)
@@ -262,7 +264,7 @@
 
     def has_restarted(self) -> bool:
         """Return whether a peer knew an earlier incarnation of this ingress."""
-        return self.bootstrap.known_before
+        return self.bootstrap.peer_knew_earlier
 
     def shutdown_messages(self, now: float) -> list[tuple[int, bytes]]:
         """Return the last messages of an ingress that shuts down gracefully as (peer, message).
@@ -285,17 +287,17 @@
         for key, allowance in reversed(self.allowances.items()):
             if now - allowance.at > allowance.epoch_length:
                 break
-            heirs = [
+            recipients = [
                 peer
                 for peer in allowance.members
                 if peer in rows and len(rows[peer]) < SHUTDOWN_MESSAGES * MAX_TRANSFER_ROWS
             ]
-            if not heirs:
+            if not recipients:
                 continue
             _, customer = key
-            heir = heirs[customer % len(heirs)]
-            given = transfers.give(allowance, now, heir, shutting_down=True)
+            recipient = recipients[customer % len(recipients)]
+            given = transfers.give(allowance, now, recipient, shutting_down=True)
             self.reservations.mark_changed(key)
             if given is not None:
-                rows[heir].append(transfers.transfer_row(key, allowance, *given))
+                rows[recipient].append(transfers.transfer_row(key, allowance, *given))
         return rows
--- a/thistleusher/quota/incarnations.py
+++ b/thistleusher/quota/incarnations.py
@@ -5,14 +5,15 @@
 had been received.
 
 Assumes that an ingress's own clock does not go back between its incarnations. If it does, messages of the new
-incarnation are accepted once the higher-numbered one has sent none for `FORGET_AFTER_S`. Cost: constant per message.
+incarnation are accepted once the higher-numbered one has sent none for `INCARNATION_TIMEOUT_S`. Cost: constant per
+message.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-FORGET_AFTER_S = 10.0  # seconds without a message after which a lower-numbered incarnation replaces the current one
+INCARNATION_TIMEOUT_S = 10.0  # after this time without a message, a lower-numbered incarnation may become current
 MS_PER_S = 1000
 
 
@@ -38,7 +39,7 @@
     def observe(self, now: float, peer: int, incarnation: int) -> Sender:
         """Record a message from an incarnation of a peer; return how it relates to the known one."""
         known = self.current.get(peer)
-        if known is not None and incarnation < known and now - self.last_message_at[peer] < FORGET_AFTER_S:
+        if known is not None and incarnation < known and now - self.last_message_at[peer] < INCARNATION_TIMEOUT_S:
             self.restarted.add(peer)
             return Sender.SUPERSEDED
         self.last_message_at[peer] = now
--- a/thistleusher/quota/messages.py
+++ b/thistleusher/quota/messages.py
@@ -33,7 +33,7 @@
 BALANCE_HEADER_BYTES = HEADER_BYTES + INCARNATION_BYTES
 
 TRANSFER_FORMAT = struct.Struct(">5sBHBHH")  # customer and plan; epoch; set: first, width; share, grains
-BALANCE_FORMAT = struct.Struct(">5sBHHHHHH")  # customer and plan; epoch; given, taken and new: share, grains each
+BALANCE_FORMAT = struct.Struct(">5sBHHHHHH")  # customer and plan; epoch; given, received and new: share, grains each
 HANDSHAKE_FORMAT = struct.Struct(">QQQB")
 MAX_TRANSFER_ROWS = (MAX_MESSAGE_BYTES - HEADER_BYTES) // TRANSFER_FORMAT.size
 MAX_BALANCE_ROWS = (MAX_MESSAGE_BYTES - BALANCE_HEADER_BYTES) // BALANCE_FORMAT.size
@@ -94,8 +94,8 @@
     epoch: int
     given_share: int  # given by the sender, including `new_share`
     given_grains: int
-    taken_share: int  # received by the sender
-    taken_grains: int
+    received_share: int  # received by the sender
+    received_grains: int
     new_share: int  # given for the first time with this message
     new_grains: int
 
@@ -126,7 +126,7 @@
     mark = payload[:1]
     if mark == BALANCE_MARK:
         return _decode_balances(payload)
-    if mark not in ROW_MARKS or not _fits(payload, HEADER_BYTES, TRANSFER_FORMAT):
+    if mark not in ROW_MARKS or not _has_whole_rows(payload, HEADER_BYTES, TRANSFER_FORMAT):
         return None
     rows = [
         TransferRow(*decode_customer(name), *values)
@@ -136,7 +136,7 @@
 
 
 def _decode_balances(payload: bytes) -> BalanceMessage | None:
-    if not _fits(payload, BALANCE_HEADER_BYTES, BALANCE_FORMAT):
+    if not _has_whole_rows(payload, BALANCE_HEADER_BYTES, BALANCE_FORMAT):
         return None
     rows = [
         BalanceRow(*decode_customer(name), *values)
@@ -147,7 +147,7 @@
     return BalanceMessage(sender, receiver, rows)
 
 
-def _fits(payload: bytes, header: int, row: struct.Struct) -> bool:
+def _has_whole_rows(payload: bytes, header: int, row: struct.Struct) -> bool:
     return len(payload) >= header and (len(payload) - header) % row.size == 0
 
 
@@ -166,5 +166,5 @@
     return mark + incarnation.to_bytes(INCARNATION_BYTES)
 
 
-def _split(header: bytes, rows: Sequence[bytes], most: int) -> list[bytes]:
-    return [header + b"".join(rows[n : n + most]) for n in range(0, len(rows), most)]
+def _split(header: bytes, rows: Sequence[bytes], max_rows: int) -> list[bytes]:
+    return [header + b"".join(rows[n : n + max_rows]) for n in range(0, len(rows), max_rows)]
--- a/thistleusher/quota/reservations.py
+++ b/thistleusher/quota/reservations.py
@@ -46,9 +46,9 @@
 
     def reserved(self, now: float) -> float:
         """Return the headroom that must not be spent."""
-        return max(self.restored(self.committed, now), self.restored(self.in_flight, now))
+        return max(self.restorable(self.committed, now), self.restorable(self.in_flight, now))
 
-    def restored(self, record: Record | None, now: float) -> float:
+    def restorable(self, record: Record | None, now: float) -> float:
         """Return the headroom in units that a record restores at `now`; a clock that was set back adds nothing."""
         if record is None:
             return 0.0
@@ -97,7 +97,7 @@
         # Allowances that changed since they were last recorded; None if there is no state folder.
         self._changed: dict[AllowanceKey, None] | None = None
         self._unclaimed: dict[AllowanceKey, SavedReservation] = {}  # reservations of the earlier incarnation
-        self.forgotten: dict[AllowanceKey, Reservation] = {}  # of evicted allowances; may still be on disk
+        self.evicted: dict[AllowanceKey, Reservation] = {}  # of evicted allowances; may still be on disk
 
     def enable(self) -> None:
         """Track changes from now on."""
@@ -147,6 +147,6 @@
         for key in keys:
             allowance = allowances.get(key)
             if allowance is None:
-                self.forgotten.pop(key, None)
+                self.evicted.pop(key, None)
             elif allowance.reservation is not None:
                 allowance.reservation.confirm()
--- a/thistleusher/quota/terms.py
+++ b/thistleusher/quota/terms.py
@@ -17,17 +17,17 @@
 
     rate, burst: units a second, and units at once
     min_burst: units that one ingress may admit at once, however small its share
-    joint_start_burst: units that an ingress set may admit at once if its ingresses start together and know of no
+    simultaneous_start_burst: units that an ingress set may admit at once if its ingresses start together and know of no
         earlier incarnations
     strict: whether the allowance has priority over availability; if not, an ingress that starts gets its even share
-        immediately, and its share of `joint_start_burst` unless a peer knew an earlier incarnation of it
+        immediately, and its share of `simultaneous_start_burst` unless a peer knew an earlier incarnation of it
     prefetch_below: headroom below which more is demanded from peers before it is needed
     """
 
     rate: float
     burst: float
     min_burst: float = 0.0
-    joint_start_burst: float = 0.0
+    simultaneous_start_burst: float = 0.0
     strict: bool = True
     prefetch_below: float = 0.0
 
