--- a/benchmarks/bootstrap.py
+++ b/benchmarks/bootstrap.py
@@ -11,7 +11,7 @@
 import argparse
 import math
 
-from tests.quota.starts import AT_ONCE, begun, rejected_share
+from tests.quota.starts import AT_ONCE, rejected_share, start_world
 from tests.quota.world import BASIC, PLUS
 from thistleusher.quota.terms import Terms, epoch_length
 
@@ -37,7 +37,7 @@
             ceiled = plan.ceiling_rate > 0
             terms = Terms(plan.ceiling_rate, plan.ceiling_burst) if ceiled else Terms(plan.rate, plan.burst)
             rate = 23.0 * len(offsets) if ceiled else 12.0
-            worlds = [begun(offsets, n * epoch_length(terms) / moments, plan.name, rate) for n in range(moments)]
+            worlds = [start_world(offsets, n * epoch_length(terms) / moments, plan.name, rate) for n in range(moments)]
             shares = [rejected_share(w) for w in worlds]
             quota, ceiling = (max(w.beyond(plan.name)[k] for w in worlds) for k in (0, 1))
             print(
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tests.quota.world import BASIC, PLUS, CounterModel, Store, World
+from tests.quota.world import BASIC, PLUS, CounterModel, ReferenceBucket, World
 from thistleusher.core import events
 
 NARROW = 8  # ingresses of a ceilinged member's set
@@ -55,26 +55,26 @@
     """A world that tells requests inside a quota from those beyond it."""
 
     def __init__(self, seed: int, instances: int) -> None:
-        self.judges: dict[int, Store] = {}
+        self.judges: dict[int, ReferenceBucket] = {}
         self.offered = self.got = self.over = self.cost = 0.0
         self.sent_units = 0.0
         self.by_plan = {"basic": [0.0, 0.0, 0.0], "plus": [0.0, 0.0, 0.0]}  # offered, got, beyond
         super().__init__(seed, instances)
 
-    def let_in(self, r: events.Request) -> None:
+    def record_admission(self, r: events.Request) -> None:
         """Judge a request that is sent on, by its member's store."""
         p = PLUS if r.plan == "plus" else BASIC
-        store = self.judges.setdefault(r.customer, Store(p.rate, p.burst))
+        store = self.judges.setdefault(r.customer, ReferenceBucket(p.rate, p.burst))
         self.sent_units += r.units
-        if store.drop(self.now) + r.units <= p.burst:
-            store.pour(self.now, r.units)
+        if store.drained_level(self.now) + r.units <= p.burst:
+            store.add_units(self.now, r.units)
             self.got += r.units * PRICE[r.plan]
             self.by_plan[r.plan][1] += r.units
         else:
             self.over += r.units
             self.cost += r.units * PRICE[r.plan] * COST[r.plan]
             self.by_plan[r.plan][2] += r.units
-        super().let_in(r)
+        super().record_admission(r)
 
     def offer(self, n: int, m: Member, units: float) -> None:
         """Send one request, unless its ingress is down."""
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -60,8 +60,8 @@
 
 def inbox_of_one(w: World) -> None:
     """The inbox of ingress 7 is flooded, so that it receives no message of other ingresses."""
-    plain = w.takes_in
-    w.takes_in = lambda target: target != 7 and plain(target)  # type: ignore[method-assign]
+    plain = w.accepts_message
+    w.accepts_message = lambda target: target != 7 and plain(target)  # type: ignore[method-assign]
 
 
 def heard_by_some(w: World) -> None:
--- a/tests/quota/ingress_set.py
+++ b/tests/quota/ingress_set.py
@@ -26,7 +26,7 @@
         self.rate, self.most = terms.rate, terms.burst + width * terms.min_burst
         self.level, self.at, self.worst = 0.0, START, 0.0
 
-    def pour(self, now: float, units: float) -> None:
+    def add_units(self, now: float, units: float) -> None:
         self.level = max(0.0, self.level - self.rate * (now - self.at)) + units
         self.at = now
         self.worst = max(self.worst, self.level)
@@ -56,7 +56,7 @@
         good = self.nodes[node].admit(self.now, 0, 7, first, width or self.count, units, 0.0)
         if good:
             self.served += 1
-            self.bucket.pour(self.now, units)
+            self.bucket.add_units(self.now, units)
         for _, message in self.nodes[node].demands(self.now):  # demands go to all peers
             self.wire += [(node, other, message) for other in range(self.count) if other != node]
         return good
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -8,7 +8,16 @@
 import pytest
 
 from tests.quota.ingress_set import PLUS as TERMS
-from tests.quota.starts import AT_ONCE, FIRST, SCHEDULES, SECONDS, ask_for, begun, rejected_share, within
+from tests.quota.starts import (
+    AT_ONCE,
+    FIRST,
+    SCHEDULES,
+    SECONDS,
+    assert_within_bound,
+    rejected_share,
+    send_requests,
+    start_world,
+)
 from tests.quota.world import TIMEOUT, World
 from thistleusher.core import actions
 from thistleusher.quota.bound import Assumptions
@@ -19,16 +28,16 @@
 @pytest.mark.parametrize("moment", range(50))
 def test_a_fleet_that_starts_together_serves_at_every_moment_of_an_epoch(moment):
     offsets = (AT_ONCE, tuple(n / 100 for n in range(6)))[moment % 2]
-    w = begun(offsets, moment * epoch_length(TERMS) / 50, rate=23.0 * len(offsets))
+    w = start_world(offsets, moment * epoch_length(TERMS) / 50, rate=23.0 * len(offsets))
     assert rejected_share(w) < 0.03 and w.fair > 300, rejected_share(w)
-    within(w)
+    assert_within_bound(w)
 
 
 @pytest.mark.parametrize("moment", range(0, 50, 7))
 def test_quotas_without_a_ceiling_too(moment):
-    w = begun(AT_ONCE, moment * epoch_length(TERMS) / 50, "basic", 12.0)
+    w = start_world(AT_ONCE, moment * epoch_length(TERMS) / 50, "basic", 12.0)
     assert rejected_share(w) < 0.03 and w.served > 30
-    within(w, "basic")
+    assert_within_bound(w, "basic")
 
 
 @pytest.mark.parametrize(
@@ -43,16 +52,16 @@
 )
 @pytest.mark.parametrize("plan", ["plus", "basic"])
 def test_who_waits_for_others_serves_part_at_once_and_all_after_the_epoch(offsets, most, plan):
-    w = begun(offsets, 1.3, plan, 70.0 if plan == "plus" else 12.0)
+    w = start_world(offsets, 1.3, plan, 70.0 if plan == "plus" else 12.0)
     assert rejected_share(w) < most + 0.1 * (plan == "basic"), rejected_share(w)
     w.rejected_within_quota.clear()
     w.asked = 0
     w.run(20.0)  # the quotas are full again
-    ask_for(w, SECONDS, plan, 70.0 if plan == "plus" else 12.0, seed=4)
+    send_requests(w, SECONDS, plan, 70.0 if plan == "plus" else 12.0, seed=4)
     assert rejected_share(w) < (0.25 if plan == "basic" and max(offsets) > 9 else 0.1), rejected_share(
         w
     )  # one of three ingresses is missing
-    within(w, plan)
+    assert_within_bound(w, plan)
 
 
 def test_clocks_half_a_second_apart_and_a_lossy_network():
@@ -60,8 +69,8 @@
         w = World(moment, 3, 5000.0 + moment / 2, offsets=AT_ONCE, skews=(0.0, 0.5, 0.25))
         w.counters[0].silent = True
         w.loss, w.delay = 0.2, 0.5
-        ask_for(w, SECONDS)
-        within(w, assumed=Assumptions(0.2, 0.5, skew=0.5, outage=SECONDS))
+        send_requests(w, SECONDS)
+        assert_within_bound(w, assumed=Assumptions(0.2, 0.5, skew=0.5, outage=SECONDS))
         # With this delay a handshake and its answer take half a second, and so does a transfer.
         assert rejected_share(w) < 0.35, rejected_share(w)
 
@@ -71,7 +80,7 @@
 def test_all_killed_at_once_with_their_shares_spent(down, times):
     w = World(7)
     w.counters[0].silent = True
-    ask_for(w, 6.0, members=1, rate=120.0)  # the quota is spent
+    send_requests(w, 6.0, members=1, rate=120.0)  # the quota is spent
     for _ in range(times):
         for n in range(3):
             w.kill(n)
@@ -79,17 +88,17 @@
         for n in range(3):
             w.restart(n)
         before = w.served
-        ask_for(w, 0.6, members=1, rate=120.0)
+        send_requests(w, 0.6, members=1, rate=120.0)
         assert w.served - before > 4  # requests are admitted again before the epoch ends
     w.run(1.0)
-    ask_for(w, 3.0, members=1, rate=120.0)
-    within(w, joint=times)
+    send_requests(w, 3.0, members=1, rate=120.0)
+    assert_within_bound(w, joint=times)
 
 
 def test_whoever_restarts_alone_gets_nothing_more_and_is_served_after_a_round_trip():
     w = World(8)
     w.counters[0].silent = True
-    ask_for(w, 8.0, members=1, rate=60.0)
+    send_requests(w, 8.0, members=1, rate=60.0)
     _, before = w.beyond()
     for _ in range(25):  # every 200 ms
         w.kill(1)
@@ -98,13 +107,13 @@
     quota, ceiling = w.beyond()
     assert ceiling <= max(0.0, before), (ceiling, before)
     assert w.kept() > 0.6, w.kept()
-    within(w)
+    assert_within_bound(w)
 
 
 def test_a_restart_costs_a_member_one_round_trip():
     w = World(9)
     w.counters[0].silent = True
-    ask_for(w, 5.0, members=1, rate=20.0, units=(1.0,))
+    send_requests(w, 5.0, members=1, rate=20.0, units=(1.0,))
     w.run(3.0)
     w.kill(1)
     w.run(0.5)
@@ -120,7 +129,7 @@
 
 def test_planned_restarts_one_after_another_keep_touch_and_shares():
     w = World(10)
-    ask_for(w, 4.0, members=4, rate=40.0)
+    send_requests(w, 4.0, members=4, rate=40.0)
     for n in range(3):
         w.leave(n)
         others = [g for g in w.gateways if g is not None]
@@ -132,13 +141,13 @@
                 or g.replication.last_heard[(n + 1) % 3] < w.now + 0.5
             )
             assert g.replication.escrow.has_shut_down(n)
-        ask_for(w, 2.0, members=4, rate=40.0)
+        send_requests(w, 2.0, members=4, rate=40.0)
         w.restart(n)
         w.run(0.1)
         assert not any(g.replication.escrow.has_shut_down(n) for g in others)
-        ask_for(w, 2.0, members=4, rate=40.0)
+        send_requests(w, 2.0, members=4, rate=40.0)
     assert rejected_share(w) < 0.03
-    within(w)
+    assert_within_bound(w)
 
 
 def test_a_shutdown_writes_back_what_no_count_includes_and_transfers_the_shares():
@@ -190,11 +199,11 @@
                     w.restart(n)
             ends += w.gateways[n] is None or w.incarnation[n] > 1
             joint += not any(w.gateways)
-            ask_for(w, rng.choice((0.05, 0.3, 1.0)), plan, rng.choice((20.0, 80.0)), rng.choice((1, 3)), seed)
+            send_requests(w, rng.choice((0.05, 0.3, 1.0)), plan, rng.choice((20.0, 80.0)), rng.choice((1, 3)), seed)
         # If handshakes are lost, an ingress that restarts alone may count as part of a simultaneous start once more.
         joint = ends if lossy else joint
         assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         try:
-            within(w, plan, joint + (ends if plan == "basic" else 0), assumed)
+            assert_within_bound(w, plan, joint + (ends if plan == "basic" else 0), assumed)
         except AssertionError as error:
             raise AssertionError(f"seed {seed}: {error}") from error
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -122,7 +122,7 @@
 ]
 
 
-def stated(fault, bound):
+def stated_bound(fault, bound):
     """Return the bound on the excess over the quota that applies to a fault."""
     if fault in (split_and_cut_off, split_in_three, everything):
         return bound.quota_split
@@ -130,7 +130,7 @@
     return bound.quota_cut_off if fault in away else bound.quota_in_touch
 
 
-def played(fault, home, plan, seed=1, length=LENGTH, rate=40.0):
+def run_fault(fault, home, plan, seed=1, length=LENGTH, rate=40.0):
     """Run 10 s without faults, `length` seconds with the fault, and 10 s after recovery; return world and bound."""
     w = World(seed)
     w.traffic(10.0, rate, home, plan)
@@ -149,14 +149,14 @@
 @pytest.mark.parametrize("home", [moving(2.0), spread()], ids=["moving", "spread"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_a_plus_member_passes_neither_ceiling_nor_quota_by_more_than_stated(fault, home):
-    w, bound = played(fault, home, "plus")
+    w, bound = run_fault(fault, home, "plus")
     quota, ceiling = w.beyond()
     assert ceiling <= bound.ceiling, (ceiling, bound)
-    assert quota <= stated(fault, bound), (quota, bound)
+    assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.5, w.kept()
 
 
-def at_once(fault, plan, length=LENGTH, rate=40.0):
+def run_worst_case(fault, plan, length=LENGTH, rate=40.0):
     """Run the worst case: the quota is full, the fault begins, and all ingresses get a burst at the same time."""
     w = World()
     for n in range(3):
@@ -177,9 +177,9 @@
 @pytest.mark.parametrize("fault", [silence, split_in_three], ids=lambda f: f.__name__)
 @pytest.mark.parametrize("plan", ["plus", "basic"])
 def test_the_worst_case_comes_near_the_bound_and_does_not_pass_it(fault, plan):
-    w, bound = at_once(fault, plan, rate=40.0 if plan == "plus" else 6.0)
+    w, bound = run_worst_case(fault, plan, rate=40.0 if plan == "plus" else 6.0)
     quota, ceiling = w.beyond(plan)
-    assert stated(fault, bound) / 3 < quota <= stated(fault, bound), (quota, bound)
+    assert stated_bound(fault, bound) / 3 < quota <= stated_bound(fault, bound), (quota, bound)
     if plan == "plus":
         assert ceiling <= bound.ceiling, (ceiling, bound)
         assert fault is silence or ceiling > bound.ceiling / 5, (ceiling, bound)
@@ -188,9 +188,9 @@
 @pytest.mark.parametrize("home", [moving(2.0), spread()], ids=["moving", "spread"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_a_basic_member_passes_its_quota_by_no_more_than_stated(fault, home):
-    w, bound = played(fault, home, "basic", rate=6.0)
+    w, bound = run_fault(fault, home, "basic", rate=6.0)
     quota, _ = w.beyond("basic")
-    assert quota <= stated(fault, bound), (quota, bound)
+    assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.4, w.kept()
 
 
@@ -304,14 +304,14 @@
         if lossy:
             w.loss, w.delay = 0.2, 0.5
 
-        def part_of(w=w, rng=rng):
+        def cut_off_one(w=w, rng=rng):
             w.cut = {rng.randrange(3)} if rng.random() < 0.5 else set()
 
         steps = [
             lambda w=w: silence(w),
             lambda w=w: w.split(),
             lambda w=w: w.join(CounterModel()),
-            part_of,
+            cut_off_one,
             lambda w=w, good=good: w.join(good),
             lambda w=w: forgets(w),
             lambda w=w: loses_replies(w),
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -61,7 +61,7 @@
 }
 
 
-def stated(o: Options, scenario: str) -> dict[str, PlanRule]:
+def stated_rules(o: Options, scenario: str) -> dict[str, PlanRule]:
     """Return the plans with the excesses that the bound allows for the scenario."""
     parsed, _ = nested_settings(settings(o, 0))
     lossy, away = "lossy" in scenario, "restart" in scenario
@@ -85,7 +85,7 @@
     return out
 
 
-async def played(scenario):
+async def run_scenario(scenario):
     size = dict(
         servers=6,
         seconds=SECONDS,
@@ -97,7 +97,7 @@
         shape=Shape(cores=8, work=0.005),
         folders="folders" in scenario,
     )
-    rules = stated(Options(**size), scenario)
+    rules = stated_rules(Options(**size), scenario)
     records = Records()
     verdict, _, sent = await run_fleet(Options(**size, plans=rules), records=records)
     return verdict, sent, sum(1 for _ in records.of(Added))
@@ -109,7 +109,7 @@
 
     async def main():
         names = list(SCENARIOS)[number * AT_A_TIME : (number + 1) * AT_A_TIME]
-        return dict(zip(names, await asyncio.gather(*(played(n) for n in names)), strict=True))
+        return dict(zip(names, await asyncio.gather(*(run_scenario(n) for n in names)), strict=True))
 
     return asyncio.run(asyncio.wait_for(main(), 60))
 
@@ -133,7 +133,7 @@
             shape=Shape(cores=8, work=0.002),
             faults=(Fault(1.5, "counter.silence", lasts=2.0),),
         )
-        rules = stated(Options(**size), "silence")
+        rules = stated_rules(Options(**size), "silence")
         records = Records()
         verdict, _, sent = await run_fleet(Options(**size, plans=rules), records=records)
         assert verdict.kept and sent > 800, verdict.lines()
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -45,7 +45,7 @@
     placement = Placement(ADDRESSES)
     w = World(placement=placement)
     w.traffic(3.0, 200.0, spread(), members=60)
-    w.parts[ADDRESSES[1]].silent = True
+    w.counters_by_address[ADDRESSES[1]].silent = True
     w.traffic(10.0, 200.0, spread(), members=60)
     health = [w.gateways[0].counters.by_number[n] for n in range(3)]
     assert health[1].is_down() and not health[0].is_down() and not health[2].is_down()
--- a/tests/quota/test_reservations.py
+++ b/tests/quota/test_reservations.py
@@ -102,7 +102,7 @@
             s.step(kind, *args)
 
 
-def pressed(s, seconds, step=0.05, units=1.0, reserves=True):
+def run_under_load(s, seconds, step=0.05, units=1.0, reserves=True):
     """Exhaust the headroom of all three ingresses in each step, with a record and a commit if `reserves`."""
     before, end = s.served, s.now + seconds
     while s.now < end:
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("number", range(60))
 def test_pressed_everywhere_between_kills_and_records_that_are_committed_or_not(number):
     rng = random.Random(number + 60 * int(SEED or 0))
-    s = begun()
+    s = set_with_records()
     for _ in range(80):
         what = rng.choice(("quiet", "moment", "record", "commit", "drain", "drain", "crash", "settle", "move"))
         some = rng.sample(range(3), rng.choice((1, 3, 3)))
@@ -157,7 +157,7 @@
                 crash(s, rng.randrange(3), n)
 
 
-def begun(terms=JOINT_START):
+def set_with_records(terms=JOINT_START):
     s = PersistentSet(terms)
     for n in range(3):
         s.ask(n, 0.5)  # creates the allowance at each ingress
@@ -167,18 +167,18 @@
 
 
 def test_all_killed_again_and_again_get_nothing_twice():
-    s = begun()
-    pressed(s, 5.0)
+    s = set_with_records()
+    run_under_load(s, 5.0)
     for _ in range(5):
         crash(s, 1)
         s.settle()
-        pressed(s, 0.3)  # the reference bucket checks that the burst is never exceeded
+        run_under_load(s, 0.3)  # the reference bucket checks that the burst is never exceeded
     assert s.bucket.worst > 0.85 * PLUS.burst  # the run was under load
 
 
 def test_a_member_that_was_quiet_has_headroom_at_once_after_a_kill_and_without_a_record_none():
     def after_a_kill(reserves):
-        s = begun()
+        s = set_with_records()
         s.now += EPOCH / 10
         if reserves:
             commit_all(s)
@@ -193,12 +193,12 @@
 
 
 def test_a_record_costs_a_pressed_member_next_to_nothing_and_a_hung_disk_what_is_left_alone():
-    plain, recorded, hung = begun(), begun(), begun()
-    base = pressed(plain, 10.0, reserves=False)
-    assert pressed(recorded, 10.0) > 0.97 * base
+    plain, recorded, hung = set_with_records(), set_with_records(), set_with_records()
+    base = run_under_load(plain, 10.0, reserves=False)
+    assert run_under_load(recorded, 10.0) > 0.97 * base
     for n in range(3):
         hung.record(n)  # never committed
-    assert base - pressed(hung, 10.0, reserves=False) <= RESERVED_FRACTION * GUARANTEED_FRACTION * PLUS.burst + 3
+    assert base - run_under_load(hung, 10.0, reserves=False) <= RESERVED_FRACTION * GUARANTEED_FRACTION * PLUS.burst + 3
 
 
 def test_a_record_leaves_headroom_for_a_large_request_and_ages_at_the_guaranteed_rate():
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -70,19 +70,19 @@
         return total if self.old else total + amount
 
 
-class Store:
+class ReferenceBucket:
     """Reference bucket: tracks by how much a customer exceeds one bucket's rate and burst."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, burst
         self.level, self.at, self.worst = 0.0, 0.0, 0.0
 
-    def drop(self, now: float) -> float:
+    def drained_level(self, now: float) -> float:
         self.level, self.at = max(0.0, self.level - self.rate * (now - self.at)), now
         return self.level
 
-    def pour(self, now: float, units: float) -> None:
-        self.level = self.drop(now) + units
+    def add_units(self, now: float, units: float) -> None:
+        self.level = self.drained_level(now) + units
         self.worst = max(self.worst, self.level - self.burst)
 
 
@@ -100,7 +100,7 @@
     ) -> None:
         """Create the world and start its ingresses.
 
-        placement: distributes the names among several counters, which are in `parts` by address
+        placement: distributes the names among several counters, which are in `counters_by_address`
         offsets: seconds after which each ingress starts (inf: never)
         skews: seconds by which each ingress's clock is ahead
         """
@@ -110,7 +110,7 @@
         self.counters = [CounterModel() for _ in range(instances)]  # by ingress; all the same unless split
         self.join(CounterModel())
         self.placement = placement
-        self.parts = {a: CounterModel() for a in placement.addresses} if placement else {}
+        self.counters_by_address = {a: CounterModel() for a in placement.addresses} if placement else {}
         self.loss, self.delay = 0.0, 0.01
         self.inbox = math.inf  # messages a second that an ingress accepts; further messages are lost
         self.inboxes = [(0.0, start)] * instances  # by ingress, fill level of its inbox and time of that level
@@ -128,11 +128,11 @@
             elif offset != math.inf:
                 self.at(offset, lambda n=n: self.restart(n))  # type: ignore[misc]
         self.numbers = itertools.count()
-        self.quotas: dict[tuple[str, int], Store] = {}
-        self.ceilings: dict[tuple[str, int], Store] = {}
+        self.quotas: dict[tuple[str, int], ReferenceBucket] = {}
+        self.ceilings: dict[tuple[str, int], ReferenceBucket] = {}
         self.asked = self.served = self.fair = self.fair_served = 0
-        self.ideal: dict[tuple[str, int], Store] = {}
-        self.let = 0.0  # units that were forwarded to the backends
+        self.ideal: dict[tuple[str, int], ReferenceBucket] = {}
+        self.admitted_units = 0.0  # units that were forwarded to the backends
         self.requests: dict[str, events.Request] = {}
         self.began: dict[str, float] = {}  # arrival times of requests without a decision yet
         # Requests that arrived with half of the quota unused and have not been forwarded.
@@ -162,7 +162,7 @@
         """Switch all ingresses to another set of counters at once."""
         self.placement = placement
         for address in placement.addresses:
-            self.parts.setdefault(address, CounterModel())
+            self.counters_by_address.setdefault(address, CounterModel())
         for gateway in self.gateways:
             gateway.counters.follow(placement)
 
@@ -182,12 +182,12 @@
         self.gateways[n] = make_gateway(
             settings(n, self.instances), self.rng.getrandbits(32), self.now + self.skews[n], self.placement
         )
-        self.remind(n)
+        self.restore_state(n)
         self.give(
             n, events.ListUpdate(ListKind.SAVED, 1, tuple(BackendEntry(f"b{i}", Phase.RUNNING) for i in range(10)))
         )
 
-    def remind(self, n: int) -> None:
+    def restore_state(self, n: int) -> None:
         """Hook for subclasses: restore state into a new ingress before its first event."""
 
     def give(self, n: int, event: Event, incarnation: int | None = None) -> None:
@@ -202,7 +202,7 @@
             self.slowest = max(self.slowest, self.now - self.began.pop(a.request))
         if isinstance(a, actions.Attempt):
             r = self.requests[a.request]
-            self.let_in(r)
+            self.record_admission(r)
             ended = events.AttemptEnded(a.request, 0, a.backend, Outcome.OK, 0.02, True)
             self.at(0.02, lambda: self.give(n, ended, incarnation))
         elif isinstance(a, actions.CounterAdd):
@@ -214,11 +214,11 @@
                 if target == n:
                     continue
                 self.messages_sent, self.bytes_sent = self.messages_sent + 1, self.bytes_sent + len(a.payload)
-                if not self.cut & {n, target} and self.rng.random() >= self.loss and self.takes_in(target):
+                if not self.cut & {n, target} and self.rng.random() >= self.loss and self.accepts_message(target):
                     late = self.delay * (0.5 + 0.5 * self.rng.random())
                     self.at(late, lambda t=target: self.give(t, events.PeerMessage(n, a.payload)))  # type: ignore[misc]
 
-    def takes_in(self, target: int) -> bool:
+    def accepts_message(self, target: int) -> bool:
         """Return whether an ingress's inbox accepts one more message, and add it."""
         full, at = self.inboxes[target]
         full = max(0.0, full - self.inbox * (self.now - at)) if self.inbox < math.inf else 0.0
@@ -230,7 +230,7 @@
     def call(self, n: int, a: actions.CounterAdd, incarnation: int) -> None:
         counter = self.counters[n]
         if self.placement is not None:
-            counter = self.parts[self.placement.addresses[self.placement.of(a.name)]]
+            counter = self.counters_by_address[self.placement.addresses[self.placement.of(a.name)]]
 
         def reply(outcome: Outcome, elapsed: float, total: float = 0.0) -> None:
             self.at(elapsed, lambda: self.give(n, events.CounterReply(a.name, outcome, elapsed, total), incarnation))
@@ -263,22 +263,22 @@
         r = self.requests[name] = events.Request(name, "read", plan, member, 6.0, units, width or self.instances, first)
         self.asked += 1
         self.began[name] = self.now
-        ideal = self.ideal.setdefault((plan, member), Store(p.rate, p.burst))
-        if ideal.drop(self.now) <= p.burst / 2:
+        ideal = self.ideal.setdefault((plan, member), ReferenceBucket(p.rate, p.burst))
+        if ideal.drained_level(self.now) <= p.burst / 2:
             self.rejected_within_quota.add(name)
         if ideal.level + units <= p.burst:
-            ideal.pour(self.now, units)
+            ideal.add_units(self.now, units)
             self.fair += 1
         self.give(n, r)
 
-    def let_in(self, r: events.Request) -> None:
+    def record_admission(self, r: events.Request) -> None:
         p = PLUS if r.plan == "plus" else BASIC
         self.served += 1
-        self.let += r.units
+        self.admitted_units += r.units
         self.rejected_within_quota.discard(r.id)
-        self.quotas.setdefault((r.plan, r.customer), Store(p.rate, p.burst)).pour(self.now, r.units)
+        self.quotas.setdefault((r.plan, r.customer), ReferenceBucket(p.rate, p.burst)).add_units(self.now, r.units)
         if p.ceiling_rate:
-            self.ceilings.setdefault((r.plan, r.customer), Store(p.ceiling_rate, p.ceiling_burst)).pour(
+            self.ceilings.setdefault((r.plan, r.customer), ReferenceBucket(p.ceiling_rate, p.ceiling_burst)).add_units(
                 self.now, r.units
             )
 
--- a/tests/services/test_counter_client.py
+++ b/tests/services/test_counter_client.py
@@ -16,14 +16,14 @@
 LONG = 10.0  # a time-out in seconds that no test reaches
 
 
-class Watching:
+class RecordingClient:
     """A counter client that records its replies."""
 
     def __init__(self, port: int, timeout: float = LONG) -> None:
         self.replies: list[events.CounterReply] = []
         self.counter = CounterClient(asyncio.get_running_loop(), (HOST, port), timeout, self.replies.append)
 
-    async def some(self, number: int) -> list[events.CounterReply]:
+    async def wait_for_replies(self, number: int) -> list[events.CounterReply]:
         await until(lambda: len(self.replies) >= number)
         return self.replies
 
@@ -38,10 +38,10 @@
             return ok(b"%.1f" % total)
 
         service = await Peer(act).listen()
-        w = Watching(service.port)
+        w = RecordingClient(service.port)
         for amount in (1.0, 2.5, -0.5):
             w.counter.add(8, amount, 3.0)
-        assert [r.total for r in await w.some(3)] == [1.0, 3.5, 3.0]
+        assert [r.total for r in await w.wait_for_replies(3)] == [1.0, 3.5, 3.0]
         assert all(r.name == 8 and r.outcome is Outcome.OK for r in w.replies)
         assert len({s.writer for s in service.seen}) == 1
         assert service.seen[0].line == "POST /v2/numbers/8?delta=1.000000&life_ms=3000 HTTP/1.1"
@@ -60,13 +60,13 @@
             return ok(b"222")
 
         service = await Peer(act).listen()
-        w = Watching(service.port, 0.05)
+        w = RecordingClient(service.port, 0.05)
         w.counter.add(2, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is Outcome.TIMEOUT
+        assert (await w.wait_for_replies(1))[0].outcome is Outcome.TIMEOUT
         w.counter.timeout = LONG
         w.counter.add(2, 5.0, 3.0)
         go.set()
-        assert [(r.outcome, r.total) for r in (await w.some(2))[1:]] == [(Outcome.OK, 222.0)]
+        assert [(r.outcome, r.total) for r in (await w.wait_for_replies(2))[1:]] == [(Outcome.OK, 222.0)]
         assert service.connections == client_module.CHANNELS  # the connection was kept
 
     run(main())
@@ -90,42 +90,42 @@
 def test_only_what_surely_was_not_added_is_reported_so(answer, outcome):
     async def main():
         service = await Peer.start(answer)
-        w = Watching(service.port)
+        w = RecordingClient(service.port)
         await until(lambda: w.counter.channels[0].connection)
         w.counter.add(4, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is outcome
+        assert (await w.wait_for_replies(1))[0].outcome is outcome
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
         w.counter.add(4, 1.0, 3.0)  # on the same connection or a new one
-        assert (await w.some(2))[1].total == 7.0
+        assert (await w.wait_for_replies(2))[1].total == 7.0
 
     run(main())
 
 
 def test_a_call_that_was_never_written_was_not_added():
     async def main():
-        w = Watching(closed_port(), 0.05)
+        w = RecordingClient(closed_port(), 0.05)
         w.counter.add(4, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is Outcome.CONNECT_FAILED
+        assert (await w.wait_for_replies(1))[0].outcome is Outcome.CONNECT_FAILED
         assert not w.counter.channels[0].unsent
 
     run(main())
 
 
 def test_a_stuck_connection_is_replaced(monkeypatch):
-    monkeypatch.setattr(channel_module, "STUCK_S", 0.05)
-    monkeypatch.setattr(channel_module, "RETRY_S", 0.01)
+    monkeypatch.setattr(channel_module, "STUCK_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(channel_module, "RECONNECT_DELAY_S", 0.01)
 
     async def main():
         service = await Peer.start(None)
-        w = Watching(service.port, 0.1)
+        w = RecordingClient(service.port, 0.1)
         await until(lambda: w.counter.channels[0].connection)
         w.counter.add(4, 1.0, 3.0)
-        assert (await w.some(1))[0].outcome is Outcome.TIMEOUT
+        assert (await w.wait_for_replies(1))[0].outcome is Outcome.TIMEOUT
         await until(lambda: service.connections > client_module.CHANNELS)
         service.act = lambda _: asyncio.sleep(0, ok(b"7"))
         w.counter.timeout = LONG
         w.counter.add(4, 1.0, 3.0)
-        assert (await w.some(2))[1].total == 7.0
+        assert (await w.wait_for_replies(2))[1].total == 7.0
 
     run(main())
 
@@ -133,11 +133,11 @@
 def test_calls_behind_a_spoilt_answer_may_have_been_added():
     async def main():
         service = await Peer.start(b"HTTP/1.1 20x\r\n\r\n")
-        w = Watching(service.port)
+        w = RecordingClient(service.port)
         await until(lambda: w.counter.channels[0].connection)
         w.counter.add(4, 1.0, 3.0)
         w.counter.add(8, 1.0, 3.0)
-        assert [r.outcome for r in await w.some(2)] == [Outcome.ERROR, Outcome.TIMEOUT]
+        assert [r.outcome for r in await w.wait_for_replies(2)] == [Outcome.ERROR, Outcome.TIMEOUT]
 
     run(main())
 
@@ -147,7 +147,7 @@
 
     async def main():
         service = await Peer.start(None)
-        w = Watching(service.port)
+        w = RecordingClient(service.port)
         channel = w.counter.channels[0]
         await until(lambda: channel.connection)
         w.counter.add(4, 1.0, 3.0)
@@ -173,7 +173,7 @@
             return ok(b"1")
 
         old, new = await Peer(act).listen(), await Peer.start(ok(b"2"))
-        w = Watching(old.port)
+        w = RecordingClient(old.port)
         channel = w.counter.channels[0]
         await until(lambda: channel.connection)
         w.counter.add(4, 1.0, 3.0)
@@ -186,7 +186,7 @@
         await until(lambda: new.seen and channel.connection.has_served)
         assert not w.replies  # the answer on the new connection waits for the one to the earlier call
         go.set()
-        assert [(r.name, r.total) for r in await w.some(3)] == [(4, 1.0), (4, 2.0), (8, 1.0)]
+        assert [(r.name, r.total) for r in await w.wait_for_replies(3)] == [(4, 1.0), (4, 2.0), (8, 1.0)]
         await until(lambda: first.closed)
         assert not w.counter.pending
 
--- a/tests/services/test_peers.py
+++ b/tests/services/test_peers.py
@@ -33,7 +33,7 @@
         assert sorted(got[0]) == [events.PeerMessage(1, b"all"), events.PeerMessage(2, b"last")]
         assert sorted(got[2]) == [events.PeerMessage(0, b"one"), events.PeerMessage(1, b"all")]
         assert not got[1]
-        nodes[2].everyone = addresses[1]
+        nodes[2].broadcast_address = addresses[1]
         nodes[2].send(None, b"by one address")
         await until(lambda: got[1])
 
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -23,7 +23,7 @@
         self.steps, self.disk, self.done = itertools.count(), {}, ""
         super().__init__(5, 2)
 
-    def remind(self, n):
+    def restore_state(self, n):
         if n == 0:
             self.gateways[0].restore(self.now, self.disk.values() if self.restores else [])
 
@@ -80,12 +80,12 @@
         if w.gateways[0] is not None:
             w.leave(0)
         w.run(1.0)
-    return w, sum(total for total, _ in w.counters[0].counts.values()) - w.let
+    return w, sum(total for total, _ in w.counters[0].counts.values()) - w.admitted_units
 
 
 def test_without_a_kill_each_unit_is_in_the_count_once():
     w, more = played(-1, True)
-    assert more == pytest.approx(0.0) and w.let > 20 and next(w.steps) > 60
+    assert more == pytest.approx(0.0) and w.admitted_units > 20 and next(w.steps) > 60
 
 
 @pytest.mark.parametrize("early", [True, False])
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -64,7 +64,7 @@
         self.world, self.snapshotters = World(seed), {}
         self.world.counters[0].silent = True
         if with_folders:
-            self.world.remind = self.start_snapshotter
+            self.world.restore_state = self.start_snapshotter
             for n in range(3):
                 self.world.kill(n)
                 self.world.restart(n)
--- a/thistleusher/services/counter_channel.py
+++ b/thistleusher/services/counter_channel.py
@@ -14,8 +14,8 @@
 
 log = logging.getLogger(__name__)
 
-STUCK_S = 1.0  # a connection with pending calls is replaced after this time without data from the counter
-RETRY_S = 0.1  # delay before the next attempt to connect
+STUCK_TIMEOUT_S = 1.0  # a connection with pending calls is replaced after this time without data from the counter
+RECONNECT_DELAY_S = 0.1  # delay before the next attempt to connect
 CONNECT_TIMEOUT_S = 0.5
 
 
@@ -62,9 +62,9 @@
                 await self.reconnect.wait()
                 # Reconnect without delay if the connection has served calls or was only closed for being idle.
                 lasted_s = self.loop.time() - started_at
-                if connection.has_served or lasted_s > STUCK_S or self.client.address != address:
+                if connection.has_served or lasted_s > STUCK_TIMEOUT_S or self.client.address != address:
                     continue
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     @staticmethod
     def _factory(connection: CounterConnection) -> Callable[[], CounterConnection]:
@@ -112,8 +112,8 @@
         unsent = {add for add in late if add in self.unsent}
         for add in unsent:
             self.unsent.remove(add)
-        if connection is not None and connection.pending and now - connection.last_heard > STUCK_S:
-            log.warning("counter: no response for %.1f s; opening a new connection", now - connection.last_heard)
+        if connection is not None and connection.pending and now - connection.last_received_at > STUCK_TIMEOUT_S:
+            log.warning("counter: no response for %.1f s; opening a new connection", now - connection.last_received_at)
             connection.end("stuck")
         for add in late:
             self.report(add, Outcome.CONNECT_FAILED if add in unsent else Outcome.TIMEOUT)
--- a/thistleusher/services/counter_connection.py
+++ b/thistleusher/services/counter_connection.py
@@ -16,9 +16,9 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_STALL_S = 0.05  # a connection is replaced after this time without data in the middle of a response
-RETIRE_S = 1.5  # time for which a replaced connection waits for pending responses
+RETIRE_TIMEOUT_S = 1.5  # time for which a replaced connection waits for pending responses
 TOTAL = re.compile(rb"-?\d+(\.\d+)?([eE][+-]?\d{1,2})?")  # excludes nan and inf; settled units can make it negative
-NOTHING_ADDED_STATUSES = (400, 404)
+NOT_ADDED_STATUSES = (400, 404)
 
 
 class PendingAdd:
@@ -60,7 +60,7 @@
         self.reader = ResponseReader()
         # Calls written but not answered. They stay here after their deadline, so that late responses match their call.
         self.pending: deque[PendingAdd] = deque()
-        self.last_heard = 0.0
+        self.last_received_at = 0.0
         self.has_served = False
         self.retired = False
         self.closed = False
@@ -75,7 +75,7 @@
         """Send a call."""
         assert self.transport is not None
         if not self.pending:
-            self.last_heard = self.loop.time()
+            self.last_received_at = self.loop.time()
         self.pending.append(add)
         self.transport.write(add.request)
 
@@ -83,17 +83,17 @@
         """Match each complete response to its call; a malformed or stalled response ends the connection."""
         if self.closed:
             return
-        self.last_heard = self.loop.time()
+        self.last_received_at = self.loop.time()
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         for response in self.reader.feed(data):
-            self._take(response)
+            self._handle_response(response)
         if self.reader.error:
-            self.end(f"spoilt: {self.reader.error}", spoilt=True)
+            self.end(f"spoilt: {self.reader.error}", malformed=True)
         elif self.reader.partial and not self.closed:
             self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.end, "response stalled", True)
 
-    def _take(self, response: Response) -> None:
+    def _handle_response(self, response: Response) -> None:
         """Report the outcome of the oldest pending call."""
         if self.closed:
             return
@@ -101,7 +101,7 @@
             self.end("response without a pending call")
             return
         if response.status == 200 and TOTAL.fullmatch(response.body) is None:
-            self.end("malformed response: body is not a total", spoilt=True)
+            self.end("malformed response: body is not a total", malformed=True)
             return
         add = self.pending.popleft()
         self.has_served = True
@@ -110,17 +110,17 @@
         elif response.status == 503:
             self.channel.report(add, Outcome.FULL)
         else:
-            nothing_added = response.status in NOTHING_ADDED_STATUSES
+            not_added = response.status in NOT_ADDED_STATUSES
             log.warning("counter: unexpected status %d", response.status)
-            self.channel.report(add, Outcome.CONNECT_FAILED if nothing_added else Outcome.TIMEOUT)
+            self.channel.report(add, Outcome.CONNECT_FAILED if not_added else Outcome.TIMEOUT)
         if not response.keep_alive or (self.retired and not self.pending):
             self.end("done")
 
     def retire(self) -> None:
-        """Close the connection after its pending responses, at the latest after `RETIRE_S`: it has been replaced."""
+        """Close this replaced connection after its pending responses, or after `RETIRE_TIMEOUT_S` at the latest."""
         self.retired = True
         if self.pending:
-            self.loop.call_later(RETIRE_S, self.end, "retired")
+            self.loop.call_later(RETIRE_TIMEOUT_S, self.end, "retired")
         else:
             self.end("retired")
 
@@ -128,7 +128,7 @@
         """Handle the loss of the connection."""
         self.end("closed")
 
-    def end(self, reason: str, spoilt: bool = False) -> None:
+    def end(self, reason: str, malformed: bool = False) -> None:
         """Close the connection and report its pending calls, which may have been added.
 
         A malformed response shows that the first pending call was added. The channel is informed first, because an
@@ -144,5 +144,5 @@
             self.transport.abort()
         self.channel.connection_ended(self)
         for position, add in enumerate(self.pending):
-            self.channel.report(add, Outcome.ERROR if spoilt and position == 0 else Outcome.TIMEOUT)
+            self.channel.report(add, Outcome.ERROR if malformed and position == 0 else Outcome.TIMEOUT)
         self.pending.clear()
--- a/thistleusher/services/counter_group.py
+++ b/thistleusher/services/counter_group.py
@@ -13,7 +13,7 @@
 from thistleusher.services.addresses import read_address
 from thistleusher.services.counter_client import CounterClient
 
-REMOVAL_S = 2.0  # time for which the client of a removed counter stays open for pending responses
+REMOVAL_DELAY_S = 2.0  # time for which the client of a removed counter stays open for pending responses
 
 
 class CounterGroup:
@@ -38,7 +38,7 @@
         self.place(placement)
 
     def place(self, placement: Placement) -> None:
-        """Switch to other counters: connect to added ones, and close removed ones after `REMOVAL_S`."""
+        """Switch to other counters: connect to added ones, and close removed ones after `REMOVAL_DELAY_S`."""
         self.placement = placement
         for address in placement.addresses:
             if address not in self.clients:
@@ -47,7 +47,7 @@
                 )
         for address in self.clients.keys() - set(placement.addresses):
             client = self.clients.pop(address)
-            self.removed[client] = self.loop.call_later(REMOVAL_S, self._drop, client)
+            self.removed[client] = self.loop.call_later(REMOVAL_DELAY_S, self._drop, client)
 
     def _drop(self, client: CounterClient) -> None:
         """Close the client of a removed counter."""
--- a/thistleusher/services/peers.py
+++ b/thistleusher/services/peers.py
@@ -21,18 +21,18 @@
     def __init__(
         self,
         peers: Sequence[Address],
-        everyone: Address | None,
+        broadcast_address: Address | None,
         me: int,
         on_message: Callable[[events.PeerMessage], None],
     ) -> None:
         """Create without a socket.
 
         peers: addresses of all ingresses, by number
-        everyone: broadcast address that reaches all ingresses; None to send to each peer separately
+        broadcast_address: address that reaches all ingresses; None to send to each peer separately
         me: number of this ingress
         """
         self.peers = peers
-        self.everyone = everyone
+        self.broadcast_address = broadcast_address
         self.me = me
         self.on_message = on_message
         self.numbers = {address: number for number, address in enumerate(peers)}
@@ -63,8 +63,8 @@
     def _addresses(self, peer: int | None) -> list[Address]:
         if peer is not None:
             return [self.peers[peer]]
-        if self.everyone is not None:
-            return [self.everyone]
+        if self.broadcast_address is not None:
+            return [self.broadcast_address]
         return [address for number, address in enumerate(self.peers) if number != self.me]
 
     def close(self) -> None:
