--- a/tests/gossip/test_outbox.py
+++ b/tests/gossip/test_outbox.py
@@ -43,9 +43,9 @@
 def test_peers_with_common_members_get_keep_alives_and_nobody_else():
     box = Outbox(50.0, 28, 0.0)
     box.keep_contact(0.0, [1])
-    heard = [n / 10 for n in range(100) if box.take(n / 10)]
-    assert heard[0] == 0.0 and all(b - a <= KEEP_ALIVE_S + 0.11 for a, b in zip(heard, heard[1:], strict=False))
-    assert heard[-1] <= CONTACT_S and not box.has_work()
+    sent_at = [n / 10 for n in range(100) if box.take(n / 10)]
+    assert sent_at[0] == 0.0 and all(b - a <= KEEP_ALIVE_S + 0.11 for a, b in zip(sent_at, sent_at[1:], strict=False))
+    assert sent_at[-1] <= CONTACT_S and not box.has_work()
 
 
 def test_a_peer_that_sends_an_update_is_answered_once_in_a_while():
--- a/tests/quota/ingress_set.py
+++ b/tests/quota/ingress_set.py
@@ -53,13 +53,13 @@
 
     def ask(self, node: int, units: float, width: int = 0, first: int = 0) -> bool:
         self.asked += 1
-        good = self.nodes[node].admit(self.now, 0, 7, first, width or self.count, units, 0.0)
-        if good:
+        admitted = self.nodes[node].admit(self.now, 0, 7, first, width or self.count, units, 0.0)
+        if admitted:
             self.served += 1
             self.bucket.add_units(self.now, units)
         for _, message in self.nodes[node].demands(self.now):  # demands go to all peers
             self.wire += [(node, other, message) for other in range(self.count) if other != node]
-        return good
+        return admitted
 
     def deliver(self, index: int, keep: bool = False) -> None:
         sender, target, message = self.wire[index] if keep else self.wire.pop(index)
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -36,7 +36,7 @@
 def test_long_runs_of_a_member_that_moves_under_loss_and_delay(seed):
     rng = random.Random(seed)
     s = IngressSet(PLUS)
-    home, late = 0, []
+    home, in_transit = 0, []
     while s.now < START + 60:
         s.now += 0.02
         if rng.random() < 0.01:
@@ -47,9 +47,9 @@
         s.ask(home, rng.choice((1.0, 2.0, 4.0)))
         for message in s.wire:
             if rng.random() >= 0.2:
-                late.append((s.now + 0.5 * rng.random(), message))
-        s.wire = [m for due, m in late if due <= s.now]
-        late = [x for x in late if x[0] > s.now]
+                in_transit.append((s.now + 0.5 * rng.random(), message))
+        s.wire = [m for due, m in in_transit if due <= s.now]
+        in_transit = [x for x in in_transit if x[0] > s.now]
         for _ in range(len(s.wire)):
             s.deliver(0)
     assert s.bucket.worst > 0.9 * PLUS.burst or s.served > 100  # the run was under load
@@ -60,24 +60,24 @@
     """Requests exhaust each ingress's headroom, so that a share that were counted twice would be spent twice."""
     rng = random.Random(number + 20 * int(SEED or 0))
     s = IngressSet(PLUS)
-    late = []
+    in_transit = []
     while s.now < START + 60:
         s.now += 0.05
         if rng.random() < 0.06:
             s.restart(rng.randrange(3))
-        pressed = rng.random() < 0.5  # otherwise only one ingress is used, so that headroom and shares move to it
-        for n in range(3) if pressed else (rng.randrange(3),):
+        under_load = rng.random() < 0.5  # otherwise only one ingress is used, so that headroom and shares move to it
+        for n in range(3) if under_load else (rng.randrange(3),):
             while s.ask(n, 1.0):
                 pass
         for node in range(3):
             s.send_handshakes(node)
-        late += [
+        in_transit += [
             (s.now + rng.choice((0.01, 0.05, 0.5, 1.5)) * rng.random(), m)
             for m in s.wire
             for _ in range(rng.choice((0, 1, 1, 1, 2)))
         ]
-        s.wire = [m for due, m in late if due <= s.now]
-        late = [x for x in late if x[0] > s.now]
+        s.wire = [m for due, m in in_transit if due <= s.now]
+        in_transit = [x for x in in_transit if x[0] > s.now]
         for _ in range(len(s.wire)):
             s.deliver(0)
     assert s.served > 100  # the run was under load
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -351,13 +351,13 @@
     w.traffic(3.0, 200.0, spread(), members=200)
     silence(w)
     w.traffic(3.0, 200.0, spread(), members=200)
-    heard = [0, 0, 0]
+    received = [0, 0, 0]
     give = w.give
 
     def counting(n, event, incarnation=None):
-        heard[n] += isinstance(event, events.PeerMessage)
+        received[n] += isinstance(event, events.PeerMessage)
         give(n, event, incarnation)
 
     w.give = counting
     w.traffic(5.0, 900.0, moving(0.5), members=200, units=(4.0,))
-    assert max(heard) <= 5 * settings(0).peer_in_per_s, heard
+    assert max(received) <= 5 * settings(0).peer_in_per_s, received
--- a/tests/quota/test_reservations.py
+++ b/tests/quota/test_reservations.py
@@ -15,7 +15,7 @@
 from thistleusher.quota.reservations import HEADROOM_FRACTION, RESERVED_FRACTION, Reservation
 from thistleusher.quota.terms import GUARANTEED_FRACTION, epoch_length
 
-JOINT_START = PLUS._replace(
+SIMULTANEOUS_START = PLUS._replace(
     simultaneous_start_burst=PLUS.burst
 )  # a simultaneous start may admit one burst at once if nothing is restored
 EPOCH = epoch_length(PLUS)
@@ -24,7 +24,7 @@
 class PersistentSet(IngressSet):
     """Ingresses with a state folder each: records are handed over, committed in order, or lost by a kill."""
 
-    def __init__(self, terms=JOINT_START) -> None:
+    def __init__(self, terms=SIMULTANEOUS_START) -> None:
         super().__init__(terms)
         self.disks = [{} for _ in self.nodes]
         self.in_flight = [[] for _ in self.nodes]
@@ -157,7 +157,7 @@
                 crash(s, rng.randrange(3), n)
 
 
-def set_with_records(terms=JOINT_START):
+def set_with_records(terms=SIMULTANEOUS_START):
     s = PersistentSet(terms)
     for n in range(3):
         s.ask(n, 0.5)  # creates the allowance at each ingress
@@ -242,7 +242,7 @@
 
 def test_a_record_of_another_set_or_of_an_epoch_that_is_over_adds_nothing():
     def headroom(record, active):
-        escrow = EscrowTable(3, 0, 1000.0, (JOINT_START,))
+        escrow = EscrowTable(3, 0, 1000.0, (SIMULTANEOUS_START,))
         escrow.restore([record], active)
         escrow.admit(1000.0, 0, 7, 0, 3, 0.0, 0.0)
         return escrow.allowances[0, 7].headroom
--- a/thistleusher/quota/allowance.py
+++ b/thistleusher/quota/allowance.py
@@ -140,8 +140,8 @@
         # Share that peers gave to this ingress may have refilled a peer's headroom before the transfer, so only share
         # that never left this ingress counts from its start. That refill is capped at the same share of the burst.
         age = max(0.0, self.at - self.bootstrap.started_at)
-        never_given = max(0, transferable - self.earlier_given_share) / WHOLE_SHARE
-        self.headroom += never_given * min(self.terms.burst, self.terms.rate * age)
+        never_given_fraction = max(0, transferable - self.earlier_given_share) / WHOLE_SHARE
+        self.headroom += never_given_fraction * min(self.terms.burst, self.terms.rate * age)
         if self.bootstrap.started_together(self.members):
             self.headroom += self.fraction() * self.terms.simultaneous_start_burst
         self.headroom = min(self.headroom, self.max_headroom())
--- a/thistleusher/quota/demands.py
+++ b/thistleusher/quota/demands.py
@@ -45,7 +45,7 @@
             return
         if now - allowance.last_demand_at >= DEMAND_INTERVAL_S:
             allowance.last_demand_at = now
-            # Demand twice each peer's even portion, as some peers have less.
+            # Demand twice an even split of the shortfall from each peer, as some peers have less.
             self.pending[key] = min(shortfall, 2 * shortfall / self._peers_per_demand(allowance))
 
     def _peers_per_demand(self, allowance: Allowance) -> int:
