--- a/benchmarks/bootstrap.py
+++ b/benchmarks/bootstrap.py
@@ -39,7 +39,7 @@
             rate = 23.0 * len(offsets) if ceiled else 12.0
             worlds = [start_world(offsets, n * epoch_length(terms) / moments, plan.name, rate) for n in range(moments)]
             shares = [rejected_share(w) for w in worlds]
-            quota, ceiling = (max(w.beyond(plan.name)[k] for w in worlds) for k in (0, 1))
+            quota, ceiling = (max(w.excess(plan.name)[k] for w in worlds) for k in (0, 1))
             print(
                 f"| {name} | {plan.name} | {max(shares):.1%} | {sum(shares) / moments:.1%} | {quota:.1f} |"
                 f" {f'{ceiling:.1f}' if ceiled else '-'} |",
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -31,7 +31,7 @@
             for seed in range(args.seeds):
                 for home in (failures.moving(2.0), failures.spread(seed)):
                     w, bound = failures.run_fault(fault, home, plan, seed, args.length, rate)
-                    over = w.beyond(plan)
+                    over = w.excess(plan)
                     quota, ceiling = max(quota, over[0]), max(ceiling, over[1])
                     served, fair = served + w.served, fair + w.fair
             stated = failures.stated_bound(fault, bound)
@@ -44,7 +44,7 @@
     for plan, rate in (("plus", 40.0), ("basic", 6.0)):
         for fault in (failures.silence, failures.split_in_three):
             w, bound = failures.run_worst_case(fault, plan, args.length, rate)
-            quota, ceiling = w.beyond(plan)
+            quota, ceiling = w.excess(plan)
             top = "-" if bound.ceiling is None else f"{bound.ceiling:.0f}"
             print(
                 f"{fault.__name__ + ', at once':24} {plan:6} {quota:13.1f} {failures.stated_bound(fault, bound):7.0f}"
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 def play(instances: int, seconds: float, rate: float) -> dict[str, float]:
     """Play one fleet from its start; a third of the members has sets of half the fleet, three ingresses at least."""
     w = World(2, instances)
-    w.join(CounterModel(0.5 * rate * instances))  # a call for every second request
+    w.use_counter(CounterModel(0.5 * rate * instances))  # a call for every second request
     w.inbox = 100.0
     t = 0.0
     while (t := t + w.rng.expovariate(rate * instances)) < seconds:
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -144,7 +144,7 @@
     Return the means of each phase's seconds by its name, and the most units that a member went beyond its ceiling.
     """
     w = Judged(seed, instances)
-    w.join(CounterModel(CALLS_PER_S * instances))
+    w.use_counter(CounterModel(CALLS_PER_S * instances))
     w.inbox = 100.0
     asking = members(w, instances)
     means = {}
@@ -158,7 +158,7 @@
             rows.append(w.take_shares())
             say(second_line(by_plan, phase.name, second, rows[-1], w.counters[0].adds - calls))
         means[phase.name] = Shares(*(sum(column) / phase.seconds for column in zip(*rows, strict=True)))
-    return means, w.beyond("plus")[1]
+    return means, w.excess("plus")[1]
 
 
 def main() -> None:
@@ -173,10 +173,10 @@
     args = parser.parse_args()
 
     def cut(w: Judged) -> None:
-        w.counters[0].silent, w.cut = True, set(range(w.instances)) if args.deaf else set()
+        w.counters[0].silent, w.isolated = True, set(range(w.instances)) if args.deaf else set()
 
     def back(w: Judged) -> None:
-        w.counters[0].silent, w.cut = False, set()
+        w.counters[0].silent, w.isolated = False, set()
 
     phases = [
         Phase("before", args.before, lambda w: None),
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -106,9 +106,9 @@
     world.loss = 0.2
     world.counters[0].silent = True
     traffic(world, 1.5, 60.0, 2)
-    world.cut = {0}
+    world.isolated = {0}
     traffic(world, 1.5, 60.0, 2)
-    world.cut = set()
+    world.isolated = set()
     traffic(world, 1.5, 60.0, 2)
 
 
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -22,7 +22,7 @@
     By default the counter accepts half as many calls as `load` sends requests.
     """
     w = World(seed, FLEET, offsets=offsets)
-    w.join(CounterModel(per_s))
+    w.use_counter(CounterModel(per_s))
     w.inbox = 100.0
     return w
 
@@ -90,7 +90,7 @@
 
 
 def replaced(w: World) -> None:
-    w.join(CounterModel(250.0))
+    w.use_counter(CounterModel(250.0))
 
 
 # Fault, maximum fraction of requests rejected with half of the quota unused, maximum units beyond quota for a customer
@@ -115,8 +115,8 @@
     w.asked, w.rejected_within_quota = 0, set()
     load(w, 5.0)
     assert rejected_share(w) <= rejected
-    assert w.beyond("basic")[0] <= wide and w.beyond("plus")[0] <= narrow
-    assert w.beyond("plus")[1] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).ceiling
+    assert w.excess("basic")[0] <= wide and w.excess("plus")[0] <= narrow
+    assert w.excess("plus")[1] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).ceiling
 
 
 def test_all_begin_together_without_a_storm():
@@ -131,7 +131,7 @@
     load(w, 6.0, hot=0.5)
     assert w.overflowed == 0
     assert (
-        w.beyond("plus")[0] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).quota_in_touch
+        w.excess("plus")[0] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).quota_in_touch
     )
 
 
@@ -147,7 +147,7 @@
                 ),
             )
         w.run(1.0)
-    quota, _ = w.beyond("basic")
+    quota, _ = w.excess("basic")
     assert quota <= BASIC.burst + 4.0 and w.kept() > 0.9
 
 
@@ -162,14 +162,14 @@
             ),
         )
     w.run(11.0)
-    assert 0.85 <= w.kept() <= 1.15 and w.beyond("basic")[0] <= 4.0
+    assert 0.85 <= w.kept() <= 1.15 and w.excess("basic")[0] <= 4.0
 
 
 @pytest.mark.parametrize("instances", [16, 60, 200])
 def test_what_an_ingress_says_does_not_grow_with_the_fleet(instances):
     """Each ingress gets eight requests a second, whatever their number; a third of the ingress sets are large."""
     w = World(2, instances)  # all ingresses have just started
-    w.join(CounterModel(4.0 * instances))
+    w.use_counter(CounterModel(4.0 * instances))
     w.inbox = 100.0
     t = 0.0
     w.at(1.0, w.rejected_within_quota.clear)  # just after a start only guaranteed shares of ceilings are available
@@ -199,7 +199,7 @@
         w.at(n / 30, lambda n=n: w.ask(n % FLEET, 1, "basic", 4.0, 0, FLEET))  # type: ignore[misc]
     w.run(8.0)
     assert FLEET - 2 <= w.served <= FLEET + FLEET // 10  # one per ingress, plus the refill in the meantime
-    assert w.beyond("basic")[0] <= bound_of(settings(0, FLEET), BASIC, Assumptions()).quota_cut_off
+    assert w.excess("basic")[0] <= bound_of(settings(0, FLEET), BASIC, Assumptions()).quota_cut_off
 
 
 def test_the_bound_says_what_it_assumes_of_a_large_fleet():
@@ -220,11 +220,11 @@
     """
     w = fleet(per_s=30.0)
     load(w, 4.0)  # the counter is overloaded, so most decisions are made without it
-    w.cut = set(range(FLEET))
+    w.isolated = set(range(FLEET))
     for n in range(800):  # one customer requests 100 units a second through all ingresses of its set
         w.at(n / 100, lambda n=n: w.ask(n % NARROW, 0, "plus", 1.0, 0, NARROW))  # type: ignore[misc]
     load(w, 8.0, rate=100.0)
-    assert w.beyond("plus")[1] <= CEILING_SLACK  # 251 units with messages alone, 11 with messages of the last second
+    assert w.excess("plus")[1] <= CEILING_SLACK  # 251 units with messages alone, 11 with messages of the last second
 
 
 @pytest.mark.parametrize(
@@ -244,7 +244,7 @@
     for n in range(600):
         w.at(n / 200, lambda n=n: w.ask(n % width, 1000, "plus", 1.0, 0, width))  # type: ignore[misc]
     load(w, 3.0, rate=200.0)
-    assert w.beyond("plus")[1] <= CEILING_SLACK
+    assert w.excess("plus")[1] <= CEILING_SLACK
 
 
 def test_a_request_waits_for_shares_that_the_others_have():
@@ -258,7 +258,7 @@
     for n in range(30):
         w.at(2.0 + n / 3, lambda: w.ask(3, 1000, "plus", 4.0, 0, 12))
     w.run(14.0)
-    assert w.served >= 28 and w.beyond("plus")[1] <= CEILING_SLACK and w.slowest <= 0.35
+    assert w.served >= 28 and w.excess("plus")[1] <= CEILING_SLACK and w.slowest <= 0.35
 
 
 def test_what_lost_messages_told_of_leaves_nobody_in_debt():
--- a/tests/quota/starts.py
+++ b/tests/quota/starts.py
@@ -49,7 +49,7 @@
     """Assert that no customer exceeds the stated bound after `joint` simultaneous restarts; return the excesses."""
     p = PLUS if plan == "plus" else BASIC
     b = bound_of(settings(0, w.instances), p, assumed or Assumptions(0.0, 0.01, outage=SECONDS))
-    quota, ceiling = w.beyond(plan)
+    quota, ceiling = w.excess(plan)
     assert quota <= b.quota_cut_off + joint * b.quota_restart, (quota, b)
     if b.ceiling is not None:
         assert ceiling <= b.ceiling + joint * b.ceiling_restart, (ceiling, b)
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -99,12 +99,12 @@
     w = World(8)
     w.counters[0].silent = True
     send_requests(w, 8.0, members=1, rate=60.0)
-    _, before = w.beyond()
+    _, before = w.excess()
     for _ in range(25):  # every 200 ms
         w.kill(1)
         w.restart(1)
         w.traffic(0.2, 60.0, lambda at: 1)
-    quota, ceiling = w.beyond()
+    quota, ceiling = w.excess()
     assert ceiling <= max(0.0, before), (ceiling, before)
     assert w.kept() > 0.6, w.kept()
     assert_within_bound(w)
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -46,21 +46,21 @@
 
 def split_and_cut_off(w):
     w.split()
-    w.cut = {0}
+    w.isolated = {0}
 
 
 def split_in_three(w):
     w.counters = [CounterModel() for _ in range(3)]
-    w.cut = {0, 1, 2}
+    w.isolated = {0, 1, 2}
 
 
 def replaced(w):
-    w.join(CounterModel())
+    w.use_counter(CounterModel())
 
 
 def replaced_twice(w):
-    w.join(CounterModel())
-    w.at(1.0, lambda: w.join(CounterModel()))
+    w.use_counter(CounterModel())
+    w.at(1.0, lambda: w.use_counter(CounterModel()))
 
 
 def forgets(w):
@@ -88,7 +88,7 @@
 
 def silent_and_cut_off(w):
     silence(w)
-    w.cut = {0, 1, 2}
+    w.isolated = {0, 1, 2}
 
 
 def silent_with_lossy_peers(w):
@@ -101,7 +101,7 @@
     w.loss, w.delay = 0.2, 0.5
     w.at(4.0, lambda: w.restart(2))
     w.at(8.0, lambda: silence(w))
-    w.at(12.0, lambda: w.join(CounterModel()))
+    w.at(12.0, lambda: w.use_counter(CounterModel()))
 
 
 FAULTS = [
@@ -137,9 +137,9 @@
     good = w.counters[1]
     fault(w)
     w.traffic(length, rate, home, plan)
-    w.join(good)
+    w.use_counter(good)
     good.silent, good.lose, good.max_lifetime, good.old = False, 0.0, 0.0, False
-    w.loss, w.delay, w.cut = 0.0, 0.01, set()
+    w.loss, w.delay, w.isolated = 0.0, 0.01, set()
     w.traffic(10.0, rate, home, plan)
     lossy = fault in (silent_with_lossy_peers, everything)
     assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=length)
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_a_plus_member_passes_neither_ceiling_nor_quota_by_more_than_stated(fault, home):
     w, bound = run_fault(fault, home, "plus")
-    quota, ceiling = w.beyond()
+    quota, ceiling = w.excess()
     assert ceiling <= bound.ceiling, (ceiling, bound)
     assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.5, w.kept()
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("plan", ["plus", "basic"])
 def test_the_worst_case_comes_near_the_bound_and_does_not_pass_it(fault, plan):
     w, bound = run_worst_case(fault, plan, rate=40.0 if plan == "plus" else 6.0)
-    quota, ceiling = w.beyond(plan)
+    quota, ceiling = w.excess(plan)
     assert stated_bound(fault, bound) / 3 < quota <= stated_bound(fault, bound), (quota, bound)
     if plan == "plus":
         assert ceiling <= bound.ceiling, (ceiling, bound)
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_a_basic_member_passes_its_quota_by_no_more_than_stated(fault, home):
     w, bound = run_fault(fault, home, "basic", rate=6.0)
-    quota, _ = w.beyond("basic")
+    quota, _ = w.excess("basic")
     assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.4, w.kept()
 
@@ -198,7 +198,7 @@
     for home in (moving(2.0), spread(), lambda at: 1):
         w = World()
         w.traffic(40.0, 40.0, home)
-        quota, ceiling = w.beyond()
+        quota, ceiling = w.excess()
         assert w.kept() > 0.8 and quota < 8.0 and ceiling <= 0.0
 
 
@@ -210,7 +210,7 @@
             break
     w.traffic(2.0, 30.0, lambda at: 1)
     lost = sum(total for total, until in w.counters[0].counts.values() if until > w.now)
-    w.join(CounterModel())
+    w.use_counter(CounterModel())
     logs = []
     act = w.act
     w.act = lambda n, a: logs.append(a.text) if isinstance(a, actions.Log) else act(n, a)
@@ -251,7 +251,7 @@
     for _ in range(3):
         w.ask(1, units=4.0)
         w.run(0.02)
-    w.join(CounterModel())
+    w.use_counter(CounterModel())
     for _ in range(3):
         w.ask(1, units=1.0)
         w.run(0.02)
@@ -272,7 +272,7 @@
         for n in range(3):
             w.ask(n, 0)
     w.run(1.0)
-    quota, ceiling = w.beyond()
+    quota, ceiling = w.excess()
     assert quota > 5.0 and ceiling <= 0.0
 
 
@@ -305,14 +305,14 @@
             w.loss, w.delay = 0.2, 0.5
 
         def cut_off_one(w=w, rng=rng):
-            w.cut = {rng.randrange(3)} if rng.random() < 0.5 else set()
+            w.isolated = {rng.randrange(3)} if rng.random() < 0.5 else set()
 
         steps = [
             lambda w=w: silence(w),
             lambda w=w: w.split(),
-            lambda w=w: w.join(CounterModel()),
+            lambda w=w: w.use_counter(CounterModel()),
             cut_off_one,
-            lambda w=w, good=good: w.join(good),
+            lambda w=w, good=good: w.use_counter(good),
             lambda w=w: forgets(w),
             lambda w=w: loses_replies(w),
             lambda w=w: old_totals(w),
@@ -325,7 +325,7 @@
             w.traffic(rng.choice((0.2, 1.0, 4.0)), rate, home, plan)
         assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, assumed)
-        quota, ceiling = w.beyond(plan)
+        quota, ceiling = w.excess(plan)
         assert quota <= bound.quota_split, (seed, quota, bound)
         assert bound.ceiling is None or ceiling <= bound.ceiling, (seed, ceiling, bound)
         assert w.slowest <= 2 * TIMEOUT, (seed, w.slowest)
@@ -342,7 +342,7 @@
     assert w.slowest <= 2 * TIMEOUT  # the counter's time-out, and the wait for a free slot
     calls = w.counters[0].adds - before
     assert calls <= 450, calls  # at most one call per request: units admitted in the outage are added with them
-    quota, _ = w.beyond("basic")
+    quota, _ = w.excess("basic")
     assert quota <= bound_of(settings(0), BASIC, Assumptions(outage=5.0)).quota_cut_off
 
 
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -50,7 +50,7 @@
     health = [w.gateways[0].counters.by_number[n] for n in range(3)]
     assert health[1].is_down() and not health[0].is_down() and not health[2].is_down()
     assert health[0].call_share == health[2].call_share == 1.0 and health[1].call_share < 1.0
-    quota, ceiling = w.beyond()
+    quota, ceiling = w.excess()
     bound = bound_of(settings(0), PLUS, Assumptions(0.0, 0.01, outage=10.0))
     assert quota <= bound.quota_in_touch and ceiling <= bound.ceiling and w.kept() > 0.8
 
@@ -64,7 +64,7 @@
     for addresses in (after, ADDRESSES[:2], after):  # the changes happen within windows, not at their boundaries
         w.place(Placement(addresses))
         w.traffic(3.3, rate, spread(), plan)
-    quota, ceiling = w.beyond(plan)
+    quota, ceiling = w.excess(plan)
     bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, Assumptions(0.0, 0.01, outage=10.0))
     assert quota <= bound.quota_in_touch and (bound.ceiling is None or ceiling <= bound.ceiling)
     assert w.kept() > 0.7
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -108,7 +108,7 @@
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.counters = [CounterModel() for _ in range(instances)]  # by ingress; all the same unless split
-        self.join(CounterModel())
+        self.use_counter(CounterModel())
         self.placement = placement
         self.counters_by_address = {a: CounterModel() for a in placement.addresses} if placement else {}
         self.loss, self.delay = 0.0, 0.01
@@ -116,7 +116,7 @@
         self.inboxes = [(0.0, start)] * instances  # by ingress, fill level of its inbox and time of that level
         self.messages_sent = self.bytes_sent = 0  # a broadcast counts once per receiver
         self.overflowed = 0  # messages lost because the receiver's inbox was full
-        self.cut: set[int] = set()  # ingresses that can neither send nor receive datagrams
+        self.isolated: set[int] = set()  # ingresses that can neither send nor receive datagrams
         self.gateways: list[Any] = []
         self.incarnation = [0] * instances
         self.calls: dict[int, list[tuple[int, bool]]] = {}
@@ -139,7 +139,7 @@
         self.rejected_within_quota: set[str] = set()
         self.slowest = 0.0  # longest time from a request to its first attempt or its rejection
 
-    def join(self, counter: CounterModel) -> None:
+    def use_counter(self, counter: CounterModel) -> None:
         """Connect all ingresses to one counter."""
         self.counters = [counter] * self.instances
 
@@ -214,7 +214,7 @@
                 if target == n:
                     continue
                 self.messages_sent, self.bytes_sent = self.messages_sent + 1, self.bytes_sent + len(a.payload)
-                if not self.cut & {n, target} and self.rng.random() >= self.loss and self.accepts_message(target):
+                if not self.isolated & {n, target} and self.rng.random() >= self.loss and self.accepts_message(target):
                     late = self.delay * (0.5 + 0.5 * self.rng.random())
                     self.at(late, lambda t=target: self.give(t, events.PeerMessage(n, a.payload)))  # type: ignore[misc]
 
@@ -299,7 +299,7 @@
         self.run(seconds)
         assert self.now == began + seconds
 
-    def beyond(self, plan: str = "plus") -> tuple[float, float]:
+    def excess(self, plan: str = "plus") -> tuple[float, float]:
         """Return the units beyond quota and beyond ceiling of the customer that exceeds each most."""
         quota = max((s.worst for (p, _), s in self.quotas.items() if p == plan), default=0.0)
         return quota, max((s.worst for (p, _), s in self.ceilings.items() if p == plan), default=0.0)
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -102,7 +102,7 @@
     assert max(more for _, more in ends) <= BASIC.burst
     twice = [w.done for w, more in ends if more > UNITS]
     assert len(twice) <= (1 if early else 7), twice
-    assert max(w.beyond("basic")[0] for w, _ in ends) <= (0.0 if early else UNITS)
+    assert max(w.excess("basic")[0] for w, _ in ends) <= (0.0 if early else UNITS)
 
 
 def test_without_a_folder_units_are_lost_to_the_count():
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -26,7 +26,7 @@
         w.run(0.1)
         w.restart(0)
         w.gateways[0].restore(w.now, saved.values() if keep else [])
-    return w.beyond("basic")[0]
+    return w.excess("basic")[0]
 
 
 def test_an_ingress_with_restored_state_admits_nothing_twice():
@@ -110,7 +110,7 @@
         outage.run(0.5)
     for snapshotter in outage.snapshotters.values():
         snapshotter.close()
-    return w.beyond("plus")[1], w.served - before
+    return w.excess("plus")[1], w.served - before
 
 
 def test_all_killed_together_in_an_outage_get_no_second_ceiling(tmp_path):
