--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tests.quota.world import BASIC, PLUS, CounterModel, Store, World
+from tests.quota.world import BASIC, PLUS, CounterModel, ReferenceBucket, World
 from thistleusher.core import events
 
 NARROW = 8  # ingresses of a ceilinged member's set
@@ -55,26 +55,26 @@
     """A world that tells requests inside a quota from those beyond it."""
 
     def __init__(self, seed: int, instances: int) -> None:
-        self.judges: dict[int, Store] = {}
+        self.judges: dict[int, ReferenceBucket] = {}
         self.offered = self.got = self.over = self.cost = 0.0
         self.sent_units = 0.0
         self.by_plan = {"basic": [0.0, 0.0, 0.0], "plus": [0.0, 0.0, 0.0]}  # offered, got, beyond
         super().__init__(seed, instances)
 
-    def let_in(self, r: events.Request) -> None:
+    def record_admission(self, r: events.Request) -> None:
         """Judge a request that is sent on, by its member's store."""
         p = PLUS if r.plan == "plus" else BASIC
-        store = self.judges.setdefault(r.customer, Store(p.rate, p.burst))
+        store = self.judges.setdefault(r.customer, ReferenceBucket(p.rate, p.burst))
         self.sent_units += r.units
-        if store.drop(self.now) + r.units <= p.burst:
-            store.pour(self.now, r.units)
+        if store.drained_level(self.now) + r.units <= p.burst:
+            store.add_units(self.now, r.units)
             self.got += r.units * PRICE[r.plan]
             self.by_plan[r.plan][1] += r.units
         else:
             self.over += r.units
             self.cost += r.units * PRICE[r.plan] * COST[r.plan]
             self.by_plan[r.plan][2] += r.units
-        super().let_in(r)
+        super().record_admission(r)
 
     def offer(self, n: int, m: Member, units: float) -> None:
         """Send one request, unless its ingress is down."""
@@ -144,7 +144,7 @@
     Return the means of each phase's seconds by its name, and the most units that a member went beyond its ceiling.
     """
     w = Judged(seed, instances)
-    w.join(CounterModel(CALLS_PER_S * instances))
+    w.use_counter(CounterModel(CALLS_PER_S * instances))
     w.inbox = 100.0
     asking = members(w, instances)
     means = {}
@@ -158,7 +158,7 @@
             rows.append(w.take_shares())
             say(second_line(by_plan, phase.name, second, rows[-1], w.counters[0].adds - calls))
         means[phase.name] = Shares(*(sum(column) / phase.seconds for column in zip(*rows, strict=True)))
-    return means, w.beyond("plus")[1]
+    return means, w.excess("plus")[1]
 
 
 def main() -> None:
@@ -173,10 +173,10 @@
     args = parser.parse_args()
 
     def cut(w: Judged) -> None:
-        w.counters[0].silent, w.cut = True, set(range(w.instances)) if args.deaf else set()
+        w.counters[0].silent, w.isolated = True, set(range(w.instances)) if args.deaf else set()
 
     def back(w: Judged) -> None:
-        w.counters[0].silent, w.cut = False, set()
+        w.counters[0].silent, w.isolated = False, set()
 
     phases = [
         Phase("before", args.before, lambda w: None),
--- a/tests/gossip/test_outbox.py
+++ b/tests/gossip/test_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox: updates merged, paced and bounded, and keep-alives."""
+"""The outbox: merging, rate limit and bounds of updates, and keep-alives."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 def test_no_traffic_makes_an_outbox_send_more_than_its_budget():
     rng, box, sent, now = random.Random(4), Outbox(50.0, 28, 0.0), [], 0.0
-    for _ in range(200):  # 20 s of ticks; 40 peers, all of them notified of something in each
+    for _ in range(200):  # 20 s of ticks; in each of them there are updates for all of 40 peers
         for _ in range(100):
             box.mark_changed(now, rng.randrange(1000), [rng.randrange(40) for _ in range(5)])
         sent += [(now, peer) for peer, _ in box.take(now)]
         now += 0.1
     assert len(sent) <= 50.0 * (20.0 + BURST_S)
-    assert len(sent) >= 45.0 * 20.0  # and it uses what it has
+    assert len(sent) >= 45.0 * 20.0  # the budget is used
     per = [sum(1 for _, peer in sent if peer == p) for p in range(40)]
-    assert max(per) <= min(per) + 2  # the longest waiting first: nobody is left out
+    assert max(per) <= min(per) + 2  # the longest waiting peer is served first, so no peer starves
 
 
 def test_what_waits_is_merged_and_a_message_holds_so_many():
@@ -43,9 +43,9 @@
 def test_peers_with_common_members_get_keep_alives_and_nobody_else():
     box = Outbox(50.0, 28, 0.0)
     box.keep_contact(0.0, [1])
-    heard = [n / 10 for n in range(100) if box.take(n / 10)]
-    assert heard[0] == 0.0 and all(b - a <= KEEP_ALIVE_S + 0.11 for a, b in zip(heard, heard[1:], strict=False))
-    assert heard[-1] <= CONTACT_S and not box.has_work()
+    sent_at = [n / 10 for n in range(100) if box.take(n / 10)]
+    assert sent_at[0] == 0.0 and all(b - a <= KEEP_ALIVE_S + 0.11 for a, b in zip(sent_at, sent_at[1:], strict=False))
+    assert sent_at[-1] <= CONTACT_S and not box.has_work()
 
 
 def test_a_peer_that_sends_an_update_is_answered_once_in_a_while():
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -1,4 +1,4 @@
-"""Quotas and ceilings under each failure of the counter, against the stated bound, in scripted time."""
+"""Quotas and ceilings under each failure of the counter, against the stated bound, in simulated time."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 def test_the_bound_is_stated_with_the_decisions_own_times():
-    assert (bound.MISSES, bound.TOUCH_S) == (health.DOWN_MISSES, usage_replication.CONTACT_TIMEOUT_S)
+    assert (bound.DOWN_MISSES, bound.PEER_TIMEOUT_S) == (health.DOWN_MISSES, usage_replication.CONTACT_TIMEOUT_S)
 
 
 def moving(every):
-    """The whole of a member's traffic, on another ingress every few seconds."""
+    """Send all of a customer's traffic to one ingress, another one every `every` seconds."""
     return lambda at: int(at // every) % 3
 
 
@@ -37,7 +37,7 @@
 def refuse_late(w):
     w.counters[0] = CounterModel()
     w.counters[0].counts = w.counters[1].counts
-    w.counters[0].delay = 0.2  # for one ingress only
+    w.counters[0].delay = 0.2  # longer than the time-out, for one ingress only
 
 
 def split(w):
@@ -46,21 +46,21 @@
 
 def split_and_cut_off(w):
     w.split()
-    w.cut = {0}
+    w.isolated = {0}
 
 
 def split_in_three(w):
     w.counters = [CounterModel() for _ in range(3)]
-    w.cut = {0, 1, 2}
+    w.isolated = {0, 1, 2}
 
 
 def replaced(w):
-    w.join(CounterModel())
+    w.use_counter(CounterModel())
 
 
 def replaced_twice(w):
-    w.join(CounterModel())
-    w.at(1.0, lambda: w.join(CounterModel()))
+    w.use_counter(CounterModel())
+    w.at(1.0, lambda: w.use_counter(CounterModel()))
 
 
 def forgets(w):
@@ -88,7 +88,7 @@
 
 def silent_and_cut_off(w):
     silence(w)
-    w.cut = {0, 1, 2}
+    w.isolated = {0, 1, 2}
 
 
 def silent_with_lossy_peers(w):
@@ -101,7 +101,7 @@
     w.loss, w.delay = 0.2, 0.5
     w.at(4.0, lambda: w.restart(2))
     w.at(8.0, lambda: silence(w))
-    w.at(12.0, lambda: w.join(CounterModel()))
+    w.at(12.0, lambda: w.use_counter(CounterModel()))
 
 
 FAULTS = [
@@ -122,24 +122,24 @@
 ]
 
 
-def stated(fault, bound):
-    """The bound on the quota that holds under a fault."""
+def stated_bound(fault, bound):
+    """Return the bound on the excess over the quota that applies to a fault."""
     if fault in (split_and_cut_off, split_in_three, everything):
         return bound.quota_split
     away = (silent_and_restart, silent_and_all_restart, silent_and_cut_off, silent_with_lossy_peers)
     return bound.quota_cut_off if fault in away else bound.quota_in_touch
 
 
-def played(fault, home, plan, seed=1, length=LENGTH, rate=40.0):
-    """Ten calm seconds, the fault for a while, and a good counter again; gives the world and the bound."""
+def run_fault(fault, home, plan, seed=1, length=LENGTH, rate=40.0):
+    """Run 10 s without faults, `length` seconds with the fault, and 10 s after recovery; return world and bound."""
     w = World(seed)
     w.traffic(10.0, rate, home, plan)
     good = w.counters[1]
     fault(w)
     w.traffic(length, rate, home, plan)
-    w.join(good)
+    w.use_counter(good)
     good.silent, good.lose, good.max_lifetime, good.old = False, 0.0, 0.0, False
-    w.loss, w.delay, w.cut = 0.0, 0.01, set()
+    w.loss, w.delay, w.isolated = 0.0, 0.01, set()
     w.traffic(10.0, rate, home, plan)
     lossy = fault in (silent_with_lossy_peers, everything)
     assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=length)
@@ -149,20 +149,20 @@
 @pytest.mark.parametrize("home", [moving(2.0), spread()], ids=["moving", "spread"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_a_plus_member_passes_neither_ceiling_nor_quota_by_more_than_stated(fault, home):
-    w, bound = played(fault, home, "plus")
-    quota, ceiling = w.beyond()
+    w, bound = run_fault(fault, home, "plus")
+    quota, ceiling = w.excess()
     assert ceiling <= bound.ceiling, (ceiling, bound)
-    assert quota <= stated(fault, bound), (quota, bound)
+    assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.5, w.kept()
 
 
-def at_once(fault, plan, length=LENGTH, rate=40.0):
-    """The worst that a member can do: its store full, the failure begins, and all ingresses meet a burst at once."""
+def run_worst_case(fault, plan, length=LENGTH, rate=40.0):
+    """Run the worst case: the quota is full, the fault begins, and all ingresses get a burst at the same time."""
     w = World()
     for n in range(3):
         w.ask(n, plan=plan)
     w.run(20.0)
-    for n in range(3):  # they have just heard of one another
+    for n in range(3):  # the ingresses exchange messages just before the fault
         w.ask(n, plan=plan)
     w.run(0.15)
     fault(w)
@@ -177,9 +177,9 @@
 @pytest.mark.parametrize("fault", [silence, split_in_three], ids=lambda f: f.__name__)
 @pytest.mark.parametrize("plan", ["plus", "basic"])
 def test_the_worst_case_comes_near_the_bound_and_does_not_pass_it(fault, plan):
-    w, bound = at_once(fault, plan, rate=40.0 if plan == "plus" else 6.0)
-    quota, ceiling = w.beyond(plan)
-    assert stated(fault, bound) / 3 < quota <= stated(fault, bound), (quota, bound)
+    w, bound = run_worst_case(fault, plan, rate=40.0 if plan == "plus" else 6.0)
+    quota, ceiling = w.excess(plan)
+    assert stated_bound(fault, bound) / 3 < quota <= stated_bound(fault, bound), (quota, bound)
     if plan == "plus":
         assert ceiling <= bound.ceiling, (ceiling, bound)
         assert fault is silence or ceiling > bound.ceiling / 5, (ceiling, bound)
@@ -188,9 +188,9 @@
 @pytest.mark.parametrize("home", [moving(2.0), spread()], ids=["moving", "spread"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_a_basic_member_passes_its_quota_by_no_more_than_stated(fault, home):
-    w, bound = played(fault, home, "basic", rate=6.0)
-    quota, _ = w.beyond("basic")
-    assert quota <= stated(fault, bound), (quota, bound)
+    w, bound = run_fault(fault, home, "basic", rate=6.0)
+    quota, _ = w.excess("basic")
+    assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.4, w.kept()
 
 
@@ -198,29 +198,29 @@
     for home in (moving(2.0), spread(), lambda at: 1):
         w = World()
         w.traffic(40.0, 40.0, home)
-        quota, ceiling = w.beyond()
+        quota, ceiling = w.excess()
         assert w.kept() > 0.8 and quota < 8.0 and ceiling <= 0.0
 
 
 def test_a_replaced_counter_is_noticed_and_gets_again_what_it_lost():
     w = World()
-    while w.now % 2.25 > 0.01 or not w.served:  # some way into nothing in particular
+    while w.now % 2.25 > 0.01 or not w.served:  # stop at an arbitrary time after the first admitted request
         w.traffic(0.01, 40.0, lambda at: 1)
         if w.now > 5100:
             break
     w.traffic(2.0, 30.0, lambda at: 1)
     lost = sum(total for total, until in w.counters[0].counts.values() if until > w.now)
-    w.join(CounterModel())
+    w.use_counter(CounterModel())
     logs = []
     act = w.act
     w.act = lambda n, a: logs.append(a.text) if isinstance(a, actions.Log) else act(n, a)
     w.traffic(0.5, 30.0, lambda at: 1)
-    assert [t for t in logs if "counter lost" in t] and lost > 0
-    assert len([t for t in logs if "counter lost" in t]) == 1  # said once
+    assert [t for t in logs if "forgets" in t] and lost > 0
+    assert len([t for t in logs if "forgets" in t]) == 1  # logged once
 
 
 def within_a_window(w, seconds=0.6):
-    """Let time pass until no window of the member's turns for a while; gives what ingress 1 knows of it."""
+    """Advance time until the customer's window stays the same for `seconds`; return the customer at ingress 1."""
     w.run(10.0)
     w.ask(1, units=1.0)
     w.run(0.2)
@@ -242,7 +242,7 @@
         w.ask(1, units=1.0)
         w.run(0.05)
     total, _ = w.counters[1].counts[c.count_name(w.now)]
-    assert total + c.pending == pytest.approx(7.0)  # what was let in, in the count or on its way
+    assert total + c.pending == pytest.approx(7.0)  # all admitted units are in the count or pending
 
 
 def test_what_a_replaced_counter_lost_is_written_back_once():
@@ -251,7 +251,7 @@
     for _ in range(3):
         w.ask(1, units=4.0)
         w.run(0.02)
-    w.join(CounterModel())
+    w.use_counter(CounterModel())
     for _ in range(3):
         w.ask(1, units=1.0)
         w.run(0.02)
@@ -265,14 +265,14 @@
     w.traffic(20.0, 40.0, spread())
     assert all(g.counters.by_number[0].is_silent(w.now) for g in w.gateways)
     w.run(3.0)  # the quota is full again
-    for n in range(3):  # and they are in touch
+    for n in range(3):  # and the ingresses are in touch
         w.ask(n, 0)
     w.run(0.12)
     for _ in range(36):
         for n in range(3):
             w.ask(n, 0)
     w.run(1.0)
-    quota, ceiling = w.beyond()
+    quota, ceiling = w.excess()
     assert quota > 5.0 and ceiling <= 0.0
 
 
@@ -285,16 +285,16 @@
     act = w.act
     w.act = lambda n, a: sent.append(n) if isinstance(a, actions.SendToPeer) else act(n, a)
     w.run(5.0)
-    assert len(sent) <= 6  # and fall silent when no peer notifies them of anything
+    assert len(sent) <= 6  # messages stop when no peer sends notifications
 
 
 FIRST = 6 * int(os.environ.get("SOAK_SEED", "0"))
-SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))  # a longer run: LEDGER_SCHEDULES=5000
+SCHEDULES = int(os.environ.get("LEDGER_SCHEDULES", "120"))  # for a longer run: LEDGER_SCHEDULES=5000
 
 
 @pytest.mark.parametrize("part", range(4))
 def test_random_interleavings_of_all_failures_keep_the_bound(part):
-    """Loss, delay, restarts, splits, replacement, silence and moves at random times, against one exact store."""
+    """Loss, delay, restarts, splits, replacement, outages and moves at random times, against one exact bucket."""
     for seed in range(FIRST + part * SCHEDULES // 4, FIRST + (part + 1) * SCHEDULES // 4):
         rng = random.Random(seed)
         plan, rate = (("plus", 40.0), ("basic", 8.0))[seed % 2]
@@ -304,15 +304,15 @@
         if lossy:
             w.loss, w.delay = 0.2, 0.5
 
-        def part_of(w=w, rng=rng):
-            w.cut = {rng.randrange(3)} if rng.random() < 0.5 else set()
+        def cut_off_one(w=w, rng=rng):
+            w.isolated = {rng.randrange(3)} if rng.random() < 0.5 else set()
 
         steps = [
             lambda w=w: silence(w),
             lambda w=w: w.split(),
-            lambda w=w: w.join(CounterModel()),
-            part_of,
-            lambda w=w, good=good: w.join(good),
+            lambda w=w: w.use_counter(CounterModel()),
+            cut_off_one,
+            lambda w=w, good=good: w.use_counter(good),
             lambda w=w: forgets(w),
             lambda w=w: loses_replies(w),
             lambda w=w: old_totals(w),
@@ -325,7 +325,7 @@
             w.traffic(rng.choice((0.2, 1.0, 4.0)), rate, home, plan)
         assumed = Assumptions(0.2 if lossy else 0.0, 0.5 if lossy else 0.01, outage=w.now - began)
         bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, assumed)
-        quota, ceiling = w.beyond(plan)
+        quota, ceiling = w.excess(plan)
         assert quota <= bound.quota_split, (seed, quota, bound)
         assert bound.ceiling is None or ceiling <= bound.ceiling, (seed, ceiling, bound)
         assert w.slowest <= 2 * TIMEOUT, (seed, w.slowest)
@@ -339,10 +339,10 @@
     w.counters[0].silent = False
     before = w.counters[0].adds
     w.traffic(1.0, 400.0, spread(), "basic", members=5000)
-    assert w.slowest <= 2 * TIMEOUT  # the counter's time-out, and a wait for a slot
+    assert w.slowest <= 2 * TIMEOUT  # the counter's time-out, and the wait for a free slot
     calls = w.counters[0].adds - before
-    assert calls <= 450, calls  # no more than requests come: what was let in meanwhile goes with them
-    quota, _ = w.beyond("basic")
+    assert calls <= 450, calls  # at most one call per request: units admitted in the outage are added with them
+    quota, _ = w.excess("basic")
     assert quota <= bound_of(settings(0), BASIC, Assumptions(outage=5.0)).quota_cut_off
 
 
@@ -351,13 +351,13 @@
     w.traffic(3.0, 200.0, spread(), members=200)
     silence(w)
     w.traffic(3.0, 200.0, spread(), members=200)
-    heard = [0, 0, 0]
+    received = [0, 0, 0]
     give = w.give
 
     def counting(n, event, incarnation=None):
-        heard[n] += isinstance(event, events.PeerMessage)
+        received[n] += isinstance(event, events.PeerMessage)
         give(n, event, incarnation)
 
     w.give = counting
     w.traffic(5.0, 900.0, moving(0.5), members=200, units=(4.0,))
-    assert max(heard) <= 5 * settings(0).peer_in_per_s, heard
+    assert max(received) <= 5 * settings(0).peer_in_per_s, received
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -1,4 +1,4 @@
-"""Several counters: names are placed alike everywhere, a lost counter costs its own names, a set may change."""
+"""Several counters: consistent placement of names, failure of one counter, and changes of the set of counters."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
     placement = Placement(ADDRESSES)
     w = World(placement=placement)
     w.traffic(3.0, 200.0, spread(), members=60)
-    w.parts[ADDRESSES[1]].silent = True
+    w.counters_by_address[ADDRESSES[1]].silent = True
     w.traffic(10.0, 200.0, spread(), members=60)
     health = [w.gateways[0].counters.by_number[n] for n in range(3)]
     assert health[1].is_down() and not health[0].is_down() and not health[2].is_down()
     assert health[0].call_share == health[2].call_share == 1.0 and health[1].call_share < 1.0
-    quota, ceiling = w.beyond()
+    quota, ceiling = w.excess()
     bound = bound_of(settings(0), PLUS, Assumptions(0.0, 0.01, outage=10.0))
     assert quota <= bound.quota_in_touch and ceiling <= bound.ceiling and w.kept() > 0.8
 
@@ -61,10 +61,10 @@
     w = World(placement=Placement(ADDRESSES[:2]))
     rate = 40.0 if plan == "plus" else 6.0
     w.traffic(5.0, rate, spread(), plan)
-    for addresses in (after, ADDRESSES[:2], after):  # in mid-window, whatever the window
+    for addresses in (after, ADDRESSES[:2], after):  # the changes happen within windows, not at their boundaries
         w.place(Placement(addresses))
         w.traffic(3.3, rate, spread(), plan)
-    quota, ceiling = w.beyond(plan)
+    quota, ceiling = w.excess(plan)
     bound = bound_of(settings(0), PLUS if plan == "plus" else BASIC, Assumptions(0.0, 0.01, outage=10.0))
     assert quota <= bound.quota_in_touch and (bound.ceiling is None or ceiling <= bound.ceiling)
     assert w.kept() > 0.7
@@ -109,7 +109,8 @@
         await add_all()
         assert {int(n) for s in services[:2] for n in s.totals()} == set(NAMES[:60]) and not services[2].totals()
         services[0].silence(True)
-        counters.add(next(n for n in NAMES if counters.placement.of(n) == 0), 1.0, 60.0)  # owed while it leaves
+        # This call is pending while its counter is removed.
+        counters.add(next(n for n in NAMES if counters.placement.of(n) == 0), 1.0, 60.0)
         counters.place(Placement(addresses[1:]))
         services[0].silence(False)
         await replies.get()
--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -1,6 +1,6 @@
-"""Ingresses, a member's requests, counters and a network in scripted time: every failure of the counter, exactly.
+"""Simulated ingresses, customers' requests, counters and network, with every failure of the counter at exact times.
 
-Only the decisions are real. What is let in is judged by a store of the test's own, at the moment it is sent on.
+Only the decision modules are real. Admitted units are checked against reference buckets when requests are forwarded.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 
 
 class CounterModel:
-    """A counter service with its faults."""
+    """A counter service with configurable faults."""
 
     def __init__(self, per_s: float = math.inf) -> None:
-        """`per_s`: calls a second that it takes; what comes beyond that within 40 ms is turned away."""
+        """`per_s`: calls a second that it processes; further calls are rejected once 40 ms worth of calls wait."""
         self.per_s, self.line, self.at = per_s, 0.0, 0.0
         self.counts: dict[int, tuple[float, float]] = {}
         self.delay = 0.002
@@ -54,7 +54,7 @@
         self.adds = 0
 
     def full(self, now: float) -> bool:
-        """Whether its line is too long for one more call."""
+        """Return whether the queue is full; if not, add one call to it."""
         if self.per_s == math.inf:
             return False
         self.line, self.at = max(0.0, self.line - self.per_s * (now - self.at)), now
@@ -70,24 +70,24 @@
         return total if self.old else total + amount
 
 
-class Store:
-    """What one bucket would have let in."""
+class ReferenceBucket:
+    """Reference bucket: tracks by how much a customer exceeds one bucket's rate and burst."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, burst
         self.level, self.at, self.worst = 0.0, 0.0, 0.0
 
-    def drop(self, now: float) -> float:
+    def drained_level(self, now: float) -> float:
         self.level, self.at = max(0.0, self.level - self.rate * (now - self.at)), now
         return self.level
 
-    def pour(self, now: float, units: float) -> None:
-        self.level = self.drop(now) + units
+    def add_units(self, now: float, units: float) -> None:
+        self.level = self.drained_level(now) + units
         self.worst = max(self.worst, self.level - self.burst)
 
 
 class World:
-    """Everything, moved by events in order of time."""
+    """Discrete-event simulation of ingresses, counters, network and customers."""
 
     def __init__(
         self,
@@ -98,23 +98,25 @@
         offsets: tuple[float, ...] = (),
         skews: tuple[float, ...] = (),
     ) -> None:
-        """`placement`: several counters share the names, each found in `parts` by its address.
+        """Create the world and start its ingresses.
 
-        `offsets`: seconds after which each ingress starts (inf: never); `skews`: by how much its clock is ahead.
+        placement: distributes the names among several counters, which are in `counters_by_address`
+        offsets: seconds after which each ingress starts (inf: never)
+        skews: seconds by which each ingress's clock is ahead
         """
         self.now, self.rng, self.instances = start, random.Random(seed), instances
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
-        self.counters = [CounterModel() for _ in range(instances)]  # by ingress: the same one, unless split
-        self.join(CounterModel())
+        self.counters = [CounterModel() for _ in range(instances)]  # by ingress; all the same unless split
+        self.use_counter(CounterModel())
         self.placement = placement
-        self.parts = {a: CounterModel() for a in placement.addresses} if placement else {}
+        self.counters_by_address = {a: CounterModel() for a in placement.addresses} if placement else {}
         self.loss, self.delay = 0.0, 0.01
-        self.inbox = math.inf  # messages a second that an ingress takes in; what comes beyond it is lost
-        self.inboxes = [(0.0, start)] * instances  # how full each is, when
-        self.messages_sent = self.bytes_sent = 0  # as their receivers count them
-        self.overflowed = 0  # messages lost to full inboxes
-        self.cut: set[int] = set()  # ingresses that no datagram goes to or comes from
+        self.inbox = math.inf  # messages a second that an ingress accepts; further messages are lost
+        self.inboxes = [(0.0, start)] * instances  # by ingress, fill level of its inbox and time of that level
+        self.messages_sent = self.bytes_sent = 0  # a broadcast counts once per receiver
+        self.overflowed = 0  # messages lost because the receiver's inbox was full
+        self.isolated: set[int] = set()  # ingresses that can neither send nor receive datagrams
         self.gateways: list[Any] = []
         self.incarnation = [0] * instances
         self.calls: dict[int, list[tuple[int, bool]]] = {}
@@ -126,23 +128,23 @@
             elif offset != math.inf:
                 self.at(offset, lambda n=n: self.restart(n))  # type: ignore[misc]
         self.numbers = itertools.count()
-        self.quotas: dict[tuple[str, int], Store] = {}
-        self.ceilings: dict[tuple[str, int], Store] = {}
+        self.quotas: dict[tuple[str, int], ReferenceBucket] = {}
+        self.ceilings: dict[tuple[str, int], ReferenceBucket] = {}
         self.asked = self.served = self.fair = self.fair_served = 0
-        self.ideal: dict[tuple[str, int], Store] = {}
-        self.let = 0.0  # units that came to the servers
+        self.ideal: dict[tuple[str, int], ReferenceBucket] = {}
+        self.admitted_units = 0.0  # units that were forwarded to the backends
         self.requests: dict[str, events.Request] = {}
-        self.began: dict[str, float] = {}  # of requests not decided on yet
-        # Requests that came with half of the quota unused, until they are sent on.
+        self.began: dict[str, float] = {}  # arrival times of requests without a decision yet
+        # Requests that arrived with half of the quota unused and have not been forwarded.
         self.rejected_within_quota: set[str] = set()
-        self.slowest = 0.0  # from a request to its first attempt or its rejection
+        self.slowest = 0.0  # longest time from a request to its first attempt or its rejection
 
-    def join(self, counter: CounterModel) -> None:
-        """One counter for all."""
+    def use_counter(self, counter: CounterModel) -> None:
+        """Connect all ingresses to one counter."""
         self.counters = [counter] * self.instances
 
     def split(self) -> None:
-        """Ingress 0 meets another counter than the others, which begins at zero."""
+        """Connect ingress 0 to a counter of its own, which starts without counts."""
         self.counters = [CounterModel()] + self.counters[1:]
 
     def at(self, delay: float, what: Callable[[], None]) -> None:
@@ -157,36 +159,36 @@
         self.now = end
 
     def place(self, placement: Placement) -> None:
-        """Another set of counters, announced to all ingresses at once."""
+        """Switch all ingresses to another set of counters at once."""
         self.placement = placement
         for address in placement.addresses:
-            self.parts.setdefault(address, CounterModel())
+            self.counters_by_address.setdefault(address, CounterModel())
         for gateway in self.gateways:
             gateway.counters.follow(placement)
 
     def kill(self, n: int) -> None:
-        """An ingress ends without a message; what it has sent is still on its way."""
+        """End an ingress without a message; messages that it has sent stay in transit."""
         self.incarnation[n] += 1
         self.gateways[n] = None
 
     def leave(self, n: int) -> None:
-        """An ingress ends in order."""
+        """Shut an ingress down gracefully."""
         self.give(n, events.Leaving())
         self.kill(n)
 
     def restart(self, n: int) -> None:
-        """An ingress starts with nothing of its own; what was on its way to it is gone."""
+        """Start an ingress without state; replies and timers of its earlier incarnation are dropped."""
         self.incarnation[n] += 1
         self.gateways[n] = make_gateway(
             settings(n, self.instances), self.rng.getrandbits(32), self.now + self.skews[n], self.placement
         )
-        self.remind(n)
+        self.restore_state(n)
         self.give(
             n, events.ListUpdate(ListKind.SAVED, 1, tuple(BackendEntry(f"b{i}", Phase.RUNNING) for i in range(10)))
         )
 
-    def remind(self, n: int) -> None:
-        """An ingress has been made, and nothing has happened to it yet: to restore state of an earlier incarnation."""
+    def restore_state(self, n: int) -> None:
+        """Hook for subclasses: restore state into a new ingress before its first event."""
 
     def give(self, n: int, event: Event, incarnation: int | None = None) -> None:
         if self.gateways[n] is None or (incarnation is not None and incarnation != self.incarnation[n]):
@@ -200,7 +202,7 @@
             self.slowest = max(self.slowest, self.now - self.began.pop(a.request))
         if isinstance(a, actions.Attempt):
             r = self.requests[a.request]
-            self.let_in(r)
+            self.record_admission(r)
             ended = events.AttemptEnded(a.request, 0, a.backend, Outcome.OK, 0.02, True)
             self.at(0.02, lambda: self.give(n, ended, incarnation))
         elif isinstance(a, actions.CounterAdd):
@@ -212,12 +214,12 @@
                 if target == n:
                     continue
                 self.messages_sent, self.bytes_sent = self.messages_sent + 1, self.bytes_sent + len(a.payload)
-                if not self.cut & {n, target} and self.rng.random() >= self.loss and self.takes_in(target):
+                if not self.isolated & {n, target} and self.rng.random() >= self.loss and self.accepts_message(target):
                     late = self.delay * (0.5 + 0.5 * self.rng.random())
                     self.at(late, lambda t=target: self.give(t, events.PeerMessage(n, a.payload)))  # type: ignore[misc]
 
-    def takes_in(self, target: int) -> bool:
-        """Whether an ingress's inbox has space for one more message."""
+    def accepts_message(self, target: int) -> bool:
+        """Return whether an ingress's inbox accepts one more message, and add it."""
         full, at = self.inboxes[target]
         full = max(0.0, full - self.inbox * (self.now - at)) if self.inbox < math.inf else 0.0
         good = full < self.inbox
@@ -228,7 +230,7 @@
     def call(self, n: int, a: actions.CounterAdd, incarnation: int) -> None:
         counter = self.counters[n]
         if self.placement is not None:
-            counter = self.parts[self.placement.addresses[self.placement.of(a.name)]]
+            counter = self.counters_by_address[self.placement.addresses[self.placement.of(a.name)]]
 
         def reply(outcome: Outcome, elapsed: float, total: float = 0.0) -> None:
             self.at(elapsed, lambda: self.give(n, events.CounterReply(a.name, outcome, elapsed, total), incarnation))
@@ -250,33 +252,33 @@
             else:
                 reply(Outcome.OK, counter.delay, total)
 
-    # Members.
+    # Customers.
 
     def ask(
         self, n: int, member: int = 7, plan: str = "plus", units: float = 1.0, first: int = 0, width: int = 0
     ) -> None:
-        """One request; `fair` are those that one store with the quota would have let in. Its set is all by default."""
+        """Send one request; `fair` counts those that a single bucket would admit. Default ingress set: all."""
         p = PLUS if plan == "plus" else BASIC
         name = f"r{next(self.numbers)}"
         r = self.requests[name] = events.Request(name, "read", plan, member, 6.0, units, width or self.instances, first)
         self.asked += 1
         self.began[name] = self.now
-        ideal = self.ideal.setdefault((plan, member), Store(p.rate, p.burst))
-        if ideal.drop(self.now) <= p.burst / 2:
+        ideal = self.ideal.setdefault((plan, member), ReferenceBucket(p.rate, p.burst))
+        if ideal.drained_level(self.now) <= p.burst / 2:
             self.rejected_within_quota.add(name)
         if ideal.level + units <= p.burst:
-            ideal.pour(self.now, units)
+            ideal.add_units(self.now, units)
             self.fair += 1
         self.give(n, r)
 
-    def let_in(self, r: events.Request) -> None:
+    def record_admission(self, r: events.Request) -> None:
         p = PLUS if r.plan == "plus" else BASIC
         self.served += 1
-        self.let += r.units
+        self.admitted_units += r.units
         self.rejected_within_quota.discard(r.id)
-        self.quotas.setdefault((r.plan, r.customer), Store(p.rate, p.burst)).pour(self.now, r.units)
+        self.quotas.setdefault((r.plan, r.customer), ReferenceBucket(p.rate, p.burst)).add_units(self.now, r.units)
         if p.ceiling_rate:
-            self.ceilings.setdefault((r.plan, r.customer), Store(p.ceiling_rate, p.ceiling_burst)).pour(
+            self.ceilings.setdefault((r.plan, r.customer), ReferenceBucket(p.ceiling_rate, p.ceiling_burst)).add_units(
                 self.now, r.units
             )
 
@@ -289,7 +291,7 @@
         members: int = 1,
         units: tuple[float, ...] = (1.0, 2.0, 4.0),
     ) -> None:
-        """Requests at `rate` a second, through the ingress that `home` names for the seconds gone by."""
+        """Send requests at `rate` a second to the ingress that `home` returns for the elapsed seconds."""
         began, t = self.now, 0.0
         while (t := t + self.rng.expovariate(rate)) < seconds:
             member, u = self.rng.randrange(members), self.rng.choice(units)
@@ -297,11 +299,11 @@
         self.run(seconds)
         assert self.now == began + seconds
 
-    def beyond(self, plan: str = "plus") -> tuple[float, float]:
-        """Units beyond quota and ceiling, of the worst member."""
+    def excess(self, plan: str = "plus") -> tuple[float, float]:
+        """Return the units beyond quota and beyond ceiling of the customer that exceeds each most."""
         quota = max((s.worst for (p, _), s in self.quotas.items() if p == plan), default=0.0)
         return quota, max((s.worst for (p, _), s in self.ceilings.items() if p == plan), default=0.0)
 
     def kept(self) -> float:
-        """Served, of what one store would have let in."""
+        """Return admitted requests as a fraction of those that a single bucket would have admitted."""
         return self.served / max(1, self.fair)
