--- a/tests/quota/world.py
+++ b/tests/quota/world.py
@@ -164,7 +164,7 @@
         for address in placement.addresses:
             self.counters_by_address.setdefault(address, CounterModel())
         for gateway in self.gateways:
-            gateway.counters.follow(placement)
+            gateway.counters.set_placement(placement)
 
     def kill(self, n: int) -> None:
         """End an ingress without a message; messages that it has sent stay in transit."""
