--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -80,7 +80,7 @@
             pending.writer.write(call("pending", X_Call_Terms=FEW))
             await until(lambda: backend.seen)
             program.process.send_signal(signal.SIGTERM)
-            while b"stops: 1 requests held" not in await program.process.stderr.readline():
+            while b"is shutting down: 1 requests in flight" not in await program.process.stderr.readline():
                 assert program.process.returncode is None
             go.set()
             status, _, _ = await pending.answer()
--- a/thistleusher/net/__init__.py
+++ b/thistleusher/net/__init__.py
@@ -1,5 +1,5 @@
-"""The ingress on real sockets: clients' connections, connections to backends, discovery, and the daemon.
+"""The ingress on real sockets: client connections, backend connections, the discovery client and the daemon.
 
-Each request that is taken gets one response, each exchange with a backend has one outcome, and everything that a peer
-sends is bounded in size and time.
+Each accepted request gets exactly one response, each exchange with a backend has exactly one outcome, and all input
+from a peer is bounded in size and time.
 """
--- a/thistleusher/net/backend_connection.py
+++ b/thistleusher/net/backend_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a backend: one exchange at a time, with every way in which it may break."""
+"""Connections to backends: one exchange at a time, with detection of stale and broken connections."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 
 log = logging.getLogger(__name__)
 
-TRUSTED_IDLE_SHARE = 0.5  # of the backends' own idle time-out, after which a connection is no longer used
-REJECTED_STATUSES = (503, 504)  # with X-Rejected: 1, a backend's statement that the request has not run
+# A connection is not reused after it has been idle for this fraction of the backend's idle time-out.
+TRUSTED_IDLE_SHARE = 0.5
+REJECTED_STATUSES = (503, 504)  # with the header X-Rejected: 1, the backend states that it has not run the request
 
 
 class UpstreamOptions(NamedTuple):
-    """What is agreed with the backends of a deployment; the defaults are those of the program in service."""
+    """Protocol options of the backend connections of a deployment. The defaults are those of the daemon."""
 
     max_body_bytes: int = MAX_BODY_BYTES
-    request_id_header: bytes = b""  # in which a response names its request, if it does
-    peer_timeout_s: float = 0.0  # without an acknowledgement, after which a connection ends; 0: the kernel's own time
-    outcome_of: Callable[[Response], Outcome] | None = None  # None: as `outcome_of` below
+    request_id_header: bytes = b""  # response header that names its request; empty if responses do not name it
+    peer_timeout_s: float = 0.0  # TCP user time-out without an acknowledgement; 0: the kernel's default
+    outcome_of: Callable[[Response], Outcome] | None = None  # classifies a response; None: `outcome_of` below
 
 
 DEFAULT_OPTIONS = UpstreamOptions()
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its pool."""
+    """The part of a connection pool that its connections use."""
 
     backend: str
     loop: asyncio.AbstractEventLoop
@@ -42,17 +43,17 @@
 
     @property
     def reopen(self) -> Callable[[BackendExchange], None]:
-        """The call that sends an exchange on a new connection."""
+        """The function that sends an exchange on a new connection."""
 
     def put_back(self, connection: BackendConnection) -> None:
-        """Keep a connection for the next exchange."""
+        """Add a connection to the idle ones, for the next exchange."""
 
     def forget(self, connection: BackendConnection) -> None:
-        """Remove a connection that was closed."""
+        """Remove a closed connection."""
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection to a backend; it carries one exchange at a time."""
+    """One connection to a backend. It carries one exchange at a time."""
 
     def __init__(self, pool: ConnectionOwner, sock: socket.socket) -> None:
         self.pool = pool
@@ -61,19 +62,19 @@
         self.reader = ResponseReader(pool.options.max_body_bytes)
         self.exchange: BackendExchange | None = None
         self.idle_since = 0.0
-        self.idle_timeout_s = float("inf")  # between requests, as the backend has said in a response
+        self.idle_timeout_s = float("inf")  # the backend's idle time-out, from its Keep-Alive header
         self.closed = False
         self.has_carried_request = False
-        self.has_brought_stray_response = False  # one that belongs to no request here
+        self.has_brought_stray_response = False  # a response that matches no request on this connection
         self.stall_timer: asyncio.TimerHandle | None = None
         self.last_byte_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        """Store the transport."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
 
     def is_stale(self) -> bool:
-        """Return whether the backend has closed it, or has sent what was not read yet."""
+        """Return whether the backend has closed the connection or has sent bytes that are not read yet."""
         if self.closed:
             return True
         try:
@@ -85,11 +86,11 @@
         return True
 
     def is_trusted(self, now: float) -> bool:
-        """Return whether the backend is still far from closing it as idle."""
+        """Return whether the idle time is well below the backend's own idle time-out."""
         return now - self.idle_since < TRUSTED_IDLE_SHARE * self.idle_timeout_s
 
     def send(self, exchange: BackendExchange) -> None:
-        """Write the request. From its last byte on a broken connection counts as a reset: the request may have run."""
+        """Write the request. Once its last byte is written the request may run, so a break then counts as a reset."""
         assert self.transport is not None
         self.exchange = exchange
         exchange.connection = self
@@ -103,12 +104,12 @@
             self.transport.write(message)
 
     def _send_last_byte(self, last_byte: bytes) -> None:
-        """Write a guarded request's last byte, unless the connection has ended or nobody wants it any more."""
+        """Write a guarded request's last byte, unless the connection has ended or the request is no longer needed."""
         exchange = self.exchange
         assert self.transport is not None
         assert exchange is not None
         if self.is_stale():
-            self._fail("it ended before the request's last byte")
+            self._fail("connection closed before the request's last byte was written")
         elif not exchange.can_send():
             self.drop()
             exchange.end(Outcome.MOOT)
@@ -117,10 +118,10 @@
             self.transport.write(last_byte)
 
     def data_received(self, data: bytes) -> None:
-        """Take only the first response of a read for the exchange's.
+        """Parse a read; only its first response can be the response to the exchange.
 
-        The connection is used again only once the whole read has been looked at: what came behind the response,
-        a copy of it or noise, would be taken for the response to whatever is sent next.
+        The connection is reused only after the whole read has been checked: surplus bytes after the response, such as
+        a duplicate or noise, would otherwise be taken for the response to the next request.
         """
         self.pool.read_count += 1
         if self.stall_timer is not None:
@@ -129,12 +130,12 @@
             self.drop()
             return
         if not self.exchange.written:
-            self._fail("a response before the request's last byte")
+            self._fail("response received before the request's last byte was written")
             return
         responses = self.reader.feed(data)
         id_header = self.pool.options.request_id_header
         own = responses
-        if id_header:  # a surplus response may come in the place of the one that is waited for
+        if id_header:  # a surplus response may arrive before the expected one
             own = [r for r in responses if r.headers.get(id_header) == self.exchange.request_id]
             self.has_brought_stray_response = self.has_brought_stray_response or len(own) < len(responses)
         if own:
@@ -143,12 +144,12 @@
         elif self.reader.error:
             self._fail(self.reader.error)
         elif any(id_header not in response.headers for response in responses):
-            self._fail("a response that names no request")
+            self._fail("response without a request id header")
         elif self.reader.partial and (stall_s := self.exchange.stall_timeout()):
             self.stall_timer = self.pool.loop.call_later(stall_s, self._response_stalled)
 
     def _finish(self, response: Response, *, reusable: bool) -> None:
-        """End the exchange with its response; the connection goes back to the pool first, if it can be used again."""
+        """End the exchange with its response. A reusable connection is returned to the pool first."""
         exchange = self.exchange
         assert exchange is not None
         self.exchange = None
@@ -162,15 +163,15 @@
         exchange.end((self.pool.options.outcome_of or outcome_of)(response), response)
 
     def _response_stalled(self) -> None:
-        """Stop waiting for a response that stops midway; unread bytes mean that it was this process that stopped."""
+        """Fail a response that is stalled. Unread bytes mean that this process stalled instead: wait once more."""
         stall_s = self.exchange.stall_timeout() if self.exchange is not None else 0.0
         if self.is_stale() and not self.closed and stall_s:
             self.stall_timer = self.pool.loop.call_later(stall_s, self._response_stalled)
         elif stall_s:
-            self._fail("the response stops midway")
+            self._fail("response stalled before its end")
 
     def _fail(self, reason: str) -> None:
-        """Drop the connection, from which no response can be had any more; the request may have run."""
+        """Drop a connection that can deliver no response any more, and end or resend its exchange."""
         exchange = self.exchange
         self.drop()
         if exchange is None:
@@ -180,15 +181,15 @@
         if exchange.written:
             exchange.end(Outcome.RESET)
         elif self.has_carried_request:
-            # The request was never whole, so this is no attempt yet: it goes out on a new connection, for which this
-            # does not hold again.
+            # The request was not written completely, so it has not run and this does not count as an attempt. It is
+            # sent again on a new connection; there this branch does not apply, so it is resent at most once.
             exchange.connection = None
             self.pool.reopen(exchange)
         else:
             exchange.end(Outcome.CONNECT_FAILED)
 
     def drop(self) -> None:
-        """Close it at once: the kernel sends its end before anything else is written anywhere."""
+        """Close at once: the kernel sends the FIN before this process writes to any other connection."""
         if self.closed:
             return
         self.closed = True
@@ -206,12 +207,12 @@
         self.pool.forget(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the exchange that it carries."""
-        self._fail("the connection ended")
+        """Fail the exchange in progress."""
+        self._fail("connection lost")
 
 
 def read_idle_timeout(response: Response) -> float:
-    """Return for how many seconds the backend keeps an idle connection, by its `Keep-Alive` header; inf without one."""
+    """Return the backend's idle time-out in seconds, from its `Keep-Alive` header; inf without one."""
     for part in response.headers.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
@@ -220,7 +221,7 @@
 
 
 def outcome_of(response: Response) -> Outcome:
-    """Return what a response says of the attempt; only a complete 200 is served."""
+    """Return the outcome of an attempt that got this response; only status 200 counts as served."""
     if response.status == 200:
         return Outcome.OK
     if response.status in REJECTED_STATUSES and response.headers.get(b"x-rejected") == b"1":
--- a/thistleusher/net/backend_list.py
+++ b/thistleusher/net/backend_list.py
@@ -1,4 +1,4 @@
-"""The list of backends as discovery sends it, and as a configuration's `known` holds it."""
+"""Parser of the endpoint list, as discovery sends it and as the configuration's `known` contains it."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 
 class ListedBackend(NamedTuple):
-    """One backend of the list; a deleted one has no endpoint."""
+    """One entry of the endpoint list; a deleted backend has no endpoint."""
 
     entry: BackendEntry
     endpoint: Endpoint | None
 
 
 class BackendList(NamedTuple):
-    """The list of backends, or a change to it."""
+    """The endpoint list, or a change to it."""
 
     version: int
-    complete: bool  # the whole list, not a change
+    complete: bool  # whether this is the whole list rather than a change
     entries: tuple[ListedBackend, ...]
 
 
 def parse_backend_list(message: Any) -> BackendList:
-    """Return a message of discovery as a list. Raises ValueError for anything else."""
+    """Return a decoded discovery message as an endpoint list. Raises ValueError for any other value."""
     try:
         complete = message["snapshot"]
         if not isinstance(complete, bool):
-            raise ValueError(f"snapshot: {complete!r}")  # noqa: TRY004 (one kind of error for all that is malformed)
+            raise ValueError(f"snapshot: {complete!r}")  # noqa: TRY004 (all malformed input is a ValueError)
         return BackendList(int(message["index"]), complete, tuple(_parse_entry(e) for e in message["endpoints"]))
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"not a list of backends: {error!r}") from error
+        raise ValueError(f"not an endpoint list: {error!r}") from error
 
 
 def parse_backend_list_text(text: bytes) -> BackendList:
-    """Return a line of discovery as a list. Raises ValueError for anything else, also for endless nesting."""
+    """Return a discovery message as an endpoint list. Raises ValueError for any other text, also for deep nesting."""
     try:
         return parse_backend_list(json.loads(text))
     except RecursionError as error:
-        raise ValueError("not a list of backends: nested too deeply") from error
+        raise ValueError("not an endpoint list: nested too deeply") from error
 
 
 def _parse_entry(fields: Any) -> ListedBackend:
@@ -53,11 +53,11 @@
     started_at = float(fields.get("since_ms") or 0) / 1000
     weight = float(fields.get("weight", 1.0))
     if not isinstance(name, str) or not name or not math.isfinite(started_at) or not math.isfinite(weight):
-        raise ValueError(f"not a backend: {fields!r}")
+        raise ValueError(f"invalid endpoint: {fields!r}")
     if status not in PHASES:
-        raise ValueError(f"status: {status!r}")
+        raise ValueError(f"status: unknown value {status!r}")
     phase = PHASES[status]
-    # A deleted backend needs no address any more.
+    # The address of a deleted backend is not used, and may be missing.
     endpoint = None if phase is Phase.DELETED else Endpoint(read_address(fields["address"]), started_at)
     kind = str(fields.get("type", ""))
     cell = int(fields.get("group") or 0)
--- a/thistleusher/net/client_call.py
+++ b/thistleusher/net/client_call.py
@@ -1,4 +1,4 @@
-"""A client's call on its way through an ingress."""
+"""A client's request, as the ingress passes it from the client connection to a backend connection."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 class WaitingCall(Protocol):
-    """What an ingress asks of a call before a byte of it goes out."""
+    """The part of a call that an ingress uses before it sends the call to a backend."""
 
     request: events.Request
 
     @property
     def has_client_left(self) -> Callable[[], bool]:
-        """Tells whether the connection of its client has ended, read or not. Costs a system call."""
+        """Function that returns whether the client has closed its connection, read or not. Costs a system call."""
 
 
 @dataclass(slots=True)
 class Call:
-    """A client's request that has come whole and is valid."""
+    """A complete and valid client request."""
 
     request: events.Request
-    head: bytes  # request line and the headers that go on unchanged
+    head: bytes  # request line and the headers that are forwarded unchanged
     body: bytes
-    received_at: float  # loop time of its last byte
-    has_client_left: Callable[[], bool]  # whether its connection has ended, read or not
+    received_at: float  # time on the driver's scheduler when the request was complete
+    has_client_left: Callable[[], bool]  # whether the client has closed its connection, read or not
 
     def message(self, patience_s: float) -> bytes:
-        """Return the request as a backend gets it; `patience_s` is how long this ingress will wait for its response."""
+        """Return the request as sent to a backend; `patience_s`: seconds that this ingress waits for a response."""
         return b"%sX-Budget: %dm\r\nContent-Length: %d\r\n\r\n%s" % (
             self.head,
             max(1, int(patience_s * 1000)),
--- a/thistleusher/net/client_connection.py
+++ b/thistleusher/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: requests in, through the parser, and one response to each out, in their order."""
+"""Client connections: parse pipelined HTTP/1.1 requests, and write one response to each, in request order."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from thistleusher.net import socket_state
 from thistleusher.net.request_buffer import ClientLimits, RequestBuffer
 
-MAX_PIPELINED_REQUESTS = 16  # read ahead on one connection
-LINGER_S = 0.5  # for a client to close its side, once the last response has left this program
-MAX_LINGER_BYTES = 256 * 1024  # that are read, and discarded, meanwhile
-PROCESS_PAUSE_S = 1.0  # a timer that rings this late shows that the whole process has stood still
+MAX_PIPELINED_REQUESTS = 16  # requests read ahead on one connection
+LINGER_S = 0.5  # time for a client to close its side after the last response has been written
+MAX_LINGER_BYTES = 256 * 1024  # input that is read and discarded while lingering
+PROCESS_PAUSE_S = 1.0  # a timer that fires later than this shows that the whole process was suspended
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
-Reply = Callable[[int, bytes, bytes], None]  # status, further header lines, body
+Reply = Callable[[int, bytes, bytes], None]  # status, additional header lines, body
 
 
 class ImmediateResponse(NamedTuple):
-    """A response that no decision is needed for."""
+    """A response that needs no admission decision."""
 
     status: int
     text: str
     header_lines: bytes = b""
-    closes: bool = False  # whether the connection ends with it
+    closes: bool = False  # whether the connection is closed after it
 
 
 class RequestHandler(Protocol):
-    """What a connection asks of its server."""
+    """The part of a server that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     limits: ClientLimits
@@ -46,20 +46,20 @@
     connections: set[ClientConnection]
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Take note of a new connection."""
+        """Register a new connection."""
 
     def read_request(self, connection: ClientConnection) -> Any:
-        """Return the request that has come whole, to be passed to `handle_request`, or an `ImmediateResponse`."""
+        """Return the complete request, to be passed to `handle_request`, or an `ImmediateResponse`."""
 
     def handle_request(self, request: Any, reply: Reply) -> None:
-        """Answer a request through `reply`, once, now or later."""
+        """Answer a request by calling `reply` exactly once, during this call or later."""
 
     def client_disconnected(self, request: Any) -> None:
-        """Take note that the client of an unanswered request has gone."""
+        """Handle the disconnect of the client of an unanswered request."""
 
 
 class ClientConnection(RequestBuffer, asyncio.Protocol):
-    """One client's connection; requests on it are answered in turn."""
+    """One client connection. Its requests are answered in order."""
 
     server: RequestHandler
 
@@ -67,33 +67,34 @@
         super().__init__(server)
         self.loop = server.loop
         self.transport: asyncio.Transport | None = None
-        self.queue: deque[tuple[Any, bool]] = deque()  # requests read ahead, and whether each keeps the connection
-        self.current_request: Any = None  # the one that is being decided on
-        self.keep_alive = True  # whether the connection stays open after the present response
+        self.queue: deque[tuple[Any, bool]] = deque()  # requests read ahead, each with its keep-alive flag
+        self.current_request: Any = None  # the request that awaits its response
+        self.keep_alive = True  # whether the connection stays open after the current response
         self.closing = False
         self.disconnected = False
         self.discarding_input = False
         self.reading_paused = False
-        self.over_limit = False  # it is one connection too many
+        self.over_limit = False  # accepted beyond the server's connection limit
         self.has_sent_request = False
         self.last_activity = next(server.activity_counter)
-        self.request_started_at = 0.0  # when the request that is now coming in began; 0 between requests
+        self.request_started_at = 0.0  # when the first byte of the incoming request arrived; 0 between requests
         self.idle_since = self.loop.time()
-        self.writing_paused = False  # the client does not read as fast as it is answered
-        self.unsent_bytes = 0  # of responses, here and in the kernel
+        self.writing_paused = False  # the write buffer is full: the client reads too slowly
+        self.unsent_bytes = 0  # response bytes not acknowledged yet, in the transport and in the kernel
         self.last_progress_at = 0.0  # when `unsent_bytes` last changed
 
-    # Events of the socket.
+    # Transport events.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the server."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
         self.server.connection_opened(self)
 
     def eof_received(self) -> bool:
-        """Take a client that has closed its side, or only stopped sending, for one that has left.
+        """Treat the client as disconnected. A half-closed connection cannot be told from a closed one.
 
-        The transport closes once its responses have left, which a client that does not read can hold up.
+        The transport closes once its responses are written. A client that does not read them delays that; lingering
+        bounds the delay.
         """
         self._abandon_requests()
         if not self.closing:
@@ -102,14 +103,14 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop what was read ahead, and report the request that is being decided on."""
+        """Unregister, drop the requests read ahead, and report the disconnect for the current request."""
         self.closing = True
         self.disconnected = True
         self.server.connections.discard(self)
         self._abandon_requests()
 
     def _abandon_requests(self) -> None:
-        """Drop what was read ahead, and report that the client of the present request has left."""
+        """Drop the requests read ahead, and report the disconnect for the current request."""
         self.queue.clear()
         request = self.current_request
         self.current_request = None
@@ -117,7 +118,7 @@
             self.server.client_disconnected(request)
 
     def data_received(self, data: bytes) -> None:
-        """Parse, or discard what follows a request that was rejected unread."""
+        """Parse input, or discard it after a request that was rejected before it was complete."""
         if self.discarding_input:
             self.received_bytes += len(data)
             if self.received_bytes > MAX_LINGER_BYTES:
@@ -134,50 +135,50 @@
             else:
                 self.reject(400, "malformed HTTP")
             return
-        if self.in_head and self.request_started_at:  # the parser itself would take in a head that never ends
+        if self.in_head and self.request_started_at:  # the parser itself does not bound the size of a head
             self.received_bytes += 0 if self.is_first_read else len(data)
             self.is_first_read = False
             if self.received_bytes > self.server.limits.max_head_bytes:
                 self.reject(431, "the head is too long")
 
     def reject(self, status: int, reason: str) -> None:
-        """Answer what cannot be read on, after the requests before it, and close."""
+        """Answer an unreadable request with an error, after the requests before it, and close the connection."""
         self.discarding_input = True
         self.received_bytes = 0
         self.body = bytearray()
         self._enqueue(ImmediateResponse(status, reason), keep_alive=False)
 
     def pause_writing(self) -> None:
-        """Let further requests wait while the client does not read its responses."""
+        """Stop processing queued requests while the client does not read its responses."""
         self.writing_paused = True
         self.last_progress_at = self.loop.time()
 
     def resume_writing(self) -> None:
-        """Go on with the requests that have waited."""
+        """Process the queued requests again."""
         self.writing_paused = False
         self.process_queue()
 
-    # Callbacks of the parser; the rest are the buffer's.
+    # Parser callbacks; `RequestBuffer` has the others.
 
     def on_message_begin(self) -> None:
-        """Get ready for a new request."""
+        """Reset the buffer for a new request."""
         self.reset()
         self.request_started_at = self.loop.time()
 
     def on_message_complete(self) -> None:
-        """Queue the request that has come whole, or the response to one that needs no decision."""
+        """Queue the complete request, or the response to one that needs no decision."""
         self.request_started_at = 0.0
         self.in_head = True
         self.has_sent_request = True
         request = self.server.read_request(self)
-        if isinstance(request, ImmediateResponse) and request.closes:  # a client that repeats it has to connect anew
+        if isinstance(request, ImmediateResponse) and request.closes:  # makes a client reconnect to repeat it
             self.reject(request.status, request.text)
             return
-        # Clients that ask again and again whether this ingress is ready must not push out those that it serves.
+        # A 503 closes the connection, so that repeated health checks do not displace the connections of served clients.
         unavailable = isinstance(request, ImmediateResponse) and request.status == 503
         self._enqueue(request, self.parser.should_keep_alive() and not self.over_limit and not unavailable)
 
-    # Responses, in the order of the requests.
+    # Responses, in request order.
 
     def _enqueue(self, request: Any, keep_alive: bool) -> None:
         self.queue.append((request, keep_alive))
@@ -187,7 +188,7 @@
             self.process_queue()
 
     def process_queue(self) -> None:
-        """Answer what has been read ahead, until there is a request that must wait for its decision."""
+        """Process the requests read ahead until one has to wait for its response."""
         while self.queue and self.current_request is None and not self.closing and not self.writing_paused:
             request, self.keep_alive = self.queue.popleft()
             if isinstance(request, ImmediateResponse):
@@ -206,17 +207,17 @@
     def reply(self, request: Any, status: int, header_lines: bytes, body: bytes) -> None:
         """Write the final response to a request.
 
-        A second one to the same request is dropped: the client would take it for the next request's.
+        A second response to the same request is dropped: the client would take it for the response to the next one.
         """
         if self.current_request is not request:
             return
         self.current_request = None
-        # Found to be bad only by its decision: an id that another request has. Also a 400 of the backend's own.
+        # The request was found invalid only at its decision, because its id is in flight; or the backend answered 400.
         if status == 400:
             self.discarding_input = True
             self.keep_alive = False
         self._write(status, header_lines, body)
-        if self.queue:  # not from here: this may be deep inside an event
+        if self.queue:  # deferred, since `reply` may be called while the driver handles an event
             self.loop.call_soon(self.process_queue)
 
     def _write(self, status: int, header_lines: bytes, body: bytes) -> None:
@@ -233,32 +234,32 @@
         if close:
             self.close()
 
-    # The end of the connection.
+    # Closing.
 
     def close(self) -> None:
-        """Close, once the responses have left.
+        """Close after the responses are written.
 
-        Closing with input unread would reset the connection and destroy responses on their way. So where the client
-        still sends, only this side is closed, and input is discarded for a while.
+        Closing a socket with unread input resets the connection and can destroy responses in transit. If the client
+        still sends, only this side is closed, and input is discarded for `LINGER_S`.
         """
         if self.closing or self.transport is None:
             return
         self.closing = True
         if self.discarding_input or self.queue or self.has_unread_bytes():
             self._discard_input()
-            with contextlib.suppress(RuntimeError):  # it has broken, and `connection_lost` has not been called yet
+            with contextlib.suppress(RuntimeError):  # the connection is broken, but `connection_lost` is still to come
                 self.transport.write_eof()
         else:
             self.transport.close()
         self._linger()
 
     def _linger(self) -> None:
-        """Abort after a while, whether or not the client has closed its side."""
+        """Abort after `LINGER_S`, whether or not the client has closed its side."""
         self.last_progress_at = self.loop.time()
         self.loop.call_later(LINGER_S, self._end_linger, self.last_progress_at + LINGER_S)
 
     def _discard_input(self) -> None:
-        """Read and discard from here on what the client sends."""
+        """Read and discard all further input."""
         if not self.discarding_input:
             self.discarding_input = True
             self.received_bytes = 0
@@ -266,7 +267,7 @@
             self._resume_reading()
 
     def _end_linger(self, due: float) -> None:
-        """Abort, whether or not the client has closed its side, but not while it reads its last response."""
+        """Abort, whether or not the client has closed its side, unless it still reads its last response."""
         if self.disconnected or self.transport is None:
             return
         now = self.loop.time()
@@ -290,11 +291,11 @@
     # Time-outs.
 
     def check_timeouts(self, now: float) -> None:
-        """End what takes too long: a first byte, the rest of a request, the next one, a client's reading."""
+        """Enforce the time-outs for a first byte, a complete request, the next request, and reading of responses."""
         if self.closing or self.transport is None:
             return
         limits = self.server.limits
-        if self.reading_paused and self.has_client_left():  # an end that the transport does not read
+        if self.reading_paused and self.has_client_left():  # a paused transport does not detect the disconnect
             self.closing = True
             self.transport.abort()
         elif self.writing_paused:
@@ -311,9 +312,9 @@
                 self.close()
 
     def is_stalled(self, now: float) -> bool:
-        """Note what the client has read; return whether it has read nothing of its responses for too long.
+        """Return whether the client has read nothing of its responses for the read time-out; updates its progress.
 
-        Slow readers are served.
+        Clients that read slowly, but do read, are not stalled.
         """
         if self.transport is None:
             return False
@@ -325,26 +326,26 @@
         return buffered > 0 and now - self.last_progress_at > self.server.limits.read_timeout_s
 
     def is_idle(self) -> bool:
-        """Return whether it is between requests with nothing unread; closing it can at most cross a request."""
+        """Return whether no request is in progress or unread. Closing can then only race with a request in transit."""
         busy = self.current_request is not None or self.queue or self.request_started_at
         if busy or self.closing or self.transport is None:
             return False
         return not self.has_unread_bytes()
 
     def unacknowledged_bytes(self) -> int:
-        """Return the bytes that wait in this kernel: megabytes, which a slow client reads for many seconds."""
+        """Return the bytes in the kernel's send buffer: up to megabytes, which take a slow client many seconds."""
         assert self.transport is not None
         return socket_state.unacknowledged_bytes(self.transport.get_extra_info("socket"))
 
     def has_client_left(self) -> bool:
-        """Return whether the client has closed its side, whether or not this program has got round to reading that."""
+        """Return whether the client has closed its side, even if the event loop has not read that yet."""
         if self.disconnected or self.transport is None:
             return True
         sock = self.transport.get_extra_info("socket")
         return sock is not None and socket_state.has_peer_closed(sock)
 
     def has_unread_bytes(self) -> bool:
-        """Return whether bytes have come that this program has not got round to reading."""
+        """Return whether the kernel holds bytes that the event loop has not read yet."""
         assert self.transport is not None
         sock = self.transport.get_extra_info("socket")
         return sock is not None and socket_state.has_unread_bytes(sock)
--- a/thistleusher/net/config.py
+++ b/thistleusher/net/config.py
@@ -1,4 +1,4 @@
-"""The ingress's configuration: a JSON file that the environment names, checked before anything starts."""
+"""The ingress's configuration: a JSON file named by an environment variable, validated before start-up."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from thistleusher.services.addresses import Address, read_address
 
 DEFAULT_MAX_SOCKETS = 1024
-DEFAULT_BACKEND_IDLE_S = 15.0
+DEFAULT_BACKEND_IDLE_S = 15.0  # idle time-out of backends' connections, if `limits.connIdle` is missing
 
 
 class InvalidConfigurationError(Exception):
-    """What is wrong with the configuration, in one line."""
+    """An unusable configuration; the message describes the fault in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,19 +32,19 @@
     counter: Address | None
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None  # one address that reaches all peers
+    peers_all: Address | None  # one address at which a datagram reaches all peers
     seed: int
     max_sockets: int
-    backend_idle_s: float  # for which backends keep idle connections
-    known: BackendList | None  # backends, until discovery answers
+    backend_idle_s: float  # seconds for which backends keep idle connections open
+    known: BackendList | None  # endpoint list in effect until discovery answers
     settings: Settings
-    load_fields: tuple[str, ...]  # the values of a load report that are used
+    load_fields: tuple[str, ...]  # names of the load report's values that are used
 
 
 def read_data(path: str) -> dict[str, Any]:
-    """Return a configuration file's JSON, with `settings` in it.
+    """Return the decoded JSON object of a configuration file; it contains the object `settings`.
 
-    Raises InvalidConfigurationError, which names the file and what is wrong.
+    Raises InvalidConfigurationError, which names the file and the fault.
     """
     try:
         data = json.loads(Path(path).read_text(encoding="utf-8"))
@@ -58,9 +58,9 @@
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """Return the configuration of the file that PROXY_CONFIG names.
+    """Return the configuration in the file named by PROXY_CONFIG.
 
-    PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY stand in for what the file leaves out. Raises
+    PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY are the defaults of keys that are missing in the file. Raises
     InvalidConfigurationError.
     """
     path = environ.get("PROXY_CONFIG")
@@ -76,7 +76,7 @@
 
 
 def _config_of(data: dict[str, Any]) -> Config:
-    """Return the configuration of a file's data. Raises what its parts raise."""
+    """Return the configuration for a file's decoded JSON. Errors of the parsers of its parts are passed on."""
 
     def address(key: str) -> Address | None:
         return read_address(str(data[key])) if data.get(key) else None
@@ -85,7 +85,7 @@
     listen = address("listen")
     discovery = address("discovery")
     if listen is None or discovery is None:
-        raise ValueError("listen and discovery are needed")
+        raise ValueError("listen, discovery: both addresses are required")
     return Config(
         name=str(data["name"]),
         listen=listen,
--- a/thistleusher/net/connection_pool.py
+++ b/thistleusher/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend."""
+"""Pool of the connections to one backend."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class Endpoint(NamedTuple):
-    """Where a backend listens and since when (Unix time in seconds)."""
+    """A backend's address and its start time (Unix time in seconds)."""
 
     address: Address
     started_at: float
-    connect_timeout_s: float | None = None  # for a new connection; None: as the upstream's own
+    connect_timeout_s: float | None = None  # None: the connect time-out of the `Upstream`
 
 
 class ConnectionPool:
-    """The connections to one backend; the newest idle one is used first, so that the others can age out."""
+    """The connections to one backend. The most recently used idle one is taken first, so that the others expire."""
 
     def __init__(
         self,
@@ -36,18 +36,19 @@
         self.backend = backend
         self.endpoint = endpoint
         self.loop = loop
-        self.connections = connections  # those of all pools, also of retired ones: each is a descriptor
+        self.connections = connections  # of all pools, including retired ones, since each holds a descriptor
         self.guard = guard
         self.reopen = reopen
         self.options = options
         self.idle: list[BackendConnection] = []
-        self.retired = False  # the backend has moved or started anew: no connection is kept for later
-        self.read_count = 0  # reads from this backend; the loop's clock is too coarse to tell before from after
+        self.retired = False  # the backend's endpoint has changed: connections are closed after their exchange
+        self.read_count = 0  # reads from this backend; orders events, since the loop's clock is too coarse for that
 
     def take(self, oldest: float) -> BackendConnection | None:
-        """Return the newest idle connection that is still open, and close those passed over on the way.
+        """Return the most recently used idle connection that is still open; close the unusable ones before it.
 
-        One that has been idle since before `oldest`, or that the backend may soon close, is not used.
+        Unusable are connections that are closed, have been idle since before `oldest`, or may soon be closed by the
+        backend. Returns None if no idle connection is usable.
         """
         while self.idle:
             connection = self.idle.pop()
@@ -59,7 +60,7 @@
         return None
 
     def put_back(self, connection: BackendConnection) -> None:
-        """Keep a connection for the next exchange."""
+        """Add a connection to the idle ones, for the next exchange."""
         if self.retired:
             connection.drop()
             return
@@ -67,12 +68,12 @@
         self.idle.append(connection)
 
     def forget(self, connection: BackendConnection) -> None:
-        """Remove a connection that was closed."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close_idle(self, before: float | None = None) -> None:
-        """Close what has been idle since before a time, or all that is idle."""
+        """Close the connections that have been idle since before a time; all idle ones without it."""
         for connection in [c for c in self.idle if before is None or c.idle_since < before]:
             connection.drop()
--- a/thistleusher/net/counters_file.py
+++ b/thistleusher/net/counters_file.py
@@ -1,6 +1,6 @@
-"""The operator's file of several counters, `deploy/counters.toml` by custom: checked before anything starts.
+"""The operator's file with the addresses of several counters, usually `deploy/counters.toml`.
 
-counters = ["10.2.0.2:6400", "10.2.0.3:6400"]
+It is validated before start-up. Example: counters = ["10.2.0.2:6400", "10.2.0.3:6400"]
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def read_counters(path: str) -> Placement:
-    """Return the counters of a file. Raises InvalidConfigurationError, which names file and key."""
+    """Return the counters listed in a file. Raises InvalidConfigurationError, which names the file and the key."""
     try:
         with Path(path).open("rb") as file:
             data = tomllib.load(file)
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one ingress on real sockets, from its start to the end of its shutdown."""
+"""The daemon: one ingress on real sockets, from start-up to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 log = logging.getLogger("thistleusher")
 
-MAX_LAST_CALLS_S = 0.05  # for the counter to take in what it did not have yet, at the end
-SPARE_SOCKETS = 64  # descriptors that are neither clients' nor backends'
-MIN_SOCKETS = 16  # for clients, and for backends, however few descriptors there are
+MAX_LAST_CALLS_S = 0.05  # time for the last counter calls and datagrams to be sent, at shutdown
+SPARE_SOCKETS = 64  # descriptors reserved for other uses than client and backend connections
+MIN_SOCKETS = 16  # lower limit for client connections, and for backend connections, whatever `limits.sockets` says
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
 class Daemon:
-    """What `python -m thistleusher` runs. `clock` gives Unix time in seconds; it must agree at all ingresses."""
+    """The service run by `python -m thistleusher`. `clock` gives Unix time in seconds, the same at all ingresses."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         placement: Placement | None = None,
         snapshotter: Snapshotter | None = None,
     ) -> None:
-        """`placement`: several counters instead of the configuration's one; `snapshotter`: a state folder."""
+        """`placement`: several counters that replace the configuration's one; `snapshotter`: keeps a state folder."""
         loop = asyncio.get_running_loop()
         settings = config.settings
         self.config = config
@@ -70,7 +70,7 @@
     # Start.
 
     async def start(self) -> None:
-        """Open everything, the clients' listener last. OSError if an address cannot be had."""
+        """Open all sockets, the clients' listener last. Raises OSError if an address cannot be bound."""
         config = self.config
         if self.snapshotter is not None:
             self.snapshotter.current_endpoints = self.places
@@ -82,7 +82,7 @@
         self.discovery = DiscoveryClient(self.loop, config.discovery, version, self.update_backends)
         await self.server.listen(*config.listen)
         log.info("%s serves on %s:%d", config.name, *config.listen)
-        gc.freeze()  # what start-up made is never garbage
+        gc.freeze()  # objects made during start-up live as long as the process; later collections skip them
 
     def _connect_counter(self) -> None:
         config = self.config
@@ -104,7 +104,7 @@
             self.ingress.driver.peers = self.peers = peers
 
     def _take_first_list(self) -> None:
-        """Begin with the newer one of the saved list of backends and the configuration's."""
+        """Load the saved endpoint list or the configuration's, whichever has the higher version."""
         saved = self.snapshotter.endpoint_list if self.snapshotter is not None else None
         known = self.config.known
         if saved is not None and (known is None or saved.version > known.version):
@@ -112,15 +112,15 @@
         elif known is not None:
             self.ingress.update_backends(known, saved=True)
 
-    # In service.
+    # While serving.
 
     def update_backends(self, backends: BackendList) -> None:
-        """Follow discovery; the version goes with the list that is saved."""
+        """Apply a list from discovery, and keep its version for the saved list."""
         self.ingress.update_backends(backends)
         self.list_version = backends.version
 
     def places(self) -> tuple[int, tuple[EndpointRecord, ...]]:
-        """Return the present list of backends, to be saved."""
+        """Return the version and the entries of the current endpoint list, to be saved."""
         from thistleusher.state.records import EndpointRecord
 
         pools = self.upstream.pools
@@ -141,7 +141,7 @@
         return self.list_version, tuple(places)
 
     def reload(self, config: Config, placement: Placement | None = None) -> None:
-        """Follow discovery and the counter to where the configuration says now; all else takes a restart."""
+        """Apply changed addresses of discovery and counters. All other changes need a restart."""
         if self.discovery is not None:
             self.discovery.move(config.discovery)
         if isinstance(self.counter, CounterClient) and config.counter is not None:
@@ -149,23 +149,23 @@
         elif isinstance(self.counter, CounterGroup) and placement is not None:
             self.gateway.counters.follow(placement)
             self.counter.place(placement)
-        log.info("%s has read its configuration anew", self.config.name)
+        log.info("%s has reloaded its configuration", self.config.name)
 
-    # End.
+    # Shutdown.
 
     async def stop(self, notice: Awaitable[object]) -> None:
-        """Serve until `notice` is over and no requests come any more, finish what is pending, then close everything."""
-        log.info("%s stops: %d requests held", self.config.name, len(self.ingress.in_flight))
+        """Serve until `notice` is done and requests stop arriving, finish pending requests, then close all sockets."""
+        log.info("%s is shutting down: %d requests in flight", self.config.name, len(self.ingress.in_flight))
         longest_s = max(c.deadline for c in self.config.settings.classes)
         await self.server.drain(notice, GracefulShutdown(self.loop.time(), longest_s))
         self.ingress.driver.hand_over()
         await asyncio.sleep(min(MAX_LAST_CALLS_S, self.config.settings.counter_timeout / 2))
-        self.ingress.driver.hand_over()  # again: a datagram may be lost, or overtaken by this one
+        self.ingress.driver.hand_over()  # repeated, since the first datagram may be lost or arrive out of order
         self.close()
         log.info("%s has stopped", self.config.name)
 
     def close(self) -> None:
-        """Close all at once; what is still pending gets no response."""
+        """Close all sockets at once. Pending requests get no response."""
         self.server.close()
         if self.discovery is not None:
             self.discovery.close()
@@ -179,7 +179,7 @@
 
 
 def backend_list_of(saved: EndpointListRecord) -> BackendList:
-    """Return a saved list of backends as discovery would have sent it."""
+    """Return a saved endpoint list in the form in which discovery sends it."""
     entries = (
         ListedBackend(
             BackendEntry(p.name, Phase(p.phase), p.weight, p.kind, p.cell, p.born, p.zone),
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: follows the list of backends as long as the process runs."""
+"""The discovery client: watches the endpoint list for as long as the process runs."""
 
 from __future__ import annotations
 
@@ -14,20 +14,22 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 3.2  # an empty line comes every 2 s; discovery takes what was not heard as known 6 s later all the same
-RETRY_S = 0.2
+# Discovery sends an empty line every 2 s, and 6 s after a change it assumes that every client knows the change. A watch
+# that receives nothing for this long is reopened, well before that.
+SILENCE_S = 3.2
+RETRY_S = 0.2  # delay before a failed or ended watch is reopened
 CONNECT_TIMEOUT_S = 1.0
 MAX_LINE_BYTES = 8 * 1024 * 1024
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection: the whole list first if no version is known, then the changes, one object a line.
+    """One connection to discovery: reads the whole list first if no version is known, then a watch of its changes.
 
-    `ended` is set to the reason once nothing more can be read here.
+    Changes are JSON objects, one per line. `ended` is set to the reason once the connection is no longer usable.
     """
 
     def __init__(self, on_text: Callable[[bytes], int], address: Address, version: int | None) -> None:
-        """`on_text` takes a message in and returns its version, or raises ValueError."""
+        """`on_text` applies a message and returns its version; it raises ValueError for an invalid one."""
         self.on_text = on_text
         self.address = address
         self.version = version
@@ -40,18 +42,18 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the first request."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
         self._request()
 
     def _request(self) -> None:
-        """Ask for the whole list, or for the changes since the version that is known."""
+        """Request the whole list, or a watch of the changes since the known version."""
         assert self.transport is not None
         query = b"" if self.version is None else b"?stream=1&index=%d" % self.version
         host, port = self.address
         self.transport.write(b"GET /v1/servers%s HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (query, host.encode(), port))
 
     def data_received(self, data: bytes) -> None:
-        """Parse."""
+        """Parse received bytes; malformed HTTP ends the connection."""
         if self.ended.done():
             return
         self.last_heard = self.loop.time()
@@ -61,12 +63,12 @@
             self.end(str(error.__context__ or error))
 
     def on_headers_complete(self) -> None:
-        """End on any status but 200."""
+        """End the connection on any status other than 200."""
         if self.parser.get_status_code() != 200:
             self.end(f"status {self.parser.get_status_code()}")
 
     def on_body(self, data: bytes) -> None:
-        """Take the complete lines of a watch; a whole list is taken once its response is complete."""
+        """Process the complete lines of a watch; buffer a whole list until its response is complete."""
         self.buffer += data
         if self.version is not None:
             *lines, rest = self.buffer.split(b"\n")
@@ -74,41 +76,41 @@
             for line in lines:
                 self._take(bytes(line))
         if len(self.buffer) > MAX_LINE_BYTES:
-            self.end("a line without end")
+            self.end(f"message longer than {MAX_LINE_BYTES} bytes")
 
     def _take(self, text: bytes) -> None:
-        """Pass on one message; an empty line is a keep-alive."""
+        """Apply one message; an empty line is a keep-alive."""
         if text.strip() and not self.ended.done():
             try:
                 self.version = self.on_text(text)
-            except ValueError as error:  # the list stays as it is; what follows it is asked for again
-                self.end(f"a garbled line: {error}")
+            except ValueError as error:  # the list stays unchanged; the next watch starts from the last valid version
+                self.end(f"invalid message: {error}")
 
     def on_message_complete(self) -> None:
-        """Take the whole list, and watch for changes from its version on."""
+        """Apply the whole list, and start a watch of the changes since its version."""
         if self.version is not None:
-            self.end("the watch ended")
+            self.end("watch ended by discovery")
             return
         text = bytes(self.buffer)
         self.buffer = bytearray()
         self._take(text)
         if self.version is None:
-            self.end("no list")
+            self.end("response without an endpoint list")
         else:
             self._request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End."""
-        self.end(f"the connection ended: {exc}" if exc else "the connection ended")
+        """End the connection with the transport's error, if any."""
+        self.end(f"connection lost: {exc}" if exc else "connection closed")
 
     def end(self, reason: str) -> None:
-        """Set the reason; only the first one counts."""
+        """Record why the connection ended; only the first reason counts."""
         if not self.ended.done():
             self.ended.set_result(reason)
 
 
 class DiscoverySource:
-    """Keeps watching one address, from the last version that was taken in."""
+    """Watches the endpoint list at one address, starting from the last version that was applied."""
 
     def __init__(
         self,
@@ -124,20 +126,20 @@
         self.task = loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Watch, and when that ends or falls silent, watch again."""
+        """Watch the list; reopen the watch after `RETRY_S` whenever it ends, fails or times out."""
         while True:
             try:
                 reason = await self._watch(DiscoveryConnection(self._on_text, self.address, self.version))
             except (OSError, TimeoutError) as error:
                 reason = f"connect: {error!r}"
-            except Exception:  # whatever it was, the list must not stay as it is for ever
-                log.exception("discovery")
-                reason = "a fault"
+            except Exception:  # any fault must lead to a new watch: otherwise the list would stay stale for ever
+                log.exception("discovery: the watch failed")
+                reason = "internal error"
             log.info("discovery: %s", reason)
             await asyncio.sleep(RETRY_S)
 
     async def _watch(self, connection: DiscoveryConnection) -> str:
-        """Keep one connection, and return why it ended."""
+        """Run one connection until it ends or times out, and return the reason."""
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             transport, _ = await self.loop.create_connection(lambda: connection, *self.address)
         try:
@@ -145,23 +147,23 @@
                 done, _ = await asyncio.wait([connection.ended], timeout=left_s)
                 if done:
                     return connection.ended.result()
-            return f"silent for {SILENCE_S:g} s"
+            return f"nothing received for {SILENCE_S:g} s"
         finally:
-            connection.end("given up")
+            connection.end("watch abandoned")
             transport.abort()
 
     def _on_text(self, text: bytes) -> int:
         backends = parse_backend_list_text(text)
         self.on_list(self, backends)
-        self.version = backends.version  # only now: what failed to be taken in is asked for again
+        self.version = backends.version  # set after the list was applied, so that a failed message is requested again
         return backends.version
 
 
 class DiscoveryClient:
-    """Passes on what the present source says.
+    """Passes on the lists of the active discovery source.
 
-    A new source knows nothing of what the old one sent, and its versions need not go on from there: it is asked for
-    the whole list, and takes over with it. Until then the old one stays.
+    After a move to another address, versions need not continue those of the old source. So the new source is asked for
+    the whole list, and becomes active once it has sent it. Until then the old source stays active.
     """
 
     def __init__(
@@ -173,7 +175,7 @@
         self.newest = self.source
 
     def move(self, address: Address) -> None:
-        """Follow discovery to another address."""
+        """Switch to discovery at another address, once it has sent the whole list."""
         if address == self.newest.address:
             return
         if self.newest is not self.source:
@@ -181,7 +183,7 @@
         self.newest = DiscoverySource(self.loop, address, None, self.on_source_list)
 
     def on_source_list(self, source: DiscoverySource, backends: BackendList) -> None:
-        """Pass a list on, unless it comes from a source that has been replaced."""
+        """Pass on a list, unless its source has been replaced. The newest source becomes active with its first list."""
         if source is self.newest:
             if source is not self.source:
                 self.source.task.cancel()
@@ -191,6 +193,6 @@
         self.on_list(backends)
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop all watches."""
         self.source.task.cancel()
         self.newest.task.cancel()
--- a/thistleusher/net/exchange.py
+++ b/thistleusher/net/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a backend, from its start to its one outcome."""
+"""An exchange: one request to a backend and its outcome."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from thistleusher.core.events import Outcome
 from thistleusher.services.http_responses import Response
 
-RESPONSE_STALL_S = 0.25  # without a byte in the middle of a response, after which the rest is not waited for
+RESPONSE_STALL_S = 0.25  # a partial response that receives no byte for this long is abandoned
 
 
 class ExchangeConnection(Protocol):
-    """What an exchange and its owner may do with the connection that carries it."""
+    """The part of a backend connection that an exchange and its owner use."""
 
     def is_stale(self) -> bool:
-        """Return whether the backend has closed it, or has sent what was not read yet."""
+        """Return whether the backend has closed the connection or has sent bytes that are not read yet."""
 
     def drop(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 class BackendExchange:
-    """One request to a backend and its one outcome, reported through `on_end`.
+    """One request to a backend. It has exactly one outcome, reported through `on_end`.
 
-    `can_send` is asked at the start, again once a new connection is open, and before a last byte that was held back:
-    meanwhile the backend may have begun to drain, or the client may have gone.
+    `can_send` is called at the start, after a new connection has opened, and before a delayed last byte is written,
+    since the backend may have begun to drain or the client may have disconnected in the meantime.
     """
 
     def __init__(
@@ -39,16 +39,17 @@
         request_id: bytes = b"",
         stall_timeout: Callable[[], float] = lambda: RESPONSE_STALL_S,
     ) -> None:
-        """Describe the exchange; `Upstream.send` starts it.
+        """Create an exchange; `Upstream.send` starts it.
 
-        `guarded`: whether the last byte may be held back until the connection has proved to be open, so that nothing
-        runs that is not known to have run; `Upstream.send` clears it while connections are not seen to break.
+        `guarded`: whether the last byte may be delayed until the connection has proved to be open, so that a broken
+        connection does not leave open whether the request has run. `Upstream.send` clears it unless connections have
+        been seen to break lately.
 
-        `request_id`: what the header `UpstreamOptions.request_id_header` of its response must hold; a response with
-        another id, or with none, belongs to no request here.
+        `request_id`: required value of the response header `UpstreamOptions.request_id_header`. A response with another
+        value, or without the header, is not a response to this exchange.
 
-        `stall_timeout`: seconds without a byte in the middle of its response, after which the rest is not waited for;
-        0 for never. It is asked again once they are over.
+        `stall_timeout`: returns the seconds after which a partial response that receives no byte is abandoned; 0 for
+        never. It is called again when they have passed.
         """
         self.backend = backend
         self.message = message
@@ -59,12 +60,12 @@
         self.stall_timeout = stall_timeout
         self.connection: ExchangeConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.written = False  # whole: from here on it may have run
+        self.written = False  # whether the whole request has been written, so that it may have run
         self.ended = False
-        self.reads_before = 0  # the pool's count of reads when it was started
+        self.reads_before = 0  # the pool's `read_count` when the exchange started
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome; only the first one counts."""
+        """Report the outcome; later calls have no effect."""
         if self.ended:
             return
         self.ended = True
@@ -73,9 +74,10 @@
         self.on_end(self, outcome, response)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting. The connection is closed first, so that what is sent next is no second copy.
+        """Abandon the exchange.
 
-        The outcome reported is another one where the request was not written whole: it has surely not run.
+        The connection is closed first, so that a repeated request never runs beside this one. If the request was not
+        written completely, it cannot have run, and the outcome MOOT (for CANCELLED) or CONNECT_FAILED is reported.
         """
         if self.ended:
             return
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -1,4 +1,4 @@
-"""What the driver has around it in the daemon: clients' calls come in, exchanges with backends go out."""
+"""The daemon's ports of the driver: passes client calls to it, and makes its attempts as HTTP exchanges."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from thistleusher.net.upstream import Upstream
 from thistleusher.services.http_responses import Response
 
-MIN_PATIENCE_S = 0.001  # the smallest X-Budget of a backend, however little time is left
+MIN_PATIENCE_S = 0.001  # the smallest X-Budget sent to a backend, however little time is left
 LOAD_REPORT_REQUEST = b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
 class BackendAttempt:
-    """An attempt that is one exchange with a backend."""
+    """An attempt made as one exchange with a backend."""
 
     __slots__ = ("upstream", "exchange")
 
@@ -35,33 +35,33 @@
 
     @property
     def written(self) -> bool:
-        """Whether the request has been written whole, so that it may have run."""
+        """Whether the request has been written completely, so that it may have run."""
         return self.exchange.written
 
     def has_unread_bytes(self) -> bool:
-        """Return whether bytes of its backend are unread; if this process stood still, its response may be there."""
+        """Return whether the backend has sent unread bytes: the response, perhaps, if this process was suspended."""
         connection = self.exchange.connection
         return connection is not None and connection.is_stale()
 
     def start(self, timeout: float) -> None:
-        """Begin; the outcome may come before this returns."""
+        """Start the exchange; its outcome may be reported before this returns."""
         self.upstream.send(self.exchange, timeout)
 
     def expire(self) -> None:
-        """End it as timed out."""
+        """End the attempt as timed out."""
         self.upstream.expire(self.exchange)
 
     def cancel(self) -> None:
-        """End it as cancelled, as its backend does not answer."""
+        """End the attempt as cancelled because its backend does not answer."""
         self.upstream.cancel(self.exchange)
 
     def abandon(self) -> None:
-        """End it as cancelled, as nobody waits for its answer."""
+        """End the attempt as cancelled because its response is no longer needed."""
         self.exchange.give_up(Outcome.CANCELLED)
 
 
 class Ingress:
-    """One ingress: a driver, and the backends that it reaches over HTTP."""
+    """One ingress: a driver, and the backends it reaches over HTTP."""
 
     def __init__(
         self,
@@ -73,12 +73,12 @@
         unix: Callable[[], float] = time.time,
         scheduler: Scheduler | None = None,
     ) -> None:
-        """`load_fields`: the values of a load report that are used; `unix` gives Unix time in seconds."""
+        """`load_fields`: names of the load report's values that are used; `unix` returns Unix time in seconds."""
         self.loop = loop
         self.settings = settings
         self.upstream = upstream
         self.load_fields = load_fields
-        self.serving: set[str] = set()  # backends that may be sent requests
+        self.serving: set[str] = set()  # names of the backends that accept requests
         self.driver = Driver(settings, gateway, self, scheduler or loop, unix)
         self.submit = self.driver.submit
         self.in_flight = self.driver.in_flight
@@ -86,18 +86,18 @@
     # Requests.
 
     def handle_request(self, call: Call, reply: Reply) -> None:
-        """Take a client's request; it gets exactly one response from here on."""
+        """Accept a client's request; `reply` is called exactly once for it."""
         self.driver.accept(call.request, lambda final: self.finish(final, reply), call, call.received_at)
 
     def client_disconnected(self, call: Call) -> None:
-        """Report a client that has gone; a call whose id another request has was never taken."""
+        """Report a client's disconnect to the driver, unless the call was rejected because its id is in flight."""
         in_flight = self.in_flight.get(call.request.id)
         if in_flight is not None and in_flight.context is call:
             self.driver.client_gone(call.request.id)
 
     @staticmethod
     def finish(final: Final, reply: Reply) -> None:
-        """Write the final answer as an HTTP response; a served one is the backend's, unchanged."""
+        """Write the final answer as an HTTP response; a served request gets the backend's body unchanged."""
         if final.verdict is Verdict.SERVED:
             response: Response = final.payload
             content_type = response.headers.get(b"content-type")
@@ -109,11 +109,11 @@
     # Backends.
 
     def may_send(self, in_flight: InFlightRequest, backend: str) -> bool:
-        """Return whether a byte of a request may go out now: its client waits for it, and its backend takes requests.
+        """Return whether a request may be sent now: its client is connected, and its backend accepts requests.
 
-        A client may have left without this process having read that: its end lies behind its request, a busy process
-        reads both late, timers of the same moment come before reads, and reading may be paused. So its connection is
-        looked at, at the cost of a system call.
+        The client may have disconnected without this process having read that: the FIN comes after the request, a busy
+        process reads both late, timers that are due run before reads, and reading may be paused. So the state of the
+        client's socket is checked, at the cost of a system call.
         """
         if in_flight.answered or backend not in self.serving:
             return False
@@ -124,7 +124,7 @@
         return True
 
     def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> BackendAttempt:
-        """Prepare an attempt. It is not sent if its client has gone or its backend drains by then."""
+        """Return an attempt to be started. It is not sent if its client has left or its backend drains by then."""
         call: Call = in_flight.context
 
         def message() -> bytes:
@@ -143,7 +143,7 @@
         return BackendAttempt(self.upstream, BackendExchange(backend, message, can_send, ended, guarded=True))
 
     def probe(self, backend: str) -> None:
-        """Ask a backend for its load; the response may be a 503."""
+        """Request a backend's load report. A response with status 503 may contain one too."""
         began = self.loop.time()
 
         def ended(exchange: BackendExchange, outcome: Outcome, response: Response | None) -> None:
@@ -158,19 +158,20 @@
         self.upstream.close_idle(backend)
 
     def load_report(self, response: Response | None) -> dict[str, float]:
-        """Return the load report of a response, `TEXT name=value, ...` in its header or, for a probe, its body."""
+        """Return a response's load report: `TEXT name=value, ...`, from its header or, for a probe, from its body."""
         if response is None:
             return {}
         text = (response.headers.get(b"x-load-report") or response.body).decode("ascii", "replace")
         pairs = (part.strip().partition("=") for part in text.removeprefix("TEXT").split(","))
         return {key: read_number(value.encode()) for key, _, value in pairs if key in self.load_fields}
 
-    # The list of backends.
+    # The endpoint list.
 
     def update_backends(self, backends: BackendList, saved: bool = False) -> None:
-        """Follow the list of backends or a change to it.
+        """Apply the endpoint list or a change to it.
 
-        Connections to old addresses are closed before the decision module hears of it and may send anything.
+        Idle connections to old addresses are closed before the decision module gets the update, since it may start
+        attempts at once.
         """
         if backends.complete:
             for backend in self.upstream.pools.keys() - {e.backend for e, _ in backends.entries}:
@@ -190,7 +191,7 @@
 
 
 def read_number(text: bytes) -> float:
-    """Return a number of 0 or more, or 0 if there is none."""
+    """Return a finite number of 0 or more; 0 for any other text."""
     try:
         value = float(text)
     except ValueError:
--- a/thistleusher/net/ingress_server.py
+++ b/thistleusher/net/ingress_server.py
@@ -1,4 +1,4 @@
-"""The clients' listener of the ingress in service: its requests, and GET /healthz."""
+"""The daemon's HTTP server for clients: admission requests, and GET /healthz."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 
 
 class IngressServer(Server):
-    """Reads the requests of the ingress in service, and passes them on to it."""
+    """Reads client requests and passes them to an ingress."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ingress: Ingress, max_connections: int) -> None:
         super().__init__(loop, max_connections)
         self.ingress = ingress
         self.reader = RequestReader(ingress.settings)
-        # Bound here to save a call a request.
+        # Bound on the instance to save one call per request.
         self.handle_request = ingress.handle_request  # type: ignore[method-assign, assignment]
         self.client_disconnected = ingress.client_disconnected  # type: ignore[method-assign, assignment]
 
     def is_ready(self) -> bool:
-        """Return whether a request could be served: a backend can be sent requests, and no shutdown has begun."""
+        """Return whether requests can be served: a backend accepts requests, and no shutdown has begun."""
         return bool(self.ingress.serving) and not self.shutting_down
 
     def has_pending_work(self) -> bool:
-        """Return whether a backend may be at work on what may not be repeated; each ends with its deadline."""
+        """Return whether a non-idempotent request may be running at a backend; each ends at its deadline."""
         return self.ingress.driver.has_unrepeatable_in_flight()
 
     def read_request(self, connection: ClientConnection) -> Any:
-        """Return the call that a request is, or the response to one that is refused without a decision."""
+        """Return the request as a call, or the response to one that is rejected without a decision."""
         if connection.url.partition(b"?")[0] == HEALTH_PATH:
             return ImmediateResponse(200, "") if self.is_ready() else ImmediateResponse(503, "", RETRY_AFTER)
         if connection.over_limit:
--- a/thistleusher/net/request_buffer.py
+++ b/thistleusher/net/request_buffer.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request as it comes in, collected by the parser's callbacks within the client's limits."""
+"""Buffer for one incoming HTTP/1.1 request, filled by the parser's callbacks within the client's limits."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ClientLimits(NamedTuple):
-    """What a client may send, and how long it may take over it.
+    """Size limits and time-outs of a client's connection.
 
-    `read_timeout_s` is for a first byte, for the rest of a request, and for a client to read its responses;
-    `idle_timeout_s` for the next request on a connection.
+    `read_timeout_s` bounds the wait for the first byte, for the rest of a request, and for progress when the client
+    reads its responses. `idle_timeout_s` bounds the wait for the next request on a connection.
     """
 
     max_head_bytes: int = MAX_HEAD_BYTES
@@ -27,15 +27,15 @@
 
 
 class HasLimits(Protocol):
-    """Whoever sets a connection's limits, which may change while it is open."""
+    """Holder of the limits of its connections; they may change while a connection is open."""
 
     limits: ClientLimits
 
 
 class RequestBuffer:
-    """The request that is coming in on one connection; the callbacks of the parser fill it.
+    """The incoming request of one connection, filled by the parser's callbacks.
 
-    A callback that raises BadRequest(status, reason) ends the parser, which raises HttpParserError with it as context.
+    A callback that raises BadRequest(status, reason) stops the parser, which raises HttpParserError with that context.
     """
 
     def __init__(self, server: HasLimits) -> None:
@@ -44,29 +44,30 @@
         self.reset()
 
     def reset(self) -> None:
-        """Get ready for the next request's bytes."""
+        """Clear the buffer for the next request."""
         self.url = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.received_bytes = 0  # of a head that comes in several reads; of discarded input, once input is discarded
+        self.received_bytes = 0  # size of a head received in several reads; then size of discarded input
         self.in_head = True
         self.is_first_read = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Append a part of the request target."""
         self.url += url
         if len(self.url) > self.server.limits.max_head_bytes:
             raise BadRequest(431, "the head is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; fields of a trailer, behind a chunked body, are dropped."""
+        """Store a header; trailer fields after a chunked body are dropped."""
         if self.in_head:
             self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Reject, before any body comes, what the head already shows to be bad.
+        """Reject a request whose head is invalid, before its body is received.
 
-        The parser itself rejects both framings at once, two lengths, and lengths that are no plain number.
+        The parser itself rejects a request with both Content-Length and Transfer-Encoding, with two lengths, or with a
+        length that is not a plain number.
         """
         self.in_head = False
         limits = self.server.limits
@@ -82,7 +83,7 @@
             raise BadRequest(431, "the head is too long")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         if len(self.body) + len(data) > self.server.limits.max_body_bytes:
             raise BadRequest(413, f"a body holds at most {self.server.limits.max_body_bytes} bytes")
         self.body += data
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -1,4 +1,4 @@
-"""A listener for HTTP/1.1 clients: its connections, their time-outs, and its shutdown in order."""
+"""An HTTP/1.1 server: its listener, client connections, their time-outs, and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from thistleusher.net.request_buffer import ClientLimits
 from thistleusher.net.shutdown import GracefulShutdown
 
-SWEEP_INTERVAL_S = 0.25  # between checks of the connections' time-outs
-POLL_INTERVAL_S = 0.02  # between looks at what is left, during a shutdown
-BACKLOG = 1024  # connections that the kernel accepts ahead
+SWEEP_INTERVAL_S = 0.25  # interval of the checks of all connections' time-outs
+POLL_INTERVAL_S = 0.02  # interval of the checks for pending work during a shutdown
+BACKLOG = 1024  # length of the kernel's queue of connections that are not accepted yet
 
 
 class Server:
-    """Listens for clients, and drains in order.
+    """Base class of HTTP servers. Accepts client connections, and drains them at shutdown.
 
-    What requests are and who answers them is for its subclasses: `read_request`, `handle_request` and
-    `client_disconnected`. A shutdown has two phases: from `shutting_down` on the process is about to end but serves as
-    before; from `draining` on it takes nothing new, and every response closes its connection.
+    Subclasses define how requests are read and answered: `read_request`, `handle_request` and `client_disconnected`. A
+    shutdown has two phases. Once `shutting_down` is set, the process is about to end but still serves as before. Once
+    `draining` is set, it accepts no new requests, and every response closes its connection.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.max_connections = max_connections
         self.limits = limits
         self.connections: set[ClientConnection] = set()
-        self.activity_counter = itertools.count()  # orders clients by activity; the loop's clock is too coarse for it
+        self.activity_counter = itertools.count()  # orders connections by activity; the loop's clock is too coarse
         self.shutting_down = False
         self.draining = False
         self.shutdown: GracefulShutdown | None = None
@@ -43,28 +43,29 @@
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     async def listen(self, host: str, port: int) -> None:
-        """Begin to listen. OSError if the address cannot be had."""
+        """Start listening. Raises OSError if the address cannot be bound."""
         self.listener = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
 
     def read_request(self, connection: ClientConnection) -> Any:
-        """Return the request that has come whole, to be passed to `handle_request`, or an `ImmediateResponse`."""
+        """Return the complete request, to be passed to `handle_request`, or an `ImmediateResponse`."""
         raise NotImplementedError
 
     def handle_request(self, request: Any, reply: Reply) -> None:
-        """Answer a request through `reply`, once, now or later."""
+        """Answer a request by calling `reply` exactly once, during this call or later."""
         raise NotImplementedError
 
     def client_disconnected(self, request: Any) -> None:
-        """Take note that the client of an unanswered request has gone."""
+        """Handle the disconnect of the client of an unanswered request."""
 
     def has_pending_work(self) -> bool:
-        """Return whether something is yet to end that no connection stands for: its client has left."""
+        """Return whether work is unfinished whose client has disconnected, so that no connection represents it."""
         return False
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Take a new connection; beyond the limit, close the one that never sent anything, or is idle longest.
+        """Register a new connection. Beyond the limit, close an idle one instead of refusing it.
 
-        If none is idle, the new one is answered 503: closed without a response, its request would be lost.
+        Idle connections that never sent a request are closed first, then the least recently active. If none is idle,
+        the new connection's request is answered 503: closing it without a response would lose the request.
         """
         self.connections.add(connection)
         if len(self.connections) > self.max_connections:
@@ -75,22 +76,23 @@
             connection.over_limit = True
 
     def sweep(self) -> None:
-        """Check all connections' time-outs, again and again."""
+        """Check the time-outs of all connections, and schedule the next check."""
         now = self.loop.time()
         was_paused = now > self.sweep_due + PROCESS_PAUSE_S
         for connection in list(self.connections):
-            if was_paused:  # nobody could read anything meanwhile
+            if was_paused:  # the kernel's buffers may have been full: no client is at fault for its lack of progress
                 connection.last_progress_at = now
             connection.check_timeouts(now)
         self.sweep_due = now + SWEEP_INTERVAL_S
         self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     async def drain(self, notice: Awaitable[object], shutdown: GracefulShutdown | None = None) -> None:
-        """Serve as before until `notice` is over and `shutdown` ends; then take nothing new and finish what is pending.
+        """Serve until `notice` is done and `shutdown` accepts no more requests; then close, finishing pending requests.
 
-        Connections are kept until then: the front may go on sending requests to this ingress, and can open no new
-        ones. Requests that were taken are answered, however long it takes; only a kill, or a caller that cancels this,
-        cuts them off. What may not be repeated is finished even if its client has left, until `shutdown` is over.
+        Connections stay open until then: the front may still send requests to this ingress, and may be unable to open
+        new connections. Every accepted request is answered, however long that takes, unless the process is killed or
+        this call is cancelled. Non-idempotent requests whose client has disconnected are waited for until the deadline
+        of `shutdown`.
         """
         self.shutting_down = True
         self.shutdown = shutdown
@@ -102,7 +104,7 @@
             self.listener.close()
         while self.connections or self._waits_for_work(shutdown):
             for connection in list(self.connections):
-                if connection.is_idle():  # one that was accepted last may appear only now
+                if connection.is_idle():  # checked on each poll: a connection may still be accepted after the close
                     connection.close()
             await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/thistleusher/net/socket_state.py
+++ b/thistleusher/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a TCP socket that an event loop does not say, and TCP options."""
+"""State of TCP sockets that the kernel has but event loops do not expose, and TCP options."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import struct
 import termios
 
-PEER_CLOSED = getattr(select, "POLLRDHUP", 0)  # of Linux alone; elsewhere the end is seen once nothing is unread
+PEER_CLOSED = getattr(select, "POLLRDHUP", 0)  # Linux only; elsewhere a FIN is seen only if no bytes are unread
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Return whether bytes, or the end of the connection, have come that this process has not read yet."""
+    """Return whether received bytes, or the end of the connection, have not been read by this process yet."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
     return bool(poll.poll(0))
@@ -25,18 +25,18 @@
     for _, events in poll.poll(0):
         if events & (PEER_CLOSED | select.POLLHUP | select.POLLERR):
             return True
-        if events & select.POLLIN and unread_bytes(sock) == 0:  # readable without a byte: the end itself
+        if events & select.POLLIN and unread_bytes(sock) == 0:  # readable without bytes: end of the connection
             return True
     return False
 
 
 def unread_bytes(sock: socket.socket) -> int | None:
-    """Return how many bytes have come that this process has not read; None if this kernel does not say."""
+    """Return the number of received bytes that are not read yet; None if the kernel does not report it."""
     return _queue_size(sock, termios.FIONREAD)
 
 
 def unacknowledged_bytes(sock: socket.socket) -> int:
-    """Return how many written bytes the peer's kernel has not acknowledged; 0 if this kernel does not say."""
+    """Return the number of written bytes that the peer has not acknowledged; 0 if the kernel does not report it."""
     return _queue_size(sock, termios.TIOCOUTQ) or 0
 
 
@@ -49,7 +49,7 @@
 
 
 def enable_dead_peer_detection(sock: socket.socket, timeout_s: float) -> None:
-    """Have the kernel end a connection whose peer has acknowledged nothing for that long, also an idle one."""
+    """Make the kernel end a connection, even an idle one, whose peer acknowledges nothing for `timeout_s`."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, max(1, int(timeout_s * 1000)))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, int(timeout_s)))
--- a/thistleusher/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -1,4 +1,4 @@
-"""All connections to backends: exchanges are started, timed out and cancelled here, each with exactly one outcome."""
+"""The connections to all backends: starts, times out and cancels exchanges, each with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_INTERVAL_S = 1.0  # between looks for connections that have been idle too long
+SWEEP_INTERVAL_S = 1.0  # interval at which connections that have been idle too long are closed
 
 
 class Upstream:
@@ -34,7 +34,7 @@
         max_sockets: int,
         options: UpstreamOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """`connect_timeout` in seconds; `idle_timeout`: seconds for which backends keep idle connections, as agreed."""
+        """`connect_timeout` in seconds; `idle_timeout`: seconds for which backends agree to keep idle connections."""
         self.loop = loop
         self.connect_timeout = connect_timeout
         self.max_idle_s = TRUSTED_IDLE_SHARE * idle_timeout
@@ -44,15 +44,15 @@
         self.pools: dict[str, ConnectionPool] = {}
         self.connections: set[BackendConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.opening = 0  # sockets that are being connected
+        self.opening = 0  # number of sockets that are being connected
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def update(self, backend: str, endpoint: Endpoint | None) -> None:
-        """Follow a backend's address and start, None when it is gone; after a change no connection is used again."""
+        """Set a backend's endpoint; None removes the backend. After a change no old connection is reused."""
         pool = self.pools.get(backend)
         if pool is not None and pool.endpoint != endpoint:
             pool.close_idle()
-            pool.retired = True  # those in use are not kept afterwards
+            pool.retired = True  # connections in use are closed after their exchange
             del self.pools[backend]
             pool = None
         if pool is None and endpoint is not None:
@@ -63,7 +63,7 @@
     # Exchanges.
 
     def send(self, exchange: BackendExchange, timeout: float) -> None:
-        """Carry out one exchange; its outcome may come before this returns."""
+        """Start an exchange; its outcome may be reported before this returns."""
         pool = self.pools.get(exchange.backend)
         if pool is None or not exchange.can_send():
             exchange.end(Outcome.MOOT)
@@ -78,7 +78,7 @@
             self._start_open(pool, exchange)
 
     def reopen(self, exchange: BackendExchange) -> None:
-        """Send an exchange on a new connection: a kept one ended before the request's last byte."""
+        """Send an exchange on a new connection, after a reused one ended before the request's last byte was written."""
         pool = self.pools.get(exchange.backend)
         if pool is None or not exchange.can_send():
             exchange.end(Outcome.MOOT)
@@ -86,18 +86,19 @@
             self._start_open(pool, exchange)
 
     def expire(self, exchange: BackendExchange) -> None:
-        """End an exchange that had no response in time."""
+        """End an exchange that has timed out."""
         self._give_up(exchange, Outcome.TIMEOUT)
 
     def cancel(self, exchange: BackendExchange) -> None:
-        """Stop waiting for an exchange whose backend does not answer.
+        """Cancel an exchange because its backend does not answer.
 
-        `BackendExchange.give_up` is for one that nobody waits for any more: that says nothing of its backend.
+        An exchange whose response is no longer needed is ended by `BackendExchange.give_up`, which implies nothing
+        about its backend.
         """
         self._give_up(exchange, Outcome.CANCELLED)
 
     def _give_up(self, exchange: BackendExchange, outcome: Outcome) -> None:
-        """End an exchange; if nothing at all has come from its backend meanwhile, its idle connections are dead too."""
+        """End an exchange. If its backend has sent nothing at all since it started, close the idle connections too."""
         pool = self.pools.get(exchange.backend)
         if pool is not None and exchange.written and pool.read_count == exchange.reads_before:
             pool.close_idle()
@@ -106,9 +107,9 @@
     # Connections.
 
     def _start_open(self, pool: ConnectionPool, exchange: BackendExchange) -> None:
-        """Open a connection for an exchange, if there is a socket for it."""
+        """Open a connection for an exchange, if the limit on sockets allows it."""
         if not self.make_room():
-            log.warning("no socket is left for backend %s", exchange.backend)
+            log.warning("backend %s: no connection opened: limit on backend sockets reached", exchange.backend)
             exchange.end(Outcome.CONNECT_FAILED)
         else:
             task = self.loop.create_task(self.open(pool, exchange))
@@ -116,10 +117,10 @@
             task.add_done_callback(self.tasks.discard)
 
     async def open(self, pool: ConnectionPool, exchange: BackendExchange) -> None:
-        """Open a connection for an exchange, and send it.
+        """Open a connection, and send an exchange on it.
 
-        The end of the exchange does not cancel this: once a transport has the descriptor, closing it here too would
-        close whatever has the same number by then.
+        The end of the exchange does not cancel this: once a transport owns the descriptor, closing it here too could
+        close another socket that has got the same descriptor number.
         """
         self.opening += 1
         try:
@@ -135,14 +136,14 @@
         elif exchange.ended:
             pool.put_back(connection)
         elif pool.retired or not exchange.can_send():
-            # Meanwhile the backend began to drain or moved, or the client left: not one byte goes out.
+            # In the meantime the backend began to drain or moved, or the client disconnected: nothing is sent.
             connection.drop()
             exchange.end(Outcome.MOOT)
         else:
             connection.send(exchange)
 
     async def connect(self, pool: ConnectionPool) -> BackendConnection:
-        """Return a new, open connection. Raises OSError or TimeoutError."""
+        """Return a new, established connection. Raises OSError or TimeoutError."""
         address = pool.endpoint.address
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         try:
@@ -165,7 +166,7 @@
         return connection
 
     def make_room(self) -> bool:
-        """Return whether one more socket may be opened; close the connection that is idle longest where that helps."""
+        """Return whether one more socket may be opened. At the limit, close the connection that is idle longest."""
         if self.opening + len(self.connections) < self.max_sockets:
             return True
         idle = [p.idle[0] for p in self.pools.values() if p.idle]
@@ -179,9 +180,9 @@
             self.pools[backend].close_idle()
 
     def sweep(self) -> None:
-        """Close idle connections well before their backend does, again and again.
+        """Close idle connections well before their backend does, and schedule the next sweep.
 
-        A request that crosses a backend's close would be a reset.
+        A request sent while the backend closes the connection would end as a reset.
         """
         oldest = self.loop.time() - self.max_idle_s
         for pool in self.pools.values():
@@ -189,7 +190,7 @@
         self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def close(self) -> None:
-        """Close all connections, at the end of the program."""
+        """Close all connections, when the program ends."""
         self.sweeper.cancel()
         for connection in list(self.connections):
             connection.drop()
