--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -1,4 +1,4 @@
-"""The two forms of the ingress behind the same sockets: daemons before a stand-in app, and the app with middleware."""
+"""Both forms of the ingress on the same sockets: daemons in front of a stand-in app, and the app with middleware."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def settings(me: int, **changes: Any) -> dict[str, Any]:
-    """Settings as a configuration holds them; the plans' quotas are felt within the played minutes."""
+    """Return settings in the configuration's form, with quotas that the scripted traffic exceeds within minutes."""
     classes = [
         {"name": name, "semantics": how, "objective": 20.0, "hardLimit": 60.0, "group": "all", "window": 15.0}
         for name, how in (("browse", "retryable"), ("send-message", "dedup"), ("charge", "fragile"))
@@ -63,7 +63,7 @@
 
 
 class Script:
-    """A clock that the test moves, and the timers on it."""
+    """A clock advanced by the test, and its timers."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -82,7 +82,7 @@
         return handle
 
     def step(self, until_when: float) -> bool:
-        """Fire one timer that is due by then, in the order of their times; False when there is none."""
+        """Fire the next timer due by `until_when`; if there is none, advance the clock and return False."""
         while self.due and self.due[0][0] <= until_when:
             when, _, handle = heapq.heappop(self.due)
             self.now = max(self.now, when)
@@ -102,10 +102,10 @@
 
 
 class Recorder:
-    """The decisions of one instance, with everything that went in and came out."""
+    """Wraps the decision module of one instance and records its events and actions."""
 
     def __init__(self, gateway: Any, there: list[Recorder]) -> None:
-        """`there`: the recorders of all instances that datagrams reach, this one among them."""
+        """`there`: the recorders of all instances that datagrams reach, including this one."""
         self.gateway, self.there = gateway, there
         self.log: list[tuple[float, Event, list[Action]]] = []
         self.calls = 0
@@ -115,7 +115,7 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = self.gateway.handle(now, event)
-        # Bootstrap handshakes cross in any order; nothing is decided on them here.
+        # Bootstrap handshakes arrive in any order and lead to no decisions here, so they are not compared.
         handshake = isinstance(event, events.PeerMessage) and event.payload[:1] == HANDSHAKE_MARK
         if not isinstance(event, events.ListUpdate) and not handshake:
             self.log.append((round(now, 6), event, list(actions)))
@@ -134,7 +134,7 @@
 
 
 class App:
-    """The stand-in application: what it does with a request follows from the request's id."""
+    """The stand-in application: the request's id determines how it is answered."""
 
     def __init__(self, script: Script | None, records: Records, name: str) -> None:
         self.script, self.records, self.name = script, records, name
@@ -152,7 +152,7 @@
         now = self.script.now if self.script is not None else __import__("time").time()
         self.records.add(Began(now, name, self.name, key, 0.0))
         if self.script is not None:
-            self.script.now += self.work  # time passes; what falls due meanwhile comes after the answer
+            self.script.now += self.work  # timers that become due during the work fire after the answer
         elif self.delay:
             await asyncio.sleep(self.delay)
         if name in self.error_ids:
@@ -169,7 +169,7 @@
 
 
 class Fleet:
-    """Three instances of one form, their counter, peers and apps. Subclasses open and close one instance."""
+    """Three instances of one form with their counter, peers and apps. Subclasses open and close an instance."""
 
     def __init__(self, script: Script | None, counter: Counter, **changes: Any) -> None:
         self.script, self.counter, self.changes = script, counter, changes
@@ -203,12 +203,12 @@
         raise NotImplementedError
 
     def record(self, gateway: Any) -> Recorder:
-        """Before the instance opens, so that nothing it says is missed."""
+        """Wrap an instance's decision module; done before the instance opens, so that no action is missed."""
         self.recorders.append(Recorder(gateway, self.recorders))
         return self.recorders[-1]
 
     async def quiet(self) -> None:
-        """Every call has its reply and every datagram has come."""
+        """Wait until every counter call has its reply and every datagram has arrived."""
         while not (  # noqa: ASYNC110 (polls states of the same loop)
             all(r.calls == r.replies for r in self.recorders)
             and sum(r.sent for r in self.recorders) == sum(r.received for r in self.recorders)
@@ -224,7 +224,7 @@
 
 
 class Daemons(Fleet):
-    """The daemon in front of the stand-in application, one before each."""
+    """Daemons, each in front of its own stand-in application."""
 
     async def open(self, n: int) -> int:
         app = Host(self.apps[n])
@@ -265,7 +265,7 @@
 
 
 class Middlewares(Fleet):
-    """The same application with the middleware, under the tests' host."""
+    """The stand-in applications with the middleware, served by the tests' ASGI host."""
 
     async def open(self, n: int) -> int:
         parsed, _ = nested_settings(settings(n, **self.changes))
--- a/tests/embed/host.py
+++ b/tests/embed/host.py
@@ -1,4 +1,4 @@
-"""A small ASGI host for the tests: HTTP/1.1 over loopback sockets, lifespan, its own time-out on demand."""
+"""A small ASGI host for the tests: HTTP/1.1 over loopback sockets, lifespan, and cancellation on demand."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Host(Service):
-    """Serves one ASGI application. `cut` ends the applications' tasks, as a host's own time-out does."""
+    """Serves one ASGI application. `cut` cancels a request's task, as a host's own time-out does."""
 
     def __init__(self, app: Any) -> None:
         super().__init__()
         self.app = app
         self.running: dict[str, asyncio.Task[None]] = {}
         self.errors: list[BaseException] = []
-        self.answers: dict[str, int] = {}  # responses begun, by X-Call-Id
+        self.answers: dict[str, int] = {}  # number of responses begun, by X-Call-Id
         self.lifespan: asyncio.Task[None] | None = None
         self.into: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
         self.outof: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
@@ -68,7 +68,7 @@
             gone.cancel()
             self.running.pop(name, None)
             self.answers[name] = exchange.begun
-        if task.cancelled():  # the host's own answer to its own time-out
+        if task.cancelled():  # the host itself answers a request that its own time-out has cancelled
             return None if exchange.begun else b"HTTP/1.1 504 X\r\nContent-Length: 0\r\n\r\n"
         error = task.exception()
         if error is not None:
@@ -78,7 +78,7 @@
 
 
 class Exchange:
-    """One request's receive and send."""
+    """The ASGI `receive` and `send` of one request."""
 
     def __init__(self, message: Message, connection: Connection) -> None:
         self.message, self.connection = message, connection
@@ -87,10 +87,10 @@
         self.gone = asyncio.Event()
 
     async def watch(self) -> None:
-        """Notice the client's leaving; nothing else may come meanwhile."""
+        """Detect the client's disconnect. Clients send nothing else while they wait for their answer."""
         with contextlib.suppress(Exception):
             reader = self.connection.reader
-            while not reader.at_eof() and not self.connection.writer.transport.is_closing():  # noqa: ASYNC110 (no event says so)
+            while not reader.at_eof() and not self.connection.writer.transport.is_closing():  # noqa: ASYNC110 (no event for it)
                 await asyncio.sleep(0.005)
         self.gone.set()
 
@@ -125,7 +125,7 @@
 
 
 async def serve_lifespan(receive: Any, send: Any) -> None:
-    """The lifespan of an application that has nothing to start."""
+    """Handle the lifespan scope of an application that has nothing to start."""
     await receive()
     await send({"type": "lifespan.startup.complete"})
     await receive()
--- a/tests/embed/middleware.py
+++ b/tests/embed/middleware.py
@@ -1,4 +1,4 @@
-"""The middleware for tests: an application whose HTTP part is the test's, with its host."""
+"""Test rig of the middleware: an application whose HTTP handler the test provides, and its host."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Played:
-    """An application whose HTTP part is the test's."""
+    """An application whose HTTP handler the test provides."""
 
     def __init__(self, act):
         self.act, self.scopes = act, []
@@ -36,7 +36,7 @@
 
 
 class Rig:
-    """An ingress, the middleware, an application and its host."""
+    """An ingress, the middleware, an application, and its host."""
 
     def __init__(self, act, counter=None, identify=None, fields=False):
         self.counter = counter or MemoryCounter(lambda: 1000.0)
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -1,4 +1,4 @@
-"""A host program for the crash test: an application with the middleware; it says on its output what it runs."""
+"""Host program of the crash test: an application with the middleware that prints each request it runs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def crash_settings(me: int) -> Settings:
-    """Quotas whose refill no test's length could matter to."""
+    """Return settings with a refill rate so low that it does not matter within a test."""
     from thistleusher.core.settings import PlanSettings
 
     plan = PlanSettings("basic", rate=0.001, burst=8.0)
@@ -53,7 +53,7 @@
     )
     await ingress.open()
     gateway = ingress.driver.gateway
-    gateway.fleet.slots = 100.0  # the limit is another test's matter
+    gateway.fleet.slots = 100.0  # above the number of requests: this test is not about the concurrency limit
     heard = gateway.replication.merge_usage
 
     def hear(now, peer, *fields):
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware: what an application gets and answers, over loopback sockets and without."""
+"""Tests of the middleware: requests and answers of applications, over loopback sockets and without sockets."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
             for name, left in (("r1", 7.0), ("r2", 5.0), ("settled", 1.0)):
                 assert (await client.ask(raw(name)))[0] == 200
                 assert rig.ingress.room(10, "basic") == left
-            for name in ("r3", "r4"):  # what cannot be meant is left out
+            for name in ("r3", "r4"):  # invalid values are ignored
                 assert (await client.ask(raw(name, path="/api/000000000000000b")))[0] == 200
             assert rig.ingress.room(11, "basic") == 4.0
 
@@ -77,7 +77,7 @@
 
             async def once(name, cls="read"):
                 client = await rig.client()
-                member = f"/api/{len(name):016x}"  # a quota for each
+                member = f"/api/{len(name):016x}"  # a separate member, and so a separate quota
                 try:
                     return (await client.ask(raw(name, cls, path=member)))[0]
                 finally:
@@ -177,7 +177,8 @@
 
         async with Rig(act) as rig:
             fleet = rig.ingress.driver.gateway.fleet
-            slots, fleet.latency["read"] = int(fleet.slots), 1.0  # a wait that few can be given
+            # A latency so long that only a few requests can be queued within their deadline.
+            slots, fleet.latency["read"] = int(fleet.slots), 1.0
             done = []
 
             async def once(n):
@@ -189,7 +190,7 @@
             tasks = [asyncio.create_task(once(n)) for n in range(60)]
             await until(lambda: len(inside) == slots and len(done) + rig.ingress.held == 60)
             refused = list(done)
-            assert len(refused) >= 30 and set(refused) == {(503, True)}  # at once, while the others are in flight
+            assert len(refused) >= 30 and set(refused) == {(503, True)}  # while the others are in flight
             go.set()
             await asyncio.gather(*tasks)
             assert {s for s, _ in done[len(refused) :]} == {200} and nothing_in_flight(rig.ingress)
--- a/tests/embed/test_asgi_endings.py
+++ b/tests/embed/test_asgi_endings.py
@@ -1,4 +1,4 @@
-"""The middleware: time that runs out, hosts that cancel and clients that leave."""
+"""Tests of the middleware: deadlines, cancellation by the host, and disconnects of clients."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
             client = await rig.client()
             assert (await client.ask(raw("r1", budget="50m")))[0] == 503
             assert (await client.ask(raw("r2", "once", budget="50m")))[0] == 502
-            assert (await client.ask(raw("stubborn", budget="50m")))[0] == 503  # while it runs on
+            assert (await client.ask(raw("stubborn", budget="50m")))[0] == 503  # while the application still runs
             assert rig.host.running
             stubborn.set()
             await until(lambda: not rig.host.running)
@@ -103,10 +103,10 @@
             rig.host.cut("cut")
             if where == "answer":
                 assert b"half" in await client.reader.read(4096)
-                with pytest.raises(asyncio.IncompleteReadError):  # cut short, and the client can see it
+                with pytest.raises(asyncio.IncompleteReadError):  # the client can tell that the response is incomplete
                     await client.reader.readuntil(b"0\r\n\r\n")
             else:
-                assert (await client.answer())[0] == 504  # the host's: exactly one
+                assert (await client.answer())[0] == 504  # the host's own answer, and the only one
             counter.silence(False)
             assert (await other.ask(raw("r2", "once")))[0] == 200
             await until(lambda: nothing_in_flight(rig.ingress))
@@ -130,7 +130,7 @@
             assert (await receive())["type"] == "http.disconnect"
             left.set()
             if not midway:
-                await say(send)  # dropped: nobody is there
+                await say(send)  # dropped, since the client has disconnected
 
         async with Rig(act) as rig:
             client = await rig.client()
--- a/tests/embed/test_asgi_mapping.py
+++ b/tests/embed/test_asgi_mapping.py
@@ -1,4 +1,4 @@
-"""The middleware: requests that cannot be mapped, and ingresses that cannot be used."""
+"""Tests of the middleware: invalid requests, and ingresses that are closed or used twice for one request."""
 
 from __future__ import annotations
 
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -1,7 +1,8 @@
-"""One suite against both forms: the same recorded requests, the same decisions, answers and counts.
+"""Compares both forms of the ingress: the same requests must lead to the same decisions, answers and counts.
 
-The clock and the counter are scripted, so that the two are compared exactly: every event that reached the decisions
-and every action that came of it, not only the answers. A second run has real time, faults and many at once.
+The clock and the counter are scripted, so that the forms can be compared exactly: every event passed to the decision
+module and every action it returned, not only the answers. A second test runs in real time, with faults and concurrent
+requests.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 def recorded(seed: int) -> list[Step]:
-    """A sequence in which members use up their quotas, move between instances and retry; some calls are bad."""
+    """Return a sequence in which members use up quotas, change instances and retry; some requests are invalid."""
     rng = random.Random(seed)
     out: list[Step] = []
     for n in range(STEPS):
@@ -112,7 +113,7 @@
 
 
 def own_error(entry):
-    """A daemon's log entry as the middleware has it where the application itself has answered 500."""
+    """Convert a daemon's log entry to the middleware's, for a request that the application answered 500 itself."""
     now, event, actions = entry
     if isinstance(event, events.AttemptEnded) and event.outcome is Outcome.ERROR and not event.done:
         assert [type(a) for a in actions] in ([Refuse], [Fail])
@@ -127,7 +128,7 @@
         return [await play(form, steps, tmp_path) for form in FORMS]
 
     daemon, middleware = asyncio.run(asyncio.wait_for(main(), 120))
-    # The one difference that is meant: an application's own 500 is its answer, a backend's is not passed on.
+    # The only intended difference: an application's own 500 is the final answer; the daemon hides a backend's 500.
     wrong = [
         (s.name, a, b)
         for s, a, b in zip(steps, daemon.answers, middleware.answers, strict=True)
@@ -168,7 +169,7 @@
                 while front.sent < count and not running.done():  # noqa: ASYNC110 (polls a state of the same loop)
                     await asyncio.sleep(0.005)
 
-            await sent(60)  # faults come after so many requests, whatever the time
+            await sent(60)  # faults are injected by number of requests sent, not by time
             counter.lose_share, counter.spoil_share = 0.2, 0.2
             await sent(120)
             counter.lose_share = counter.spoil_share = 0.0
@@ -198,4 +199,4 @@
 
 def test_the_recorded_sequence_is_the_same_every_time():
     assert recorded(11) == recorded(11) and recorded(11) != recorded(12)
-    assert time.time() > START  # the scripted time is in the past: no real clock can be mistaken for it
+    assert time.time() > START  # the scripted time is in the past, so the real clock cannot match it
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -1,4 +1,4 @@
-"""Common clients read from a refusal when to come back, and why."""
+"""Tests that common HTTP clients can read the retry time and the reason from a refusal."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def with_host(ask, **options):
-    """A host whose member has spent its quota, and what `ask` makes of it."""
+    """Call `ask` with the port of a host whose member has used up its quota, and return the result."""
 
     async def act(scope, receive, send):
         await say(send)
@@ -62,7 +62,7 @@
 
     waited = run(with_host(lambda port: asyncio.to_thread(ask, port)))
     assert waited == [1, 1]
-    with pytest.raises(urllib3.exceptions.InvalidHeader):  # what it makes of a decimal
+    with pytest.raises(urllib3.exceptions.InvalidHeader):  # urllib3 rejects a decimal value
         urllib3.Retry().parse_retry_after("0.431")
 
 
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -1,4 +1,4 @@
-"""The host is killed with 50 requests in hand and started again."""
+"""Tests that quotas hold when the host is killed with 50 requests in flight and restarted."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Program:
-    """The host program, and what it says it has run."""
+    """The host program's process, and the requests that it has reported as run."""
 
     def __init__(self, config):
         self.config = json.dumps(config)
@@ -55,7 +55,8 @@
         peers = datagram_addresses(2)
         plan = crash_settings(1).plans[0]
         length = plan.burst / plan.rate
-        ahead = length / 2 - (time.time() + Customer(7, plan, 0.0).phase) % length  # no window turns, whatever the hour
+        # Sets the clock to the middle of a window, so that no window ends during the test.
+        ahead = length / 2 - (time.time() + Customer(7, plan, 0.0).phase) % length
         program = Program({"port": closed_port(), "counter": counter.address, "peers": peers, "ahead": ahead})
         await program.start()
         peer = EmbeddedIngress(
@@ -70,7 +71,7 @@
             client = await Client.connect(program.port)
             for n in range(3):  # member 7 uses 6 of its 8 units at the program, and one at the peer
                 assert (await client.ask(call(f"early{n}", X_Call_Terms=TERMS, path="/api/0000000000000007")))[0] == 200
-            await until(lambda: peer.room(7, "basic") < 2.5)  # its message has come
+            await until(lambda: peer.room(7, "basic") < 2.5)  # the program's usage message has arrived
             async with peer.admit(member):
                 pass
             hands = [await Client.connect(program.port) for _ in range(IN_HAND)]
@@ -88,16 +89,16 @@
             program.heard.clear()
             await program.start()
             client = await Client.connect(program.port)
-            async with peer.admit(member):  # the peer reports it, and what is left: nothing
+            async with peer.admit(member):  # makes the peer report the member, which has no units left
                 pass
             await program.heard.wait()
             calls = counter.calls
             status, headers, _ = await client.ask(call("late", X_Call_Terms=TERMS, path="/api/0000000000000007"))
             assert status == 429 and float(headers["retry-after"]) > 0
-            assert counter.calls == calls  # it relies on the peer's message: no call was needed
+            assert counter.calls == calls  # decided from the peer's message, without a counter call
             assert (await client.ask(call("fresh", "once", X_Call_Terms=TERMS, path="/api/0000000000000063")))[0] == 200
             await until(lambda: "fresh" in program.ran)
-            assert len(program.ran) == len(set(program.ran)) == 3 + IN_HAND + 1  # none twice, in both incarnations
+            assert len(program.ran) == len(set(program.ran)) == 3 + IN_HAND + 1  # none twice, over both incarnations
             assert sum(counter.totals().values()) == sent_on + 1.0 + 2.0
         finally:
             if program.process.returncode is None:
--- a/tests/embed/test_example.py
+++ b/tests/embed/test_example.py
@@ -1,4 +1,4 @@
-"""The example of the library's page runs as it is printed there, and the package installs with typed names."""
+"""Tests that the example in the library's documentation is up to date and runs, and that imports stay minimal."""
 
 from __future__ import annotations
 
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -1,4 +1,4 @@
-"""The library in plain asyncio code: admission, settling, cancellation at every point, misuse."""
+"""Tests of the library in asyncio code: admission, settling, cancellation at every point, and misuse."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from thistleusher.core.settings import PlanSettings, Settings
 from thistleusher.embed import BadRequest, Call, EmbeddedIngress, MemoryCounter, NotServed, PeerAddresses, Verdict
 
-PLAN = PlanSettings("basic", rate=0.001, burst=8.0)  # no refill that a test's length could matter to
+PLAN = PlanSettings("basic", rate=0.001, burst=8.0)  # a refill too slow to matter within a test
 CALL = Call(7, "basic", "read", 2.0)
 
 
@@ -41,7 +41,7 @@
 
 
 class ByHand:
-    """A counter whose replies the test gives."""
+    """A counter port that never replies by itself; the test submits the replies."""
 
     def __init__(self):
         self.names = []
@@ -76,7 +76,7 @@
                     pytest.fail("not admitted")
             assert refused.value.final.verdict is Verdict.OVER_QUOTA and refused.value.final.retry_in == 1.0
             async with ingress.admit(CALL._replace(member=8)):
-                pass  # another member's quota is its own
+                pass  # quotas of members are independent
             assert sorted(counter.totals().values()) == [2.0, 8.0]
             assert ingress.room(7, "basic") == 0.0 and ingress.room(8, "basic") == 6.0
             assert ingress.room(9, "basic") == 8.0 and nothing_in_flight(ingress)
@@ -97,7 +97,7 @@
             assert ingress.room(7, "basic") == 4.0
             async with ingress.admit(CALL):
                 pass
-            assert list(counter.totals().values()) == [6.0]  # with the next call
+            assert list(counter.totals().values()) == [6.0]  # settled with the next counter call
 
     run(main())
 
@@ -133,7 +133,7 @@
             async with ingress.admit(CALL._replace(budget=0.02)) as admission:
                 assert admission.begin() and admission.begin()
                 held = ingress.driver.in_flight[admission.request.id]
-                ingress.driver._expire(held)  # its time is up
+                ingress.driver._expire(held)  # the deadline passes
                 assert ingress.held == 1
             assert nothing_in_flight(ingress)
 
@@ -180,7 +180,7 @@
             await until(lambda: nothing_in_flight(ingress))
             assert (7 in inside) == (where == "body")
             totals = sorted(counter.totals().values())
-            assert totals == [2.0] * len(totals) and len(totals) == 2 + len(others)  # charged once, whoever
+            assert totals == [2.0] * len(totals) and len(totals) == 2 + len(others)  # each member is charged once
         await counter.stop()
 
     run(main())
@@ -204,12 +204,12 @@
                     lambda: ingress.driver.submit(events.CounterReply(asked.names.pop(), Outcome.OK, 0.0, 2.0)),
                     task.cancel,
                 ]
-                for step in reversed(steps) if cancel_first else steps:  # both before the task comes to run
+                for step in reversed(steps) if cancel_first else steps:  # both happen before the task runs again
                     step()
                 with pytest.raises(asyncio.CancelledError):
                     await task
                 assert not ran and nothing_in_flight(ingress)
-        assert not caplog.records  # no fault was met on the way
+        assert not caplog.records  # no error was logged
 
     run(main())
 
@@ -221,7 +221,7 @@
             with pytest.raises(KeyError):
                 async with admission:
                     raise KeyError("x")
-            assert admission.final is not None and admission.final.verdict is Verdict.NO_ROOM  # at once
+            assert admission.final is not None and admission.final.verdict is Verdict.NO_ROOM  # without a retry
             assert nothing_in_flight(ingress)
 
     run(main())
@@ -236,7 +236,7 @@
                     try:
                         await asyncio.Event().wait()
                     finally:
-                        task.cancel()  # the host's own, on top of the ingress's
+                        task.cancel()  # cancelled by the host, in addition to the interrupt by the ingress
                         assert admission.over
 
             task = asyncio.create_task(work())
--- a/tests/net/program.py
+++ b/tests/net/program.py
@@ -1,4 +1,4 @@
-"""The program in service for tests: as a process of its own, or as a daemon in this process."""
+"""Runs the daemon for tests, as a separate process or in this process."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Program:
-    """`python -m thistleusher` with peers of the test's."""
+    """A process running `python -m thistleusher`, with peers provided by the test."""
 
     def __init__(self, tmp_path, **config):
         self.port, self.args = closed_port(), ()
@@ -98,7 +98,7 @@
 
 @contextlib.asynccontextmanager
 async def in_process(backend, counter, clock, snapshotter=None, **more):
-    """The program's daemon in this process, on a clock of the test's; gives it and its port."""
+    """Run the daemon in this process on the test's clock; yields the daemon and its port."""
     port = closed_port()
     config = read_config_text(
         {
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -1,4 +1,4 @@
-"""Peers on loopback sockets for tests: backends, counter, clients, and an ingress between them."""
+"""Test peers on loopback sockets: backends, clients, and an ingress between them."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from thistleusher.net.upstream import Upstream
 
 HOST = "127.0.0.1"
-TIMEOUT_S = 20.0  # of a test as a whole; never what a test measures
+TIMEOUT_S = 20.0  # upper limit of a whole test's run time; no test measures it
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
-    """Run a test on the program's own kind of loop, and return its result."""
+    """Run a test on uvloop, the daemon's event loop, and return its result."""
     return uvloop.run(asyncio.wait_for(main, TIMEOUT_S))
 
 
 async def until(true: Callable[[], Any]) -> None:
-    """Wait until a condition of the same loop holds; the test's own time-out bounds it."""
+    """Poll until a condition holds. The time-out of the whole test bounds the wait."""
     while not true():  # noqa: ASYNC110 (polls a state of the same loop)
         await asyncio.sleep(0.002)
 
@@ -57,12 +57,12 @@
 
 
 def closed_port() -> int:
-    """A port that nothing listens on, and that no connection of another test takes meanwhile."""
+    """Return a port on which nothing listens and which no connection of another test will be given."""
     return unused_port()
 
 
 def datagram_addresses(count: int) -> list[str]:
-    """Addresses for datagrams that no other process's tests use: on a loopback address of this process's own."""
+    """Return datagram addresses not used by tests in other processes: on a loopback address derived from the pid."""
     pid = os.getpid()
     host = f"127.{1 + (pid >> 16) % 254}.{(pid >> 8) % 256}.{pid % 256}"
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
@@ -75,17 +75,17 @@
 
 
 class Seen:
-    """A request as a peer got it."""
+    """A request as received by a peer."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter) -> None:
         self.line, self.headers, self.body, self.writer = line, headers, body, writer
 
     def socket(self) -> socket.socket:
-        """The connection's socket itself, past the event loop."""
+        """Return a duplicate of the connection's socket, which bypasses the event loop."""
         return socket.socket(fileno=socket.dup(self.writer.get_extra_info("socket").fileno()))
 
     def ended(self) -> bool:
-        """Whether the other side's end of the connection has come to this machine, read or not."""
+        """Return whether the other side has closed the connection, even if the event loop has not read that yet."""
         if self.writer.transport.is_closing():
             return True
         with self.socket() as s:
@@ -105,7 +105,7 @@
 
 
 class Peer:
-    """An HTTP server whose answer to each request the test gives: bytes, or None to stay silent."""
+    """An HTTP server whose answers the test provides: bytes, b"" to close the connection, or None for no answer."""
 
     def __init__(self, act: Callable[[Seen], Awaitable[bytes | None]]) -> None:
         self.act = act
@@ -115,7 +115,7 @@
 
     @classmethod
     async def start(cls, *answers: bytes | None) -> Peer:
-        """One that gives these answers in turn, the last one for ever."""
+        """Start a peer that gives these answers in turn, and repeats the last one."""
         queue = list(answers or [ok()])
 
         async def act(_: Seen) -> bytes | None:
@@ -145,7 +145,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -171,7 +171,7 @@
     path: str = "/api/000000000000000a",
     **headers: str | None,
 ) -> bytes:
-    """A request as the front sends it; a header given as None is left out."""
+    """Return a request as the front sends it; a header given as None is omitted."""
     lines: dict[str, str | None] = {
         "X-Call-Id": name,
         "X-Call-Class": cls,
@@ -206,7 +206,7 @@
 
 
 class Script:
-    """A decision module for tests: records events and returns what the test's function says."""
+    """A decision module for tests: records events and returns the actions of the test's function."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
@@ -229,7 +229,7 @@
 
 
 def in_turn(*backends: str) -> Callable[[Event], list[Action]]:
-    """Attempt these backends one after another, then refuse."""
+    """Return a function that attempts these backends one after another, then refuses the request."""
 
     def decide(event: Event) -> list[Action]:
         if isinstance(event, events.Request):
@@ -244,7 +244,7 @@
 
 
 class Rig:
-    """An ingress with its client side, in this process."""
+    """An ingress and its HTTP server, in this process."""
 
     def __init__(self, decide: Callable[[Event], list[Action]], idle: float = 15.0, **more: Any) -> None:
         loop = asyncio.get_running_loop()
@@ -256,7 +256,7 @@
         self.port = 0
 
     async def start(self, **backends: int) -> Client:
-        """Listen, with these backends in the list; returns a client's connection."""
+        """Start listening, with these backends in the endpoint list; returns a client connection."""
         self.ingress.update_backends(listing(*(entry(name, port) for name, port in backends.items())))
         await self.server.listen(HOST, 0)
         assert self.server.listener is not None
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: watches, what ends them, and lists that are none."""
+"""Tests of the discovery client: watches, how they end and are reopened, and invalid lists."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Agent:
-    """A discovery service that writes the test's lines to each watch."""
+    """A discovery server that writes the test's lines to each watch."""
 
     def __init__(self) -> None:
         self.requests: list[str] = []
@@ -30,7 +30,7 @@
         self.requests.append((await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0])
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while (line := await self.lines.get()) is not None:
-            half = len(line) // 2  # lines and chunks need not agree
+            half = len(line) // 2  # splits a line over two chunks, since line and chunk boundaries need not coincide
             writer.write(b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in (line[:half], line[half:]) if p))
         writer.close()
 
@@ -49,8 +49,8 @@
         agent.lines.put_nowait(b"\n" + text(42, entry("b0", 80), snapshot=True))
         agent.lines.put_nowait(b'{"index":43,"snapshot":true,"endp\n')
         await until(lambda: len(agent.requests) == 2)
-        assert [x.version for x in got] == [42]  # nothing was taken from the garbled line
-        agent.lines.put_nowait(None)  # the garbled watch was left; its end of the queue
+        assert [x.version for x in got] == [42]  # nothing was applied from the garbled line
+        agent.lines.put_nowait(None)  # ends the first watch's handler, which still reads the queue
         agent.lines.put_nowait(text(43, entry("b1", 81, "DRAINING", 1500)) + text(44))
         await until(lambda: len(got) == 3)
         agent.lines.put_nowait(None)
@@ -92,7 +92,7 @@
 
 
 def test_discovery_that_moves_is_asked_for_the_whole_list_and_the_old_one_stays_until_then():
-    """Versions need not go on from one to the other: only the whole list shows what has gone meanwhile."""
+    """Versions need not continue from one service to the other, so only the whole list shows removed backends."""
 
     async def main():
         old, new, go, got = await Agent().listen(), asyncio.Event(), asyncio.Event(), []
@@ -116,7 +116,7 @@
         old.lines.put_nowait(text(43))
         assert [(x.version, x.complete) for x in got] == [(42, False), (5, True), (6, False)]
         assert [s.line.split(" ")[1] for s in agent.seen] == ["/v1/servers", "/v1/servers?stream=1&index=5"]
-        discovery.on_source_list(object(), got[0])  # whatever is neither the present nor the newest is ignored
+        discovery.on_source_list(object(), got[0])  # a list from a replaced source is ignored
         assert len(got) == 3
 
     run(main())
--- a/tests/net/test_ingress.py
+++ b/tests/net/test_ingress.py
@@ -1,4 +1,4 @@
-"""Events, actions, deadlines and the one final answer."""
+"""Tests of the daemon's ingress: events, actions, deadlines, and exactly one final answer per request."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 def test_an_action_that_ends_at_once_does_not_call_back_in():
     async def main():
         backend = await Peer.start()
-        rig = Rig(in_turn("unknown", "b0"))  # Script.handle fails when it is entered twice
+        rig = Rig(in_turn("unknown", "b0"))  # Script.handle fails on a reentrant call
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call()))[0] == 200
         assert [e.outcome for e in rig.script.ends()] == [Outcome.MOOT, Outcome.OK]
@@ -196,7 +196,7 @@
         rig = Rig(decide)
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("bad")))[0] == 500
-        assert rig.script.events[-1] == events.ClientGone("bad")  # nothing of it stays in the module
+        assert rig.script.events[-1] == events.ClientGone("bad")  # so the module drops its state of the request
         assert (await client.ask(call("good")))[0] == 200
         assert "a fault of the module" in caplog.text
 
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -1,4 +1,4 @@
-"""The guard of the last byte: what a connection that closes at a bad moment may cost, and what it may not."""
+"""Tests of the last-byte guard: outcomes of requests whose connection breaks before or after their last byte."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     guard.connection_broke(100.0)
     assert guard.is_active(100.0) and guard.is_active(100.0 + ACTIVE_S - 0.1) and not guard.is_active(100.0 + ACTIVE_S)
     guard.connection_broke(110.0)
-    guard.connection_broke(105.0)  # an older one does not shorten it
+    guard.connection_broke(105.0)  # an earlier break does not shorten the active time
     assert guard.is_active(110.0 + ACTIVE_S - 0.1)
 
 
@@ -34,7 +34,7 @@
 
 
 class Faulty:
-    """A backend that ends connections at a chosen moment; counts the requests that came complete."""
+    """A backend that closes connections at a chosen moment, and counts the requests received completely."""
 
     def __init__(self, act) -> None:
         self.act = act
@@ -51,7 +51,7 @@
         await self.act(self, self.connections, reader, writer)
 
     async def answer(self, reader, writer):
-        """Requests are answered until the other side ends it."""
+        """Answer requests until the other side closes the connection."""
         try:
             while True:
                 await read_message(reader)
@@ -66,7 +66,7 @@
 
 
 async def first_breaks(peer, number, reader, writer):
-    """The first connection is reset at its second request's first byte; others answer."""
+    """Reset the first connection at its second request's first byte; answer requests on all others."""
     if number == 1:
         await read_message(reader)
         peer.complete += 1
@@ -78,7 +78,7 @@
 
 
 def test_an_unsafe_request_on_a_kept_connection_that_breaks_early_goes_out_on_a_new_one():
-    """The backend resets its first connection at the second request's first bytes: nothing has run."""
+    """The backend resets its first connection at the second request's first byte, so the request has not run."""
 
     async def main():
         backend = await Faulty(first_breaks).start()
@@ -108,7 +108,7 @@
 
 
 def test_a_new_connection_that_breaks_before_the_last_byte_could_not_be_reached():
-    """Never run, and reported as that; not repeated by the upstream, which knows of no other backend."""
+    """The request has not run, which CONNECT_FAILED states. The upstream does not resend it on another connection."""
 
     async def act(peer, number, reader, writer):
         await reader.read(1)
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program: configuration, readiness, SIGTERM, SIGHUP."""
+"""Tests of the whole daemon: configuration, readiness, SIGTERM and SIGHUP."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     async def main():
         backend, counter = await Peer.start(ok(b"fine")), Counter(clock=lambda: 1000.0)
         await counter.start()
-        async with in_process(backend, counter, lambda: 1000.0) as (_, port):  # no window turns
+        async with in_process(backend, counter, lambda: 1000.0) as (_, port):  # a fixed clock: no new window begins
             client = await Client.connect(port)
             answers = [await client.ask(call(f"r{i}", X_Call_Terms=TERMS)) for i in range(6)]
         assert [a[0] for a in answers] == [200, 200, 429, 429, 429, 429]  # 4 units each, a burst of 8
@@ -50,7 +50,7 @@
             stopping = asyncio.create_task(daemon.stop(over.wait()))
             await until(lambda: daemon.server.shutting_down)
             assert (await client.ask(health))[0] == 503
-            late = await Client.connect(port)  # the front does not know of the shutdown yet
+            late = await Client.connect(port)  # the front has not learned of the shutdown yet
             assert (await late.ask(call("late", X_Call_Terms=FEW)))[0] == 200
             over.set()
             assert await client.reader.read() == b"" and await late.reader.read() == b""
@@ -147,7 +147,7 @@
         {"settings": SETTINGS},
         {"settings": SETTINGS, "listen": "x"},
         {**SOUND, "settings": {**SETTINGS, "plans": []}},
-        {**SOUND, "listen": "203.0.113.9:1"},  # no address of this machine
+        {**SOUND, "listen": "203.0.113.9:1"},  # not an address of this machine
         {**SOUND, "known": {"x": 1}},
         {**SOUND, "seed": "no hex"},
     ],
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -1,4 +1,4 @@
-"""Clients' HTTP: what is malformed or absurd gets its answer, and the program goes on."""
+"""Tests of the HTTP server: malformed and excessive input is answered, and the server keeps serving."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (b"\x00\xff\x00\xff\r\n\r\n", 400),
         (call(Content_Length="-5"), 400),
         (call(Content_Length="5", Transfer_Encoding="chunked"), 400),
-        # Where an ingress and a backend could read two different requests, or none.
+        # Ambiguous framing, which an ingress and a backend could parse as different requests (request smuggling).
         (call(cls="pay", Transfer_Encoding="chunked", Content_Length="5"), 400),
         *(
             (call(cls="pay", Content_Length=None, Transfer_Encoding=t), 400)
@@ -149,7 +149,7 @@
 
 
 def test_connections_that_say_nothing_or_no_more_are_closed(monkeypatch):
-    """Those who never send a byte, and those who ask once and stay, would use up the descriptors."""
+    """Clients that never send a byte, or stay idle after a request, would otherwise use up the descriptors."""
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
@@ -188,7 +188,7 @@
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         client.writer.transport.pause_reading()
-        for n in range(connection_module.MAX_PIPELINED_REQUESTS * 20):  # more than the kernel takes in
+        for n in range(connection_module.MAX_PIPELINED_REQUESTS * 20):  # more than the kernel buffers
             client.writer.write(call(f"r{n}"))
         await until(lambda: not rig.server.connections)
         assert len(backend.seen) < connection_module.MAX_PIPELINED_REQUESTS * 20
@@ -211,7 +211,7 @@
 
 
 def test_a_bad_request_ends_its_connection():
-    """A client that repeats it as fast as it is rejected has to connect each time."""
+    """This makes a client that repeats a rejected request reconnect each time."""
 
     async def main():
         rig = Rig(lambda event: [])
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the listener stays open while requests come, and all are answered before the kill."""
+"""Tests of graceful shutdown: the listener stays open while requests arrive, and all are answered before the kill."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     GracefulShutdown,
 )
 
-KILL_AFTER_S = MAX_REQUEST_S + KILL_DELAY_S  # after which an ingress may be killed
+KILL_AFTER_S = MAX_REQUEST_S + KILL_DELAY_S  # time from the signal until an ingress may be killed
 
 
 @pytest.mark.parametrize("longest,end", [(1.0, 1.0 + KILL_DELAY_S - RESERVE_S), (7.5, KILL_AFTER_S - RESERVE_S)])
@@ -47,7 +47,7 @@
 
 
 def test_kept_connections_go_on_being_served_until_nobody_asks_any_more():
-    """The front cannot open new ones; with these closed its requests could go nowhere."""
+    """The front may be unable to open new connections; if these were closed, its requests would have no target."""
 
     async def main():
         backend = await Peer.start(ok())
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts have exactly one outcome, no copy is out twice, and pools hold no dead connection."""
+"""Tests of backend connections: one outcome per attempt, no concurrent copies, and no dead pooled connections."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     async def main():
         async def act(seen):
             seen.writer.write(answer)
-            return b""  # and the connection ends
+            return b""  # closes the connection
 
         backend, good = await Peer(act).listen(), await Peer.start(ok(b"whole"))
         rig = Rig(in_turn("b0", "b1"))
@@ -43,7 +43,7 @@
         status, _, body = await client.ask(call())
         assert (status, body) == (200, b"whole")
         assert [e.outcome for e in rig.script.ends()] == [outcome, Outcome.OK]
-        assert len(backend.seen) == 1  # nothing sends again by itself
+        assert len(backend.seen) == 1  # the upstream does not resend by itself
 
     run(main())
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_a_spoilt_answer_on_a_connection_that_stays_open_is_a_failed_attempt(answer):
-    """The request may have run; nobody may be served with it, nor wait for the rest until time is up."""
+    """The request may have run. The response must not be served, and its rest is not waited for until the deadline."""
 
     async def main():
         backend, good = await Peer.start(answer), await Peer.start(ok(b"whole"))
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("surplus", [ok(b"a copy"), b"noise", b"HTTP/1.1 200 OK\r\nContent-", b"\xff\r\n\r\n"])
 def test_what_comes_behind_an_answer_belongs_to_no_request(surplus):
-    """The end of an attempt may start the next one at once: it must not find this connection in the pool."""
+    """The end of an attempt may start the next one at once, which must not get this connection from the pool."""
 
     async def main():
         full = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -188,12 +188,12 @@
         )
         client = await rig.start(b0=slow.port, b1=fast.port)
         rig.script.decide, decide = in_turn("b1"), rig.script.decide
-        await client.ask(call("r1"))  # so that there is an idle connection to b1
+        await client.ask(call("r1"))  # leaves an idle connection to b1
         rig.script.decide = decide
         client.writer.write(call("r2"))
         await until(lambda: slow.seen)
         rig.ingress.submit(events.TimerFired(1))
-        slow.seen[0].writer.transport.pause_reading()  # its end stays in the kernel, to be looked at
+        slow.seen[0].writer.transport.pause_reading()  # leaves the connection's end unread in the kernel, for `ended`
         assert (await client.answer())[0] == 200
         assert ended[-1] is True
         assert [e.outcome for e in rig.script.ends()][1:] == [Outcome.CANCELLED, Outcome.OK]
@@ -268,7 +268,7 @@
         assert backend.seen[-1].writer.get_extra_info("peername") == newest
         for seen in backend.seen[:2]:
             with seen.socket() as s:
-                s.shutdown(socket.SHUT_WR)  # the ingress's loop has not heard of it yet
+                s.shutdown(socket.SHUT_WR)  # the ingress's event loop has not read this yet
         assert (await one.ask(call("d")))[0] == 200
         assert [e.outcome for e in rig.script.ends()] == [Outcome.OK] * 4 and backend.connections == 3
 
@@ -295,7 +295,7 @@
         new = entry("b0", backend.port, since_ms=5000) if change == "start" else entry("b0", moved.port)
         rig.ingress.update_backends(listing(new, snapshot=False))
         gate.set()
-        assert (await two.answer())[0] == 200  # what was out is waited for
+        assert (await two.answer())[0] == 200  # a request in flight is still answered
         for seen in backend.seen:
             await until(seen.ended)
         assert (await one.ask(call("new")))[0] == 200
@@ -363,7 +363,7 @@
         for i in range(3):
             assert (await client.ask(call(f"b{i}")))[0] == 200
         assert len(rig.upstream.connections) == 2
-        assert not rig.upstream.pools["b0"].idle  # the one that had been idle longest was closed
+        assert not rig.upstream.pools["b0"].idle  # the longest idle connection was closed
         rig.upstream.max_sockets = 0
         for pool in rig.upstream.pools.values():
             pool.close_idle()
--- a/thistleusher/embed/__init__.py
+++ b/thistleusher/embed/__init__.py
@@ -1,7 +1,7 @@
-"""The ingress as a library: the daemon's decisions and answers, inside an asyncio program or an ASGI application.
+"""The ingress as a library: makes the daemon's decisions and answers in an asyncio program or an ASGI application.
 
-`EmbeddedIngress` admits requests (`async with ingress.admit(call)`), `QuotaMiddleware` does so for every HTTP request
-of an application. Each request has exactly one final answer, and its units are charged at most once.
+`EmbeddedIngress` admits single requests (`async with ingress.admit(call)`); `QuotaMiddleware` admits every HTTP request
+of an application. Each request gets exactly one final answer, and its units are charged at most once.
 """
 
 from thistleusher.core.ports import Final, Verdict
--- a/thistleusher/embed/admission.py
+++ b/thistleusher/embed/admission.py
@@ -1,8 +1,8 @@
-"""One request's admission: the attempt that the driver starts and ends is the host's own code.
+"""The admission of one request. The attempt that the driver starts and ends is a run of the host's own code.
 
-Whatever the host does, a request is charged at most once, and its admission ends once: as served, refused, failed, or
-left by its client. The admission reports to the driver how the host's code ended, and ends that code by
-`asyncio.timeout` when the request's time is up.
+Whatever the host does, a request is charged at most once, and its admission ends exactly once: as served, refused,
+failed, or abandoned by its client. The admission reports the outcome of the host's code to the driver, and interrupts
+that code by `asyncio.timeout` when the request's deadline passes.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class NotServed(Exception):  # noqa: N818 (a public name of the library)
-    """A request that was refused, or that failed: `final` is its final answer."""
+    """A request was refused or has failed; `final` is its final answer."""
 
     def __init__(self, final: Final) -> None:
         super().__init__(f"{final.verdict.value}, retry in {final.retry_in:.3f} s")
@@ -30,25 +30,27 @@
 
 
 class AdmittingIngress(Protocol):
-    """What an admission asks of its ingress."""
+    """The part of an ingress that an admission uses."""
 
     settings: Settings
 
     @property
     def driver(self) -> Driver:
-        """The driver. RuntimeError if the ingress is not open."""
+        """The driver. Raises RuntimeError if the ingress is not open."""
 
     def check_loop(self) -> asyncio.AbstractEventLoop:
-        """Return the running loop. RuntimeError if it is not the ingress's."""
+        """Return the running event loop. Raises RuntimeError if it is not the ingress's loop."""
 
 
 class Admission:
-    """One request's admission: `async with` it, and its body runs only once the request is admitted.
+    """The admission of one request, an async context manager whose body runs only if the request is admitted.
 
-    Entering raises `NotServed` if the request is refused, leaving raises it if the request's time was up first.
+    Entering raises `NotServed` if the request is refused. Leaving raises it if the request's deadline passed before the
+    body ended.
 
-    `written`: the host's code may have run. `begun`: its answer has begun. `over`: the driver knows how it ended.
-    `left`: the client has gone. `interrupted`: it was ended by the ingress, while the host's code ran.
+    `written`: the host's code may have run. `begun`: the host's answer has begun. `over`: the outcome has been reported
+    to the driver. `left`: the client has disconnected. `interrupted`: the ingress ended the attempt while the host's
+    code ran.
     """
 
     def __init__(self, ingress: AdmittingIngress, request: events.Request) -> None:
@@ -63,15 +65,15 @@
         self.over = False
         self.left = False
         self.interrupted = False
-        self._decision: asyncio.Future[Final | None] | None = None  # its result: None if the request is admitted
+        self._decision: asyncio.Future[Final | None] | None = None  # its result is None if the request is admitted
         self._on_end: Callable[[Ended], None] | None = None
         self._in_flight: InFlightRequest | None = None
         self._timeout: asyncio.Timeout | None = None
-        self._first_byte_s: float | None = None  # from the start of the attempt to the answer's first byte
+        self._first_byte_s: float | None = None  # time from the start of the attempt to the answer's first byte
         self._started_at = 0.0
         self._true_units = 0.0
 
-    # For the host.
+    # Called by the host.
 
     async def __aenter__(self) -> Self:
         await self.acquire()
@@ -83,15 +85,15 @@
         await self.release(kind, error, trace)
 
     def settle(self, true_units: float) -> None:
-        """State what the request really cost; the last value before its end counts. BadRequest if it is unusable."""
-        if not 0 <= true_units <= self.max_units:  # false for NaN too
+        """Set the units the request has really cost; the last value counts. Raises BadRequest if it is out of range."""
+        if not 0 <= true_units <= self.max_units:  # rejects NaN as well
             raise BadRequest(f"true_units: expected 0 to {self.max_units:g}, got {true_units!r}")
         self._true_units = true_units
 
     def begin(self) -> bool:
-        """Begin the host's answer: it is the final one, and has all the time it takes.
+        """Mark the host's answer as begun. It is then the final answer, and is no longer subject to the deadline.
 
-        Returns False if another final answer was given: nothing more may be sent then.
+        Returns False if another final answer was given before; the host must then send nothing more.
         """
         if self.begun:
             return True
@@ -102,12 +104,12 @@
         return True
 
     def leave(self) -> None:
-        """Report that the client has gone: it needs no answer any more."""
+        """Report that the client has disconnected and needs no answer."""
         self.left = True
         self.driver.client_gone(self.request.id)
 
     async def acquire(self) -> None:
-        """Wait for the decision. Raises NotServed if it is a refusal."""
+        """Wait for the admission decision. Raises NotServed if the request is refused."""
         loop = self.check_loop()
         if self._decision is not None:
             raise RuntimeError("an admission can be entered once only")
@@ -119,7 +121,7 @@
                 raise NotServed(final)
             self._timeout = asyncio.timeout(None)
             await self._timeout.__aenter__()
-        except asyncio.CancelledError:  # the host's own time-out, say: nothing was run
+        except asyncio.CancelledError:  # for example by a time-out of the host: its code has not run
             self.leave()
             self._end(Ended(Outcome.MOOT))
             raise
@@ -131,26 +133,26 @@
         trace: TracebackType | None,
         outcome: Outcome | None = None,
     ) -> None:
-        """Report that the host's code has ended; `outcome` if it says more than the code's exception does.
+        """Report that the host's code has ended. `outcome` is given if it is more specific than the code's exception.
 
-        Raises NotServed if the request's time was up first.
+        Raises NotServed if the request's deadline passed before.
         """
         if self._timeout is None:
             return
         self._report_end(kind, outcome)
-        try:  # noqa: SIM105 (`suppress` costs more, on every request's path)
+        try:  # noqa: SIM105 (`suppress` is slower, and this runs for every request)
             await self._timeout.__aexit__(kind, error, trace)
         except TimeoutError:
             pass
         ended_by_ingress = self.interrupted and not self.left and self.final is not None
         if ended_by_ingress and (kind is None or issubclass(kind, asyncio.CancelledError)):
             task = asyncio.current_task()
-            if kind is None or task is None or task.cancelling() == 0:  # else the host cancels it as well
+            if kind is None or task is None or task.cancelling() == 0:  # otherwise the host has cancelled the task too
                 assert self.final is not None
                 raise NotServed(self.final) from error
 
     def _report_end(self, kind: type[BaseException] | None, outcome: Outcome | None) -> None:
-        """Report how the host's code ended."""
+        """Report the outcome of the host's code to the driver."""
         if kind is None:
             self._end(Ended(outcome or Outcome.OK, None, self._true_units))
         elif issubclass(kind, asyncio.CancelledError) and not self.interrupted:
@@ -159,10 +161,10 @@
         else:
             self._end(Ended(outcome or Outcome.ERROR))
 
-    # For the driver: the final answer and the attempt.
+    # Called by the driver: the final answer and the attempt.
 
     def _finished(self, final: Final) -> None:
-        """Take the driver's final answer."""
+        """Store the driver's final answer, and deliver it to the waiting host or the interrupt callback."""
         self.final = final
         if self._decision is not None and not self._decision.done():
             self._decision.set_result(final)
@@ -170,7 +172,7 @@
             self.on_interrupt(final)
 
     def _end(self, ended: Ended) -> None:
-        """Report the attempt's end, once. The latency of an answer that began in time is that of its first byte."""
+        """Report the attempt's end, once. The latency of an answer that has begun is the time to its first byte."""
         if self.over:
             return
         self.over = True
@@ -179,13 +181,13 @@
             self._on_end(ended)
 
     def prepare(self, on_end: Callable[[Ended], None]) -> None:
-        """Become the request's attempt, which ends with one call of `on_end`."""
+        """Prepare the request's attempt; its end is reported by exactly one call of `on_end`."""
         self._on_end = on_end
 
     def start(self, timeout: float) -> None:
-        """Start the attempt: admit the host's code. The driver's own timer ends it, so `timeout` is not used."""
+        """Start the attempt by admitting the host's code. The driver's own timer ends it, so `timeout` is unused."""
         assert self._decision is not None
-        if self._decision.done():  # its task was cancelled, and has not come round to reporting it
+        if self._decision.done():  # the host's task was cancelled, but has not run since to report that
             self._end(Ended(Outcome.MOOT))
             return
         self.written = True
@@ -193,17 +195,17 @@
         self._decision.set_result(None)
 
     def expire(self) -> None:
-        """End it as timed out, unless its answer has begun, which then goes on."""
+        """End the attempt as timed out, unless its answer has begun; such an answer may continue."""
         if not self.begun:
             self._interrupt(Outcome.TIMEOUT)
 
     def cancel(self) -> None:
-        """End it as cancelled, unless its answer has begun."""
+        """End the attempt as cancelled, unless its answer has begun."""
         if not self.begun:
             self._interrupt(Outcome.CANCELLED)
 
     def abandon(self) -> None:
-        """End it as cancelled, unless its answer has begun."""
+        """End the attempt as cancelled, unless its answer has begun."""
         self.cancel()
 
     def _interrupt(self, outcome: Outcome) -> None:
--- a/thistleusher/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -1,7 +1,8 @@
-"""Pure ASGI middleware: every HTTP request is admitted, or answered 429, 503, 502 or 4xx, as the daemon does.
+"""Pure ASGI middleware: admits every HTTP request, or answers it with 429, 503, 502 or 4xx as the daemon does.
 
-By the ASGI specification, version 3.0, HTTP and WebSocket message format 2.4. WebSocket and lifespan scopes pass
-through untouched. Cost a request besides the decisions: two small wrappers, and no task unless its time runs out.
+Implements the ASGI specification 3.0, with the HTTP and WebSocket message format 2.4. WebSocket and lifespan scopes are
+passed through unchanged. Besides the decisions, a request costs two small wrappers; a task is created only if its
+deadline passes.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 Identify = Callable[[Scope], Union[Mapped, Awaitable[Mapped]]]
 
 SCOPE_KEY = "thistleusher.admission"
-REJECTED_STATUSES = (503, 504)  # with X-Rejected: 1, the application states that it has not run the request
+REJECTED_STATUSES = (503, 504)  # with the header X-Rejected: 1, the application states that it has not run the request
 
 
 def from_headers(ingress: EmbeddedIngress) -> Identify:
-    """Return an `identify` that reads what the daemon reads: the member in the path, the rest in `X-` headers."""
+    """Return an `identify` that reads requests as the daemon does: member from the path, the rest from `X-` headers."""
     reader = RequestReader(ingress.settings)
 
     def identify(scope: Scope) -> Mapped:
@@ -45,17 +46,17 @@
 
 
 class QuotaMiddleware:
-    """Holds an ASGI application's callers to their quotas.
+    """Enforces quotas on the callers of an ASGI application.
 
-    `identify(scope)` returns a `Call`, or `PASS` for what no quota applies to; it may be a coroutine function, and
-    raises BadRequest for what cannot be mapped. By default headers are read as the daemon reads them.
+    `identify(scope)` returns a `Call`, or `PASS` for a request to which no quota applies. It may be a coroutine
+    function, and raises BadRequest for an invalid request. By default, headers are read as the daemon reads them.
 
-    `ratelimit_fields` adds `RateLimit` and `RateLimit-Policy` to responses; `problem_details` adds a body that states
-    the reason (RFC 9457) to refusals and failures. `Retry-After` holds whole seconds, rounded up, and `Retry-After-Ms`
-    the exact time; `decimal_retry_after` puts that into `Retry-After`, for clients known to read it.
+    `ratelimit_fields` adds `RateLimit` and `RateLimit-Policy` to responses. `problem_details` adds a body with the
+    reason (RFC 9457) to refusals and failures. `Retry-After` holds whole seconds, rounded up, and `Retry-After-Ms` the
+    exact time; `decimal_retry_after` writes the exact time to `Retry-After`, for clients known to accept decimals.
 
-    The application finds its `Admission` at `scope["thistleusher.admission"]`, to `settle` true units; the response's
-    `X-Cost-Units` header does the same.
+    The application can set true units by `settle` of the `Admission` at `scope["thistleusher.admission"]`, or by the
+    response header `X-Cost-Units`.
     """
 
     def __init__(
@@ -75,12 +76,12 @@
         self.decimal_retry_after = decimal_retry_after
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one ASGI scope. RuntimeError if another QuotaMiddleware has admitted the request already."""
+        """Serve one ASGI scope. Raises RuntimeError if another QuotaMiddleware has already admitted the request."""
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
         if SCOPE_KEY in scope:
-            raise RuntimeError("this request has passed a QuotaMiddleware already: it would be charged twice")
+            raise RuntimeError("request already admitted by another QuotaMiddleware: it would be charged twice")
         try:
             request = await self.map(scope)
         except BadRequest as error:
@@ -92,7 +93,7 @@
             await _Admitted(self, self.ingress.admission(request), scope, receive, send).run()
 
     async def map(self, scope: Scope) -> events.Request | None:
-        """Return the request that the scope stands for, None for one to pass. BadRequest is counted by the ingress."""
+        """Return the scope's request, or None if no quota applies. Counts a BadRequest in the ingress's `invalid`."""
         try:
             mapped = self.identify(scope)
             if inspect.isawaitable(mapped):
@@ -105,7 +106,7 @@
         return mapped if isinstance(mapped, events.Request) else self.ingress.request(mapped)
 
     def fields(self, request: events.Request) -> tuple[tuple[bytes, bytes], ...]:
-        """Return the RateLimit fields for a request's member, if they are asked for."""
+        """Return the RateLimit header fields for a request's member; none unless `ratelimit_fields` is set."""
         if not self.ratelimit_fields:
             return ()
         headroom = self.ingress.room(request.customer, request.plan)
@@ -113,7 +114,7 @@
 
 
 class _Admitted:
-    """One request through the middleware."""
+    """One admitted request on its way through the middleware."""
 
     __slots__ = (
         "middleware",
@@ -135,13 +136,13 @@
         self.scope = scope
         self.receive = receive
         self.send = send
-        self.status = 0  # of the application's response, once it has begun
-        self.complete = False  # the application's response has ended
-        self.rejected = False  # by its header, the application has not run the request
-        self.response_task: asyncio.Task[None] | None = None  # sends the response to a request whose time is up
+        self.status = 0  # status of the application's response; 0 until it begins
+        self.complete = False  # whether the application's response has ended
+        self.rejected = False  # whether the application has stated by X-Rejected that it has not run the request
+        self.response_task: asyncio.Task[None] | None = None  # sends the response after the deadline has passed
 
     async def run(self) -> None:
-        """Admit the request, run the application, and see that there is exactly one response."""
+        """Wait for the admission, run the application, and make sure that exactly one response is sent."""
         admission = self.admission
         try:
             await admission.acquire()
@@ -171,10 +172,10 @@
             raise error
         final = admission.final
         if self.response_task is None and not admission.begun and not admission.left and final is not None:
-            await self._respond(final)  # the application gave no response
+            await self._respond(final)  # the application sent no response
 
     def _outcome(self) -> Outcome:
-        """Return what the application's response says of the attempt; one that is cut short is a failure."""
+        """Return the outcome of the attempt from the application's response; an incomplete response is an error."""
         if not self.complete:
             return Outcome.ERROR
         if self.status >= 500:
@@ -193,18 +194,18 @@
         await send_response(self.send, STATUS[final.verdict], headers, body)
 
     def _on_interrupt(self, final: Final) -> None:
-        """Send the response now, whatever the application does: time was up while it ran."""
+        """Start sending the final answer: the deadline passed while the application ran, and it may run on."""
         self.response_task = asyncio.get_running_loop().create_task(self._respond(final))
 
     async def _on_receive(self) -> Message:
-        """Pass a message on to the application, and note that its client has gone."""
+        """Pass a message to the application, and report a disconnect of the client."""
         message = await self.receive()
         if message["type"] == "http.disconnect" and not self.admission.begun:
             self.admission.leave()
         return message
 
     async def _on_send(self, message: Message) -> None:
-        """Pass a message of the application on, unless another response is out or its client has gone."""
+        """Pass on a message of the application, unless another response was sent or the client has disconnected."""
         kind = message["type"]
         if kind == "http.response.start":
             if not self._begin_response(message):
@@ -220,7 +221,7 @@
         await self.send(message)
 
     def _begin_response(self, message: Message) -> bool:
-        """Take note of the response's status; return whether it is the final response."""
+        """Record the status of the application's response; return whether it is the final response."""
         if self.status:
             raise RuntimeError("the application has answered twice")
         is_final = self.admission.begin()
@@ -228,7 +229,7 @@
         return is_final
 
     def _read_headers(self, message: Message) -> list[tuple[bytes, bytes]]:
-        """Return the response's headers; true units and rejection are taken from them."""
+        """Return the response's headers, after evaluating X-Cost-Units and X-Rejected."""
         headers = [(bytes(name), bytes(value)) for name, value in message.get("headers", ())]
         for name, value in headers:
             key = name.lower()
@@ -239,7 +240,7 @@
         return headers
 
     def _take_body(self, message: Message) -> None:
-        """Take note of whether the response is complete."""
+        """Record whether the response is complete."""
         if self.complete:
             raise RuntimeError("the application has answered twice")
         if not self.status:
@@ -247,7 +248,7 @@
         self.complete = not message.get("more_body", False)
 
     def _settle(self, value: bytes) -> None:
-        """Settle true units; as in the daemon, a value that cannot be meant is left out."""
+        """Settle true units. As in the daemon, an invalid value is ignored."""
         try:
             self.admission.settle(float(value))
         except ValueError:
@@ -255,7 +256,7 @@
 
 
 async def send_response(send: Send, status: int, headers: tuple[tuple[bytes, bytes], ...], body: bytes) -> None:
-    """Send a complete response; its length is added to the headers."""
+    """Send a complete response, with a Content-Length header added."""
     all_headers = [(name.lower(), value) for name, value in headers]
     all_headers.append((b"content-length", b"%d" % len(body)))
     await send({"type": "http.response.start", "status": status, "headers": all_headers})
--- a/thistleusher/embed/call.py
+++ b/thistleusher/embed/call.py
@@ -1,4 +1,4 @@
-"""What the host states about a request: who asks, under which plan, for what, and how much."""
+"""The host's description of a request: its member, plan, class and units; and its validation."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
     PASS = "pass"
 
 
-PASS: Final = _Pass.PASS  # a request that no quota applies to
+PASS: Final = _Pass.PASS  # result of `identify` for a request to which no quota applies
 Passed = Literal[_Pass.PASS]
 
 
 class Call(NamedTuple):
-    """One request as the host maps it.
+    """One request, as described by the host.
 
-    `member` is a number below 2^33; `units` more than 0; `budget` the seconds that the client waits (0: the class's
-    deadline). `spread` ingresses from number `first` on get the member's requests (0: all of them). `again`: the
-    client sends it a second time. `id` names the request; the ingress makes one up for an empty one.
+    `member`: a number below 2^33. `units`: more than 0. `budget`: seconds for which the client waits (0: the class's
+    deadline). `spread`: number of ingresses, starting at number `first`, that get the member's requests (0: all).
+    `again`: whether the client repeats an earlier request. `id`: identifies the request; if it is empty, the ingress
+    generates one.
     """
 
     member: int
@@ -44,7 +45,7 @@
     call: Call,
     default_id: str,
 ) -> events.Request:
-    """Return the decision module's request. BadRequest says which part cannot be used; nothing is charged then."""
+    """Return the validated request. Raises BadRequest, which names the invalid field; nothing is charged then."""
     if not isinstance(call, Call):
         raise BadRequest(f"call: expected a Call, got {call!r}")
     if isinstance(call.member, bool) or not isinstance(call.member, int) or not 0 <= call.member < MAX_CUSTOMER:
--- a/thistleusher/embed/counter.py
+++ b/thistleusher/embed/counter.py
@@ -1,4 +1,4 @@
-"""A counter for one process: it does what the counter service does, without a service."""
+"""An in-memory counter with the semantics of the counter service, for one process."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from thistleusher.core import events
 from thistleusher.core.events import Outcome
 
-MIN_LIFETIME_S = 0.001
-MAX_LIFETIME_S = 60.0
+MIN_LIFETIME_S = 0.001  # lower limit of a count's lifetime
+MAX_LIFETIME_S = 60.0  # upper limit of a count's lifetime
 
 
 class MemoryCounter:
-    """Adds to named counts that expire; the ingresses of one process may share it.
+    """Adds to named counts that expire. The ingresses of one process may share it.
 
-    `clock` gives Unix time in seconds. An add costs constant time, and for a new name the logarithm of the number of
-    names; the memory of a name is freed once it has expired.
+    `clock` returns Unix time in seconds. An add takes constant time; for a new name it takes time logarithmic in the
+    number of names. The memory of an expired name is freed by a later add.
     """
 
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
         self.clock = clock
-        self.counts: dict[int, tuple[float, float]] = {}  # by name: total, and when it expires
-        self.ends: list[tuple[float, int]] = []  # a heap: when a name expires, the name
+        self.counts: dict[int, tuple[float, float]] = {}  # by name: total and expiry time
+        self.ends: list[tuple[float, int]] = []  # heap of expiry times and names
 
     def add(self, name: int, amount: float, lifetime: float) -> float:
-        """Add to a name, and return the new total. A new name expires after `lifetime` seconds, 60 at most."""
+        """Add to a name's count, and return the new total. A new name expires after `lifetime` seconds, at most 60."""
         now = self.clock()
         while self.ends and self.ends[0][0] <= now:
             end, old = heapq.heappop(self.ends)
@@ -47,16 +47,16 @@
 
 
 class MemoryCounterClient:
-    """One ingress's access to a memory counter; each add is answered at once."""
+    """Counter port of one ingress backed by a memory counter; each add is answered synchronously."""
 
     def __init__(self, counter: MemoryCounter, on_reply: Callable[[events.CounterReply], None]) -> None:
         self.counter = counter
         self.on_reply = on_reply
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        """Add to a name, and pass on the reply."""
+        """Add to a name's count, and report the reply."""
         total = self.counter.add(name, amount, lifetime)
         self.on_reply(events.CounterReply(name, Outcome.OK, 0.0, total))
 
     def close(self) -> None:
-        """Do nothing: there is no connection."""
+        """Do nothing, since there is no connection."""
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -1,8 +1,8 @@
-"""The ingress inside an asyncio program: the host's own code is the one backend.
+"""The ingress inside an asyncio program. Its only backend is the host's own code.
 
-Guarantees, whatever the host does: a request is charged at most once; its admission ends once, as served, refused,
-failed or left by its client; nothing of it is kept afterwards. The concurrency limit and refusals under overload apply
-to the host's code as to any backend.
+Guarantees, whatever the host does: a request is charged at most once; its admission ends exactly once, as served,
+refused, failed or abandoned by its client; no state of it is kept afterwards. The concurrency limit and refusals under
+overload apply to the host's code as to any backend.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from thistleusher.services.counter_client import CounterClient
 from thistleusher.services.peers import PeerDatagrams
 
-APP = "app"  # the name of the one backend
+APP = "app"  # the name of the only backend, the host's code
 
 
 class PeerAddresses(NamedTuple):
-    """Datagrams between ingresses: `listen` here, and everybody's address by number, as `host:port`."""
+    """Addresses for datagrams between ingresses, as `host:port`: this one's, and those of all by ingress number."""
 
     listen: str
     everybody: tuple[str, ...]
@@ -47,11 +47,13 @@
 
 
 class EmbeddedIngress:
-    """One ingress as a library; `async with` it, or `open` and `close`, on one event loop, once.
+    """One ingress as a library: an async context manager, with `open` and `close` as the alternative.
 
-    `counter` is the service's `host:port`, or a `MemoryCounter`; without it the ingress makes one of its own. `clock`
-    gives Unix time and must agree at all ingresses; `seed` fixes what is drawn. Attempts at the host's code are never
-    repeated here, whatever `max_attempts` says. Bad addresses and settings are ValueErrors.
+    It can be opened once, and is bound to the event loop on which it was opened. `counter` is the address of the
+    counter service as `host:port`, or a `MemoryCounter`; by default the ingress creates its own memory counter. `clock`
+    returns Unix time in seconds, which must agree at all ingresses. `seed` makes random choices reproducible. The
+    host's code is attempted once per request, whatever `max_attempts` says. Raises ValueError for invalid addresses and
+    settings.
     """
 
     def __init__(
@@ -71,7 +73,7 @@
             own_backends=True,
             own_counter=counter is None,
             peers=settings.peers and peers is not None,
-            cancel_stops_work=False,  # the host ends its own code: it learns from its server that a client has left
+            cancel_stops_work=False,  # the host ends its own code when its server reports a disconnect
         )
         if self.settings.counter_timeout <= 0:
             raise ValueError(f"counter_timeout: expected more than 0, got {settings.counter_timeout!r}")
@@ -88,7 +90,7 @@
         self.clock = clock
         self.scheduler = scheduler
         self.seed = random.SystemRandom().getrandbits(63) if seed is None else seed
-        self.invalid = 0  # requests that could not be decided on; nothing was charged for them
+        self.invalid = 0  # number of invalid requests, which were rejected without a decision or a charge
         self._loop: asyncio.AbstractEventLoop | None = None
         self._driver: Driver | None = None
         self._counter: _ClosableCounter | None = None
@@ -97,21 +99,21 @@
         self._gateway: Gateway | None = None
         self._request_numbers = itertools.count()
 
-    # Start and end.
+    # Opening and closing.
 
     @property
     def driver(self) -> Driver:
-        """The driver. RuntimeError if the ingress is not open."""
+        """The driver. Raises RuntimeError if the ingress is not open."""
         if self._driver is None:
             if self._closed:
                 raise RuntimeError("the ingress is closed")
-            raise RuntimeError("the ingress is not open: enter it with 'async with', in the lifespan, say")
+            raise RuntimeError("the ingress is not open: enter it with 'async with', for example in the lifespan")
         return self._driver
 
     async def open(self) -> None:
-        """Begin. RuntimeError if it was opened before, OSError if the peers' address cannot be had."""
+        """Open the ingress. Raises RuntimeError if it was opened before, OSError if `listen` cannot be bound."""
         if self._closed or self._loop is not None:
-            raise RuntimeError("the ingress was opened before; make a new one")
+            raise RuntimeError("the ingress was opened before; create a new one")
         loop = asyncio.get_running_loop()
         self._loop = loop
         self._gateway = make_gateway(self.settings, self.seed, self.clock())
@@ -139,7 +141,7 @@
         return CounterClient(loop, self.address, timeout, driver.submit, driver.scheduler.time)
 
     async def close(self) -> None:
-        """End in order: what is pending is answered, what runs is ended. A second time does nothing."""
+        """Close the ingress: answer waiting requests and interrupt running ones. Further calls have no effect."""
         self._closed = True
         driver = self._driver
         self._driver = None
@@ -160,26 +162,26 @@
 
     @asynccontextmanager
     async def lifespan(self, app: Any = None) -> AsyncIterator[None]:
-        """Stay open as long as the application runs: for a framework's `lifespan`."""
+        """Keep the ingress open while the application runs; for use as a framework's `lifespan`."""
         async with self:
             yield
 
     # Requests.
 
     def check_loop(self) -> asyncio.AbstractEventLoop:
-        """Return the running loop. RuntimeError if it is not the one on which the ingress was opened."""
+        """Return the running event loop. Raises RuntimeError if the ingress was opened on another loop."""
         _ = self.driver
         loop = asyncio.get_running_loop()
         if loop is not self._loop:
-            raise RuntimeError("the ingress was opened on another event loop; make one for each")
+            raise RuntimeError("the ingress was opened on another event loop; create one for each loop")
         return loop
 
     def admit(self, call: Call) -> Admission:
-        """Return an admission to enter with `async with`. BadRequest if the call cannot be used."""
+        """Return an admission to enter with `async with`. Raises BadRequest if the call is invalid."""
         return self.admission(self.request(call))
 
     def request(self, call: Call) -> events.Request:
-        """Return the checked request. BadRequest, counted in `invalid`, says what cannot be used."""
+        """Return the validated request. Raises BadRequest, naming the invalid field, and counts it in `invalid`."""
         try:
             request_id = f"embedded-{next(self._request_numbers)}"
             return checked_request(self.settings, self.classes, self.plans, call, request_id)
@@ -188,30 +190,30 @@
             raise
 
     def admission(self, request: events.Request) -> Admission:
-        """Return an admission for a request that was checked."""
+        """Return an admission for a validated request."""
         self.check_loop()
         return Admission(self, request)
 
     def room(self, member: int, plan: str) -> float:
-        """Return the units left of a member's quota, as far as this ingress knows."""
+        """Return the headroom of a member's quota in units, as known at this ingress."""
         assert self._gateway is not None
         return self._gateway.headroom(self.driver.now(), member, plan)
 
     @property
     def held(self) -> int:
-        """The number of requests in flight: admitted or waiting for their decision."""
+        """The number of requests in flight: admitted, or waiting for their decision."""
         return len(self.driver.in_flight)
 
-    # For the driver: the one backend.
+    # Called by the driver: the only backend.
 
     def prepare(self, in_flight: InFlightRequest, backend: str, on_end: Callable[[Ended], None]) -> Admission:
-        """Return the request's admission as its attempt."""
+        """Return the request's admission, which serves as its attempt."""
         admission: Admission = in_flight.context
         admission.prepare(on_end)
         return admission
 
     def probe(self, backend: str) -> None:
-        """Do nothing: the host is this process, and has no load report."""
+        """Do nothing, since the host is this process and has no load report."""
 
     def close_idle(self, backend: str) -> None:
-        """Do nothing: there are no connections to the host."""
+        """Do nothing, since there are no connections to the host."""
--- a/thistleusher/net/backend_connection.py
+++ b/thistleusher/net/backend_connection.py
@@ -171,7 +171,7 @@
             self._fail("response stalled before its end")
 
     def _fail(self, reason: str) -> None:
-        """Drop a connection that can deliver no response any more, and end or resend its exchange."""
+        """Drop a connection that can deliver no response; its exchange is resent, or a RESET if it may have run."""
         exchange = self.exchange
         self.drop()
         if exchange is None:
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -80,7 +80,7 @@
         now = self.loop.time()
         was_paused = now > self.sweep_due + PROCESS_PAUSE_S
         for connection in list(self.connections):
-            if was_paused:  # the kernel's buffers may have been full: no client is at fault for its lack of progress
+            if was_paused:  # clients could make no progress while this process was suspended
                 connection.last_progress_at = now
             connection.check_timeouts(now)
         self.sweep_due = now + SWEEP_INTERVAL_S
