--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -104,9 +104,9 @@
 class Recorder:
     """Wraps the decision module of one instance and records its events and actions."""
 
-    def __init__(self, gateway: Any, there: list[Recorder]) -> None:
-        """`there`: the recorders of all instances that datagrams reach, including this one."""
-        self.gateway, self.there = gateway, there
+    def __init__(self, gateway: Any, reachable: list[Recorder]) -> None:
+        """`reachable`: the recorders of all instances that datagrams reach, including this one."""
+        self.gateway, self.reachable = gateway, reachable
         self.log: list[tuple[float, Event, list[Action]]] = []
         self.calls = 0
         self.replies = 0
@@ -123,7 +123,7 @@
         self.received += isinstance(event, events.PeerMessage)
         self.calls += sum(isinstance(a, CounterAdd) for a in actions)
         self.sent += sum(
-            len(self.there) - 1 if a.peer is None else a.peer < len(self.there)
+            len(self.reachable) - 1 if a.peer is None else a.peer < len(self.reachable)
             for a in actions
             if isinstance(a, SendToPeer)
         )
@@ -186,7 +186,7 @@
     async def __aenter__(self) -> Fleet:
         for n in range(INSTANCES):
             self.ports.append(await self.open(n))
-            await self.quiet()
+            await self.wait_until_quiescent()
         self.clients = [await Client.connect(p) for p in self.ports]
         return self
 
@@ -207,7 +207,7 @@
         self.recorders.append(Recorder(gateway, self.recorders))
         return self.recorders[-1]
 
-    async def quiet(self) -> None:
+    async def wait_until_quiescent(self) -> None:
         """Wait until every counter call has its reply and every datagram has arrived."""
         while not (  # noqa: ASYNC110 (polls states of the same loop)
             all(r.calls == r.replies for r in self.recorders)
@@ -218,9 +218,9 @@
     async def advance(self, seconds: float) -> None:
         assert self.script is not None
         end = self.script.now + seconds
-        await self.quiet()
+        await self.wait_until_quiescent()
         while self.script.step(end):
-            await self.quiet()
+            await self.wait_until_quiescent()
 
 
 class Daemons(Fleet):
--- a/tests/embed/middleware.py
+++ b/tests/embed/middleware.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.embed.host import Host, serve_lifespan
-from tests.embed.test_ingress import made
+from tests.embed.test_ingress import make_ingress
 from tests.net.sockets import Client, call
 from thistleusher.embed import MemoryCounter, QuotaMiddleware
 
@@ -14,7 +14,7 @@
     return call(name, cls, X_Call_Terms=TERMS, **more)
 
 
-class Played:
+class HandlerApp:
     """An application whose HTTP handler the test provides."""
 
     def __init__(self, act):
@@ -28,7 +28,7 @@
             await self.act(scope, receive, send)
 
 
-async def say(send, status=200, body=b"fine", headers=()):
+async def send_response(send, status=200, body=b"fine", headers=()):
     await send(
         {"type": "http.response.start", "status": status, "headers": [(b"content-length", b"%d" % len(body)), *headers]}
     )
@@ -40,8 +40,8 @@
 
     def __init__(self, act, counter=None, identify=None, fields=False):
         self.counter = counter or MemoryCounter(lambda: 1000.0)
-        self.ingress = made(counter=self.counter)
-        self.app = Played(act)
+        self.ingress = make_ingress(counter=self.counter)
+        self.app = HandlerApp(act)
         self.host = Host(QuotaMiddleware(self.app, self.ingress, identify, fields))
 
     async def __aenter__(self):
--- a/tests/embed/program.py
+++ b/tests/embed/program.py
@@ -54,13 +54,13 @@
     await ingress.open()
     gateway = ingress.driver.gateway
     gateway.fleet.slots = 100.0  # above the number of requests: this test is not about the concurrency limit
-    heard = gateway.replication.merge_usage
+    original_merge_usage = gateway.replication.merge_usage
 
-    def hear(now, peer, *fields):
-        heard(now, peer, *fields)
+    def merge_usage(now, peer, *fields):
+        original_merge_usage(now, peer, *fields)
         print("heard", flush=True)
 
-    gateway.replication.merge_usage = hear
+    gateway.replication.merge_usage = merge_usage
     host = Host(QuotaMiddleware(app, ingress))
     await host.start(config["port"])
     print("ready", flush=True)
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -12,8 +12,8 @@
 from starlette.routing import Route
 
 from tests.embed.host import Host
-from tests.embed.middleware import Rig, raw, say
-from tests.embed.test_ingress import made, nothing_in_flight
+from tests.embed.middleware import Rig, raw, send_response
+from tests.embed.test_ingress import make_ingress, nothing_in_flight
 from tests.net.sockets import Client, run, until
 from thistleusher.embed import PASS, Call, QuotaMiddleware
 
@@ -21,7 +21,7 @@
 def test_requests_are_served_refused_and_told_what_is_left():
     async def main():
         async def act(scope, receive, send):
-            await say(send, 200, b"units " + dict(scope["headers"])[b"x-call-id"])
+            await send_response(send, 200, b"units " + dict(scope["headers"])[b"x-call-id"])
 
         async with Rig(act, fields=True) as rig:
             client = await rig.client()
@@ -43,7 +43,7 @@
             if name == b"settled":
                 scope["thistleusher.admission"].settle(4.0)
             value = {b"r1": b"1", b"r2": b"x", b"r3": b"99", b"r4": b"nan"}.get(name)
-            await say(send, headers=[(b"x-cost-units", value)] if value else [])
+            await send_response(send, headers=[(b"x-cost-units", value)] if value else [])
 
         async with Rig(act) as rig:
             client = await rig.client()
@@ -67,9 +67,9 @@
                 return
             if name == b"body":
                 await send({"type": "http.response.body", "body": b"x"})
-            await say(send)
+            await send_response(send)
             if name == b"twice":
-                await say(send)
+                await send_response(send)
             if name == b"again":
                 await send({"type": "http.response.body", "body": b"x"})
 
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("framework", ["starlette", "fastapi"])
 def test_under_the_common_frameworks(framework):
     async def main():
-        ingress = made()
+        ingress = make_ingress()
 
         async def items(request=None):
             return PlainTextResponse("an item")
@@ -173,7 +173,7 @@
         async def act(scope, receive, send):
             inside.append(1)
             await go.wait()
-            await say(send)
+            await send_response(send)
 
         async with Rig(act) as rig:
             fleet = rig.ingress.driver.gateway.fleet
--- a/tests/embed/test_asgi_endings.py
+++ b/tests/embed/test_asgi_endings.py
@@ -8,7 +8,7 @@
 
 from standins.counter import Counter
 from tests.embed.host import Host
-from tests.embed.middleware import Rig, raw, say
+from tests.embed.middleware import Rig, raw, send_response
 from tests.embed.test_ingress import nothing_in_flight, settings
 from tests.net.sockets import run, until
 from thistleusher.embed import Call, EmbeddedIngress, QuotaMiddleware
@@ -49,7 +49,7 @@
                         await stubborn.wait()
                     except asyncio.CancelledError:
                         continue
-                await say(send, 200, b"too late")
+                await send_response(send, 200, b"too late")
             else:
                 await asyncio.Event().wait()
 
@@ -73,7 +73,7 @@
 
         async def act(scope, receive, send):
             if dict(scope["headers"])[b"x-call-id"] != b"cut":
-                await say(send)
+                await send_response(send)
                 return
             if where == "answer":
                 await send({"type": "http.response.start", "status": 200, "headers": []})
@@ -130,7 +130,7 @@
             assert (await receive())["type"] == "http.disconnect"
             left.set()
             if not midway:
-                await say(send)  # dropped, since the client has disconnected
+                await send_response(send)  # dropped, since the client has disconnected
 
         async with Rig(act) as rig:
             client = await rig.client()
--- a/tests/embed/test_asgi_mapping.py
+++ b/tests/embed/test_asgi_mapping.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.embed.host import Host
-from tests.embed.middleware import TERMS, Rig, raw, say
+from tests.embed.middleware import TERMS, Rig, raw, send_response
 from tests.embed.test_ingress import nothing_in_flight
 from tests.net.sockets import Client, call, run, until
 from thistleusher.embed import PASS, BadRequest, Call, QuotaMiddleware
@@ -58,7 +58,7 @@
 def test_a_hosts_own_mapping_is_checked_the_same(mapped, status):
     async def main():
         async def act(scope, receive, send):
-            await say(send)
+            await send_response(send)
 
         def identify(scope):
             if isinstance(mapped, BadRequest):
@@ -77,7 +77,7 @@
 def test_two_middlewares_one_inside_the_other_are_a_plain_error_and_two_beside_each_other_are_not():
     async def main():
         async def act(scope, receive, send):
-            await say(send)
+            await send_response(send)
 
         async with Rig(act) as rig, Rig(act) as other:
             assert (await (await rig.client()).ask(raw()))[0] == 200
@@ -95,7 +95,7 @@
 def test_a_closed_ingress_under_a_middleware_is_a_plain_error():
     async def main():
         async def act(scope, receive, send):
-            await say(send)
+            await send_response(send)
 
         async with Rig(act) as rig:
             await rig.ingress.close()
@@ -111,7 +111,7 @@
 
         async def act(scope, receive, send):
             await go.wait()
-            await say(send)
+            await send_response(send)
 
         async with Rig(act) as rig:
             one, two = await rig.client(), await rig.client()
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -79,14 +79,14 @@
     return out
 
 
-class Played(NamedTuple):
+class RunResult(NamedTuple):
     answers: list[tuple[int, str, bytes]]
     logs: list[list[tuple[float, Event, list[Action]]]]
     added: list[tuple[str, float, float]]
     totals: dict[str, float]
 
 
-async def play(form: str, steps: list[Step], folder) -> Played:
+async def play(form: str, steps: list[Step], folder) -> RunResult:
     script = Script(START)
     counter = Counter(clock=script.time)
     await counter.start()
@@ -103,16 +103,16 @@
             if headers.get("connection") == "close" or status in (400, 404):
                 fleet.clients[step.instance].writer.close()
                 fleet.clients[step.instance] = await type(fleet.clients[0]).connect(fleet.ports[step.instance])
-            await fleet.quiet()
+            await fleet.wait_until_quiescent()
         await fleet.advance(1.0)
         logs = [list(r.log) for r in fleet.recorders]
         added = [(a.name, a.amount, a.total) for a in counter.records.of(Added)]
         totals = counter.totals()
     await counter.stop()
-    return Played(answers, logs, added, totals)
+    return RunResult(answers, logs, added, totals)
 
 
-def own_error(entry):
+def as_middleware_entry(entry):
     """Convert a daemon's log entry to the middleware's, for a request that the application answered 500 itself."""
     now, event, actions = entry
     if isinstance(event, events.AttemptEnded) and event.outcome is Outcome.ERROR and not event.done:
@@ -137,7 +137,7 @@
     assert not wrong, wrong[:5]
     for one, other in zip(daemon.logs, middleware.logs, strict=True):
         for a, b in zip(one, other, strict=True):
-            assert own_error(a) == b
+            assert as_middleware_entry(a) == b
     assert daemon.added == middleware.added and daemon.totals == middleware.totals
     statuses = [a[0] for a in middleware.answers]
     assert len(statuses) == STEPS and all(statuses.count(s) > n for s, n in ((200, 500), (429, 300), (400, 20)))
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -11,8 +11,8 @@
 import urllib3
 
 from tests.embed.host import Host
-from tests.embed.middleware import TERMS, Played, say
-from tests.embed.test_ingress import made
+from tests.embed.middleware import TERMS, HandlerApp, send_response
+from tests.embed.test_ingress import make_ingress
 from tests.net.sockets import run
 from thistleusher.core.answers import headers_of, problem_of
 from thistleusher.core.ports import Final, Verdict
@@ -26,11 +26,11 @@
     """Call `ask` with the port of a host whose member has used up its quota, and return the result."""
 
     async def act(scope, receive, send):
-        await say(send)
+        await send_response(send)
 
-    ingress = made(counter=MemoryCounter(lambda: 1000.0))
+    ingress = make_ingress(counter=MemoryCounter(lambda: 1000.0))
     await ingress.open()
-    host = Host(QuotaMiddleware(Played(act), ingress, **options))
+    host = Host(QuotaMiddleware(HandlerApp(act), ingress, **options))
     await host.start()
     try:
         async with httpx.AsyncClient(base_url=f"http://127.0.0.1:{host.port}") as client:
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -15,7 +15,7 @@
 from thistleusher.core.customer import Customer
 from thistleusher.embed import Call, EmbeddedIngress, PeerAddresses
 
-IN_HAND = 50
+IN_FLIGHT = 50
 TERMS = "units=2,spread=2,first=0"
 
 
@@ -74,11 +74,11 @@
             await until(lambda: peer.room(7, "basic") < 2.5)  # the program's usage message has arrived
             async with peer.admit(member):
                 pass
-            hands = [await Client.connect(program.port) for _ in range(IN_HAND)]
+            hands = [await Client.connect(program.port) for _ in range(IN_FLIGHT)]
             for n, hand in enumerate(hands):
                 hand.writer.write(call(f"hold{n}", "once", X_Call_Terms=TERMS, path=f"/api/{100 + n:016x}"))
-            await until(lambda: len(program.ran) == 3 + IN_HAND)
-            sent_on = 6.0 + 1.0 + 2.0 * IN_HAND
+            await until(lambda: len(program.ran) == 3 + IN_FLIGHT)
+            sent_on = 6.0 + 1.0 + 2.0 * IN_FLIGHT
             assert sum(counter.totals().values()) == sent_on
             await program.kill()
             for hand in hands:
@@ -98,7 +98,7 @@
             assert counter.calls == calls  # decided from the peer's message, without a counter call
             assert (await client.ask(call("fresh", "once", X_Call_Terms=TERMS, path="/api/0000000000000063")))[0] == 200
             await until(lambda: "fresh" in program.ran)
-            assert len(program.ran) == len(set(program.ran)) == 3 + IN_HAND + 1  # none twice, over both incarnations
+            assert len(program.ran) == len(set(program.ran)) == 3 + IN_FLIGHT + 1  # none twice, over both incarnations
             assert sum(counter.totals().values()) == sent_on + 1.0 + 2.0
         finally:
             if program.process.returncode is None:
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -35,12 +35,12 @@
     )
 
 
-def made(**more):
+def make_ingress(**more):
     counter = more.pop("counter", None)
     return EmbeddedIngress(settings(**more), counter=counter, clock=lambda: 1000.0, seed=1)
 
 
-class ByHand:
+class ManualCounter:
     """A counter port that never replies by itself; the test submits the replies."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
 def test_a_member_is_held_to_its_quota_and_refused_with_a_time_to_come_back():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
-        async with made(counter=counter) as ingress:
+        async with make_ingress(counter=counter) as ingress:
             for _ in range(4):
                 async with ingress.admit(CALL):
                     pass
@@ -87,7 +87,7 @@
 def test_true_units_are_settled_and_what_cannot_be_meant_is_refused():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
-        async with made(counter=counter) as ingress:
+        async with make_ingress(counter=counter) as ingress:
             async with ingress.admit(CALL) as admission:
                 for bad in (-1.0, 4.1, math.nan, math.inf):
                     with pytest.raises(BadRequest):
@@ -104,7 +104,7 @@
 
 def test_an_error_in_the_body_is_the_hosts_and_counts_against_the_app():
     async def main():
-        async with made() as ingress:
+        async with make_ingress() as ingress:
             with pytest.raises(KeyError):
                 async with ingress.admit(CALL):
                     raise KeyError("x")
@@ -115,7 +115,7 @@
 
 def test_a_body_over_its_time_is_ended_and_an_unsafe_one_has_failed():
     async def main():
-        async with made() as ingress:
+        async with make_ingress() as ingress:
             for cls, verdict in (("read", Verdict.NO_ROOM), ("once", Verdict.FAILED)):
                 with pytest.raises(NotServed) as ended:
                     async with ingress.admit(CALL._replace(class_name=cls, budget=0.05)):
@@ -129,7 +129,7 @@
 
 def test_an_answer_that_has_begun_has_all_the_time_it_takes():
     async def main():
-        async with made() as ingress:
+        async with make_ingress() as ingress:
             async with ingress.admit(CALL._replace(budget=0.02)) as admission:
                 assert admission.begin() and admission.begin()
                 held = ingress.driver.in_flight[admission.request.id]
@@ -188,14 +188,14 @@
 
 def test_cancelled_in_the_moment_of_admission_it_never_runs(caplog):
     async def main():
-        async with made() as ingress:
+        async with make_ingress() as ingress:
             ran = []
 
             async def work():
                 async with ingress.admit(CALL):
                     ran.append(1)
 
-            asked = ByHand()
+            asked = ManualCounter()
             ingress.driver.counter = asked
             for cancel_first in (False, True):
                 task = asyncio.create_task(work())
@@ -229,7 +229,7 @@
 
 def test_a_host_that_cancels_while_time_runs_out_stays_cancelled():
     async def main():
-        async with made() as ingress:
+        async with make_ingress() as ingress:
 
             async def work():
                 async with ingress.admit(CALL) as admission:
@@ -275,7 +275,7 @@
 def test_a_call_that_cannot_be_used_is_counted_and_not_charged(change):
     async def main():
         counter = MemoryCounter()
-        async with made(counter=counter) as ingress:
+        async with make_ingress(counter=counter) as ingress:
             with pytest.raises(BadRequest, match="expected|no such"):
                 ingress.admit(CALL._replace(**change))
             assert ingress.invalid == 1 and counter.totals() == {} and nothing_in_flight(ingress)
@@ -285,7 +285,7 @@
 
 def test_misuse_ends_in_plain_errors():
     async def main():
-        ingress = made()
+        ingress = make_ingress()
         with pytest.raises(RuntimeError, match="not open"):
             ingress.admit(CALL)
         async with ingress:
@@ -309,13 +309,13 @@
 
 
 def test_loops_one_after_another_each_want_an_ingress_of_their_own():
-    ingress = made()
+    ingress = make_ingress()
     run(ingress.open())
 
     async def main():
         with pytest.raises(RuntimeError, match="another event loop"):
             ingress.admit(CALL)
-        async with made() as fresh, fresh.admit(CALL):
+        async with make_ingress() as fresh, fresh.admit(CALL):
             pass
 
     run(main())
@@ -389,6 +389,6 @@
     assert counter.add(3, 1.0, 5.0) == 2.0 and len(counter.counts) == 1000
     now[0] += 0.2
     assert counter.add(3, 1.0, 90.0) == 1.0
-    assert len(counter.counts) == 1 == len(counter.ends)
+    assert len(counter.counts) == 1 == len(counter.expirations)
     now[0] += 60.0
     assert counter.totals() == {}
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -74,7 +74,7 @@
     return addresses
 
 
-class Seen:
+class ReceivedRequest:
     """A request as received by a peer."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter) -> None:
@@ -107,9 +107,9 @@
 class Peer:
     """An HTTP server whose answers the test provides: bytes, b"" to close the connection, or None for no answer."""
 
-    def __init__(self, act: Callable[[Seen], Awaitable[bytes | None]]) -> None:
+    def __init__(self, act: Callable[[ReceivedRequest], Awaitable[bytes | None]]) -> None:
         self.act = act
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.connections = 0
         self.port = 0
 
@@ -118,7 +118,7 @@
         """Start a peer that gives these answers in turn, and repeats the last one."""
         queue = list(answers or [ok()])
 
-        async def act(_: Seen) -> bytes | None:
+        async def act(_: ReceivedRequest) -> bytes | None:
             return queue.pop(0) if len(queue) > 1 else queue[0]
 
         return await cls(act).listen()
@@ -132,7 +132,7 @@
         self.connections += 1
         try:
             while True:
-                seen = Seen(*await read_message(reader), writer)
+                seen = ReceivedRequest(*await read_message(reader), writer)
                 self.seen.append(seen)
                 answer = await self.act(seen)
                 if answer == b"":
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -14,14 +14,14 @@
 from thistleusher.net.discovery import DiscoveryClient
 
 
-class Agent:
+class DiscoveryServer:
     """A discovery server that writes the test's lines to each watch."""
 
     def __init__(self) -> None:
         self.requests: list[str] = []
         self.lines: asyncio.Queue[bytes | None] = asyncio.Queue()
 
-    async def listen(self) -> Agent:
+    async def listen(self) -> DiscoveryServer:
         self.server = await asyncio.start_server(self.serve, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -40,10 +40,10 @@
 
 
 def test_the_watch_goes_on_after_a_garbled_line_and_after_its_end(monkeypatch):
-    monkeypatch.setattr(discovery_module, "RETRY_S", 0.001)
+    monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
 
     async def main():
-        agent = await Agent().listen()
+        agent = await DiscoveryServer().listen()
         got = []
         DiscoveryClient(asyncio.get_running_loop(), (HOST, agent.port), 41, got.append)
         agent.lines.put_nowait(b"\n" + text(42, entry("b0", 80), snapshot=True))
@@ -65,11 +65,11 @@
 
 
 def test_a_silent_watch_is_opened_anew(monkeypatch):
-    monkeypatch.setattr(discovery_module, "RETRY_S", 0.001)
-    monkeypatch.setattr(discovery_module, "SILENCE_S", 0.05)
+    monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
+    monkeypatch.setattr(discovery_module, "RECEIVE_TIMEOUT_S", 0.05)
 
     async def main():
-        agent = await Agent().listen()
+        agent = await DiscoveryServer().listen()
         DiscoveryClient(asyncio.get_running_loop(), (HOST, agent.port), 7, lambda _: None)
         await until(lambda: len(agent.requests) == 3)
 
@@ -77,14 +77,14 @@
 
 
 def test_discovery_is_retried_for_ever(monkeypatch):
-    monkeypatch.setattr(discovery_module, "RETRY_S", 0.001)
+    monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
 
     async def main():
         got = []
         discovery = DiscoveryClient(asyncio.get_running_loop(), (HOST, closed_port()), 7, got.append)
         await asyncio.sleep(0.02)
-        agent = await Agent().listen()
-        discovery.source.address = (HOST, agent.port)
+        agent = await DiscoveryServer().listen()
+        discovery.active_source.address = (HOST, agent.port)
         agent.lines.put_nowait(text(8))
         await until(lambda: got)
 
@@ -95,7 +95,7 @@
     """Versions need not continue from one service to the other, so only the whole list shows removed backends."""
 
     async def main():
-        old, new, go, got = await Agent().listen(), asyncio.Event(), asyncio.Event(), []
+        old, new, go, got = await DiscoveryServer().listen(), asyncio.Event(), asyncio.Event(), []
 
         async def act(seen):
             new.set()
@@ -123,10 +123,10 @@
 
 
 def test_a_list_that_could_not_be_taken_in_is_asked_for_again(monkeypatch):
-    monkeypatch.setattr(discovery_module, "RETRY_S", 0.001)
+    monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
 
     async def main():
-        agent = await Agent().listen()
+        agent = await DiscoveryServer().listen()
         got = []
 
         def take(listing):
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -9,7 +9,7 @@
 from standins.http import read_message
 from tests.net.sockets import HOST, Peer, Rig, call, in_turn, ok, run, until
 from thistleusher.core.events import Outcome
-from thistleusher.net.last_byte_guard import ACTIVE_S, EARLY_SHARE, LastByteGuard
+from thistleusher.net.last_byte_guard import EARLY_CLOSE_FRACTION, GUARD_DURATION_S, LastByteGuard
 
 IDLE = 15.0
 
@@ -17,23 +17,27 @@
 def test_it_is_active_for_a_while_after_a_connection_broke():
     guard = LastByteGuard(IDLE)
     assert not guard.is_active(0.0)
-    guard.connection_broke(100.0)
-    assert guard.is_active(100.0) and guard.is_active(100.0 + ACTIVE_S - 0.1) and not guard.is_active(100.0 + ACTIVE_S)
-    guard.connection_broke(110.0)
-    guard.connection_broke(105.0)  # an earlier break does not shorten the active time
-    assert guard.is_active(110.0 + ACTIVE_S - 0.1)
+    guard.record_broken_connection(100.0)
+    assert (
+        guard.is_active(100.0)
+        and guard.is_active(100.0 + GUARD_DURATION_S - 0.1)
+        and not guard.is_active(100.0 + GUARD_DURATION_S)
+    )
+    guard.record_broken_connection(110.0)
+    guard.record_broken_connection(105.0)  # an earlier break does not shorten the active time
+    assert guard.is_active(110.0 + GUARD_DURATION_S - 0.1)
 
 
 @pytest.mark.parametrize(
-    "idle,guarded", [(0.0, True), (EARLY_SHARE * IDLE * 0.9, True), (EARLY_SHARE * IDLE * 1.1, False)]
+    "idle,guarded", [(0.0, True), (EARLY_CLOSE_FRACTION * IDLE * 0.9, True), (EARLY_CLOSE_FRACTION * IDLE * 1.1, False)]
 )
 def test_an_idle_connection_that_was_closed_sooner_than_agreed_is_a_sign(idle, guarded):
     guard = LastByteGuard(IDLE)
-    guard.found_closed(100.0 + idle, 100.0)
+    guard.record_closed_while_idle(100.0 + idle, 100.0)
     assert guard.is_active(100.0 + idle) is guarded
 
 
-class Faulty:
+class FaultyBackend:
     """A backend that closes connections at a chosen moment, and counts the requests received completely."""
 
     def __init__(self, act) -> None:
@@ -62,7 +66,7 @@
 
 
 def activate_guard(rig):
-    rig.upstream.guard.connection_broke(rig.upstream.loop.time())
+    rig.upstream.guard.record_broken_connection(rig.upstream.loop.time())
 
 
 async def first_breaks(peer, number, reader, writer):
@@ -81,7 +85,7 @@
     """The backend resets its first connection at the second request's first byte, so the request has not run."""
 
     async def main():
-        backend = await Faulty(first_breaks).start()
+        backend = await FaultyBackend(first_breaks).start()
         rig = Rig(in_turn("b0", "b0"))
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("r1", cls="once")))[2] == b"run 1"
@@ -95,7 +99,7 @@
 
 def test_without_the_guard_the_same_break_is_a_reset_and_activates_it():
     async def main():
-        backend = await Faulty(first_breaks).start()
+        backend = await FaultyBackend(first_breaks).start()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         await client.ask(call("r1", cls="once"))
@@ -115,7 +119,7 @@
         writer.transport.abort()
 
     async def main():
-        backend, good = await Faulty(act).start(), await Peer.start(ok(b"good"))
+        backend, good = await FaultyBackend(act).start(), await Peer.start(ok(b"good"))
         rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
         activate_guard(rig)
@@ -133,7 +137,7 @@
         writer.transport.abort()
 
     async def main():
-        backend = await Faulty(act).start()
+        backend = await FaultyBackend(act).start()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         activate_guard(rig)
@@ -151,7 +155,7 @@
         await reader.read()
 
     async def main():
-        backend, good = await Faulty(act).start(), await Peer.start(ok(b"good"))
+        backend, good = await FaultyBackend(act).start(), await Peer.start(ok(b"good"))
         rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
         activate_guard(rig)
@@ -168,11 +172,11 @@
         await reader.read()
 
     async def main():
-        backend, good = await Faulty(act).start(), await Peer.start(ok(b"good"))
+        backend, good = await FaultyBackend(act).start(), await Peer.start(ok(b"good"))
         rig = backend.rig = Rig(in_turn("b0", "b1"))
         client = await rig.start(b0=backend.port, b1=good.port)
         activate_guard(rig)
-        rig.upstream.guard.hold_time = lambda: 0.05
+        rig.upstream.guard.last_byte_delay = lambda: 0.05
         assert (await client.ask(call("r1", cls="once")))[2] == b"good"
         assert rig.script.ends()[0].outcome is Outcome.MOOT and backend.complete == 0
 
@@ -184,11 +188,11 @@
         await peer.answer(reader, writer)
 
     async def main():
-        backend = await Faulty(act).start()
+        backend = await FaultyBackend(act).start()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         activate_guard(rig)
-        rig.upstream.guard.hold_time = lambda: 5.0
+        rig.upstream.guard.last_byte_delay = lambda: 5.0
         client.writer.write(call("r1", cls="once"))
         await until(lambda: backend.connections and rig.ingress.in_flight)
         client.writer.close()
--- a/tests/proxy/test_callers.py
+++ b/tests/proxy/test_callers.py
@@ -41,7 +41,7 @@
 
     async def scenario(world: World) -> None:
         client = world.client()
-        world.upstream.guard.connection_broke(world.loop.time())
+        world.upstream.guard.record_broken_connection(world.loop.time())
         client.ask(b"e1", b"e")
         while not any(c.exchange is not None for c in world.upstream.connections):
             await asyncio.sleep(0.001)
--- a/tests/proxy/test_leaving_clients.py
+++ b/tests/proxy/test_leaving_clients.py
@@ -100,7 +100,7 @@
 
     async def scenario(world: World) -> None:
         client = world.client()
-        world.upstream.guard.connection_broke(world.loop.time())
+        world.upstream.guard.record_broken_connection(world.loop.time())
         if name == b"p1":  # its last byte is not held back; it waits for its connection
             client.ask(name, b"p")
         else:
--- a/thistleusher/embed/asgi.py
+++ b/thistleusher/embed/asgi.py
@@ -90,7 +90,7 @@
         if request is None:
             await self.app(scope, receive, send)
         else:
-            await _Admitted(self, self.ingress.admission(request), scope, receive, send).run()
+            await _AdmittedRequest(self, self.ingress.admission(request), scope, receive, send).run()
 
     async def map(self, scope: Scope) -> events.Request | None:
         """Return the scope's request, or None if no quota applies. Counts a BadRequest in the ingress's `invalid`."""
@@ -113,7 +113,7 @@
         return ratelimit_headers(self.ingress.plans[request.plan], headroom)
 
 
-class _Admitted:
+class _AdmittedRequest:
     """One admitted request on its way through the middleware."""
 
     __slots__ = (
@@ -213,7 +213,7 @@
             headers = self._read_headers(message)
             message = {**message, "headers": [*headers, *self.middleware.fields(self.admission.request)]}
         elif kind == "http.response.body":
-            self._take_body(message)
+            self._record_body(message)
             if not self.admission.begun:
                 return
         elif self.admission.over or self.admission.left:
@@ -239,7 +239,7 @@
                 self.rejected = True
         return headers
 
-    def _take_body(self, message: Message) -> None:
+    def _record_body(self, message: Message) -> None:
         """Record whether the response is complete."""
         if self.complete:
             raise RuntimeError("the application has answered twice")
--- a/thistleusher/embed/counter.py
+++ b/thistleusher/embed/counter.py
@@ -23,20 +23,20 @@
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
         self.clock = clock
         self.counts: dict[int, tuple[float, float]] = {}  # by name: total and expiry time
-        self.ends: list[tuple[float, int]] = []  # heap of expiry times and names
+        self.expirations: list[tuple[float, int]] = []  # heap of expiry times and names
 
     def add(self, name: int, amount: float, lifetime: float) -> float:
         """Add to a name's count, and return the new total. A new name expires after `lifetime` seconds, at most 60."""
         now = self.clock()
-        while self.ends and self.ends[0][0] <= now:
-            end, old = heapq.heappop(self.ends)
+        while self.expirations and self.expirations[0][0] <= now:
+            end, old = heapq.heappop(self.expirations)
             if old in self.counts and self.counts[old][1] <= end:
                 del self.counts[old]
         total, expires_at = self.counts.get(name, (0.0, 0.0))
         if expires_at <= now:
             total = 0.0
             expires_at = now + min(MAX_LIFETIME_S, max(MIN_LIFETIME_S, lifetime))
-            heapq.heappush(self.ends, (expires_at, name))
+            heapq.heappush(self.expirations, (expires_at, name))
         self.counts[name] = (total + amount, expires_at)
         return total + amount
 
--- a/thistleusher/embed/ingress.py
+++ b/thistleusher/embed/ingress.py
@@ -84,9 +84,9 @@
         self.peer_addresses = peers
         if peers is not None:
             self._listen = read_address(peers.listen)
-            self._everybody = tuple(read_address(p) for p in peers.everybody)
-            if len(self._everybody) != settings.instances:
-                raise ValueError(f"peers: expected {settings.instances} addresses, got {len(self._everybody)}")
+            self._all_addresses = tuple(read_address(p) for p in peers.everybody)
+            if len(self._all_addresses) != settings.instances:
+                raise ValueError(f"peers: expected {settings.instances} addresses, got {len(self._all_addresses)}")
         self.clock = clock
         self.scheduler = scheduler
         self.seed = random.SystemRandom().getrandbits(63) if seed is None else seed
@@ -122,7 +122,7 @@
         driver.counter = self._counter = counter
         try:
             if self.settings.peers:
-                peers = PeerDatagrams(self._everybody, None, self.settings.me, driver.submit)
+                peers = PeerDatagrams(self._all_addresses, None, self.settings.me, driver.submit)
                 self._peers = peers
                 await loop.create_datagram_endpoint(lambda: peers, local_addr=self._listen)
                 driver.peers = peers
--- a/thistleusher/net/backend_connection.py
+++ b/thistleusher/net/backend_connection.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 # A connection is not reused after it has been idle for this fraction of the backend's idle time-out.
-TRUSTED_IDLE_SHARE = 0.5
+MAX_IDLE_FRACTION = 0.5
 REJECTED_STATUSES = (503, 504)  # with the header X-Rejected: 1, the backend states that it has not run the request
 
 
@@ -65,7 +65,7 @@
         self.idle_timeout_s = float("inf")  # the backend's idle time-out, from its Keep-Alive header
         self.closed = False
         self.has_carried_request = False
-        self.has_brought_stray_response = False  # a response that matches no request on this connection
+        self.has_received_stray_response = False  # a response that matches no request on this connection
         self.stall_timer: asyncio.TimerHandle | None = None
         self.last_byte_timer: asyncio.TimerHandle | None = None
 
@@ -85,9 +85,9 @@
             return True
         return True
 
-    def is_trusted(self, now: float) -> bool:
+    def is_within_idle_limit(self, now: float) -> bool:
         """Return whether the idle time is well below the backend's own idle time-out."""
-        return now - self.idle_since < TRUSTED_IDLE_SHARE * self.idle_timeout_s
+        return now - self.idle_since < MAX_IDLE_FRACTION * self.idle_timeout_s
 
     def send(self, exchange: BackendExchange) -> None:
         """Write the request. Once its last byte is written the request may run, so a break then counts as a reset."""
@@ -97,8 +97,8 @@
         message = exchange.message()
         if exchange.guarded:
             self.transport.write(message[:-1])
-            hold_time = self.pool.guard.hold_time()
-            self.last_byte_timer = self.pool.loop.call_later(hold_time, self._send_last_byte, message[-1:])
+            last_byte_delay = self.pool.guard.last_byte_delay()
+            self.last_byte_timer = self.pool.loop.call_later(last_byte_delay, self._send_last_byte, message[-1:])
         else:
             exchange.written = True
             self.transport.write(message)
@@ -137,9 +137,9 @@
         own = responses
         if id_header:  # a surplus response may arrive before the expected one
             own = [r for r in responses if r.headers.get(id_header) == self.exchange.request_id]
-            self.has_brought_stray_response = self.has_brought_stray_response or len(own) < len(responses)
+            self.has_received_stray_response = self.has_received_stray_response or len(own) < len(responses)
         if own:
-            spoilt = self.has_brought_stray_response or self.reader.partial or self.reader.error
+            spoilt = self.has_received_stray_response or self.reader.partial or self.reader.error
             self._finish(own[0], reusable=len(own) == 1 and not spoilt)
         elif self.reader.error:
             self._fail(self.reader.error)
@@ -177,7 +177,7 @@
         if exchange is None:
             return
         log.debug("backend %s: %s", self.pool.backend, reason)
-        self.pool.guard.connection_broke(self.pool.loop.time())
+        self.pool.guard.record_broken_connection(self.pool.loop.time())
         if exchange.written:
             exchange.end(Outcome.RESET)
         elif self.has_carried_request:
--- a/thistleusher/net/client_call.py
+++ b/thistleusher/net/client_call.py
@@ -29,11 +29,11 @@
     received_at: float  # time on the driver's scheduler when the request was complete
     has_client_left: Callable[[], bool]  # whether the client has closed its connection, read or not
 
-    def message(self, patience_s: float) -> bytes:
-        """Return the request as sent to a backend; `patience_s`: seconds that this ingress waits for a response."""
+    def message(self, timeout_s: float) -> bytes:
+        """Return the request as sent to a backend; `timeout_s`: seconds that this ingress waits for a response."""
         return b"%sX-Budget: %dm\r\nContent-Length: %d\r\n\r\n%s" % (
             self.head,
-            max(1, int(patience_s * 1000)),
+            max(1, int(timeout_s * 1000)),
             len(self.body),
             self.body,
         )
--- a/thistleusher/net/connection_pool.py
+++ b/thistleusher/net/connection_pool.py
@@ -52,10 +52,10 @@
         """
         while self.idle:
             connection = self.idle.pop()
-            if connection.idle_since >= oldest and connection.is_trusted(self.loop.time()):
+            if connection.idle_since >= oldest and connection.is_within_idle_limit(self.loop.time()):
                 if not connection.is_stale():
                     return connection
-                self.guard.found_closed(self.loop.time(), connection.idle_since)
+                self.guard.record_closed_while_idle(self.loop.time(), connection.idle_since)
             connection.drop()
         return None
 
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -31,8 +31,8 @@
 
 log = logging.getLogger("thistleusher")
 
-MAX_LAST_CALLS_S = 0.05  # time for the last counter calls and datagrams to be sent, at shutdown
-SPARE_SOCKETS = 64  # descriptors reserved for other uses than client and backend connections
+SHUTDOWN_FLUSH_MAX_S = 0.05  # time for the last counter calls and datagrams to be sent, at shutdown
+RESERVED_SOCKETS = 64  # descriptors reserved for other uses than client and backend connections
 MIN_SOCKETS = 16  # lower limit for client connections, and for backend connections, whatever `limits.sockets` says
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
@@ -56,7 +56,7 @@
         self.clock = clock
         self.placement = placement
         self.snapshotter = snapshotter
-        max_sockets = max(MIN_SOCKETS, (config.max_sockets - SPARE_SOCKETS) // 2)
+        max_sockets = max(MIN_SOCKETS, (config.max_sockets - RESERVED_SOCKETS) // 2)
         connect_timeout = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_S
         self.upstream = Upstream(loop, connect_timeout, config.backend_idle_s, max_sockets)
         self.gateway = make_gateway(settings, config.seed, clock(), placement)
@@ -73,11 +73,11 @@
         """Open all sockets, the clients' listener last. Raises OSError if an address cannot be bound."""
         config = self.config
         if self.snapshotter is not None:
-            self.snapshotter.current_endpoints = self.places
+            self.snapshotter.current_endpoints = self.endpoint_records
             self.snapshotter.start(self.gateway, self.clock, self.loop)
         self._connect_counter()
         await self._open_peers()
-        self._take_first_list()
+        self._load_initial_list()
         version = config.known.version if config.known else 0
         self.discovery = DiscoveryClient(self.loop, config.discovery, version, self.update_backends)
         await self.server.listen(*config.listen)
@@ -103,7 +103,7 @@
             await self.loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
             self.ingress.driver.peers = self.peers = peers
 
-    def _take_first_list(self) -> None:
+    def _load_initial_list(self) -> None:
         """Load the saved endpoint list or the configuration's, whichever has the higher version."""
         saved = self.snapshotter.endpoint_list if self.snapshotter is not None else None
         known = self.config.known
@@ -119,13 +119,13 @@
         self.ingress.update_backends(backends)
         self.list_version = backends.version
 
-    def places(self) -> tuple[int, tuple[EndpointRecord, ...]]:
+    def endpoint_records(self) -> tuple[int, tuple[EndpointRecord, ...]]:
         """Return the version and the entries of the current endpoint list, to be saved."""
         from thistleusher.state.records import EndpointRecord
 
         pools = self.upstream.pools
         entries = [b.entry for b in self.gateway.fleet.backends.values() if b.entry.backend in pools]
-        places = (
+        records = (
             EndpointRecord(
                 entry.backend,
                 entry.phase.value,
@@ -138,7 +138,7 @@
             )
             for entry in entries
         )
-        return self.list_version, tuple(places)
+        return self.list_version, tuple(records)
 
     def reload(self, config: Config, placement: Placement | None = None) -> None:
         """Apply changed addresses of discovery and counters. All other changes need a restart."""
@@ -159,7 +159,7 @@
         longest_s = max(c.deadline for c in self.config.settings.classes)
         await self.server.drain(notice, GracefulShutdown(self.loop.time(), longest_s))
         self.ingress.driver.hand_over()
-        await asyncio.sleep(min(MAX_LAST_CALLS_S, self.config.settings.counter_timeout / 2))
+        await asyncio.sleep(min(SHUTDOWN_FLUSH_MAX_S, self.config.settings.counter_timeout / 2))
         self.ingress.driver.hand_over()  # repeated, since the first datagram may be lost or arrive out of order
         self.close()
         log.info("%s has stopped", self.config.name)
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -16,8 +16,8 @@
 
 # Discovery sends an empty line every 2 s, and 6 s after a change it assumes that every client knows the change. A watch
 # that receives nothing for this long is reopened, well before that.
-SILENCE_S = 3.2
-RETRY_S = 0.2  # delay before a failed or ended watch is reopened
+RECEIVE_TIMEOUT_S = 3.2
+RETRY_DELAY_S = 0.2  # delay before a failed or ended watch is reopened
 CONNECT_TIMEOUT_S = 1.0
 MAX_LINE_BYTES = 8 * 1024 * 1024
 
@@ -28,16 +28,16 @@
     Changes are JSON objects, one per line. `ended` is set to the reason once the connection is no longer usable.
     """
 
-    def __init__(self, on_text: Callable[[bytes], int], address: Address, version: int | None) -> None:
-        """`on_text` applies a message and returns its version; it raises ValueError for an invalid one."""
-        self.on_text = on_text
+    def __init__(self, on_message: Callable[[bytes], int], address: Address, version: int | None) -> None:
+        """`on_message` applies a message and returns its version; it raises ValueError for an invalid one."""
+        self.on_message = on_message
         self.address = address
         self.version = version
         self.parser = httptools.HttpResponseParser(self)
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.last_heard = self.loop.time()
+        self.last_received_at = self.loop.time()
         self.ended: asyncio.Future[str] = self.loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -56,7 +56,7 @@
         """Parse received bytes; malformed HTTP ends the connection."""
         if self.ended.done():
             return
-        self.last_heard = self.loop.time()
+        self.last_received_at = self.loop.time()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -74,15 +74,15 @@
             *lines, rest = self.buffer.split(b"\n")
             self.buffer = bytearray(rest)
             for line in lines:
-                self._take(bytes(line))
+                self._apply_message(bytes(line))
         if len(self.buffer) > MAX_LINE_BYTES:
             self.end(f"message longer than {MAX_LINE_BYTES} bytes")
 
-    def _take(self, text: bytes) -> None:
+    def _apply_message(self, text: bytes) -> None:
         """Apply one message; an empty line is a keep-alive."""
         if text.strip() and not self.ended.done():
             try:
-                self.version = self.on_text(text)
+                self.version = self.on_message(text)
             except ValueError as error:  # the list stays unchanged; the next watch starts from the last valid version
                 self.end(f"invalid message: {error}")
 
@@ -93,7 +93,7 @@
             return
         text = bytes(self.buffer)
         self.buffer = bytearray()
-        self._take(text)
+        self._apply_message(text)
         if self.version is None:
             self.end("response without an endpoint list")
         else:
@@ -126,33 +126,33 @@
         self.task = loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Watch the list; reopen the watch after `RETRY_S` whenever it ends, fails or times out."""
+        """Watch the list; reopen the watch after `RETRY_DELAY_S` whenever it ends, fails or times out."""
         while True:
             try:
-                reason = await self._watch(DiscoveryConnection(self._on_text, self.address, self.version))
+                reason = await self._watch(DiscoveryConnection(self._on_message, self.address, self.version))
             except (OSError, TimeoutError) as error:
                 reason = f"connect: {error!r}"
             except Exception:  # any fault must lead to a new watch: otherwise the list would stay stale for ever
                 log.exception("discovery: the watch failed")
                 reason = "internal error"
             log.info("discovery: %s", reason)
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _watch(self, connection: DiscoveryConnection) -> str:
         """Run one connection until it ends or times out, and return the reason."""
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             transport, _ = await self.loop.create_connection(lambda: connection, *self.address)
         try:
-            while (left_s := connection.last_heard + SILENCE_S - self.loop.time()) > 0:
+            while (left_s := connection.last_received_at + RECEIVE_TIMEOUT_S - self.loop.time()) > 0:
                 done, _ = await asyncio.wait([connection.ended], timeout=left_s)
                 if done:
                     return connection.ended.result()
-            return f"nothing received for {SILENCE_S:g} s"
+            return f"nothing received for {RECEIVE_TIMEOUT_S:g} s"
         finally:
             connection.end("watch abandoned")
             transport.abort()
 
-    def _on_text(self, text: bytes) -> int:
+    def _on_message(self, text: bytes) -> int:
         backends = parse_backend_list_text(text)
         self.on_list(self, backends)
         self.version = backends.version  # set after the list was applied, so that a failed message is requested again
@@ -171,28 +171,28 @@
     ) -> None:
         self.loop = loop
         self.on_list = on_list
-        self.source = DiscoverySource(loop, address, version, self.on_source_list)
-        self.newest = self.source
+        self.active_source = DiscoverySource(loop, address, version, self.on_source_list)
+        self.latest_source = self.active_source
 
     def move(self, address: Address) -> None:
         """Switch to discovery at another address, once it has sent the whole list."""
-        if address == self.newest.address:
+        if address == self.latest_source.address:
             return
-        if self.newest is not self.source:
-            self.newest.task.cancel()
-        self.newest = DiscoverySource(self.loop, address, None, self.on_source_list)
+        if self.latest_source is not self.active_source:
+            self.latest_source.task.cancel()
+        self.latest_source = DiscoverySource(self.loop, address, None, self.on_source_list)
 
     def on_source_list(self, source: DiscoverySource, backends: BackendList) -> None:
         """Pass on a list, unless its source has been replaced. The newest source becomes active with its first list."""
-        if source is self.newest:
-            if source is not self.source:
-                self.source.task.cancel()
-                self.source = source
-        elif source is not self.source:
+        if source is self.latest_source:
+            if source is not self.active_source:
+                self.active_source.task.cancel()
+                self.active_source = source
+        elif source is not self.active_source:
             return
         self.on_list(backends)
 
     def close(self) -> None:
         """Stop all watches."""
-        self.source.task.cancel()
-        self.newest.task.cancel()
+        self.active_source.task.cancel()
+        self.latest_source.task.cancel()
--- a/thistleusher/net/exchange.py
+++ b/thistleusher/net/exchange.py
@@ -62,7 +62,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.written = False  # whether the whole request has been written, so that it may have run
         self.ended = False
-        self.reads_before = 0  # the pool's `read_count` when the exchange started
+        self.read_count_at_start = 0  # the pool's `read_count` when the exchange started
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """Report the outcome; later calls have no effect."""
--- a/thistleusher/net/ingress.py
+++ b/thistleusher/net/ingress.py
@@ -20,7 +20,7 @@
 from thistleusher.net.upstream import Upstream
 from thistleusher.services.http_responses import Response
 
-MIN_PATIENCE_S = 0.001  # the smallest X-Budget sent to a backend, however little time is left
+MIN_BACKEND_BUDGET_S = 0.001  # the smallest X-Budget sent to a backend, however little time is left
 LOAD_REPORT_REQUEST = b"GET /load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
@@ -70,16 +70,16 @@
         gateway: Decisions,
         upstream: Upstream,
         load_fields: tuple[str, ...] = (),
-        unix: Callable[[], float] = time.time,
+        clock: Callable[[], float] = time.time,
         scheduler: Scheduler | None = None,
     ) -> None:
-        """`load_fields`: names of the load report's values that are used; `unix` returns Unix time in seconds."""
+        """`load_fields`: names of the load report's values that are used; `clock` returns Unix time in seconds."""
         self.loop = loop
         self.settings = settings
         self.upstream = upstream
         self.load_fields = load_fields
         self.serving: set[str] = set()  # names of the backends that accept requests
-        self.driver = Driver(settings, gateway, self, scheduler or loop, unix)
+        self.driver = Driver(settings, gateway, self, scheduler or loop, clock)
         self.submit = self.driver.submit
         self.in_flight = self.driver.in_flight
 
@@ -128,7 +128,7 @@
         call: Call = in_flight.context
 
         def message() -> bytes:
-            return call.message(max(MIN_PATIENCE_S, in_flight.deadline - self.driver.scheduler.time()))
+            return call.message(max(MIN_BACKEND_BUDGET_S, in_flight.deadline - self.driver.scheduler.time()))
 
         def can_send() -> bool:
             return self.may_send(in_flight, backend)
@@ -136,7 +136,7 @@
         def ended(_: BackendExchange, outcome: Outcome, response: Response | None) -> None:
             true_units = 0.0
             if response is not None and outcome is Outcome.OK:
-                true_units = read_number(response.headers.get(b"x-cost-units", b""))
+                true_units = parse_non_negative(response.headers.get(b"x-cost-units", b""))
             load = self.load_report(response) if self.settings.load_in_answers else {}
             on_end(Ended(outcome, response, true_units, load))
 
@@ -163,7 +163,7 @@
             return {}
         text = (response.headers.get(b"x-load-report") or response.body).decode("ascii", "replace")
         pairs = (part.strip().partition("=") for part in text.removeprefix("TEXT").split(","))
-        return {key: read_number(value.encode()) for key, _, value in pairs if key in self.load_fields}
+        return {key: parse_non_negative(value.encode()) for key, _, value in pairs if key in self.load_fields}
 
     # The endpoint list.
 
@@ -190,7 +190,7 @@
         self.submit(events.ListUpdate(kind, backends.version, tuple(e for e, _ in backends.entries)))
 
 
-def read_number(text: bytes) -> float:
+def parse_non_negative(text: bytes) -> float:
     """Return a finite number of 0 or more; 0 for any other text."""
     try:
         value = float(text)
--- a/thistleusher/net/server.py
+++ b/thistleusher/net/server.py
@@ -102,13 +102,13 @@
         self.draining = True
         if self.listener is not None:
             self.listener.close()
-        while self.connections or self._waits_for_work(shutdown):
+        while self.connections or self._must_await_pending_work(shutdown):
             for connection in list(self.connections):
                 if connection.is_idle():  # checked on each poll: a connection may still be accepted after the close
                     connection.close()
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _waits_for_work(self, shutdown: GracefulShutdown | None) -> bool:
+    def _must_await_pending_work(self, shutdown: GracefulShutdown | None) -> bool:
         in_time = shutdown is None or self.loop.time() < shutdown.deadline
         return in_time and self.has_pending_work()
 
--- a/thistleusher/net/upstream.py
+++ b/thistleusher/net/upstream.py
@@ -9,7 +9,7 @@
 from thistleusher.core.events import Outcome
 from thistleusher.net.backend_connection import (
     DEFAULT_OPTIONS,
-    TRUSTED_IDLE_SHARE,
+    MAX_IDLE_FRACTION,
     BackendConnection,
     UpstreamOptions,
 )
@@ -37,14 +37,14 @@
         """`connect_timeout` in seconds; `idle_timeout`: seconds for which backends agree to keep idle connections."""
         self.loop = loop
         self.connect_timeout = connect_timeout
-        self.max_idle_s = TRUSTED_IDLE_SHARE * idle_timeout
+        self.max_idle_s = MAX_IDLE_FRACTION * idle_timeout
         self.max_sockets = max_sockets
         self.options = options
         self.guard = LastByteGuard(idle_timeout)
         self.pools: dict[str, ConnectionPool] = {}
         self.connections: set[BackendConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.opening = 0  # number of sockets that are being connected
+        self.connecting_count = 0  # number of sockets that are being connected
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def update(self, backend: str, endpoint: Endpoint | None) -> None:
@@ -68,7 +68,7 @@
         if pool is None or not exchange.can_send():
             exchange.end(Outcome.MOOT)
             return
-        exchange.reads_before = pool.read_count
+        exchange.read_count_at_start = pool.read_count
         exchange.guarded = exchange.guarded and self.guard.is_active(self.loop.time())
         exchange.timer = self.loop.call_later(max(0.0, timeout), self.expire, exchange)
         connection = pool.take(self.loop.time() - self.max_idle_s)
@@ -100,7 +100,7 @@
     def _give_up(self, exchange: BackendExchange, outcome: Outcome) -> None:
         """End an exchange. If its backend has sent nothing at all since it started, close the idle connections too."""
         pool = self.pools.get(exchange.backend)
-        if pool is not None and exchange.written and pool.read_count == exchange.reads_before:
+        if pool is not None and exchange.written and pool.read_count == exchange.read_count_at_start:
             pool.close_idle()
         exchange.give_up(outcome)
 
@@ -108,7 +108,7 @@
 
     def _start_open(self, pool: ConnectionPool, exchange: BackendExchange) -> None:
         """Open a connection for an exchange, if the limit on sockets allows it."""
-        if not self.make_room():
+        if not self.ensure_socket_available():
             log.warning("backend %s: no connection opened: limit on backend sockets reached", exchange.backend)
             exchange.end(Outcome.CONNECT_FAILED)
         else:
@@ -122,7 +122,7 @@
         The end of the exchange does not cancel this: once a transport owns the descriptor, closing it here too could
         close another socket that has got the same descriptor number.
         """
-        self.opening += 1
+        self.connecting_count += 1
         try:
             connection = await self.connect(pool)
         except (OSError, TimeoutError) as error:
@@ -130,7 +130,7 @@
             exchange.end(Outcome.CONNECT_FAILED)
             return
         finally:
-            self.opening -= 1
+            self.connecting_count -= 1
         if connection.closed:
             exchange.end(Outcome.CONNECT_FAILED)
         elif exchange.ended:
@@ -165,9 +165,9 @@
             raise
         return connection
 
-    def make_room(self) -> bool:
+    def ensure_socket_available(self) -> bool:
         """Return whether one more socket may be opened. At the limit, close the connection that is idle longest."""
-        if self.opening + len(self.connections) < self.max_sockets:
+        if self.connecting_count + len(self.connections) < self.max_sockets:
             return True
         idle = [p.idle[0] for p in self.pools.values() if p.idle]
         if idle:
--- a/thistleusher/proxy/forwarding.py
+++ b/thistleusher/proxy/forwarding.py
@@ -41,7 +41,7 @@
         upstream: Upstream,
         charge: Callable[[ChargeTenant], None],
     ) -> None:
-        super().__init__(loop, decisions.settings, decisions, upstream, unix=loop.time)
+        super().__init__(loop, decisions.settings, decisions, upstream, clock=loop.time)
         self.decisions = decisions
         self.driver.handlers[ChargeTenant] = charge
         self.cancel_in_driver = self.driver.handlers[actions.CancelAttempt]
