--- a/tests/embed/forms.py
+++ b/tests/embed/forms.py
@@ -168,7 +168,7 @@
         await send({"type": "http.response.body", "body": body})
 
 
-class Fleet:
+class InstanceGroup:
     """Three instances of one form with their counter, peers and apps. Subclasses open and close an instance."""
 
     def __init__(self, script: Script | None, counter: Counter, **changes: Any) -> None:
@@ -183,7 +183,7 @@
     def unix(self) -> Any:
         return self.script.time if self.script is not None else __import__("time").time
 
-    async def __aenter__(self) -> Fleet:
+    async def __aenter__(self) -> InstanceGroup:
         for n in range(INSTANCES):
             self.ports.append(await self.open(n))
             await self.wait_until_quiescent()
@@ -223,7 +223,7 @@
             await self.wait_until_quiescent()
 
 
-class Daemons(Fleet):
+class Daemons(InstanceGroup):
     """Daemons, each in front of its own stand-in application."""
 
     async def open(self, n: int) -> int:
@@ -264,7 +264,7 @@
         await discovery.stop()
 
 
-class Middlewares(Fleet):
+class Middlewares(InstanceGroup):
     """The stand-in applications with the middleware, served by the tests' ASGI host."""
 
     async def open(self, n: int) -> int:
--- a/tests/embed/host.py
+++ b/tests/embed/host.py
@@ -10,7 +10,7 @@
 
 
 class Host(Service):
-    """Serves one ASGI application. `cut` cancels a request's task, as a host's own time-out does."""
+    """Serves one ASGI application. `cancel_request` cancels a request's task, as a host's own time-out does."""
 
     def __init__(self, app: Any) -> None:
         super().__init__()
@@ -19,26 +19,30 @@
         self.errors: list[BaseException] = []
         self.answers: dict[str, int] = {}  # number of responses begun, by X-Call-Id
         self.lifespan: asyncio.Task[None] | None = None
-        self.into: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-        self.outof: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
+        self.lifespan_events: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
+        self.lifespan_replies: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
 
     async def start(self, port: int = 0) -> None:
         self.lifespan = asyncio.create_task(
-            self.app({"type": "lifespan", "asgi": {"version": "3.0"}, "state": {}}, self.into.get, self.outof.put)
+            self.app(
+                {"type": "lifespan", "asgi": {"version": "3.0"}, "state": {}},
+                self.lifespan_events.get,
+                self.lifespan_replies.put,
+            )
         )
-        await self.into.put({"type": "lifespan.startup"})
-        message = await self.outof.get()
+        await self.lifespan_events.put({"type": "lifespan.startup"})
+        message = await self.lifespan_replies.get()
         assert message["type"] == "lifespan.startup.complete", message
         await super().start(port)
 
     async def stop(self) -> None:
         await super().stop()
         if self.lifespan is not None:
-            await self.into.put({"type": "lifespan.shutdown"})
-            assert (await self.outof.get())["type"] == "lifespan.shutdown.complete"
+            await self.lifespan_events.put({"type": "lifespan.shutdown"})
+            assert (await self.lifespan_replies.get())["type"] == "lifespan.shutdown.complete"
             await self.lifespan
 
-    def cut(self, name: str) -> None:
+    def cancel_request(self, name: str) -> None:
         self.running[name].cancel()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
@@ -82,9 +86,9 @@
 
     def __init__(self, message: Message, connection: Connection) -> None:
         self.message, self.connection = message, connection
-        self.asked = self.complete = self.chunked = False
+        self.request_read = self.complete = self.chunked = False
         self.begun = 0
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     async def watch(self) -> None:
         """Detect the client's disconnect. Clients send nothing else while they wait for their answer."""
@@ -92,13 +96,13 @@
             reader = self.connection.reader
             while not reader.at_eof() and not self.connection.writer.transport.is_closing():  # noqa: ASYNC110 (no event for it)
                 await asyncio.sleep(0.005)
-        self.gone.set()
+        self.disconnected.set()
 
     async def receive(self) -> dict[str, Any]:
-        if not self.asked:
-            self.asked = True
+        if not self.request_read:
+            self.request_read = True
             return {"type": "http.request", "body": self.message.body, "more_body": False}
-        await self.gone.wait()
+        await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(self, message: dict[str, Any]) -> None:
--- a/tests/embed/test_asgi_endings.py
+++ b/tests/embed/test_asgi_endings.py
@@ -100,7 +100,7 @@
                 await until(lambda: rig.ingress.driver.gateway.admission.calls)
             else:
                 await inside.wait()
-            rig.host.cut("cut")
+            rig.host.cancel_request("cut")
             if where == "answer":
                 assert b"half" in await client.reader.read(4096)
                 with pytest.raises(asyncio.IncompleteReadError):  # the client can tell that the response is incomplete
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -91,21 +91,21 @@
     counter = Counter(clock=script.time)
     await counter.start()
     answers = []
-    async with FORMS[form](script, counter, folder=folder) as fleet:
-        for app in fleet.apps:
+    async with FORMS[form](script, counter, folder=folder) as group:
+        for app in group.apps:
             app.error_ids = {s.name for s in steps if s.error}
             app.true = {s.name: s.true for s in steps if s.true}
         for step in steps:
-            await fleet.advance(step.wait)
-            fleet.apps[step.instance].work = step.work
-            status, headers, body = await fleet.clients[step.instance].ask(step.raw)
+            await group.advance(step.wait)
+            group.apps[step.instance].work = step.work
+            status, headers, body = await group.clients[step.instance].ask(step.raw)
             answers.append((status, headers.get("retry-after", ""), body if status == 200 else b""))
             if headers.get("connection") == "close" or status in (400, 404):
-                fleet.clients[step.instance].writer.close()
-                fleet.clients[step.instance] = await type(fleet.clients[0]).connect(fleet.ports[step.instance])
-            await fleet.wait_until_quiescent()
-        await fleet.advance(1.0)
-        logs = [list(r.log) for r in fleet.recorders]
+                group.clients[step.instance].writer.close()
+                group.clients[step.instance] = await type(group.clients[0]).connect(group.ports[step.instance])
+            await group.wait_until_quiescent()
+        await group.advance(1.0)
+        logs = [list(r.log) for r in group.recorders]
         added = [(a.name, a.amount, a.total) for a in counter.records.of(Added)]
         totals = counter.totals()
     await counter.stop()
@@ -128,7 +128,7 @@
         return [await play(form, steps, tmp_path) for form in FORMS]
 
     daemon, middleware = asyncio.run(asyncio.wait_for(main(), 120))
-    # The only intended difference: an application's own 500 is the final answer; the daemon hides a backend's 500.
+    # The only intended difference: an application's own 500 is the final answer; a backend's 500 is not passed on.
     wrong = [
         (s.name, a, b)
         for s, a, b in zip(steps, daemon.answers, middleware.answers, strict=True)
@@ -158,11 +158,11 @@
             "charge": ClassShape("unsafe", 0.1, 2.0),
         }
         traffic = Traffic(3.0, 150.0, {"basic": 30, "plus": 6}, classes, seed=9)
-        async with FORMS[form](None, counter, folder=tmp_path, timeout=0.08) as fleet:
-            for app in fleet.apps:
+        async with FORMS[form](None, counter, folder=tmp_path, timeout=0.08) as group:
+            for app in group.apps:
                 app.delay = 0.004
                 app.error_ids = {f"op{n}.0" for n in range(0, 450, 23)}
-            front = Front([(HOST, p) for p in fleet.ports], traffic, fleet.records)
+            front = Front([(HOST, p) for p in group.ports], traffic, group.records)
             running = asyncio.create_task(front.run())
 
             async def sent(count):
@@ -189,7 +189,7 @@
             EFFECTS,
             passed_on=form == "middleware",
         )
-        verdict = audit(fleet.records.all, rules)
+        verdict = audit(group.records.all, rules)
         assert verdict.kept, verdict.lines()
         assert front.sent > 360 and front.tally[200] > 150 and front.tally.get(429, 0) > 0
         return verdict
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -26,7 +26,7 @@
         self.config = json.dumps(config)
         self.port = config["port"]
         self.ran: list[str] = []
-        self.heard = asyncio.Event()
+        self.usage_received = asyncio.Event()
 
     async def start(self):
         self.process = await asyncio.create_subprocess_exec(
@@ -38,7 +38,7 @@
     async def read(self):
         while line := await self.process.stdout.readline():
             if line == b"heard\n":
-                self.heard.set()
+                self.usage_received.set()
             else:
                 self.ran.append(line.decode().split()[1])
 
@@ -74,24 +74,24 @@
             await until(lambda: peer.room(7, "basic") < 2.5)  # the program's usage message has arrived
             async with peer.admit(member):
                 pass
-            hands = [await Client.connect(program.port) for _ in range(IN_FLIGHT)]
-            for n, hand in enumerate(hands):
-                hand.writer.write(call(f"hold{n}", "once", X_Call_Terms=TERMS, path=f"/api/{100 + n:016x}"))
+            clients = [await Client.connect(program.port) for _ in range(IN_FLIGHT)]
+            for n, held_client in enumerate(clients):
+                held_client.writer.write(call(f"hold{n}", "once", X_Call_Terms=TERMS, path=f"/api/{100 + n:016x}"))
             await until(lambda: len(program.ran) == 3 + IN_FLIGHT)
             sent_on = 6.0 + 1.0 + 2.0 * IN_FLIGHT
             assert sum(counter.totals().values()) == sent_on
             await program.kill()
-            for hand in hands:
+            for held_client in clients:
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                    await hand.answer()
+                    await held_client.answer()
             assert sum(counter.totals().values()) == sent_on
 
-            program.heard.clear()
+            program.usage_received.clear()
             await program.start()
             client = await Client.connect(program.port)
             async with peer.admit(member):  # makes the peer report the member, which has no units left
                 pass
-            await program.heard.wait()
+            await program.usage_received.wait()
             calls = counter.calls
             status, headers, _ = await client.ask(call("late", X_Call_Terms=TERMS, path="/api/0000000000000007"))
             assert status == 429 and float(headers["retry-after"]) > 0
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -69,7 +69,7 @@
     rig.upstream.guard.record_broken_connection(rig.upstream.loop.time())
 
 
-async def first_breaks(peer, number, reader, writer):
+async def reset_first_connection(peer, number, reader, writer):
     """Reset the first connection at its second request's first byte; answer requests on all others."""
     if number == 1:
         await read_message(reader)
@@ -85,7 +85,7 @@
     """The backend resets its first connection at the second request's first byte, so the request has not run."""
 
     async def main():
-        backend = await FaultyBackend(first_breaks).start()
+        backend = await FaultyBackend(reset_first_connection).start()
         rig = Rig(in_turn("b0", "b0"))
         client = await rig.start(b0=backend.port)
         assert (await client.ask(call("r1", cls="once")))[2] == b"run 1"
@@ -99,7 +99,7 @@
 
 def test_without_the_guard_the_same_break_is_a_reset_and_activates_it():
     async def main():
-        backend = await FaultyBackend(first_breaks).start()
+        backend = await FaultyBackend(reset_first_connection).start()
         rig = Rig(in_turn("b0"))
         client = await rig.start(b0=backend.port)
         await client.ask(call("r1", cls="once"))
--- a/thistleusher/net/backend_connection.py
+++ b/thistleusher/net/backend_connection.py
@@ -139,8 +139,8 @@
             own = [r for r in responses if r.headers.get(id_header) == self.exchange.request_id]
             self.has_received_stray_response = self.has_received_stray_response or len(own) < len(responses)
         if own:
-            spoilt = self.has_received_stray_response or self.reader.partial or self.reader.error
-            self._finish(own[0], reusable=len(own) == 1 and not spoilt)
+            is_unusable = self.has_received_stray_response or self.reader.partial or self.reader.error
+            self._finish(own[0], reusable=len(own) == 1 and not is_unusable)
         elif self.reader.error:
             self._fail(self.reader.error)
         elif any(id_header not in response.headers for response in responses):
--- a/thistleusher/net/daemon.py
+++ b/thistleusher/net/daemon.py
@@ -31,7 +31,7 @@
 
 log = logging.getLogger("thistleusher")
 
-SHUTDOWN_FLUSH_MAX_S = 0.05  # time for the last counter calls and datagrams to be sent, at shutdown
+SHUTDOWN_FLUSH_MAX_S = 0.05  # upper limit of the wait for the counter to process the last calls, at shutdown
 RESERVED_SOCKETS = 64  # descriptors reserved for other uses than client and backend connections
 MIN_SOCKETS = 16  # lower limit for client connections, and for backend connections, whatever `limits.sockets` says
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
