--- a/tests/embed/middleware.py
+++ b/tests/embed/middleware.py
@@ -1,9 +1,9 @@
-"""The middleware for tests: an application whose HTTP part is the test's, with its host."""
+"""Test rig of the middleware: an application whose HTTP handler the test provides, and its host."""
 
 from __future__ import annotations
 
 from tests.embed.host import Host, serve_lifespan
-from tests.embed.test_ingress import made
+from tests.embed.test_ingress import make_ingress
 from tests.net.sockets import Client, call
 from thistleusher.embed import MemoryCounter, QuotaMiddleware
 
@@ -14,8 +14,8 @@
     return call(name, cls, X_Call_Terms=TERMS, **more)
 
 
-class Played:
-    """An application whose HTTP part is the test's."""
+class HandlerApp:
+    """An application whose HTTP handler the test provides."""
 
     def __init__(self, act):
         self.act, self.scopes = act, []
@@ -28,7 +28,7 @@
             await self.act(scope, receive, send)
 
 
-async def say(send, status=200, body=b"fine", headers=()):
+async def send_response(send, status=200, body=b"fine", headers=()):
     await send(
         {"type": "http.response.start", "status": status, "headers": [(b"content-length", b"%d" % len(body)), *headers]}
     )
@@ -36,12 +36,12 @@
 
 
 class Rig:
-    """An ingress, the middleware, an application and its host."""
+    """An ingress, the middleware, an application, and its host."""
 
     def __init__(self, act, counter=None, identify=None, fields=False):
         self.counter = counter or MemoryCounter(lambda: 1000.0)
-        self.ingress = made(counter=self.counter)
-        self.app = Played(act)
+        self.ingress = make_ingress(counter=self.counter)
+        self.app = HandlerApp(act)
         self.host = Host(QuotaMiddleware(self.app, self.ingress, identify, fields))
 
     async def __aenter__(self):
--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware: what an application gets and answers, over loopback sockets and without."""
+"""Tests of the middleware: requests and answers of applications, over loopback sockets and without sockets."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from starlette.routing import Route
 
 from tests.embed.host import Host
-from tests.embed.middleware import Rig, raw, say
-from tests.embed.test_ingress import made, nothing_in_flight
+from tests.embed.middleware import Rig, raw, send_response
+from tests.embed.test_ingress import make_ingress, nothing_in_flight
 from tests.net.sockets import Client, run, until
 from thistleusher.embed import PASS, Call, QuotaMiddleware
 
@@ -21,7 +21,7 @@
 def test_requests_are_served_refused_and_told_what_is_left():
     async def main():
         async def act(scope, receive, send):
-            await say(send, 200, b"units " + dict(scope["headers"])[b"x-call-id"])
+            await send_response(send, 200, b"units " + dict(scope["headers"])[b"x-call-id"])
 
         async with Rig(act, fields=True) as rig:
             client = await rig.client()
@@ -43,14 +43,14 @@
             if name == b"settled":
                 scope["thistleusher.admission"].settle(4.0)
             value = {b"r1": b"1", b"r2": b"x", b"r3": b"99", b"r4": b"nan"}.get(name)
-            await say(send, headers=[(b"x-cost-units", value)] if value else [])
+            await send_response(send, headers=[(b"x-cost-units", value)] if value else [])
 
         async with Rig(act) as rig:
             client = await rig.client()
             for name, left in (("r1", 7.0), ("r2", 5.0), ("settled", 1.0)):
                 assert (await client.ask(raw(name)))[0] == 200
                 assert rig.ingress.room(10, "basic") == left
-            for name in ("r3", "r4"):  # what cannot be meant is left out
+            for name in ("r3", "r4"):  # invalid values are ignored
                 assert (await client.ask(raw(name, path="/api/000000000000000b")))[0] == 200
             assert rig.ingress.room(11, "basic") == 4.0
 
@@ -67,9 +67,9 @@
                 return
             if name == b"body":
                 await send({"type": "http.response.body", "body": b"x"})
-            await say(send)
+            await send_response(send)
             if name == b"twice":
-                await say(send)
+                await send_response(send)
             if name == b"again":
                 await send({"type": "http.response.body", "body": b"x"})
 
@@ -77,7 +77,7 @@
 
             async def once(name, cls="read"):
                 client = await rig.client()
-                member = f"/api/{len(name):016x}"  # a quota for each
+                member = f"/api/{len(name):016x}"  # a separate member, and so a separate quota
                 try:
                     return (await client.ask(raw(name, cls, path=member)))[0]
                 finally:
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("framework", ["starlette", "fastapi"])
 def test_under_the_common_frameworks(framework):
     async def main():
-        ingress = made()
+        ingress = make_ingress()
 
         async def items(request=None):
             return PlainTextResponse("an item")
@@ -173,11 +173,12 @@
         async def act(scope, receive, send):
             inside.append(1)
             await go.wait()
-            await say(send)
+            await send_response(send)
 
         async with Rig(act) as rig:
             fleet = rig.ingress.driver.gateway.fleet
-            slots, fleet.latency["read"] = int(fleet.slots), 1.0  # a wait that few can be given
+            # A latency so long that only a few requests can be queued within their deadline.
+            slots, fleet.latency["read"] = int(fleet.slots), 1.0
             done = []
 
             async def once(n):
@@ -189,7 +190,7 @@
             tasks = [asyncio.create_task(once(n)) for n in range(60)]
             await until(lambda: len(inside) == slots and len(done) + rig.ingress.held == 60)
             refused = list(done)
-            assert len(refused) >= 30 and set(refused) == {(503, True)}  # at once, while the others are in flight
+            assert len(refused) >= 30 and set(refused) == {(503, True)}  # while the others are in flight
             go.set()
             await asyncio.gather(*tasks)
             assert {s for s, _ in done[len(refused) :]} == {200} and nothing_in_flight(rig.ingress)
--- a/tests/embed/test_asgi_endings.py
+++ b/tests/embed/test_asgi_endings.py
@@ -1,4 +1,4 @@
-"""The middleware: time that runs out, hosts that cancel and clients that leave."""
+"""Tests of the middleware: deadlines, cancellation by the host, and disconnects of clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from standins.counter import Counter
 from tests.embed.host import Host
-from tests.embed.middleware import Rig, raw, say
+from tests.embed.middleware import Rig, raw, send_response
 from tests.embed.test_ingress import nothing_in_flight, settings
 from tests.net.sockets import run, until
 from thistleusher.embed import Call, EmbeddedIngress, QuotaMiddleware
@@ -49,7 +49,7 @@
                         await stubborn.wait()
                     except asyncio.CancelledError:
                         continue
-                await say(send, 200, b"too late")
+                await send_response(send, 200, b"too late")
             else:
                 await asyncio.Event().wait()
 
@@ -57,7 +57,7 @@
             client = await rig.client()
             assert (await client.ask(raw("r1", budget="50m")))[0] == 503
             assert (await client.ask(raw("r2", "once", budget="50m")))[0] == 502
-            assert (await client.ask(raw("stubborn", budget="50m")))[0] == 503  # while it runs on
+            assert (await client.ask(raw("stubborn", budget="50m")))[0] == 503  # while the application still runs
             assert rig.host.running
             stubborn.set()
             await until(lambda: not rig.host.running)
@@ -73,7 +73,7 @@
 
         async def act(scope, receive, send):
             if dict(scope["headers"])[b"x-call-id"] != b"cut":
-                await say(send)
+                await send_response(send)
                 return
             if where == "answer":
                 await send({"type": "http.response.start", "status": 200, "headers": []})
@@ -100,13 +100,13 @@
                 await until(lambda: rig.ingress.driver.gateway.admission.counter_calls)
             else:
                 await inside.wait()
-            rig.host.cut("cut")
+            rig.host.cancel_request("cut")
             if where == "answer":
                 assert b"half" in await client.reader.read(4096)
-                with pytest.raises(asyncio.IncompleteReadError):  # cut short, and the client can see it
+                with pytest.raises(asyncio.IncompleteReadError):  # the client can tell that the response is incomplete
                     await client.reader.readuntil(b"0\r\n\r\n")
             else:
-                assert (await client.answer())[0] == 504  # the host's: exactly one
+                assert (await client.answer())[0] == 504  # the host's own answer, and the only one
             counter.silence(False)
             assert (await other.ask(raw("r2", "once")))[0] == 200
             await until(lambda: nothing_in_flight(rig.ingress))
@@ -130,7 +130,7 @@
             assert (await receive())["type"] == "http.disconnect"
             left.set()
             if not midway:
-                await say(send)  # dropped: nobody is there
+                await send_response(send)  # dropped, since the client has disconnected
 
         async with Rig(act) as rig:
             client = await rig.client()
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -1,7 +1,8 @@
-"""One suite against both forms: the same recorded requests, the same decisions, answers and counts.
+"""Compares both forms of the ingress: the same requests must lead to the same decisions, answers and counts.
 
-The clock and the counter are scripted, so that the two are compared exactly: every event that reached the decisions
-and every action that came of it, not only the answers. A second run has real time, faults and many at once.
+The clock and the counter are scripted, so that the forms can be compared exactly: every event passed to the decision
+module and every action it returned, not only the answers. A second test runs in real time, with faults and concurrent
+requests.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 def recorded(seed: int) -> list[Step]:
-    """A sequence in which members use up their quotas, move between instances and retry; some calls are bad."""
+    """Return a sequence in which members use up quotas, change instances and retry; some requests are invalid."""
     rng = random.Random(seed)
     out: list[Step] = []
     for n in range(STEPS):
@@ -78,41 +79,41 @@
     return out
 
 
-class Played(NamedTuple):
+class RunResult(NamedTuple):
     answers: list[tuple[int, str, bytes]]
     logs: list[list[tuple[float, Event, list[Action]]]]
     added: list[tuple[str, float, float]]
     totals: dict[str, float]
 
 
-async def play(form: str, steps: list[Step], folder) -> Played:
+async def play(form: str, steps: list[Step], folder) -> RunResult:
     script = Script(START)
     counter = Counter(clock=script.time)
     await counter.start()
     answers = []
-    async with FORMS[form](script, counter, folder=folder) as fleet:
-        for app in fleet.apps:
+    async with FORMS[form](script, counter, folder=folder) as group:
+        for app in group.apps:
             app.error_ids = {s.name for s in steps if s.error}
             app.true = {s.name: s.true for s in steps if s.true}
         for step in steps:
-            await fleet.advance(step.wait)
-            fleet.apps[step.instance].work = step.work
-            status, headers, body = await fleet.clients[step.instance].ask(step.raw)
+            await group.advance(step.wait)
+            group.apps[step.instance].work = step.work
+            status, headers, body = await group.clients[step.instance].ask(step.raw)
             answers.append((status, headers.get("retry-after", ""), body if status == 200 else b""))
             if headers.get("connection") == "close" or status in (400, 404):
-                fleet.clients[step.instance].writer.close()
-                fleet.clients[step.instance] = await type(fleet.clients[0]).connect(fleet.ports[step.instance])
-            await fleet.quiet()
-        await fleet.advance(1.0)
-        logs = [list(r.log) for r in fleet.recorders]
+                group.clients[step.instance].writer.close()
+                group.clients[step.instance] = await type(group.clients[0]).connect(group.ports[step.instance])
+            await group.wait_until_quiescent()
+        await group.advance(1.0)
+        logs = [list(r.log) for r in group.recorders]
         added = [(a.name, a.amount, a.total) for a in counter.records.of(Added)]
         totals = counter.totals()
     await counter.stop()
-    return Played(answers, logs, added, totals)
+    return RunResult(answers, logs, added, totals)
 
 
-def own_error(entry):
-    """A daemon's log entry as the middleware has it where the application itself has answered 500."""
+def as_middleware_entry(entry):
+    """Convert a daemon's log entry to the middleware's, for a request that the application answered 500 itself."""
     now, event, actions = entry
     if isinstance(event, events.AttemptEnded) and event.outcome is Outcome.ERROR and not event.done:
         assert [type(a) for a in actions] in ([Refuse], [Fail])
@@ -127,7 +128,7 @@
         return [await play(form, steps, tmp_path) for form in FORMS]
 
     daemon, middleware = asyncio.run(asyncio.wait_for(main(), 120))
-    # The one difference that is meant: an application's own 500 is its answer, a backend's is not passed on.
+    # The only intended difference: an application's own 500 is the final answer; a backend's 500 is not passed on.
     wrong = [
         (s.name, a, b)
         for s, a, b in zip(steps, daemon.answers, middleware.answers, strict=True)
@@ -136,7 +137,7 @@
     assert not wrong, wrong[:5]
     for one, other in zip(daemon.logs, middleware.logs, strict=True):
         for a, b in zip(one, other, strict=True):
-            assert own_error(a) == b
+            assert as_middleware_entry(a) == b
     assert daemon.added == middleware.added and daemon.totals == middleware.totals
     statuses = [a[0] for a in middleware.answers]
     assert len(statuses) == STEPS and all(statuses.count(s) > n for s, n in ((200, 500), (429, 300), (400, 20)))
@@ -157,18 +158,18 @@
             "charge": ClassShape("unsafe", 0.1, 2.0),
         }
         traffic = Traffic(3.0, 150.0, {"basic": 30, "plus": 6}, classes, seed=9)
-        async with FORMS[form](None, counter, folder=tmp_path, timeout=0.08) as fleet:
-            for app in fleet.apps:
+        async with FORMS[form](None, counter, folder=tmp_path, timeout=0.08) as group:
+            for app in group.apps:
                 app.delay = 0.004
                 app.error_ids = {f"op{n}.0" for n in range(0, 450, 23)}
-            front = Front([(HOST, p) for p in fleet.ports], traffic, fleet.records)
+            front = Front([(HOST, p) for p in group.ports], traffic, group.records)
             running = asyncio.create_task(front.run())
 
             async def sent(count):
                 while front.sent < count and not running.done():  # noqa: ASYNC110 (polls a state of the same loop)
                     await asyncio.sleep(0.005)
 
-            await sent(60)  # faults come after so many requests, whatever the time
+            await sent(60)  # faults are injected by number of requests sent, not by time
             counter.lose_share, counter.spoil_share = 0.2, 0.2
             await sent(120)
             counter.lose_share = counter.spoil_share = 0.0
@@ -188,7 +189,7 @@
             EFFECTS,
             passed_on=form == "middleware",
         )
-        verdict = audit(fleet.records.all, rules)
+        verdict = audit(group.records.all, rules)
         assert verdict.kept, verdict.lines()
         assert front.sent > 360 and front.tally[200] > 150 and front.tally.get(429, 0) > 0
         return verdict
@@ -198,4 +199,4 @@
 
 def test_the_recorded_sequence_is_the_same_every_time():
     assert recorded(11) == recorded(11) and recorded(11) != recorded(12)
-    assert time.time() > START  # the scripted time is in the past: no real clock can be mistaken for it
+    assert time.time() > START  # the scripted time is in the past, so the real clock cannot match it
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -1,4 +1,4 @@
-"""Common clients read from a refusal when to come back, and why."""
+"""Tests that common HTTP clients can read the retry time and the reason from a refusal."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import urllib3
 
 from tests.embed.host import Host
-from tests.embed.middleware import TERMS, Played, say
-from tests.embed.test_ingress import made
+from tests.embed.middleware import TERMS, HandlerApp, send_response
+from tests.embed.test_ingress import make_ingress
 from tests.net.sockets import run
 from thistleusher.core.answers import headers_of, problem_of
 from thistleusher.core.ports import Final, Verdict
@@ -23,14 +23,14 @@
 
 
 async def with_host(ask, **options):
-    """A host whose member has spent its quota, and what `ask` makes of it."""
+    """Call `ask` with the port of a host whose member has used up its quota, and return the result."""
 
     async def act(scope, receive, send):
-        await say(send)
+        await send_response(send)
 
-    ingress = made(counter=MemoryCounter(lambda: 1000.0))
+    ingress = make_ingress(counter=MemoryCounter(lambda: 1000.0))
     await ingress.open()
-    host = Host(QuotaMiddleware(Played(act), ingress, **options))
+    host = Host(QuotaMiddleware(HandlerApp(act), ingress, **options))
     await host.start()
     try:
         async with httpx.AsyncClient(base_url=f"http://127.0.0.1:{host.port}") as client:
@@ -62,7 +62,7 @@
 
     waited = run(with_host(lambda port: asyncio.to_thread(ask, port)))
     assert waited == [1, 1]
-    with pytest.raises(urllib3.exceptions.InvalidHeader):  # what it makes of a decimal
+    with pytest.raises(urllib3.exceptions.InvalidHeader):  # urllib3 rejects a decimal value
         urllib3.Retry().parse_retry_after("0.431")
 
 
