--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -26,7 +26,9 @@
 KILL_INTERVAL_S = 0.7  # between two kills of one ingress, whose start takes 0.3
 ATTEMPTS = 4  # at a fleet whose ports others have taken
 # The log line of each incarnation that has a state folder, and what the counts in it are of.
-START_LINE = re.compile(r"state: life (\d+), (\d+) members put back, (\d+) rooms, (\d+) records spoilt")
+START_LINE = re.compile(
+    r"state: incarnation (\d+): (\d+) members and (\d+) reservations restored; skipped records: (\d+) corrupt"
+)
 RESTORED = ("customers restored", "reservations restored", "records corrupt")
 
 
--- a/tests/cli/test_state_folder.py
+++ b/tests/cli/test_state_folder.py
@@ -12,7 +12,7 @@
 
 def test_a_folder_is_looked_at_and_left_as_it_was(tmp_path, capsys):
     folder = str(tmp_path / "state")
-    assert main(["state", "show", folder]) == 2 and "no state folder" in capsys.readouterr().err
+    assert main(["state", "show", folder]) == 2 and "not a state folder" in capsys.readouterr().err
     store = Store(folder, "n0")
     store.start_incarnation("n0", 100.0)
     store.commit(
@@ -21,7 +21,7 @@
             (("room", 1), encode(ReservationRecord("plus", 7, 0, 3, 29.0, 65.0, 2.5, 100.0))),
         ]
     )
-    assert main(["state", "show", folder]) == 2 and "another process holds it" in capsys.readouterr().err
+    assert main(["state", "show", folder]) == 2 and "locked by another process" in capsys.readouterr().err
     store.record_shutdown(160.0)
     store.close()
     assert main(["state", "show", folder]) == 0
--- a/tests/state/helpers.py
+++ b/tests/state/helpers.py
@@ -1,4 +1,4 @@
-"""What tests of the state share: a member's record, a disk and a scheduler of the test's own."""
+"""Shared helpers of the state tests: a member record, a fake disk and a manual scheduler."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class SlowDisk:
-    """A disk that commits once `let` is set, and fails the next `fail` commits."""
+    """A fake disk whose commits block until `let` is set; the next `fail` commits raise an error."""
 
     def __init__(self):
         self.let = threading.Event()
@@ -53,7 +53,7 @@
 
 
 class ManualScheduler:
-    """Collects what is to be called later."""
+    """Collects scheduled callbacks in `due` without calling them."""
 
     def __init__(self):
         self.due = []
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -1,7 +1,8 @@
-"""Killed between any two steps of its work: charge, send, answer, note and write-back, each point once.
+"""Kills an ingress between any two steps of its work (charge, send, answer, record, write-back), each point once.
 
-One ingress in scripted time, its records committed right behind each decision (before what it calls for is carried
-out) or right behind what was carried out. What the counter holds in the end is held against what came to the servers.
+Guards against admitted units that are missing from the counter, or counted twice, after a kill. One ingress runs in
+scripted time. Its records are committed either before the actions of each decision are carried out or after them. The
+final total of the counter is compared with the units that reached the backends.
 """
 
 from __future__ import annotations
@@ -12,11 +13,15 @@
 
 from tests.quota.world import BASIC, World
 
-UNITS = 4.0  # of the largest request
+UNITS = 4.0  # units of the largest request
 
 
 class Crashing(World):
-    """One ingress of two that is killed at its step number `at`, and back a tenth of a second later."""
+    """Two ingresses, of which ingress 0 is killed at its step number `at` and restarted 0.1 s later.
+
+    early: commit records before the actions of a decision are carried out, else after them
+    restores: restore the committed records at the restart
+    """
 
     def __init__(self, at: int, early: bool, restores: bool = True) -> None:
         self.crash_at, self.early, self.restores = at, early, restores
@@ -53,7 +58,10 @@
 
 
 def played(at, early, restores=True):
-    """An ordinary second, an outage in which the quota is used up, and the counter back: all is written back."""
+    """Run a second of normal operation, a counter outage that exhausts the quota, and the recovery with write-back.
+
+    Return the world, and by how many units the counter's total exceeds the admitted units.
+    """
     w = Crashing(at, early, restores)
     for n, (when, units) in enumerate(
         [
@@ -76,7 +84,7 @@
     for when, silent in ((0.8, True), (2.5, False)):
         w.at(when, lambda silent=silent: setattr(w.counters[0], "silent", silent))
     w.run(10.0)
-    for _ in range(2):  # an incarnation that was killed at its shutdown leaves its work to the next one
+    for _ in range(2):  # if the ingress is killed during its shutdown, the next incarnation completes the write-back
         if w.gateways[0] is not None:
             w.leave(0)
         w.run(1.0)
@@ -90,10 +98,11 @@
 
 @pytest.mark.parametrize("early", [True, False])
 def test_at_every_point_what_was_let_in_is_counted_once_or_stated(early):
-    """Committed before it is carried out, nothing is ever lost to the count; committed after, one request is at most.
+    """If records are committed before actions are carried out, no unit is lost to the count; else at most one request.
 
-    Too much is counted for one request whose charge was on its way, and for a write-back under way: where the next
-    total of the same window comes, it shows it; else, and where the record of it was lost, it is counted twice.
+    Units may be counted twice for one request whose charge was in flight and for a write-back in progress. The next
+    total of the same window normally reveals them. Without such a total, or if their record was lost, they are counted
+    twice.
     """
     points = next(played(-1, early)[0].steps)
     ends = [played(k, early) for k in range(points)]
--- a/tests/state/test_options.py
+++ b/tests/state/test_options.py
@@ -1,4 +1,4 @@
-"""The older file of the state's options."""
+"""The legacy file of the state folder's options."""
 
 from __future__ import annotations
 
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -1,4 +1,4 @@
-"""The program with a state folder: what a member has used survives SIGKILL."""
+"""The program with a state folder: a member's used units survive SIGKILL."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def committed(tmp_path):
-    """Units of each member that are kept as in no count yet."""
+    """Return the stored pending units of each member, which no count includes yet."""
     db = sqlite3.connect(f"file:{tmp_path}/state/state.db?mode=ro", uri=True)
     try:
         return [decode_member(body).pending for (body,) in db.execute("SELECT body FROM member")]
@@ -59,9 +59,9 @@
         client = await program.start()
         try:
             statuses = [(await client.ask(call(f"a{n}", X_Call_Terms=TERMS)))[0] for n in range(3)]
-            assert statuses == [200, 200, 429]  # two times four of eight units
+            assert statuses == [200, 200, 429]  # two requests of four units each exhaust the burst of eight units
             if kept:
-                await until(lambda: committed(tmp_path) == [8.0])  # the last commit is behind the last answer
+                await until(lambda: committed(tmp_path) == [8.0])  # the commit may follow the last answer
             await program.end()
             client = await program.start()
             status = (await client.ask(call("again", X_Call_Terms=TERMS)))[0]
@@ -112,7 +112,7 @@
                 timeout=60,
             )
             assert second.returncode == 2 and second.stderr.count("\n") == 1
-            assert "another process holds it" in second.stderr
+            assert "locked by another process" in second.stderr
         finally:
             await program.end()
             await counter.stop()
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -1,4 +1,4 @@
-"""A record is read as it was written, one version back and forward, and rejected where it is corrupt."""
+"""Records round-trip, are compatible one version back and forward, and are rejected if they are corrupt."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         body = msgspec.msgpack.encode(values)
         return zlib.crc32(body).to_bytes(4) + body
 
-    assert decode_member(packed(fields[:11])) == member()  # without the fields that came scheduler
+    assert decode_member(packed(fields[:11])) == member()  # without the fields that were added later
     assert decode_member(packed([*fields, "from", {"the": "future"}])) == member()
     for values in ([], fields[:5], ["x", *fields[1:]], {"key": 7}):
         with pytest.raises(RecordError):
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a record is still worth after an absence: members, reservations, what was learned, the endpoint list."""
+"""Restoring stored records after a downtime: members, reservations, backend measurements, the endpoint list."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 @pytest.mark.parametrize(
     "more,why",
     [
-        (dict(plan="gold"), "plan is gone"),
-        (dict(level=float("nan")), "not a number"),
-        (dict(at=float("inf")), "not a number"),
-        (dict(burst=0.0), "not a number"),
-        (dict(at=1.0, pending=0.0), "long full"),
+        (dict(plan="gold"), "of unknown plans"),
+        (dict(level=float("nan")), "with invalid figures"),
+        (dict(at=float("inf")), "with invalid figures"),
+        (dict(burst=0.0), "with invalid figures"),
+        (dict(at=1.0, pending=0.0), "expired"),
     ],
 )
 def test_a_record_that_says_nothing_is_skipped_and_counted(more, why):
@@ -86,7 +86,7 @@
 
 
 def ingress_that_has_learned(now=100.0):
-    """A fleet that has learned: answers take a quarter of what is assumed, b1 is ejected."""
+    """Return an ingress with backend measurements: answers take a quarter of the assumed time, b1 is ejected."""
     i = Ingress(now=now, born=1.0)
     for _ in range(60):
         i.end(only(i.ask(), actions.Attempt), elapsed=0.08)
@@ -118,7 +118,7 @@
     assert new.latency["read"] == old.latency["read"] != Ingress().gw.fleet.latency["read"]
     later = restarted(i, now + 300.0)
     assert ratio < later.backends[name].ratio < 1.0 and not later.backends["b1"].trial
-    assert restarted(i, now + 1.0, born=2.0).backends[name].ratio == 1.0  # another process
+    assert restarted(i, now + 1.0, born=2.0).backends[name].ratio == 1.0  # another incarnation of the backend
     back = restarted(i, now - 3600.0)
     assert back.backends["b1"].ejected_until == 0.0 and back.backends[name].ratio < 1.0
     assert recover_learned(now + 601.0, old.to_learned(now)) is None
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -1,4 +1,7 @@
-"""Ingresses killed in an outage in scripted time: what a member gets too much with restored state and without."""
+"""Ingresses killed during a counter outage, in scripted time: a member's excess units with and without restored state.
+
+Guards against a fresh quota after each restart: without restored state, an ingress forgets the units that it admitted.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def beyond_after_restarts(keep, seed, kills=12):
-    """A member that asks for far more than it may, at an ingress that is killed again and again in an outage."""
+    """Return the units beyond the quota of a member that sends far too much to an ingress that is repeatedly killed."""
     w = World(seed, 2)
     w.counters[0].silent = True
     for g in w.gateways:
@@ -57,7 +60,7 @@
 
 
 class Outage:
-    """Three ingresses in an outage of the counter, each with a folder or without."""
+    """Three ingresses during an outage of the counter, all with or all without a state folder."""
 
     def __init__(self, tmp_path, with_folders, seed):
         self.tmp_path, self.with_folders, self.seed = tmp_path, with_folders, seed
@@ -84,7 +87,7 @@
                 assert snapshotter.writer.flush(10.0)
 
     def kill_all(self):
-        """A kill leaves a folder without the last batch, and without a record of the shutdown."""
+        """Kill all ingresses; their folders lack the last batch and a record of the shutdown."""
         for n in range(3):
             self.world.kill(n)
             if self.with_folders:
@@ -98,7 +101,10 @@
 
 
 def outage_with_kills(tmp_path, with_folders, seed):
-    """All are killed together three times; returns units beyond the ceiling, and requests served since the first."""
+    """Kill all ingresses at once, three times.
+
+    Return the units beyond the ceiling, and the number of requests served since the first kill.
+    """
     outage = Outage(tmp_path, with_folders, seed)
     w = outage.world
     outage.run(1.0)
@@ -117,4 +123,4 @@
     with_folders = [outage_with_kills(tmp_path, True, seed) for seed in range(2)]
     without = [outage_with_kills(tmp_path, False, seed) for seed in range(2)]
     assert max(over for over, _ in with_folders) <= 0.0 < min(over for over, _ in without), (with_folders, without)
-    assert min(served for _, served in with_folders) > 15, (with_folders, without)  # their rate goes on
+    assert min(served for _, served in with_folders) > 15, (with_folders, without)  # allowances still refill
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -1,4 +1,4 @@
-"""The snapshotter: batches out while the ingress serves, everything back at a start."""
+"""The snapshotter saves changes in batches while the ingress serves and restores them at a start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def test_only_changes_are_returned_in_batches():
     w = World(4, 2)
     gateway = w.gateways[0]
-    assert gateway.take_changed(10) == []  # nothing is followed where nothing is saved
+    assert gateway.take_changed(10) == []  # changes are not tracked before `restore`
     gateway.restore(w.now, [])
     for m in range(5):
         w.ask(0, m)
@@ -38,20 +38,20 @@
     w.run(0.05)
     delay, run_batch = scheduler.due.pop()
     run_batch()
-    assert delay == 0.005 and scheduler.due[-1][0] == 0.0  # more waits: at once, after the loop's turn
+    assert delay == 0.005 and scheduler.due[-1][0] == 0.0  # more changes remain, so the next batch runs without delay
     assert one.close()
     w.restart(0)
     two = snapshotter()
     incarnation, found = two.start(w.gateways[0], lambda: w.now, scheduler)
     assert incarnation.number == 2 and len(found.members) == 700
     assert w.gateways[0].headroom(w.now, 3, "plus") < PLUS.burst
-    two.store.db.execute("PRAGMA query_only=1")  # the disk takes nothing any more
+    two.store.db.execute("PRAGMA query_only=1")  # every write fails from now on
     assert not two.close()
-    assert Store(tmp_path / "a", "n0").previous.ended_at == 0.0  # let go, and taken for killed
+    assert Store(tmp_path / "a", "n0").previous.ended_at == 0.0  # unlocked, and treated as killed
 
 
 def snapshotter_with_disk(tmp_path, w, disk, most=200_000):
-    """A snapshotter of ingress 0 whose writer goes to a disk of the test's."""
+    """Return a snapshotter of ingress 0 whose writer commits to `disk`."""
     snapshotter = Snapshotter(StateOptions(str(tmp_path / "a")), "n0", settings_of(0), 60.0, TERMS)
     snapshotter.start(w.gateways[0], lambda: w.now, ManualScheduler())
     snapshotter.writer.close()
@@ -62,7 +62,7 @@
 def test_a_reservation_counts_as_committed_only_when_it_is(tmp_path):
     w, disk = World(5), SlowDisk()
     w.counters[0].silent = True
-    w.run(9.0)  # incarnations are settled, and allowances are full
+    w.run(9.0)  # the incarnations are known to all ingresses, and the allowances are full
     snapshotter = snapshotter_with_disk(tmp_path, w, disk)
     for _ in range(12):
         w.ask(0, 7)
@@ -86,7 +86,7 @@
         w.ask(0, m)
     assert 0 < snapshotter.submit_changes(1000) <= 20 and disk.began.wait(10.0)
     while snapshotter.submit_changes(1000):
-        pass  # until there is no capacity any more
+        pass  # until the writer has no capacity left
     assert snapshotter.writer.rejected == 0 and len(w.gateways[0].replication.customers.changed) > 0
     disk.let.set()
     assert snapshotter.close()
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -1,4 +1,4 @@
-"""The folder: what was committed is there again after a kill, and a folder that cannot be used is rejected."""
+"""The state folder: committed records survive a kill, and a folder that cannot be used is rejected."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 def test_a_folder_in_use_of_another_ingress_of_a_later_format_or_none_is_rejected(tmp_path):
     store = Store(tmp_path / "a", "n0")
-    with pytest.raises(StateFolderError, match="a: another process holds it"):
+    with pytest.raises(StateFolderError, match="a: locked by another process"):
         Store(tmp_path / "a", "n0")
     store.start_incarnation("n0", 1.0)
     store.close()
-    with pytest.raises(StateFolderError, match="it is of ingress 'n0', this is 'n1'"):
+    with pytest.raises(StateFolderError, match="belongs to ingress 'n0', but this ingress is 'n1'"):
         Store(tmp_path / "a", "n1")
     db = sqlite3.connect(tmp_path / "a" / DATABASE_FILE)
     db.execute("INSERT INTO life VALUES (99, ?)", (encode(IncarnationRecord("n0", 99, 1.0, 1, 2)),))
@@ -70,10 +70,10 @@
         Store(tmp_path / "a", "n0")
     monkeypatch.undo()
     monkeypatch.setattr(os, "geteuid", lambda: 4711)
-    with pytest.raises(StateFolderError, match="a: it is user .* this is user 4711"):
+    with pytest.raises(StateFolderError, match="a: owned by user .* runs as 4711"):
         Store(tmp_path / "a", "n0")
     monkeypatch.undo()
-    Store(tmp_path / "a", "n0").close()  # nothing is locked any more
+    Store(tmp_path / "a", "n0").close()  # the failed attempts left no lock behind
 
 
 def test_a_record_that_is_written_twice_is_there_once(tmp_path):
@@ -93,7 +93,7 @@
     assert copy.is_copy
     copy.start_incarnation("n0", 2.0)
     copy.close()
-    assert not Store(tmp_path / "b", "n0").is_copy  # and is its own from then on
+    assert not Store(tmp_path / "b", "n0").is_copy  # independent once its first incarnation has started
 
 
 @pytest.mark.parametrize("cut", [1, 100, 4096, 20_000])
@@ -104,7 +104,7 @@
         store.commit([(("member", n), encode(member(n)))])
     log = tmp_path / "a" / (DATABASE_FILE + "-wal")
     whole = log.read_bytes()
-    shutil.copytree(tmp_path / "a", tmp_path / "b")  # as a machine that stops leaves it
+    shutil.copytree(tmp_path / "a", tmp_path / "b")  # the state that a machine crash leaves behind
     (tmp_path / "b" / (DATABASE_FILE + "-wal")).write_bytes(whole[:-cut])
     store.close()
     torn = Store(tmp_path / "b", "n0")
@@ -165,7 +165,7 @@
             [(("member", n), encode(member(n, peer_quarters=dict.fromkeys(range(200), 1)))) for n in range(100, 5000)]
         )
     assert sum(1 for _ in store.members()) == 100
-    store.commit([(("member", 1), None)])  # and goes on
+    store.commit([(("member", 1), None)])  # later commits still work
     store.close()
 
 
@@ -174,7 +174,7 @@
         store = Store(tmp_path / "a", "n0")
         assert list(store.reservations()) == ([RESERVATION] if number == 2 else [])
         store.start_incarnation("n0", 100.0)
-        assert list(store.reservations()) == []  # whoever comes next must not count on what this incarnation may spend
+        assert list(store.reservations()) == []  # later incarnations must not rely on what this one may spend
         store.commit([(("room", 7), encode(RESERVATION)), (("fact", 9), b"?")])
         store.close()
 
@@ -185,7 +185,7 @@
     store.start_incarnation("n0", 100.0)
     store.close()
     store = Store(tmp_path / "a", "n0")
-    assert last_active_time(500.0, store.previous) == 500.0  # killed, and nobody knows when
+    assert last_active_time(500.0, store.previous) == 500.0  # killed at an unknown time
     store.start_incarnation("n0", 200.0)
     store.record_shutdown(300.0)
     store.close()
--- a/tests/state/test_writer.py
+++ b/tests/state/test_writer.py
@@ -1,4 +1,4 @@
-"""The writer: nobody waits for the disk, and what it did not take is retried."""
+"""The writer: callers never wait for the disk, and failed commits are retried."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     writer = Writer(disk, interval=0.0, max_pending=3, clock=lambda: now[0])
     assert writer.put(1, b"a") and disk.began.wait(10.0)
     assert writer.put(1, b"b") and writer.put(1, b"c") and writer.put(2, b"d") and writer.put(3, None)
-    assert not writer.put(4, b"e") and writer.rejected == 1  # bounded
+    assert not writer.put(4, b"e") and writer.rejected == 1  # the queue is full
     now[0] = 5.0
     assert writer.lag() == 5.0 and not disk.batches
     disk.let.set()
--- a/thistleusher/state/__init__.py
+++ b/thistleusher/state/__init__.py
@@ -1,5 +1,6 @@
-"""Persistence of one ingress's state, in a folder that an operator gives it.
+"""Persistence of one ingress's state in a folder that the operator configures.
 
-The event loop never waits for the disk; a kill loses at most the changes of the last `commit_every`. No folder is used
-by two processes at once, or by another ingress than its own, and a corrupt record costs only itself.
+The event loop never waits for the disk. If the process is killed, at most the changes of the last `commit_every`
+seconds are lost. A folder is used by one process at a time and belongs to one ingress. A corrupt record does not affect
+the other records.
 """
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -1,20 +1,21 @@
-"""What a stored record is still worth after an absence: pure functions, by the rules stated here.
-
-1. A bucket refills while nobody looks: `level` at `at` says it all as long as the clock has gone on. Where the clock
-   was set back, no time counts as passed; where it was set forward, that time counts, which is the clock's fault.
-2. What peers admitted meanwhile is in their running totals: with the last ones received, the next update makes up for
-   all of it. A level that a peer reports replaces a record only for a member that this ingress knows nothing of.
-3. What no count includes yet is written back once, by this incarnation, unless the folder is a copy, whose original
-   may have written it. A unit that was on its way to the count at the kill may be in it: it is uncertain, and the next
-   total of the same window shows it where nobody else can have added as much. Otherwise it is counted twice: the member
-   may get that much less, never more.
-4. Where a plan has changed, the units that were used stay used: they come off the new burst.
-5. A reservation is worth what `quota.reservations` says, and only under the terms that it was noted under; in a copied
-   folder it is worth nothing, as the original may be alive and spend it.
-6. What was learned of backends ages: speeds for ten minutes, faults and ejections while they could still hold. After
-   the clock was set back only the speeds are believed. Only the same process of a backend is meant.
-7. An endpoint list serves until discovery answers, for a minute at most; a drained server stays in it for a second.
-8. A record older than the time after which the member would have been forgotten says nothing: its bucket is full.
+"""Rules for restoring stored records at a start. All functions are pure.
+
+1. A bucket refills while the process is down, so `level` at the time `at` determines its present level. If the clock
+   was set back, no time counts as elapsed. If it was set forward, the additional time counts as elapsed.
+2. Units that peers admitted in the meantime are in their running totals. The last received totals are restored, so the
+   next update from each peer accounts for the difference. A level reported by a peer replaces the stored one only for a
+   member that this ingress does not know.
+3. Units that no count includes yet are written back once, by this incarnation. This is not done from a copied folder,
+   because the original may have written them back. A unit that was being sent to the counter at the time of the kill
+   may or may not be counted. The next total of the same window settles this if nobody else can have added as much.
+   Otherwise the unit is counted twice: the member may get that much less, but never more.
+4. If a plan has changed, used units stay used: they are deducted from the new burst.
+5. The value of a reservation is defined in `quota.reservations`. It holds only under the terms that were in effect when
+   it was recorded. In a copied folder it is worth nothing, because the original may still be running and spend it.
+6. Measurements of backends age: speeds hold for ten minutes, faults and ejections for as long as they could still
+   apply. If the clock was set back, only the speeds are used. They apply to the same incarnation of a backend only.
+7. An endpoint list is used until discovery answers, for a minute at most. A drained backend stays in it for a second.
+8. A record older than the retention period of a member is ignored: the member's bucket is full by then.
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
 from thistleusher.core.snapshots import Learned, LearnedBackend, SavedCustomer, SavedReservation
 from thistleusher.state.records import EndpointListRecord, IncarnationRecord, MemberRecord, ReservationRecord
 
-SPEEDS_MAX_AGE_S = 600.0  # for which learned speeds say something
-FAULTS_DECAY_S = 10.0  # time constant with which learned faults fade
-ENDPOINT_LIST_MAX_AGE_S = 60.0  # for which an endpoint list and the learned concurrency say something
-MAX_UNITS = 1e12  # of any figure in a record; beyond it the record is not believed
+SPEEDS_MAX_AGE_S = 600.0  # age beyond which measured speeds are discarded
+FAULTS_DECAY_S = 10.0  # time constant of the exponential decay of measured faults
+ENDPOINT_LIST_MAX_AGE_S = 60.0  # age beyond which an endpoint list and the measured concurrency are discarded
+MAX_UNITS = 1e12  # a record with a larger figure is treated as invalid
 UNKNOWN_WINDOW = -1
 
 
 @dataclass(slots=True)
 class RecoveredMembers:
-    """Members to be restored into the decision module, and how many records were skipped, by reason."""
+    """Members to restore into the decision module, and the number of skipped records by reason."""
 
     members: list[SavedCustomer] = field(default_factory=list)
     skipped: dict[str, int] = field(default_factory=dict)
@@ -55,18 +56,18 @@
 ) -> RecoveredMembers:
     """Return the members that can be restored.
 
-    retention: seconds after which the decision module forgets a quiet member
-    is_copy: the folder is a copy of another ingress's
+    retention: seconds of inactivity after which the decision module forgets a member
+    is_copy: whether the folder is a copy of another ingress's folder
     """
     recovered = RecoveredMembers()
     for record in records:
         plan = plans.get(record.plan)
         if plan is None or plan.rate <= 0:
-            recovered.skip("plan is gone")
+            recovered.skip("of unknown plans")
         elif not _plausible(record):
-            recovered.skip("not a number")
+            recovered.skip("with invalid figures")
         elif record.at < now - retention and record.pending <= 0:
-            recovered.skip("long full")
+            recovered.skip("expired")
         else:
             recovered.members.append(_recover_member(now, record, plan, is_copy))
     return recovered
@@ -91,8 +92,8 @@
     same_plan = (plan.rate, plan.burst) == (record.rate, record.burst)
     used = record.burst - record.level
     level = min(plan.burst, record.level if same_plan else plan.burst - used)
-    # Windows of another length have other names: what an old window's count holds is in no present one's. The same
-    # where the clock was set back.
+    # A window's number depends on its length. After a change of the plan, or if the clock was set back, the count of
+    # the old window is part of no present window.
     window_known = same_plan and record.at <= now
     member = SavedCustomer(
         record.key,
@@ -107,7 +108,7 @@
     )
     if not window_known:
         return member
-    # What peers reported and what is uncertain hold for their windows only.
+    # The units reported by peers and the unconfirmed units apply to their own windows only.
     return SavedCustomer(
         *member[:9],
         record.reported,
@@ -119,9 +120,9 @@
 
 
 def last_active_time(now: float, previous: IncarnationRecord | None) -> float | None:
-    """Return until when the previous incarnation may have been active; None without one.
+    """Return the time until which the previous incarnation may have been active, or None if there was none.
 
-    That is its shutdown, or `now` where it was killed, as nobody knows when.
+    This is the time of its shutdown, or `now` if it was killed, because the time of a kill is not recorded.
     """
     if previous is None:
         return None
@@ -134,10 +135,10 @@
     terms: Mapping[str, tuple[float, float]],
     is_copy: bool = False,
 ) -> list[SavedReservation]:
-    """Return the reservations under the same terms as before.
+    """Return the reservations whose terms have not changed.
 
-    terms: rate and burst of each plan's allowance now
-    is_copy: the folder is a copy, so nothing in it may be spent
+    terms: present rate and burst of each plan's allowance
+    is_copy: whether the folder is a copy; no reservation of a copied folder may be spent
     """
     if is_copy:
         return []
@@ -154,7 +155,7 @@
 
 
 def recover_learned(now: float, learned: Learned | None) -> Learned | None:
-    """Return what is left by now of what was learned; None where it says nothing any more."""
+    """Return the measurements of the backends, aged to `now`, or None if they are too old or invalid."""
     if learned is None or learned.at < now - SPEEDS_MAX_AGE_S or not _all_finite(learned):
         return None
     age = max(0.0, now - learned.at)
@@ -190,7 +191,7 @@
 
 
 def recover_endpoint_list(now: float, record: EndpointListRecord | None) -> EndpointListRecord | None:
-    """Return the endpoint list where it is neither too old nor from the future, else None."""
+    """Return the endpoint list, or None if it is too old or from the future."""
     if record is None or not now - ENDPOINT_LIST_MAX_AGE_S <= record.at <= now:
         return None
     return record
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -1,4 +1,4 @@
-"""Saves one ingress's state while it serves, in batches through the writer, and restores it at the start."""
+"""Saves one ingress's state in batches through the writer while it serves, and restores it at the start."""
 
 from __future__ import annotations
 
@@ -33,55 +33,55 @@
 
 log = logging.getLogger(__name__)
 
-BATCH_SIZE = 150  # members encoded at a time: about a millisecond of the event loop
-FACTS_INTERVAL_S = 2.0  # between two records of what was learned of backends, and of the endpoint list
-CLOSE_TIMEOUT_S = 2.0  # for the last commit
-PLAN_BITS = 7  # of a reservation's key; the customer's number is above them
+BATCH_SIZE = 150  # members encoded in one batch, which takes about a millisecond of the event loop
+FACTS_INTERVAL_S = 2.0  # interval between records of the backend measurements and of the endpoint list
+CLOSE_TIMEOUT_S = 2.0  # time limit of the last commit
+PLAN_BITS = 7  # low bits of a reservation's key that hold the plan's number; the higher bits hold the customer's number
 
 
 class Timer(Protocol):
-    """What `call_later` returns."""
+    """The handle that `call_later` returns."""
 
     def cancel(self) -> object:
-        """Keep the callback from being called."""
+        """Prevent the callback from being called."""
 
 
 class Scheduler(Protocol):
     """The event loop's `call_later`; the delay is in seconds."""
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> Timer:
-        """Call back after the delay."""
+        """Call the callback after the delay."""
 
 
 class BackendKnowledge(Protocol):
-    """What the snapshotter asks of the decisions on backends."""
+    """The part of the backend decisions that the snapshotter uses."""
 
     def to_learned(self, now: float) -> Learned:
-        """Return what was learned of the backends."""
+        """Return the measurements of the backends."""
 
 
 class Decisions(Protocol):
-    """What the snapshotter asks of the decision module."""
+    """The part of the decision module that the snapshotter uses."""
 
     @property
     def escrow(self) -> Escrow | None:
-        """Return the escrowed shares, if ingresses have any."""
+        """Return the escrowed shares, or None if shares are not escrowed."""
 
     @property
     def fleet(self) -> BackendKnowledge:
-        """Return the decisions on backends."""
+        """Return the backend decisions."""
 
     def restore(self, now: float, members: Iterable[SavedCustomer], learned: Learned | None) -> None:
-        """Take in what an earlier incarnation knew, and follow changes from now on."""
+        """Restore the state of an earlier incarnation and start to track changes."""
 
     def take_changed(self, most: int) -> list[SavedCustomer]:
-        """Return up to `most` members that have changed since they were last returned."""
+        """Return up to `most` members that have changed since they were last returned by this method."""
 
 
 class SubmittedReservations(NamedTuple):
-    """Reservations on their way to disk, by plan and customer.
+    """Reservations that were submitted to the writer, by plan and customer.
 
-    They are on disk once the writer has committed `last` records.
+    They are on disk once `Writer.committed` has reached `last`.
     """
 
     last: int
@@ -89,7 +89,7 @@
 
 
 class Snapshotter:
-    """The persistent state of one ingress."""
+    """Saves and restores the state of one ingress."""
 
     def __init__(
         self,
@@ -99,10 +99,10 @@
         member_retention: float,
         terms: dict[str, tuple[float, float]] | None = None,
     ) -> None:
-        """Open the folder of the ingress `name`; raises StateFolderError where it cannot be used.
+        """Open the folder of the ingress `name`. Raises StateFolderError if it cannot be used.
 
-        member_retention: seconds after which the decision module forgets a quiet member
-        terms: rate and burst of the allowance that reservations are of, by plan
+        member_retention: seconds of inactivity after which the decision module forgets a member
+        terms: rate and burst of the allowance from which reservations are taken, by plan
         """
         self.options = options
         self.name = name
@@ -114,8 +114,8 @@
         self.gateway: Decisions | None = None
         self.writer: Writer | None = None
         self.timer: Timer | None = None
-        self.endpoint_list: EndpointListRecord | None = None  # the last one of an earlier incarnation
-        # Returns version and endpoints of the present list, where it is to be saved.
+        self.endpoint_list: EndpointListRecord | None = None  # restored from an earlier incarnation
+        # Returns the version and the endpoints of the present list; None if the list is not saved.
         self.current_endpoints: Callable[[], tuple[int, tuple[EndpointRecord, ...]]] | None = None
         self._submitted_reservations = deque[SubmittedReservations]()
         self._facts_submitted_at = 0.0
@@ -123,9 +123,9 @@
     def start(
         self, gateway: Decisions, clock: Callable[[], float], scheduler: Scheduler
     ) -> tuple[IncarnationRecord, RecoveredMembers]:
-        """Restore what was saved, record that this incarnation starts, and save changes from now on.
+        """Restore the saved state, record the start of this incarnation, and begin to save changes.
 
-        `clock` gives Unix time in seconds.
+        `clock` returns Unix time in seconds.
         """
         now = clock()
         store = self.store
@@ -148,9 +148,9 @@
         self, incarnation: IncarnationRecord, recovered: RecoveredMembers, reservations: list[SavedReservation]
     ) -> None:
         if self.store.is_copy:
-            log.warning("state: %s is a copy: what its original had not written back is left out", self.store.folder)
+            log.warning("state: %s is a copy: units not written back by its original are ignored", self.store.folder)
         log.info(
-            "state: life %d, %d members put back, %d rooms, %d records spoilt%s",
+            "state: incarnation %d: %d members and %d reservations restored; skipped records: %d corrupt%s",
             incarnation.number,
             len(recovered.members),
             len(reservations),
@@ -159,15 +159,15 @@
         )
 
     def _run_batch(self) -> None:
-        """Submit what has changed; what is left follows at once, after the event loop has had its turn."""
+        """Submit one batch of changes. If more remain, the next batch runs in the next turn of the event loop."""
         submitted = self.submit_changes(BATCH_SIZE)
         delay = 0.0 if submitted >= BATCH_SIZE else self.options.commit_every
         self.timer = self.scheduler.call_later(delay, self._run_batch)
 
     def submit_changes(self, limit: int) -> int:
-        """Submit members, reservations and, now and then, facts; return how many members and reservations.
+        """Submit changed members and reservations, and facts if they are due; return the number of the former two.
 
-        Where the disk lags, what has changed stays with the decision module until the writer has capacity for it.
+        If the disk lags, changes stay in the decision module until the writer has capacity for them.
         """
         assert self.gateway is not None and self.writer is not None
         limit = min(limit, self.writer.capacity() // 2)  # half for members, half for reservations
@@ -178,14 +178,14 @@
             self.writer.put(RecordKey(MEMBER_TABLE, member.key), encode(record))
         submitted = len(members) + self._submit_reservations(limit)
         now = self.clock()
-        # A clock that was set back counts as due.
+        # The facts are also due if the clock was set back.
         if not 0 <= now - self._facts_submitted_at < FACTS_INTERVAL_S:
             self._facts_submitted_at = now
             self._submit_facts(now)
         return submitted
 
     def _submit_reservations(self, limit: int) -> int:
-        """Report to the escrow which reservations are on disk, and submit those that are due."""
+        """Notify the escrow of the reservations that are on disk, submit changed ones, and return their number."""
         assert self.gateway is not None and self.writer is not None
         escrow, writer = self.gateway.escrow, self.writer
         if escrow is None:
@@ -205,7 +205,7 @@
         return len(keys)
 
     def _reservation_body(self, reservation: SavedReservation) -> bytes | None:
-        """Return the record's bytes; None, which deletes it, where the allowance was forgotten."""
+        """Return the record's bytes, or None to delete the record if the allowance was forgotten."""
         if reservation.at <= 0:
             return None
         r = reservation
@@ -214,14 +214,14 @@
         return encode(ReservationRecord(plan, r.customer, r.first, r.width, rate, burst, r.units, r.at))
 
     def _submit_facts(self, now: float) -> None:
-        """Submit what was learned of backends, and the list of them."""
+        """Submit the measurements of the backends, and the endpoint list."""
         assert self.gateway is not None and self.writer is not None
         self.writer.put(LEARNED_KEY, encode(self.gateway.fleet.to_learned(now)))
         if self.current_endpoints is not None:
             self.writer.put(ENDPOINT_LIST_KEY, encode(EndpointListRecord(now, *self.current_endpoints())))
 
     def close(self) -> bool:
-        """Save all that has changed and release the folder; return False where the disk did not take it in time."""
+        """Save all changes and unlock the folder; return False if they could not be written in time."""
         done = True
         if self.timer is not None:
             self.timer.cancel()
@@ -231,17 +231,20 @@
                     break
             done = self.writer.close(CLOSE_TIMEOUT_S)
             if not done:
-                log.error("state: %d records were not committed", len(self.writer.pending))
+                log.error("state: %d records were not committed before the shutdown", len(self.writer.pending))
             else:
                 done = self._record_shutdown()
         self.store.close()
         return done
 
     def _record_shutdown(self) -> bool:
-        """Record the orderly shutdown; without the record the next incarnation takes this one for killed: safe."""
+        """Record the orderly shutdown; return False if the disk did not take the record.
+
+        Without the record, the next incarnation assumes that this one was killed, which is safe.
+        """
         try:
             self.store.record_shutdown(self.clock())
         except sqlite3.Error as error:
-            log.error("state: the end was not noted: %s", error)  # noqa: TRY400  one line, no traceback
+            log.error("state: the shutdown could not be recorded: %s", error)  # noqa: TRY400  one line, no traceback
             return False
         return True
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -1,10 +1,10 @@
 """The state folder: one SQLite file in WAL mode, locked by one process.
 
-Why SQLite: its own recovery cuts off a torn tail, a full disk is an error and not a half-written record, and
-`max_page_count` bounds the size; its pages have no checksums, so records have their own (`records`). What a loss of
-power may cost is the sync mode: `off` (what the system had not written), `normal` (the commits since the last
-checkpoint), `full` (nothing that was committed). A kill of the process costs the same under all three: what was not
-committed.
+Reasons for SQLite: its recovery truncates a torn tail, a full disk raises an error instead of leaving a partly written
+record, and `max_page_count` bounds the file's size. Its pages have no checksums, so records have their own (`records`).
+The sync mode determines what a power failure may lose: everything that the operating system had not written (`off`),
+the commits since the last checkpoint (`normal`), or nothing that was committed (`full`). A kill of the process loses
+uncommitted changes only, in every sync mode.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
 MIN_PAGES = 16
 DATABASE_FILE = "state.db"
 LOCK_FILE = "lock"
-# The tables' names are part of the format.
+# The names of the tables are part of the format.
 INCARNATION_TABLE = "life"
 MEMBER_TABLE: Final = "member"
 RESERVATION_TABLE: Final = "room"
 FACT_TABLE: Final = "fact"
-INCARNATIONS_KEPT = 8
-INCARNATIONS_READ = 4  # at most, until one is readable
-MIN_INCARNATION_GAP_S = 0.001
+INCARNATIONS_KEPT = 8  # older records are deleted at each start
+INCARNATIONS_READ = 4  # maximum number of records tried, newest first, until one is readable
+MIN_INCARNATION_GAP_S = 0.001  # minimum difference between the recorded starts of two incarnations
 T = TypeVar("T")
 
 
 class RecordKey(NamedTuple):
-    """Where a record is stored: its table and its key there."""
+    """The table of a record and its key in that table."""
 
     table: Literal["member", "room", "fact"]
     key: int
@@ -60,22 +60,23 @@
 
 
 class StateFolderError(Exception):
-    """Why a folder cannot be used, in one line that names it."""
+    """A folder cannot be used. The message is one line that names the folder."""
 
 
 class Store:
-    """One ingress's state folder, locked while it is open. Not for use by two threads at once.
+    """One ingress's state folder, locked while it is open. Not thread-safe.
 
-    `previous` is the last incarnation that the folder knows, `is_copy` whether the folder was copied from another
-    ingress's, `corrupt_records` the number of records that could not be read so far.
+    `previous` is the last recorded incarnation, `is_copy` tells whether the folder is a copy of another one, and
+    `corrupt_records` is the number of records that could not be read so far.
     """
 
     def __init__(
         self, folder: str | Path, name: str | None, sync: str = "normal", max_bytes: float = 256 << 20
     ) -> None:
-        """Open or create the folder of the ingress `name` (None: of any) and lock it.
+        """Open or create the folder of the ingress `name` (None: of any ingress) and lock it.
 
-        `max_bytes` bounds the file; a commit beyond it fails. Raises StateFolderError where the folder cannot be used.
+        `max_bytes` is the maximum size of the database file; a commit that exceeds it fails. Raises StateFolderError if
+        the folder cannot be used.
         """
         self.folder = Path(folder)
         if sync not in SYNC_MODES:
@@ -91,9 +92,9 @@
 
     @classmethod
     def existing(cls, folder: str | Path) -> Store:
-        """Open a folder that exists, of any ingress; raises StateFolderError where there is none."""
+        """Open an existing folder of any ingress. Raises StateFolderError if it has no database file."""
         if not (Path(folder) / DATABASE_FILE).is_file():
-            raise StateFolderError(f"{folder}: no state folder: {DATABASE_FILE} is not there")
+            raise StateFolderError(f"{folder}: not a state folder: {DATABASE_FILE} does not exist")
         return cls(folder, None)
 
     def _acquire_lock(self) -> int:
@@ -106,12 +107,12 @@
         owner = os.fstat(lock).st_uid
         if owner != os.geteuid():
             os.close(lock)
-            raise StateFolderError(f"{self.folder}: it is user {owner}'s, this is user {os.geteuid()}")
+            raise StateFolderError(f"{self.folder}: owned by user {owner}, but this process runs as {os.geteuid()}")
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(lock)
-            raise StateFolderError(f"{self.folder}: another process holds it") from None
+            raise StateFolderError(f"{self.folder}: locked by another process") from None
         return lock
 
     def _open(self, name: str | None, sync: str, max_bytes: float) -> None:
@@ -124,20 +125,20 @@
         for table in (MEMBER_TABLE, RESERVATION_TABLE, FACT_TABLE):
             self.db.execute(f"CREATE TABLE IF NOT EXISTS {table} (key INTEGER PRIMARY KEY, body BLOB)")
         self.corrupt_records = 0
-        self.current: IncarnationRecord | None = None  # of this process, once it has started
+        self.current: IncarnationRecord | None = None  # this process's incarnation, set by `start_incarnation`
         self.previous = self._read_last_incarnation()
         if self.previous is not None:
             self._check_previous(self.previous, name)
         self._inode = path.stat().st_ino
-        # A copy holds all that its original holds: the original may be alive, and write back the same units.
+        # The original of a copied folder may still be running and write back the same units.
         self.is_copy = self.previous is not None and self.previous.inode != self._inode
 
     def _check_previous(self, previous: IncarnationRecord, name: str | None) -> None:
         path = self.folder / DATABASE_FILE
         if previous.format > FORMAT:
-            raise StateFolderError(f"{path}: format {previous.format}, this program reads up to {FORMAT}")
+            raise StateFolderError(f"{path}: format {previous.format} is newer than the supported format {FORMAT}")
         if name is not None and previous.name != name:
-            raise StateFolderError(f"{path}: it is of ingress {previous.name!r}, this is {name!r}")
+            raise StateFolderError(f"{path}: belongs to ingress {previous.name!r}, but this ingress is {name!r}")
 
     def _read_last_incarnation(self) -> IncarnationRecord | None:
         newest = f"SELECT number, body FROM {INCARNATION_TABLE} ORDER BY number DESC LIMIT {INCARNATIONS_READ}"
@@ -149,10 +150,11 @@
         return None
 
     def start_incarnation(self, name: str, now: float) -> IncarnationRecord:
-        """Record that an incarnation has started, and return it.
+        """Record the start of an incarnation and return its record.
 
-        Its number and its start are above those of all before, whatever the clock says. Its predecessor's reservations
-        are deleted in the same commit: this incarnation may spend them, and none after it may count on them.
+        Its number and its start time are above those of all earlier incarnations, even if the clock was set back. The
+        predecessor's reservations are deleted in the same commit: this incarnation may spend them, so no later one may
+        rely on them.
         """
         previous = self.previous
         number = (previous.number if previous else 0) + self.corrupt_records + 1
@@ -169,7 +171,7 @@
         return incarnation
 
     def record_shutdown(self, now: float) -> None:
-        """Record that the current incarnation has ended in order, with all of its changes committed."""
+        """Record an orderly shutdown of the current incarnation, with all of its changes committed."""
         current = self.current
         if current is None:
             return
@@ -192,23 +194,26 @@
                 self.corrupt_records += 1
 
     def members(self) -> Iterator[MemberRecord]:
-        """Yield the members that can be read; the others are counted in `corrupt_records`."""
+        """Yield the readable members. Unreadable records are counted in `corrupt_records`."""
         return self._readable(MEMBER_TABLE, decode_member)
 
     def reservations(self) -> Iterator[ReservationRecord]:
-        """Yield the predecessor's reservations that can be read; to be called before `start_incarnation`."""
+        """Yield the predecessor's readable reservations. Call this before `start_incarnation`, which deletes them."""
         return self._readable(RESERVATION_TABLE, decode_reservation)
 
     def learned(self) -> Learned | None:
-        """Return what an earlier incarnation had learned of backends; None where nothing can be read."""
+        """Return an earlier incarnation's measurements of the backends, or None if there is no readable record."""
         return next(self._readable(f"{FACT_TABLE} WHERE key = {LEARNED_KEY.key}", decode_learned), None)
 
     def endpoint_list(self) -> EndpointListRecord | None:
-        """Return the last list of servers; None where nothing can be read."""
+        """Return the last endpoint list, or None if there is no readable record."""
         return next(self._readable(f"{FACT_TABLE} WHERE key = {ENDPOINT_LIST_KEY.key}", decode_endpoint_list), None)
 
     def integrity_errors(self) -> str:
-        """Return the damage to the file's own structure in one line; empty where there is none. Reads all of it."""
+        """Return damage to the structure of the database file, in one line that is empty if there is none.
+
+        The whole file is read.
+        """
         try:
             found = "; ".join(row[0] for row in self.db.execute("PRAGMA quick_check(3)"))
         except sqlite3.DatabaseError as error:
@@ -216,9 +221,9 @@
         return "" if found == "ok" else " ".join(found.split())
 
     def commit(self, bodies: Iterable[tuple[RecordKey, bytes | None]]) -> None:
-        """Write records, or delete those whose body is None, all or nothing.
+        """Write records, or delete those whose body is None, in one transaction.
 
-        Raises sqlite3.Error where the disk does not take them.
+        Raises sqlite3.Error if the records cannot be written.
         """
         self._transaction(
             (f"DELETE FROM {table} WHERE key = ?", (key,))
@@ -239,8 +244,8 @@
             raise
 
     def close(self) -> None:
-        """Close the file and release the folder. A second call does nothing."""
-        db = getattr(self, "db", None)  # absent where opening it failed
+        """Close the file and unlock the folder. A second call does nothing."""
+        db = getattr(self, "db", None)  # not set if opening the database failed
         if db is not None:
             db.close()
         if self._lock >= 0:
--- a/thistleusher/state/writer.py
+++ b/thistleusher/state/writer.py
@@ -1,8 +1,8 @@
-"""Commits changed records from a thread of its own, in groups: the event loop hands them over and never waits.
+"""Commits changed records in batches from a dedicated thread, so that the event loop never waits for the disk.
 
-Guaranteed: what was put is committed in order, the latest record of a key only; records of a failed commit are retried
-together with what was put since. Bounded: at most `max_pending` records wait at a time. One beyond that is rejected and
-counted, and the next change of the same thing brings it again.
+Guarantees: records are committed in the order in which they were put, and only the latest record of each key. The
+records of a failed commit are retried together with later ones. At most `max_pending` records wait at a time. Further
+records are rejected and counted; the next change of the same member, reservation or fact submits it again.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_RETRY_S = 0.1  # after a commit that failed
-MAX_RETRY_S = 5.0
+FIRST_RETRY_S = 0.1  # delay before the first retry of a failed commit; it doubles with each failure
+MAX_RETRY_S = 5.0  # maximum delay between retries
 
 
 class CommitTarget(Protocol):
-    """What the writer writes to; `Store` is one."""
+    """The storage that the writer commits to, such as `Store`."""
 
     def commit(self, bodies: Iterable[tuple[RecordKey, bytes | None]]) -> None:
-        """Write records, or delete those whose body is None, all or nothing; raises sqlite3.Error."""
+        """Write records, or delete those whose body is None, in one transaction. Raises sqlite3.Error."""
 
 
 class Batch(NamedTuple):
-    """What one commit writes."""
+    """The records of one commit."""
 
     records: dict[RecordKey, bytes | None]
-    last: int  # number of the last record in it, as `Writer.submitted` counts
-    oldest_at: float | None  # when its oldest change was put
+    last: int  # value of `Writer.submitted` after the batch's last record
+    oldest_at: float | None  # time at which the batch's oldest change was put
 
 
 class Writer:
-    """Queue of records to commit, and the thread that commits them."""
+    """A queue of records to commit, and the thread that commits them."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         max_pending: int = 200_000,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Start the thread; `interval`: seconds that a commit waits for others to join it."""
+        """Start the thread. `interval` is the time in seconds for which a commit waits for further records."""
         self.store = store
         self.interval = interval
         self.max_pending = max_pending
@@ -56,9 +56,9 @@
         self.commits = 0
         self.failures = 0
         self.rejected = 0
-        self.submitted = 0  # records put so far
-        self.committed = 0  # how many of the first of them are on disk
-        self._oldest_at: float | None = None  # when the oldest change that is not committed was put
+        self.submitted = 0  # number of records put so far
+        self.committed = 0  # the first `committed` of the submitted records are on disk
+        self._oldest_at: float | None = None  # time at which the oldest uncommitted change was put
         self._committing = False
         self._stopped = False
         self._changed = threading.Condition()
@@ -66,7 +66,10 @@
         self._thread.start()
 
     def put(self, key: RecordKey, body: bytes | None) -> bool:
-        """Queue a record, None to delete it; return False where too many wait. Costs a lock and an entry."""
+        """Queue a record, or its deletion if `body` is None; return False if the queue is full.
+
+        The cost is one lock and one dictionary entry.
+        """
         with self._changed:
             if key not in self.pending and len(self.pending) >= self.max_pending:
                 self.rejected += 1
@@ -79,22 +82,28 @@
             return True
 
     def capacity(self) -> int:
-        """Return how many records may be put now without one being rejected."""
+        """Return the number of further records that the queue accepts."""
         with self._changed:
             return max(0, self.max_pending - len(self.pending))
 
     def lag(self) -> float:
-        """Return the seconds that the oldest change has waited, 0 with none: what a kill would lose."""
+        """Return the age of the oldest uncommitted change in seconds, or 0 if there is none.
+
+        A kill would lose the changes of this time.
+        """
         with self._changed:
             return 0.0 if self._oldest_at is None else max(0.0, self.clock() - self._oldest_at)
 
     def flush(self, timeout: float) -> bool:
-        """Wait until all that was put is committed; for an orderly shutdown, not for the event loop in service."""
+        """Wait until all submitted records are committed; return False on a time-out.
+
+        This blocks, so it is meant for an orderly shutdown and not for the event loop of a serving ingress.
+        """
         with self._changed:
             return self._changed.wait_for(lambda: not self.pending and not self._committing, timeout)
 
     def close(self, timeout: float = 1.0) -> bool:
-        """Commit what waits, within the time, and end the thread; return False where something was left."""
+        """Commit the queued records within `timeout` seconds and end the thread; return False if any were left."""
         done = self.flush(timeout)
         with self._changed:
             self._stopped = True
@@ -105,7 +114,7 @@
     def _run(self) -> None:
         retry = FIRST_RETRY_S
         while self._wait_for_records():
-            time.sleep(self.interval)  # others join the group
+            time.sleep(self.interval)  # let further records join the batch
             batch = self._take_batch()
             error = self._commit(batch)
             if error is None:
@@ -130,7 +139,7 @@
             return batch
 
     def _commit(self, batch: Batch) -> sqlite3.Error | None:
-        """Commit outside of the lock, so that `put` does not wait for the disk."""
+        """Commit a batch without holding the lock, so that `put` does not wait; return the error, if any."""
         try:
             self.store.commit(batch.records.items())
         except sqlite3.Error as error:
@@ -145,7 +154,10 @@
             self._changed.notify_all()
 
     def _wait_after_failure(self, batch: Batch, error: sqlite3.Error, retry: float) -> None:
-        """Put the batch back behind what came since, and wait `retry` seconds or until the writer is stopped."""
+        """Return a failed batch to the queue and wait for `retry` seconds or until the writer is stopped.
+
+        Records that were put since then replace those of the batch with the same key.
+        """
         with self._changed:
             self._committing = False
             self.failures += 1
@@ -153,5 +165,5 @@
             self._oldest_at = batch.oldest_at
             self._changed.notify_all()
             if self.failures == 1 or retry >= MAX_RETRY_S:
-                log.warning("state: not committed, %d members wait: %s", len(self.pending), error)
+                log.warning("state: commit failed, %d records waiting: %s", len(self.pending), error)
             self._changed.wait_for(lambda: self._stopped, retry)
