--- a/tests/configuration/documents.py
+++ b/tests/configuration/documents.py
@@ -1,4 +1,4 @@
-"""A valid configuration for tests, and changes to it."""
+"""A valid configuration for tests, and a function that changes it."""
 
 import copy
 import json
--- a/tests/configuration/test_items.py
+++ b/tests/configuration/test_items.py
@@ -1,4 +1,4 @@
-"""A configuration as items of a state: an index that follows changes is the one built from the complete document."""
+"""A configuration as items of a state: an index updated by changes equals one built from the complete document."""
 
 import json
 import zlib
@@ -39,7 +39,7 @@
 
 @strategies.composite
 def documents(draw):
-    """The fields of a configuration without its version; some tables absent, some fields of later."""
+    """Draw a configuration's fields except its version; tables may be absent, and fields of later releases present."""
     extra = {"later": draw(strategies.sampled_from(LATER))}
     places = draw(strategies.permutations(PLACES))
     routes = draw(some(strategies.sampled_from([{}, {"rank": 1}, extra, {"target": "s", "target_ms": 0.1}])))
@@ -65,7 +65,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(strategies.data())
 def test_an_index_that_follows_changes_is_the_one_built_whole(data):
-    """Also where updates are missed, the first state is of release 0.1, or a core is founded anew with a low number."""
+    """Covers missed updates, a first state of release 0.1, and a core that is set up anew with a low number."""
     published, subscriber, config = State(), Subscriber(), ConfigurationFollower()
     number = data.draw(strategies.integers(0, 3))
     for step in range(data.draw(strategies.integers(1, 8))):
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""Configurations: read, checked completely, and rejected with each fault and its place."""
+"""Configurations are validated completely, and an invalid one is rejected with each error and its field."""
 
 import json
 
@@ -24,7 +24,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(strategies.data())
 def test_what_passes_the_checks_reads_the_same_without_them(data):
-    """Also where a number comes as text, a whole one with a point, a switch as a word."""
+    """Includes numbers given as text, integers given as floats, and booleans given as words or numbers."""
 
     def change(table):
         for part in (*table["routes"].values(), *table["tenants"].values(), *table["services"].values()):
@@ -50,7 +50,7 @@
         (lambda t: t["routes"]["r2"].update(deadline_ms=0), "deadline_ms 0"),
         (lambda t: t["routes"]["r2"].update(target_ms=64000), "exceeds deadline_ms 4000 by a minute or more"),
         (lambda t: t["routes"]["r2"].pop("target"), "expected a target or weighted services"),
-        (lambda t: t["tenants"]["t2"]["api_keys"].append("k1"), "a key that tenants.t1 holds too"),
+        (lambda t: t["tenants"]["t2"]["api_keys"].append("k1"), "has the same API key as tenants.t1"),
         (lambda t: t.update(version="7"), "eight hexadecimal digits"),
         (lambda t: t.pop("version"), "version: Field required"),
         (lambda t: t.update(version="0000000g"), "eight hexadecimal digits"),
@@ -59,12 +59,12 @@
         (lambda t: t.update(version=7), "version: "),
         (lambda t: t["routes"]["r2"].update(path_prefix="/x/", hostname="A.Example"), "the same host and prefix"),
         (lambda t: t["routes"]["r1"]["weighted"][1].update(weight="nan"), "finite number"),
-        (lambda t: t["routes"]["r1"].update(weighted=[{"target": "s1", "weight": 1e308}] * 2), "no finite sum"),
+        (lambda t: t["routes"]["r1"].update(weighted=[{"target": "s1", "weight": 1e308}] * 2), "sum of the weights is not"),
         (lambda t: t["routes"]["r2"].update(target_ms="nan"), "finite number"),
         (lambda t: t["routes"]["r2"].update(deadline_ms="inf"), "finite number"),
         (lambda t: t["tenants"]["t1"].update(rate_per_s="inf"), "finite number"),
         (lambda t: t["services"]["s1"].update(warmup_s="nan"), "finite number"),
-        (lambda t: t["routes"].update({"r" * 401: t["routes"].pop("r2")}), "a name of over 400 bytes"),
+        (lambda t: t["routes"].update({"r" * 401: t["routes"].pop("r2")}), "name is longer than 400 bytes"),
         (lambda t: t.update(later="\ud800"), "not Unicode"),
         (lambda t: t.update(routes=None), "routes: "),
     ],
@@ -77,15 +77,15 @@
 @pytest.mark.parametrize(
     "old, new, expected",
     [
-        ('"rank": 2', '"rank": 2, "rank": 2', "stands twice"),
-        ('"a_field_of_later": 1', '"a_field_of_later": {"x": 1, "x": 2}', "stands twice"),
-        ('"r2": {', '"r1": {', "stands twice"),
-        ('"a_field_of_later": 1', '"a_field_of_later": NaN', "no finite number"),
-        ('"deadline_ms": 3000', '"deadline_ms": 1e999', "no finite number"),
-        ('"a_field_of_later": 1', '"a_field_of_later": -Infinity', "no finite number"),
+        ('"rank": 2', '"rank": 2, "rank": 2', "duplicate name"),
+        ('"a_field_of_later": 1', '"a_field_of_later": {"x": 1, "x": 2}', "duplicate name"),
+        ('"r2": {', '"r1": {', "duplicate name"),
+        ('"a_field_of_later": 1', '"a_field_of_later": NaN', "is not a finite number"),
+        ('"deadline_ms": 3000', '"deadline_ms": 1e999', "is not a finite number"),
+        ('"a_field_of_later": 1', '"a_field_of_later": -Infinity', "is not a finite number"),
         ('"a_field_of_later": 1', '"a_field_of_later": ' + "[" * 62 + "]" * 62, "nested more than"),
-        ('"a_field_of_later": 1', '"a_field_of_later": ' + "[" * 99_999 + "]" * 99_999, "no JSON"),
-        ('"a_field_of_later": 1', '"a_field_of_later": ' + "9" * 5000, "no JSON"),
+        ('"a_field_of_later": 1', '"a_field_of_later": ' + "[" * 99_999 + "]" * 99_999, "invalid JSON"),
+        ('"a_field_of_later": 1', '"a_field_of_later": ' + "9" * 5000, "invalid JSON"),
     ],
 )
 def test_what_two_readers_would_read_in_two_ways_is_refused(old, new, expected):
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -62,7 +62,7 @@
 def test_a_reservation_counts_as_committed_only_when_it_is(tmp_path):
     w, disk = World(5), SlowDisk()
     w.counters[0].silent = True
-    w.run(9.0)  # the incarnations are known to all ingresses, and the allowances are full
+    w.run(9.0)  # long after the start: all incarnations are settled and the allowances are full
     snapshotter = snapshotter_with_disk(tmp_path, w, disk)
     for _ in range(12):
         w.ask(0, 7)
--- a/thistleusher/configuration/__init__.py
+++ b/thistleusher/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: its records, validity, look-up tables, and its form as items of the control state.
+"""The operator's configuration: its records, validation, look-up tables, and its form as items of the control state.
 
-Whoever has a configuration from a control node reads it without checks: a control node has checked it completely.
+A configuration received from a control process is read without checks, because the control process has validated it.
 """
--- a/thistleusher/configuration/index.py
+++ b/thistleusher/configuration/index.py
@@ -1,4 +1,4 @@
-"""The index of a configuration, in which a proxy looks up routes and tenants."""
+"""The index of a configuration, which a proxy uses to look up routes and tenants."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _merge(table: dict[str, E], entries: Mapping[str, E | None]) -> None:
-    """Set entries of a table; None removes one."""
+    """Set entries of a table; a value of None removes the entry."""
     for name, entry in entries.items():
         if entry is None:
             table.pop(name, None)
@@ -27,10 +27,11 @@
 
 
 class Index:
-    """The look-up tables of a configuration. Built in one pass, updated by one step a changed entry.
+    """The look-up tables of a configuration.
 
-    Cost of a look-up: one step a segment of the path, one for a key. `update` changes the tables of its `config`
-    in place: whoever needs an earlier configuration keeps the records, not the tables.
+    Building the index takes one pass over the entries, an update one step per changed entry. Looking up a route takes
+    one step per segment of the path, looking up a key one step. `update` changes the tables of `config` in place: to
+    keep an earlier configuration, keep its records rather than its tables.
     """
 
     def __init__(self, config: Configuration) -> None:
@@ -52,10 +53,10 @@
         services: Mapping[str, Service | None],
         tenants: Mapping[str, Tenant | None],
     ) -> None:
-        """Apply a newer version: all limits, and of each table the entries that differ (None: removed).
+        """Apply a newer version: all limits, and the entries of each table that differ (None: removed).
 
-        Old entries are removed before new ones are added, as a key, or a host and prefix, may pass from one entry to
-        another.
+        Old entries are removed before new ones are added, because an API key, or a host and prefix, may move from one
+        entry to another.
         """
         for name in routes.keys() & self.config.routes.keys():
             self._remove_route(self.config.routes[name])
@@ -91,7 +92,7 @@
             self.keys.pop(key, None)
 
     def find(self, host: str, path: str) -> RouteMatch | None:
-        """Return the route with the longest prefix that begins the path, None where there is none."""
+        """Return the route with the longest prefix that matches the path, or None if no route matches."""
         prefixes = self.hosts.get(host) or self.hosts.get(host.rpartition(":")[0].lower() or host.lower())
         if prefixes is None:
             return None
@@ -104,6 +105,6 @@
         return None
 
     def tenant_of(self, authorization: str) -> str | None:
-        """Return the tenant that has the key of an `Authorization: Token KEY`, None where there is none."""
+        """Return the name of the tenant with the API key in `Authorization: Token KEY`, or None if there is none."""
         scheme, _, key = authorization.strip().partition(" ")
         return self.keys.get(key.strip()) if scheme.lower() == "token" else None
--- a/thistleusher/configuration/items.py
+++ b/thistleusher/configuration/items.py
@@ -1,24 +1,25 @@
 """A configuration as items of the control state, and back.
 
-An operator sends one document. It is stored as items, so that a change of one route costs one route on the disks,
-between replicas and on the way to the proxies:
+An operator sends one document. It is stored as items, so that a change of one route transfers and stores only this
+route, both between replicas and to the proxies:
 
-- `config`: the header: number, digest, and the document's top-level fields that are in no other item;
-- `route:NAME`, `service:NAME`, `tenant:NAME`, `limits`: one JSON value each, complete, with the fields that this
-  release does not know;
-- `taken:SLOT`: number and digest of the last `REMEMBERED_DIGESTS` configurations, so that a repeat of one is known.
+- `config`: the header with the number, the digest, and the document's top-level fields that are in no other item;
+- `route:NAME`, `service:NAME`, `tenant:NAME`, `limits`: one complete JSON value each, including fields that are unknown
+  to this release;
+- `taken:SLOT`: number and digest of each of the last `REMEMBERED_DIGESTS` configurations, to recognize repeated ones.
 
-JSON values are stored as canonical text: numbers of any size and any nesting survive, equal values are equal texts, and
-a document is put together without parsing them.
+JSON values are stored as canonical text. Numbers of any size and any nesting are preserved, equal values have equal
+texts, and a document is assembled without parsing the values.
 
-Guaranteed: the document that `assemble` returns is equal as JSON to the one that was sent under its number.
+Guarantee: the document that `assemble` returns is equal as JSON to the one that was sent under its number.
 
-Cost of an order: at the leader one pass over its document and a comparison with each item; everywhere else the items
-that differ. A subscriber's update: one step a changed item, and one copy of a record of five fields; its look-ups are
-those of `Index`. A complete build, one step an item, is made at the first configuration, after a configuration that
-was not applied, and after one in the form of release 0.1 (one item with the compressed document), which is still read.
+Cost of a new configuration: at the leader, one pass over the document and a comparison with each item; elsewhere, only
+the items that differ. A subscriber's update costs one step per changed item and a copy of a record of five fields; its
+look-ups are those of `Index`. A complete build, with one step per item, happens for the first configuration, after a
+configuration that was not applied, and after one in the format of release 0.1 (one item with the compressed document),
+which is still supported.
 
-Pure.
+All functions are pure.
 """
 
 from __future__ import annotations
@@ -36,25 +37,25 @@
 from thistleusher.configuration.records import Configuration, Limits, Route, Service, Tenant
 from thistleusher.transport.state_updates import State
 
-NO_CONFIGURATION = -1  # the number of no configuration
-REMEMBERED_DIGESTS = 64  # configurations whose digests are remembered
+NO_CONFIGURATION = -1  # the number that stands for the absence of a configuration
+REMEMBERED_DIGESTS = 64  # number of configurations whose digests are kept
 HEADER = "config"
 LIMITS = "limits"
 ACCEPTED = "taken:"
-TABLES = {"routes": "route:", "services": "service:", "tenants": "tenant:"}  # field -> prefix of its items
+TABLES = {"routes": "route:", "services": "service:", "tenants": "tenant:"}  # document field -> prefix of its items
 PREFIXES = tuple(TABLES.values())
-COMPRESSED = "z"  # the field of a header in the form of release 0.1 that has the complete document, compressed
+COMPRESSED = "z"  # header field of release 0.1 that holds the complete document, compressed
 
 
 class Identity(NamedTuple):
-    """What distinguishes one configuration from another."""
+    """The number and digest that identify a configuration."""
 
     number: int
     digest: str
 
 
 class DocumentParts(NamedTuple):
-    """A document in parts: its identity, the text of its header's fields, the tables that it has, and its items."""
+    """A document in parts: its identity, the header's fields as text, the names of its tables, and its items."""
 
     identity: Identity
     fields: str
@@ -66,20 +67,20 @@
 
 
 def canonical(value: Any) -> str:
-    """Return the canonical text of a JSON value: equal values have equal texts."""
+    """Return the canonical text of a JSON value. Equal values have equal texts."""
     try:
         return _encode(value).decode()
-    except (OverflowError, UnicodeEncodeError):  # numbers beyond 64 bits, text that is not Unicode
+    except (OverflowError, UnicodeEncodeError):  # integers beyond 64 bits, text with lone surrogates
         return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
 
 
 def digest_of(value: Any) -> str:
-    """Return the digest of a document that was parsed as JSON."""
+    """Return the digest of a parsed JSON document."""
     return hashlib.sha256(canonical(value).encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def split_document(number: int, document: Mapping[str, Any]) -> DocumentParts:
-    """Return the parts of a document that was parsed as JSON."""
+    """Return the parts of a parsed JSON document."""
     items: dict[str, str] = {}
     tables: list[str] = []
     fields: dict[str, Any] = {}
@@ -95,13 +96,13 @@
 
 
 def number_of(state: State) -> int:
-    """Return the number of the configuration in a state, `NO_CONFIGURATION` where there is none."""
+    """Return the number of the configuration in a state, or `NO_CONFIGURATION` if there is none."""
     header = state.value(HEADER)
     return int(header["v"]) if header is not None else NO_CONFIGURATION
 
 
 def identity_of(state: State) -> Identity | None:
-    """Return the identity of the configuration in a state, None where there is none."""
+    """Return the identity of the configuration in a state, or None if there is none."""
     header = state.value(HEADER)
     if header is None:
         return None
@@ -111,13 +112,13 @@
 
 
 def is_stored_document(state: State, document: bytes) -> bool:
-    """Return whether a state has these very bytes, in the form of release 0.1, which checked less."""
+    """Return whether a state holds exactly these bytes in the format of release 0.1, which validated less."""
     header = state.value(HEADER)
     return header is not None and COMPRESSED in header and assemble(state) == document
 
 
 def was_accepted(state: State, identity: Identity) -> bool:
-    """Return whether a configuration is the one in a state, or is remembered as an earlier one."""
+    """Return whether a configuration is the one in a state or one of the remembered earlier ones."""
     if identity == identity_of(state):
         return True
     remembered = (state.value(f"{ACCEPTED}{slot}") for slot in range(REMEMBERED_DIGESTS))
@@ -125,18 +126,18 @@
 
 
 def changes(state: State, number: int, document: bytes) -> dict[str, Any]:
-    """Return the items that a configuration sets (None: removes) in a state."""
+    """Return the items that a configuration changes in a state; None stands for a removed item."""
     return difference(state, split_document(number, json.loads(document)))
 
 
 def difference(state: State, parts: DocumentParts) -> dict[str, Any]:
-    """Return the items that a document's parts set (None: removes) in a state."""
+    """Return the items that a document's parts change in a state; None stands for a removed item."""
     header = state.value(HEADER) or {}
     serial = header.get("serial", 0) + 1
     present = dict(_configuration_items(state))
     changed: dict[str, Any] = {name: text for name, text in parts.items.items() if present.get(name) != text}
     changed.update(dict.fromkeys(present.keys() - parts.items.keys()))
-    if COMPRESSED in header:  # the last of release 0.1, which remembered none
+    if COMPRESSED in header:  # stored by release 0.1, which did not keep digests
         changed[f"{ACCEPTED}0"] = list(identity_of(state) or ())
     changed[f"{ACCEPTED}{serial % REMEMBERED_DIGESTS}"] = list(parts.identity)
     changed[HEADER] = {
@@ -150,7 +151,7 @@
 
 
 def _is_part(name: str) -> bool:
-    """Return whether an item is a part of a configuration, other than its header."""
+    """Return whether an item is a part of a configuration other than its header."""
     return name == LIMITS or name.startswith(PREFIXES)
 
 
@@ -161,7 +162,7 @@
 
 
 def assemble(state: State) -> bytes | None:
-    """Return the document of the configuration in a state, None where there is none."""
+    """Return the document of the configuration in a state, or None if there is none."""
     header = state.value(HEADER)
     if header is None:
         return None
@@ -176,24 +177,24 @@
 
 
 def _table_members(state: State, prefix: str) -> str:
-    """Return the members of one table's JSON object."""
+    """Return the text of the members of one table's JSON object."""
     return ",".join(f"{canonical(name)}:{text}" for name, text in state.values(prefix).items())
 
 
 class ConfigurationFollower:
     """The configuration of a subscribed state, with its look-up tables.
 
-    `index` stays the same object from one configuration to the next, except after a complete build.
+    `index` remains the same object across configurations, except after a complete build.
     """
 
     def __init__(self) -> None:
         self.index: Index | None = None
-        self._behind = True  # whether `index` lacks items that the state has; only a complete build repairs that
+        self._behind = True  # whether `index` lacks items of the state; the next update then builds it completely
 
     def update(self, state: State, changed: Mapping[str, Any]) -> bool:
-        """Apply what an update changed in a state; return whether a newer configuration is in effect by it.
+        """Apply the changed items of a state; return whether a newer configuration takes effect.
 
-        A configuration whose number is no higher than the one in effect is not applied.
+        A configuration is applied only if its number is higher than that of the configuration in effect.
         """
         if HEADER not in changed and not any(map(_is_part, changed)):
             return False
@@ -205,14 +206,14 @@
             self._behind = True
             self.index = Index(_complete_configuration(state))
         else:
-            self._behind = True  # until all is in: an item that cannot be read leaves `index` as it was
+            self._behind = True  # reset below; stays set if an unreadable item leaves `index` unchanged
             _apply(self.index, header, changed)
         self._behind = COMPRESSED in header
         return True
 
     @property
     def number(self) -> int:
-        """Return the number of the configuration in effect."""
+        """Return the number of the configuration in effect, or `NO_CONFIGURATION` if there is none."""
         return self.index.config.number if self.index is not None else NO_CONFIGURATION
 
     @property
@@ -222,14 +223,17 @@
 
 
 def _complete_configuration(state: State) -> Configuration:
-    """Return the configuration of a state, read from all its items."""
+    """Return the configuration of a state, read from all of its items."""
     document = assemble(state)
     assert document is not None
     return read_record(Configuration, json.loads(document))
 
 
 def _apply(index: Index, header: Mapping[str, Any], changed: Mapping[str, Any]) -> None:
-    """Apply changed items to an index. All are read before the first is applied: an unreadable one changes nothing."""
+    """Apply changed items to an index.
+
+    All items are read before the first is applied, so an unreadable item leaves the index unchanged.
+    """
     version = read_record(Configuration, json.loads(header["fields"])).version
     limits = index.config.limits
     if LIMITS in changed:
@@ -241,7 +245,7 @@
 
 
 def _changed_records(kind: type[Any], table: str, changed: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the records of one table among changed items, by name; None for those that are removed."""
+    """Return the records of one table among the changed items by name; None stands for a removed record."""
     prefix = TABLES[table]
     return {
         name[len(prefix) :]: read_record(kind, json.loads(text), table) if text is not None else None
--- a/thistleusher/configuration/records.py
+++ b/thistleusher/configuration/records.py
@@ -1,8 +1,9 @@
 """The records of the operator's configuration.
 
-What is valid is stated in `thistleusher.configuration.validation`, for the control node that acknowledges one and for
-the command that checks one offline. Whoever has a configuration from a control node reads it without checks. Unknown
-fields are ignored. The records' fields are names in the operator's document, and never change.
+The rules for a valid configuration are in `thistleusher.configuration.validation`. The control process that
+acknowledges a configuration and the command that checks one offline apply them. A configuration received from a control
+process is read without checks. Unknown fields are ignored. The records' field names are the keys of the operator's
+document and must not change.
 """
 
 from __future__ import annotations
@@ -16,14 +17,17 @@
 
 
 class Weighted(NamedTuple):
-    """One of a route's services (`target`) and its weight."""
+    """One of a route's services (`target`) and its relative weight."""
 
     target: str
     weight: float
 
 
 class Route(NamedTuple):
-    """One route; times in milliseconds. `tries`: attempts in all; `rank`: priority; `target_ms`: latency target."""
+    """One route. Times are in milliseconds.
+
+    `tries` is the maximum number of attempts, `rank` the priority, and `target_ms` the latency target.
+    """
 
     hostname: str
     path_prefix: str
@@ -44,12 +48,16 @@
 
     @property
     def idempotent(self) -> bool:
-        """Return whether a request on it may be executed more than once."""
+        """Return whether the route's requests may be executed more than once."""
         return self.variant in IDEMPOTENT_VARIANTS
 
 
 class Service(NamedTuple):
-    """One service's backends: health path, connections, and the rate that each bears while it warms up."""
+    """Settings of one service's backends.
+
+    `max_conns` is the maximum number of connections, and `cold_per_s` the request rate that each backend can
+    serve during its warm-up of `warmup_s` seconds.
+    """
 
     health_path: str = "/health"
     max_conns: int = 100
@@ -69,7 +77,7 @@
 
 
 class Tenant(NamedTuple):
-    """A tenant; without a rate limit where its rate is 0. `rank`: priority."""
+    """A tenant. A rate of 0 means no rate limit; `rank` is the priority."""
 
     api_keys: tuple[str, ...] = ()
     rank: int = 0
@@ -89,17 +97,17 @@
 
     @property
     def number(self) -> int:
-        """Return the version as a number: the highest prevails."""
+        """Return the version as a number. The configuration with the highest number prevails."""
         return int(self.version, 16)
 
 
 def read_checked_configuration(body: bytes) -> Configuration:
-    """Return a configuration that a control node has checked. Cost: one step a field."""
+    """Return a configuration that a control process has validated. The cost is one step per field."""
     return read_record(Configuration, json.loads(body))
 
 
 def summary(config: Configuration) -> dict[str, Any]:
-    """Return a few figures of a configuration, for display."""
+    """Return the version and the numbers of entries of a configuration, for display."""
     return {
         "version": config.version,
         "routes": len(config.routes),
--- a/thistleusher/configuration/validation.py
+++ b/thistleusher/configuration/validation.py
@@ -1,11 +1,10 @@
-"""Validity of the operator's configurations, checked completely by pydantic.
+"""Validation of the operator's configurations, with pydantic.
 
-All faults are reported at once, one line each: which field, what was expected, what was found. What makes a
-configuration valid is stated here once, for the control node that acknowledges one and for the command that checks one
-offline.
+All errors are reported at once, one line each: the field, the expected value and the value found. The rules are defined
+only here. The control process that acknowledges a configuration and the command that checks one offline both use them.
 
-JSON is read strictly: a name that stands twice in one object, a number that is not finite and text that is not Unicode
-are faults, also in fields that this release does not know, as two readers would read them as two configurations.
+JSON is read strictly. A duplicate name in an object, a number that is not finite and text that is not Unicode are
+errors, even in fields that are unknown to this release, because different readers would interpret them differently.
 """
 
 from __future__ import annotations
@@ -24,61 +23,61 @@
 from thistleusher.configuration.records import Configuration, Route, Service, Tenant
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
-TARGET_EXCESS_MS = 60_000.0  # by which a route's target_ms may not exceed its deadline_ms
-MAX_NESTING = 64  # well under what a reader's stack bears
-MAX_NAME_BYTES = 400  # of a route, service or tenant: names are keys on the disk, which bounds them at 511
+TARGET_EXCESS_MS = 60_000.0  # a route's target_ms must exceed its deadline_ms by less than this
+MAX_NESTING = 64  # maximum depth of objects and lists; well below the stack limit of a JSON parser
+MAX_NAME_BYTES = 400  # maximum name of a route, service or tenant; names are storage keys, limited to 511 bytes
 CONFIGURATION: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
 
 
 class InvalidConfigurationError(ValueError):
-    """One fault of a configuration: where, what was found, what was expected."""
+    """One error in a configuration: the field, the value found and the expected value."""
 
 
 class ReadJson(NamedTuple):
-    """Bytes parsed as JSON, and what a strict reader finds wrong with them."""
+    """A parsed JSON value, and the errors that only a strict reader reports."""
 
     value: Any
     faults: list[str]
 
 
 def read_json(body: bytes) -> ReadJson:
-    """Parse bytes as JSON, as a lenient reader does; return the faults that a strict one finds with them.
+    """Parse bytes as JSON leniently, and return the value with the errors that a strict reader reports.
 
-    Raise an ExceptionGroup of InvalidConfigurationError where even a lenient reader finds no JSON.
+    Raises an ExceptionGroup of InvalidConfigurationError if the bytes are not JSON at all.
     """
     faults: list[str] = []
 
     def table(members: list[tuple[str, Any]]) -> dict[str, Any]:
         found = dict(members)
         if len(found) < len(members):
-            faults.append(f"body: a name stands twice in one object, among {', '.join(found)[:MAX_SHOWN]!r}")
+            faults.append(f"body: duplicate name in one object, among {', '.join(found)[:MAX_SHOWN]!r}")
         return found
 
     def number(text: str) -> float:
         found = float(text)
         if not math.isfinite(found):
-            faults.append(f"body: {text[:MAX_SHOWN]} is no finite number")
+            faults.append(f"body: {text[:MAX_SHOWN]} is not a finite number")
         return found
 
     try:
         value = json.loads(body, object_pairs_hook=table, parse_float=number, parse_constant=number)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("configuration", [InvalidConfigurationError(f"body: no JSON: {error}")]) from None
+        raise ExceptionGroup("configuration", [InvalidConfigurationError(f"body: invalid JSON: {error}")]) from None
     return ReadJson(value, faults)
 
 
 def read_configuration(body: bytes) -> Configuration:
-    """Return a configuration from its bytes (JSON), checked completely. Cost: one step a field.
+    """Parse and validate a configuration. The cost is one step per field.
 
-    Raise an ExceptionGroup with one InvalidConfigurationError for each fault.
+    Raises an ExceptionGroup with one InvalidConfigurationError per error.
     """
     return check_configuration(read_json(body))
 
 
 def check_configuration(document: ReadJson) -> Configuration:
-    """Return a configuration from a parsed document, checked completely.
+    """Validate a parsed document and return its configuration.
 
-    Raise an ExceptionGroup with one InvalidConfigurationError for each fault.
+    Raises an ExceptionGroup with one InvalidConfigurationError per error.
     """
     faults = [*document.faults, *_not_writable(document.value)]
     if faults:
@@ -98,14 +97,14 @@
 
 
 def _not_writable(value: Any) -> Iterable[str]:
-    """Yield why a value cannot be written again as JSON in UTF-8, or parsed again by a process in any state."""
+    """Yield the reasons why a value cannot be written as JSON in UTF-8, or parsed again with a limited stack."""
     if _nested_deeper(value, MAX_NESTING):
-        yield f"body: nested more than {MAX_NESTING} deep"
+        yield f"body: nested more than {MAX_NESTING} levels deep"
         return
     try:
         canonical(value).encode()
     except UnicodeEncodeError as error:
-        yield f"body: text that is not Unicode: {error.reason}"
+        yield f"body: text is not Unicode: {error.reason}"
 
 
 def _nested_deeper(value: Any, most: int) -> bool:
@@ -124,7 +123,7 @@
 
 
 def _faults(config: Configuration) -> Iterable[str]:
-    """Yield what is wrong with a configuration whose fields each have their type."""
+    """Yield the errors in a configuration whose fields have valid types."""
     if VERSION.fullmatch(config.version) is None:
         yield "version: expected eight hexadecimal digits"
     for field, value in config.limits._asdict().items():
@@ -136,7 +135,7 @@
     yield from _duplicate_route_faults(config.routes)
     for name, service in config.services.items():
         if service.cold_per_s < 0 or service.warmup_s < 0 or service.max_conns < 0:
-            yield f"services.{name}: expected figures of 0 or more"
+            yield f"services.{name}: expected cold_per_s, warmup_s and max_conns of 0 or more"
     yield from _tenant_faults(config.tenants)
 
 
@@ -144,7 +143,7 @@
     for field, table in (("routes", config.routes), ("services", config.services), ("tenants", config.tenants)):
         for name in table:
             if len(name.encode()) > MAX_NAME_BYTES:
-                yield f"{field}.{name[:20]}...: a name of over {MAX_NAME_BYTES} bytes"
+                yield f"{field}.{name[:20]}...: name is longer than {MAX_NAME_BYTES} bytes"
 
 
 def _route_faults(at: str, route: Route, services: Mapping[str, Service]) -> Iterable[str]:
@@ -157,31 +156,31 @@
             yield f"{at}: weight {share.weight:g}, expected 0 or more"
     total = sum(share.weight for share in route.shares)
     if route.shares and not total > 0:
-        yield f"{at}: its weights sum to 0"
+        yield f"{at}: the weights sum to 0"
     if math.isinf(total):
-        yield f"{at}: its weights have no finite sum"
+        yield f"{at}: the sum of the weights is not finite"
     if not route.deadline_ms > 0:
         yield f"{at}: deadline_ms {route.deadline_ms:g}, expected more than 0"
     if route.target_ms >= route.deadline_ms + TARGET_EXCESS_MS:
         yield f"{at}: target_ms {route.target_ms:g} exceeds deadline_ms {route.deadline_ms:g} by a minute or more"
     if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
-        yield f"{at}: path_prefix {route.path_prefix!r}, expected a slash at both ends"
+        yield f"{at}: path_prefix {route.path_prefix!r}, expected a slash at the start and at the end"
 
 
 def _duplicate_route_faults(routes: Mapping[str, Route]) -> Iterable[str]:
-    """Yield routes with the same host, in any case of its letters, and the same prefix as another."""
-    first: dict[tuple[str, str], str] = {}  # host and prefix -> the first route with them
+    """Yield an error for each route with the same host (ignoring case) and prefix as an earlier one."""
+    first: dict[tuple[str, str], str] = {}  # host and prefix -> name of the first route with them
     for name, route in routes.items():
         match = (route.hostname.lower(), route.path_prefix)
         if first.setdefault(match, name) != name:
-            yield f"routes.{name}: the same host and prefix as routes.{first[match]}"
+            yield f"routes.{name}: has the same host and prefix as routes.{first[match]}"
 
 
 def _tenant_faults(tenants: Mapping[str, Tenant]) -> Iterable[str]:
-    owners: dict[str, str] = {}  # API key -> the first tenant with it
+    owners: dict[str, str] = {}  # API key -> name of the first tenant that has it
     for name, tenant in tenants.items():
         if not (tenant.rate_per_s >= 0 and tenant.burst >= 0):
             yield f"tenants.{name}: expected a rate and a burst of 0 or more"
         for key in tenant.api_keys:
             if owners.setdefault(key, name) != name:
-                yield f"tenants.{name}: a key that tenants.{owners[key]} holds too"
+                yield f"tenants.{name}: has the same API key as tenants.{owners[key]}"
