--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -59,7 +59,10 @@
         (lambda t: t.update(version=7), "version: "),
         (lambda t: t["routes"]["r2"].update(path_prefix="/x/", hostname="A.Example"), "the same host and prefix"),
         (lambda t: t["routes"]["r1"]["weighted"][1].update(weight="nan"), "finite number"),
-        (lambda t: t["routes"]["r1"].update(weighted=[{"target": "s1", "weight": 1e308}] * 2), "sum of the weights is not"),
+        (
+            lambda t: t["routes"]["r1"].update(weighted=[{"target": "s1", "weight": 1e308}] * 2),
+            "sum of the weights is not finite",
+        ),
         (lambda t: t["routes"]["r2"].update(target_ms="nan"), "finite number"),
         (lambda t: t["routes"]["r2"].update(deadline_ms="inf"), "finite number"),
         (lambda t: t["tenants"]["t1"].update(rate_per_s="inf"), "finite number"),
--- a/tests/log/test_queued.py
+++ b/tests/log/test_queued.py
@@ -1,4 +1,4 @@
-"""Log lines leave by a thread of their own: nobody waits for a reader that never reads."""
+"""Log lines are written by a dedicated thread, so that a reader that never reads blocks neither callers nor the end."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Stuck(io.StringIO):
-    """Standard error of a program whose reader has stopped reading."""
+    """A stream whose writes block until `go` is set, like standard error whose reader has stopped reading."""
 
     def __init__(self):
         super().__init__()
@@ -60,7 +60,7 @@
     out = Stuck()
     queued_log = QueuedLog(LogOptions("json", "info", 16), out)
     log.info("first")
-    assert out.began.wait(20.0)  # the writer hangs; what follows fills the queue
+    assert out.began.wait(20.0)  # the writer blocks, so the following lines fill the queue
     for n in range(100):
         log.info("line %d", n)
     assert queued_log.handler.dropped == 100 - 16
@@ -70,7 +70,7 @@
     log.info("last")
     queued_log.close()
     lines = [json.loads(line)["event"] for line in out.getvalue().splitlines()]
-    assert lines[0] == "first" and lines[16] == "line 15" and lines[-1] == "last (84 lines before it were dropped)"
+    assert lines[0] == "first" and lines[16] == "line 15" and lines[-1] == "last (84 earlier lines were dropped)"
 
 
 def test_an_end_does_not_wait_for_such_a_reader_either(log, monkeypatch):
--- a/tests/operator_file/files.py
+++ b/tests/operator_file/files.py
@@ -1,4 +1,4 @@
-"""A file of a test's."""
+"""Writes a file for a test."""
 
 from __future__ import annotations
 
--- a/tests/operator_file/test_reader.py
+++ b/tests/operator_file/test_reader.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is wrong is one line with file, line and key; what is right is shown with its origin."""
+"""The operator's file: an error is one line with file, line and key, and each value is shown with its origin."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
         ("[state]\n", ":1: state: ", "missing required field `folder`"),
         ("[state]\nfolder = 'x'\nsnyc = 'off'\n", ":3: state.snyc: ", "did you mean sync?"),
         ("[stat]\nfolder = 'x'\n", ":1: [stat]: ", "did you mean state?"),
-        ("[zzz]\n", ":1: [zzz]: ", "there are counters, log, state"),
+        ("[zzz]\n", ":1: [zzz]: ", "known names: counters, log, state"),
         (
             "[state]\nfolder = 'x'\nsync = 'now'\n",
             ":3: state.sync: ",
@@ -110,7 +110,7 @@
     assert (o.get("state").folder, o.get("state").sync) == ("b", "off")
     assert dict((k, w) for k, _, w in o.effective_values())["state.sync"].endswith("a.toml:3")
     written(tmp_path, "include = ['operator.toml']\n", "a.toml")
-    with pytest.raises(OperatorFileError, match="include: a circle"):
+    with pytest.raises(OperatorFileError, match="include: circular include"):
         read_operator_file(str(tmp_path / "operator.toml"))
     for n in range(12):
         written(tmp_path, f"include = ['n{n + 1}.toml']\n", f"n{n}.toml")
--- a/tests/operator_file/test_reference.py
+++ b/tests/operator_file/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page and the starting file."""
+"""The reference page and the template of the operator's file."""
 
 from __future__ import annotations
 
--- a/tests/operator_file/test_secrets.py
+++ b/tests/operator_file/test_secrets.py
@@ -1,4 +1,4 @@
-"""Secrets stay out of the operator's file, of errors and of what is shown."""
+"""Secrets never appear in the operator's file, in error messages or in the output of `show`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class Hidden:
     """A section with a secret.
 
-    key: of somebody
+    key: a test key
     """
 
     key: Secret
@@ -36,7 +36,7 @@
         return str(raised.value)
 
     place.chmod(0o640)
-    assert "owner's alone (mode 600), found 640" in wrong(f"'file:{place}'")
+    assert "accessible only by its owner (mode 600), found 640" in wrong(f"'file:{place}'")
     place.chmod(0o600)
     assert "never the value itself" in wrong("'s3cret'") and "never the value itself" in wrong("['s3cret']")
     assert "No such file" in wrong(f"'file:{place}x'") and "not set" in wrong("'env:THISTLEUSHER_NO_SUCH'")
--- a/thistleusher/log/__init__.py
+++ b/thistleusher/log/__init__.py
@@ -1,5 +1,5 @@
-"""The one set-up of logging: absl's handler for the three programs, lines from a thread where an operator's file asks.
+"""Sets up logging: absl's handler for the three programs, or a dedicated thread if the operator's file has `[log]`.
 
-Promised: with `[log]` the event loop never waits for the reader of standard error; lines that do not fit into the queue
-are counted, and the next line that goes out says how many were dropped.
+Guarantee: with `[log]`, the event loop never waits for the reader of standard error. Lines that do not fit into the
+queue are counted, and the next line that is written tells how many were dropped.
 """
--- a/thistleusher/log/formats.py
+++ b/thistleusher/log/formats.py
@@ -1,4 +1,4 @@
-"""How a log record looks as a line: a JSON object with stable fields, or text."""
+"""Formats of a log record: a JSON object with stable fields, or text."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import logging
 from datetime import UTC, datetime
 
-EVENT_WIDTH = 30  # of a text line's event, so that the logger's name stands in a column
-LEVEL_WIDTH = 9
+EVENT_WIDTH = 30  # minimum width of the event in a text line, to align the logger's name
+LEVEL_WIDTH = 9  # minimum width of the level in a text line
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line: event, level, logger, timestamp, and exception where there is one."""
+    """One JSON object per line: event, level, logger, timestamp, and exception if there is one."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record's line; a traceback stays within it."""
+        """Return the record as one line, which includes any traceback."""
         fields = {
             "event": record.getMessage(),
             "level": record.levelname.lower(),
@@ -27,10 +27,10 @@
 
 
 class TextFormatter(logging.Formatter):
-    """Timestamp, level, event and logger; a traceback on the lines after."""
+    """One text line per record: timestamp, level, event and logger. A traceback follows on further lines."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record's line or lines."""
+        """Return the record as one line, followed by any traceback."""
         level = record.levelname.lower()
         event = record.getMessage()
         line = f"{timestamp(record)} [{level:{LEVEL_WIDTH}}] {event:{EVENT_WIDTH}} [{record.name}]"
@@ -40,5 +40,5 @@
 
 
 def timestamp(record: logging.LogRecord) -> str:
-    """Return when the record was made, in ISO form and UTC, ending with Z."""
+    """Return the record's creation time in UTC, in ISO 8601 format with the suffix Z."""
     return datetime.fromtimestamp(record.created, UTC).isoformat(timespec="microseconds").replace("+00:00", "Z")
--- a/thistleusher/log/options.py
+++ b/thistleusher/log/options.py
@@ -1,4 +1,4 @@
-"""The section [log] of the operator's file."""
+"""Options of the section `[log]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogOptions:
-    """Lines on standard error.
+    """Format, level and queue of the log lines on standard error.
 
     form: JSON lines with stable fields (event, level, logger, timestamp), or text
-    level: the least that goes out
-    queue: lines that wait at most while nobody reads; what comes beyond is dropped and counted
+    level: lowest level that is logged
+    queue: maximum number of lines that wait for the reader of standard error; further lines are dropped and counted
     """
 
     form: Literal["json", "text"] = "text"
--- a/thistleusher/log/setup.py
+++ b/thistleusher/log/setup.py
@@ -1,4 +1,4 @@
-"""Set up logging for a process. Callers log through absl or the standard library; both reach the root logger."""
+"""Sets up logging for a process. Callers log through absl or the standard library; both reach the root logger."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def use_absl_handler(verbose: bool) -> None:
-    """Send all records to standard error by absl's handler, from `info` on, or `debug` where `verbose`."""
+    """Send records of level info and above, or debug and above if `verbose`, to standard error by absl's handler."""
     from absl import logging as absl_logging
 
     absl_logging.use_absl_handler()
@@ -17,5 +17,5 @@
 
 
 def use_plain_handler() -> None:
-    """Send all records from `info` on to standard error; for an ingress whose environment may not hold absl."""
+    """Send records of level info and above to standard error, for an ingress whose environment may lack absl."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=PLAIN_FORMAT)
--- a/thistleusher/operator_file/__init__.py
+++ b/thistleusher/operator_file/__init__.py
@@ -1,5 +1,5 @@
-"""Read the operator's file, one TOML file for all that the platform's configuration does not hold, before a start.
+"""Reads the operator's file: one TOML file with all options that are not in the platform's configuration.
 
-Promised: an unknown key, a wrong type or a value out of its range is one line that names file, line and key; each
-value's origin can be shown; nothing is imported for a section that the file does not have.
+Guarantees: an unknown key, a wrong type or a value out of range is reported in one line that names the file, the line
+and the key. The origin of each value can be shown. Nothing is imported for a section that the file does not have.
 """
--- a/thistleusher/operator_file/errors.py
+++ b/thistleusher/operator_file/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the operator's file: where a value was written, what was expected and what was found, in one line."""
+"""Errors of the operator's file, each one line: the location, what was expected and what was found."""
 
 from __future__ import annotations
 
 
 class InvalidValueError(ValueError):
-    """A value that cannot be used.
+    """A value cannot be used.
 
-    key: the field that is meant, where the value belongs to an object of several fields
-    expected, found: either may be empty; together they make the text
+    key: the field that is meant, if the value belongs to an object with several fields
+    expected, found: the parts of the message; either may be empty
     """
 
     def __init__(self, expected: str = "", found: str = "", key: str = "") -> None:
@@ -18,10 +18,10 @@
 
 
 class OperatorFileError(ValueError):
-    """What keeps the operator's file from being used, as one line.
+    """The operator's file cannot be used. The message is one line.
 
-    place: file and line, the environment variable, or the command line
-    key: `section.key`, or empty where the file as a whole is meant
+    place: the file and line, the environment variable, or the command line
+    key: `section.key`, or empty if the error concerns the whole file
     expected, found: as in `InvalidValueError`
     """
 
@@ -34,17 +34,17 @@
 
 
 def describe(expected: str, found: str) -> str:
-    """Return the text of an expectation that was not met."""
+    """Return the message for a value that differs from the expected one."""
     if not expected:
         return found
     return f"expected {expected}, found {found}" if found else f"expected {expected}"
 
 
 def one_line(error: BaseException) -> str:
-    """Return an error's text with each run of white space replaced by one space."""
+    """Return an error's message with each run of white space replaced by one space."""
     return " ".join(str(error).split())
 
 
 def printable(name: str) -> str:
-    """Return a name as it can stand in one line: at most 60 characters, quoted where it cannot be printed."""
+    """Return a name for use in a one-line message: at most 60 characters, quoted if it is not printable."""
     return name[:60] if name.isprintable() else repr(name)[:60]
--- a/thistleusher/operator_file/layers.py
+++ b/thistleusher/operator_file/layers.py
@@ -1,7 +1,8 @@
-"""Values by layers: included files < the file < environment < command line; the last layer that names a key wins.
+"""Layers of values: included files < the file < environment < command line. The last layer that sets a key wins.
 
-Pure but for the reading of files. Each value keeps its origin, for `show` and for errors. Included files come before
-the file that includes them; a circle, a file over `MAX_FILE_BYTES` and one that is not UTF-8 are errors of one line.
+Apart from reading files, the functions are pure. Each value keeps its origin for `show` and for error messages.
+Included files come before the file that includes them. A circular include, a file larger than `MAX_FILE_BYTES` and a
+file that is not UTF-8 are reported as one-line errors.
 """
 
 from __future__ import annotations
@@ -14,13 +15,14 @@
 from thistleusher.operator_file.errors import OperatorFileError, one_line, printable
 
 MAX_FILE_BYTES = 1 << 20
-MAX_INCLUDE_DEPTH = 8  # files that include one another
-# Of environment variables: THISTLEUSHER_STATE__SYNC is state.sync. The earlier prefix comes first, so the present wins.
+MAX_INCLUDE_DEPTH = 8  # maximum length of a chain of files that include one another
+# Prefixes of environment variables: THISTLEUSHER_STATE__SYNC sets state.sync. The legacy prefix is read first, so the
+# present one overrides it.
 PREFIXES = ("ROADSPUR_", "THISTLEUSHER_")
 
 
 class Origin(NamedTuple):
-    """Where a value was written; `line` is 0 where there is none."""
+    """The place where a value was set. `line` is 0 if the place has no line number."""
 
     place: str
     line: int = 0
@@ -30,31 +32,31 @@
 
 
 class Layers:
-    """Sections of keys, and the origin of each section and of each `section.key`."""
+    """The values of each section by key, and the origin of each section and of each `section.key`."""
 
     def __init__(self) -> None:
         self.values: dict[str, dict[str, Any]] = {}
         self.origins: dict[str, Origin] = {}
 
     def put(self, section: str, key: str, value: Any, origin: Origin) -> None:
-        """Set a value; it replaces the one of an earlier layer."""
+        """Set a value, replacing the value of an earlier layer."""
         self.values.setdefault(section, {})[key] = value
         self.origins[f"{section}.{key}"] = origin
 
     def origin_of(self, section: str, key: str = "") -> str:
-        """Return where a key, its section, or the section's first key was written."""
+        """Return the origin of a key, or else of its section, or else of the section's first key."""
         origin = self.origins.get(f"{section}.{key}") or self.origins.get(section)
         if origin is not None:
             return str(origin)
         return next((str(o) for name, o in self.origins.items() if name.startswith(f"{section}.")), "operator's file")
 
     def add_file(self, path: str, including: tuple[str, ...] = ()) -> None:
-        """Add a file and what it includes. `including` are the files that led to it; raises OperatorFileError."""
+        """Add a file and its includes. `including` is the chain of including files. Raises OperatorFileError."""
         real_path = str(Path(path).resolve())
         if real_path in including:
-            raise OperatorFileError(path, "include", found="a circle")
+            raise OperatorFileError(path, "include", found="circular include")
         if len(including) >= MAX_INCLUDE_DEPTH:
-            raise OperatorFileError(path, "include", found=f"more than {MAX_INCLUDE_DEPTH} files deep")
+            raise OperatorFileError(path, "include", found=f"nested more than {MAX_INCLUDE_DEPTH} files deep")
         text = read_text(path)
         data = parse_toml(path, text)
         includes = data.pop("include", [])
@@ -69,13 +71,13 @@
         if not isinstance(keys, dict):
             place = str(Origin(path, line_of(text, "", section)))
             raise OperatorFileError(place, printable(section), f"a section, [{printable(section)}]", "a value")
-        self.values.setdefault(section, {})  # a section without keys counts as there
+        self.values.setdefault(section, {})  # a section without keys is present, too
         self.origins.setdefault(section, Origin(path, line_of(text, section)))
         for key, value in keys.items():
             self.put(section, key, value, Origin(path, line_of(text, section, key)))
 
     def add_environment(self, environ: Mapping[str, str], sections: Iterable[str]) -> None:
-        """Add THISTLEUSHER_SECTION__KEY=value, for known sections; variables of other forms are ignored."""
+        """Add variables of the form THISTLEUSHER_SECTION__KEY=value for known sections; ignore all others."""
         known = set(sections)
         for prefix in PREFIXES:
             for name in sorted(environ):
@@ -84,7 +86,7 @@
                     self.put(section, key, parse_value(environ[name]), Origin(f"environment {name}"))
 
     def add_assignments(self, assignments: Iterable[str]) -> None:
-        """Add `section.key=value` texts of the command line; raises OperatorFileError."""
+        """Add assignments of the form `section.key=value` from the command line. Raises OperatorFileError."""
         for text in assignments:
             name, equals, value = text.partition("=")
             section, dot, key = name.strip().partition(".")
@@ -94,7 +96,7 @@
 
 
 def read_text(path: str) -> str:
-    """Return a file's text; raises OperatorFileError where it is missing, too large or not UTF-8."""
+    """Return a file's text. Raises OperatorFileError if the file is missing, too large or not UTF-8."""
     try:
         with Path(path).open("rb") as file:
             raw = file.read(MAX_FILE_BYTES + 1)
@@ -109,7 +111,7 @@
 
 
 def parse_toml(path: str, text: str) -> dict[str, Any]:
-    """Return the tables of a TOML text; raises OperatorFileError."""
+    """Parse a TOML text and return its top-level table. Raises OperatorFileError."""
     try:
         return tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
@@ -117,7 +119,7 @@
 
 
 def parse_value(text: str) -> Any:
-    """Return a value as TOML has it, or else the text itself: `normal` need not be quoted."""
+    """Parse a TOML value; return the text itself if it is not one, so that `normal` need not be quoted."""
     try:
         return tomllib.loads(f"x = {text}")["x"]
     except (tomllib.TOMLDecodeError, RecursionError):
@@ -125,7 +127,7 @@
 
 
 def line_of(text: str, section: str, key: str = "") -> int:
-    """Return the line of a section's head, or of a key in it; 0 where it is written in another way than usual."""
+    """Return the line number of a section's header or of a key in it; 0 if it is written in an unusual form."""
     current_section = ""
     for number, raw_line in enumerate(text.splitlines(), 1):
         line = raw_line.strip()
--- a/thistleusher/operator_file/reader.py
+++ b/thistleusher/operator_file/reader.py
@@ -1,4 +1,4 @@
-"""The operator's file as typed options, checked whole. Each error is one line: place, key, expected, found."""
+"""Reads the operator's file into typed options. Each error is one line: place, key, expected and found."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EffectiveValue(NamedTuple):
-    """A value in force: `section.key`, the value as text, and where it was written."""
+    """A value in effect: `section.key`, the value as text, and its origin."""
 
     key: str
     value: str
@@ -22,18 +22,18 @@
 
 
 class OperatorFile:
-    """Sections by name, as instances of their dataclasses; `layers` holds where each value was written."""
+    """The sections by name, as instances of their dataclasses. `layers` holds the origin of each value."""
 
     def __init__(self, layers: Layers, sections: dict[str, Any]) -> None:
         self.layers = layers
         self.sections = sections
 
     def get(self, section: str) -> Any:
-        """Return a section's options, None where no layer has the section."""
+        """Return a section's options, or None if no layer has the section."""
         return self.sections.get(section)
 
     def effective_values(self) -> list[EffectiveValue]:
-        """Return every value of the sections that are there, defaults too."""
+        """Return all values of the present sections, including defaults."""
         values = []
         for name, options in self.sections.items():
             for field in dataclasses.fields(options):
@@ -46,7 +46,7 @@
 def read_operator_file(
     path: str | None, environ: Mapping[str, str] | None = None, assignments: Iterable[str] = ()
 ) -> OperatorFile:
-    """Read and check all layers. Raises OperatorFileError where anything in them cannot be used."""
+    """Read and validate all layers. Raises OperatorFileError if any value in them is invalid."""
     layers = Layers()
     if path is not None:
         layers.add_file(path)
@@ -71,7 +71,7 @@
 
 
 def read_options(options: Any, values: Mapping[str, Any]) -> Any:
-    """Return an instance of the dataclass `options`. Raises InvalidValueError with the key that cannot be used."""
+    """Return an instance of the dataclass `options`. Raises InvalidValueError, which names the invalid key."""
     from thistleusher.operator_file.values import read_value  # loads pydantic
 
     fields = {field.name: field for field in dataclasses.fields(options)}
@@ -92,7 +92,7 @@
 
 
 def read_flat_file(path: str, options: Any) -> Any:
-    """Read a TOML file without sections as an instance of the dataclass `options`; raises OperatorFileError."""
+    """Read a TOML file without sections as an instance of the dataclass `options`. Raises OperatorFileError."""
     values = parse_toml(path, read_text(path))
     try:
         return read_options(options, values)
@@ -101,11 +101,11 @@
 
 
 def suggestion(name: str, known: Iterable[str]) -> str:
-    """Return the known name that is nearest to a wrong one, or all of them, as the end of an error line."""
+    """Return the end of an error message about an unknown name: the closest known name, or else all known names."""
     close = difflib.get_close_matches(name, list(known), 1)
-    return f"; did you mean {close[0]}?" if close else f"; there are {', '.join(sorted(known))}"
+    return f"; did you mean {close[0]}?" if close else f"; known names: {', '.join(sorted(known))}"
 
 
 def value_text(value: object) -> str:
-    """Return a value as it is shown: with its unit, or as Python writes it."""
+    """Return a value as text: with its unit, or else its `repr`."""
     return str(value) if isinstance(value, Seconds | Bytes) else repr(value)
--- a/thistleusher/operator_file/secrets.py
+++ b/thistleusher/operator_file/secrets.py
@@ -1,7 +1,7 @@
-"""Secrets: named in the operator's file, kept in a file of their own or in the environment.
+"""Secrets, which the operator's file references and which are stored in separate files or in the environment.
 
-`"file:/etc/thistleusher/key"` or `"env:THISTLEUSHER_KEY"`; the value itself is
-never in the operator's file, and never printed.
+A reference is `"file:/etc/thistleusher/key"` or `"env:THISTLEUSHER_KEY"`. The value itself is never in the operator's
+file and never printed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Secret:
-    """A secret's value, shown as its source: in errors and in `thistleusher show` as well."""
+    """A secret's value. Error messages and `thistleusher show` print its source instead."""
 
     __slots__ = ("source", "_value")
 
@@ -26,7 +26,7 @@
         self._value = value
 
     def reveal(self) -> bytes:
-        """Return the value, for its user alone; not to be stored, logged or compared other than by `hmac`."""
+        """Return the value. Do not store or log it, and compare it only with `hmac.compare_digest`."""
         return self._value
 
     def __repr__(self) -> str:
@@ -38,7 +38,7 @@
 def read_secret(text: object) -> Secret:
     """Return the secret that a source names.
 
-    Raises InvalidValueError, which never holds the value, nor what stood there in place of a source.
+    Raises InvalidValueError. Its message contains neither the value nor an invalid source, which may be the value.
     """
     kind, colon, name = text.partition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not name or kind not in ("file", "env"):
@@ -63,7 +63,7 @@
         raise InvalidValueError(found=f"file:{name}: {error.strerror}") from None
     if mode & (stat.S_IRWXG | stat.S_IRWXO):
         found = f"{stat.S_IMODE(mode):o}"
-        raise InvalidValueError(f"file:{name} to be its owner's alone (mode 600)", found)
+        raise InvalidValueError(f"file:{name} to be accessible only by its owner (mode 600)", found)
     value = value.rstrip(b"\r\n")
     if not value or len(value) > MAX_SECRET_BYTES:
         raise InvalidValueError(f"1 to {MAX_SECRET_BYTES} bytes in file:{name}", str(len(value)))
--- a/thistleusher/operator_file/sections.py
+++ b/thistleusher/operator_file/sections.py
@@ -1,6 +1,6 @@
-"""All sections of the operator's file, registered in one place; each section's dataclass belongs to its own package.
+"""The registry of all sections of the operator's file. Each section's dataclass is part of the package it configures.
 
-A section's module is imported only when the file has the section: an ingress without an operator's file needs none.
+A section's module is imported only if the file has the section, so an ingress without an operator's file imports none.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Section(NamedTuple):
-    """Where a section's dataclass is, and what the section is for in one sentence."""
+    """The module and name of a section's dataclass, and a description of the section in one sentence."""
 
     module: str
     dataclass_name: str
@@ -33,6 +33,6 @@
         "Several counters that share the names by rendezvous hashing, in place of the platform's one.",
     ),
     "log": Section(
-        "thistleusher.log.options", "LogOptions", "How log lines look, and how many wait while nobody reads them."
+        "thistleusher.log.options", "LogOptions", "Format and level of the log lines, and the size of their queue."
     ),
 }
--- a/thistleusher/operator_file/units.py
+++ b/thistleusher/operator_file/units.py
@@ -1,4 +1,4 @@
-"""Durations and sizes with their units, as people write them: "250ms", "64KiB". A bare number has no unit: an error."""
+"""Durations and sizes with units, such as "250ms" and "64KiB". A number without a unit is an error."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _split(text: object, what: str, units: dict[str, float] | dict[str, int], example: str) -> tuple[float, float]:
-    """Return the number and the size of its unit."""
+    """Return the number and the factor of its unit."""
     match = NUMBER_WITH_UNIT.fullmatch(text) if isinstance(text, str) else None
     if match is None or match[2] not in units:
         raise InvalidValueError(f"{what} such as {example!r} ({', '.join(units)})", f"{text!r:.60}")
@@ -40,7 +40,7 @@
 
 
 def read_seconds(text: object) -> Seconds:
-    """Return a duration; at most 12 digits, so it is finite. Raises InvalidValueError."""
+    """Return a duration, which is finite because it has at most 12 integer digits. Raises InvalidValueError."""
     number, unit = _split(text, "a duration", DURATION_UNITS, "250ms")
     return Seconds(number * unit)
 
--- a/thistleusher/operator_file/values.py
+++ b/thistleusher/operator_file/values.py
@@ -1,4 +1,4 @@
-"""One field of a section: its value checked against its type by pydantic, or by the reader of its unit."""
+"""Validates the value of one field of a section, with pydantic or with the reader of its unit."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 EXPECTED_LIMITS = {
     "greater_than_equal": ">= {ge}",
     "less_than_equal": "<= {le}",
-    "string_too_short": "{min_length} characters at least",
+    "string_too_short": "at least {min_length} characters",
     "literal_error": "{expected}",
 }
 
 
 def read_value(field_type: Any, value: object) -> Any:
-    """Return a value of a field's type. Raises InvalidValueError; a secret is never quoted in it."""
+    """Return a value of a field's type. Raises InvalidValueError, which never quotes a secret."""
     if field_type in READERS:
         return READERS[field_type](value)
     if isinstance(value, list) and get_origin(field_type) is tuple:
-        value = tuple(value)  # TOML has lists alone; strict checks tell them from tuples
+        value = tuple(value)  # TOML only has lists, and strict validation does not accept them as tuples
     try:
         return TypeAdapter(field_type).validate_python(value, strict=True)
     except ValidationError as error:
@@ -41,7 +41,7 @@
 
 
 def _expectation(error: Any) -> str:
-    """Return what pydantic expected, in the words of these error lines."""
+    """Return what pydantic expected, in the wording of this module's error messages."""
     kind = error["type"]
     if kind in EXPECTED_LIMITS:
         return EXPECTED_LIMITS[kind].format(**error["ctx"])
