--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m thistleusher`: one ingress alone as `PROXY_CONFIG` says, or a command of the command line.
+"""`python -m thistleusher`: runs one stand-alone ingress as configured by `PROXY_CONFIG`, or a command.
 
-An ingress without an operator's file loads no command line: `--counters` and `--state` are read here.
+An ingress without an operator's file does not import the command line, so `--counters` and `--state` are parsed here.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     from thistleusher.state.options import StateOptions
 
 FILE_OPTIONS = ("--counters", "--state")
-USAGE = """usage: python -m thistleusher              serve as PROXY_CONFIG says
+USAGE = """usage: python -m thistleusher              serve as configured by PROXY_CONFIG
        python -m thistleusher --counters FILE   the same, with several counters
        python -m thistleusher --state FILE      the same, with a state folder; both may be given
-       python -m thistleusher bound -h    how far quotas can be passed while the counter fails
+       python -m thistleusher bound -h    by how much quotas can be exceeded while the counter fails
 with the extra 'operator' also: serve --operator FILE, check, show, init, reference, state (--help for each)
 """
 
 
 def main() -> int:
-    """Serve as PROXY_CONFIG says, or carry out one of the commands; return the exit code."""
+    """Serve as configured by PROXY_CONFIG, or execute a command; return the exit code."""
     arguments = sys.argv[1:]
     files: dict[str, str] = {}
     while len(arguments) >= 2 and arguments[0] in FILE_OPTIONS and arguments[0] not in files:
@@ -45,7 +45,7 @@
 
 
 def run_command(arguments: list[str]) -> int:
-    """Carry out a command beside serving; the command line is imported only now."""
+    """Execute a command; the command line is imported only now."""
     if arguments[0] in ("-h", "--help"):
         print(USAGE, end="")
         return 0
@@ -58,14 +58,14 @@
 
 
 def counters_reader(path: str | None) -> Callable[[], Placement | None] | None:
-    """Return what reads the file that `--counters` names, None without the option."""
+    """Return a function that reads the file given by `--counters`, or None without this option."""
     if path is None:
         return None
     return lambda: read_counters(path)
 
 
 def read_state_options(path: str) -> StateOptions:
-    """Read the file that `--state` names. Raises InvalidConfigurationError."""
+    """Read the file given by `--state`. Raises InvalidConfigurationError."""
     try:
         from thistleusher.state.options import read_options
     except ImportError as error:
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the decision module and its parts together, the same for the daemon, the library and the simulator."""
+"""Assembles the decision module from its parts, in the same way for the daemon, the library and the simulator."""
 
 from __future__ import annotations
 
@@ -13,12 +13,16 @@
 
 
 def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
-    """Return one ingress's decisions. `now`: Unix time in seconds of its start; `placement`: of several counters."""
+    """Return the decision module of one ingress.
+
+    now: Unix time of the start in seconds
+    placement: placement of names on several counters, None with one counter
+    """
     return Gateway(settings, seed, now, make_escrow(settings, now), placement, make_gossip(settings, now))
 
 
 def make_gossip(settings: Settings, now: float) -> Gossip | None:
-    """Return the gossip of a large fleet; None where every peer gets every update."""
+    """Return the gossip module for many ingresses, or None if each update is sent to every peer."""
     if not settings.uses_gossip:
         return None
     return Gossip(
@@ -27,7 +31,10 @@
 
 
 def quota_terms(plan: PlanSettings, most: float) -> Terms | None:
-    """Return the allowance that shares are of; `most`: units of a request. None where a plan has no limit at all."""
+    """Return the terms of the allowance that is divided into shares, or None if the plan has no limit.
+
+    most: maximum units of a request
+    """
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(
             plan.ceiling_rate, plan.ceiling_burst, joint_start_burst=joint_start_burst(plan), prefetch_below=most
@@ -38,16 +45,16 @@
 
 
 def allowance_terms(settings: Settings) -> dict[str, tuple[float, float]]:
-    """Return rate and burst of the allowances that are reserved, by plan: under others a saved reservation is void."""
+    """Return rate and burst of each plan's allowance. A reservation saved under different terms is invalid."""
     found = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
     return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
 
 
 def make_escrow(settings: Settings, now: float) -> EscrowTable | None:
-    """Return escrowed shares of ceilings, and of quotas where there is none; None where peers cannot be notified.
+    """Return the escrowed shares of each plan's ceiling, or of its quota if it has no ceiling.
 
-    Demands and their answers take at most half of the messages that an ingress takes in. A fleet that starts together
-    has one quota's burst between its ingresses.
+    Returns None if peers cannot be notified. Demands and their answers use at most half of the messages that an ingress
+    accepts. Ingresses that start together share one burst of the quota.
     """
     if not settings.peers or not 2 <= settings.instances <= 255 or settings.peer_in_per_s <= 0:
         return None
--- a/thistleusher/cli/__init__.py
+++ b/thistleusher/cli/__init__.py
@@ -1,4 +1,5 @@
-"""The command line of everything in the package: the programs, the ingress alone, and commands that only look at files.
+"""The command line of the package: the three programs, the stand-alone ingress, and commands that only read files.
 
-Promised: a command's modules are imported only when it is invoked, and what is wrong is one line and an exit code.
+Guarantees: a command's modules are imported only when it is invoked, and an error is reported as one line and an exit
+code.
 """
--- a/thistleusher/cli/bound.py
+++ b/thistleusher/cli/bound.py
@@ -1,4 +1,4 @@
-"""`thistleusher bound`: how far quotas and ceilings can be passed while the counter fails."""
+"""`thistleusher bound`: by how much quotas and ceilings can be exceeded while the counter fails."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_settings(path: str) -> Settings:
-    """Return the settings of a configuration file. Raises InvalidConfigurationError: the file, and what is wrong."""
+    """Return the settings of a configuration file. Raises InvalidConfigurationError, which names the file."""
     data = read_data(path)
     try:
         return nested_settings(data["settings"])[0]
@@ -21,7 +21,7 @@
 
 
 def print_bound(options: Bound) -> int:
-    """Print the table of bounds; raises CommandError where the configuration or an option cannot be used."""
+    """Print the table of bounds. Raises CommandError if the configuration or an option is invalid."""
     try:
         assumptions = Assumptions(
             options.loss, options.delay, outage=options.outage, skew=options.skew, folders=options.folders
@@ -35,6 +35,6 @@
         f"{100 * options.loss:g}% of datagrams lost, {options.delay:g} s late"
     )
     if not settings.peers:
-        print("ingresses may not tell one another here: each holds to even shares, and no ceiling is escrowed")
+        print("ingresses cannot notify each other here: each is limited to an even share, and no ceiling is escrowed")
     print("\n".join(lines))
     return 0
--- a/thistleusher/cli/checks.py
+++ b/thistleusher/cli/checks.py
@@ -1,4 +1,4 @@
-"""`thistleusher check`: files checked offline; nothing is sent anywhere and nothing started."""
+"""`thistleusher check`: validates files offline. Nothing is sent or started."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def check(options: Check) -> int:
-    """Check the file that is named with its kind, else the operator's file; return the exit code."""
+    """Check the file given with its kind, or else the operator's file; return the exit code."""
     if options.kind is None:
         return check_operator_file(options)
     if options.file is None:
@@ -24,7 +24,7 @@
 
 
 def check_operator_file(options: Check) -> int:
-    """Check all layers of the operator's file, and the platform's configuration where there is one."""
+    """Check all layers of the operator's file, and the platform's configuration if one is given."""
     operator_file = read_layers(options)
     config = options.config or os.environ.get("PROXY_CONFIG")
     if config:
@@ -39,7 +39,7 @@
 
 
 def check_file(kind: str, path: Path) -> int:
-    """Check a process's settings or a configuration of the system; print each fault as a line."""
+    """Check a process's settings or a configuration of the system; print one line per error."""
     try:
         summary = summary_of_settings(path) if kind == "settings" else summary_of_configuration(path)
     except OSError as error:
@@ -49,12 +49,12 @@
         for fault in group.exceptions:
             print(f"{path}: {fault}", file=sys.stderr)
         return EXIT_FOUND_WRONG
-    print(f"{path}: sound: {summary}")
+    print(f"{path}: valid: {summary}")
     return 0
 
 
 def summary_of_settings(path: Path) -> str:
-    """Return what a settings file is for. Raises OSError, or an ExceptionGroup of all faults."""
+    """Return a summary of a settings file. Raises OSError, or an ExceptionGroup of all errors."""
     from thistleusher.common.settings_reader import read_node_settings
 
     settings = read_node_settings(path.read_text())
@@ -62,7 +62,7 @@
 
 
 def summary_of_configuration(path: Path) -> str:
-    """Return a configuration's figures. Raises OSError, or an ExceptionGroup of all faults."""
+    """Return a summary of a configuration file. Raises OSError, or an ExceptionGroup of all errors."""
     from thistleusher.configuration.records import summary
     from thistleusher.configuration.validation import read_configuration
 
--- a/thistleusher/cli/commands.py
+++ b/thistleusher/cli/commands.py
@@ -1,6 +1,6 @@
-"""The commands and their options. Each names the function that carries it out, imported when it is invoked.
+"""The commands and their options. Each command names its function, which is imported when the command is invoked.
 
-File names are text here: cappa would enter a `Path` as a context, which Python deprecates.
+File names are strings here, because cappa would enter a `Path` as a context manager, which Python deprecates.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 class ProgramOptions:
     """Options that the three programs share."""
 
-    settings: Annotated[str | None, cappa.Arg(long=True, help="settings file; else the environment's")] = None
-    verbose: Annotated[bool, cappa.Arg(long=True, help="also log what only a search for causes wants")] = False
+    settings: Annotated[str | None, cappa.Arg(long=True, help="settings file (default: from the environment)")] = None
+    verbose: Annotated[bool, cappa.Arg(long=True, help="also log debug messages")] = False
 
 
 @cappa.command(
@@ -27,10 +27,10 @@
     """Run the proxy."""
 
 
-@cappa.command(name="control", help="the store of configuration", invoke="thistleusher.cli.programs.run_control")
+@cappa.command(name="control", help="the configuration store", invoke="thistleusher.cli.programs.run_control")
 @dataclass
 class Control(ProgramOptions):
-    """Run the store of configuration."""
+    """Run the configuration store."""
 
 
 @cappa.command(
@@ -45,12 +45,12 @@
 
 @cappa.command(
     name="events",
-    help="print the catalogue of log events, as docs/events.md holds it",
+    help="print the catalogue of log events, as in docs/events.md",
     invoke="thistleusher.cli.programs.print_events",
 )
 @dataclass
 class Events:
-    """Print the catalogue."""
+    """Print the catalogue of log events."""
 
 
 @dataclass
@@ -68,10 +68,10 @@
     ] = field(default_factory=list)
 
 
-@cappa.command(name="serve", help="one ingress alone, on real sockets", invoke="thistleusher.cli.serve.serve")
+@cappa.command(name="serve", help="run one stand-alone ingress", invoke="thistleusher.cli.serve.serve")
 @dataclass
 class Serve(OperatorFileOptions):
-    """Serve in the foreground until SIGTERM; SIGHUP reads both files anew."""
+    """Serve in the foreground until SIGTERM; SIGHUP reloads both files."""
 
     config: Annotated[
         str | None,
@@ -81,12 +81,12 @@
 
 @cappa.command(
     name="check",
-    help="check a file; says where it is wrong and starts nothing",
+    help="validate a file and print its errors, without starting anything",
     invoke="thistleusher.cli.checks.check",
 )
 @dataclass
 class Check(OperatorFileOptions):
-    """Check the operator's file and the platform's configuration, or the one file that is named with its kind."""
+    """Check the operator's file and the platform's configuration, or a single file given with its kind."""
 
     kind: Annotated[
         str | None,
@@ -99,21 +99,21 @@
     config: Annotated[
         str | None,
         cappa.Arg(
-            long=True, value_name="FILE", help="The platform's configuration, too (default: PROXY_CONFIG, if set)."
+            long=True, value_name="FILE", help="The platform's configuration to check (default: PROXY_CONFIG, if set)."
         ),
     ] = None
 
 
 @cappa.command(
     name="show",
-    help="each effective value of the operator's file, and its origin",
+    help="print each effective value of the operator's file and its origin",
     invoke="thistleusher.cli.operator_files.show",
 )
 @dataclass
 class Show(OperatorFileOptions):
-    """Print each effective value and where it comes from."""
+    """Print each effective value and its origin."""
 
-    as_json: Annotated[bool, cappa.Arg(long="--json", help="One JSON object a line.")] = False
+    as_json: Annotated[bool, cappa.Arg(long="--json", help="One JSON object per line.")] = False
 
 
 @cappa.command(
@@ -121,7 +121,7 @@
 )
 @dataclass
 class Init:
-    """Write a commented starting file; one that is there is left alone."""
+    """Write a commented template; an existing file is not overwritten."""
 
     path: Annotated[str, cappa.Arg(help="The file to write.")]
 
@@ -131,12 +131,12 @@
 )
 @dataclass
 class Reference:
-    """Print the page of the operator's file."""
+    """Print the reference page of the operator's file."""
 
 
 @dataclass
 class StateFolder:
-    """The argument of each command on a state folder."""
+    """The argument that all commands on a state folder share."""
 
     folder: Annotated[str, cappa.Arg(help="The state folder, which no process may be using.")]
 
@@ -144,25 +144,25 @@
 @cappa.command(name="show", invoke="thistleusher.cli.state_folder.show")
 @dataclass
 class StateShow(StateFolder):
-    """Print what is in the folder, in a few lines."""
+    """Print a short summary of the folder."""
 
 
 @cappa.command(name="verify", invoke="thistleusher.cli.state_folder.verify")
 @dataclass
 class StateVerify(StateFolder):
-    """Read every record; exit code 1 where one is spoilt or the file is damaged."""
+    """Read every record; exit with code 1 if a record or the file is corrupt."""
 
 
 @cappa.command(name="export", invoke="thistleusher.cli.state_folder.export")
 @dataclass
 class StateExport(StateFolder):
-    """Print every record as a JSON line."""
+    """Print each record as one JSON line."""
 
 
-@cappa.command(name="state", help="look at a state folder; nothing in it is changed")
+@cappa.command(name="state", help="inspect a state folder without changing it")
 @dataclass
 class State:
-    """Look at a state folder."""
+    """Inspect a state folder."""
 
     command: cappa.Subcommands[StateShow | StateVerify | StateExport]
 
@@ -170,20 +170,20 @@
 @cappa.command(name="bound", invoke="thistleusher.cli.bound.print_bound")
 @dataclass
 class Bound:
-    """Print how far quotas and ceilings can be passed while the counter fails."""
+    """Print by how much quotas and ceilings can be exceeded while the counter fails."""
 
     config: Annotated[str, cappa.Arg(help="the ingress's configuration, as PROXY_CONFIG names it")]
-    outage: Annotated[float, cappa.Arg(long=True, help="seconds that the failure lasts")] = 60.0
-    loss: Annotated[float, cappa.Arg(long=True, help="share of datagrams lost")] = 0.05
-    delay: Annotated[float, cappa.Arg(long=True, help="seconds by which they are late")] = 0.05
-    skew: Annotated[float, cappa.Arg(long=True, help="seconds that clocks are apart")] = 0.0
+    outage: Annotated[float, cappa.Arg(long=True, help="duration of the failure in seconds")] = 60.0
+    loss: Annotated[float, cappa.Arg(long=True, help="fraction of datagrams that are lost")] = 0.05
+    delay: Annotated[float, cappa.Arg(long=True, help="delay of datagrams in seconds")] = 0.05
+    skew: Annotated[float, cappa.Arg(long=True, help="difference between clocks in seconds")] = 0.0
     folders: Annotated[bool, cappa.Arg(long=True, help="every ingress has a state folder")] = False
 
 
 @cappa.command(name="thistleusher", help="thistleusher: a global load balancer")
 @dataclass
 class Thistleusher:
-    """One of the programs, or a tool."""
+    """One of the programs or tools."""
 
     command: cappa.Subcommands[
         Proxy | Control | Registry | Serve | Check | Show | Init | Reference | State | Bound | Events
--- a/thistleusher/cli/errors.py
+++ b/thistleusher/cli/errors.py
@@ -1,7 +1,7 @@
-"""What keeps a command from being carried out."""
+"""The error of a command that cannot be executed."""
 
 from __future__ import annotations
 
 
 class CommandError(Exception):
-    """A command that cannot be carried out as asked: its text is one line, the exit code is 2."""
+    """A command cannot be executed as requested. The message is one line, and the exit code is 2."""
--- a/thistleusher/cli/main.py
+++ b/thistleusher/cli/main.py
@@ -1,7 +1,7 @@
-"""The entry of the command line, `thistleusher`.
+"""The entry point of the command line, `thistleusher`.
 
-Exit codes: 0 done; 1 ended by a signal or found something wrong in what it looked at; 2 cannot be used as asked, one
-line on standard error.
+Exit codes: 0 for success; 1 if ended by a signal, or if a check found errors; 2 if the command cannot be executed, with
+one line on standard error.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class HelpOutput(cappa.Output):
-    """Prints help and versions; errors are left to `main`, which writes them as one line."""
+    """Prints help and versions, but no errors: `main` prints them as one line."""
 
     def error(self, message: Any, **context: Any) -> None:
         """Print nothing."""
 
 
 def version_text() -> str:
-    """Return the installed version, for `--version`."""
+    """Return the text that `--version` prints."""
     try:
         return f"thistleusher, version {metadata.version('thistleusher')}"
     except metadata.PackageNotFoundError:
@@ -39,7 +39,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Carry out one command line and return its exit code."""
+    """Execute one command line and return its exit code."""
     version: cappa.Arg[Any] = cappa.Arg(value_name=version_text(), long="--version", help="Show the version and exit.")
     try:
         return int(cappa.invoke(Thistleusher, argv=argv, version=version, output=HelpOutput()) or 0)
@@ -57,7 +57,7 @@
 
 
 def missing_library(error: BaseException | None) -> str | None:
-    """Return the module outside this package whose absence led to an error, None where something else did."""
+    """Return the missing external module that caused an error, or None if the error has another cause."""
     while error is not None:
         if isinstance(error, ModuleNotFoundError) and error.name and not error.name.startswith("thistleusher"):
             return error.name
@@ -66,11 +66,11 @@
 
 
 def _end(end: cappa.Exit) -> int:
-    """Return the exit code of a help page, or of a command line that cannot be parsed."""
+    """Return the exit code after a help page or an invalid command line, and print the error of the latter."""
     if end.code in (0, None):
         return 0
     message = str(end.message)
-    with contextlib.suppress(MarkupError):  # raised where an argument looks like markup: it is shown as it is
+    with contextlib.suppress(MarkupError):  # raised if an argument looks like markup; it is then printed unchanged
         message = Text.from_markup(message).plain
     return _fail(message)
 
--- a/thistleusher/cli/operator_files.py
+++ b/thistleusher/cli/operator_files.py
@@ -1,4 +1,4 @@
-"""Commands on the operator's file: `show`, `init`, `reference`. They start nothing."""
+"""Commands on the operator's file: `show`, `init` and `reference`. They start no process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_layers(options: OperatorFileOptions) -> OperatorFile:
-    """Return the operator's file with all its layers; raises CommandError."""
+    """Return the operator's file with all its layers. Raises CommandError."""
     try:
         return read_operator_file(options.operator, os.environ, options.assignments)
     except OperatorFileError as error:
@@ -21,7 +21,7 @@
 
 
 def show(options: Show) -> int:
-    """Print each effective value and where it comes from."""
+    """Print each effective value and its origin."""
     for key, value, origin in read_layers(options).effective_values():
         if options.as_json:
             print(json.dumps({"key": key, "value": value, "from": origin}))
@@ -31,7 +31,7 @@
 
 
 def write_starting_file(options: Init) -> int:
-    """Write a commented starting file; one that is there is left alone."""
+    """Write a commented template; an existing file is not overwritten."""
     from thistleusher.operator_file.reference import starting_file
 
     try:
--- a/thistleusher/cli/programs.py
+++ b/thistleusher/cli/programs.py
@@ -15,7 +15,7 @@
 
 
 def run_control(options: Control) -> int:
-    """Run the store of configuration until it ends; return its exit code."""
+    """Run the configuration store until it ends; return its exit code."""
     return run_program("control", options)
 
 
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -1,4 +1,4 @@
-"""`thistleusher serve`: one ingress on real sockets, with an operator's file."""
+"""`thistleusher serve`: one stand-alone ingress with an operator's file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def serve(options: Serve) -> int:
-    """Serve in the foreground until SIGTERM; return the exit code. SIGHUP reads both files anew."""
+    """Serve in the foreground until SIGTERM; return the exit code. SIGHUP reloads both files."""
     from thistleusher.standalone import OperatorExtras, run
 
     environ = {**os.environ, **({"PROXY_CONFIG": options.config} if options.config else {})}
@@ -42,7 +42,7 @@
 
 
 def read_placement(options: Serve) -> Placement | None:
-    """Read the same layers as at the start; raises InvalidConfigurationError where they cannot be used any more."""
+    """Read the layers again and return the placement. Raises InvalidConfigurationError if they are invalid."""
     from thistleusher.net.config import InvalidConfigurationError
 
     try:
--- a/thistleusher/cli/state_folder.py
+++ b/thistleusher/cli/state_folder.py
@@ -1,4 +1,4 @@
-"""`thistleusher state`: look at a state folder that no process uses. Nothing in it is changed."""
+"""`thistleusher state`: inspects a state folder that no process uses, without changing it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextmanager
 def opened(folder: str) -> Iterator[Store]:
-    """Hold the folder meanwhile; raises CommandError where it cannot be had."""
+    """Open and lock the folder for the duration of the context. Raises CommandError if it cannot be opened."""
     try:
         store = Store.existing(folder)
     except StateFolderError as error:
@@ -28,7 +28,7 @@
 
 
 def show(options: StateShow) -> int:
-    """Print what is in the folder, in a few lines."""
+    """Print a short summary of the folder."""
     with opened(options.folder) as store:
         process = store.previous
         learned = store.learned()
@@ -36,7 +36,7 @@
         pending = [max(0.0, member.pending) for member in store.members()]
         reservation_count = sum(1 for _ in store.reservations())
     if process is not None:
-        end = f"ended in order at {process.ended_at:.3f}" if process.ended_at else "did not end in order, or goes on"
+        end = f"ended in order at {process.ended_at:.3f}" if process.ended_at else "no orderly shutdown is recorded"
         print(f"ingress {process.name}, life {process.number}, began {process.started_at:.3f}, {end}")
     print(f"{len(pending)} members, {sum(pending):.2f} units in no count yet; {reservation_count} rooms")
     print(
@@ -47,7 +47,7 @@
 
 
 def verify(options: StateVerify) -> int:
-    """Read every record and print what is wrong; return the exit code."""
+    """Read every record and print the number of corrupt ones and any damage to the file; return the exit code."""
     with opened(options.folder) as store:
         count = sum(1 for _ in store.members()) + sum(1 for _ in store.reservations())
         count += sum(record is not None for record in (store.learned(), store.endpoint_list(), store.previous))
@@ -58,7 +58,7 @@
 
 
 def export(options: StateExport) -> int:
-    """Print every record as a JSON line."""
+    """Print each record as one JSON line."""
     with opened(options.folder) as store:
         single_records: list[tuple[str, Any]] = [
             ("life", store.previous),
@@ -76,6 +76,6 @@
 
 
 def json_line(kind: str, record: Any) -> str:
-    """Return a record as JSON, with the names that its fields are stored under."""
+    """Return a record as JSON, with the encoded names of its fields."""
     fields = record.__struct_encode_fields__ if isinstance(record, msgspec.Struct) else record._fields
     return json.dumps({"kind": kind, **dict(zip(fields, msgspec.to_builtins(record), strict=True))})
--- a/thistleusher/standalone.py
+++ b/thistleusher/standalone.py
@@ -1,4 +1,4 @@
-"""One ingress alone as a process, on real sockets: start-up, signals and its end."""
+"""The process of one stand-alone ingress on real sockets: start-up, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from thistleusher.state.options import StateOptions
     from thistleusher.state.snapshotter import Snapshotter
 
-NOTICE_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
+NOTICE_S = 0.5  # delay of the shutdown after SIGTERM, because new connections arrive for up to another 0.4 s
 EXIT_INTERRUPTED = 1
 EXIT_UNUSABLE = 2
 
@@ -28,11 +28,11 @@
 
 
 class OperatorExtras(NamedTuple):
-    """What an operator adds to the platform's configuration.
+    """Options that an operator adds to the platform's configuration.
 
-    environ: names the configuration's file
-    read_counters: reads the set of counters anew, at the start and at each reload
-    state: the state folder
+    environ: environment variables, which name the configuration file
+    read_counters: reads the placement on several counters, at the start and at each reload
+    state: options of the state folder
     """
 
     environ: Mapping[str, str]
@@ -40,12 +40,12 @@
     state: StateOptions | None = None
 
     def placement(self) -> Placement | None:
-        """Return the set of counters as it is now. Raises InvalidConfigurationError."""
+        """Return the present placement on several counters, if any. Raises InvalidConfigurationError."""
         return self.read_counters() if self.read_counters else None
 
 
 def make_snapshotter(config: Config, options: StateOptions) -> Snapshotter:
-    """Open the state folder. Raises InvalidConfigurationError where it cannot be used."""
+    """Open the state folder. Raises InvalidConfigurationError if it cannot be used."""
     from thistleusher.assembly import allowance_terms
     from thistleusher.core.replication_limits import retention_s
     from thistleusher.state.snapshotter import Snapshotter
@@ -60,7 +60,7 @@
 
 
 async def serve(config: Config, extras: OperatorExtras) -> None:
-    """Serve until a signal asks for the end, then shut down in order."""
+    """Serve until SIGTERM or SIGINT, then shut down in order. SIGHUP reloads the configuration."""
     loop = asyncio.get_running_loop()
     placement = extras.placement()
     snapshotter = make_snapshotter(config, extras.state) if extras.state else None
@@ -72,7 +72,7 @@
             new_config = read_config(extras.environ)
             new_placement = extras.placement()
         except InvalidConfigurationError as error:
-            log.error("the configuration stays as it was: %s", error)  # noqa: TRY400  (a mistake in a file: no traceback)
+            log.error("reload failed, configuration unchanged: %s", error)  # noqa: TRY400  (a file error: no traceback)
             return
         daemon.reload(new_config, new_placement)
 
@@ -85,7 +85,7 @@
 
 
 def run(extras: OperatorExtras, *, log_is_set_up: bool = False) -> int:
-    """Serve and return the exit code; what prevents a start is one line on standard error."""
+    """Serve and return the exit code. An error that prevents the start is printed as one line on standard error."""
     if not log_is_set_up:
         use_plain_handler()
     try:
--- a/thistleusher/system.py
+++ b/thistleusher/system.py
@@ -1,13 +1,13 @@
-"""The entry point of the system: one of the three programs, or the command line.
+"""The entry point of the system: runs one of the three programs, or the command line.
 
-A program that restarts while clients wait must not load the command line first: that takes 0.2 s of its processor.
+Importing the command line takes 0.2 s of CPU time, so a program that restarts while clients wait does not import it.
 """
 
 from __future__ import annotations
 
 import signal
 
-# Before the other imports: they take a while, and until the main loop handles it SIGHUP would end the process.
+# This precedes the slow imports, because SIGHUP would end the process until the main loop handles it.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import gc  # noqa: E402
@@ -19,9 +19,9 @@
 
 
 def main() -> None:
-    """Start the program that the only argument names; leave anything else to the command line."""
+    """Start the program named by the only argument, or else run the command line."""
     if len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
-        gc.disable()  # imports make no garbage worth collecting; `process.serve` enables it again
+        gc.disable()  # imports create hardly any garbage; `process.serve` enables the collector again
         from thistleusher.common.launcher import start
 
         sys.exit(start(sys.argv[1]))
--- a/thistleusher/wire_codec.py
+++ b/thistleusher/wire_codec.py
@@ -1,4 +1,7 @@
-"""The simulator's wire: lines of text to events, and actions to lines. The wire's names stand here and nowhere else."""
+"""Codec of the simulator's wire protocol: decodes lines of text to events and encodes actions as lines.
+
+The protocol's names of messages and fields are used in this module and in `wirehost` only.
+"""
 
 from __future__ import annotations
 
@@ -37,20 +40,23 @@
     "FAILED": ListKind.FAILED,
 }
 ABSENT = "-"
-REPEAT_BIT = 2  # of a request's bits
-WRITE_BIT = 4
+REPEAT_BIT = 2  # flag in a request's field `bits`: the request is a repetition
+WRITE_BIT = 4  # flag in a request's field `bits`: the request is a write
 
 
 @dataclass(slots=True)
 class Message:
-    """One line: its name and fields. `load_fields` name the values of a load report; `rows` are the lines after it."""
+    """One message: its name and fields in `parts`.
+
+    `load_fields` are the names of the values in a load report. `rows` yields the lines that follow the message.
+    """
 
     parts: list[str]
     load_fields: tuple[str, ...]
     rows: Iterator[str]
 
     def whole(self, field: str, at: int, absent: int | None = None) -> int:
-        """Return a whole number; `absent` where the field may be missing."""
+        """Return a whole number, or `absent` if this is given and the field is missing."""
         if absent is not None and self.parts[at] == ABSENT:
             return absent
         return read_whole(self.parts[0], field, self.parts[at])
@@ -60,15 +66,15 @@
         return read_number(self.parts[0], field, self.parts[at], low)
 
     def optional(self, field: str, at: int, low: float = 0.0) -> float:
-        """Return a number of at least `low`; 0 where the field is missing."""
+        """Return a number of at least `low`, or 0 if the field is missing."""
         return read_optional(self.parts[0], field, self.parts[at], low)
 
     def outcome(self, at: int) -> Outcome:
-        """Return how something ended."""
+        """Return the outcome of an attempt, a probe or a counter call."""
         return read_choice(self.parts[0], "reason", self.parts[at], OUTCOMES)
 
     def load(self, at: int) -> dict[str, float]:
-        """Return the values of a load report that are there."""
+        """Return the present values of a load report by name."""
         text = self.parts[at]
         if text in (ABSENT, ""):
             return {}
@@ -80,13 +86,13 @@
 
 
 def check_count(message: str, parts: list[str], wanted: int) -> None:
-    """Raise InvalidSettingError where a message has not `wanted` parts, its name among them."""
+    """Raise InvalidSettingError unless a message has `wanted` parts, including its name."""
     if len(parts) != wanted:
         invalid(message, "fields", f"{wanted - 1} fields", len(parts) - 1)
 
 
 def read_row(line: str) -> BackendEntry:
-    """Return one line of the list of servers."""
+    """Decode one line of a backend list."""
     parts = line.split(" ")
     if parts[0] != "ROW":
         invalid("UPDATE", "rows", "a ROW line", parts[0])
@@ -188,7 +194,7 @@
     return events.PeerMessage(m.whole("originPeer", 2), payload)
 
 
-# How many parts each message has, its name among them, and what reads it.
+# For each message: the number of its parts, including its name, and the function that decodes it.
 READERS: dict[str, tuple[int, Callable[[Message], Event]]] = {
     "WORK_ITEM": (11, _read_request),
     "RETURNED": (11, _read_attempt_ended),
@@ -203,7 +209,7 @@
 
 
 def read_event(parts: list[str], load_fields: tuple[str, ...], rows: Iterator[str]) -> Event:
-    """Return one event of a running instance; the rows of a list are taken from `rows`."""
+    """Decode one event of a running instance; the rows of a list are read from `rows`."""
     name = parts[0]
     if name not in READERS:
         invalid("batch", "message", "a known message", name)
@@ -217,8 +223,8 @@
 
 
 def _write_attempt(me: int, action: actions.Attempt) -> str:
-    patience = "0" if action.timeout is None else f"{action.timeout:.6f}"
-    return f"SUBMIT_TO {me} {action.request} {action.backend} {patience}"
+    timeout = "0" if action.timeout is None else f"{action.timeout:.6f}"
+    return f"SUBMIT_TO {me} {action.request} {action.backend} {timeout}"
 
 
 def _write_peer_message(me: int, action: actions.SendToPeer) -> str:
@@ -243,5 +249,5 @@
 
 
 def write_action(me: int, action: Action) -> str:
-    """Return the wire's line for one action of an instance."""
+    """Encode one action of an instance as a line."""
     return WRITERS[type(action)](me, action)
--- a/thistleusher/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -1,4 +1,4 @@
-"""Hosts many gateways on the simulator's wire, on standard input and output: `python -m thistleusher.wirehost`."""
+"""Hosts many gateways for the simulator, on standard input and output: `python -m thistleusher.wirehost`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Instance(NamedTuple):
-    """One gateway that runs, with the names that its messages may use."""
+    """One running gateway, with the names that its messages may use."""
 
     gateway: Decisions
     load_fields: tuple[str, ...]
@@ -27,14 +27,14 @@
 
 
 class Host:
-    """All instances of one process; they share nothing but this dispatch."""
+    """All instances of one process. They share no state apart from this dispatcher."""
 
     def __init__(self, make: Callable[[Settings, int, float], Any] = make_gateway) -> None:
         self.make = make
         self.instances: dict[int, Instance] = {}
 
     def batch(self, lines: list[str]) -> list[str]:
-        """Answer one batch, from its CLOCK line to the line before END."""
+        """Process one batch, from its CLOCK line to the line before END, and return the lines of the answer."""
         head = lines[0].split(" ")
         if head[0] != "CLOCK":
             invalid("batch", "first line", "CLOCK", head[0])
@@ -47,7 +47,7 @@
         return out
 
     def _message(self, now: float, line: str, rest: Iterator[str]) -> list[str]:
-        """Answer one message; the rows of a list are taken from `rest`."""
+        """Process one message, with the rows of a list from `rest`, and return the lines of the answer."""
         parts = line.split(" ")
         name = parts[0]
         if len(parts) < 2:
@@ -73,7 +73,7 @@
         self.instances[me] = Instance(self.make(settings, seed, now), load_fields, classes, plans)
 
     def _event(self, now: float, me: int, parts: list[str], rest: Iterator[str]) -> list[str]:
-        """Have an instance decide on an event, and return the lines of its actions."""
+        """Pass an event to its instance and return the lines of the resulting actions."""
         instance = self.instances.get(me)
         event = read_event(parts, instance.load_fields if instance is not None else (), rest)
         if instance is None:
@@ -84,15 +84,15 @@
         lines: list[str] = []
         try:
             for action in instance.gateway.handle(now, event):
-                lines.append(write_action(me, action))  # noqa: PERF401  (what was written before a fault stays)
-        except Exception as fault:  # the wire's own declaration of failure, with its text
+                lines.append(write_action(me, action))  # noqa: PERF401  (keeps the lines before an exception)
+        except Exception as fault:  # reported on the wire as an EXCEPTION line with the error's text
             text = " ".join(f"{type(fault).__name__}: {fault}".split())
             lines.append(f"EXCEPTION {me} {text}")
         return lines
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the end of input."""
+    """Process batches until the end of input."""
     host = Host()
     lines: list[str] = []
     for line in source:
@@ -112,7 +112,7 @@
 
 
 def main() -> int:
-    """Serve standard input; a bad line ends in one plain line and a non-zero exit."""
+    """Serve standard input. A malformed line ends the process with a one-line error and exit code 2."""
     try:
         serve(sys.stdin, sys.stdout)
     except (InvalidSettingError, ValueError) as error:
