--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from thistleusher.configuration.items import ConfigurationFollower, assemble, changes, difference
+from thistleusher.configuration.items import ConfigurationFollower, assemble, changed_items, changed_items_for_parts
 from thistleusher.control import orders
 from thistleusher.transport.state_updates import State
 
@@ -33,9 +33,9 @@
     "items whole KB",
     "one-route change bytes",
     "check s",
-    "changes() whole s",
-    "changes() one route s",
-    "of it difference() s",
+    "changed_items() whole s",
+    "changed_items() one route s",
+    "of it changed_items_for_parts() s",
     "update() whole s",
     "update() one route ms",
     "assemble() s",
@@ -127,13 +127,13 @@
 
     state, follower = State(), ConfigurationFollower()
     check = timed(lambda: orders.parse(document))
-    whole = timed(lambda: changes(state, 1, document))
+    whole = timed(lambda: changed_items(state, 1, document))
     state.apply(1, whole.result)
     build = timed(lambda: follower.update(state, whole.result))
-    one = timed(lambda: changes(state, 2, second), REPEATS)
+    one = timed(lambda: changed_items(state, 2, second), REPEATS)
     parts = orders.parse(second).parts
     assert parts is not None
-    differing = timed(lambda: difference(state, parts), REPEATS)
+    differing = timed(lambda: changed_items_for_parts(state, parts), REPEATS)
     state.apply(2, one.result)
     update = timed(lambda: follower.update(state, one.result))
     put_together = timed(lambda: assemble(state), REPEATS)
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -82,10 +82,10 @@
     del config
     state = State()
     before = resident_mb()
-    first_s = timed(lambda: state.apply(1, config_items.changes(state, 1, body)))
+    first_s = timed(lambda: state.apply(1, config_items.changed_items(state, 1, body)))
     control_mb = resident_mb() - before
     whole = encode(state.update_since(0))
-    second_s = timed(lambda: state.apply(2, config_items.changes(state, 2, again)))
+    second_s = timed(lambda: state.apply(2, config_items.changed_items(state, 2, again)))
     change = encode(state.update_since(1))
     proxy = ConfiguredProxy()
     before = resident_mb()
--- a/simnet/system/operator.py
+++ b/simnet/system/operator.py
@@ -36,7 +36,7 @@
             return Change(
                 call_id,
                 lambda state: config_items.number_of(state) >= version,
-                lambda state: config_items.changes(state, version, configuration_document(version)),
+                lambda state: config_items.changed_items(state, version, configuration_document(version)),
                 "",
             )
 
--- a/tests/cli/test_serve.py
+++ b/tests/cli/test_serve.py
@@ -30,7 +30,7 @@
             await counter.stop()
         assert any("serves on" in x["event"] for x in lines) and all(x["level"] for x in lines)
         assert lines[-1]["event"].endswith("has stopped")
-        store = Store.existing(tmp_path / "state")
+        store = Store.open_existing(tmp_path / "state")
         assert store.previous.ended_at > 0 and store.endpoint_list().endpoints[0].name == "b0"
         store.close()
 
--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -52,7 +52,7 @@
 
 def configuration_items() -> Any:
     """The same as items of the control state, and put together again."""
-    changed = config_items.changes(State(), 7, text("configuration.json").encode())
+    changed = config_items.changed_items(State(), 7, text("configuration.json").encode())
     state = State()
     state.merge(1, {name: (1, value) for name, value in changed.items()})
     document = config_items.assemble(state)
--- a/tests/configuration/documents.py
+++ b/tests/configuration/documents.py
@@ -3,7 +3,7 @@
 import copy
 import json
 
-SOUND = {
+VALID = {
     "version": "00000007",
     "routes": {
         "r1": {
@@ -57,7 +57,7 @@
 
 
 def body(change=None):
-    table = copy.deepcopy(SOUND)
+    table = copy.deepcopy(VALID)
     if change is not None:
         change(table)
     return json.dumps(table).encode()
--- a/tests/configuration/test_items.py
+++ b/tests/configuration/test_items.py
@@ -13,7 +13,7 @@
     ConfigurationFollower,
     Identity,
     assemble,
-    changes,
+    changed_items,
     digest_of,
     number_of,
     was_accepted,
@@ -73,7 +73,7 @@
         if step == 0 and data.draw(strategies.booleans()):
             changed = {"config": {"v": number, "z": zlib.compress(sent)}}
         else:
-            changed = changes(published, number, sent)
+            changed = changed_items(published, number, sent)
         published.apply(published.number + 1, changed)
         assert json.loads(assemble(published)) == json.loads(sent) and number_of(published) == number
         assert was_accepted(published, Identity(number, digest_of(json.loads(sent))))
@@ -97,7 +97,7 @@
     published, config = State(), ConfigurationFollower()
 
     def follow(number, sent):
-        changed = changes(published, number, sent)
+        changed = changed_items(published, number, sent)
         published.apply(published.number + 1, changed)
         return config.update(published, changed)
 
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -18,7 +18,11 @@
 
 def test_a_valid_configuration_is_read_with_unknown_fields_ignored():
     config = read_configuration(body())
-    assert config.number == 7 and config.routes["r1"].shares[0].weight == 90 and config.tenants["t2"].rate_per_s == 0
+    assert (
+        config.number == 7
+        and config.routes["r1"].weighted_services[0].weight == 90
+        and config.tenants["t2"].rate_per_s == 0
+    )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -112,8 +116,8 @@
 
 
 def test_all_faults_are_reported_at_once():
-    def spoil(table):
+    def invalidate(table):
         table["routes"]["r1"]["deadline_ms"] = 0
         table["routes"]["r2"]["target"] = "nobody"
 
-    assert len(faults_of(body(spoil))) == 2
+    assert len(faults_of(body(invalidate))) == 2
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -9,7 +9,7 @@
 
 from thistleusher.common.errors import ErrorKind, ServiceError
 from thistleusher.configuration import validation as checks
-from thistleusher.configuration.items import NO_CONFIGURATION, REMEMBERED_DIGESTS, assemble, changes, number_of
+from thistleusher.configuration.items import NO_CONFIGURATION, REMEMBERED_DIGESTS, assemble, changed_items, number_of
 from thistleusher.control import orders
 from thistleusher.control.orders import OrderStatus
 from thistleusher.transport.state_updates import State
@@ -264,5 +264,5 @@
 
 def test_a_change_of_one_route_sets_its_item_the_header_and_one_digest():
     leader = holding(7)
-    changed = changes(leader.state, 8, document(8, "b"))
+    changed = changed_items(leader.state, 8, document(8, "b"))
     assert set(changed) == {"config", "route:r", "taken:2"}
--- a/tests/log/test_queued.py
+++ b/tests/log/test_queued.py
@@ -13,16 +13,16 @@
 from thistleusher.log.queued import QueuedLog
 
 
-class Stuck(io.StringIO):
-    """A stream whose writes block until `go` is set, like standard error whose reader has stopped reading."""
+class BlockedStream(io.StringIO):
+    """A stream whose writes block until `released` is set, like standard error whose reader has stopped reading."""
 
     def __init__(self):
         super().__init__()
-        self.go, self.began = threading.Event(), threading.Event()
+        self.released, self.write_started = threading.Event(), threading.Event()
 
     def write(self, text):
-        self.began.set()
-        assert self.go.wait(20.0)
+        self.write_started.set()
+        assert self.released.wait(20.0)
         return super().write(text)
 
 
@@ -57,14 +57,14 @@
 
 
 def test_a_reader_that_does_not_read_holds_nobody_up_and_what_was_dropped_is_said(log):
-    out = Stuck()
+    out = BlockedStream()
     queued_log = QueuedLog(LogOptions("json", "info", 16), out)
     log.info("first")
-    assert out.began.wait(20.0)  # the writer blocks, so the following lines fill the queue
+    assert out.write_started.wait(20.0)  # the writer blocks, so the following lines fill the queue
     for n in range(100):
         log.info("line %d", n)
     assert queued_log.handler.dropped == 100 - 16
-    out.go.set()
+    out.released.set()
     while not queued_log.handler.queue.empty():
         pass
     log.info("last")
@@ -75,10 +75,10 @@
 
 def test_an_end_does_not_wait_for_such_a_reader_either(log, monkeypatch):
     monkeypatch.setattr("thistleusher.log.queued.CLOSE_TIMEOUT_S", 0.05)
-    out = Stuck()
+    out = BlockedStream()
     queued_log = QueuedLog(LogOptions(queue=16), out)
     log.info("first")
-    assert out.began.wait(20.0)
+    assert out.write_started.wait(20.0)
     queued_log.close()
-    assert not out.go.is_set()
-    out.go.set()
+    assert not out.released.is_set()
+    out.released.set()
--- a/tests/operator_file/test_reference.py
+++ b/tests/operator_file/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page and the template of the operator's file."""
+"""The reference page and the commented template of the operator's file."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.operator_file.files import written
 from thistleusher.cli.main import main
 from thistleusher.operator_file.reader import read_operator_file
-from thistleusher.operator_file.reference import reference, starting_file
+from thistleusher.operator_file.reference import commented_template, reference
 from thistleusher.operator_file.sections import SECTIONS
 
 
@@ -17,10 +17,10 @@
     ), "run: thistleusher reference > docs/configuration.md"
     path = tmp_path / "start.toml"
     assert main(["init", str(path)]) == 0 == main(["check", "--operator", str(path)])
-    assert main(["init", str(path)]) == 2 and path.read_text() == starting_file()
+    assert main(["init", str(path)]) == 2 and path.read_text() == commented_template()
     lines = [
         line.removeprefix("# ")
-        for line in starting_file().splitlines()[2:]
+        for line in commented_template().splitlines()[2:]
         if line.startswith("# [") or " = " in line.split("  # ")[0]
     ]
     edited = "\n".join(lines).replace("folder = ...", 'folder = "x"').replace("= ...", '= ["a:1", "b:2"]')
--- a/tests/state/helpers.py
+++ b/tests/state/helpers.py
@@ -34,20 +34,20 @@
 
 
 class SlowDisk:
-    """A fake disk whose commits block until `let` is set; the next `fail` commits raise an error."""
+    """A fake disk whose commits block until `released` is set; the next `failures_left` commits fail."""
 
     def __init__(self):
-        self.let = threading.Event()
-        self.began = threading.Event()
-        self.fail = 0
+        self.released = threading.Event()
+        self.commit_started = threading.Event()
+        self.failures_left = 0
         self.batches = []
 
     def commit(self, bodies):
         batch = dict(bodies)
-        self.began.set()
-        assert self.let.wait(10.0)
-        if self.fail:
-            self.fail -= 1
+        self.commit_started.set()
+        assert self.released.wait(10.0)
+        if self.failures_left:
+            self.failures_left -= 1
             raise sqlite3.OperationalError("database or disk is full")
         self.batches.append(batch)
 
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -16,15 +16,15 @@
 UNITS = 4.0  # units of the largest request
 
 
-class Crashing(World):
+class CrashingWorld(World):
     """Two ingresses, of which ingress 0 is killed at its step number `at` and restarted 0.1 s later.
 
-    early: commit records before the actions of a decision are carried out, else after them
+    commit_first: commit records before the actions of a decision are carried out, else after them
     restores: restore the committed records at the restart
     """
 
-    def __init__(self, at: int, early: bool, restores: bool = True) -> None:
-        self.crash_at, self.early, self.restores = at, early, restores
+    def __init__(self, at: int, commit_first: bool, restores: bool = True) -> None:
+        self.crash_at, self.commit_first, self.restores = at, commit_first, restores
         self.steps, self.disk, self.done = itertools.count(), {}, ""
         super().__init__(5, 2)
 
@@ -41,7 +41,7 @@
             return super().give(n, event, incarnation)
         incarnation = self.incarnation[n]
         actions = self.gateways[n].handle(self.now, event)
-        if self.early:
+        if self.commit_first:
             self.commit()
         for a in [*actions, None]:
             if next(self.steps) == self.crash_at:
@@ -52,17 +52,17 @@
                 return None
             if a is not None:
                 self.act(n, a)
-        if not self.early:
+        if not self.commit_first:
             self.commit()
         return None
 
 
-def played(at, early, restores=True):
+def run_with_kill(at, commit_first, restores=True):
     """Run a second of normal operation, a counter outage that exhausts the quota, and the recovery with write-back.
 
     Return the world, and by how many units the counter's total exceeds the admitted units.
     """
-    w = Crashing(at, early, restores)
+    w = CrashingWorld(at, commit_first, restores)
     for n, (when, units) in enumerate(
         [
             (0.0, 2.0),
@@ -92,28 +92,28 @@
 
 
 def test_without_a_kill_each_unit_is_in_the_count_once():
-    w, more = played(-1, True)
+    w, more = run_with_kill(-1, True)
     assert more == pytest.approx(0.0) and w.let > 20 and next(w.steps) > 60
 
 
 @pytest.mark.parametrize("early", [True, False])
-def test_at_every_point_what_was_let_in_is_counted_once_or_stated(early):
+def test_at_every_point_what_was_let_in_is_counted_once_or_stated(commit_first):
     """If records are committed before actions are carried out, no unit is lost to the count; else at most one request.
 
     Units may be counted twice for one request whose charge was in flight and for a write-back in progress. The next
     total of the same window normally reveals them. Without such a total, or if their record was lost, they are counted
     twice.
     """
-    points = next(played(-1, early)[0].steps)
-    ends = [played(k, early) for k in range(points)]
+    points = next(run_with_kill(-1, commit_first)[0].steps)
+    ends = [run_with_kill(k, commit_first) for k in range(points)]
     assert all(w.done for w, _ in ends)
-    assert min(more for _, more in ends) >= (0.0 if early else -UNITS)
+    assert min(more for _, more in ends) >= (0.0 if commit_first else -UNITS)
     assert max(more for _, more in ends) <= BASIC.burst
     twice = [w.done for w, more in ends if more > UNITS]
-    assert len(twice) <= (1 if early else 7), twice
-    assert max(w.beyond("basic")[0] for w, _ in ends) <= (0.0 if early else UNITS)
+    assert len(twice) <= (1 if commit_first else 7), twice
+    assert max(w.beyond("basic")[0] for w, _ in ends) <= (0.0 if commit_first else UNITS)
 
 
 def test_without_a_folder_units_are_lost_to_the_count():
-    ends = [played(k, True, restores=False) for k in range(next(played(-1, True)[0].steps))]
+    ends = [run_with_kill(k, True, restores=False) for k in range(next(run_with_kill(-1, True)[0].steps))]
     assert min(more for _, more in ends) < -2 * UNITS
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -15,7 +15,7 @@
 from thistleusher.state.snapshotter import Snapshotter
 
 
-def beyond_after_restarts(keep, seed, kills=12):
+def excess_after_restarts(restores, seed, kills=12):
     """Return the units beyond the quota of a member that sends far too much to an ingress that is repeatedly killed."""
     w = World(seed, 2)
     w.counters[0].silent = True
@@ -28,13 +28,13 @@
         w.kill(0)
         w.run(0.1)
         w.restart(0)
-        w.gateways[0].restore(w.now, saved.values() if keep else [])
+        w.gateways[0].restore(w.now, saved.values() if restores else [])
     return w.beyond("basic")[0]
 
 
 def test_an_ingress_with_restored_state_admits_nothing_twice():
-    without = max(beyond_after_restarts(False, seed) for seed in range(5))
-    kept = max(beyond_after_restarts(True, seed) for seed in range(5))
+    without = max(excess_after_restarts(False, seed) for seed in range(5))
+    kept = max(excess_after_restarts(True, seed) for seed in range(5))
     assert kept <= 4.0 < without, (kept, without)
 
 
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -69,10 +69,10 @@
         w.run(0.2)
     snapshotter.submit_changes(1000)
     (reservation,) = [a.reservation for a in w.gateways[0].escrow.allowances.values()]
-    assert disk.began.wait(10.0) and reservation.in_flight is not None
+    assert disk.commit_started.wait(10.0) and reservation.in_flight is not None
     snapshotter.submit_changes(1000)
     assert reservation.committed is None and reservation.in_flight is not None  # the disk has not answered
-    disk.let.set()
+    disk.released.set()
     assert snapshotter.writer.flush(10.0)
     snapshotter.submit_changes(1000)
     assert reservation.committed is not None and any(table == "room" for b in disk.batches for table, _ in b)
@@ -84,11 +84,11 @@
     snapshotter = snapshotter_with_disk(tmp_path, w, disk, most=20)
     for m in range(50):
         w.ask(0, m)
-    assert 0 < snapshotter.submit_changes(1000) <= 20 and disk.began.wait(10.0)
+    assert 0 < snapshotter.submit_changes(1000) <= 20 and disk.commit_started.wait(10.0)
     while snapshotter.submit_changes(1000):
         pass  # until the writer has no capacity left
     assert snapshotter.writer.rejected == 0 and len(w.gateways[0].replication.customers.changed) > 0
-    disk.let.set()
+    disk.released.set()
     assert snapshotter.close()
     kept = {key for batch in disk.batches for table, key in batch if table == "member"}
     assert kept == set(range(50))
--- a/tests/state/test_writer.py
+++ b/tests/state/test_writer.py
@@ -9,25 +9,25 @@
 def test_a_disk_that_hangs_delays_nobody_and_the_latest_record_is_committed():
     disk, now = SlowDisk(), [0.0]
     writer = Writer(disk, interval=0.0, max_pending=3, clock=lambda: now[0])
-    assert writer.put(1, b"a") and disk.began.wait(10.0)
+    assert writer.put(1, b"a") and disk.commit_started.wait(10.0)
     assert writer.put(1, b"b") and writer.put(1, b"c") and writer.put(2, b"d") and writer.put(3, None)
     assert not writer.put(4, b"e") and writer.rejected == 1  # the queue is full
     now[0] = 5.0
     assert writer.lag() == 5.0 and not disk.batches
-    disk.let.set()
+    disk.released.set()
     assert writer.close(10.0) and writer.lag() == 0.0
     assert disk.batches == [{1: b"a"}, {1: b"c", 2: b"d", 3: None}]
 
 
 def test_what_a_full_disk_did_not_take_is_retried_behind_what_came_since():
     disk = SlowDisk()
-    disk.fail = 2
+    disk.failures_left = 2
     writer = Writer(disk, interval=0.0)
     writer.put(1, b"a")
     writer.put(2, b"b")
-    assert disk.began.wait(10.0)
+    assert disk.commit_started.wait(10.0)
     writer.put(1, b"newer")
-    disk.let.set()
+    disk.released.set()
     assert writer.close(10.0) and writer.failures == 2
     kept = {}
     for batch in disk.batches:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -41,7 +41,7 @@
 def host(answer=()):
     rec = Recorder(answer)
     h = wirehost.Host(rec)
-    h.batch(["CLOCK 1.5", BORN])
+    h.process_batch(["CLOCK 1.5", BORN])
     return h, rec
 
 
@@ -77,14 +77,14 @@
 )
 def test_every_event(lines, event):
     h, rec = host()
-    h.batch(["CLOCK 2", *lines])
+    h.process_batch(["CLOCK 2", *lines])
     assert rec.events == [event]
 
 
 @pytest.mark.parametrize("wire,outcome", sorted(wire_codec.OUTCOMES.items()))
 def test_every_outcome(wire, outcome):
     h, rec = host()
-    h.batch(["CLOCK 2", f"RETURNED 3 abc 0 b:1 {wire} 0.02 0 0 0 -"])
+    h.process_batch(["CLOCK 2", f"RETURNED 3 abc 0 b:1 {wire} 0.02 0 0 0 -"])
     assert rec.events[0].outcome is outcome
 
 
@@ -110,7 +110,7 @@
 )
 def test_every_action(action, line):
     h, _ = host([action])
-    assert h.batch(["CLOCK 2", "FIRED 3 1"]) == [line]
+    assert h.process_batch(["CLOCK 2", "FIRED 3 1"]) == [line]
 
 
 def test_settings_arrive_in_the_fields_terms_and_unknown_keys_are_passed_over():
@@ -126,12 +126,12 @@
 def test_a_missing_required_setting_is_named(key):
     born = " ".join(p for p in BORN.split(" ") if not p.startswith(key + "="))
     with pytest.raises(InvalidSettingError, match=key):
-        wirehost.Host(Recorder()).batch(["CLOCK 1", born])
+        wirehost.Host(Recorder()).process_batch(["CLOCK 1", born])
 
 
 def test_a_stopped_instance_is_forgotten():
     h, _ = host()
-    assert h.batch(["CLOCK 2", "CRASH_NOW 3"]) == [] and not h.instances
+    assert h.process_batch(["CLOCK 2", "CRASH_NOW 3"]) == [] and not h.instances
 
 
 def test_a_fault_in_the_decisions_is_declared_on_the_wire():
@@ -140,8 +140,8 @@
             raise RuntimeError("no\nidea")
 
     h = wirehost.Host(Broken())
-    h.batch(["CLOCK 1", BORN])
-    assert h.batch(["CLOCK 2", "FIRED 3 1"]) == ["EXCEPTION 3 RuntimeError: no idea"]
+    h.process_batch(["CLOCK 1", BORN])
+    assert h.process_batch(["CLOCK 2", "FIRED 3 1"]) == ["EXCEPTION 3 RuntimeError: no idea"]
 
 
 @pytest.mark.parametrize(
--- a/thistleusher/__main__.py
+++ b/thistleusher/__main__.py
@@ -12,7 +12,7 @@
 
 from thistleusher.net.config import InvalidConfigurationError
 from thistleusher.net.counters_file import read_counters
-from thistleusher.standalone import EXIT_UNUSABLE, OperatorExtras, run
+from thistleusher.standalone import EXIT_UNUSABLE, OperatorOptions, run
 
 if TYPE_CHECKING:
     from thistleusher.quota import Placement
@@ -41,7 +41,7 @@
     except InvalidConfigurationError as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
-    return run(OperatorExtras(os.environ, counters_reader(files.get("--counters")), state))
+    return run(OperatorOptions(os.environ, counters_reader(files.get("--counters")), state))
 
 
 def run_command(arguments: list[str]) -> int:
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -30,24 +30,24 @@
     )
 
 
-def quota_terms(plan: PlanSettings, most: float) -> Terms | None:
+def quota_terms(plan: PlanSettings, max_units: float) -> Terms | None:
     """Return the terms of the allowance that is divided into shares, or None if the plan has no limit.
 
     most: maximum units of a request
     """
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(
-            plan.ceiling_rate, plan.ceiling_burst, joint_start_burst=joint_start_burst(plan), prefetch_below=most
+            plan.ceiling_rate, plan.ceiling_burst, joint_start_burst=joint_start_burst(plan), prefetch_below=max_units
         )
     if plan.rate <= 0 or plan.burst <= 0:
         return None
-    return Terms(plan.rate, plan.burst, most, joint_start_burst(plan), strict=False, prefetch_below=most)
+    return Terms(plan.rate, plan.burst, max_units, joint_start_burst(plan), strict=False, prefetch_below=max_units)
 
 
 def allowance_terms(settings: Settings) -> dict[str, tuple[float, float]]:
     """Return rate and burst of each plan's allowance. A reservation saved under different terms is invalid."""
-    found = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
-    return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
+    terms_by_plan = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
+    return {name: (terms.rate, terms.burst) for name, terms in terms_by_plan.items() if terms is not None}
 
 
 def make_escrow(settings: Settings, now: float) -> EscrowTable | None:
@@ -59,9 +59,13 @@
     if not settings.peers or not 2 <= settings.instances <= 255 or settings.peer_in_per_s <= 0:
         return None
     terms = tuple(quota_terms(p, settings.max_units) for p in settings.plans)
-    each = 4 / settings.peer_in_per_s
+    interval_per_peer = 4 / settings.peer_in_per_s
     if settings.uses_gossip:
-        return EscrowTable(settings.instances, settings.me, now, terms, DEMAND_INTERVAL_S, each)
+        return EscrowTable(settings.instances, settings.me, now, terms, DEMAND_INTERVAL_S, interval_per_peer)
     return EscrowTable(
-        settings.instances, settings.me, now, terms, max(DEMAND_INTERVAL_S, each * (settings.instances - 1))
+        settings.instances,
+        settings.me,
+        now,
+        terms,
+        max(DEMAND_INTERVAL_S, interval_per_peer * (settings.instances - 1)),
     )
--- a/thistleusher/cli/checks.py
+++ b/thistleusher/cli/checks.py
@@ -10,7 +10,7 @@
 from thistleusher.cli.errors import CommandError
 from thistleusher.cli.operator_files import read_layers
 
-EXIT_FOUND_WRONG = 1
+EXIT_INVALID = 1
 EXIT_UNREADABLE = 2
 
 
@@ -48,7 +48,7 @@
     except ExceptionGroup as group:
         for fault in group.exceptions:
             print(f"{path}: {fault}", file=sys.stderr)
-        return EXIT_FOUND_WRONG
+        return EXIT_INVALID
     print(f"{path}: valid: {summary}")
     return 0
 
--- a/thistleusher/cli/commands.py
+++ b/thistleusher/cli/commands.py
@@ -117,7 +117,9 @@
 
 
 @cappa.command(
-    name="init", help="write a commented operator's file", invoke="thistleusher.cli.operator_files.write_starting_file"
+    name="init",
+    help="write a commented operator's file",
+    invoke="thistleusher.cli.operator_files.write_commented_template",
 )
 @dataclass
 class Init:
--- a/thistleusher/cli/operator_files.py
+++ b/thistleusher/cli/operator_files.py
@@ -30,13 +30,13 @@
     return 0
 
 
-def write_starting_file(options: Init) -> int:
+def write_commented_template(options: Init) -> int:
     """Write a commented template; an existing file is not overwritten."""
-    from thistleusher.operator_file.reference import starting_file
+    from thistleusher.operator_file.reference import commented_template
 
     try:
         with Path(options.path).open("x", encoding="utf-8") as file:
-            file.write(starting_file())
+            file.write(commented_template())
     except OSError as error:
         raise CommandError(f"{options.path}: {error.strerror}") from error
     return 0
--- a/thistleusher/cli/serve.py
+++ b/thistleusher/cli/serve.py
@@ -16,7 +16,7 @@
 
 def serve(options: Serve) -> int:
     """Serve in the foreground until SIGTERM; return the exit code. SIGHUP reloads both files."""
-    from thistleusher.standalone import OperatorExtras, run
+    from thistleusher.standalone import OperatorOptions, run
 
     environ = {**os.environ, **({"PROXY_CONFIG": options.config} if options.config else {})}
     operator_file = read_layers(options)
@@ -24,19 +24,19 @@
     def read_counters() -> Placement | None:
         return read_placement(options)
 
-    extras = OperatorExtras(
+    operator_options = OperatorOptions(
         environ=environ,
         read_counters=read_counters if operator_file.get("counters") else None,
         state=operator_file.get("state"),
     )
     log_options = operator_file.get("log")
     if log_options is None:
-        return run(extras)
+        return run(operator_options)
     from thistleusher.log.queued import QueuedLog
 
     queued_log = QueuedLog(log_options)
     try:
-        return run(extras, log_is_set_up=True)
+        return run(operator_options, log_is_set_up=True)
     finally:
         queued_log.close()
 
--- a/thistleusher/cli/state_folder.py
+++ b/thistleusher/cli/state_folder.py
@@ -13,14 +13,14 @@
 from thistleusher.cli.errors import CommandError
 from thistleusher.state.store import StateFolderError, Store
 
-EXIT_SPOILT = 1
+EXIT_CORRUPT = 1
 
 
 @contextmanager
-def opened(folder: str) -> Iterator[Store]:
+def open_folder(folder: str) -> Iterator[Store]:
     """Open and lock the folder for the duration of the context. Raises CommandError if it cannot be opened."""
     try:
-        store = Store.existing(folder)
+        store = Store.open_existing(folder)
     except StateFolderError as error:
         raise CommandError(str(error)) from error
     with closing(store):
@@ -29,10 +29,10 @@
 
 def show(options: StateShow) -> int:
     """Print a short summary of the folder."""
-    with opened(options.folder) as store:
+    with open_folder(options.folder) as store:
         process = store.previous
         learned = store.learned()
-        listed = store.endpoint_list()
+        endpoint_list = store.endpoint_list()
         pending = [max(0.0, member.pending) for member in store.members()]
         reservation_count = sum(1 for _ in store.reservations())
     if process is not None:
@@ -41,25 +41,25 @@
     print(f"{len(pending)} members, {sum(pending):.2f} units in no count yet; {reservation_count} rooms")
     print(
         f"{len(learned.backends) if learned else 0} backends known; "
-        f"{len(listed.endpoints) if listed else 0} in the last list"
+        f"{len(endpoint_list.endpoints) if endpoint_list else 0} in the last list"
     )
     return 0
 
 
 def verify(options: StateVerify) -> int:
     """Read every record and print the number of corrupt ones and any damage to the file; return the exit code."""
-    with opened(options.folder) as store:
+    with open_folder(options.folder) as store:
         count = sum(1 for _ in store.members()) + sum(1 for _ in store.reservations())
         count += sum(record is not None for record in (store.learned(), store.endpoint_list(), store.previous))
         damage = store.integrity_errors()
-        spoilt = store.corrupt_records
-    print(f"{count} records read, {spoilt} spoilt{f'; {damage}' if damage else ''}")
-    return EXIT_SPOILT if spoilt or damage else 0
+        corrupt = store.corrupt_records
+    print(f"{count} records read, {corrupt} spoilt{f'; {damage}' if damage else ''}")
+    return EXIT_CORRUPT if corrupt or damage else 0
 
 
 def export(options: StateExport) -> int:
     """Print each record as one JSON line."""
-    with opened(options.folder) as store:
+    with open_folder(options.folder) as store:
         single_records: list[tuple[str, Any]] = [
             ("life", store.previous),
             ("learned", store.learned()),
--- a/thistleusher/configuration/items.py
+++ b/thistleusher/configuration/items.py
@@ -41,10 +41,14 @@
 REMEMBERED_DIGESTS = 64  # number of configurations whose digests are kept
 HEADER = "config"
 LIMITS = "limits"
-ACCEPTED = "taken:"
-TABLES = {"routes": "route:", "services": "service:", "tenants": "tenant:"}  # document field -> prefix of its items
-PREFIXES = tuple(TABLES.values())
-COMPRESSED = "z"  # header field of release 0.1 that holds the complete document, compressed
+ACCEPTED_PREFIX = "taken:"
+TABLE_PREFIXES = {
+    "routes": "route:",
+    "services": "service:",
+    "tenants": "tenant:",
+}  # field -> item prefix
+ITEM_PREFIXES = tuple(TABLE_PREFIXES.values())
+COMPRESSED_FIELD = "z"  # header field of release 0.1 that holds the complete document, compressed
 
 
 class Identity(NamedTuple):
@@ -66,7 +70,7 @@
 _encode = msgspec.json.Encoder(order="sorted").encode
 
 
-def canonical(value: Any) -> str:
+def canonical_json(value: Any) -> str:
     """Return the canonical text of a JSON value. Equal values have equal texts."""
     try:
         return _encode(value).decode()
@@ -76,7 +80,7 @@
 
 def digest_of(value: Any) -> str:
     """Return the digest of a parsed JSON document."""
-    return hashlib.sha256(canonical(value).encode("utf-8", "surrogatepass")).hexdigest()
+    return hashlib.sha256(canonical_json(value).encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def split_document(number: int, document: Mapping[str, Any]) -> DocumentParts:
@@ -85,14 +89,14 @@
     tables: list[str] = []
     fields: dict[str, Any] = {}
     for field, value in document.items():
-        if field in TABLES and isinstance(value, dict):
+        if field in TABLE_PREFIXES and isinstance(value, dict):
             tables.append(field)
-            items.update((TABLES[field] + name, canonical(entry)) for name, entry in value.items())
+            items.update((TABLE_PREFIXES[field] + name, canonical_json(entry)) for name, entry in value.items())
         elif field == LIMITS:
-            items[LIMITS] = canonical(value)
+            items[LIMITS] = canonical_json(value)
         else:
             fields[field] = value
-    return DocumentParts(Identity(number, digest_of(document)), canonical(fields), tables, items)
+    return DocumentParts(Identity(number, digest_of(document)), canonical_json(fields), tables, items)
 
 
 def number_of(state: State) -> int:
@@ -106,40 +110,40 @@
     header = state.value(HEADER)
     if header is None:
         return None
-    if COMPRESSED in header:
-        return Identity(header["v"], digest_of(json.loads(zlib.decompress(header[COMPRESSED]))))
+    if COMPRESSED_FIELD in header:
+        return Identity(header["v"], digest_of(json.loads(zlib.decompress(header[COMPRESSED_FIELD]))))
     return Identity(header["v"], header["digest"])
 
 
 def is_stored_document(state: State, document: bytes) -> bool:
     """Return whether a state holds exactly these bytes in the format of release 0.1, which validated less."""
     header = state.value(HEADER)
-    return header is not None and COMPRESSED in header and assemble(state) == document
+    return header is not None and COMPRESSED_FIELD in header and assemble(state) == document
 
 
 def was_accepted(state: State, identity: Identity) -> bool:
     """Return whether a configuration is the one in a state or one of the remembered earlier ones."""
     if identity == identity_of(state):
         return True
-    remembered = (state.value(f"{ACCEPTED}{slot}") for slot in range(REMEMBERED_DIGESTS))
+    remembered = (state.value(f"{ACCEPTED_PREFIX}{slot}") for slot in range(REMEMBERED_DIGESTS))
     return list(identity) in (list(pair) for pair in remembered if pair is not None)
 
 
-def changes(state: State, number: int, document: bytes) -> dict[str, Any]:
+def changed_items(state: State, number: int, document: bytes) -> dict[str, Any]:
     """Return the items that a configuration changes in a state; None stands for a removed item."""
-    return difference(state, split_document(number, json.loads(document)))
+    return changed_items_for_parts(state, split_document(number, json.loads(document)))
 
 
-def difference(state: State, parts: DocumentParts) -> dict[str, Any]:
+def changed_items_for_parts(state: State, parts: DocumentParts) -> dict[str, Any]:
     """Return the items that a document's parts change in a state; None stands for a removed item."""
     header = state.value(HEADER) or {}
     serial = header.get("serial", 0) + 1
     present = dict(_configuration_items(state))
     changed: dict[str, Any] = {name: text for name, text in parts.items.items() if present.get(name) != text}
     changed.update(dict.fromkeys(present.keys() - parts.items.keys()))
-    if COMPRESSED in header:  # stored by release 0.1, which did not keep digests
-        changed[f"{ACCEPTED}0"] = list(identity_of(state) or ())
-    changed[f"{ACCEPTED}{serial % REMEMBERED_DIGESTS}"] = list(parts.identity)
+    if COMPRESSED_FIELD in header:  # stored by release 0.1, which did not keep digests
+        changed[f"{ACCEPTED_PREFIX}0"] = list(identity_of(state) or ())
+    changed[f"{ACCEPTED_PREFIX}{serial % REMEMBERED_DIGESTS}"] = list(parts.identity)
     changed[HEADER] = {
         "v": parts.identity.number,
         "digest": parts.identity.digest,
@@ -152,7 +156,7 @@
 
 def _is_part(name: str) -> bool:
     """Return whether an item is a part of a configuration other than its header."""
-    return name == LIMITS or name.startswith(PREFIXES)
+    return name == LIMITS or name.startswith(ITEM_PREFIXES)
 
 
 def _configuration_items(state: State) -> Iterator[tuple[str, str]]:
@@ -166,10 +170,10 @@
     header = state.value(HEADER)
     if header is None:
         return None
-    if COMPRESSED in header:
-        return zlib.decompress(header[COMPRESSED])
+    if COMPRESSED_FIELD in header:
+        return zlib.decompress(header[COMPRESSED_FIELD])
     members = [header["fields"][1:-1]] if header["fields"] != "{}" else []
-    members += [f'"{field}":{{{_table_members(state, TABLES[field])}}}' for field in header["tables"]]
+    members += [f'"{field}":{{{_table_members(state, TABLE_PREFIXES[field])}}}' for field in header["tables"]]
     limits = state.value(LIMITS)
     if limits is not None:
         members.append(f'"{LIMITS}":{limits}')
@@ -178,7 +182,7 @@
 
 def _table_members(state: State, prefix: str) -> str:
     """Return the text of the members of one table's JSON object."""
-    return ",".join(f"{canonical(name)}:{text}" for name, text in state.values(prefix).items())
+    return ",".join(f"{canonical_json(name)}:{text}" for name, text in state.values(prefix).items())
 
 
 class ConfigurationFollower:
@@ -189,7 +193,7 @@
 
     def __init__(self) -> None:
         self.index: Index | None = None
-        self._behind = True  # whether `index` lacks items of the state; the next update then builds it completely
+        self._needs_rebuild = True  # set while `index` lacks items of the state
 
     def update(self, state: State, changed: Mapping[str, Any]) -> bool:
         """Apply the changed items of a state; return whether a newer configuration takes effect.
@@ -200,15 +204,15 @@
             return False
         header = state.value(HEADER)
         if header is None or header["v"] <= self.number:
-            self._behind = True
+            self._needs_rebuild = True
             return False
-        if self.index is None or self._behind:
-            self._behind = True
+        if self.index is None or self._needs_rebuild:
+            self._needs_rebuild = True
             self.index = Index(_complete_configuration(state))
         else:
-            self._behind = True  # reset below; stays set if an unreadable item leaves `index` unchanged
+            self._needs_rebuild = True  # reset below; stays set if an unreadable item leaves `index` unchanged
             _apply(self.index, header, changed)
-        self._behind = COMPRESSED in header
+        self._needs_rebuild = COMPRESSED_FIELD in header
         return True
 
     @property
@@ -246,7 +250,7 @@
 
 def _changed_records(kind: type[Any], table: str, changed: Mapping[str, Any]) -> dict[str, Any]:
     """Return the records of one table among the changed items by name; None stands for a removed record."""
-    prefix = TABLES[table]
+    prefix = TABLE_PREFIXES[table]
     return {
         name[len(prefix) :]: read_record(kind, json.loads(text), table) if text is not None else None
         for name, text in changed.items()
--- a/thistleusher/configuration/records.py
+++ b/thistleusher/configuration/records.py
@@ -42,7 +42,7 @@
     regions_allowed: tuple[str, ...] = ()
 
     @property
-    def shares(self) -> tuple[Weighted, ...]:
+    def weighted_services(self) -> tuple[Weighted, ...]:
         """Return the route's services with their weights."""
         return self.weighted or ((Weighted(target=self.target, weight=1.0),) if self.target else ())
 
--- a/thistleusher/configuration/validation.py
+++ b/thistleusher/configuration/validation.py
@@ -19,28 +19,28 @@
 
 from thistleusher.common.record_reader import MAX_SHOWN, known_fields_only
 from thistleusher.common.settings_validation import fault_lines
-from thistleusher.configuration.items import canonical
+from thistleusher.configuration.items import canonical_json
 from thistleusher.configuration.records import Configuration, Route, Service, Tenant
 
 VERSION = re.compile(r"[0-9a-fA-F]{8}")
 TARGET_EXCESS_MS = 60_000.0  # a route's target_ms must exceed its deadline_ms by less than this
 MAX_NESTING = 64  # maximum depth of objects and lists; well below the stack limit of a JSON parser
 MAX_NAME_BYTES = 400  # maximum name of a route, service or tenant; names are storage keys, limited to 511 bytes
-CONFIGURATION: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
+CONFIGURATION_ADAPTER: TypeAdapter[Configuration] = TypeAdapter(Configuration, config=ConfigDict(allow_inf_nan=False))
 
 
 class InvalidConfigurationError(ValueError):
     """One error in a configuration: the field, the value found and the expected value."""
 
 
-class ReadJson(NamedTuple):
+class ParsedJson(NamedTuple):
     """A parsed JSON value, and the errors that only a strict reader reports."""
 
     value: Any
     faults: list[str]
 
 
-def read_json(body: bytes) -> ReadJson:
+def parse_json(body: bytes) -> ParsedJson:
     """Parse bytes as JSON leniently, and return the value with the errors that a strict reader reports.
 
     Raises an ExceptionGroup of InvalidConfigurationError if the bytes are not JSON at all.
@@ -63,7 +63,7 @@
         value = json.loads(body, object_pairs_hook=table, parse_float=number, parse_constant=number)
     except (ValueError, RecursionError) as error:
         raise ExceptionGroup("configuration", [InvalidConfigurationError(f"body: invalid JSON: {error}")]) from None
-    return ReadJson(value, faults)
+    return ParsedJson(value, faults)
 
 
 def read_configuration(body: bytes) -> Configuration:
@@ -71,43 +71,43 @@
 
     Raises an ExceptionGroup with one InvalidConfigurationError per error.
     """
-    return check_configuration(read_json(body))
+    return check_configuration(parse_json(body))
 
 
-def check_configuration(document: ReadJson) -> Configuration:
+def check_configuration(document: ParsedJson) -> Configuration:
     """Validate a parsed document and return its configuration.
 
     Raises an ExceptionGroup with one InvalidConfigurationError per error.
     """
-    faults = [*document.faults, *_not_writable(document.value)]
+    faults = [*document.faults, *_encoding_errors(document.value)]
     if faults:
-        raise _rejection(faults)
+        raise _error_group(faults)
     try:
-        config = CONFIGURATION.validate_python(known_fields_only(Configuration, document.value))
+        config = CONFIGURATION_ADAPTER.validate_python(known_fields_only(Configuration, document.value))
     except ValidationError as error:
-        raise _rejection(fault_lines(error, "body")) from None
+        raise _error_group(fault_lines(error, "body")) from None
     faults = list(_faults(config))
     if faults:
-        raise _rejection(faults)
+        raise _error_group(faults)
     return config
 
 
-def _rejection(faults: Iterable[str]) -> ExceptionGroup[InvalidConfigurationError]:
+def _error_group(faults: Iterable[str]) -> ExceptionGroup[InvalidConfigurationError]:
     return ExceptionGroup("configuration", [InvalidConfigurationError(text) for text in faults])
 
 
-def _not_writable(value: Any) -> Iterable[str]:
+def _encoding_errors(value: Any) -> Iterable[str]:
     """Yield the reasons why a value cannot be written as JSON in UTF-8, or parsed again with a limited stack."""
-    if _nested_deeper(value, MAX_NESTING):
+    if _is_nested_deeper(value, MAX_NESTING):
         yield f"body: nested more than {MAX_NESTING} levels deep"
         return
     try:
-        canonical(value).encode()
+        canonical_json(value).encode()
     except UnicodeEncodeError as error:
         yield f"body: text is not Unicode: {error.reason}"
 
 
-def _nested_deeper(value: Any, most: int) -> bool:
+def _is_nested_deeper(value: Any, most: int) -> bool:
     """Return whether objects and lists are nested more than `most` deep."""
     level = [value] if isinstance(value, dict | list) else []
     for _ in range(most):
@@ -147,15 +147,15 @@
 
 
 def _route_faults(at: str, route: Route, services: Mapping[str, Service]) -> Iterable[str]:
-    if not route.shares:
+    if not route.weighted_services:
         yield f"{at}: expected a target or weighted services"
-    for share in route.shares:
+    for share in route.weighted_services:
         if share.target not in services:
             yield f"{at}: unknown service {share.target!r}"
         if not share.weight >= 0:
             yield f"{at}: weight {share.weight:g}, expected 0 or more"
-    total = sum(share.weight for share in route.shares)
-    if route.shares and not total > 0:
+    total = sum(share.weight for share in route.weighted_services)
+    if route.weighted_services and not total > 0:
         yield f"{at}: the weights sum to 0"
     if math.isinf(total):
         yield f"{at}: the sum of the weights is not finite"
--- a/thistleusher/control/orders.py
+++ b/thistleusher/control/orders.py
@@ -30,7 +30,7 @@
     DocumentParts,
     Identity,
     assemble,
-    difference,
+    changed_items_for_parts,
     digest_of,
     identity_of,
     is_stored_document,
@@ -80,7 +80,7 @@
     if in_force is not None:
         return ParsedOrder(in_force, None)
     validation = validation_module()
-    read = validation.read_json(document)
+    read = validation.parse_json(document)
     identity = _unvalidated_identity(read.value) if state is not None and not read.faults else None
     if state is not None and identity is not None and was_accepted(state, identity):
         return ParsedOrder(identity, None)
@@ -116,7 +116,7 @@
 
     def items(state: State) -> dict[str, Any]:
         assert order.parts is not None, "a repeat is redundant wherever it was accepted"
-        return difference(state, order.parts)
+        return changed_items_for_parts(state, order.parts)
 
     description = f"configuration {number:08x}, contents {digest[:DIGEST_DIGITS_LOGGED]}"
     return Change(call_id, is_redundant, items, description)
--- a/thistleusher/operator_file/layers.py
+++ b/thistleusher/operator_file/layers.py
@@ -18,7 +18,7 @@
 MAX_INCLUDE_DEPTH = 8  # maximum length of a chain of files that include one another
 # Prefixes of environment variables: THISTLEUSHER_STATE__SYNC sets state.sync. The legacy prefix is read first, so the
 # present one overrides it.
-PREFIXES = ("ROADSPUR_", "THISTLEUSHER_")
+ENVIRONMENT_PREFIXES = ("ROADSPUR_", "THISTLEUSHER_")
 
 
 class Origin(NamedTuple):
@@ -79,7 +79,7 @@
     def add_environment(self, environ: Mapping[str, str], sections: Iterable[str]) -> None:
         """Add variables of the form THISTLEUSHER_SECTION__KEY=value for known sections; ignore all others."""
         known = set(sections)
-        for prefix in PREFIXES:
+        for prefix in ENVIRONMENT_PREFIXES:
             for name in sorted(environ):
                 section, separator, key = name.removeprefix(prefix).lower().partition("__")
                 if name.startswith(prefix) and separator and section in known:
--- a/thistleusher/operator_file/sections.py
+++ b/thistleusher/operator_file/sections.py
@@ -14,7 +14,7 @@
 
     module: str
     dataclass_name: str
-    about: str
+    description: str
 
     def load(self) -> Any:
         """Import and return the section's dataclass."""
--- a/thistleusher/operator_file/units.py
+++ b/thistleusher/operator_file/units.py
@@ -31,7 +31,7 @@
         return f"{int(self)}B"
 
 
-def _split(text: object, what: str, units: dict[str, float] | dict[str, int], example: str) -> tuple[float, float]:
+def _parse(text: object, what: str, units: dict[str, float] | dict[str, int], example: str) -> tuple[float, float]:
     """Return the number and the factor of its unit."""
     match = NUMBER_WITH_UNIT.fullmatch(text) if isinstance(text, str) else None
     if match is None or match[2] not in units:
@@ -41,13 +41,13 @@
 
 def read_seconds(text: object) -> Seconds:
     """Return a duration, which is finite because it has at most 12 integer digits. Raises InvalidValueError."""
-    number, unit = _split(text, "a duration", DURATION_UNITS, "250ms")
+    number, unit = _parse(text, "a duration", DURATION_UNITS, "250ms")
     return Seconds(number * unit)
 
 
 def read_bytes(text: object) -> Bytes:
     """Return a size in whole bytes. Raises InvalidValueError."""
-    number, unit = _split(text, "a size", SIZE_UNITS, "64KiB")
+    number, unit = _parse(text, "a size", SIZE_UNITS, "64KiB")
     if number * unit % 1:
         raise InvalidValueError("a whole number of bytes", f"{text!r}")
     return Bytes(number * unit)
--- a/thistleusher/proxy/routing.py
+++ b/thistleusher/proxy/routing.py
@@ -24,7 +24,7 @@
 
 def draw_service(match: RouteMatch, rng: random.Random) -> str:
     """Return one of the route's services at random by weight; a route to a single service uses no random number."""
-    shares = match.route.shares
+    shares = match.route.weighted_services
     if len(shares) == 1:
         return shares[0].target
     draw = rng.random() * sum(share.weight for share in shares)
--- a/thistleusher/standalone.py
+++ b/thistleusher/standalone.py
@@ -20,14 +20,14 @@
     from thistleusher.state.options import StateOptions
     from thistleusher.state.snapshotter import Snapshotter
 
-NOTICE_S = 0.5  # delay of the shutdown after SIGTERM, because new connections arrive for up to another 0.4 s
+SHUTDOWN_DELAY_S = 0.5  # delay of the shutdown after SIGTERM, because new connections arrive for up to another 0.4 s
 EXIT_INTERRUPTED = 1
 EXIT_UNUSABLE = 2
 
 log = logging.getLogger("thistleusher")
 
 
-class OperatorExtras(NamedTuple):
+class OperatorOptions(NamedTuple):
     """Options that an operator adds to the platform's configuration.
 
     environ: environment variables, which name the configuration file
@@ -59,18 +59,18 @@
         raise InvalidConfigurationError(str(error)) from error
 
 
-async def serve(config: Config, extras: OperatorExtras) -> None:
+async def serve(config: Config, operator_options: OperatorOptions) -> None:
     """Serve until SIGTERM or SIGINT, then shut down in order. SIGHUP reloads the configuration."""
     loop = asyncio.get_running_loop()
-    placement = extras.placement()
-    snapshotter = make_snapshotter(config, extras.state) if extras.state else None
+    placement = operator_options.placement()
+    snapshotter = make_snapshotter(config, operator_options.state) if operator_options.state else None
     daemon = Daemon(config, placement=placement, snapshotter=snapshotter)
     stop = asyncio.Event()
 
     def reload() -> None:
         try:
-            new_config = read_config(extras.environ)
-            new_placement = extras.placement()
+            new_config = read_config(operator_options.environ)
+            new_placement = operator_options.placement()
         except InvalidConfigurationError as error:
             log.error("reload failed, configuration unchanged: %s", error)  # noqa: TRY400  (a file error: no traceback)
             return
@@ -81,15 +81,15 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     await daemon.start()
     await stop.wait()
-    await daemon.stop(asyncio.sleep(NOTICE_S))
+    await daemon.stop(asyncio.sleep(SHUTDOWN_DELAY_S))
 
 
-def run(extras: OperatorExtras, *, log_is_set_up: bool = False) -> int:
+def run(operator_options: OperatorOptions, *, log_is_set_up: bool = False) -> int:
     """Serve and return the exit code. An error that prevents the start is printed as one line on standard error."""
     if not log_is_set_up:
         use_plain_handler()
     try:
-        uvloop.run(serve(read_config(extras.environ), extras))
+        uvloop.run(serve(read_config(operator_options.environ), operator_options))
     except (InvalidConfigurationError, OSError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -64,7 +64,7 @@
         plan = plans.get(record.plan)
         if plan is None or plan.rate <= 0:
             recovered.skip("of unknown plans")
-        elif not _plausible(record):
+        elif not _has_valid_figures(record):
             recovered.skip("with invalid figures")
         elif record.at < now - retention and record.pending <= 0:
             recovered.skip("expired")
@@ -73,7 +73,7 @@
     return recovered
 
 
-def _plausible(record: MemberRecord) -> bool:
+def _has_valid_figures(record: MemberRecord) -> bool:
     figures = (
         record.level,
         record.at,
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -53,7 +53,7 @@
         """Call the callback after the delay."""
 
 
-class BackendKnowledge(Protocol):
+class BackendDecisions(Protocol):
     """The part of the backend decisions that the snapshotter uses."""
 
     def to_learned(self, now: float) -> Learned:
@@ -68,7 +68,7 @@
         """Return the escrowed shares, or None if shares are not escrowed."""
 
     @property
-    def fleet(self) -> BackendKnowledge:
+    def fleet(self) -> BackendDecisions:
         """Return the backend decisions."""
 
     def restore(self, now: float, members: Iterable[SavedCustomer], learned: Learned | None) -> None:
@@ -81,10 +81,10 @@
 class SubmittedReservations(NamedTuple):
     """Reservations that were submitted to the writer, by plan and customer.
 
-    They are on disk once `Writer.committed` has reached `last`.
+    They are on disk once `Writer.committed` has reached `last_record`.
     """
 
-    last: int
+    last_record: int
     keys: list[tuple[int, int]]
 
 
@@ -190,7 +190,7 @@
         escrow, writer = self.gateway.escrow, self.writer
         if escrow is None:
             return 0
-        while self._submitted_reservations and self._submitted_reservations[0].last <= writer.committed:
+        while self._submitted_reservations and self._submitted_reservations[0].last_record <= writer.committed:
             escrow.reservations_committed(self._submitted_reservations.popleft().keys)
         keys: list[tuple[int, int]] = []
         for reservation in escrow.changed_reservations(self.clock(), limit):
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -91,7 +91,7 @@
             raise
 
     @classmethod
-    def existing(cls, folder: str | Path) -> Store:
+    def open_existing(cls, folder: str | Path) -> Store:
         """Open an existing folder of any ingress. Raises StateFolderError if it has no database file."""
         if not (Path(folder) / DATABASE_FILE).is_file():
             raise StateFolderError(f"{folder}: not a state folder: {DATABASE_FILE} does not exist")
@@ -186,7 +186,7 @@
         statement = f"INSERT OR REPLACE INTO {INCARNATION_TABLE} VALUES (?, ?)"
         self._transaction([(statement, (current.number, encode(ended)))])
 
-    def _readable(self, table: str, decode: Callable[[bytes], T]) -> Iterator[T]:
+    def _readable_records(self, table: str, decode: Callable[[bytes], T]) -> Iterator[T]:
         for (body,) in self.db.execute(f"SELECT body FROM {table}"):
             try:
                 yield decode(body)
@@ -195,19 +195,21 @@
 
     def members(self) -> Iterator[MemberRecord]:
         """Yield the readable members. Unreadable records are counted in `corrupt_records`."""
-        return self._readable(MEMBER_TABLE, decode_member)
+        return self._readable_records(MEMBER_TABLE, decode_member)
 
     def reservations(self) -> Iterator[ReservationRecord]:
         """Yield the predecessor's readable reservations. Call this before `start_incarnation`, which deletes them."""
-        return self._readable(RESERVATION_TABLE, decode_reservation)
+        return self._readable_records(RESERVATION_TABLE, decode_reservation)
 
     def learned(self) -> Learned | None:
         """Return an earlier incarnation's measurements of the backends, or None if there is no readable record."""
-        return next(self._readable(f"{FACT_TABLE} WHERE key = {LEARNED_KEY.key}", decode_learned), None)
+        return next(self._readable_records(f"{FACT_TABLE} WHERE key = {LEARNED_KEY.key}", decode_learned), None)
 
     def endpoint_list(self) -> EndpointListRecord | None:
         """Return the last endpoint list, or None if there is no readable record."""
-        return next(self._readable(f"{FACT_TABLE} WHERE key = {ENDPOINT_LIST_KEY.key}", decode_endpoint_list), None)
+        return next(
+            self._readable_records(f"{FACT_TABLE} WHERE key = {ENDPOINT_LIST_KEY.key}", decode_endpoint_list), None
+        )
 
     def integrity_errors(self) -> str:
         """Return damage to the structure of the database file, in one line that is empty if there is none.
--- a/thistleusher/state/writer.py
+++ b/thistleusher/state/writer.py
@@ -33,7 +33,7 @@
     """The records of one commit."""
 
     records: dict[RecordKey, bytes | None]
-    last: int  # value of `Writer.submitted` after the batch's last record
+    last_record: int  # value of `Writer.submitted` after the batch's last record
     oldest_at: float | None  # time at which the batch's oldest change was put
 
 
@@ -61,7 +61,7 @@
         self._oldest_at: float | None = None  # time at which the oldest uncommitted change was put
         self._committing = False
         self._stopped = False
-        self._changed = threading.Condition()
+        self._condition = threading.Condition()
         self._thread = threading.Thread(target=self._run, name="state", daemon=True)
         self._thread.start()
 
@@ -70,7 +70,7 @@
 
         The cost is one lock and one dictionary entry.
         """
-        with self._changed:
+        with self._condition:
             if key not in self.pending and len(self.pending) >= self.max_pending:
                 self.rejected += 1
                 return False
@@ -78,12 +78,12 @@
             self.submitted += 1
             if self._oldest_at is None:
                 self._oldest_at = self.clock()
-                self._changed.notify_all()
+                self._condition.notify_all()
             return True
 
     def capacity(self) -> int:
         """Return the number of further records that the queue accepts."""
-        with self._changed:
+        with self._condition:
             return max(0, self.max_pending - len(self.pending))
 
     def lag(self) -> float:
@@ -91,7 +91,7 @@
 
         A kill would lose the changes of this time.
         """
-        with self._changed:
+        with self._condition:
             return 0.0 if self._oldest_at is None else max(0.0, self.clock() - self._oldest_at)
 
     def flush(self, timeout: float) -> bool:
@@ -99,15 +99,15 @@
 
         This blocks, so it is meant for an orderly shutdown and not for the event loop of a serving ingress.
         """
-        with self._changed:
-            return self._changed.wait_for(lambda: not self.pending and not self._committing, timeout)
+        with self._condition:
+            return self._condition.wait_for(lambda: not self.pending and not self._committing, timeout)
 
     def close(self, timeout: float = 1.0) -> bool:
         """Commit the queued records within `timeout` seconds and end the thread; return False if any were left."""
         done = self.flush(timeout)
-        with self._changed:
+        with self._condition:
             self._stopped = True
-            self._changed.notify_all()
+            self._condition.notify_all()
         self._thread.join(timeout)
         return done
 
@@ -126,12 +126,12 @@
 
     def _wait_for_records(self) -> bool:
         """Return True once there are records to commit, False once the writer is stopped."""
-        with self._changed:
-            self._changed.wait_for(lambda: self.pending or self._stopped)
+        with self._condition:
+            self._condition.wait_for(lambda: self.pending or self._stopped)
             return not self._stopped
 
     def _take_batch(self) -> Batch:
-        with self._changed:
+        with self._condition:
             batch = Batch(self.pending, self.submitted, self._oldest_at)
             self.pending = {}
             self._oldest_at = None
@@ -147,23 +147,23 @@
         return None
 
     def _record_commit(self, batch: Batch) -> None:
-        with self._changed:
+        with self._condition:
             self._committing = False
             self.commits += 1
-            self.committed = batch.last
-            self._changed.notify_all()
+            self.committed = batch.last_record
+            self._condition.notify_all()
 
     def _wait_after_failure(self, batch: Batch, error: sqlite3.Error, retry: float) -> None:
         """Return a failed batch to the queue and wait for `retry` seconds or until the writer is stopped.
 
         Records that were put since then replace those of the batch with the same key.
         """
-        with self._changed:
+        with self._condition:
             self._committing = False
             self.failures += 1
             self.pending = {**batch.records, **self.pending}
             self._oldest_at = batch.oldest_at
-            self._changed.notify_all()
+            self._condition.notify_all()
             if self.failures == 1 or retry >= MAX_RETRY_S:
                 log.warning("state: commit failed, %d records waiting: %s", len(self.pending), error)
-            self._changed.wait_for(lambda: self._stopped, retry)
+            self._condition.wait_for(lambda: self._stopped, retry)
--- a/thistleusher/wirehost.py
+++ b/thistleusher/wirehost.py
@@ -33,7 +33,7 @@
         self.make = make
         self.instances: dict[int, Instance] = {}
 
-    def batch(self, lines: list[str]) -> list[str]:
+    def process_batch(self, lines: list[str]) -> list[str]:
         """Process one batch, from its CLOCK line to the line before END, and return the lines of the answer."""
         head = lines[0].split(" ")
         if head[0] != "CLOCK":
@@ -43,10 +43,10 @@
         out: list[str] = []
         rest = iter(lines[1:])
         for line in rest:
-            out += self._message(now, line, rest)
+            out += self._process_message(now, line, rest)
         return out
 
-    def _message(self, now: float, line: str, rest: Iterator[str]) -> list[str]:
+    def _process_message(self, now: float, line: str, rest: Iterator[str]) -> list[str]:
         """Process one message, with the rows of a list from `rest`, and return the lines of the answer."""
         parts = line.split(" ")
         name = parts[0]
@@ -60,7 +60,7 @@
         if name == "BORN":
             self._start(now, me, parts)
             return []
-        return self._event(now, me, parts, rest)
+        return self._process_event(now, me, parts, rest)
 
     def _start(self, now: float, me: int, parts: list[str]) -> None:
         """Start an instance with its seed and settings."""
@@ -72,7 +72,7 @@
         plans = {p.name: p for p in settings.plans}
         self.instances[me] = Instance(self.make(settings, seed, now), load_fields, classes, plans)
 
-    def _event(self, now: float, me: int, parts: list[str], rest: Iterator[str]) -> list[str]:
+    def _process_event(self, now: float, me: int, parts: list[str], rest: Iterator[str]) -> list[str]:
         """Pass an event to its instance and return the lines of the resulting actions."""
         instance = self.instances.get(me)
         event = read_event(parts, instance.load_fields if instance is not None else (), rest)
@@ -103,7 +103,7 @@
             continue
         if not lines:
             invalid("batch", "first line", "CLOCK", "END")
-        reply = host.batch(lines)
+        reply = host.process_batch(lines)
         lines = []
         sink.write("\n".join([*reply, "DONE\n"]))
         sink.flush()
