--- a/thistleusher/cli/commands.py
+++ b/thistleusher/cli/commands.py
@@ -35,7 +35,7 @@
 
 @cappa.command(
     name="registry",
-    help="the registry: ingresses, backends, the counter service",
+    help="the registry: proxies, backends, the counter service",
     invoke="thistleusher.cli.programs.run_registry",
 )
 @dataclass
--- a/thistleusher/configuration/validation.py
+++ b/thistleusher/configuration/validation.py
@@ -107,10 +107,10 @@
         yield f"body: text is not Unicode: {error.reason}"
 
 
-def _is_nested_deeper(value: Any, most: int) -> bool:
-    """Return whether objects and lists are nested more than `most` deep."""
+def _is_nested_deeper(value: Any, max_depth: int) -> bool:
+    """Return whether objects and lists are nested more than `max_depth` levels deep."""
     level = [value] if isinstance(value, dict | list) else []
-    for _ in range(most):
+    for _ in range(max_depth):
         level = [
             inner
             for outer in level
--- a/thistleusher/log/queued.py
+++ b/thistleusher/log/queued.py
@@ -50,7 +50,7 @@
         self.handler = NonBlockingQueueHandler(options.queue)
         self._listener = QueueListener(self.handler.queue, writer)
         self._root = logging.getLogger()
-        self._earlier_level = self._root.level
+        self._previous_level = self._root.level
         self._root.addHandler(self.handler)
         self._root.setLevel(options.level.upper())
         self._listener.start()
@@ -58,7 +58,7 @@
     def close(self) -> None:
         """Write the queued lines, for at most `CLOSE_TIMEOUT_S` seconds, and restore the root logger."""
         self._root.removeHandler(self.handler)
-        self._root.setLevel(self._earlier_level)
+        self._root.setLevel(self._previous_level)
         ending = threading.Thread(target=self._listener.stop, daemon=True)
         ending.start()
         ending.join(CLOSE_TIMEOUT_S)
--- a/thistleusher/state/recovery.py
+++ b/thistleusher/state/recovery.py
@@ -15,7 +15,7 @@
 6. Measurements of backends age: speeds hold for ten minutes, faults and ejections for as long as they could still
    apply. If the clock was set back, only the speeds are used. They apply to the same incarnation of a backend only.
 7. An endpoint list is used until discovery answers, for a minute at most. A drained backend stays in it for a second.
-8. A record older than the retention period of a member is ignored: the member's bucket is full by then.
+8. A record older than the retention period is ignored, unless it has pending units: the bucket is full by then.
 """
 
 from __future__ import annotations
