--- a/tests/configuration/test_items.py
+++ b/tests/configuration/test_items.py
@@ -1,4 +1,4 @@
-"""A configuration as items of a state: an index that follows changes is the one built from the complete document."""
+"""A configuration as items of a state: an index updated by changes equals one built from the complete document."""
 
 import json
 import zlib
@@ -13,7 +13,7 @@
     ConfigurationFollower,
     Identity,
     assemble,
-    changes,
+    changed_items,
     digest_of,
     number_of,
     was_accepted,
@@ -39,7 +39,7 @@
 
 @strategies.composite
 def documents(draw):
-    """The fields of a configuration without its version; some tables absent, some fields of later."""
+    """Draw a configuration's fields except its version; tables may be absent, and fields of later releases present."""
     extra = {"later": draw(strategies.sampled_from(LATER))}
     places = draw(strategies.permutations(PLACES))
     routes = draw(some(strategies.sampled_from([{}, {"rank": 1}, extra, {"target": "s", "target_ms": 0.1}])))
@@ -65,7 +65,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(strategies.data())
 def test_an_index_that_follows_changes_is_the_one_built_whole(data):
-    """Also where updates are missed, the first state is of release 0.1, or a core is founded anew with a low number."""
+    """Covers missed updates, a first state of release 0.1, and a core that is set up anew with a low number."""
     published, subscriber, config = State(), Subscriber(), ConfigurationFollower()
     number = data.draw(strategies.integers(0, 3))
     for step in range(data.draw(strategies.integers(1, 8))):
@@ -73,7 +73,7 @@
         if step == 0 and data.draw(strategies.booleans()):
             changed = {"config": {"v": number, "z": zlib.compress(sent)}}
         else:
-            changed = changes(published, number, sent)
+            changed = changed_items(published, number, sent)
         published.apply(published.number + 1, changed)
         assert json.loads(assemble(published)) == json.loads(sent) and number_of(published) == number
         assert was_accepted(published, Identity(number, digest_of(json.loads(sent))))
@@ -97,7 +97,7 @@
     published, config = State(), ConfigurationFollower()
 
     def follow(number, sent):
-        changed = changes(published, number, sent)
+        changed = changed_items(published, number, sent)
         published.apply(published.number + 1, changed)
         return config.update(published, changed)
 
--- a/tests/state/helpers.py
+++ b/tests/state/helpers.py
@@ -1,4 +1,4 @@
-"""What tests of the state share: a member's record, a disk and a scheduler of the test's own."""
+"""Shared helpers of the state tests: a member record, a fake disk and a manual scheduler."""
 
 from __future__ import annotations
 
@@ -34,26 +34,26 @@
 
 
 class SlowDisk:
-    """A disk that commits once `let` is set, and fails the next `fail` commits."""
+    """A fake disk whose commits block until `released` is set; the next `failures_left` commits fail."""
 
     def __init__(self):
-        self.let = threading.Event()
-        self.began = threading.Event()
-        self.fail = 0
+        self.released = threading.Event()
+        self.commit_started = threading.Event()
+        self.failures_left = 0
         self.batches = []
 
     def commit(self, bodies):
         batch = dict(bodies)
-        self.began.set()
-        assert self.let.wait(10.0)
-        if self.fail:
-            self.fail -= 1
+        self.commit_started.set()
+        assert self.released.wait(10.0)
+        if self.failures_left:
+            self.failures_left -= 1
             raise sqlite3.OperationalError("database or disk is full")
         self.batches.append(batch)
 
 
 class ManualScheduler:
-    """Collects what is to be called later."""
+    """Collects scheduled callbacks in `due` without calling them."""
 
     def __init__(self):
         self.due = []
--- a/thistleusher/assembly.py
+++ b/thistleusher/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the decision module and its parts together, the same for the daemon, the library and the simulator."""
+"""Assembles the decision module from its parts, in the same way for the daemon, the library and the simulator."""
 
 from __future__ import annotations
 
@@ -13,12 +13,16 @@
 
 
 def make_gateway(settings: Settings, seed: int, now: float, placement: Placement | None = None) -> Gateway:
-    """Return one ingress's decisions. `now`: Unix time in seconds of its start; `placement`: of several counters."""
+    """Return the decision module of one ingress.
+
+    now: Unix time of the start in seconds
+    placement: placement of names on several counters, None with one counter
+    """
     return Gateway(settings, seed, now, make_escrow(settings, now), placement, make_gossip(settings, now))
 
 
 def make_gossip(settings: Settings, now: float) -> Gossip | None:
-    """Return the gossip of a large fleet; None where every peer gets every update."""
+    """Return the gossip module for many ingresses, or None if each update is sent to every peer."""
     if not settings.uses_gossip:
         return None
     return Gossip(
@@ -26,38 +30,47 @@
     )
 
 
-def quota_terms(plan: PlanSettings, most: float) -> Terms | None:
-    """Return the allowance that shares are of; `most`: units of a request. None where a plan has no limit at all."""
+def quota_terms(plan: PlanSettings, max_units: float) -> Terms | None:
+    """Return the terms of the allowance that is divided into shares, or None if the plan has no limit.
+
+    most: maximum units of a request
+    """
     if plan.ceiling_rate > 0 and plan.ceiling_burst > 0:
         return Terms(
             plan.ceiling_rate,
             plan.ceiling_burst,
             simultaneous_start_burst=simultaneous_start_burst(plan),
-            prefetch_below=most,
+            prefetch_below=max_units,
         )
     if plan.rate <= 0 or plan.burst <= 0:
         return None
-    return Terms(plan.rate, plan.burst, most, simultaneous_start_burst(plan), strict=False, prefetch_below=most)
+    return Terms(
+        plan.rate, plan.burst, max_units, simultaneous_start_burst(plan), strict=False, prefetch_below=max_units
+    )
 
 
 def allowance_terms(settings: Settings) -> dict[str, tuple[float, float]]:
-    """Return rate and burst of the allowances that are reserved, by plan: under others a saved reservation is void."""
-    found = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
-    return {name: (terms.rate, terms.burst) for name, terms in found.items() if terms is not None}
+    """Return rate and burst of each plan's allowance. A reservation saved under different terms is invalid."""
+    terms_by_plan = {p.name: quota_terms(p, settings.max_units) for p in settings.plans}
+    return {name: (terms.rate, terms.burst) for name, terms in terms_by_plan.items() if terms is not None}
 
 
 def make_escrow(settings: Settings, now: float) -> EscrowTable | None:
-    """Return escrowed shares of ceilings, and of quotas where there is none; None where peers cannot be notified.
+    """Return the escrowed shares of each plan's ceiling, or of its quota if it has no ceiling.
 
-    Demands and their answers take at most half of the messages that an ingress takes in. A fleet that starts together
-    has one quota's burst between its ingresses.
+    Returns None if peers cannot be notified. Demands and their answers use at most half of the messages that an ingress
+    accepts. Ingresses that start together share one burst of the quota.
     """
     if not settings.peers or not 2 <= settings.instances <= 255 or settings.peer_in_per_s <= 0:
         return None
     terms = tuple(quota_terms(p, settings.max_units) for p in settings.plans)
-    each = 4 / settings.peer_in_per_s
+    interval_per_peer = 4 / settings.peer_in_per_s
     if settings.uses_gossip:
-        return EscrowTable(settings.instances, settings.me, now, terms, DEMAND_INTERVAL_S, each)
+        return EscrowTable(settings.instances, settings.me, now, terms, DEMAND_INTERVAL_S, interval_per_peer)
     return EscrowTable(
-        settings.instances, settings.me, now, terms, max(DEMAND_INTERVAL_S, each * (settings.instances - 1))
+        settings.instances,
+        settings.me,
+        now,
+        terms,
+        max(DEMAND_INTERVAL_S, interval_per_peer * (settings.instances - 1)),
     )
--- a/thistleusher/configuration/items.py
+++ b/thistleusher/configuration/items.py
@@ -1,24 +1,25 @@
 """A configuration as items of the control state, and back.
 
-An operator sends one document. It is stored as items, so that a change of one route costs one route on the disks,
-between replicas and on the way to the proxies:
+An operator sends one document. It is stored as items, so that a change of one route transfers and stores only this
+route, both between replicas and to the proxies:
 
-- `config`: the header: number, digest, and the document's top-level fields that are in no other item;
-- `route:NAME`, `service:NAME`, `tenant:NAME`, `limits`: one JSON value each, complete, with the fields that this
-  release does not know;
-- `taken:SLOT`: number and digest of the last `REMEMBERED_DIGESTS` configurations, so that a repeat of one is known.
+- `config`: the header with the number, the digest, and the document's top-level fields that are in no other item;
+- `route:NAME`, `service:NAME`, `tenant:NAME`, `limits`: one complete JSON value each, including fields that are unknown
+  to this release;
+- `taken:SLOT`: number and digest of each of the last `REMEMBERED_DIGESTS` configurations, to recognize repeated ones.
 
-JSON values are stored as canonical text: numbers of any size and any nesting survive, equal values are equal texts, and
-a document is put together without parsing them.
+JSON values are stored as canonical text. Numbers of any size and any nesting are preserved, equal values have equal
+texts, and a document is assembled without parsing the values.
 
-Guaranteed: the document that `assemble` returns is equal as JSON to the one that was sent under its number.
+Guarantee: the document that `assemble` returns is equal as JSON to the one that was sent under its number.
 
-Cost of an order: at the leader one pass over its document and a comparison with each item; everywhere else the items
-that differ. A subscriber's update: one step a changed item, and one copy of a record of five fields; its look-ups are
-those of `Index`. A complete build, one step an item, is made at the first configuration, after a configuration that
-was not applied, and after one in the form of release 0.1 (one item with the compressed document), which is still read.
+Cost of a new configuration: at the leader, one pass over the document and a comparison with each item; elsewhere, only
+the items that differ. A subscriber's update costs one step per changed item and a copy of a record of five fields; its
+look-ups are those of `Index`. A complete build, with one step per item, happens for the first configuration, after a
+configuration that was not applied, and after one in the format of release 0.1 (one item with the compressed document),
+which is still supported.
 
-Pure.
+All functions are pure.
 """
 
 from __future__ import annotations
@@ -36,25 +37,29 @@
 from thistleusher.configuration.records import Configuration, Limits, Route, Service, Tenant
 from thistleusher.transport.state_updates import State
 
-NO_CONFIGURATION = -1  # the number of no configuration
-REMEMBERED_DIGESTS = 64  # configurations whose digests are remembered
+NO_CONFIGURATION = -1  # the number that stands for the absence of a configuration
+REMEMBERED_DIGESTS = 64  # number of configurations whose digests are kept
 HEADER = "config"
 LIMITS = "limits"
-ACCEPTED = "taken:"
-TABLES = {"routes": "route:", "services": "service:", "tenants": "tenant:"}  # field -> prefix of its items
-PREFIXES = tuple(TABLES.values())
-COMPRESSED = "z"  # the field of a header in the form of release 0.1 that has the complete document, compressed
+ACCEPTED_PREFIX = "taken:"
+TABLE_PREFIXES = {
+    "routes": "route:",
+    "services": "service:",
+    "tenants": "tenant:",
+}  # field -> item prefix
+ITEM_PREFIXES = tuple(TABLE_PREFIXES.values())
+COMPRESSED_FIELD = "z"  # header field of release 0.1 that holds the complete document, compressed
 
 
 class Identity(NamedTuple):
-    """What distinguishes one configuration from another."""
+    """The number and digest that identify a configuration."""
 
     number: int
     digest: str
 
 
 class DocumentParts(NamedTuple):
-    """A document in parts: its identity, the text of its header's fields, the tables that it has, and its items."""
+    """A document in parts: its identity, the header's fields as text, the names of its tables, and its items."""
 
     identity: Identity
     fields: str
@@ -65,80 +70,80 @@
 _encode = msgspec.json.Encoder(order="sorted").encode
 
 
-def canonical(value: Any) -> str:
-    """Return the canonical text of a JSON value: equal values have equal texts."""
+def canonical_json(value: Any) -> str:
+    """Return the canonical text of a JSON value. Equal values have equal texts."""
     try:
         return _encode(value).decode()
-    except (OverflowError, UnicodeEncodeError):  # numbers beyond 64 bits, text that is not Unicode
+    except (OverflowError, UnicodeEncodeError):  # integers beyond 64 bits, text with lone surrogates
         return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
 
 
 def digest_of(value: Any) -> str:
-    """Return the digest of a document that was parsed as JSON."""
-    return hashlib.sha256(canonical(value).encode("utf-8", "surrogatepass")).hexdigest()
+    """Return the digest of a parsed JSON document."""
+    return hashlib.sha256(canonical_json(value).encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def split_document(number: int, document: Mapping[str, Any]) -> DocumentParts:
-    """Return the parts of a document that was parsed as JSON."""
+    """Return the parts of a parsed JSON document."""
     items: dict[str, str] = {}
     tables: list[str] = []
     fields: dict[str, Any] = {}
     for field, value in document.items():
-        if field in TABLES and isinstance(value, dict):
+        if field in TABLE_PREFIXES and isinstance(value, dict):
             tables.append(field)
-            items.update((TABLES[field] + name, canonical(entry)) for name, entry in value.items())
+            items.update((TABLE_PREFIXES[field] + name, canonical_json(entry)) for name, entry in value.items())
         elif field == LIMITS:
-            items[LIMITS] = canonical(value)
+            items[LIMITS] = canonical_json(value)
         else:
             fields[field] = value
-    return DocumentParts(Identity(number, digest_of(document)), canonical(fields), tables, items)
+    return DocumentParts(Identity(number, digest_of(document)), canonical_json(fields), tables, items)
 
 
 def number_of(state: State) -> int:
-    """Return the number of the configuration in a state, `NO_CONFIGURATION` where there is none."""
+    """Return the number of the configuration in a state, or `NO_CONFIGURATION` if there is none."""
     header = state.value(HEADER)
     return int(header["v"]) if header is not None else NO_CONFIGURATION
 
 
 def identity_of(state: State) -> Identity | None:
-    """Return the identity of the configuration in a state, None where there is none."""
+    """Return the identity of the configuration in a state, or None if there is none."""
     header = state.value(HEADER)
     if header is None:
         return None
-    if COMPRESSED in header:
-        return Identity(header["v"], digest_of(json.loads(zlib.decompress(header[COMPRESSED]))))
+    if COMPRESSED_FIELD in header:
+        return Identity(header["v"], digest_of(json.loads(zlib.decompress(header[COMPRESSED_FIELD]))))
     return Identity(header["v"], header["digest"])
 
 
 def is_stored_document(state: State, document: bytes) -> bool:
-    """Return whether a state has these very bytes, in the form of release 0.1, which checked less."""
+    """Return whether a state holds exactly these bytes in the format of release 0.1, which validated less."""
     header = state.value(HEADER)
-    return header is not None and COMPRESSED in header and assemble(state) == document
+    return header is not None and COMPRESSED_FIELD in header and assemble(state) == document
 
 
 def was_accepted(state: State, identity: Identity) -> bool:
-    """Return whether a configuration is the one in a state, or is remembered as an earlier one."""
+    """Return whether a configuration is the one in a state or one of the remembered earlier ones."""
     if identity == identity_of(state):
         return True
-    remembered = (state.value(f"{ACCEPTED}{slot}") for slot in range(REMEMBERED_DIGESTS))
+    remembered = (state.value(f"{ACCEPTED_PREFIX}{slot}") for slot in range(REMEMBERED_DIGESTS))
     return list(identity) in (list(pair) for pair in remembered if pair is not None)
 
 
-def changes(state: State, number: int, document: bytes) -> dict[str, Any]:
-    """Return the items that a configuration sets (None: removes) in a state."""
-    return difference(state, split_document(number, json.loads(document)))
+def changed_items(state: State, number: int, document: bytes) -> dict[str, Any]:
+    """Return the items that a configuration changes in a state; None stands for a removed item."""
+    return changed_items_for_parts(state, split_document(number, json.loads(document)))
 
 
-def difference(state: State, parts: DocumentParts) -> dict[str, Any]:
-    """Return the items that a document's parts set (None: removes) in a state."""
+def changed_items_for_parts(state: State, parts: DocumentParts) -> dict[str, Any]:
+    """Return the items that a document's parts change in a state; None stands for a removed item."""
     header = state.value(HEADER) or {}
     serial = header.get("serial", 0) + 1
     present = dict(_configuration_items(state))
     changed: dict[str, Any] = {name: text for name, text in parts.items.items() if present.get(name) != text}
     changed.update(dict.fromkeys(present.keys() - parts.items.keys()))
-    if COMPRESSED in header:  # the last of release 0.1, which remembered none
-        changed[f"{ACCEPTED}0"] = list(identity_of(state) or ())
-    changed[f"{ACCEPTED}{serial % REMEMBERED_DIGESTS}"] = list(parts.identity)
+    if COMPRESSED_FIELD in header:  # stored by release 0.1, which did not keep digests
+        changed[f"{ACCEPTED_PREFIX}0"] = list(identity_of(state) or ())
+    changed[f"{ACCEPTED_PREFIX}{serial % REMEMBERED_DIGESTS}"] = list(parts.identity)
     changed[HEADER] = {
         "v": parts.identity.number,
         "digest": parts.identity.digest,
@@ -150,8 +155,8 @@
 
 
 def _is_part(name: str) -> bool:
-    """Return whether an item is a part of a configuration, other than its header."""
-    return name == LIMITS or name.startswith(PREFIXES)
+    """Return whether an item is a part of a configuration other than its header."""
+    return name == LIMITS or name.startswith(ITEM_PREFIXES)
 
 
 def _configuration_items(state: State) -> Iterator[tuple[str, str]]:
@@ -161,14 +166,14 @@
 
 
 def assemble(state: State) -> bytes | None:
-    """Return the document of the configuration in a state, None where there is none."""
+    """Return the document of the configuration in a state, or None if there is none."""
     header = state.value(HEADER)
     if header is None:
         return None
-    if COMPRESSED in header:
-        return zlib.decompress(header[COMPRESSED])
+    if COMPRESSED_FIELD in header:
+        return zlib.decompress(header[COMPRESSED_FIELD])
     members = [header["fields"][1:-1]] if header["fields"] != "{}" else []
-    members += [f'"{field}":{{{_table_members(state, TABLES[field])}}}' for field in header["tables"]]
+    members += [f'"{field}":{{{_table_members(state, TABLE_PREFIXES[field])}}}' for field in header["tables"]]
     limits = state.value(LIMITS)
     if limits is not None:
         members.append(f'"{LIMITS}":{limits}')
@@ -176,43 +181,43 @@
 
 
 def _table_members(state: State, prefix: str) -> str:
-    """Return the members of one table's JSON object."""
-    return ",".join(f"{canonical(name)}:{text}" for name, text in state.values(prefix).items())
+    """Return the text of the members of one table's JSON object."""
+    return ",".join(f"{canonical_json(name)}:{text}" for name, text in state.values(prefix).items())
 
 
 class ConfigurationFollower:
     """The configuration of a subscribed state, with its look-up tables.
 
-    `index` stays the same object from one configuration to the next, except after a complete build.
+    `index` remains the same object across configurations, except after a complete build.
     """
 
     def __init__(self) -> None:
         self.index: Index | None = None
-        self._behind = True  # whether `index` lacks items that the state has; only a complete build repairs that
+        self._needs_rebuild = True  # set while `index` lacks items of the state
 
     def update(self, state: State, changed: Mapping[str, Any]) -> bool:
-        """Apply what an update changed in a state; return whether a newer configuration is in effect by it.
+        """Apply the changed items of a state; return whether a newer configuration takes effect.
 
-        A configuration whose number is no higher than the one in effect is not applied.
+        A configuration is applied only if its number is higher than that of the configuration in effect.
         """
         if HEADER not in changed and not any(map(_is_part, changed)):
             return False
         header = state.value(HEADER)
         if header is None or header["v"] <= self.number:
-            self._behind = True
+            self._needs_rebuild = True
             return False
-        if self.index is None or self._behind:
-            self._behind = True
+        if self.index is None or self._needs_rebuild:
+            self._needs_rebuild = True
             self.index = Index(_complete_configuration(state))
         else:
-            self._behind = True  # until all is in: an item that cannot be read leaves `index` as it was
+            self._needs_rebuild = True  # reset below; stays set if an unreadable item leaves `index` unchanged
             _apply(self.index, header, changed)
-        self._behind = COMPRESSED in header
+        self._needs_rebuild = COMPRESSED_FIELD in header
         return True
 
     @property
     def number(self) -> int:
-        """Return the number of the configuration in effect."""
+        """Return the number of the configuration in effect, or `NO_CONFIGURATION` if there is none."""
         return self.index.config.number if self.index is not None else NO_CONFIGURATION
 
     @property
@@ -222,14 +227,17 @@
 
 
 def _complete_configuration(state: State) -> Configuration:
-    """Return the configuration of a state, read from all its items."""
+    """Return the configuration of a state, read from all of its items."""
     document = assemble(state)
     assert document is not None
     return read_record(Configuration, json.loads(document))
 
 
 def _apply(index: Index, header: Mapping[str, Any], changed: Mapping[str, Any]) -> None:
-    """Apply changed items to an index. All are read before the first is applied: an unreadable one changes nothing."""
+    """Apply changed items to an index.
+
+    All items are read before the first is applied, so an unreadable item leaves the index unchanged.
+    """
     version = read_record(Configuration, json.loads(header["fields"])).version
     limits = index.config.limits
     if LIMITS in changed:
@@ -241,8 +249,8 @@
 
 
 def _changed_records(kind: type[Any], table: str, changed: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the records of one table among changed items, by name; None for those that are removed."""
-    prefix = TABLES[table]
+    """Return the records of one table among the changed items by name; None stands for a removed record."""
+    prefix = TABLE_PREFIXES[table]
     return {
         name[len(prefix) :]: read_record(kind, json.loads(text), table) if text is not None else None
         for name, text in changed.items()
--- a/thistleusher/standalone.py
+++ b/thistleusher/standalone.py
@@ -1,4 +1,4 @@
-"""One ingress alone as a process, on real sockets: start-up, signals and its end."""
+"""The process of one stand-alone ingress on real sockets: start-up, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     from thistleusher.state.options import StateOptions
     from thistleusher.state.snapshotter import Snapshotter
 
-NOTICE_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
+SHUTDOWN_DELAY_S = 0.5  # delay of the shutdown after SIGTERM, because new connections arrive for up to another 0.4 s
 EXIT_INTERRUPTED = 1
 EXIT_UNUSABLE = 2
 
 log = logging.getLogger("thistleusher")
 
 
-class OperatorExtras(NamedTuple):
-    """What an operator adds to the platform's configuration.
+class OperatorOptions(NamedTuple):
+    """Options that an operator adds to the platform's configuration.
 
-    environ: names the configuration's file
-    read_counters: reads the set of counters anew, at the start and at each reload
-    state: the state folder
+    environ: environment variables, which name the configuration file
+    read_counters: reads the placement on several counters, at the start and at each reload
+    state: options of the state folder
     """
 
     environ: Mapping[str, str]
@@ -40,12 +40,12 @@
     state: StateOptions | None = None
 
     def placement(self) -> Placement | None:
-        """Return the set of counters as it is now. Raises InvalidConfigurationError."""
+        """Return the present placement on several counters, if any. Raises InvalidConfigurationError."""
         return self.read_counters() if self.read_counters else None
 
 
 def make_snapshotter(config: Config, options: StateOptions) -> Snapshotter:
-    """Open the state folder. Raises InvalidConfigurationError where it cannot be used."""
+    """Open the state folder. Raises InvalidConfigurationError if it cannot be used."""
     from thistleusher.assembly import allowance_terms
     from thistleusher.core.replication_limits import retention_s
     from thistleusher.state.snapshotter import Snapshotter
@@ -59,20 +59,20 @@
         raise InvalidConfigurationError(str(error)) from error
 
 
-async def serve(config: Config, extras: OperatorExtras) -> None:
-    """Serve until a signal asks for the end, then shut down in order."""
+async def serve(config: Config, operator_options: OperatorOptions) -> None:
+    """Serve until SIGTERM or SIGINT, then shut down in order. SIGHUP reloads the configuration."""
     loop = asyncio.get_running_loop()
-    placement = extras.placement()
-    snapshotter = make_snapshotter(config, extras.state) if extras.state else None
+    placement = operator_options.placement()
+    snapshotter = make_snapshotter(config, operator_options.state) if operator_options.state else None
     daemon = Daemon(config, placement=placement, snapshotter=snapshotter)
     stop = asyncio.Event()
 
     def reload() -> None:
         try:
-            new_config = read_config(extras.environ)
-            new_placement = extras.placement()
+            new_config = read_config(operator_options.environ)
+            new_placement = operator_options.placement()
         except InvalidConfigurationError as error:
-            log.error("the configuration stays as it was: %s", error)  # noqa: TRY400  (a mistake in a file: no traceback)
+            log.error("reload failed, configuration unchanged: %s", error)  # noqa: TRY400  (a file error: no traceback)
             return
         daemon.reload(new_config, new_placement)
 
@@ -81,15 +81,15 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     await daemon.start()
     await stop.wait()
-    await daemon.stop(asyncio.sleep(NOTICE_S))
+    await daemon.stop(asyncio.sleep(SHUTDOWN_DELAY_S))
 
 
-def run(extras: OperatorExtras, *, log_is_set_up: bool = False) -> int:
-    """Serve and return the exit code; what prevents a start is one line on standard error."""
+def run(operator_options: OperatorOptions, *, log_is_set_up: bool = False) -> int:
+    """Serve and return the exit code. An error that prevents the start is printed as one line on standard error."""
     if not log_is_set_up:
         use_plain_handler()
     try:
-        uvloop.run(serve(read_config(extras.environ), extras))
+        uvloop.run(serve(read_config(operator_options.environ), operator_options))
     except (InvalidConfigurationError, OSError) as error:
         print(f"thistleusher: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
