--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -1,6 +1,6 @@
-"""Simulated backends, and a proxy's attempts to have one of them work on a request.
+"""Simulated backends, and the attempts of proxies to forward requests to them.
 
-A backend stops its work once the connection of an attempt ends, as most of the users' do.
+A backend stops its work when the connection of the attempt is closed, as most real backends do.
 """
 
 from __future__ import annotations
@@ -16,47 +16,50 @@
 from thistleusher.core.in_flight_request import InFlightRequest
 from thistleusher.core.ports import AttemptResult
 
-REFUSED_SHARE = 0.01  # of connections that a backend refuses
-FULL_SHARE = 0.01  # of requests that find its queue full
-LOST_SHARE = 0.3  # of answers, while a backend loses them
-WORK_S, WORK_SPREAD_S = 0.05, 0.15  # for a request: at least, and by how much it varies
+REFUSED_SHARE = 0.01  # fraction of connections that a backend refuses
+FULL_SHARE = 0.01  # fraction of requests that are rejected because the queue is full
+LOST_SHARE = 0.3  # fraction of answers that are lost while `loses_answers` is set
+WORK_S, WORK_SPREAD_S = 0.05, 0.15  # work time of a request: minimum, and range above it
 
 
 class Backend:
     """One backend."""
 
     def __init__(self, number: int, zone: str, listed_from: float = 0.0) -> None:
-        """Create a backend; `number` counts all that there were, `listed_from`: when the list first shows it."""
+        """Create a backend.
+
+        `number` is unique and is never reused. `listed_from` is the time at which the platform's list first shows it.
+        """
         self.number = number
         self.name = f"i{number}"
         self.zone = zone
         self.listed_from = listed_from
         self.is_gone = False
-        self.draining_since: float | None = None  # when the platform's list first shows it as draining
+        self.draining_since: float | None = None  # time at which the platform's list first shows it as draining
         self.crashed = False
         self.loses_answers = False
-        self.slowdown = 1.0  # factor on the time for which it works on a request
+        self.slowdown = 1.0  # factor on the work time of a request
 
 
 class Work(Protocol):
-    """A backend's work on one request."""
+    """The work of a backend on one request."""
 
     def is_in_progress(self) -> bool:
-        """Return whether the backend is at work now."""
+        """Return whether the backend works on the request now."""
 
 
 class Observer(Protocol):
-    """Whoever is to know which requests arrive where."""
+    """Receives a notification when a request arrives at a backend."""
 
     def request_arrived(self, name: str, route: str, tenant: str, backend: Backend, work: Work) -> None:
-        """Take note that a backend begins to work on a request."""
+        """Handle the begin of a backend's work on a request."""
 
 
 class Backends:
-    """All backends of the one service."""
+    """All backends of the only service."""
 
     def __init__(self, clock: Clock, rng: random.Random, scheduler: ProcessScheduler, observer: Observer) -> None:
-        self.by_name: dict[str, Backend] = {}  # also those that are gone
+        self.by_name: dict[str, Backend] = {}  # includes removed backends
         for zone in BACKEND_ZONES:
             self.add(zone)
         self.observer = observer
@@ -65,7 +68,7 @@
         self.scheduler = scheduler
 
     def add(self, zone: str, listed_from: float = 0.0) -> None:
-        """Add a backend, which the platform's list shows from some time on."""
+        """Add a backend, which the platform's list shows from the time `listed_from` on."""
         backend = Backend(len(self.by_name), zone, listed_from)
         self.by_name[backend.name] = backend
 
@@ -74,14 +77,14 @@
         return [b for b in self.by_name.values() if not b.is_gone and b.listed_from <= self.clock.now]
 
     def remove(self, backend: Backend) -> None:
-        """End a backend; the list does not show it any more."""
+        """Stop a backend and remove it from the platform's list."""
         backend.is_gone = backend.crashed = True
 
 
 class Attempt:
-    """One attempt: a connection, the request, an answer; each may fail.
+    """One attempt to get an answer from a backend; the connection, the request or the answer may fail.
 
-    `serves`: whether the proxy has the backend on its list.
+    `serves` returns whether a backend is on the proxy's list.
     """
 
     def __init__(
@@ -102,10 +105,10 @@
         self._serves = serves
         self._on_end = on_end
         self._ended = False
-        self._work_until = 0.0  # when the backend completes its work, or stops it as the connection has ended
+        self._work_until = 0.0  # when the backend completes its work, or stops because the connection was closed
 
     def start(self, timeout: float) -> None:
-        """Send the request, to be answered within some seconds."""
+        """Send the request; the attempt fails if there is no answer within `timeout` seconds."""
         clock, backend = self._backends.clock, self._backend
         delay = one_way_delay(MACHINES[self._proxy.machine].zone, backend.zone)
         if not self._serves(backend.name):
@@ -126,7 +129,7 @@
         if backend.crashed:
             self._end_later(delay, Outcome.RESET)
             return
-        if rng.random() < FULL_SHARE:  # rejected, with proof that it never ran
+        if rng.random() < FULL_SHARE:  # rejected, with a statement that it has not run
             self._end_later(delay, Outcome.FULL)
             return
         route, tenant = self._request.context
@@ -142,23 +145,23 @@
         self._backends.clock.later(duration, complete)
 
     def is_in_progress(self) -> bool:
-        """Return whether the backend is at work now."""
+        """Return whether the backend works on the request now."""
         return self._backends.clock.now < self._work_until
 
     def expire(self) -> None:
-        """End the attempt, as its time is up."""
+        """End the attempt because of a time-out."""
         self._close(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        """End the attempt, as its backend does not answer."""
+        """End the attempt because the backend does not answer."""
         self._close(Outcome.CANCELLED if self.written else Outcome.MOOT)
 
     def abandon(self) -> None:
-        """End the attempt, as nobody waits for its answer."""
+        """End the attempt because its answer is no longer needed."""
         self.cancel()
 
     def _close(self, outcome: Outcome) -> None:
-        """Close the attempt's connection: the backend stops its work as soon as that reaches it."""
+        """Close the connection of the attempt; the backend stops its work one network delay later."""
         delay = one_way_delay(MACHINES[self._proxy.machine].zone, self._backend.zone)
         self._work_until = min(self._work_until, self._backends.clock.now + delay)
         self._end(outcome)
--- a/simnet/system/clients.py
+++ b/simnet/system/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: requests to proxies that are ready, each with a route and a tenant that are drawn."""
+"""Simulated clients, which send requests with random routes and tenants to proxies that are ready."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from simnet.system.topology import DEADLINE_S, EFFECTFUL_ROUTE, LIMITED_TENANT, PURE_ROUTE, UNLIMITED_TENANT
 from thistleusher.core.ports import Final
 
-INTERVAL_S = 0.06  # between requests at one proxy, on average
-EFFECTFUL_SHARE = 0.4
+INTERVAL_S = 0.06  # mean time between two requests to one proxy
+EFFECTFUL_SHARE = 0.4  # fraction of requests on the route that is not idempotent
 USUAL_LIMITED_SHARE = 0.35
 CALM_LIMITED_SHARE = 0.1
 HOT_LIMITED_SHARE = 0.9
-USUAL_LEAVE_SHARE = 0.05  # of requests whose client leaves before it has waited for `MAX_PATIENCE_S`
+USUAL_LEAVE_SHARE = 0.05  # fraction of requests whose client disconnects within `MAX_PATIENCE_S`
 HASTY_LEAVE_SHARE = 0.9
 MAX_PATIENCE_S = 0.3
 
@@ -24,7 +24,8 @@
 class Clients:
     """All clients.
 
-    `limited_share`: the share of requests that are the limited tenant's. `leave_share`: of those whose clients leave.
+    `limited_share` is the fraction of requests from the tenant with a quota. `leave_share` is the fraction of requests
+    whose client disconnects before it has an answer.
     """
 
     def __init__(
@@ -36,7 +37,11 @@
         leaving_rng: random.Random,
         leave_share: float,
     ) -> None:
-        """`leaving_rng`: who leaves is drawn apart, so that the other draws of a seed are the same if nobody does."""
+        """Create the clients.
+
+        `leaving_rng` draws which clients disconnect, and when. It is separate from `rng` so that the other draws of a
+        seed do not depend on `leave_share`.
+        """
         self.limited_share = USUAL_LIMITED_SHARE
         self.leave_share = leave_share
         self._leaving_rng = leaving_rng
@@ -46,11 +51,11 @@
         self._scheduler = scheduler
 
     def next_in(self) -> float:
-        """Draw the seconds until the next request at a proxy."""
+        """Draw the time until the next request to a proxy, in seconds."""
         return self._rng.expovariate(1 / INTERVAL_S)
 
     def request(self, proxy: ProxyProcess) -> None:
-        """Send one request; a proxy that is not ready answers 503 before anything else."""
+        """Send one request, unless the proxy is not ready: it would answer 503 to every request."""
         proxy.request_count += 1
         name = f"{proxy.machine}.{proxy.incarnation}.{proxy.request_count}"
         route = EFFECTFUL_ROUTE if self._rng.random() < EFFECTFUL_SHARE else PURE_ROUTE
@@ -68,6 +73,6 @@
             self._scheduler.later(proxy, patience_s, lambda: self._leave(proxy, name, route))
 
     def _leave(self, proxy: ProxyProcess, name: str, route: str) -> None:
-        """Close a request's connection; the proxy knows of it from here on."""
+        """Close the client's connection; the proxy is notified at once."""
         if self._rules.client_left(name, route):
             proxy.driver.client_gone(name)
--- a/simnet/system/control_process.py
+++ b/simnet/system/control_process.py
@@ -1,4 +1,4 @@
-"""A control process of the simulated system: the service that ships, with a simulated disk."""
+"""A simulated control process: the production `ControlService` with a simulated disk and network."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ControlProcess(Process):
-    """One control process; its disk outlives its incarnations."""
+    """One control process. Its disk persists over its incarnations."""
 
     service: ControlService
 
@@ -32,7 +32,7 @@
         return self._environment.steady_time(self.machine)
 
     def begin(self) -> None:
-        """Begin a new incarnation with what is on the disk; the first one founds the core."""
+        """Start a new incarnation from the state on the disk; the first incarnation bootstraps the core."""
         stored = self.disk.stored()
         now = self._now()
         rng = random.Random(self._environment.rng.random())
@@ -42,7 +42,11 @@
         self._pending_calls = {}
 
     def end(self, power_lost: bool, disk_lost: bool) -> None:
-        """End with the process or its machine's power, and lose the disk too if so."""
+        """Apply the end of the process to its disk.
+
+        Without a loss of power the writes in flight complete; with it some of the last ones are lost. With `disk_lost`
+        all data is lost.
+        """
         if power_lost:
             self.disk.lose_process()
         while self.disk.pending:
@@ -51,24 +55,24 @@
             self.disk.wipe()
 
     def tick(self) -> None:
-        """Let the service see that time has passed."""
+        """Process the timeouts of the service."""
         self._execute(self.service.tick(self._now()))
 
     def connected(self, listener: str) -> None:
-        """Tell the service that a connection to another machine of the core stands."""
+        """Notify the service that a connection to another core machine is established."""
         self._execute(self.service.connected(self._now(), listener.partition("@")[2]))
 
     def receive(self, client: str, message: AnyMessage) -> None:
-        """Take a message of another control process, a registry or a proxy."""
+        """Handle a message from another control process, a registry or a proxy."""
         if not isinstance(message, Hello):
             self._execute(self.service.receive(self._now(), client, message))
 
     def disconnected(self, client: str) -> None:
-        """Tell the service that a client's connection has ended."""
+        """Notify the service that a client's connection has ended."""
         self.service.disconnected(client)
 
     def call(self, make: Callable[[int], Change], on_answer: Callable[[Any], None]) -> None:
-        """Submit an operator's change; `on_answer` gets its answer, if any comes."""
+        """Submit an operator's change; `on_answer` is called with the answer, if there is one."""
         number, outputs = self.service.submit(self._now(), make)
         self._pending_calls[number] = on_answer
         self._execute(outputs)
--- a/simnet/system/days.py
+++ b/simnet/system/days.py
@@ -1,4 +1,8 @@
-"""Drawn days of the simulated system: faults and planned work at times that a seed draws, then calm and a verdict."""
+"""Random scenarios ("days") of the simulated system.
+
+A seed determines the faults and the planned work, with their times. A period without faults follows, in which the
+recovery of the service is checked.
+"""
 
 from __future__ import annotations
 
@@ -17,30 +21,33 @@
 FIRST_CHECK_S = 3.0
 FIRST_FAULT_S = 5.0
 SHORTEST_DAY_S = 6.0
-CALM_S = 5.0  # after the last fault and `CONTACT_S`, before requests are counted
-COUNTED_S = 4.0  # for which requests are counted
-FEWEST_ANSWERS = 100  # in that time
-LEAST_SERVED = 0.9  # the share of answers
-AFTER_WIPE_S = 6.0  # without another fault
+CALM_S = 5.0  # recovery time after the last fault and `CONTACT_S`, before requests are counted
+COUNTED_S = 4.0  # period in which requests are counted
+FEWEST_ANSWERS = 100  # minimum number of answers in `COUNTED_S`
+LEAST_SERVED = 0.9  # minimum fraction of answers that are successful
+AFTER_WIPE_S = 6.0  # minimum time without a fault before and after a loss of a disk
 KINDS: tuple[FaultKind, ...] = tuple(FaultKind)
 
 
 class PlannedWork(NamedTuple):
-    """What the operator does at a time: 'put', 'drain', 'begin ZONE' or 'end ZONE'."""
+    """An action of the operator at a time: 'put', 'drain', 'begin ZONE' or 'end ZONE'."""
 
     at: float
     what: str
 
 
 class Day(NamedTuple):
-    """What a seed draws."""
+    """The faults and the planned work of one seed."""
 
     faults: list[Fault]
     planned: list[PlannedWork]
 
 
 def draw(seed: int, kinds: Sequence[FaultKind] = KINDS) -> Day:
-    """Draw a seed's day of these kinds of faults. A disk is lost only when no other core machine has a fault."""
+    """Draw the day of a seed, with faults of the given kinds.
+
+    A disk is lost only when no other fault is in force.
+    """
     rng = random.Random(seed * 7907 + 3)
     at = FIRST_FAULT_S
     faults: list[Fault] = []
@@ -59,7 +66,10 @@
 
 
 def play(world: World, day: Day) -> None:
-    """Play a day: founding, a configuration, traffic with faults and planned work, calm, a verdict."""
+    """Run a day: the first configuration, traffic with faults and planned work, recovery, and the final check.
+
+    Raises RuleViolationError as soon as a rule is broken.
+    """
     world.clock.at(FIRST_CONFIGURATION_S, partial(world.operator.put_configuration, 1))
     world.clock.at(FIRST_CHECK_S, world.check_overdue)
     injector = FaultInjector(world)
@@ -92,13 +102,18 @@
 def _check_recovery(world: World) -> None:
     served, answered = world.rules.served_count, world.rules.answered_count
     if answered < FEWEST_ANSWERS or served < LEAST_SERVED * answered:
-        raise RuleViolationError(f"calm does not bring service back: {served} of {answered} served")
+        raise RuleViolationError(
+            f"the service has not recovered from the faults: {served} of {answered} requests served"
+        )
     if world.rules.acknowledged.version < 1:
         raise RuleViolationError("no configuration was ever acknowledged")
 
 
 def run(seed: int, faults: Sequence[Fault] | None = None) -> World:
-    """Play a seed's day, with its own faults or fewer. RuleViolationError says which rule is broken."""
+    """Run the day of a seed, with all its faults or with the given ones.
+
+    Raises RuleViolationError if a rule is broken; its notes hold the log of the run.
+    """
     day = draw(seed)
     if faults is not None:
         day = day._replace(faults=list(faults))
@@ -112,7 +127,10 @@
 
 
 def shrink(seed: int) -> list[Fault]:
-    """Return the fewest of a seed's faults that still break a rule, each tried without."""
+    """Return a minimal subset of a seed's faults that still breaks a rule.
+
+    Each fault is dropped if a rule is still broken without it.
+    """
     faults = draw(seed).faults
     at = 0
     while at < len(faults):
--- a/simnet/system/environment.py
+++ b/simnet/system/environment.py
@@ -1,4 +1,4 @@
-"""What every simulated process of the system runs in."""
+"""The environment that all simulated processes of the system share."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """Clock, random draws, network and rules of one world."""
+    """The clock, random generator, scheduler, network and rules of one simulated world."""
 
     clock: Clock
     rng: random.Random
     scheduler: ProcessScheduler
     network: Network
     rules: Rules
-    clock_origins: dict[str, float]  # machine -> what its steady clock showed at the beginning
+    clock_origins: dict[str, float]  # machine -> reading of its steady clock at virtual time 0
 
     def steady_time(self, machine: str) -> float:
-        """Return what a machine's steady clock shows."""
+        """Return the reading of a machine's steady clock, in seconds."""
         return self.clock_origins[machine] + self.clock.now
--- a/simnet/system/faults.py
+++ b/simnet/system/faults.py
@@ -1,4 +1,7 @@
-"""Faults of the simulated system: kills, losses of power and disks, partitions, freezes, and those around it."""
+"""Faults of the simulated system.
+
+They affect its processes, machines, disks and network, and also the platform, the backends and the clients.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class FaultKind(StrEnum):
-    """All kinds of faults. A seed draws them by their order here."""
+    """All kinds of faults. The order matters: the random generator of a seed selects kinds by their index."""
 
     KILL = "kill"
     POWER = "power"
@@ -43,14 +46,14 @@
 ONE_CORE_MACHINE = frozenset(
     {FaultKind.CORE_KILL, FaultKind.CORE_POWER, FaultKind.CORE_WIPE, FaultKind.KILL_CORE}
     | {FaultKind.CORE_CUT, FaultKind.CORE_FREEZE}
-)  # kinds that are about a machine of the core, and not about any machine
+)  # kinds that affect a core machine instead of an arbitrary machine
 
 
-SLOWDOWN = 8.0  # of all backends, while they are slow
+SLOWDOWN = 8.0  # factor on the work time of all backends during a `SLOW` fault
 
 
 class Fault(NamedTuple):
-    """One fault: when, what, and for how many seconds."""
+    """One fault: its start, its kind and its duration."""
 
     at: float
     kind: FaultKind
@@ -58,7 +61,7 @@
 
 
 class FaultInjector:
-    """Has faults happen in a world."""
+    """Injects faults into a world."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -87,10 +90,10 @@
         }
 
     def inject(self, kind: FaultKind, duration_s: float) -> None:
-        """Have one fault happen now."""
+        """Inject one fault now; `duration_s` bounds its effect."""
         world = self._world
         world.rules.fault_until = max(world.rules.fault_until, world.clock.now + duration_s)
-        # Both are drawn for every kind, so that a seed draws the same whatever its kinds are.
+        # Both machines are drawn for every kind, so that the later draws of a seed do not depend on the kind.
         machine = world.rng.choice(sorted(MACHINES))
         core_machine = world.rng.choice(sorted(CORES))
         world.note(f"{kind} {core_machine if 'core' in kind else machine} for {duration_s:.2f}")
@@ -143,7 +146,7 @@
                 if sender_region != receiver_region:
                     self._world.network.partition(sender, receiver, duration_s)
 
-    # Around the system.
+    # Platform, backends and clients.
 
     def _stop_platform(self, machine: str, duration_s: float) -> None:
         self._world.platform.down_until = self._world.clock.now + duration_s
--- a/simnet/system/network.py
+++ b/simnet/system/network.py
@@ -1,7 +1,8 @@
-"""Connections and datagrams between simulated processes: in order, late where a partition lasts, or lost.
+"""Connections and datagrams between simulated processes.
 
-A connection is opened by one process to another and lasts until either ends, or until a partition has silenced it; what
-was in flight on it is lost then. Each message passes through the codec, as on a real connection.
+A connection delivers messages in order. A partition delays them until it ends. The connection lasts until one of its
+two processes ends, or until a partition exceeds `SILENCE_S`; messages in flight are then lost. Each message is encoded
+and decoded by the codec, as on a real connection. Datagrams may be lost.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from thistleusher.transport.codec import decode, encode
 from thistleusher.transport.messages import AnyMessage, Hello
 
-SILENCE_S = 1.5  # of a partition, after which a connection is ended
-DATAGRAM_LOSS = 0.02  # the share of datagrams that are lost
-JITTER = 0.3  # by which a message takes longer at most, as a part of the usual delay
+SILENCE_S = 1.5  # a connection is closed if it stays partitioned for longer than this
+DATAGRAM_LOSS = 0.02  # fraction of datagrams that are lost
+JITTER = 0.3  # maximum extra delay of a message, as a fraction of the one-way delay
 
 
 class Connection(NamedTuple):
-    """A connection as its listener knows it: the process that opened it, and its number."""
+    """A connection, as its listener records it: the process that opened it, and its number."""
 
     opener: str
     number: int
 
 
 def listeners_of(process: Process) -> list[str]:
-    """Return the names of the processes that a process keeps connections to."""
+    """Return the names of the processes to which a process maintains connections."""
     if process.kind == "control":
         return [f"control@{m}" for m in CORES if m != process.machine]
     registries = [f"registry@{m}" for m in CORES if m != process.machine]
@@ -37,20 +38,20 @@
 
 
 class Network:
-    """All connections of the system. `processes` is filled as processes are made."""
+    """All connections of the system. The world adds each process to `processes` when it creates it."""
 
     def __init__(self, clock: Clock, rng: random.Random, scheduler: ProcessScheduler) -> None:
         self.processes: dict[str, Process] = {}
-        self.partitions: dict[tuple[str, str], float] = {}  # (sender, receiver) machines -> until when
+        self.partitions: dict[tuple[str, str], float] = {}  # (sender, receiver) machines -> end of the partition
         self._clock = clock
         self._rng = rng
         self._scheduler = scheduler
         self._connection_count = 0
-        self._clients: dict[tuple[str, str], Connection] = {}  # (listener, client's name) -> its connection
+        self._clients: dict[tuple[str, str], Connection] = {}  # (listener, client name) -> the client's connection
         self._last_arrival: dict[tuple[str, str], float] = {}
 
     def partition(self, sender: str, receiver: str, duration_s: float) -> None:
-        """Keep messages from one machine to another back for a while."""
+        """Partition one machine from another, in one direction, for `duration_s` seconds."""
         self.partitions[sender, receiver] = self._clock.now + duration_s
 
     def _partitioned_until(self, sender: str, receiver: str) -> float:
@@ -59,7 +60,7 @@
     # Connections.
 
     def connect_missing(self, process: Process) -> None:
-        """Open the connections that a process lacks, and end those that a partition has silenced."""
+        """Open the missing connections of a process, and close those that are partitioned for too long."""
         for name in listeners_of(process):
             listener = self.processes[name]
             until = max(
@@ -80,7 +81,7 @@
         process.connected(listener)
 
     def disconnect_all(self, process: Process) -> None:
-        """End all connections from and to a process that has ended."""
+        """Close all connections from and to a process that has ended."""
         for other in self.processes.values():
             self._disconnect(other, process)
             self._disconnect(process, other)
@@ -98,7 +99,7 @@
     # Messages.
 
     def send(self, process: Process, listener: str, message: AnyMessage) -> None:
-        """Send a message on the connection that `process` has opened to a listener, if it stands."""
+        """Send a message on the connection that `process` opened to a listener; drop it if there is none."""
         number = process.connections.get(listener)
         if number is None:
             return
@@ -114,7 +115,7 @@
         self._deliver(process, receiver, arrive)
 
     def reply(self, process: Process, client: str, message: AnyMessage) -> None:
-        """Send a message back on the connection of a client that is known by its name."""
+        """Send a message to a client, on the connection that the client opened; drop it if there is none."""
         connection = self._clients.get((process.name, client))
         if connection is None:
             return
@@ -128,7 +129,7 @@
         self._deliver(process, receiver, arrive)
 
     def send_datagram(self, process: Process, address: str, message: AnyMessage) -> None:
-        """Send a datagram to the proxy of a machine; it may be lost."""
+        """Send a datagram to the proxy of a machine. It is lost at random, and during a partition."""
         receiver = self.processes[f"proxy@{address}"]
         data = encode(message)
         lost = self._rng.random() <= DATAGRAM_LOSS
@@ -136,13 +137,13 @@
             self._deliver(process, receiver, lambda: receiver.receive_datagram(process.machine, decode(data)))
 
     def _deliver(self, sender: Process, receiver: Process, arrive: Callable[[], None]) -> None:
-        """Have a message arrive after those before it, and not while a partition lasts."""
+        """Schedule a message to arrive after all earlier ones of the same pair, and after any partition."""
         now = self._clock.now
         delay = one_way_delay(MACHINES[sender.machine].zone, MACHINES[receiver.machine].zone)
         due = now + delay * (1 + JITTER * self._rng.random())
         until = self._partitioned_until(sender.machine, receiver.machine)
         if until > now:
-            due = until + due - now  # the connection may have ended by then
+            due = until + due - now  # the connection may be closed by then, which loses the message
         due = max(due, self._last_arrival.get((sender.name, receiver.name), 0.0))
         self._last_arrival[sender.name, receiver.name] = due
         self._scheduler.later(receiver, due - now, arrive)
--- a/simnet/system/operator.py
+++ b/simnet/system/operator.py
@@ -1,4 +1,4 @@
-"""The simulated operator: configurations and evacuations, sent to one control process after the other."""
+"""The simulated operator, which sends configurations and evacuations to the control processes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from thistleusher.configuration import items as config_items
 from thistleusher.control.interface import Change
 
-PATIENCE_S = 1.0  # with one control process
-RETRY_S = 0.1  # after an error
-KEEP_TRYING_S = 8.0
+PATIENCE_S = 1.0  # response time-out per control process; then another one is tried
+RETRY_S = 0.1  # delay from an error response to the next attempt
+KEEP_TRYING_S = 8.0  # total time for the attempts to send one change
 
 
 class Operator:
-    """Sends each change until a control process acknowledges it."""
+    """Sends each change until a control process acknowledges it, or `KEEP_TRYING_S` has passed."""
 
     def __init__(self, clock: Clock, rng: random.Random, rules: Rules, control: Mapping[str, ControlProcess]) -> None:
-        """`control`: control processes by their machines."""
+        """Create the operator; `control` maps machines to control processes."""
         self._clock = clock
         self._rng = rng
         self._rules = rules
@@ -43,10 +43,11 @@
         self._send(make, lambda: self._rules.configuration_acknowledged(version), self._clock.now + KEEP_TRYING_S)
 
     def evacuate(self, zone: str, on: bool) -> None:
-        """Have a zone's backends get nothing, or something again."""
+        """Begin or end the evacuation of a zone, whose backends get no requests meanwhile."""
         name = f"evac:{zone}"
         if not on:
-            self._rules.evacuation_acknowledged(zone, False)  # from now on either is allowed
+            # Requests to the zone are allowed while the change that ends the evacuation is in flight.
+            self._rules.evacuation_acknowledged(zone, False)
 
         def make(call_id: int) -> Change:
             return Change(
@@ -59,7 +60,7 @@
         self._send(make, lambda: self._rules.evacuation_acknowledged(zone, on), self._clock.now + KEEP_TRYING_S)
 
     def _send(self, make: Callable[[int], Change], on_acknowledged: Callable[[], None], until: float) -> None:
-        """Send a change to a control process, and to another one after an error or without an answer."""
+        """Send a change to a random control process; after an error or a time-out, retry until the time `until`."""
         process = self._control[self._rng.choice(sorted(CORES))]
         waiting = True
 
--- a/simnet/system/platform.py
+++ b/simnet/system/platform.py
@@ -1,4 +1,7 @@
-"""The simulated platform: the list of backends, over HTTP, in pages that may shift between two calls."""
+"""The simulated platform API, which serves the backend list over HTTP.
+
+The list is split into pages. Rows may move from one page to another between two calls.
+"""
 
 from __future__ import annotations
 
@@ -11,39 +14,40 @@
 from simnet.system.backends import Backend, Backends
 from simnet.system.topology import SERVICE
 
-LIST_LAG_S = 0.8  # from a change until the list shows it
+LIST_LAG_S = 0.8  # delay from a change of a backend until the list shows it
 PAGE_ROWS = 3
 CAPACITY = 6
-BAD_SHARE = 0.03  # of answers that are of no use
+BAD_SHARE = 0.03  # fraction of calls that get one of `BAD_ANSWERS`
 BAD_ANSWERS = ((429, b""), (200, b'{"instances": ['), (500, b""))
-NO_ANSWER = (0, b"")
+NO_ANSWER = (0, b"")  # result of a call while the platform is down
 
 
 class Platform:
-    """Answers calls for the list of backends."""
+    """Answers calls for the backend list."""
 
     def __init__(self, clock: Clock, rng: random.Random, backends: Backends) -> None:
         self.down_until = 0.0
-        self.calls_to_lose = 0  # of the next calls, those whose end their caller never learns of
+        self.calls_to_lose = 0  # number of next calls whose callers never get a result or an error
         self._clock = clock
         self._rng = rng
         self._backends = backends
 
     def is_up(self) -> bool:
-        """Return whether calls are answered."""
+        """Return whether the platform answers calls now."""
         return self._clock.now >= self.down_until
 
     def loses_call(self) -> bool:
-        """Return whether the call that begins now is one of those to lose."""
+        """Return whether the call that begins now gets no result, and count it."""
         if self.calls_to_lose == 0:
             return False
         self.calls_to_lose -= 1
         return True
 
     def respond(self, target: str) -> tuple[int, bytes]:
-        """Return status and body for a path with its query; status 0 while the platform is down.
+        """Return the HTTP status and body for a path with its query.
 
-        Now and then there were too many calls, or the bytes are no list.
+        The status is 0 while the platform is down. A random fraction of the calls, `BAD_SHARE`, is rate-limited, fails
+        with status 500 or gets a truncated body.
         """
         if not self.is_up():
             return NO_ANSWER
--- a/simnet/system/process.py
+++ b/simnet/system/process.py
@@ -1,4 +1,4 @@
-"""A simulated process, and callbacks that reach it only in the incarnation that asked for them."""
+"""The base class of simulated processes, and a scheduler that binds callbacks to one incarnation of a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Process:
-    """One process on a machine. `incarnation` grows with every start and every end."""
+    """One process on a machine. `incarnation` is incremented at every start and at every end."""
 
     def __init__(self, kind: str, machine: str) -> None:
         self.kind = kind
@@ -17,58 +17,61 @@
         self.name = f"{kind}@{machine}"
         self.incarnation = 0
         self.running = False
-        self.connections: dict[str, int] = {}  # that it has opened: listener -> number of the connection
-        self.frozen_until = 0.0  # it stands still, and then takes what came meanwhile, in order
+        self.connections: dict[str, int] = {}  # connections that this process opened: listener -> connection number
+        self.frozen_until = 0.0  # until this time all inputs are deferred; then they are processed in order
 
     @property
     def client_name(self) -> str:
-        """The name by which listeners know this process."""
+        """The name under which listeners register this process's connections."""
         return self.machine
 
     def begin(self) -> None:
-        """Begin a new incarnation."""
+        """Initialize the state of a new incarnation."""
 
     def tick(self) -> None:
-        """Let the process see that time has passed."""
+        """Process the timeouts that are due."""
 
     def connected(self, listener: str) -> None:
-        """Take note that a connection that this process opened stands."""
+        """Handle the establishment of a connection that this process opened."""
 
     def receive(self, client: str, message: AnyMessage) -> None:
-        """Take a message on a connection that another process opened; `client` is its name."""
+        """Handle a message on a connection that another process, `client`, opened."""
 
     def receive_reply(self, listener: str, message: AnyMessage) -> None:
-        """Take a message on a connection that this process opened."""
+        """Handle a message on a connection that this process opened."""
 
     def receive_datagram(self, sender: str, message: AnyMessage) -> None:
-        """Take a datagram of another machine."""
+        """Handle a datagram from another machine."""
 
     def disconnected(self, client: str) -> None:
-        """Take note that a connection that another process opened has ended."""
+        """Handle the end of a connection that another process, `client`, opened."""
 
 
 class ProcessScheduler:
-    """Runs callbacks in processes: never in a later incarnation, and not while a process is frozen."""
+    """Runs callbacks in processes.
+
+    A callback never runs in a later incarnation than the one that scheduled it, nor while the process is frozen.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
 
     def run(self, process: Process, callback: Callable[[], None]) -> None:
-        """Call back now, or as soon as a frozen process goes on."""
+        """Run `callback` now or, if the process is frozen, when the freeze ends."""
         incarnation = process.incarnation
 
         def attempt() -> None:
             if not process.running or process.incarnation != incarnation:
                 return
             if process.frozen_until > self._clock.now:
-                self._clock.at(process.frozen_until, attempt)  # what waits keeps its order
+                self._clock.at(process.frozen_until, attempt)  # deferred callbacks keep their order
             else:
                 callback()
 
         attempt()
 
     def later(self, process: Process, delay_s: float, callback: Callable[[], None]) -> None:
-        """Call back after a while."""
+        """Run `callback` in the process after `delay_s` seconds."""
         incarnation = process.incarnation
 
         def due() -> None:
--- a/simnet/system/proxy_process.py
+++ b/simnet/system/proxy_process.py
@@ -1,4 +1,4 @@
-"""A proxy process of the simulated system: cluster view, decisions and driver that ship, with simulated backends."""
+"""A simulated proxy process: the production cluster view, decisions and driver, with simulated backends."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 
 
 class ProxyProcess(Process):
-    """One proxy process; it is also its driver's port to backends."""
+    """One proxy process. It also implements the driver's interface to backends."""
 
     def __init__(self, environment: Environment, backends: Backends, machine: str) -> None:
         super().__init__("proxy", machine)
         self.request_count = 0
-        self.version = -1  # of the configuration in force
+        self.version = -1  # version of the configuration in force
         self._environment = environment
         self._backends = backends
 
     def now(self) -> float:
-        """Return what the machine's steady clock shows."""
+        """Return the reading of the machine's steady clock, in seconds."""
         return self._environment.steady_time(self.machine)
 
     def begin(self) -> None:
-        """Begin a new incarnation that knows nothing."""
+        """Start a new incarnation without any state."""
         zone, region = MACHINES[self.machine]
         now = self.now()
         rng = random.Random(self._environment.rng.random())
@@ -67,21 +67,21 @@
         self.version = -1
 
     def ready(self) -> bool:
-        """Return whether the proxy takes requests."""
+        """Return whether the proxy accepts requests."""
         return self.cluster_view.index is not None and self.cluster_view.has_backend_list and bool(self.serving)
 
     def tick(self) -> None:
-        """Let the cluster view see that time has passed."""
+        """Process the timeouts of the cluster view."""
         self._execute(self.cluster_view.tick(self.now(), self.ready()))
 
     def connected(self, listener: str) -> None:
-        """Subscribe to what the listener publishes."""
+        """Subscribe to the updates of the listener."""
         view = self.cluster_view
         request = view.subscribe_to_control() if listener.startswith("control") else view.subscribe_to_registry()
         self._environment.network.send(self, listener, request)
 
     def receive_reply(self, listener: str, message: AnyMessage) -> None:
-        """Take a message of a control process or a registry."""
+        """Handle a message from a control process or a registry."""
         if listener.startswith("control"):
             outputs, reply = self.cluster_view.receive_from_control(self.now(), message)
         else:
@@ -92,7 +92,7 @@
             self._environment.network.send(self, listener, reply)
 
     def receive_datagram(self, sender: str, message: AnyMessage) -> None:
-        """Take a heartbeat of the ring, or a copy of the configuration and the list."""
+        """Handle a ring heartbeat, or a copy of the configuration and the backend list."""
         if isinstance(message, RingHeartbeat):
             self._execute(self.cluster_view.receive_heartbeat(self.now(), message, sender))
         elif isinstance(message, HandOver):
@@ -121,7 +121,7 @@
         self.version = version
 
     def take(self, name: str, route: str, tenant: str, deadline_s: float, on_final: Callable[[Final], None]) -> None:
-        """Take a client's request; the proxy is ready."""
+        """Accept a client's request. The proxy must be ready."""
         index = self.cluster_view.index
         assert index is not None
         match = RouteMatch(route, index.config.routes[route])
@@ -131,10 +131,10 @@
         request_class = self.decisions.class_of(match)
         self.driver.accept(request, on_final, (route, tenant), request_class=request_class)
 
-    # The driver's port to backends.
+    # The driver's interface to backends.
 
     def prepare(self, held: InFlightRequest, backend: str, on_end: Callable[[AttemptResult], None]) -> Attempt:
-        """Return an attempt that is yet to start."""
+        """Return a new attempt, which is not started."""
         return Attempt(self._backends, self, held, backend, lambda name: name in self.serving, on_end)
 
     def probe(self, backend: str) -> None:
@@ -145,18 +145,18 @@
 
 
 class DriverScheduler:
-    """The driver's timers; those of an earlier incarnation never fire."""
+    """The timers of the driver. Timers of an earlier incarnation never fire."""
 
     def __init__(self, proxy: ProxyProcess, environment: Environment) -> None:
         self._proxy = proxy
         self._environment = environment
 
     def time(self) -> float:
-        """Return what the machine's steady clock shows."""
+        """Return the reading of the machine's steady clock, in seconds."""
         return self._proxy.now()
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Timer:
-        """Call back after some seconds."""
+        """Call `callback` after `delay` seconds."""
         timer = Timer()
 
         def fire() -> None:
@@ -167,15 +167,15 @@
         return timer
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Timer:
-        """Call back at a time of the machine's steady clock."""
+        """Call `callback` at the time `when` of the machine's steady clock."""
         return self.call_later(when - self.time(), callback, *args)
 
 
 class Timer:
-    """A call that is due."""
+    """A scheduled call that can be cancelled."""
 
     cancelled = False
 
     def cancel(self) -> None:
-        """Keep the call from being made."""
+        """Cancel the call."""
         self.cancelled = True
--- a/simnet/system/registry_process.py
+++ b/simnet/system/registry_process.py
@@ -1,4 +1,4 @@
-"""A registry process of the simulated system: the registry that ships, with a simulated platform to ask."""
+"""A simulated registry process: the production `Registry` with a simulated network and platform."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from thistleusher.transport.messages import AnyMessage
 
 PLATFORM_CALLS_PER_S = 50.0
-ANSWER_S = 0.002  # for a call to the platform
-TIMEOUT_S = 1.0  # for one that has no answer
+ANSWER_S = 0.002  # duration of a call to the platform
+TIMEOUT_S = 1.0  # duration of a call while the platform is down
 
 
 class RegistryProcess(Process):
@@ -30,33 +30,33 @@
 
     @property
     def client_name(self) -> str:
-        """The name by which control processes and other registries know this incarnation."""
+        """The name of this incarnation for control processes and other registries."""
         return self.registry.name
 
     def _now(self) -> float:
         return self._environment.steady_time(self.machine)
 
     def holds_lease(self) -> bool:
-        """Return whether this registry's lease on its singleton role stands."""
+        """Return whether this registry holds the lease on its singleton role."""
         return self.registry.lease.holds_lease(self._now())
 
     def begin(self) -> None:
-        """Begin a new incarnation that knows nothing."""
+        """Start a new incarnation without any state."""
         name = f"{self.machine}/{self.incarnation}"
         rng = random.Random(self._environment.rng.random())
         self.registry = Registry(name, self.machine, self._now(), rng, PLATFORM_CALLS_PER_S, True)
 
     def tick(self) -> None:
-        """Let the registry see that time has passed."""
+        """Process the registry's timeouts."""
         self._execute(self.registry.tick(self._now()))
 
     def connected(self, listener: str) -> None:
-        """Subscribe to what the listener publishes."""
+        """Subscribe to the updates of the listener."""
         subscriber = self.registry.control_state if listener.startswith("control") else self.registry.list
         self._environment.network.send(self, listener, subscriber.subscribe_request())
 
     def receive_reply(self, listener: str, message: AnyMessage) -> None:
-        """Take a message of a control process or of another registry."""
+        """Handle a message from a control process, or from the registry to which this one subscribes."""
         if listener.startswith("control"):
             address = listener.partition("@")[2]
             outputs, reply = self.registry.receive_from_control(self._now(), address, message)
@@ -67,11 +67,11 @@
             self._environment.network.send(self, listener, reply)
 
     def receive(self, client: str, message: AnyMessage) -> None:
-        """Take a message of a proxy or of another registry."""
+        """Handle a message from a proxy, or from a registry that subscribes to this one."""
         self._execute(self.registry.receive_from_subscriber(self._now(), client, message))
 
     def disconnected(self, client: str) -> None:
-        """Tell the registry that a subscriber's connection has ended."""
+        """Remove the subscriber whose connection has ended."""
         self.registry.remove_subscriber(client)
 
     def _execute(self, outputs: Sequence[Output]) -> None:
@@ -80,7 +80,7 @@
             if isinstance(out, SendToSubscriber):
                 if not self.holds_lease():
                     kind = type(out.message).__name__
-                    self._environment.rules.report(f"LEASE: {self.name} sends {out.name} {kind} without one")
+                    self._environment.rules.report(f"LEASE: {self.name} sends {kind} to {out.name} without the lease")
                 network.reply(self, out.name, out.message)
             elif isinstance(out, SendToControl):
                 for address in CORES:
--- a/simnet/system/topology.py
+++ b/simnet/system/topology.py
@@ -1,4 +1,4 @@
-"""Machines, zones and regions of the simulated system, the bounds of its rules, and its operator's documents."""
+"""Topology of the simulated system: machines, zones, regions, one-way delays, rule bounds and the configuration."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from thistleusher.common.node_settings import Bounds
 
 BOUNDS = Bounds()
-RATE_PER_S = BURST = 40.0  # of the one tenant that has a limit
+RATE_PER_S = BURST = 40.0  # quota of `LIMITED_TENANT`, the only tenant with a limit
 LIMITED_TENANT, UNLIMITED_TENANT = "t", "free"
 PURE_ROUTE, EFFECTFUL_ROUTE = "pure", "once"
 SERVICE = "s"
-DEADLINE_S = 2.0  # of a client's request
-TOLERANCE = 1  # machines of the core that may be lost at a time
+DEADLINE_S = 2.0  # deadline of each client request
+TOLERANCE = 1  # number of core machines that may be lost at the same time
 
-SAME_ZONE_S, SAME_REGION_S, OTHER_REGION_S = 0.0002, 0.0014, 0.055  # one way
+SAME_ZONE_S, SAME_REGION_S, OTHER_REGION_S = 0.0002, 0.0014, 0.055  # one-way network delays
 
 
 class Location(NamedTuple):
-    """Where a machine stands."""
+    """The zone and the region of a machine."""
 
     zone: str
     region: str
@@ -33,19 +33,19 @@
     "d4": Location("b2", "b"),
 }
 MACHINES = {**CORES, **PROXIES}
-REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}  # by zone
-BACKEND_ZONES = ("a1", "a1", "a2", "b1", "b1", "b2")  # in the order of the backends' names
+REGIONS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}  # zone -> region
+BACKEND_ZONES = ("a1", "a1", "a2", "b1", "b1", "b2")  # zones of the initial backends, by backend number
 
 
 def one_way_delay(sender_zone: str, receiver_zone: str) -> float:
-    """Return the seconds that a message takes from one zone to another."""
+    """Return the one-way network delay between two zones, in seconds."""
     if sender_zone == receiver_zone:
         return SAME_ZONE_S
     return SAME_REGION_S if REGIONS[sender_zone] == REGIONS[receiver_zone] else OTHER_REGION_S
 
 
 def configuration_document(version: int) -> bytes:
-    """Return a configuration with two routes, one tenant that has a limit and one that has none."""
+    """Return a configuration as JSON, with two routes, one tenant with a quota and one tenant without."""
 
     def route(path: str, variant: str) -> dict[str, Any]:
         return {
--- a/simnet/system/world.py
+++ b/simnet/system/world.py
@@ -1,7 +1,7 @@
-"""The world of one seed: processes, network, platform, backends, clients and operator, and the rules after each step.
+"""The simulated world of one seed: processes, network, platform, backends, clients and operator.
 
-Rules of the users are in `rules`. Of the design's own is LEASE: a registry sends nothing without the lease on its
-singleton role, of which there is one at a time.
+The rules are checked after each step. Required rules are in `rules`. The rule LEASE comes from the design: a registry
+sends nothing to subscribers without the lease on its singleton role, and at most one registry holds that lease.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from simnet.system.rules import Rules
 from simnet.system.topology import BOUNDS, CORES, MACHINES, PROXIES
 
-TICK_S = 0.06
-CONNECT_S = 0.1  # between looks at connections that are missing
-FIRST_REQUEST_S = 0.1  # after a proxy's start
-CHECK_S = 0.5  # between looks at what is overdue
-FEWEST_BACKENDS = 3  # that are not drained
-LEAVES_LATE_S = 2.0  # after its time to drain, for which a backend that is replaced serves on
-CLOCK_SPREAD_S = 1e5  # between the origins of the machines' steady clocks
+TICK_S = 0.06  # mean interval of process ticks
+CONNECT_S = 0.1  # interval of checks for missing connections
+FIRST_REQUEST_S = 0.1  # delay from the start of a proxy to the first request
+CHECK_S = 0.5  # interval of checks for overdue answers and configurations
+FEWEST_BACKENDS = 3  # a backend is drained only if more than this number are not draining
+LEAVES_LATE_S = 2.0  # a replaced backend stays up for this long after its time to drain
+CLOCK_SPREAD_S = 1e5  # range of the origins of the machines' steady clocks
 
 
 class World:
-    """All of it. All that happens is drawn from one seed."""
+    """One simulated world. All random choices derive from one seed."""
 
     def __init__(self, seed: int, leave_share: float = USUAL_LEAVE_SHARE) -> None:
-        """`leave_share`: the share of requests whose clients leave."""
+        """Create the world and start its processes; `leave_share` is the fraction of clients that disconnect early."""
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.clock.after_each = self.check
@@ -69,7 +69,7 @@
         self.start(process)
 
     def note(self, text: str) -> None:
-        """Add a line to the log of what happened."""
+        """Add a line to the log of the run."""
         self.log.append(f"{self.clock.now:7.3f} {text}")
 
     # Processes.
@@ -102,7 +102,7 @@
         self.scheduler.later(proxy, self.clients.next_in(), lambda: self._request(proxy))
 
     def stop(self, process: Process, restart_s: float, power_lost: bool = False, disk_lost: bool = False) -> None:
-        """End a process at once, and start it again after a while; what others had with it is over."""
+        """End a process at once, close its connections, and start it again after `restart_s` seconds."""
         if not process.running:
             return
         process.running = False
@@ -113,13 +113,13 @@
         self.clock.later(restart_s, lambda: self.start(process) if not process.running else None)
 
     def drain_backend(self) -> None:
-        """Take a backend out of service, as long as enough stay."""
+        """Drain a random backend, if more than `FEWEST_BACKENDS` are not draining."""
         staying = [backend for backend in self.backends.by_name.values() if backend.draining_since is None]
         if len(staying) > FEWEST_BACKENDS:
             self.rng.choice(staying).draining_since = self.clock.now + LIST_LAG_S
 
     def replace_backend(self) -> None:
-        """Have a new backend join, and one that serves drain and be gone some seconds after its time to drain."""
+        """Add a backend, and drain another one, which is removed `LEAVES_LATE_S` after its time to drain."""
         staying = [b for b in self.backends.listed() if b.draining_since is None]
         old = self.rng.choice(staying)
         old.draining_since = self.clock.now + LIST_LAG_S
@@ -129,7 +129,7 @@
     # Rules.
 
     def check(self) -> None:
-        """Check after every step. Raises RuleViolationError for what the step before has broken."""
+        """Check the rules after a step. Raises RuleViolationError if a violation was reported before this check."""
         if self.rules.violation:
             raise RuleViolationError(self.rules.violation)
         holders = [
@@ -141,13 +141,13 @@
             and process.holds_lease()
         ]
         if len(holders) > 1:
-            self.rules.report(f"LEASE: two hold the singleton role: {holders}")
+            self.rules.report(f"LEASE: several registries hold the singleton role: {holders}")
 
     def check_overdue(self) -> None:
-        """Look for what is overdue, now and again after a while."""
+        """Report overdue answers and configurations, now and every `CHECK_S` seconds."""
         self.rules.check_overdue()
         due = self.rules.version_due()
         for process in self.processes.values():
             if isinstance(process, ProxyProcess) and process.running and process.version < due:
-                self.rules.report(f"CONFIG: {process.name} has {process.version}, acknowledged was {due}")
+                self.rules.report(f"CONFIG: {process.name} has version {process.version}, but {due} was acknowledged")
         self.clock.later(CHECK_S, self.check_overdue)
