--- a/benchmarks/take_over.py
+++ b/benchmarks/take_over.py
@@ -73,9 +73,9 @@
     if loss.kind == "roll_term":
         core.terminate(leader)
     elif loss.kind == "after_ack_wipe":
-        core.end(leader, power=True, wipe=True, back_s=loss.for_s)
+        core.end(leader, power=True, wipe=True, restart_s=loss.for_s)
     else:
-        FaultInjector(core, strict=False).strike(Fault(core.clock.now, loss.kind, loss.for_s, loss.how))
+        FaultInjector(core, strict=False).inject(Fault(core.clock.now, loss.kind, loss.for_s, loss.how))
     core.version = 2
     core.operators.put(2, "c2")
     return wait_until(core, lambda: core.history.acknowledged == 2)
@@ -113,8 +113,8 @@
     started = core.clock.now
     if planned:
         core.clock.run(started + STARTED_S)
-        old.gone = True
-        core.terminate(old, back_s=None)
+        old.removed = True
+        core.terminate(old, restart_s=None)
     wait_until(core, lambda: tolerates_all_losses(core, old))
     return core.clock.now - started
 
--- a/simnet/__main__.py
+++ b/simnet/__main__.py
@@ -73,8 +73,10 @@
     names = list(STARTING_POINTS) if beginning == "all" else [beginning]
     for name in names:
         until = time.monotonic() + minutes * 60 / len(names)
-        result = search(depth, beginning=name, go_on=lambda until=until: time.monotonic() < until)  # type: ignore[misc]
-        print(f"{name}: {result.states} states, all within {result.depth} steps: {result.why or 'no rule broken'}")
+        result = search(depth, beginning=name, should_continue=lambda until=until: time.monotonic() < until)  # type: ignore[misc]
+        print(
+            f"{name}: {result.states} states, all within {result.depth} steps: {result.violation or 'no rule broken'}"
+        )
         for step in result.steps or ():
             print(f"  {step}")
         if result.steps is not None:
--- a/simnet/core/clients.py
+++ b/simnet/core/clients.py
@@ -22,7 +22,7 @@
 
 ROLE = "registry"
 TICK_S = 0.05
-UPDATE_S = 1.0  # maximum time from an acknowledgement until all clients have the change, without faults
+PROPAGATION_S = 1.0  # maximum time from an acknowledgement until all clients have the change, without faults
 RESTART_S = 0.2  # delay from the end of a client's process to its next start
 
 
@@ -60,8 +60,8 @@
     def __init__(self, core: Core, count: int) -> None:
         self.clients = {f"f{n}": Client(f"f{n}", core.rng) for n in range(count)}
         self._core = core
-        self._acknowledged: deque[Acknowledged] = deque()  # entries of the last `UPDATE_S` seconds
-        self._due = -1  # configuration number that every client must have by now
+        self._acknowledged: deque[Acknowledged] = deque()  # entries of the last `PROPAGATION_S` seconds
+        self._due_number = -1  # configuration number that every client must have by now
         for client in self.clients.values():
             self._begin(client)
 
@@ -149,20 +149,20 @@
         if len(holders) > 1:
             raise RuleViolationError(f"several clients hold the singleton role: {holders}")
 
-    def note_acknowledged(self) -> None:
+    def record_acknowledged(self) -> None:
         """Record the highest number acknowledged now, and update the one that every client must have by now."""
         now = self._core.clock.now
         self._acknowledged.append(Acknowledged(now, self._core.history.acknowledged))
-        while self._acknowledged[0].at < now - UPDATE_S:
-            self._due = self._acknowledged.popleft().number
+        while self._acknowledged[0].at < now - PROPAGATION_S:
+            self._due_number = self._acknowledged.popleft().number
 
-    def check_calm(self) -> None:
+    def check_fault_free(self) -> None:
         """Check, without faults, that all clients have the acknowledged configuration and that one holds the role."""
         for client in self.clients.values():
             number = order_in(client.subscriber.state).number
-            if number < self._due:
+            if number < self._due_number:
                 raise RuleViolationError(
-                    f"CONFIG: {client.name} has number {number}, but {self._due} was acknowledged {UPDATE_S} s ago"
+                    f"CONFIG: {client.name} has {number}, {self._due_number} was acknowledged {PROPAGATION_S} s ago"
                 )
         if not any(self._holds_lease(client) for client in self.clients.values()):
             raise RuleViolationError("no client holds the singleton role although there are no faults")
--- a/simnet/core/cluster.py
+++ b/simnet/core/cluster.py
@@ -25,13 +25,13 @@
 
 RESTART_S = 0.3  # delay from the end of a terminated process to its next start
 STOP_CHECK_S = 0.05  # interval of checks whether a process may exit, and delay from then to its exit
-GRACE_S = 6.0  # delay from SIGTERM to SIGKILL
-CONTACT_S = 0.7  # maximum age of the newest messages of a majority: slightly more than the lease duration
-CALM_CHECK_S = 0.2  # interval of the checks of rules that apply without faults
-SLOW = 10.0  # links with at least this factor on the usual delay count as slow
+TERMINATION_GRACE_S = 6.0  # delay from SIGTERM to SIGKILL
+MAX_CONTACT_AGE_S = 0.7  # maximum age of the newest messages of a majority: slightly more than the lease duration
+FAULT_FREE_CHECK_S = 0.2  # interval of the checks of rules that apply without faults
+SLOW_LINK_FACTOR = 10.0  # links with at least this factor on the usual delay count as slow
 # Time in which a machine that was lost catches up: as required, and for five machines or slow links.
 CATCH_UP_S, SLOW_CATCH_UP_S = 4.0, 6.0
-NEAR_S, FAR_S = 0.0002, 0.0015  # one-way delays, within a zone and between zones
+SAME_ZONE_S, CROSS_ZONE_S = 0.0002, 0.0015  # one-way delays, within a zone and between zones
 ZONES = ("a", "b", "a", "c", "b")
 
 
@@ -46,14 +46,14 @@
         self.size = machines
         self.slow = slow
         self.tolerance = machines // 2
-        self.catch_up_s = CATCH_UP_S if machines == 3 and slow < SLOW else SLOW_CATCH_UP_S
+        self.catch_up_s = CATCH_UP_S if machines == 3 and slow < SLOW_LINK_FACTOR else SLOW_CATCH_UP_S
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.links = Links(self.clock, self.rng, self._deliver, self._delay)
         self.log: list[str] = []
         self.history = History()
         self.operators = Operators(self)
-        self.calm_since = 0.0  # end of the last fault, in the future during a fault
+        self.fault_free_since = 0.0  # end of the last fault, in the future during a fault
         self.version = 0  # highest configuration number that an operator has sent
         self.machines: dict[str, Machine] = {}
         for n in range(machines):
@@ -67,7 +67,7 @@
         )
         for machine in self.machines.values():
             self.start(machine, bootstrap=True)
-        self.clock.later(CALM_CHECK_S, self._check_calm)
+        self.clock.later(FAULT_FREE_CHECK_S, self._check_fault_free)
 
     def _new_machine(self, address: str, zone: str) -> Machine:
         machine = Machine(address, zone, self.rng)
@@ -86,7 +86,7 @@
 
     def present(self) -> list[Machine]:
         """Return the machines that are not removed."""
-        return [machine for machine in self.machines.values() if not machine.gone]
+        return [machine for machine in self.machines.values() if not machine.removed]
 
     def lease_holder(self) -> Machine | None:
         """Return the leader that holds a valid lease, or None."""
@@ -98,14 +98,14 @@
         return max(leaders, key=lambda m: m.node.leadership.view.epoch, default=None)  # type: ignore[union-attr]
 
     def in_contact(self, machine: Machine) -> bool:
-        """Return whether a majority of a machine's voters sent it messages in the last `CONTACT_S`.
+        """Return whether a majority of a machine's voters sent it messages in the last `MAX_CONTACT_AGE_S`.
 
         The times of sending come from the simulated links, not from the machine's own state.
         """
         view = machine.node.view if machine.node is not None else None
         if view is None:
             return False
-        since = self.clock.now - CONTACT_S
+        since = self.clock.now - MAX_CONTACT_AGE_S
         return view.has_majority([machine.address, *(a for a, at in machine.last_heard.items() if at >= since)])
 
     # Log and fault periods.
@@ -114,22 +114,22 @@
         """Add a line to the log of the run."""
         self.log.append(f"{self.clock.now:8.3f} {text}")
 
-    def disturb(self, until: float) -> None:
+    def extend_fault_period(self, until: float) -> None:
         """Extend the period of faults to the time `until`."""
-        self.calm_since = max(self.calm_since, until)
+        self.fault_free_since = max(self.fault_free_since, until)
 
-    def _check_calm(self) -> None:
-        self.rules.check_calm(self.lease_holder(), self.clock.now - self.calm_since)
-        self.clock.later(CALM_CHECK_S, self._check_calm)
+    def _check_fault_free(self) -> None:
+        self.rules.check_fault_free(self.lease_holder(), self.clock.now - self.fault_free_since)
+        self.clock.later(FAULT_FREE_CHECK_S, self._check_fault_free)
 
     # Starts.
 
     def start(self, machine: Machine, bootstrap: bool = False) -> None:
         """Start a machine's process with the current settings."""
-        if machine.node is not None or machine.gone:
+        if machine.node is not None or machine.removed:
             return
         self._begin_incarnation(machine)
-        machine.dark = False
+        machine.powered_off = False
         machine.terminating = False
         stored = machine.disk.stored()
         rng = random.Random(self.rng.random())
@@ -164,44 +164,44 @@
         zones = sorted({machine.zone for machine in self.machines.values()})
         machine = self._new_machine(f"10.0.1.{len(self.machines) + 1}", zone or self.rng.choice(zones))
         self.note(f"{machine.address} is new, in zone {machine.zone}")
-        self.disturb(self.clock.now)
+        self.extend_fault_period(self.clock.now)
         self.change_seeds()
         self.start(machine)
         return machine
 
     # Ends.
 
-    def end(self, machine: Machine, power: bool = False, wipe: bool = False, back_s: float | None = None) -> None:
-        """End a process at once; start it again after `back_s` seconds, if given.
+    def end(self, machine: Machine, power: bool = False, wipe: bool = False, restart_s: float | None = None) -> None:
+        """End a process at once; start it again after `restart_s` seconds, if given.
 
         `power`: the machine loses power too. `wipe`: its disk is lost.
         """
-        self.disturb(self.clock.now + (back_s or 0.0))
+        self.extend_fault_period(self.clock.now + (restart_s or 0.0))
         if machine.node is None:
             return
         self.note(f"{machine.address} ends{' without power' * power}{', its disk is lost' * wipe}")
         machine.service = None
-        machine.dark = power
+        machine.powered_off = power
         machine.terminating = False
-        machine.disk.lose_process()
+        machine.disk.abort_writes()
         if wipe:
             machine.disk.wipe()
         self._begin_incarnation(machine)
-        if back_s is not None:
-            self.clock.later(back_s, lambda: self.start(machine))
+        if restart_s is not None:
+            self.clock.later(restart_s, lambda: self.start(machine))
 
-    def terminate(self, machine: Machine, back_s: float | None = RESTART_S) -> None:
-        """Send SIGTERM: the process hands over its role and exits, at the latest after `GRACE_S`."""
+    def terminate(self, machine: Machine, restart_s: float | None = RESTART_S) -> None:
+        """Send SIGTERM: the process hands over its role and exits, at the latest after `TERMINATION_GRACE_S`."""
         if machine.node is None or machine.terminating:
             return
         incarnation = machine.incarnation
         machine.terminating = True
-        self.disturb(self.clock.now)
+        self.extend_fault_period(self.clock.now)
         self.note(f"{machine.address} is terminated")
 
         def end() -> None:
             if machine.incarnation == incarnation and machine.node is not None:
-                self.end(machine, back_s=back_s)
+                self.end(machine, restart_s=restart_s)
 
         def check() -> None:
             if machine.incarnation != incarnation or machine.node is None:
@@ -211,7 +211,7 @@
 
         self._runner.submit(machine, lambda service, now: service.stop(now))
         self.clock.later(STOP_CHECK_S, check)
-        self.clock.later(GRACE_S, end)
+        self.clock.later(TERMINATION_GRACE_S, end)
 
     def remove(self, machine: Machine) -> None:
         """Remove a machine for good, with its disk.
@@ -219,7 +219,7 @@
         The disk is used again only if a fault brings the machine back.
         """
         self.end(machine, power=True)
-        machine.gone = True
+        machine.removed = True
 
     # Settings.
 
@@ -241,20 +241,20 @@
 
     # Calls and messages.
 
-    def call(self, machine: Machine, make: MakeCall, taken: Callable[[int], None]) -> None:
-        """Deliver an operator's call to a machine; `taken` gets the call id when the process accepts the call."""
+    def call(self, machine: Machine, make: MakeCall, on_accepted: Callable[[int], None]) -> None:
+        """Deliver an operator's call to a machine; `on_accepted` gets the call id when the process accepts the call."""
 
         def take(service: ControlService, now: float) -> list[ServiceOutput]:
-            taken(service.next_call_id)
+            on_accepted(service.next_call_id)
             return service.submit(now, make)[1]
 
         self._runner.submit(machine, take)
 
     def _delay(self, a: str, b: str) -> float:
         if a not in self.machines or b not in self.machines:
-            return FAR_S * self.slow
+            return CROSS_ZONE_S * self.slow
         same_zone = self.machines[a].zone == self.machines[b].zone
-        return (NEAR_S if same_zone else FAR_S) * self.slow
+        return (SAME_ZONE_S if same_zone else CROSS_ZONE_S) * self.slow
 
     def _deliver(self, to: str, sender: str, message: AnyMessage) -> None:
         if to in self.machines:
--- a/simnet/core/days.py
+++ b/simnet/core/days.py
@@ -37,7 +37,7 @@
     closing: Fault | None
 
 
-HOWS: dict[str, tuple[tuple[str, ...], ...]] = {
+VARIANTS: dict[str, tuple[tuple[str, ...], ...]] = {
     "node_kill": (
         (),
         ("power",),
@@ -70,10 +70,18 @@
     "client_kill": ((),),
     "client_reset": ((),),
 }
-OFTEN = ("node_kill", "after_ack_kill", "after_ack_wipe", "core_cut", "link_cut", "node_freeze", "replace_core")
-KINDS = (*HOWS, *OFTEN, *OFTEN)
+FREQUENT_KINDS = (
+    "node_kill",
+    "after_ack_kill",
+    "after_ack_wipe",
+    "core_cut",
+    "link_cut",
+    "node_freeze",
+    "replace_core",
+)
+KINDS = (*VARIANTS, *FREQUENT_KINDS, *FREQUENT_KINDS)
 SECOND_LOSSES = ("replace_core", "replace_core", "node_kill", "after_ack_wipe", "core_cut", "node_freeze")
-CLOSING = (
+CLOSING_FAULTS = (
     ("wipe_after_ack", ()),
     ("wipe_after_ack", ("leader",)),
     ("wipe_after_ack", ("replica",)),
@@ -94,7 +102,7 @@
     orders = _draw_orders(rng, faults, last + 6.0)
     closing = None
     if rng.random() < 0.4:
-        kind, how = rng.choice(CLOSING)
+        kind, how = rng.choice(CLOSING_FAULTS)
         closing = Fault(0.0, kind, 0.3 + rng.random(), how, lot=rng.randrange(12))
     return Day(machines, strict, rng.choice((1.0, 1.0, 20.0)), faults, orders, closing)
 
@@ -121,7 +129,7 @@
     if kind in ("core_cut", "node_freeze", "node_kill") and rng.random() < 0.15:
         duration_s = LONG_FAULT_S
     count = 1 if rng.random() < 0.7 else 2
-    how = rng.choice(HOWS[kind])
+    how = rng.choice(VARIANTS[kind])
     lot = rng.randrange(12)
     return Fault(at, kind, duration_s, how, count, lot, rng.choice((0.5, 1.0, 2.0, 3.0)))
 
--- a/simnet/core/faults/context.py
+++ b/simnet/core/faults/context.py
@@ -19,24 +19,24 @@
         self.clock = cluster.clock
         self.rng = cluster.rng
 
-    def announce(self, fault: Fault, machines: Iterable[Machine], duration_s: float) -> None:
+    def record(self, fault: Fault, machines: Iterable[Machine], duration_s: float) -> None:
         """Log a fault, and extend the period of faults by its duration."""
         names = ", ".join(machine.address for machine in machines)
         self.cluster.note(f"FAULT {fault.kind} {' '.join(fault.how)} {names} for {duration_s:.2f}")
-        self.cluster.disturb(self.clock.now + duration_s)
+        self.cluster.extend_fault_period(self.clock.now + duration_s)
 
-    def end(self, machine: Machine, back_s: float, power: bool = False, wipe: bool = False) -> None:
-        """End a machine's process for `back_s` seconds, and count the machine as lost meanwhile."""
-        self.losses.lose(machine, self.clock.now + back_s)
-        self.cluster.end(machine, power=power or wipe, wipe=wipe, back_s=back_s)
+    def end(self, machine: Machine, restart_s: float, power: bool = False, wipe: bool = False) -> None:
+        """End a machine's process for `restart_s` seconds, and count the machine as lost meanwhile."""
+        self.losses.lose(machine, self.clock.now + restart_s)
+        self.cluster.end(machine, power=power or wipe, wipe=wipe, restart_s=restart_s)
 
     def end_all(self, fault: Fault, duration_s: float, power: bool, wiped: Iterable[Machine] = ()) -> None:
         """End all processes; each restarts after a random delay. The machines in `wiped` lose their disks."""
         machines, wiped = self.cluster.running(), list(wiped)
-        self.announce(fault, machines, 1.5 * duration_s)
+        self.record(fault, machines, 1.5 * duration_s)
         for machine in machines:
-            back_s = duration_s * (0.5 + self.rng.random())
-            self.end(machine, back_s, power=power, wipe=machine in wiped)
+            restart_s = duration_s * (0.5 + self.rng.random())
+            self.end(machine, restart_s, power=power, wipe=machine in wiped)
 
     def choose(self, fault: Fault) -> list[Machine]:
         """Return the machines that a fault affects; its `how` and `lot` select the first of them."""
@@ -82,6 +82,8 @@
             self.cluster.version += 1
             number = self.cluster.version
             for side in "xy" if "race" in fault.how else "x":
-                self.cluster.operators.put(number, f"c{number}{side}", [machine.address], hard="hard" in fault.how)
+                self.cluster.operators.put(
+                    number, f"c{number}{side}", [machine.address], first_only="hard" in fault.how
+                )
 
         self.clock.later(after_s + 0.02 * self.rng.random(), send)
--- a/simnet/core/faults/disks.py
+++ b/simnet/core/faults/disks.py
@@ -31,6 +31,6 @@
 
     def _begin(self, fault: Fault) -> Machine:
         machine = (self._context.choose(fault)[:1] or self._cluster.present()[:1])[0]
-        self._context.announce(fault, [machine], fault.duration_s)
-        self._context.losses.disk_fault(machine, fault.duration_s)
+        self._context.record(fault, [machine], fault.duration_s)
+        self._context.losses.record_disk_fault(machine, fault.duration_s)
         return machine
--- a/simnet/core/faults/losses.py
+++ b/simnet/core/faults/losses.py
@@ -46,23 +46,25 @@
         """
         return {address for address, until in self._disk_fault_until.items() if until > self._cluster.clock.now}
 
-    def _and_disk_faults(self, until: float) -> float:
+    def _extended_by_disk_faults(self, until: float) -> float:
         return max(until, *self._disk_fault_until.values(), 0.0)
 
     def lose(self, machine: Machine, until: float) -> None:
         """Count a machine as lost until the time `until`, and while it catches up afterwards."""
-        until = self._and_disk_faults(until + self._cluster.catch_up_s)
+        until = self._extended_by_disk_faults(until + self._cluster.catch_up_s)
         self._lost_until[machine.address] = max(until, self._lost_until.get(machine.address, 0.0))
 
     def lose_for_good(self, machine: Machine) -> None:
         """Count a machine as lost until its successor has started."""
         self._lost_until[machine.address] = math.inf
 
-    def succeeded(self, machine: Machine) -> None:
+    def successor_started(self, machine: Machine) -> None:
         """Count a machine as lost only until its successor, which starts now, has caught up."""
-        self._lost_until[machine.address] = self._and_disk_faults(self._cluster.clock.now + self._cluster.catch_up_s)
+        self._lost_until[machine.address] = self._extended_by_disk_faults(
+            self._cluster.clock.now + self._cluster.catch_up_s
+        )
 
-    def disk_fault(self, machine: Machine, duration_s: float) -> None:
+    def record_disk_fault(self, machine: Machine, duration_s: float) -> None:
         """Record a fault of a machine's disk, and extend all current losses until its end and `catch_up_s` more."""
         until = self._cluster.clock.now + duration_s + self._cluster.catch_up_s
         known = self._disk_fault_until.get(machine.address, 0.0)
--- a/simnet/core/faults/partitions.py
+++ b/simnet/core/faults/partitions.py
@@ -6,14 +6,14 @@
 from dataclasses import replace
 from functools import partial
 
-from simnet.core.cluster import FAR_S, NEAR_S
+from simnet.core.cluster import CROSS_ZONE_S, SAME_ZONE_S
 from simnet.core.faults.context import FaultContext
 from simnet.core.faults.fault import Fault
 from simnet.core.machine import Machine
 
 RESET_S = 0.1  # duration of a reset, as a fault
 RESET_SHARE = 0.5  # fraction of a machine's connections that are reset
-RECONNECT_S = 4 * (FAR_S + NEAR_S)  # delay from a reset to the next connection
+RECONNECT_S = 4 * (CROSS_ZONE_S + SAME_ZONE_S)  # delay from a reset to the next connection
 RESTART_S = 0.3  # time for which a process is down in a restart
 
 
@@ -29,7 +29,7 @@
         machines = self._context.choose(fault)
         if not machines or not self._context.losses.allows(machines):
             return False
-        self._context.announce(fault, machines, fault.duration_s)
+        self._context.record(fault, machines, fault.duration_s)
         others = [machine for machine in self._cluster.present() if machine not in machines]
         for machine in machines:
             self._context.losses.lose(machine, self._cluster.clock.now + fault.duration_s)
@@ -48,7 +48,7 @@
         first = self._context.choose(fault)
         inside = [machine for machine in self._cluster.present() if first and machine.zone == first[0].zone]
         outside = [machine for machine in self._cluster.present() if machine not in inside]
-        self._context.announce(fault, inside, fault.duration_s)
+        self._context.record(fault, inside, fault.duration_s)
         for machine in inside:
             self._context.losses.lose(machine, self._cluster.clock.now + fault.duration_s)
             self._cut_off(machine, outside, replace(fault, how=()))
@@ -61,7 +61,7 @@
         if not machines or not others or not self._context.losses.allows(machines):
             return False
         other = others[fault.lot % len(others)]
-        self._context.announce(fault, [machines[0], other], fault.duration_s)
+        self._context.record(fault, [machines[0], other], fault.duration_s)
         self._context.losses.lose(machines[0], self._cluster.clock.now + fault.duration_s)
         self._cut_off(machines[0], [other], fault)
         return True
@@ -69,7 +69,7 @@
     def reset_connections(self, fault: Fault) -> bool:
         """Reset a random subset of the connections of machines."""
         machines = self._context.choose(fault)
-        self._context.announce(fault, machines, RESET_S)
+        self._context.record(fault, machines, RESET_S)
         for machine in machines:
             for other in self._cluster.present():
                 if other is not machine and self._cluster.rng.random() < RESET_SHARE:
--- a/simnet/core/faults/processes.py
+++ b/simnet/core/faults/processes.py
@@ -8,9 +8,9 @@
 from simnet.core.faults.fault import Fault
 from simnet.core.machine import Machine
 
-ZONE_BACK_S = 1.5  # period in which the machines of a lost zone come back
-SHORTEST_GAP_S = 0.3  # minimum time between two restarts if the tolerance does not limit them
-CATCH_UP_SPARE_S = 1.0  # margin on the time to catch up, between two restarts that the tolerance limits
+ZONE_RESTART_SPREAD_S = 1.5  # period in which the machines of a lost zone come back
+MIN_RESTART_GAP_S = 0.3  # minimum time between two restarts if the tolerance does not limit them
+CATCH_UP_MARGIN_S = 1.0  # margin on the time to catch up, between two restarts that the tolerance limits
 RESTART_S = 1.0  # duration of a planned restart, as a fault
 
 
@@ -26,7 +26,7 @@
         machines = self._context.choose(fault)
         if not self._context.losses.allows(machines):
             return False
-        self._context.announce(fault, machines, fault.duration_s)
+        self._context.record(fault, machines, fault.duration_s)
         for machine in machines:
             self._context.end(machine, fault.duration_s, power="power" in fault.how)
             self._context.send_changes_to(fault, machine, fault.duration_s)
@@ -37,20 +37,20 @@
         machines = sorted(self._cluster.running(), key=lambda machine: machine.address)
         if not self._context.losses.allows(machines[:1]):
             return False
-        gap_s = max(SHORTEST_GAP_S, fault.duration_s)
+        gap_s = max(MIN_RESTART_GAP_S, fault.duration_s)
         if self._context.losses.strict:
-            gap_s = self._cluster.catch_up_s + CATCH_UP_SPARE_S
-        self._context.announce(fault, machines, gap_s * len(machines))
+            gap_s = self._cluster.catch_up_s + CATCH_UP_MARGIN_S
+        self._context.record(fault, machines, gap_s * len(machines))
         for position, machine in enumerate(machines):
             self._cluster.clock.later(gap_s * position, partial(self._terminate, machine))
         return True
 
     def _terminate(self, machine: Machine) -> None:
         self._context.losses.lose(machine, self._cluster.clock.now + RESTART_S)
-        self._cluster.disturb(self._cluster.clock.now + RESTART_S)
+        self._cluster.extend_fault_period(self._cluster.clock.now + RESTART_S)
         self._cluster.terminate(machine)
 
-    def kill_herd(self, fault: Fault) -> bool:
+    def kill_simultaneously(self, fault: Fault) -> bool:
         """End all processes at once, by a kill or by a power loss."""
         self._context.end_all(fault, fault.duration_s, power="power" in fault.how)
         return True
@@ -71,10 +71,10 @@
         machines = [m for m in self._cluster.running() if first and m.zone == first[0].zone]
         if self._context.losses.lost() - {machine.address for machine in machines}:
             return False
-        self._context.announce(fault, machines, fault.duration_s + ZONE_BACK_S)
+        self._context.record(fault, machines, fault.duration_s + ZONE_RESTART_SPREAD_S)
         for machine in machines:
-            back_s = fault.duration_s + ZONE_BACK_S * self._cluster.rng.random()
-            self._context.end(machine, back_s, power=True)
+            restart_s = fault.duration_s + ZONE_RESTART_SPREAD_S * self._cluster.rng.random()
+            self._context.end(machine, restart_s, power=True)
         return True
 
     def freeze(self, fault: Fault) -> bool:
@@ -82,7 +82,7 @@
         machines = self._context.choose(fault)
         if not self._context.losses.allows(machines):
             return False
-        self._context.announce(fault, machines, fault.duration_s)
+        self._context.record(fault, machines, fault.duration_s)
         for machine in machines:
             machine.frozen_until = self._cluster.clock.now + fault.duration_s
             self._context.losses.lose(machine, machine.frozen_until)
@@ -93,7 +93,7 @@
         machines = self._context.choose(fault)
         if not self._context.losses.allows(machines):
             return False
-        self._context.announce(fault, machines, fault.duration_s)
+        self._context.record(fault, machines, fault.duration_s)
         for machine in machines:
             machine.slow_until = self._cluster.clock.now + fault.duration_s
             self._context.losses.lose(machine, machine.slow_until)
--- a/simnet/core/faults/replacements.py
+++ b/simnet/core/faults/replacements.py
@@ -24,7 +24,7 @@
         if not machines or not self._context.losses.allows(machines, for_good=True):
             return False
         old = machines[0]
-        self._context.announce(fault, machines, fault.successor_s)
+        self._context.record(fault, machines, fault.successor_s)
         zone = old.zone if fault.lot % 3 else None
         if "planned" in fault.how:
             self._replace_planned(fault, old, zone)
@@ -39,27 +39,27 @@
         new = self._cluster.add(zone)
         self._context.losses.lose(old, self._cluster.clock.now)
         overlap_s = fault.successor_s if fault.lot % 2 else SHORT_OVERLAP_S
-        self._cluster.disturb(self._cluster.clock.now + overlap_s)
+        self._cluster.extend_fault_period(self._cluster.clock.now + overlap_s)
         self._cluster.clock.later(overlap_s, partial(self._terminate, old, new))
 
     def _terminate(self, old: Machine, new: Machine) -> None:
         self._cluster.note(f"{old.address} leaves, {new.address} succeeds it")
-        old.gone = True
-        self._cluster.terminate(old, back_s=None)
+        old.removed = True
+        self._cluster.terminate(old, restart_s=None)
         self._cluster.change_seeds()
 
     def _start_successor(self, old: Machine, zone: str | None) -> None:
         self._cluster.add(zone)
-        self._context.losses.succeeded(old)
-        self._cluster.disturb(self._cluster.clock.now)
+        self._context.losses.successor_started(old)
+        self._cluster.extend_fault_period(self._cluster.clock.now)
 
-    def bring_back(self, fault: Fault) -> bool:
+    def restart_removed(self, fault: Fault) -> bool:
         """Start a removed machine again, with its old disk."""
-        gone = [machine for machine in self._cluster.machines.values() if machine.gone and machine.node is None]
-        if self._context.losses.lost() or not gone:
+        removed = [machine for machine in self._cluster.machines.values() if machine.removed and machine.node is None]
+        if self._context.losses.lost() or not removed:
             return False
-        machine = gone[fault.lot % len(gone)]
-        self._context.announce(fault, [machine], 0.0)
-        machine.gone = False
+        machine = removed[fault.lot % len(removed)]
+        self._context.record(fault, [machine], 0.0)
+        machine.removed = False
         self._cluster.start(machine)
         return True
--- a/simnet/core/faults/surroundings.py
+++ b/simnet/core/faults/surroundings.py
@@ -15,7 +15,7 @@
 CLIENT_RESET_S = 0.1  # duration of a reset of a client's connections, as a fault
 
 
-class SurroundingFaults:
+class EnvironmentFaults:
     """Each public method injects a fault, and returns True."""
 
     def __init__(self, context: FaultContext) -> None:
@@ -24,7 +24,7 @@
 
     def change_seeds(self, fault: Fault) -> bool:
         """Change the seed addresses in the settings."""
-        self._context.announce(fault, [], 0.0)
+        self._context.record(fault, [], 0.0)
         self._cluster.change_seeds(self._context.choose(fault))
         return True
 
@@ -36,24 +36,24 @@
 
     def step_clock(self, fault: Fault) -> bool:
         """Step the system clock. It has no effect: no part of the node reads it, which a test of the sources checks."""
-        self._context.announce(fault, self._context.choose(fault), 0.0)
+        self._context.record(fault, self._context.choose(fault), 0.0)
         return True
 
     def lose_answers(self, fault: Fault) -> bool:
         """Let answers to operators get lost."""
-        self._context.announce(fault, [], fault.duration_s)
+        self._context.record(fault, [], fault.duration_s)
         self._cluster.operators.acks_lost_until = self._cluster.clock.now + fault.duration_s
         return True
 
     def kill_client(self, fault: Fault) -> bool:
         """Kill a client's process."""
-        self._context.announce(fault, [], CLIENT_RESTART_S)
+        self._context.record(fault, [], CLIENT_RESTART_S)
         self._cluster.clients.restart(self._client(fault))
         return True
 
     def reset_client(self, fault: Fault) -> bool:
         """Reset all connections of a client."""
-        self._context.announce(fault, [], CLIENT_RESET_S)
+        self._context.record(fault, [], CLIENT_RESET_S)
         client = self._client(fault)
         for machine in self._cluster.running():
             self._cluster.clients.connect(client, machine)
--- a/simnet/core/links.py
+++ b/simnet/core/links.py
@@ -13,9 +13,9 @@
 from thistleusher.transport.codec import decode, encode
 from thistleusher.transport.messages import AnyMessage
 
-HANG_S = 1.5  # a message is lost if the partition it meets lasts longer than this
-LATE_SHARE = 0.5  # fraction of messages that a shorter partition loses; the others arrive after it
-LEAST_DELAY, DELAY_SPREAD = 0.8, 0.6  # minimum delay and range above it, as factors on the usual delay
+MAX_PARTITION_DELAY_S = 1.5  # a message is lost if the partition it meets lasts longer than this
+LOST_SHARE = 0.5  # fraction of messages that a shorter partition loses; the others arrive after it
+MIN_DELAY_FACTOR, DELAY_FACTOR_SPREAD = 0.8, 0.6  # minimum delay and range above it, as factors on the usual delay
 
 Deliver = Callable[[str, str, AnyMessage], None]
 Delay = Callable[[str, str], float]
@@ -74,10 +74,10 @@
     def _arrival(self, sender: str, to: str) -> float | None:
         """Return when a message that is sent now arrives, or None if it is lost."""
         now = self._clock.now
-        due = now + self._delay(sender, to) * (LEAST_DELAY + DELAY_SPREAD * self._rng.random())
+        due = now + self._delay(sender, to) * (MIN_DELAY_FACTOR + DELAY_FACTOR_SPREAD * self._rng.random())
         until = self.partitions.get((sender, to), 0.0)
         if until > now:
-            if until - now > HANG_S or self._rng.random() < LATE_SHARE:
+            if until - now > MAX_PARTITION_DELAY_S or self._rng.random() < LOST_SHARE:
                 return None
             due = until + self._delay(sender, to)
         due = max(due, self._last_arrival.get((sender, to), 0.0))
--- a/simnet/core/machine.py
+++ b/simnet/core/machine.py
@@ -27,8 +27,8 @@
         self.disk = Disk(rng)
         self.service: ControlService | None = None
         self.incarnation = 0  # incremented at every start and every end of its process
-        self.gone = False  # removed, or about to be
-        self.dark = (
+        self.removed = False  # removed, or terminated in order to be removed
+        self.powered_off = (
             False  # without power: it does not answer, whereas it refuses connections if only its process has ended
         )
         self.terminating = False  # SIGTERM was sent and the process still runs
--- a/simnet/core/operators.py
+++ b/simnet/core/operators.py
@@ -21,18 +21,18 @@
 from thistleusher.control.interface import Answer, Change, Read
 from thistleusher.transport.state_updates import State
 
-PATIENCE_S = 1.0  # response time-out per machine
-ORDER_S = 8.0  # total time for the attempts of one request
+RESPONSE_TIMEOUT_S = 1.0  # response time-out per machine
+REQUEST_TIMEOUT_S = 8.0  # total time for the attempts of one request
 REFUSAL_S = 0.002  # time until a machine whose process has ended refuses a connection
 REDIRECT_S = 0.001  # delay from a redirect to the next call
-LONGEST_PAUSE_S = 0.4  # maximum delay before a retry
-MOST_REDIRECTS = 2
+MAX_RETRY_PAUSE_S = 0.4  # maximum delay before a retry
+MAX_REDIRECTS = 2
 REDIRECT_STATUS = 307
 FINAL_STATUSES = frozenset({400, 404, 409, 412, 413, 422})  # statuses that are never retried
-LOST_ANSWERS = 0.7  # fraction of answers that are lost until `acks_lost_until`
+LOST_ANSWER_SHARE = 0.7  # fraction of answers that are lost until `acks_lost_until`
 
 
-def _nothing(answer: Any) -> None:
+def _ignore(answer: Any) -> None:
     """Ignore the answer."""
 
 
@@ -55,7 +55,7 @@
 
     # Orders and reads.
 
-    def put(self, number: int, contents: str, addresses: list[str] | None = None, hard: bool = False) -> None:
+    def put(self, number: int, contents: str, addresses: list[str] | None = None, first_only: bool = False) -> None:
         """Send a configuration until a machine acknowledges it."""
         order = Order(number, contents)
         conflicts: list[bool] = []
@@ -71,12 +71,12 @@
 
         request = Request(
             make=lambda call_id: Change(call_id, is_redundant, items, f"configuration {number}"),
-            accepted=lambda _: self._history.acknowledge(number),
-            confirmed=lambda _: self._history.confirm(order),
+            on_answer=lambda _: self._history.acknowledge(number),
+            on_success=lambda _: self._history.confirm(order),
             addresses=addresses or list(self._core.machines),
-            until=self._core.clock.now + ORDER_S,
+            until=self._core.clock.now + REQUEST_TIMEOUT_S,
             conflicting=lambda: any(conflicts),
-            hard=hard,
+            first_only=first_only,
         )
         self._send(request)
 
@@ -95,17 +95,17 @@
             present = state.value(name)
             return {name: {"on": on, "n": (present["n"] if present else 0) + 1}}
 
-        def accepted(_: Any) -> None:
+        def on_answer(_: Any) -> None:
             others = [r for r in self._open_evacuations(zone) if r is not request]
             self._history.evacuated[zone] = None if others else on
 
         self._history.evacuated[zone] = None
         request = Request(
             make=lambda call_id: Change(call_id, is_redundant, items, name),
-            accepted=accepted,
-            confirmed=_nothing,
+            on_answer=on_answer,
+            on_success=_ignore,
             addresses=list(self._core.machines),
-            until=self._core.clock.now + ORDER_S,
+            until=self._core.clock.now + REQUEST_TIMEOUT_S,
             zone=zone,
         )
         self._evacuations.append(request)
@@ -123,25 +123,25 @@
         """Read the state. Each answer must contain all that was acknowledged before the read was sent."""
         least, evacuated = self._history.acknowledged, dict(self._history.evacuated)
 
-        def confirmed(answer: Any) -> None:
+        def on_success(answer: Any) -> None:
             self._history.check_read(answer, least, evacuated)
 
-        def accepted(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             self.last_read = answer
 
         request = Request(
             make=lambda call_id: Read(call_id, lambda state: state.copy()),
-            accepted=accepted,
-            confirmed=confirmed,
+            on_answer=on_answer,
+            on_success=on_success,
             addresses=addresses or list(self._core.machines),
-            until=self._core.clock.now + ORDER_S,
+            until=self._core.clock.now + REQUEST_TIMEOUT_S,
         )
         self._send(request)
 
     # Attempts.
 
     def _choose(self, request: Request) -> str:
-        if request.hard:
+        if request.first_only:
             return request.addresses[0]
         fresh = [a for a in request.addresses if a not in request.tried]
         if not fresh:
@@ -156,15 +156,15 @@
         machine = self._core.machines[address]
         number = next(self._numbers)
         attempt = Attempt(request, address, machine.incarnation, redirects)
-        self._core.clock.later(PATIENCE_S, lambda: self._abandon(attempt))
+        self._core.clock.later(RESPONSE_TIMEOUT_S, lambda: self._abandon(attempt))
         self.on_sent(address)
         if machine.node is not None:
             self.attempts[number] = attempt
-            self._core.call(machine, request.make, lambda call_id: self._taken(attempt, call_id, number))
-        elif not machine.dark and not machine.gone:
+            self._core.call(machine, request.make, lambda call_id: self._call_accepted(attempt, call_id, number))
+        elif not machine.powered_off and not machine.removed:
             self._core.clock.later(REFUSAL_S, lambda: self._abandon(attempt))
 
-    def _taken(self, attempt: Attempt, call_id: int, number: int) -> None:
+    def _call_accepted(self, attempt: Attempt, call_id: int, number: int) -> None:
         self._calls[attempt.address, attempt.incarnation, call_id] = number
 
     def _abandon(self, attempt: Attempt) -> None:
@@ -175,7 +175,7 @@
 
     def _send_again(self, request: Request) -> None:
         pause = request.pause
-        request.pause = min(2 * pause, LONGEST_PAUSE_S)
+        request.pause = min(2 * pause, MAX_RETRY_PAUSE_S)
         self._core.clock.later(pause, lambda: self._send(request))
 
     def answered(self, machine: Machine, answer: Answer) -> None:
@@ -206,7 +206,7 @@
         if attempt.abandoned or request.done:
             return
         attempt.abandoned = True
-        redirected = status == REDIRECT_STATUS and attempt.redirects < MOST_REDIRECTS
+        redirected = status == REDIRECT_STATUS and attempt.redirects < MAX_REDIRECTS
         if status in FINAL_STATUSES:
             request.done = True
         elif redirected and error.location in self._core.machines:
@@ -219,14 +219,14 @@
         request = attempt.request
         now = self._core.clock.now
         self.confirmations.append((now, attempt.address))
-        request.confirmed(answer)
+        request.on_success(answer)
         if attempt.abandoned or request.done:
             return
-        if now < self.acks_lost_until and self._core.rng.random() < LOST_ANSWERS:
+        if now < self.acks_lost_until and self._core.rng.random() < LOST_ANSWER_SHARE:
             return  # the answer is lost; the attempt ends by its time-out
         attempt.abandoned = True
         request.done = True
-        request.accepted(answer)
+        request.on_answer(answer)
         if not isinstance(answer, State):
             self.acks.append(now)
             self.on_acknowledged(attempt.address)
--- a/simnet/core/ports.py
+++ b/simnet/core/ports.py
@@ -24,8 +24,8 @@
     history: History
     machines: dict[str, Machine]
 
-    def call(self, machine: Machine, make: MakeCall, taken: Callable[[int], None]) -> None:
-        """Deliver a call to a machine; `taken` gets the call id when the process accepts the call."""
+    def call(self, machine: Machine, make: MakeCall, on_accepted: Callable[[int], None]) -> None:
+        """Deliver a call to a machine; `on_accepted` gets the call id when the process accepts the call."""
 
     def in_contact(self, machine: Machine) -> bool:
         """Return whether a majority of a machine's voters sent it messages recently."""
--- a/simnet/core/requests.py
+++ b/simnet/core/requests.py
@@ -8,7 +8,7 @@
 
 from simnet.core.ports import MakeCall
 
-FIRST_PAUSE_S = 0.1  # delay before the first retry
+FIRST_RETRY_PAUSE_S = 0.1  # delay before the first retry
 
 
 def _never() -> bool:
@@ -20,14 +20,14 @@
     """One operator's request, over all its attempts."""
 
     make: MakeCall
-    accepted: Callable[[Any], None]  # called when the operator receives the answer
-    confirmed: Callable[[Any], None]  # called when a machine answers with success, whether or not the answer arrives
+    on_answer: Callable[[Any], None]  # called when the operator receives the answer
+    on_success: Callable[[Any], None]  # called when a machine answers with success, whether or not the answer arrives
     addresses: list[str]
     until: float  # no attempt begins after this time
     conflicting: Callable[[], bool] = _never
     zone: str = ""  # zone of an evacuation, otherwise empty
-    hard: bool = False  # retries go to the first address, not to a random one
-    pause: float = FIRST_PAUSE_S  # delay before the next retry
+    first_only: bool = False  # retries go to the first address, not to a random one
+    pause: float = FIRST_RETRY_PAUSE_S  # delay before the next retry
     tried: set[str] = field(default_factory=set)
     done: bool = False
 
--- a/simnet/core/rules.py
+++ b/simnet/core/rules.py
@@ -12,8 +12,8 @@
 from simnet.core.machine import Machine
 from simnet.errors import RuleViolationError
 
-COPIES_S = 4.0  # maximum time without faults until enough disks have a copy
-LEADERLESS_S = 1.0  # maximum time without a leader and without faults, while voters and replicas are replaced
+REPLICATION_TIMEOUT_S = 4.0  # maximum time without faults until enough disks have a copy
+MAX_LEADERLESS_S = 1.0  # maximum time without a leader and without faults, while voters and replicas are replaced
 
 
 class Rules:
@@ -29,7 +29,7 @@
         self._voters = voters
         self._tolerance = voters // 2
         self._leaders: dict[int, str] = {}  # epoch -> address of its leader
-        self._led_at = 0.0  # last time at which there was a lease holder
+        self._last_leader_at = 0.0  # last time at which there was a lease holder
 
     def check(self) -> None:
         """Check the rules that apply after every step."""
@@ -77,24 +77,24 @@
         self._history.publish(state)
         leadership = service.node.leadership
         for holder in leadership.view.replica_set if leadership is not None else ():
-            if self._machines[holder].disk.furthest < state.number:
+            if self._machines[holder].disk.highest_number < state.number:
                 raise RuleViolationError(f"change {state.number} is published, but was never on the disk of {holder}")
 
-    def check_calm(self, leader: Machine | None, calm_s: float) -> None:
+    def check_fault_free(self, leader: Machine | None, fault_free_s: float) -> None:
         """Check the rules that apply without faults.
 
-        `leader` is the lease holder, if any; `calm_s` is the time since the end of the last fault, in seconds.
+        `leader` is the lease holder, if any; `fault_free_s` is the time since the end of the last fault, in seconds.
         """
-        self._clients.note_acknowledged()
+        self._clients.record_acknowledged()
         if leader is not None:
-            self._led_at = self._clock.now
-        if calm_s > COPIES_S and self._history.acknowledged >= 0:
+            self._last_leader_at = self._clock.now
+        if fault_free_s > REPLICATION_TIMEOUT_S and self._history.acknowledged >= 0:
             self._check_copies(leader)
 
     def _check_copies(self, leader: Machine | None) -> None:
         if leader is None or leader.node is None or leader.node.view is None:
-            if self._clock.now - self._led_at > LEADERLESS_S:
-                raise RuleViolationError(f"there is no leader after {COPIES_S} s without faults")
+            if self._clock.now - self._last_leader_at > MAX_LEADERLESS_S:
+                raise RuleViolationError(f"there is no leader after {REPLICATION_TIMEOUT_S} s without faults")
             return
         voters = [self._machines[address] for address in leader.node.view.voters]
         present = [machine for machine in voters if machine.node is not None and not machine.terminating]
@@ -102,14 +102,16 @@
         if len(copies) < min(self._tolerance + 1, len(present)):
             names = [machine.address for machine in copies]
             raise RuleViolationError(
-                f"after {COPIES_S} s without faults {self._history.acknowledged} is only on the disks of {names}"
+                f"after {REPLICATION_TIMEOUT_S} s without faults only {names} have {self._history.acknowledged} on disk"
             )
-        self._check_same(leader)
-        self._clients.check_calm()
+        self._check_same_items(leader)
+        self._clients.check_fault_free()
         if len({machine.zone for machine in present}) > 1 and len({machine.zone for machine in copies}) < 2:
-            raise RuleViolationError(f"after {COPIES_S} s without faults all copies are in zone {copies[0].zone}")
+            raise RuleViolationError(
+                f"after {REPLICATION_TIMEOUT_S} s without faults all copies are in zone {copies[0].zone}"
+            )
 
-    def _check_same(self, leader: Machine) -> None:
+    def _check_same_items(self, leader: Machine) -> None:
         """Check that copies whose last change is the same have the same items."""
         for machine in self._machines.values():
             position = machine.disk.position
--- a/simnet/core/runs.py
+++ b/simnet/core/runs.py
@@ -13,17 +13,17 @@
 from simnet.core.history import order_in
 from simnet.errors import RuleViolationError
 
-QUIET_S = 6.0  # time after the last fault in which the core must recover
-ANSWER_S = 2.0  # time after recovery in which a change must be acknowledged
-READ_S = 4.0  # time for the final read
+RECOVERY_S = 6.0  # time after the last fault in which the core must recover
+ACKNOWLEDGEMENT_TIMEOUT_S = 2.0  # time after recovery in which a change must be acknowledged
+READ_TIMEOUT_S = 4.0  # time for the final read
 AFTER_CLOSING_S = 2.5  # simulated time from the closing fault to the wait for recovery
-SHORTEST_DAY_S = 8.0
-LONGEST_DAY_S = 300.0  # limit in simulated time; a longer day counts as a violation
-SPARE_ITEMS = 4  # maximum number of items on a disk in excess of the items of the state
+MIN_DAY_S = 8.0
+MAX_DAY_S = 300.0  # limit in simulated time; a longer day counts as a violation
+MAX_EXTRA_ITEMS = 4  # maximum number of items on a disk in excess of the items of the state
 LOG_LINES = 80  # number of the newest log lines that a violation shows
 
 
-def order(cluster: Cluster, what: str, lot: int) -> None:
+def send_order(cluster: Cluster, what: str, lot: int) -> None:
     """Send one operator order, or two concurrent ones with the same number."""
     if what == "put":
         cluster.version += 1 + lot % 3
@@ -42,34 +42,32 @@
     """Run a day to its end. Raises RuleViolationError as soon as a rule is broken."""
     injector = FaultInjector(cluster, day.strict)
 
-    def order_more() -> None:
+    def send_more_orders() -> None:
         for _ in range(cluster.rng.randrange(3)):
             what, lot = cluster.rng.choice(("put", "race", "read")), cluster.rng.randrange(12)
-            cluster.clock.later(cluster.rng.random(), partial(order, cluster, what, lot))
+            cluster.clock.later(cluster.rng.random(), partial(send_order, cluster, what, lot))
 
-    injector.on_strike = order_more
+    injector.on_injected = send_more_orders
     injector.schedule(day.faults)
     for at, what, lot in day.orders:
-        cluster.clock.at(at, partial(order, cluster, what, lot))
+        cluster.clock.at(at, partial(send_order, cluster, what, lot))
     times = [fault.at for fault in day.faults] + [planned.at for planned in day.orders]
-    cluster.clock.run(max([SHORTEST_DAY_S, *times]) + 1.0)
-    _wait_for_quiet(cluster, injector)
+    cluster.clock.run(max([MIN_DAY_S, *times]) + 1.0)
+    _wait_for_recovery(cluster, injector)
     if day.closing is not None:
         injector.schedule([replace(day.closing, at=cluster.clock.now)])
         cluster.clock.run(cluster.clock.now + 0.001)
-        order(cluster, "put", 0)
+        send_order(cluster, "put", 0)
         cluster.clock.run(cluster.clock.now + AFTER_CLOSING_S)
-        _wait_for_quiet(cluster, injector)
+        _wait_for_recovery(cluster, injector)
     finish(cluster)
 
 
-def _wait_for_quiet(cluster: Cluster, injector: FaultInjector) -> None:
-    """Run until all faults are over and the core has had `QUIET_S` to recover."""
-    while injector.waiting or cluster.clock.now < cluster.calm_since + QUIET_S:
-        if cluster.clock.now > LONGEST_DAY_S:
-            raise RuleViolationError(
-                f"the day lasts longer than {LONGEST_DAY_S} s: a fault still waits or does not end"
-            )
+def _wait_for_recovery(cluster: Cluster, injector: FaultInjector) -> None:
+    """Run until all faults are over and the core has had `RECOVERY_S` to recover."""
+    while injector.waiting or cluster.clock.now < cluster.fault_free_since + RECOVERY_S:
+        if cluster.clock.now > MAX_DAY_S:
+            raise RuleViolationError(f"the day lasts longer than {MAX_DAY_S} s: a fault still waits or does not end")
         cluster.clock.run(cluster.clock.now + 0.1)
 
 
@@ -84,18 +82,18 @@
     before = len(operators.acks)
     cluster.version += 1
     operators.put(cluster.version, f"c{cluster.version}", present)
-    cluster.clock.run(cluster.clock.now + ANSWER_S)
+    cluster.clock.run(cluster.clock.now + ACKNOWLEDGEMENT_TIMEOUT_S)
     if len(operators.acks) == before:
         raise RuleViolationError(
-            f"the core did not recover: a change without faults was not acknowledged within {ANSWER_S} s"
+            f"the core did not recover: no acknowledgement of a change within {ACKNOWLEDGEMENT_TIMEOUT_S} s"
         )
     least = cluster.history.acknowledged
     operators.read(present)
-    cluster.clock.run(cluster.clock.now + READ_S)
+    cluster.clock.run(cluster.clock.now + READ_TIMEOUT_S)
     number = order_in(operators.last_read).number
     if number < least:
         raise RuleViolationError(f"LOST: the final read returned number {number}, but {least} was acknowledged")
-    most = len(operators.last_read.items) + SPARE_ITEMS
+    most = len(operators.last_read.items) + MAX_EXTRA_ITEMS
     for machine in cluster.running():
         if len(machine.disk.items) > most:
             raise RuleViolationError(f"{machine.address} has {len(machine.disk.items)} items on disk, more than {most}")
--- a/simnet/disk.py
+++ b/simnet/disk.py
@@ -40,7 +40,7 @@
         self.slow_until = 0.0
         self.full_until = 0.0
         self.written_bytes = 0
-        self.furthest = 0  # highest number of a change that was ever on the disk
+        self.highest_number = 0  # highest number of a change that was ever on the disk
         self.pending: deque[PendingWrite] = deque()
         self._rng = rng
         self._busy_until = 0.0
@@ -86,7 +86,7 @@
             self._apply(write)
         return not write.refused
 
-    def lose_process(self) -> None:
+    def abort_writes(self) -> None:
         """Handle the end of the process or of power: a random prefix of the writes in flight reaches the disk."""
         while self.pending and self._rng.random() < 0.5:
             self.end()
@@ -101,7 +101,7 @@
             self.view = records.view
         if records.position is not None:
             self.position = records.position
-            self.furthest = max(self.furthest, records.position.number)
+            self.highest_number = max(self.highest_number, records.position.number)
             self.floor = records.floor
         if write.items is not None:
             self.items = dict(write.items) if records.complete else {**self.items, **write.items}
--- a/simnet/search/explorer.py
+++ b/simnet/search/explorer.py
@@ -23,7 +23,7 @@
     states: int
     depth: int
     steps: tuple[Step, ...] | None
-    why: str
+    violation: str
 
 
 class Reached(NamedTuple):
@@ -41,33 +41,33 @@
     depth: int,
     budget: Budget | None = None,
     beginning: str = "calm",
-    go_on: Callable[[], bool] = _always,
+    should_continue: Callable[[], bool] = _always,
 ) -> SearchResult:
     """Search all states within `depth` steps from the starting point `beginning`.
 
-    `go_on` is called before each state is expanded; the search stops when it returns False.
+    `should_continue` is called before each state is expanded; the search stops when it returns False.
     """
     budget = budget or Budget()
     first = STARTING_POINTS[beginning]()
     first.counts = dict.fromkeys(LIMITED_KINDS, 0)
     first.counts[StepKind.CHANGE] = first.acknowledged
-    met = {first.fingerprint()}
+    visited = {first.fingerprint()}
     level = [Reached(first, ())]
     for complete in range(depth):
         following: list[Reached] = []
         for reached in level:
-            if not go_on():
-                return SearchResult(len(met), complete, None, "")
+            if not should_continue():
+                return SearchResult(len(visited), complete, None, "")
             for choice in list(reached.world.choices(budget)):
                 world = copy.deepcopy(reached.world)
                 steps = (*reached.steps, choice)
                 try:
                     world.step(choice)
                 except RuleViolationError as violation:
-                    return SearchResult(len(met), complete, steps, str(violation))
+                    return SearchResult(len(visited), complete, steps, str(violation))
                 fingerprint = world.fingerprint()
-                if fingerprint not in met:
-                    met.add(fingerprint)
+                if fingerprint not in visited:
+                    visited.add(fingerprint)
                     following.append(Reached(world, steps))
         level = following
-    return SearchResult(len(met), depth, None, "")
+    return SearchResult(len(visited), depth, None, "")
--- a/simnet/search/fingerprint.py
+++ b/simnet/search/fingerprint.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-LONG_AGO_S = 9.0  # all times that lie further in the past are considered equal
+MAX_AGE_S = 9.0  # all times that lie further in the past are considered equal
 PLAIN = frozenset({type(None), bool, int, str, bytes})  # types whose values are part of a fingerprint as they are
 
 
@@ -51,7 +51,7 @@
 
     def _time(self, value: float) -> float:
         if self._earliest < value < self._latest:
-            return round(max(-LONG_AGO_S, value - self._now), 3)
+            return round(max(-MAX_AGE_S, value - self._now), 3)
         return value
 
     def _callable_or_object(self, value: Any) -> Any:
--- a/simnet/search/starting_points.py
+++ b/simnet/search/starting_points.py
@@ -66,9 +66,9 @@
 def exchanging() -> SmallWorld:
     """Return a world in which a voter is lost for good, and the view with a learner in its place is in flight."""
     world = acknowledged()
-    gone = next(address for address in VOTERS if address != world.lease_holder())
+    lost = next(address for address in VOTERS if address != world.lease_holder())
     world.add(LEARNER)
-    world.remove(gone)
+    world.remove(lost)
 
     def is_exchanging(w: SmallWorld) -> bool:
         records = [m for m in _in_flight(w, RecordView) if isinstance(m, RecordView)]
--- a/simnet/search/world.py
+++ b/simnet/search/world.py
@@ -28,7 +28,7 @@
 FIRST_VIEW = ViewRecord(1, "1", ("2",), VOTERS)
 START_TIME = 100.0
 EARLIEST_TIME, LATEST_TIME = START_TIME - 50.0, START_TIME + 200.0  # floats between these are times
-PASS_S = 0.95  # time step, longer than a voter's guard time, so that the next candidate requests votes
+TIME_STEP_S = 0.95  # time step, longer than a voter's guard time, so that the next candidate requests votes
 
 
 class ConstantRandom(random.Random):
@@ -58,7 +58,7 @@
         self.in_flight: dict[tuple[str, str], deque[AnyMessage]] = {}  # (sender, receiver) -> messages
         self.pending_writes: dict[str, deque[Write]] = {address: deque() for address in VOTERS}
         self.cut: set[tuple[str, str]] = set()
-        self.gone: set[str] = set()
+        self.removed: set[str] = set()
         self.counts: dict[StepKind, int] = dict.fromkeys(LIMITED_KINDS, 0)
         self.epochs: dict[int, str] = {}  # epoch -> its leader
         self.acknowledged = 0  # highest number of an acknowledged change
@@ -77,7 +77,7 @@
 
     def remove(self, address: str) -> None:
         """Remove a machine for good."""
-        self.gone.add(address)
+        self.removed.add(address)
         del self.nodes[address], self.pending_writes[address]
         self._drop_in_flight(address)
 
@@ -102,7 +102,7 @@
             yield Step(StepKind.CHANGE, (self.lease_holder() or min(self.nodes),))
         if self._allows(budget, StepKind.KILL):
             yield from (Step(StepKind.KILL, (address,)) for address in self.nodes)
-        if self._allows(budget, StepKind.WIPE) and not self.gone:
+        if self._allows(budget, StepKind.WIPE) and not self.removed:
             yield from (Step(StepKind.WIPE, (address,)) for address in self.nodes)
         if self._allows(budget, StepKind.CUT):
             pairs = [(a, b) for a in self.nodes for b in self.nodes if a != b]
@@ -136,7 +136,7 @@
         elif kind is StepKind.CUT:
             self._cut(*machines)
         elif kind is StepKind.PASS:
-            self.advance(PASS_S)
+            self.advance(TIME_STEP_S)
         else:
             self._restart(machines[0], disk_lost=kind is StepKind.WIPE)
         self.check()
--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -34,7 +34,7 @@
         self.name = f"i{number}"
         self.zone = zone
         self.listed_from = listed_from
-        self.is_gone = False
+        self.is_removed = False
         self.draining_since: float | None = None  # time at which the platform's list first shows it as draining
         self.crashed = False
         self.loses_answers = False
@@ -74,11 +74,11 @@
 
     def listed(self) -> list[Backend]:
         """Return the backends that the platform's list shows now, in its order."""
-        return [b for b in self.by_name.values() if not b.is_gone and b.listed_from <= self.clock.now]
+        return [b for b in self.by_name.values() if not b.is_removed and b.listed_from <= self.clock.now]
 
     def remove(self, backend: Backend) -> None:
         """Stop a backend and remove it from the platform's list."""
-        backend.is_gone = backend.crashed = True
+        backend.is_removed = backend.crashed = True
 
 
 class Attempt:
--- a/simnet/system/clients.py
+++ b/simnet/system/clients.py
@@ -11,14 +11,14 @@
 from simnet.system.topology import DEADLINE_S, EFFECTFUL_ROUTE, LIMITED_TENANT, PURE_ROUTE, UNLIMITED_TENANT
 from thistleusher.core.ports import Final
 
-INTERVAL_S = 0.06  # mean time between two requests to one proxy
+MEAN_REQUEST_INTERVAL_S = 0.06  # mean time between two requests to one proxy
 EFFECTFUL_SHARE = 0.4  # fraction of requests on the route that is not idempotent
 USUAL_LIMITED_SHARE = 0.35
 CALM_LIMITED_SHARE = 0.1
-HOT_LIMITED_SHARE = 0.9
-USUAL_LEAVE_SHARE = 0.05  # fraction of requests whose client disconnects within `MAX_PATIENCE_S`
-HASTY_LEAVE_SHARE = 0.9
-MAX_PATIENCE_S = 0.3
+HIGH_LIMITED_SHARE = 0.9
+USUAL_LEAVE_SHARE = 0.05  # fraction of requests whose client disconnects within `MAX_LEAVE_DELAY_S`
+HIGH_LEAVE_SHARE = 0.9
+MAX_LEAVE_DELAY_S = 0.3
 
 
 class Clients:
@@ -50,9 +50,9 @@
         self._rules = rules
         self._scheduler = scheduler
 
-    def next_in(self) -> float:
+    def draw_request_interval(self) -> float:
         """Draw the time until the next request to a proxy, in seconds."""
-        return self._rng.expovariate(1 / INTERVAL_S)
+        return self._rng.expovariate(1 / MEAN_REQUEST_INTERVAL_S)
 
     def request(self, proxy: ProxyProcess) -> None:
         """Send one request, unless the proxy is not ready: it would answer 503 to every request."""
@@ -69,8 +69,8 @@
 
         proxy.take(name, route, tenant, DEADLINE_S, answered)
         if self._leaving_rng.random() < self.leave_share:
-            patience_s = MAX_PATIENCE_S * self._leaving_rng.random()
-            self._scheduler.later(proxy, patience_s, lambda: self._leave(proxy, name, route))
+            leave_delay_s = MAX_LEAVE_DELAY_S * self._leaving_rng.random()
+            self._scheduler.later(proxy, leave_delay_s, lambda: self._leave(proxy, name, route))
 
     def _leave(self, proxy: ProxyProcess, name: str, route: str) -> None:
         """Close the client's connection; the proxy is notified at once."""
--- a/simnet/system/control_process.py
+++ b/simnet/system/control_process.py
@@ -48,7 +48,7 @@
         all data is lost.
         """
         if power_lost:
-            self.disk.lose_process()
+            self.disk.abort_writes()
         while self.disk.pending:
             self.disk.end()
         if disk_lost:
--- a/simnet/system/days.py
+++ b/simnet/system/days.py
@@ -14,18 +14,18 @@
 from simnet.errors import RuleViolationError
 from simnet.system.clients import CALM_LIMITED_SHARE
 from simnet.system.faults import Fault, FaultInjector, FaultKind
-from simnet.system.rules import CONTACT_S
+from simnet.system.rules import FAULT_FREE_S
 from simnet.system.world import World
 
 FIRST_CONFIGURATION_S = 2.0
 FIRST_CHECK_S = 3.0
 FIRST_FAULT_S = 5.0
-SHORTEST_DAY_S = 6.0
-CALM_S = 5.0  # recovery time after the last fault and `CONTACT_S`, before requests are counted
-COUNTED_S = 4.0  # period in which requests are counted
-FEWEST_ANSWERS = 100  # minimum number of answers in `COUNTED_S`
-LEAST_SERVED = 0.9  # minimum fraction of answers that are successful
-AFTER_WIPE_S = 6.0  # minimum time without a fault before and after a loss of a disk
+MIN_DAY_S = 6.0
+RECOVERY_S = 5.0  # recovery time after the last fault and `FAULT_FREE_S`, before requests are counted
+MEASUREMENT_S = 4.0  # period in which requests are counted
+MIN_ANSWERS = 100  # minimum number of answers in `MEASUREMENT_S`
+MIN_SERVED_SHARE = 0.9  # minimum fraction of answers that are successful
+WIPE_ISOLATION_S = 6.0  # minimum time without a fault before and after a loss of a disk
 KINDS: tuple[FaultKind, ...] = tuple(FaultKind)
 
 
@@ -56,7 +56,7 @@
         kind = rng.choice(kinds)
         wipe_before = bool(faults) and faults[-1].kind is FaultKind.CORE_WIPE
         if kind is FaultKind.CORE_WIPE or wipe_before:
-            at = max([at, *(fault.at + fault.duration_s + AFTER_WIPE_S for fault in faults)])
+            at = max([at, *(fault.at + fault.duration_s + WIPE_ISOLATION_S for fault in faults)])
         faults.append(Fault(at, kind, rng.choice((0.4, 1.2, 3.0)) * (0.5 + rng.random())))
     planned: list[PlannedWork] = []
     for _ in range(rng.randint(1, 5)):
@@ -78,11 +78,11 @@
     _schedule(world, day.planned)
     ends = [fault.at + fault.duration_s for fault in day.faults]
     times = [work.at for work in day.planned]
-    calm_from = max([SHORTEST_DAY_S, *ends, *times]) + CONTACT_S + CALM_S
+    calm_from = max([MIN_DAY_S, *ends, *times]) + FAULT_FREE_S + RECOVERY_S
     world.clock.run(calm_from)
     world.clients.limited_share = CALM_LIMITED_SHARE
     world.rules.reset_counts()
-    world.clock.run(calm_from + COUNTED_S)
+    world.clock.run(calm_from + MEASUREMENT_S)
     _check_recovery(world)
 
 
@@ -101,7 +101,7 @@
 
 def _check_recovery(world: World) -> None:
     served, answered = world.rules.served_count, world.rules.answered_count
-    if answered < FEWEST_ANSWERS or served < LEAST_SERVED * answered:
+    if answered < MIN_ANSWERS or served < MIN_SERVED_SHARE * answered:
         raise RuleViolationError(
             f"the service has not recovered from the faults: {served} of {answered} requests served"
         )
--- a/simnet/system/faults.py
+++ b/simnet/system/faults.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from simnet.system.clients import HASTY_LEAVE_SHARE, HOT_LIMITED_SHARE, USUAL_LEAVE_SHARE, USUAL_LIMITED_SHARE
+from simnet.system.clients import HIGH_LEAVE_SHARE, HIGH_LIMITED_SHARE, USUAL_LEAVE_SHARE, USUAL_LIMITED_SHARE
 from simnet.system.control_process import ControlProcess
 from simnet.system.process import Process
 from simnet.system.topology import CORES, MACHINES
@@ -43,7 +43,7 @@
     CLIENTS_LEAVE = "clients leave"
 
 
-ONE_CORE_MACHINE = frozenset(
+CORE_MACHINE_KINDS = frozenset(
     {FaultKind.CORE_KILL, FaultKind.CORE_POWER, FaultKind.CORE_WIPE, FaultKind.KILL_CORE}
     | {FaultKind.CORE_CUT, FaultKind.CORE_FREEZE}
 )  # kinds that affect a core machine instead of an arbitrary machine
@@ -65,11 +65,11 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._inject: dict[FaultKind, Callable[[str, float], None]] = {
+        self._handlers: dict[FaultKind, Callable[[str, float], None]] = {
             FaultKind.KILL: self._kill,
             FaultKind.CORE_KILL: self._kill,
-            FaultKind.POWER: self._power,
-            FaultKind.CORE_POWER: self._power,
+            FaultKind.POWER: self._power_off,
+            FaultKind.CORE_POWER: self._power_off,
             FaultKind.CORE_WIPE: self._wipe,
             FaultKind.KILL_ALL: lambda machine, duration_s: self._end_all(duration_s),
             FaultKind.POWER_ALL: lambda machine, duration_s: self._end_all(duration_s, power_lost=True),
@@ -84,9 +84,9 @@
             FaultKind.PLATFORM: self._stop_platform,
             FaultKind.CRASH: self._crash_backend,
             FaultKind.ANSWERS_LOST: self._lose_answers,
-            FaultKind.HOT: self._heat,
+            FaultKind.HOT: self._raise_limited_load,
             FaultKind.SLOW: self._slow_backends,
-            FaultKind.CLIENTS_LEAVE: self._hurry_clients,
+            FaultKind.CLIENTS_LEAVE: self._make_clients_leave,
         }
 
     def inject(self, kind: FaultKind, duration_s: float) -> None:
@@ -97,8 +97,8 @@
         machine = world.rng.choice(sorted(MACHINES))
         core_machine = world.rng.choice(sorted(CORES))
         world.note(f"{kind} {core_machine if 'core' in kind else machine} for {duration_s:.2f}")
-        on_core = kind in ONE_CORE_MACHINE or kind is FaultKind.STALL
-        self._inject[kind](core_machine if on_core else machine, duration_s)
+        on_core = kind in CORE_MACHINE_KINDS or kind is FaultKind.STALL
+        self._handlers[kind](core_machine if on_core else machine, duration_s)
 
     def _processes_of(self, machine: str) -> list[Process]:
         return [process for process in self._world.processes.values() if process.machine == machine]
@@ -108,7 +108,7 @@
     def _kill(self, machine: str, duration_s: float) -> None:
         self._world.stop(self._world.rng.choice(self._processes_of(machine)), duration_s)
 
-    def _power(self, machine: str, duration_s: float) -> None:
+    def _power_off(self, machine: str, duration_s: float) -> None:
         for process in self._processes_of(machine):
             self._world.stop(process, duration_s, power_lost=True)
 
@@ -161,9 +161,9 @@
         backend.loses_answers = True
         self._world.clock.later(duration_s, lambda: setattr(backend, "loses_answers", False))
 
-    def _heat(self, machine: str, duration_s: float) -> None:
+    def _raise_limited_load(self, machine: str, duration_s: float) -> None:
         clients = self._world.clients
-        clients.limited_share = HOT_LIMITED_SHARE
+        clients.limited_share = HIGH_LIMITED_SHARE
         self._world.clock.later(duration_s, lambda: setattr(clients, "limited_share", USUAL_LIMITED_SHARE))
 
     def _slow_backends(self, machine: str, duration_s: float) -> None:
@@ -172,7 +172,7 @@
             backend.slowdown = SLOWDOWN
             self._world.clock.later(duration_s, partial(setattr, backend, "slowdown", 1.0))
 
-    def _hurry_clients(self, machine: str, duration_s: float) -> None:
+    def _make_clients_leave(self, machine: str, duration_s: float) -> None:
         clients = self._world.clients
-        clients.leave_share = HASTY_LEAVE_SHARE
+        clients.leave_share = HIGH_LEAVE_SHARE
         self._world.clock.later(duration_s, lambda: setattr(clients, "leave_share", USUAL_LEAVE_SHARE))
--- a/simnet/system/operator.py
+++ b/simnet/system/operator.py
@@ -14,13 +14,13 @@
 from thistleusher.configuration import items as config_items
 from thistleusher.control.interface import Change
 
-PATIENCE_S = 1.0  # response time-out per control process; then another one is tried
+RESPONSE_TIMEOUT_S = 1.0  # response time-out per control process; then another one is tried
 RETRY_S = 0.1  # delay from an error response to the next attempt
-KEEP_TRYING_S = 8.0  # total time for the attempts to send one change
+CHANGE_TIMEOUT_S = 8.0  # total time for the attempts to send one change
 
 
 class Operator:
-    """Sends each change until a control process acknowledges it, or `KEEP_TRYING_S` has passed."""
+    """Sends each change until a control process acknowledges it, or `CHANGE_TIMEOUT_S` has passed."""
 
     def __init__(self, clock: Clock, rng: random.Random, rules: Rules, control: Mapping[str, ControlProcess]) -> None:
         """Create the operator; `control` maps machines to control processes."""
@@ -40,7 +40,7 @@
                 "",
             )
 
-        self._send(make, lambda: self._rules.configuration_acknowledged(version), self._clock.now + KEEP_TRYING_S)
+        self._send(make, lambda: self._rules.configuration_acknowledged(version), self._clock.now + CHANGE_TIMEOUT_S)
 
     def evacuate(self, zone: str, on: bool) -> None:
         """Begin or end the evacuation of a zone, whose backends get no requests meanwhile."""
@@ -57,7 +57,7 @@
                 "",
             )
 
-        self._send(make, lambda: self._rules.evacuation_acknowledged(zone, on), self._clock.now + KEEP_TRYING_S)
+        self._send(make, lambda: self._rules.evacuation_acknowledged(zone, on), self._clock.now + CHANGE_TIMEOUT_S)
 
     def _send(self, make: Callable[[int], Change], on_acknowledged: Callable[[], None], until: float) -> None:
         """Send a change to a random control process; after an error or a time-out, retry until the time `until`."""
@@ -78,6 +78,6 @@
                 waiting = False
                 on_acknowledged()
 
-        self._clock.later(PATIENCE_S, send_again)
+        self._clock.later(RESPONSE_TIMEOUT_S, send_again)
         if process.running:
             process.call(make, answered)
--- a/simnet/system/registry_process.py
+++ b/simnet/system/registry_process.py
@@ -14,8 +14,8 @@
 from thistleusher.transport.messages import AnyMessage
 
 PLATFORM_CALLS_PER_S = 50.0
-ANSWER_S = 0.002  # duration of a call to the platform
-TIMEOUT_S = 1.0  # duration of a call while the platform is down
+PLATFORM_LATENCY_S = 0.002  # duration of a call to the platform
+PLATFORM_TIMEOUT_S = 1.0  # duration of a call while the platform is down
 
 
 class RegistryProcess(Process):
@@ -96,5 +96,5 @@
 
         if self._platform.loses_call():
             return
-        delay_s = ANSWER_S if self._platform.is_up() else TIMEOUT_S
+        delay_s = PLATFORM_LATENCY_S if self._platform.is_up() else PLATFORM_TIMEOUT_S
         self._environment.scheduler.later(self, delay_s, answered)
--- a/simnet/system/rules.py
+++ b/simnet/system/rules.py
@@ -9,8 +9,8 @@
 LOST: each request gets exactly one answer, in time.
 GONE: no request is sent or worked on after its client has disconnected.
 
-The time bounds of DRAIN, EVAC and CONFIG apply once there has been no fault for `CONTACT_S`, as the requirements say.
-The time bound of GONE applies if the proxy has run without interruption since the client disconnected.
+The time bounds of DRAIN, EVAC and CONFIG apply once there has been no fault for `FAULT_FREE_S`, as required. The time
+bound of GONE applies if the proxy has run without interruption since the client disconnected.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from simnet.system.topology import BOUNDS, BURST, DEADLINE_S, EFFECTFUL_ROUTE, LIMITED_TENANT, RATE_PER_S
 from thistleusher.core.ports import Final, Verdict
 
-CONTACT_S = 5.0  # time without a fault after which time bounds apply
+FAULT_FREE_S = 5.0  # time without a fault after which time bounds apply
 # After a client has disconnected: time until no backend may get its request or, if that is idempotent, work on it.
-GONE_S = 0.5
-LATE_S = 0.1  # an answer counts as missing this long after the request's deadline
+CANCELLATION_S = 0.5
+ANSWER_MARGIN_S = 0.1  # an answer counts as missing this long after the request's deadline
 REJECTIONS = (Verdict.OVER_QUOTA, Verdict.NO_ROOM)  # verdicts that state that a request has not run
 
 
@@ -80,16 +80,16 @@
         self._work: dict[str, list[Work]] = {}  # request -> the work that backends have begun on it
         self._limited_runs: deque[float] = deque()  # times of the limited tenant's runs, in the last `quota_window_s`
 
-    def report(self, why: str) -> None:
+    def report(self, message: str) -> None:
         """Record the first violation of a rule.
 
         The world raises the error after the step, since the code under test may catch exceptions during the step.
         """
-        self.violation = self.violation or why
+        self.violation = self.violation or message
 
-    def calm_before(self, when: float) -> bool:
-        """Return whether no fault was in force during the `CONTACT_S` before `when`."""
-        return when - self.fault_until > CONTACT_S
+    def fault_free_before(self, when: float) -> bool:
+        """Return whether no fault was in force during the `FAULT_FREE_S` before `when`."""
+        return when - self.fault_until > FAULT_FREE_S
 
     def reset_counts(self) -> None:
         """Restart the counts of requests at zero."""
@@ -120,22 +120,22 @@
         self.left_count += 1
         self._left[name] = LeftRequest(request.proxy, request.incarnation, self._clock.now)
         if route != EFFECTFUL_ROUTE:
-            self._clock.later(GONE_S, lambda: self._check_work_stopped(name))
+            self._clock.later(CANCELLATION_S, lambda: self._check_work_stopped(name))
         return True
 
-    def _has_carried_on(self, name: str) -> bool:
+    def _ran_without_interruption(self, name: str) -> bool:
         """Return whether the proxy has run without interruption since the client disconnected."""
         proxy, incarnation, at = self._left[name]
         return proxy.running and proxy.incarnation == incarnation and proxy.frozen_until <= at
 
     def _check_work_stopped(self, name: str) -> None:
         is_worked_on = any(work.is_in_progress() for work in self._work.get(name, ()))
-        if is_worked_on and self._has_carried_on(name):
-            self.report(f"GONE: a backend still works on {name} {GONE_S} s after its client disconnected")
+        if is_worked_on and self._ran_without_interruption(name):
+            self.report(f"GONE: a backend still works on {name} {CANCELLATION_S} s after its client disconnected")
 
     def _check_client_left(self, name: str, backend: Backend) -> None:
         left = self._left.get(name)
-        if left is not None and self._clock.now - left.at > GONE_S and self._has_carried_on(name):
+        if left is not None and self._clock.now - left.at > CANCELLATION_S and self._ran_without_interruption(name):
             self.report(
                 f"GONE: {backend.name} gets {name} {self._clock.now - left.at:.2f} s after its client disconnected"
             )
@@ -161,13 +161,13 @@
 
     def _check_draining(self, name: str, backend: Backend) -> None:
         now, since = self._clock.now, backend.draining_since
-        if since is not None and self.calm_before(now) and now - since > BOUNDS.drain_ms / 1000:
+        if since is not None and self.fault_free_before(now) and now - since > BOUNDS.drain_ms / 1000:
             self.report(f"DRAIN: {backend.name} gets {name} {now - since:.2f} s after it was listed as draining")
 
     def _check_evacuation(self, name: str, backend: Backend) -> None:
         now = self._clock.now
         on, at = self.evacuations.get(backend.zone, Evacuation(False, 0.0))
-        if on and self.calm_before(now) and now - at > BOUNDS.evacuate_ms / 1000:
+        if on and self.fault_free_before(now) and now - at > BOUNDS.evacuate_ms / 1000:
             self.report(f"EVAC: {backend.name} gets {name} {now - at:.2f} s after its zone was evacuated")
 
     def request_answered(self, name: str, route: str, final: Final, sent: float) -> None:
@@ -195,8 +195,8 @@
         for name, (proxy, incarnation, deadline) in list(self._open.items()):
             if not proxy.running or proxy.incarnation != incarnation:
                 del self._open[name]  # the client's connection was closed with the process
-            elif self._clock.now > self._answer_until(proxy, deadline - DEADLINE_S) + LATE_S:
-                self.report(f"LOST: {name} has no answer {LATE_S} s after its deadline")
+            elif self._clock.now > self._answer_until(proxy, deadline - DEADLINE_S) + ANSWER_MARGIN_S:
+                self.report(f"LOST: {name} has no answer {ANSWER_MARGIN_S} s after its deadline")
 
     # Configurations.
 
@@ -217,5 +217,5 @@
     def version_due(self) -> int:
         """Return the configuration version that every proxy must have by now, or -1 if there is none."""
         version, at = self.acknowledged
-        due = self.calm_before(self._clock.now) and self._clock.now - at > BOUNDS.apply_within_ms / 1000
+        due = self.fault_free_before(self._clock.now) and self._clock.now - at > BOUNDS.apply_within_ms / 1000
         return version if due else -1
--- a/simnet/system/world.py
+++ b/simnet/system/world.py
@@ -24,11 +24,11 @@
 from simnet.system.topology import BOUNDS, CORES, MACHINES, PROXIES
 
 TICK_S = 0.06  # mean interval of process ticks
-CONNECT_S = 0.1  # interval of checks for missing connections
+CONNECT_INTERVAL_S = 0.1  # interval of checks for missing connections
 FIRST_REQUEST_S = 0.1  # delay from the start of a proxy to the first request
-CHECK_S = 0.5  # interval of checks for overdue answers and configurations
-FEWEST_BACKENDS = 3  # a backend is drained only if more than this number are not draining
-LEAVES_LATE_S = 2.0  # a replaced backend stays up for this long after its time to drain
+CHECK_INTERVAL_S = 0.5  # interval of checks for overdue answers and configurations
+MIN_ACTIVE_BACKENDS = 3  # a backend is drained only if more than this number are not draining
+REMOVAL_DELAY_S = 2.0  # a replaced backend stays up for this long after its time to drain
 CLOCK_SPREAD_S = 1e5  # range of the origins of the machines' steady clocks
 
 
@@ -90,7 +90,7 @@
         def connect() -> None:
             if process.running and process.incarnation == incarnation:
                 self.network.connect_missing(process)
-                self.clock.later(CONNECT_S, connect)
+                self.clock.later(CONNECT_INTERVAL_S, connect)
 
         self.scheduler.later(process, 0.0, tick)
         self.clock.later(0.01 * self.rng.random(), connect)
@@ -99,7 +99,7 @@
 
     def _request(self, proxy: ProxyProcess) -> None:
         self.clients.request(proxy)
-        self.scheduler.later(proxy, self.clients.next_in(), lambda: self._request(proxy))
+        self.scheduler.later(proxy, self.clients.draw_request_interval(), lambda: self._request(proxy))
 
     def stop(self, process: Process, restart_s: float, power_lost: bool = False, disk_lost: bool = False) -> None:
         """End a process at once, close its connections, and start it again after `restart_s` seconds."""
@@ -113,18 +113,18 @@
         self.clock.later(restart_s, lambda: self.start(process) if not process.running else None)
 
     def drain_backend(self) -> None:
-        """Drain a random backend, if more than `FEWEST_BACKENDS` are not draining."""
-        staying = [backend for backend in self.backends.by_name.values() if backend.draining_since is None]
-        if len(staying) > FEWEST_BACKENDS:
-            self.rng.choice(staying).draining_since = self.clock.now + LIST_LAG_S
+        """Drain a random backend, if more than `MIN_ACTIVE_BACKENDS` are not draining."""
+        active = [backend for backend in self.backends.by_name.values() if backend.draining_since is None]
+        if len(active) > MIN_ACTIVE_BACKENDS:
+            self.rng.choice(active).draining_since = self.clock.now + LIST_LAG_S
 
     def replace_backend(self) -> None:
-        """Add a backend, and drain another one, which is removed `LEAVES_LATE_S` after its time to drain."""
-        staying = [b for b in self.backends.listed() if b.draining_since is None]
-        old = self.rng.choice(staying)
+        """Add a backend, and drain another one, which is removed `REMOVAL_DELAY_S` after its time to drain."""
+        active = [b for b in self.backends.listed() if b.draining_since is None]
+        old = self.rng.choice(active)
         old.draining_since = self.clock.now + LIST_LAG_S
         self.backends.add(old.zone, self.clock.now + LIST_LAG_S)
-        self.clock.later(LIST_LAG_S + BOUNDS.drain_ms / 1000 + LEAVES_LATE_S, lambda: self.backends.remove(old))
+        self.clock.later(LIST_LAG_S + BOUNDS.drain_ms / 1000 + REMOVAL_DELAY_S, lambda: self.backends.remove(old))
 
     # Rules.
 
@@ -144,10 +144,10 @@
             self.rules.report(f"LEASE: several registries hold the singleton role: {holders}")
 
     def check_overdue(self) -> None:
-        """Report overdue answers and configurations, now and every `CHECK_S` seconds."""
+        """Report overdue answers and configurations, now and every `CHECK_INTERVAL_S` seconds."""
         self.rules.check_overdue()
         due = self.rules.version_due()
         for process in self.processes.values():
             if isinstance(process, ProxyProcess) and process.running and process.version < due:
                 self.rules.report(f"CONFIG: {process.name} has version {process.version}, but {due} was acknowledged")
-        self.clock.later(CHECK_S, self.check_overdue)
+        self.clock.later(CHECK_INTERVAL_S, self.check_overdue)
--- a/tests/control/helpers.py
+++ b/tests/control/helpers.py
@@ -56,7 +56,7 @@
 
 def finish_after(core: Cluster, quiet_s: float = 6.0) -> None:
     """Run until the core has been undisturbed for `quiet_s` seconds, and check that it has recovered."""
-    core.clock.run(max(core.clock.now, core.calm_since) + quiet_s)
+    core.clock.run(max(core.clock.now, core.fault_free_since) + quiet_s)
     finish(core)
 
 
--- a/tests/control/test_drawn_days.py
+++ b/tests/control/test_drawn_days.py
@@ -64,6 +64,6 @@
     with pytest.raises(RuleViolationError):
         for machine in core.machines.values():
             wiped = machine.address == "10.0.0.1"
-            core.end(machine, power=True, wipe=wiped, back_s=30.0 if machine.address == "10.0.0.2" else 0.5)
+            core.end(machine, power=True, wipe=wiped, restart_s=30.0 if machine.address == "10.0.0.2" else 0.5)
         core.operators.read()
         finish_after(core)
--- a/tests/control/test_losses.py
+++ b/tests/control/test_losses.py
@@ -19,7 +19,7 @@
     core = founded_core()
     wait_until_acknowledged(core, put_configuration(core, [core.leader().address]))
     run_for(core, after)
-    core.end(core.leader(), power=how != "kill", wipe=how == "wipe", back_s=2.0)
+    core.end(core.leader(), power=how != "kill", wipe=how == "wipe", restart_s=2.0)
     run_for(core, 1.8)
     core.operators.read()
     finish_after(core)
@@ -31,7 +31,7 @@
     wait_until_acknowledged(core, put_configuration(core))
     wiped = machines_by_role(core)[role]
     for machine in core.machines.values():
-        core.end(machine, power=True, wipe=machine is wiped, back_s=0.5 + core.rng.random())
+        core.end(machine, power=True, wipe=machine is wiped, restart_s=0.5 + core.rng.random())
     core.operators.read()
     finish_after(core)
 
@@ -40,11 +40,11 @@
     core = founded_core()
     _, replica, witness = machines_by_role(core)
     core.end(replica)  # not restarted before the end of the test
-    core.end(witness, wipe=True, back_s=0.5)
+    core.end(witness, wipe=True, restart_s=0.5)
     run_for(core, 4.0)
     assert witness.node.state_lost and core.lease_holder() is None  # one voter is no majority
     core.start(replica)
-    core.disturb(core.clock.now)
+    core.extend_fault_period(core.clock.now)
     finish_after(core)
 
 
@@ -53,7 +53,7 @@
     core = founded_core()
     roles = machines_by_role(core)
     for at, number in enumerate(order):
-        core.end(roles[number], back_s=0.2 + 0.3 * at)
+        core.end(roles[number], restart_s=0.2 + 0.3 * at)
     core.operators.read()
     finish_after(core)
 
@@ -61,7 +61,7 @@
 def test_a_zone_with_two_of_three_machines_loses_power():
     core = founded_core()
     for machine in [m for m in core.machines.values() if m.zone == "a"]:
-        core.end(machine, power=True, back_s=3.0)
+        core.end(machine, power=True, restart_s=3.0)
     put_configuration(core)
     run_for(core, 2.5)
     assert core.history.acknowledged == 1  # a change on one disk only is not acknowledged
@@ -72,7 +72,7 @@
 def test_a_replica_that_is_lost_is_replaced_and_changes_go_on():
     core = founded_core()
     first, replica, witness = machines_by_role(core)
-    core.end(replica, power=True, back_s=30.0)
+    core.end(replica, power=True, restart_s=30.0)
     run_for(core, 2.0)
     wait_until_acknowledged(core, put_configuration(core, [first.address]), timeout_s=1.0)
     assert core.leader().node.view.replicas == (witness.address,)
@@ -88,7 +88,7 @@
     assert all(m.disk.item("config")["v"] == number for m in holders)
     # Two of the three copy holders lose their disks, and all machines lose power.
     for machine in core.machines.values():
-        core.end(machine, power=True, wipe=machine in holders[:2], back_s=0.5 + core.rng.random())
+        core.end(machine, power=True, wipe=machine in holders[:2], restart_s=0.5 + core.rng.random())
     core.operators.read()
     finish_after(core)
 
@@ -96,7 +96,7 @@
 def test_a_machine_that_lost_its_state_asks_also_those_that_no_seed_names():
     core = founded_core(5)
     assert "10.0.0.5" not in core.seeds
-    core.end(core.machines["10.0.0.3"], wipe=True, power=True, back_s=0.5)
+    core.end(core.machines["10.0.0.3"], wipe=True, power=True, restart_s=0.5)
     run_for(core, 2.0)
     assert not core.machines["10.0.0.3"].node.state_lost
     finish_after(core)
@@ -106,26 +106,26 @@
     core = founded_core()
     first, replica, witness = machines_by_role(core)
     for machine in core.machines.values():
-        core.end(machine, back_s=60.0)
+        core.end(machine, restart_s=60.0)
     core.start(first)
     run_for(core, 0.2)  # the machine has requested votes while no other machine was running
     core.start(witness)
     core.start(replica)
     assert wait_until(core, lambda: core.lease_holder() is not None) < 0.1
-    core.calm_since = core.clock.now
+    core.fault_free_since = core.clock.now
     finish_after(core)
 
 
 @pytest.mark.parametrize("machines", [3, 5])
-@pytest.mark.parametrize("back_s", [0.05, 0.3])
-def test_a_replica_whose_disk_was_lost_has_its_copy_again_though_no_change_comes(machines, back_s):
+@pytest.mark.parametrize("restart_s", [0.05, 0.3])
+def test_a_replica_whose_disk_was_lost_has_its_copy_again_though_no_change_comes(machines, restart_s):
     core = founded_core(machines)
     first, replica, _ = machines_by_role(core)
-    core.end(replica, power=True, wipe=True, back_s=back_s)
+    core.end(replica, power=True, wipe=True, restart_s=restart_s)
     run_for(core, 3.0)
     holders = [core.machines[a] for a in core.leader().node.view.replica_set]
     assert len(holders) == core.tolerance + 1 and all(m.disk.item("config")["v"] == 1 for m in holders)
-    core.end(first, power=True, wipe=True, back_s=1.0)
+    core.end(first, power=True, wipe=True, restart_s=1.0)
     core.operators.read()
     finish_after(core)
 
@@ -133,10 +133,10 @@
 def test_a_replica_whose_disk_refused_a_change_has_its_copy_again_though_no_change_comes():
     core = founded_core()
     first, replica, witness = machines_by_role(core)
-    core.end(witness, back_s=20.0)
+    core.end(witness, restart_s=20.0)
     replica.disk.full_until = core.clock.now + 0.5
     put_configuration(core, [first.address])
     run_for(core, 4.0)
     assert replica.disk.item("config")["v"] == 2
-    core.disturb(core.clock.now)
+    core.extend_fault_period(core.clock.now)
     finish_after(core)
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -6,7 +6,7 @@
 def test_an_evacuation_is_begun_and_ended_by_two_operators_across_a_take_over():
     core = founded_core()
     core.operators.evacuate("b", True)
-    core.end(core.leader(), back_s=3.0)
+    core.end(core.leader(), restart_s=3.0)
     run_for(core, 2.0)
     core.operators.evacuate("b", False)
     run_for(core, 2.0)
@@ -23,7 +23,7 @@
         core.operators.put(2, "x")
         core.operators.put(2, "y")
         run_for(core, 0.002 * seed)
-        core.end(core.leader() or core.machines["10.0.0.1"], back_s=1.0)
+        core.end(core.leader() or core.machines["10.0.0.1"], restart_s=1.0)
         run_for(core, 3.0)
         finish_after(core)
 
@@ -35,6 +35,6 @@
         put_configuration(core)
         put_configuration(core)
         run_for(core, 0.3)
-        core.end(core.leader(), back_s=1.0)
+        core.end(core.leader(), restart_s=1.0)
         wait_until_acknowledged(core, core.version, timeout_s=8.0)
         finish_after(core)
--- a/tests/control/test_partitions.py
+++ b/tests/control/test_partitions.py
@@ -22,7 +22,7 @@
     core = founded_core()
     roles = machines_by_role(core)
     core.links.partition(roles[pair[0]].address, roles[pair[1]].address, 5.0, both=False)
-    core.disturb(core.clock.now + 5.0)
+    core.extend_fault_period(core.clock.now + 5.0)
     run_for(core, 2.5)
     # Two of three machines that hear each other are enough.
     wait_until_acknowledged(core, put_configuration(core), timeout_s=3.0)
@@ -33,7 +33,7 @@
     core = founded_core()
     first, _, _ = machines_by_role(core)
     first.disk.stalled_until = core.clock.now + 3.0
-    core.disturb(core.clock.now + 3.0)
+    core.extend_fault_period(core.clock.now + 3.0)
     core.version = 3
     core.operators.put(2, "x2", [first.address])
     run_for(core, 2.0)
@@ -48,7 +48,7 @@
     first, replica, witness = machines_by_role(core)
     for other in (replica, witness):
         core.links.partition(first.address, other.address, 4.0)
-    core.disturb(core.clock.now + 4.0)
+    core.extend_fault_period(core.clock.now + 4.0)
     run_for(core, 2.0)
     wait_until_acknowledged(core, put_configuration(core, [replica.address, witness.address]), timeout_s=1.0)
     core.operators.read([first.address])  # if it answered, the rule checker would report the old number
@@ -65,7 +65,7 @@
     for other in others:
         a, b = (other, first) if direction == "in" else (first, other)
         core.links.partition(a.address, b.address, 20.0, both=direction == "both")
-    core.disturb(core.clock.now + 20.0)
+    core.extend_fault_period(core.clock.now + 20.0)
     begin = core.clock.now
     for number in range(2, 20):
         core.version = number
@@ -84,7 +84,7 @@
     core = founded_core(machines)
     first = core.leader()
     first.frozen_until = core.clock.now + 20.0
-    core.disturb(first.frozen_until)
+    core.extend_fault_period(first.frozen_until)
     others = [m.address for m in core.machines.values() if m is not first]
     for number in range(2, 20):
         core.version = number
@@ -101,7 +101,7 @@
 def test_the_lease_of_a_new_leader_is_no_longer_than_its_voters_guard_it():
     core = founded_core()
     first, replica, witness = machines_by_role(core)
-    core.end(first, back_s=10.0)
+    core.end(first, restart_s=10.0)
     wait_until(core, lambda: witness.disk.position.epoch == 2)  # its acknowledgement is in transit
     replica.disk.stalled_until = core.clock.now + 0.75
     wait_until(core, lambda: replica.node.leadership is not None)
@@ -118,7 +118,7 @@
     first = core.leader()
     for other in core.machines.values():
         core.links.partition(first.address, other.address, 3.0)
-    core.disturb(core.clock.now + 3.0)
+    core.extend_fault_period(core.clock.now + 3.0)
     for _ in range(40):
         core.operators.read([first.address])  # the rule checker reports an answer without contact
         run_for(core, 0.05)
@@ -132,7 +132,7 @@
         first = core.leader()
         run_for(core, 0.01 * step)
         first.frozen_until = core.clock.now + 0.85 + 0.05 * step
-        core.disturb(first.frozen_until)
+        core.extend_fault_period(first.frozen_until)
         core.operators.read([first.address])
         run_for(core, 0.5)
         core.operators.read([first.address])
@@ -147,7 +147,7 @@
         put_configuration(core, [first.address])
         run_for(core, 0.001)  # the change is in transit to the replica
         first.frozen_until = core.clock.now + 0.72 + 0.01 * step
-        core.disturb(first.frozen_until)
+        core.extend_fault_period(first.frozen_until)
         run_for(core, 1.0)  # the rule checker reports an acknowledgement without contact
         finish_after(core)
 
@@ -165,7 +165,7 @@
     first, replica, witness = machines_by_role(core)
     put_configuration(core, [first.address])
     wait_until(core, lambda: replica.disk.item("config")["v"] == 2)
-    core.end(first, back_s=10.0)  # before it can publish the change
+    core.end(first, restart_s=10.0)  # before it can publish the change
     assert [c.subscriber.state.value("config")["v"] for c in core.clients.clients.values()] == [1, 1]
     wait_until(core, lambda: witness.disk.position.epoch == 2)
     replica.disk.stalled_until = core.clock.now + 0.75
@@ -180,7 +180,7 @@
     core = founded_core()
     first, replica, _ = machines_by_role(core)
     first.frozen_until = core.clock.now + 2.5
-    core.disturb(first.frozen_until)
+    core.extend_fault_period(first.frozen_until)
     core.version = 2
     core.operators.put(2, "c2", [first.address])
     core.operators.put(2, "c2", [replica.address])
@@ -192,7 +192,7 @@
     core = founded_core()
     first, _, _ = machines_by_role(core)
     first.disk.full_until = core.clock.now + 4.0
-    core.disturb(first.disk.full_until)
+    core.extend_fault_period(first.disk.full_until)
     number = put_configuration(core)
     run_for(core, 4.0)
     assert core.history.acknowledged == number and core.leader() is not first
--- a/tests/control/test_replication.py
+++ b/tests/control/test_replication.py
@@ -59,15 +59,15 @@
 def test_a_member_that_was_away_for_a_thousand_changes_catches_up_while_they_go_on():
     core = founded_core()
     _, replica, _ = machines_by_role(core)
-    core.end(replica, back_s=25.0)
+    core.end(replica, restart_s=25.0)
     for _ in range(1000):
         put_configuration(core, [core.leader().address] if core.leader() else None)
         run_for(core, 0.02)
-        if core.clock.now > core.calm_since and replica.node is None:
+        if core.clock.now > core.fault_free_since and replica.node is None:
             core.start(replica)
     wait_until(core, lambda: replica.node is not None, timeout_s=30.0)
     others = [m for m in core.machines.values() if m not in (replica, core.leader())]
-    core.end(others[0], back_s=60.0)  # so that the returned machine must hold the second copy
+    core.end(others[0], restart_s=60.0)  # so that the returned machine must hold the second copy
     begin = core.clock.now
     while core.clock.now < begin + 3.0:
         put_configuration(core)
@@ -75,7 +75,7 @@
     assert core.history.acknowledged > core.version - 60
     assert replica.disk.item("config")["v"] > core.version - 60
     core.start(others[0])
-    core.calm_since = core.clock.now
+    core.fault_free_since = core.clock.now
     finish_after(core)
 
 
@@ -103,16 +103,16 @@
     for seed in range(4):
         core = founded_core(seed=seed)
         first, replica, witness = machines_by_role(core)
-        core.end(replica, power=True, back_s=60.0)
+        core.end(replica, power=True, restart_s=60.0)
         wait_until(core, lambda w=witness, c=core: c.leader() and w.address in c.leader().node.view.replicas)
         for _ in range(3):
             put_configuration(core, [first.address])
         run_for(core, after)
         for machine in (first, witness):
-            core.end(machine, power=True, back_s=0.2 + 0.2 * core.rng.random())
+            core.end(machine, power=True, restart_s=0.2 + 0.2 * core.rng.random())
         core.operators.read()
         core.start(replica)
-        core.calm_since = core.clock.now
+        core.fault_free_since = core.clock.now
         finish_after(core)
 
 
@@ -124,14 +124,14 @@
     core.operators.evacuate("q", True)
     wait_until(core, lambda: one.disk.item("evac:q") is not None)
     core.operators._evacuations[-1].done = True  # the operator does not repeat the order
-    core.end(first, power=True, back_s=30.0)
+    core.end(first, power=True, restart_s=30.0)
     one.frozen_until = core.clock.now + 2.0
     wait_until(core, lambda: core.lease_holder() is other)  # the new leader has never received the change
     core.operators.evacuate("r", True)  # this change gets the same number
     wait_until(core, lambda: core.history.evacuated.get("r") is True)
     run_for(core, 2.0)
     for replica in other.node.view.replicas:
-        core.end(core.machines[replica], power=True, back_s=8.0)
+        core.end(core.machines[replica], power=True, restart_s=8.0)
     wait_until(core, lambda: core.lease_holder() is other and one.address in other.node.view.replicas)
     assert one.disk.items == other.disk.items
     finish_after(core)
--- a/tests/control/test_singleton_roles.py
+++ b/tests/control/test_singleton_roles.py
@@ -23,7 +23,7 @@
     assert witness.service.receive(core.time(witness), "f9", REQUEST) != []
     for other in core.machines.values():
         core.links.partition(witness.address, other.address, 5.0, both=direction == "both")
-    core.disturb(core.clock.now + 5.0)
+    core.extend_fault_period(core.clock.now + 5.0)
     run_for(core, 2.5)
     assert witness.service.receive(core.time(witness), "f9", REQUEST) == []
     finish_after(core)
--- a/tests/simnet/test_search.py
+++ b/tests/simnet/test_search.py
@@ -13,7 +13,7 @@
     assert worlds["calm"].acknowledged == 0 and worlds["calm"].lease_holder()
     assert worlds["acknowledged"].acknowledged == 1 and worlds["acknowledged"].lease_holder()
     assert worlds["taking over"].lease_holder() is None
-    assert LEARNER in worlds["exchanging"].nodes and worlds["exchanging"].gone
+    assert LEARNER in worlds["exchanging"].nodes and worlds["exchanging"].removed
 
 
 @pytest.mark.parametrize(
@@ -22,7 +22,7 @@
 )
 def test_no_order_of_events_breaks_a_rule(beginning, depth, least):
     result = search(depth, beginning=beginning)
-    assert result.steps is None, (result.why, result.steps)
+    assert result.steps is None, (result.violation, result.steps)
     assert result.depth == depth and result.states >= least
 
 
@@ -36,4 +36,4 @@
 
     monkeypatch.setattr(Replication, "begin_change", begin_change_as_replicated)
     result = search(4)
-    assert result.steps is not None and "LOST" in result.why
+    assert result.steps is not None and "LOST" in result.violation
--- a/tests/simnet/test_system.py
+++ b/tests/simnet/test_system.py
@@ -10,7 +10,7 @@
 from simnet.errors import RuleViolationError
 from simnet.system.days import Day, PlannedWork, draw, play, run
 from simnet.system.faults import Fault, FaultInjector, FaultKind
-from simnet.system.rules import CONTACT_S
+from simnet.system.rules import FAULT_FREE_S
 from simnet.system.topology import CORES, TOLERANCE
 from simnet.system.world import World
 from thistleusher.common.quota_timing import ALLOWED
@@ -30,13 +30,13 @@
         run(seed)
 
 
-SLOW_AND_HASTY = Day([Fault(6.0, FaultKind.SLOW, 6.0), Fault(6.5, FaultKind.CLIENTS_LEAVE, 6.0)], [])
+SLOW_BACKENDS_AND_LEAVING_CLIENTS = Day([Fault(6.0, FaultKind.SLOW, 6.0), Fault(6.5, FaultKind.CLIENTS_LEAVE, 6.0)], [])
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_nothing_goes_on_for_clients_that_leave_slow_backends(seed):
     world = World(seed)
-    play(world, SLOW_AND_HASTY)
+    play(world, SLOW_BACKENDS_AND_LEAVING_CLIENTS)
     assert world.rules.left_count > 200
 
 
@@ -119,7 +119,7 @@
     for seed in range(3):
         world = calm(seed)
         world.platform.calls_to_lose = 1
-        world.clock.run(world.clock.now + CONTACT_S)
+        world.clock.run(world.clock.now + FAULT_FREE_S)
         world.drain_backend()
         world.clock.run(world.clock.now + 8.0)
         assert sum(backend.draining_since is not None for backend in world.backends.by_name.values()) == 1
