--- a/simnet/__main__.py
+++ b/simnet/__main__.py
@@ -87,14 +87,14 @@
 def _replay(world: World, seed: int) -> int:
     """Run one seed and print its log."""
     try:
-        played = world.run(seed)
+        result = world.run(seed)
     except RuleViolationError as violation:
         print("\n".join(getattr(violation, "__notes__", [])))
         print(f"seed {seed}: {violation}")
         for fault in world.shrink(seed):
             print(f"  {fault}")
         return 1
-    print("\n".join(played.log))
+    print("\n".join(result.log))
     return 0
 
 
--- a/simnet/core/cluster.py
+++ b/simnet/core/cluster.py
@@ -214,10 +214,7 @@
         self.clock.later(TERMINATION_GRACE_S, end)
 
     def remove(self, machine: Machine) -> None:
-        """Remove a machine for good, with its disk.
-
-        The disk is used again only if a fault brings the machine back.
-        """
+        """Remove a machine for good; its disk is used again only if a fault restarts the removed machine."""
         self.end(machine, power=True)
         machine.removed = True
 
--- a/simnet/core/machine.py
+++ b/simnet/core/machine.py
@@ -28,9 +28,8 @@
         self.service: ControlService | None = None
         self.incarnation = 0  # incremented at every start and every end of its process
         self.removed = False  # removed, or terminated in order to be removed
-        self.powered_off = (
-            False  # without power: it does not answer, whereas it refuses connections if only its process has ended
-        )
+        # A machine without power does not answer; one whose process has ended refuses connections.
+        self.powered_off = False
         self.terminating = False  # SIGTERM was sent and the process still runs
         self.frozen_until = 0.0
         self.slow_until = 0.0
--- a/simnet/core/runner.py
+++ b/simnet/core/runner.py
@@ -73,9 +73,8 @@
         """Tick a machine's process now and, for the rest of its incarnation, every `TICK_S`."""
         if machine.incarnation != incarnation or machine.node is None:
             return
-        if (
-            machine.frozen_until > self._clock.now
-        ):  # after a freeze, the tick runs before the queued inputs or between them
+        # After a freeze, the tick runs before the queued inputs or between them.
+        if machine.frozen_until > self._clock.now:
             self._clock.at(machine.frozen_until, lambda: self._tick_at_once(machine, incarnation))
             return
         self.submit(machine, lambda service, now: service.tick(now))
--- a/simnet/core/runs.py
+++ b/simnet/core/runs.py
@@ -38,7 +38,7 @@
         cluster.operators.read()
 
 
-def play(cluster: Cluster, day: Day) -> None:
+def run_day(cluster: Cluster, day: Day) -> None:
     """Run a day to its end. Raises RuleViolationError as soon as a rule is broken."""
     injector = FaultInjector(cluster, day.strict)
 
@@ -109,7 +109,7 @@
         day = day._replace(faults=list(faults))
     cluster = Cluster(seed, day.machines, slow=day.slow)
     try:
-        play(cluster, day)
+        run_day(cluster, day)
     except RuleViolationError as violation:
         violation.add_note("\n".join([*cluster.log[-LOG_LINES:], f"{cluster.clock.now:8.3f} broken"]))
         raise
--- a/simnet/search/starting_points.py
+++ b/simnet/search/starting_points.py
@@ -12,7 +12,7 @@
 SETTLE_S = 6.0  # maximum simulated time to reach a starting point
 
 
-def drive(world: SmallWorld, until: Callable[[SmallWorld], bool]) -> SmallWorld:
+def run_until(world: SmallWorld, until: Callable[[SmallWorld], bool]) -> SmallWorld:
     """Run a world, with all events in the order in which they were caused, until a condition holds.
 
     Raises AssertionError if it does not hold within `SETTLE_S`.
@@ -36,14 +36,14 @@
         settled = world.lease_holder() is not None and world.now > START_TIME + 2.0
         return settled and next(world.due(), None) is None
 
-    return drive(SmallWorld(), is_calm)
+    return run_until(SmallWorld(), is_calm)
 
 
 def acknowledged() -> SmallWorld:
     """Return a world in which a change has just been acknowledged."""
     world = calm()
     world.step(Step(StepKind.CHANGE, (world.lease_holder() or "",)))
-    return drive(world, lambda w: w.acknowledged == 1)
+    return run_until(world, lambda w: w.acknowledged == 1)
 
 
 def _in_flight(world: SmallWorld, wanted: type[AnyMessage]) -> list[AnyMessage]:
@@ -60,7 +60,7 @@
     for other in world.nodes:  # the restarted leader stays partitioned
         if other != leader:
             world.cut |= {(leader, other), (other, leader)}
-    return drive(world, lambda w: bool(_in_flight(w, VoteRequest)))
+    return run_until(world, lambda w: bool(_in_flight(w, VoteRequest)))
 
 
 def exchanging() -> SmallWorld:
@@ -74,7 +74,7 @@
         records = [m for m in _in_flight(w, RecordView) if isinstance(m, RecordView)]
         return any(LEARNER in record.view.voters for record in records)
 
-    return drive(world, is_exchanging)
+    return run_until(world, is_exchanging)
 
 
 STARTING_POINTS: dict[str, Callable[[], SmallWorld]] = {
--- a/simnet/system/days.py
+++ b/simnet/system/days.py
@@ -65,7 +65,7 @@
     return Day(faults, sorted(planned))
 
 
-def play(world: World, day: Day) -> None:
+def run_day(world: World, day: Day) -> None:
     """Run a day: the first configuration, traffic with faults and planned work, recovery, and the final check.
 
     Raises RuleViolationError as soon as a rule is broken.
@@ -78,11 +78,11 @@
     _schedule(world, day.planned)
     ends = [fault.at + fault.duration_s for fault in day.faults]
     times = [work.at for work in day.planned]
-    calm_from = max([MIN_DAY_S, *ends, *times]) + FAULT_FREE_S + RECOVERY_S
-    world.clock.run(calm_from)
+    measurement_from = max([MIN_DAY_S, *ends, *times]) + FAULT_FREE_S + RECOVERY_S
+    world.clock.run(measurement_from)
     world.clients.limited_share = CALM_LIMITED_SHARE
     world.rules.reset_counts()
-    world.clock.run(calm_from + MEASUREMENT_S)
+    world.clock.run(measurement_from + MEASUREMENT_S)
     _check_recovery(world)
 
 
@@ -119,7 +119,7 @@
         day = day._replace(faults=list(faults))
     world = World(seed)
     try:
-        play(world, day)
+        run_day(world, day)
     except RuleViolationError as violation:
         violation.add_note("\n".join([*world.log, f"at {world.clock.now:.3f}"]))
         raise
--- a/tests/compatibility/test_simulated_runs.py
+++ b/tests/compatibility/test_simulated_runs.py
@@ -32,7 +32,7 @@
 
 def play_clients_that_stay(seed: int) -> None:
     """Play a seed's day of the system as release 0.2 has it, where no client leaves."""
-    days.play(World(seed, leave_share=0.0), days.draw(seed, FORMER_FAULTS))
+    days.run_day(World(seed, leave_share=0.0), days.draw(seed, FORMER_FAULTS))
 
 
 WORLDS = {"core": simnet.core.runs.run, "system": play_clients_that_stay, "leaving clients": days.run}
--- a/tests/simnet/test_system.py
+++ b/tests/simnet/test_system.py
@@ -8,7 +8,7 @@
 import pytest
 
 from simnet.errors import RuleViolationError
-from simnet.system.days import Day, PlannedWork, draw, play, run
+from simnet.system.days import Day, PlannedWork, draw, run, run_day
 from simnet.system.faults import Fault, FaultInjector, FaultKind
 from simnet.system.rules import FAULT_FREE_S
 from simnet.system.topology import CORES, TOLERANCE
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_nothing_goes_on_for_clients_that_leave_slow_backends(seed):
     world = World(seed)
-    play(world, SLOW_BACKENDS_AND_LEAVING_CLIENTS)
+    run_day(world, SLOW_BACKENDS_AND_LEAVING_CLIENTS)
     assert world.rules.left_count > 200
 
 
@@ -46,7 +46,7 @@
     assert draw(5) == draw(5)
 
 
-def calm(seed: int = 1) -> World:
+def world_in_service(seed: int = 1) -> World:
     """Return a world in service, with one configuration in force everywhere."""
     world = World(seed)
     world.clock.at(2.0, lambda: world.operator.put_configuration(1))
@@ -56,7 +56,7 @@
 
 
 def test_a_proxy_that_starts_while_the_core_is_down_is_handed_what_it_needs():
-    world = calm()
+    world = world_in_service()
     for process in list(world.processes.values()):
         if process.machine in CORES:
             world.stop(process, 60.0)
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("wiped", sorted(CORES))
 def test_a_disk_is_lost_while_all_other_machines_lose_power_and_what_was_acknowledged_is_kept(wiped):
     """Proxies lose power too, which the tolerance does not cover; their state is restored from the remaining disks."""
-    world = calm()
+    world = world_in_service()
     world.operator.put_configuration(2)
     while world.rules.acknowledged.version < 2:
         world.clock.run(world.clock.now + 0.001)
@@ -89,7 +89,7 @@
 
 
 def test_a_region_that_is_cut_off_serves_on_by_its_shares():
-    world = calm()
+    world = world_in_service()
     FaultInjector(world).inject(FaultKind.REGION_CUT, 8.0)
     world.clock.run(world.clock.now + 3.0)
     world.rules.reset_counts()
@@ -98,7 +98,7 @@
 
 
 def test_changes_that_follow_each_other_at_once_reach_every_proxy_whole():
-    world = calm()
+    world = world_in_service()
     leader = next(p for p in world.processes.values() if p.kind == "control" and p.service.node.leadership is not None)
     for number in range(8):  # each but the first waits until the one before it is stored
         item = {f"evac:far{number}": {"on": True, "n": 1}}
@@ -117,7 +117,7 @@
     Without any fault, the backend list then no longer changes, and DRAIN is broken.
     """
     for seed in range(3):
-        world = calm(seed)
+        world = world_in_service(seed)
         world.platform.calls_to_lose = 1
         world.clock.run(world.clock.now + FAULT_FREE_S)
         world.drain_backend()
@@ -127,7 +127,7 @@
 
 def test_a_long_calm_day_of_changes_and_replaced_backends_breaks_no_rule():
     """Hundreds of configuration changes, and a backend list that changes between the calls for its pages."""
-    world = calm()
+    world = world_in_service()
     for n in range(240):
         world.clock.at(6.1 + 0.4 * n, partial(world.operator.put_configuration, n + 2))
     for n in range(45):
@@ -196,7 +196,7 @@
     monkeypatch.setattr(*patch)
     with pytest.raises(RuleViolationError, match=rule):
         for seed in range(6):
-            play(World(seed), day)
+            run_day(World(seed), day)
 
 
 def test_a_seed_plays_the_same_day_in_every_process():
