--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Finds what fixed seeds do not: fresh seeds, random fault scripts on real fleets, and bytes from outside, in parallel.
+"""Random testing with fresh seeds: fault scripts on real fleets, mutated input bytes and randomized tests, in parallel.
 
-`python -m soak` promises a seed and a file for every failure, cut down to few faults and a small fleet, that `--replay`
-plays again; what it has found stands in `tests/regressions/`.
+For each failure, `python -m soak` prints a seed and writes a file with a minimized case, which `--replay` runs again.
+Failures found earlier are kept in `tests/regressions/`.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays fresh random cases for a while, or one that was kept."""
+"""Runs new random cases for a given time, or replays a stored case."""
 
 from __future__ import annotations
 
@@ -16,18 +16,28 @@
 def parser() -> argparse.ArgumentParser:
     """Return the command line's parser."""
     p = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
-    p.add_argument("--minutes", type=float, default=5.0, help="for how long new cases begin (default 5)")
-    p.add_argument("--seed", type=int, help="of all that is drawn (default: a fresh one, which is printed)")
-    p.add_argument("--workers", type=int, default=os.cpu_count() or 1, help="cases at a time (default: the cores)")
-    p.add_argument("--only", choices=KINDS, action="append", help="this kind alone; may be given again")
+    p.add_argument("--minutes", type=float, default=5.0, help="time during which new cases are started (default 5)")
+    p.add_argument("--seed", type=int, help="seed of all random draws (default: a new one, which is printed)")
+    p.add_argument(
+        "--workers",
+        type=int,
+        default=os.cpu_count() or 1,
+        help="number of cases run concurrently (default: number of cores)",
+    )
+    p.add_argument("--only", choices=KINDS, action="append", help="run cases of this kind only; may be repeated")
     p.add_argument("--go-on", action="store_true", help="do not stop at the first failure")
-    p.add_argument("--folder", type=Path, default=Path("soak-found"), help="for what is found (default soak-found)")
-    p.add_argument("--replay", metavar="FILE", help="play one kept case")
+    p.add_argument(
+        "--folder",
+        type=Path,
+        default=Path("soak-found"),
+        help="folder for the files of failed cases (default soak-found)",
+    )
+    p.add_argument("--replay", metavar="FILE", help="run one stored case")
     return p
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """0: nothing found; 1: something was; 2: it cannot be played."""
+    """Run the command; return 0 if no case failed, 1 if one failed, 2 if the command cannot start."""
     args = parser().parse_args(argv)
     if args.replay:
         try:
--- a/soak/case.py
+++ b/soak/case.py
@@ -1,6 +1,6 @@
-"""A case: one thing to play, as a small JSON file that can be kept, replayed and cut down.
+"""Test cases, stored as small JSON files that can be replayed and minimized.
 
-Every case is drawn from its seed alone, so that a printed seed is as good as the file.
+Each case is drawn from its seed alone, so that the seed is enough to reproduce it.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 
 
 class CaseError(Exception):
-    """What is wrong with a case's file: path, key, what was expected."""
+    """The file of a case is invalid; the message names the path, the key and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """`kind` names the part that plays it; `size` is that part's own, all plain numbers, strings and lists."""
+    """A test case. `kind` selects the runner; `size` holds its parameters as JSON values."""
 
     kind: str
     seed: int
     size: dict[str, Any] = field(default_factory=dict)
 
     def but(self, **changes: Any) -> Case:
-        """Return the same with another size."""
+        """Return the case with changed parameters in `size`."""
         return replace(self, size={**self.size, **changes})
 
     def write(self, path: Path, why: str) -> None:
-        """Keep it, with what it showed."""
+        """Write the case to a file, with the failure that it showed."""
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(json.dumps({**asdict(self), "found": why}, indent=1) + "\n", encoding="utf-8")
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a case ended: `why` is empty where nothing is wrong. `part` names the check that found it."""
+    """The result of a case: `why` describes the failure and is empty for none; `part` names the check that failed."""
 
     why: str = ""
     part: str = ""
-    count: int = 1  # of what was tried within it: requests, schedules, inputs
+    count: int = 1  # number of requests, schedules or inputs that the case tried
 
 
 def read_case(path: str | Path) -> Case:
--- a/soak/client_reader.py
+++ b/soak/client_reader.py
@@ -1,4 +1,4 @@
-"""The ingress's reader of clients' bytes, with an ingress behind it that serves whatever it takes."""
+"""Check of the reader of client bytes, with an ingress that answers each accepted request with 200."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _Decided:
-    """An ingress that serves whatever it takes, at once."""
+    """An ingress that answers each request immediately with status 200."""
 
     def __init__(self, parsed: Settings) -> None:
         self.settings, self.serving, self.driver = parsed, {"b"}, self
@@ -32,7 +32,7 @@
 
 
 class _Answers:
-    """Reads what a client would read."""
+    """Parses the responses as a client does, and collects their statuses."""
 
     def __init__(self) -> None:
         self.statuses: list[int] = []
@@ -43,7 +43,7 @@
 
 
 def request(data: bytes, rng: random.Random) -> Hashable:
-    """Read a client's bytes, on one connection; return what came of them."""
+    """Feed client bytes to one connection; return the first statuses and whether further input is discarded."""
     parsed = shared_settings()
 
     async def main() -> Hashable:
@@ -53,7 +53,7 @@
         connection.connection_made(transport)  # type: ignore[arg-type]
         await _feed(connection, transport, chunks(data, rng))
         if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
-            raise RuleBrokenError("holds more than its limits")
+            raise RuleBrokenError("connection buffers more than its limits")
         statuses = _statuses(bytes(transport.written))
         if statuses.count(200) < len(ingress.taken) and not connection.closing:
             raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {statuses}")
@@ -67,7 +67,7 @@
 
 
 async def _feed(connection: ClientConnection, transport: Transport, parts: Iterable[bytes]) -> None:
-    """Give a connection its bytes until it closes, and let the requests in its queue run."""
+    """Feed a connection until it closes, and let the requests in its queue run."""
     for part in parts:
         if transport.closed or connection.closing:
             break
@@ -78,19 +78,19 @@
 
 
 def _statuses(written: bytes) -> list[int]:
-    """Return the statuses of the answers. Raises RuleBrokenError where no client can read them, and for a 500."""
+    """Return the statuses of the answers. Raises RuleBrokenError if a client cannot parse them, or for a 500."""
     client = _Answers()
     try:
         client.parser.feed_data(written)
     except httptools.HttpParserError as error:
-        raise RuleBrokenError(f"answers that no client can read: {error}: {written[-200:]!r}") from error
+        raise RuleBrokenError(f"answers cannot be parsed by a client: {error}: {written[-200:]!r}") from error
     if 500 in client.statuses:
-        raise RuleBrokenError("a client's bytes were answered 500")
+        raise RuleBrokenError("client bytes were answered with status 500")
     return client.statuses
 
 
 def _check_taken(call: Any, parsed: Settings) -> None:
-    """Raise RuleBrokenError where a request was taken that cannot be meant, or is passed on as another."""
+    """Raise RuleBrokenError if an accepted request has invalid values or is forwarded as a different one."""
     r = call.request
     if not (
         0 < r.units <= parsed.max_units
@@ -99,7 +99,7 @@
         and r.plan in {p.name for p in parsed.plans}
         and 1 <= r.width <= parsed.instances
     ):
-        raise RuleBrokenError(f"taken as it cannot be meant: {r!r}")
+        raise RuleBrokenError(f"request accepted with invalid values: {r!r}")
     head, _, rest = call.message(1.0).partition(b"\r\n\r\n")
     if rest != call.body or b"\0" in head or b"\n" in head.replace(b"\r\n", b""):
-        raise RuleBrokenError(f"passed on as another: {call.message(1.0)[:300]!r}")
+        raise RuleBrokenError(f"request forwarded as a different one: {call.message(1.0)[:300]!r}")
--- a/soak/file_readers.py
+++ b/soak/file_readers.py
@@ -1,4 +1,4 @@
-"""The readers of files: configurations, lists of counters, fault scripts, records, cases."""
+"""Checks of the readers of files: configurations, lists of counters, fault scripts, records and cases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def file_check(read: Callable[[str], object], plain: type[Exception]) -> Check:
-    """Return the check of a reader of files, which may refuse one by its plain error, in one line that names it."""
+    """Return the check of a file reader.
+
+    The reader may reject a file only with an error of type `plain`, whose text is one line that names the file.
+    """
 
     def check(data: bytes, rng: random.Random) -> Hashable:
         path = Path(shared_folder()) / f"input-{os.getpid()}"
@@ -25,7 +28,7 @@
         except plain as error:
             text = str(error)
             if "\n" in text.strip() or path.name not in text:
-                raise RuleBrokenError(f"an error that does not name the file in one line: {text!r}") from error
+                raise RuleBrokenError(f"error does not name the file in one line: {text!r}") from error
             return text.rpartition(path.name)[2][:40]
         return "read"
 
@@ -33,20 +36,20 @@
 
 
 def read_configuration_file(path: str) -> None:
-    """Read an ingress's configuration, and make its decisions by it."""
+    """Read an ingress's configuration, and build the ingress's gateway from it."""
     config = read_config({"PROXY_CONFIG": path})
     make_gateway(config.settings, config.seed, 5000.0)
 
 
 def read_script_file(path: str) -> None:
-    """Read a fault script. Raises RuleBrokenError where its figures cannot be meant."""
+    """Read a fault script. Raises RuleBrokenError if it accepts a number out of range."""
     for fault in read_script(path):
         if not all(0 <= figure < 1e300 for figure in (fault.at, fault.lasts, fault.value)):
-            raise RuleBrokenError(f"taken as it cannot be meant: {fault!r}")
+            raise RuleBrokenError(f"fault accepted with a number out of range: {fault!r}")
 
 
 def records(data: bytes, rng: random.Random) -> Hashable:
-    """Read a file of records; return how many it has, or the error."""
+    """Read a file of records; return their number, or the error."""
     try:
         return len(read_records(data.decode("utf-8", "replace").splitlines(), "file"))
     except ValueError as error:
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -1,6 +1,7 @@
-"""Random fault scripts on real fleets of processes, judged by the auditor and by what the processes say of themselves.
+"""Random fault scripts on real fleets, checked by the auditor and by the logs and resource use of the processes.
 
-The bound on quotas and ceilings is that of `thistleusher.quota.bound` for what the script does: loss, delay, restarts.
+Quotas and ceilings are checked against the bound of `thistleusher.quota.bound` for the loss, delay and restarts that
+the script causes.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
 from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumptions, bound_of
 
-LATE_S = 0.15  # that a busy machine may add to a datagram's way
-JOINT_S = 2.0  # restarts of ingresses within it may be of all at once
+LATE_S = 0.15  # delay that a busy machine may add to a datagram
+JOINT_S = 2.0  # per ingress: restarts within this time may have left all ingresses down at once
 VALUES = {
     "counter.lose": (0.05, 0.4),
     "counter.spoil": (0.05, 0.4),
@@ -46,13 +47,13 @@
     "ingress.kill",
     "hall.lose",
     "counter.silence",
-)  # where rules are at stake
-GROWTH_MB = 40.0  # of memory over a run, beyond which a process counts as one that grows without end
+)  # drawn more often than the others, since they endanger the rules
+GROWTH_MB = 40.0  # growth of resident memory during a run that is judged as a leak
 MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
 
 
 def draw(seed: int, seconds: float = 6.0) -> Case:
-    """Draw a fleet, its traffic and a script that may overlap itself."""
+    """Draw a fleet, its traffic and a script whose faults may overlap."""
     rng = random.Random(seed)
     ingresses, servers = rng.randint(3, 7), rng.randint(4, 20)
     faults = []
@@ -89,7 +90,7 @@
 
 
 def options_of(case: Case) -> Options:
-    """Return the stand-ins' options for a case, with the errors that are stated for it."""
+    """Return the fleet options of a case, with the bounds that apply under its script."""
     s = case.size
     faults = tuple(
         Fault(float(at), str(do), int(target), float(lasts), float(value))
@@ -115,7 +116,7 @@
 
 
 def rules(o: Options) -> dict[str, PlanRule]:
-    """Each plan with the errors that the bound states under the script."""
+    """Return the plans with the errors that the quota bound allows under the script."""
     ingress_settings, _ = nested_settings(settings(o, 0))
     loss = max((f.value for f in o.faults if f.do == "relay.loss"), default=0.0)
     delay = sum(f.value for f in o.faults if f.do == "relay.delay") + LATE_S
@@ -139,7 +140,7 @@
 
 
 def restarts(o: Options) -> list[Fault]:
-    """Each beginning of an ingress anew, with its number as the target."""
+    """Return the restarts of ingresses that the script causes, with the ingress number as the target."""
     restarted = [f for f in o.faults if f.do.startswith("ingress.")]
     for f in o.faults:
         if f.do == "hall.lose":
@@ -148,7 +149,7 @@
 
 
 def joint(restarted: list[Fault], ingresses: int) -> int:
-    """How often all ingresses may have been down together: every one of them restarted within a short time."""
+    """Return how often all ingresses may have been down at once, since each of them restarted within a short time."""
     count, recent = 0, dict[int, float]()
     for f in sorted(restarted):
         recent[f.target] = f.at
@@ -159,7 +160,10 @@
 
 
 async def play(case: Case) -> Outcome:
-    """Run it; what it shows first: an end of a process, the auditor's rules, status 500, errors logged, growth."""
+    """Run a case and return its first failure.
+
+    The checks, in order: processes that ended, logged errors, the auditor's rules, status 500, memory and descriptors.
+    """
     records = Records()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         async with Fleet(options_of(case), Path(folder), records) as fleet:
@@ -172,7 +176,7 @@
             logs = {i.number: i.log.read_text(errors="replace") for i in fleet.ingresses}
     for number in ended:
         if number not in touched:
-            return Outcome(f"ingress {number} ended by itself: {logs[number][-300:]}", "process", sent)
+            return Outcome(f"ingress {number} ended, but no fault restarted it: {logs[number][-300:]}", "process", sent)
     for number, text in logs.items():
         lines = [line for line in text.splitlines() if " ERROR " in line or "Traceback" in line]
         if lines:
@@ -188,12 +192,12 @@
         if number in before and mb - before[number][0] > GROWTH_MB:
             return Outcome(f"ingress {number} grew from {before[number][0]:.0f} to {mb:.0f} MB", "memory", sent)
         if descriptors > 1024:
-            return Outcome(f"ingress {number} holds {descriptors} descriptors", "descriptors", sent)
+            return Outcome(f"ingress {number} has {descriptors} open descriptors", "descriptors", sent)
     return Outcome(count=sent)
 
 
 def memory(fleet: Fleet) -> dict[int, tuple[float, int]]:
-    """Resident megabytes and open descriptors of each ingress that runs, where the system gives them."""
+    """Return the resident megabytes and open descriptors of each running ingress, if `/proc` provides them."""
     out = {}
     for i in fleet.ingresses:
         if i.process is None or i.process.returncode is not None:
@@ -208,7 +212,7 @@
 
 
 def run(case: Case) -> Outcome:
-    """Play it in a loop of its own; a fleet that does not end is a failure of its own."""
+    """Run a case in a new event loop; a fleet that does not end in time is a failure."""
     limit = float(case.size["seconds"]) + 60.0
 
     async def main() -> Outcome:
@@ -220,13 +224,15 @@
             return asyncio.run(main())
         except TimeoutError as error:
             why = str(error)
-        if "could not bind" not in why:  # else another fleet took a port between its choice and its use
+        if (
+            "could not bind" not in why
+        ):  # otherwise another fleet took a port between its selection and its use: try again
             break
-    return Outcome(f"the fleet did not end within {limit:.0f} s, or an ingress does not come up: {why}", "ends")
+    return Outcome(f"the fleet did not end within {limit:.0f} s, or an ingress did not become ready: {why}", "ends")
 
 
 def smaller(case: Case) -> list[Case]:
-    """Return smaller cases, the largest cuts first: fewer faults, a shorter run, a smaller fleet."""
+    """Return smaller cases, the largest reductions first: fewer faults, a shorter run, a smaller fleet."""
     s: dict[str, Any] = case.size
     faults: list[list[Any]] = s["faults"]
     out = []
--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -1,4 +1,4 @@
-"""Bytes from outside, many a case: what breaks a reader is cut down to the few bytes that do it."""
+"""Mutated input bytes for the readers, many per case; an input that breaks a reader is minimized."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def draw(seed: int, count: int = 1500) -> Case:
-    """So many inputs for one reader."""
+    """Draw a case of `count` inputs for one reader."""
     return Case("bytes", seed, {"target": random.Random(seed).choice(sorted(READERS)), "count": count})
 
 
 def run(case: Case) -> Outcome:
-    """Feed them; a case with `data` (hex) feeds that alone."""
+    """Feed the inputs to the reader; a case with `data` (hex) feeds only that input."""
     target = str(case.size["target"])
     check, given = READERS[target]
     if "data" in case.size:
@@ -34,7 +34,7 @@
 
 
 def fails(target: str, data: bytes, seed: int) -> str:
-    """Return the error of one input, or an empty text."""
+    """Return the error that one input causes, or an empty string."""
     try:
         READERS[target][0](data, random.Random(seed))
     except Exception as error:
@@ -43,7 +43,7 @@
 
 
 def description(error: Exception) -> str:
-    """Return the error and where it came from."""
+    """Format an error with the code location that raised it."""
     if isinstance(error, RuleBrokenError):
         return str(error)
     last = traceback.extract_tb(error.__traceback__)[-1]
@@ -51,7 +51,7 @@
 
 
 def smallest(case: Case, outcome: Outcome) -> Case:
-    """Return the case of the one input that failed, with as few bytes as still bring about an error of that kind."""
+    """Return a case of the failed input alone, reduced to the bytes that still cause an error of the same kind."""
     text = outcome.why.rpartition("; data ")[2]
     if "data" in case.size:
         target, data, seed = str(case.size["target"]), bytes.fromhex(str(case.size["data"])), case.seed
--- a/soak/moments.py
+++ b/soak/moments.py
@@ -1,7 +1,7 @@
-"""The project's tests at moments drawn by seed: no verdict may hang on the hour, in the tests or in the product.
+"""Runs the project's tests at random times of day: no result may depend on the wall-clock time.
 
-A window of the longest plan in the tests lasts 8,000 s, an epoch twice that; a moment is drawn within a day, and the
-wall clock of the test's process and of all that it starts is moved there (`moved/sitecustomize.py`).
+The window of the longest plan in the tests is 8,000 s, and an epoch is twice as long. The clock offset is drawn within
+one day; `moved/sitecustomize.py` applies it to the wall clock of the test process and of all its children.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 DAY_S = 86_400.0
 MOVED = Path(__file__).parent / "moved"
-# Those whose counts and seeds the kind `suite` plays with are left to it; they take all time by hand.
+# Cases of kind `suite` run these tests with varied counts and seeds; the tests pass all times explicitly.
 ELSEWHERE = {
     "tests/quota/test_escrow.py",
     "tests/quota/test_failures.py",
@@ -26,18 +26,18 @@
 
 
 def files() -> list[str]:
-    """All test files that are played, in order."""
+    """Return the test files to run, sorted."""
     return sorted({p.as_posix() for p in Path("tests").rglob("test_*.py")} - ELSEWHERE)
 
 
 def draw(seed: int) -> Case:
-    """Draw a file of tests and a moment."""
+    """Draw a test file and a clock offset."""
     rng = random.Random(seed)
     return Case("moment", seed, {"test": rng.choice(files()), "moved": round(rng.uniform(0.0, DAY_S), 3)})
 
 
 def run(case: Case) -> Outcome:
-    """One run of pytest under the moved clock."""
+    """Run pytest on the test file with the shifted clock."""
     path = os.pathsep.join(filter(None, (str(MOVED), os.environ.get("PYTHONPATH"))))
     env = {**os.environ, "PYTHONPATH": path, "MOVED_CLOCK_S": str(float(case.size["moved"]))}
     try:
@@ -56,5 +56,5 @@
 
 
 def smaller(case: Case) -> list[Case]:
-    """Return the same case without the moved clock, which shows whether the moment matters."""
+    """Return the case without a clock offset, which shows whether the time of day matters."""
     return [case.but(moved=0.0)] if case.size["moved"] else []
--- a/soak/moved/sitecustomize.py
+++ b/soak/moved/sitecustomize.py
@@ -1,6 +1,7 @@
-"""Python imports this by itself where the folder is on its path: the wall clock stands elsewhere, also in children.
+"""Shifts the wall clock of a Python process and its children; imported at start-up if the folder is on `PYTHONPATH`.
 
-Only `time.time` and `time.time_ns` move, by `MOVED_CLOCK_S` seconds; monotonic clocks, and so all delays, stay.
+Only `time.time` and `time.time_ns` are shifted, by `MOVED_CLOCK_S` seconds. Monotonic clocks, and therefore all delays,
+are unchanged.
 """
 
 import os
--- a/soak/mutate.py
+++ b/soak/mutate.py
@@ -1,8 +1,9 @@
-"""Inputs made from good ones: cut, doubled, flipped and spliced, with words that matter to what reads them.
+"""Mutates valid inputs: deletes, duplicates, flips and splices bytes, and inserts tokens with a meaning to readers.
 
-Guided by behaviour in place of coverage: an input that brings about a result not seen before is kept and built upon.
-Weighed: atheris (coverage by instrumentation, a native build for each Python), hypothesis (shrinks well, but no
-feedback, and each reader's grammar has to be written out). The readers are small; what they answer tells them apart.
+The mutation is guided by results instead of code coverage: an input that gives a new result joins the corpus. The
+alternatives were atheris, which needs instrumentation and a native build for each Python, and hypothesis, which shrinks
+well but has no feedback and needs a grammar for each reader. The readers are small enough to be distinguished by their
+results.
 """
 
 from __future__ import annotations
@@ -67,7 +68,7 @@
 
 
 def mutated(rng: random.Random, corpus: Sequence[bytes]) -> bytes:
-    """One input, up to eight changes away from one of the corpus."""
+    """Return an input of the corpus with one to eight mutations."""
     data = bytearray(rng.choice(corpus))
     for _ in range(rng.randint(1, 8)):
         at, to = sorted(rng.randrange(len(data) + 1) for _ in range(2))
@@ -94,7 +95,7 @@
 
 
 def cut_down(data: bytes, fails: Callable[[bytes], bool], tries: int = 600) -> bytes:
-    """Return a smaller input that still fails, by leaving out halves, quarters and so on (Zeller's ddmin)."""
+    """Return a smaller input that still fails, by removing halves, quarters and so on (Zeller's ddmin)."""
     step = max(1, len(data) // 2)
     while tries > 0:
         at, shorter = 0, False
@@ -112,13 +113,13 @@
 
 
 class Corpus:
-    """Inputs worth building upon: the given ones, and each that showed something new."""
+    """The inputs to mutate: the given ones, and up to a limit those that gave a new result."""
 
     def __init__(self, given: Sequence[bytes], most: int = 500) -> None:
         self.inputs, self.seen, self.most = list(given), set[Hashable](), most
 
     def learn(self, data: bytes, shown: Hashable) -> None:
-        """Add an input that showed something new."""
+        """Add an input if its result has not been seen before."""
         if shown not in self.seen:
             self.seen.add(shown)
             if len(self.inputs) < self.most and len(data) < 20_000:
--- a/soak/reader_tools.py
+++ b/soak/reader_tools.py
@@ -1,4 +1,4 @@
-"""What all readers under test share: reads of random lengths, a transport, and what a process keeps between inputs."""
+"""Helpers of the reader checks: random chunks, a transport, and objects that a process shares between inputs."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class RuleBrokenError(AssertionError):
-    """What a reader did that it must not."""
+    """A reader violated one of the rules in `soak.readers`."""
 
 
 def chunks(data: bytes, rng: random.Random) -> list[bytes]:
-    """Return the same bytes, in reads of random lengths."""
+    """Split bytes into chunks of random lengths."""
     out, at = [], 0
     while at < len(data):
         size = rng.choice((1, 7, 100, 1400, 65536)) if len(data) < 4000 else rng.choice((1400, 65536))
@@ -30,20 +30,20 @@
 
 
 class Transport:
-    """What a protocol writes to; it reads nothing."""
+    """A transport that collects the bytes written by a protocol."""
 
     def __init__(self) -> None:
         self.written = bytearray()
         self.closed = self.aborted = False
 
     def write(self, data: bytes) -> None:
-        """Collect what is written. Raises RuleBrokenError after the end."""
+        """Collect the bytes. Raises RuleBrokenError if the transport is closed."""
         if self.closed:
-            raise RuleBrokenError("written to after its end")
+            raise RuleBrokenError("write to a closed transport")
         self.written += data
 
     def close(self) -> None:
-        """End the connection."""
+        """Mark the transport as closed."""
         self.closed = True
 
     abort = write_eof = close
@@ -62,7 +62,7 @@
 
 
 def shared_loop() -> asyncio.AbstractEventLoop:
-    """Return one loop for all inputs of a process."""
+    """Return the event loop that all inputs of a process share."""
     if "loop" not in _shared:
         _shared["loop"] = asyncio.new_event_loop()
     loop: asyncio.AbstractEventLoop = _shared["loop"]
@@ -70,14 +70,14 @@
 
 
 def shared_folder() -> str:
-    """Return one folder for all inputs of a process."""
+    """Return the temporary folder that all inputs of a process share."""
     if "folder" not in _shared:
         _shared["folder"] = tempfile.TemporaryDirectory(prefix="soak-")
     return str(_shared["folder"].name)
 
 
 def shared_settings() -> Settings:
-    """Return the settings that all inputs of a process are read under."""
+    """Return the ingress settings that all inputs of a process share."""
     if "settings" not in _shared:
         _shared["settings"] = nested_settings(settings(Options(), 0))[0]
     found: Settings = _shared["settings"]
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -1,7 +1,8 @@
-"""Everything that reads bytes from outside, each behind one function: bytes in, what was shown out.
+"""All readers of external bytes, each as a check function that takes bytes and returns a hashable result.
 
-A reader may refuse whatever it likes by its own plain error. What it must not do: raise anything else, answer a client
-500, hold more than its limits, promise a client something it cannot read, or let a spoilt message change what is known.
+A reader may reject any input with its documented error. It must not raise another error, answer a client with status
+500, buffer more than its limits, send a client an answer that cannot be parsed, or change state for a malformed
+message.
 """
 
 from __future__ import annotations
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -1,7 +1,7 @@
-"""Plays cases on all cores until the time is up: the first failure, or all of them, cut down and written to files.
+"""Runs cases on all cores until the time is up or the first failure; minimizes failed cases and writes them to files.
 
-Fleets take about two cores each, so fewer of them play at a time than of the rest. A worker is a process of its own:
-what a case leaks or breaks stays in it. A case that does not come back within its limit counts as a failure.
+A fleet takes about two cores, so that fewer fleets than other cases run concurrently. Each worker is a process, which
+isolates leaks and crashes of a case. A case that does not end within its time limit is a failure.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from soak.case import Case, Outcome
 from soak.shrink import shrink
 
-FLEETS = 0.5  # of the workers, that fleets may have at a time, one at least
+FLEETS = 0.5  # maximum fraction of the workers that run fleets; at least one may
 
 
 @dataclass(slots=True)
 class Report:
-    """What a soak came to."""
+    """The result of a soak."""
 
     seed: int
     cases: Counter[str] = field(default_factory=Counter)
@@ -35,7 +35,7 @@
     found: list[tuple[Path, str]] = field(default_factory=list)
 
     def lines(self) -> list[str]:
-        """For people, one fact a line."""
+        """Format the report for humans, one fact per line."""
         out = [f"seed {self.seed}: {self.core_s:.0f} s of worker time"]
         out += [f"  {kind:8} {n:6} cases, {self.counts[kind]:9} tried" for kind, n in sorted(self.cases.items())]
         out += [f"  FOUND {path}: {why.strip().splitlines()[0][:300]}" for path, why in self.found]
@@ -43,9 +43,9 @@
 
 
 def play(case: Case) -> tuple[Outcome, float]:
-    """One case; its outcome and the seconds it took. A fault of the soak itself is an outcome, too."""
+    """Run a case; return its outcome and duration in seconds. An exception of the soak itself is also a failure."""
     began = time.monotonic()
-    logging.disable(logging.CRITICAL)  # spoilt input is logged, by the thousand here
+    logging.disable(logging.CRITICAL)  # thousands of malformed inputs would be logged
     try:
         outcome = {"fleet": fleets.run, "bytes": inputs.run, "suite": suites.run, "moment": moments.run}[case.kind](
             case
@@ -58,8 +58,8 @@
 
 
 def cut(case: Case, outcome: Outcome, tries: int = 40) -> tuple[Case, Outcome]:
-    """Return the smallest case found that fails alike."""
-    if outcome.part in ("soak", "worker"):  # not the program's
+    """Minimize a case; return the smallest one found that fails in the same check, and its outcome."""
+    if outcome.part in ("soak", "worker"):  # not a fault of the program under test
         return case, outcome
     if case.kind == "bytes":
         least = inputs.smallest(case, outcome)
@@ -69,7 +69,7 @@
 
 
 class Soak:
-    """`minutes` of cases drawn from `seed`, by `workers` processes; `kinds` as in `case.KINDS`."""
+    """Runs cases drawn from `seed` for `minutes` in `workers` processes; `kinds` is a subset of `soak.case.KINDS`."""
 
     def __init__(
         self,
@@ -86,10 +86,12 @@
         self.folder, self.go_on, self.say, self.shrinks = folder, go_on, say, shrinks
         self.report = Report(seed)
         self.grow = 1.0
-        self.cutting: dict[Future[Any], tuple[Path, int]] = {}  # cases that are being cut down
+        self.cutting: dict[
+            Future[Any], tuple[Path, int]
+        ] = {}  # cases being minimized: path of the file, and index in the report
 
     def draw(self, fleets_out: int) -> Case | None:
-        """Draw the next case; None where only fleets are asked for and enough of them are running."""
+        """Draw the next case; return None if only fleets are allowed and enough of them are running."""
         may = [k for k in self.kinds if k != "fleet" or fleets_out < max(1, int(FLEETS * self.workers))]
         if not may:
             return None
@@ -103,7 +105,7 @@
         return suites.draw(seed, self.grow)
 
     def run(self) -> Report:
-        """Until the time is up, or the first failure. What is out by then is waited for."""
+        """Run until the time is up or a case fails, then wait for the running cases; return the report."""
         end = time.monotonic() + 60 * self.minutes
         out: dict[Future[Any], Case] = {}
         said = 0.0
@@ -132,14 +134,14 @@
                         + ", ".join(f"{k} {n}" for k, n in sorted(self.report.cases.items()))
                         + f"; found {len(self.report.found)}"
                     )
-                self.grow = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)  # growing counts
+                self.grow = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)  # later cases get larger counts
         return self.report
 
     def take(self, case: Case, future: Future[Any], pool: ProcessPoolExecutor) -> None:
-        """Count a case that has ended; what failed is kept, and cut down while others go on."""
+        """Record the result of a case. A failed case is written to a file and minimized in the background."""
         try:
             outcome, took = future.result()
-        except Exception as error:  # the worker died
+        except Exception as error:  # the worker process died
             outcome, took = Outcome(f"{type(error).__name__}: {error}", "worker"), 0.0
         r = self.report
         r.cases[case.kind] += 1
@@ -148,21 +150,21 @@
         if not outcome.why:
             return
         path = self.folder / f"{case.kind}-{case.seed}.json"
-        case.write(path, outcome.why)  # before it is cut down: that may be ended
+        case.write(path, outcome.why)  # before the minimization, which may be interrupted
         r.found.append((path, outcome.why))
-        self.say(f"found: {path}: {outcome.why.strip().splitlines()[0][:300]}; cutting it down")
+        self.say(f"found: {path}: {outcome.why.strip().splitlines()[0][:300]}; minimizing it")
         if outcome.part != "worker":
             self.cutting[pool.submit(cut, case, outcome, self.shrinks)] = (path, len(r.found) - 1)
 
     def keep(self, path: Path, number: int, future: Future[Any]) -> None:
-        """Put the smallest case that fails alike in the place of the one that was drawn."""
+        """Replace the file of a failed case with the minimized case."""
         try:
             least, why = future.result()
-        except Exception as error:  # the worker died: the case stays as it was
-            self.say(f"{path}: not cut down: {type(error).__name__}: {error}")
+        except Exception as error:  # the worker died: keep the original case
+            self.say(f"{path}: not minimized: {type(error).__name__}: {error}")
             return
         if not why.why:
-            self.say("it does not come again: kept as it was")
+            self.say("failure not reproduced; the original case is kept")
             return
         least.write(path, why.why)
         self.report.found[number] = (path, why.why)
--- a/soak/service_readers.py
+++ b/soak/service_readers.py
@@ -1,4 +1,4 @@
-"""The readers of bytes from backends, the counter, discovery and peers."""
+"""Checks of the readers of bytes from backends, the counter, discovery and peers."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 def answer(data: bytes, rng: random.Random) -> Hashable:
-    """Read a backend's bytes; return whole answers, or the reason why none can be read any more."""
+    """Feed bytes from a backend; return the first statuses, the reader's error and whether an answer is incomplete."""
     reader, whole = ResponseReader(), []
     for part in chunks(data, rng):
         whole += reader.feed(part)
     for a in whole:
         if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
-            raise RuleBrokenError(f"taken as it cannot be meant: {a.status}, {len(a.body)} bytes")
+            raise RuleBrokenError(f"answer accepted with invalid values: status {a.status}, {len(a.body)} bytes")
     if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
-        raise RuleBrokenError("holds more than its limits")
+        raise RuleBrokenError("reader buffers more than its limits")
     return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
 
 
 class _Channel:
-    """What a counter's connection reports to its channel."""
+    """Collects the results that a counter connection reports to its channel."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -46,7 +46,7 @@
 
 
 def counter(data: bytes, rng: random.Random) -> Hashable:
-    """Read the counter's bytes: each call has one verdict in the end, and a total is a number."""
+    """Feed bytes from the counter; check that each call gets exactly one result and that totals are finite numbers."""
 
     async def main() -> Hashable:
         channel = _Channel()
@@ -58,16 +58,16 @@
             link.data_received(part)
         link.connection_lost(None)
         if sorted(name for name, _, _ in channel.reports) != [0, 1, 2]:
-            raise RuleBrokenError(f"three calls, verdicts {channel.reports}")
+            raise RuleBrokenError(f"three calls got the results {channel.reports}")
         if any(not abs(total) < 1e100 for _, _, total in channel.reports):
-            raise RuleBrokenError(f"no total: {channel.reports}")
+            raise RuleBrokenError(f"total out of range: {channel.reports}")
         return tuple(outcome for _, outcome, _ in channel.reports)
 
     return shared_loop().run_until_complete(main())
 
 
 def discovery(data: bytes, rng: random.Random) -> Hashable:
-    """Discovery's bytes: a list that can be meant, or an end with a reason."""
+    """Feed bytes from discovery; check that each accepted list is valid."""
 
     async def main() -> Hashable:
         seen: list[int] = []
@@ -76,7 +76,7 @@
             listing = parse_backend_list_text(text)
             for entry, endpoint in listing.entries:
                 if not entry.backend or (endpoint is None) is not (entry.phase is Phase.DELETED):
-                    raise RuleBrokenError(f"taken as it cannot be meant: {entry!r}")
+                    raise RuleBrokenError(f"entry accepted with invalid values: {entry!r}")
             seen.append(len(listing.entries))
             return listing.version
 
@@ -92,7 +92,7 @@
 
 
 def datagram(data: bytes, rng: random.Random) -> Hashable:
-    """Datagrams of all marks, 256 bytes at most each, between requests of the same member."""
+    """Feed datagrams of at most 256 bytes, interleaved with requests of one customer; check the ingress's state."""
     parsed, now = shared_settings(), 5000.0
     gateway = make_gateway(parsed, 1, now)
     shown = []
@@ -103,13 +103,13 @@
         acts += gateway.handle(now, events.TimerFired(1))
         for a in acts:
             if isinstance(a, actions.SendToPeer) and len(a.payload) > 256:
-                raise RuleBrokenError(f"a datagram of {len(a.payload)} bytes")
+                raise RuleBrokenError(f"datagram of {len(a.payload)} bytes sent")
         shown.append(tuple(sorted({type(a).__name__ for a in acts})))
     for c in gateway.replication.customers.values():
         if not (-1e6 < c.headroom(now) <= c.plan.burst + 1e-6):
-            raise RuleBrokenError(f"a store of {c.headroom(now)}")
+            raise RuleBrokenError(f"customer with a headroom of {c.headroom(now)}")
     escrow: Any = gateway.replication.escrow
     for own in escrow.allowances.values():
         if not (0 <= own.fraction() <= 1 and -own.terms.burst - 1e-6 <= own.headroom <= own.max_headroom() + 1e-6):
-            raise RuleBrokenError(f"a share of {own.fraction()}, headroom of {own.headroom}")
+            raise RuleBrokenError(f"allowance with a share of {own.fraction()} and a headroom of {own.headroom}")
     return tuple(shown[:3]), len(gateway.replication.customers)
--- a/soak/shrink.py
+++ b/soak/shrink.py
@@ -1,4 +1,4 @@
-"""Cuts a failing case down: the smallest of it that still fails by the same part, within a number of tries."""
+"""Minimizes a failing case: searches for smaller cases that fail in the same check, within a number of tries."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     run: Callable[[Case], Outcome],
     tries: int = 40,
 ) -> tuple[Case, Outcome]:
-    """Greedy: the first smaller case that still fails takes its place, until none does or the tries are used up."""
+    """Replace the case greedily by the first smaller one that still fails, until none does or `tries` are used up."""
     best, found = case, outcome
     while tries > 0:
         for other in smaller(best):
--- a/soak/suites.py
+++ b/soak/suites.py
@@ -1,4 +1,4 @@
-"""The project's own random and stateful tests, with fresh seeds and more of them than CI plays."""
+"""Runs the project's randomized and stateful tests with fresh seeds and higher counts than in CI."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def draw(seed: int, grow: float = 1.0) -> Case:
-    """One of the suites. `grow`: how many times CI's counts."""
+    """Draw one of the tests. `grow`: factor on the default counts."""
     test = random.Random(seed).choice(TESTS)
     return Case("suite", seed, {"test": test, "examples": int(1200 * grow), "schedules": int(120 * grow)})
 
 
 def run(case: Case) -> Outcome:
-    """One run of pytest in a process of its own."""
+    """Run the test with pytest in a new process."""
     env = {
         **os.environ,
         "SOAK_SEED": str(case.seed),
@@ -50,7 +50,7 @@
 
 
 def smaller(case: Case) -> list[Case]:
-    """Half the counts; the tests themselves shrink what they draw."""
+    """Return the case with half the counts; the tests themselves shrink their inputs."""
     if case.size["schedules"] < 8:
         return []
     return [case.but(examples=case.size["examples"] // 2, schedules=case.size["schedules"] // 2)]
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for all that an ingress talks to: match servers, counter, discovery, a datagram relay, a front.
+"""Stand-ins for the services around an ingress: match servers, counter, discovery, datagram relay and front.
 
-They run as programs (`python -m standins`) or inside a test's own loop, on loopback only. Everything drawn
-comes from a seed, faults are switched by a script with times, and an auditor judges what they recorded.
+They run as programs (`python -m standins`) or in the event loop of a test, on loopback only. All random numbers are
+drawn from a seed, a script switches faults on and off at given times, and an auditor checks the recorded events.
 """
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Commands of the stand-ins: a whole fleet, single services, the auditor over a file of records."""
+"""Commands of the stand-ins: run a fleet, run one service, or audit a file of records."""
 
 from __future__ import annotations
 
@@ -38,48 +38,55 @@
     sub = p.add_subparsers(dest="command", required=True)
     f = sub.add_parser(
         "fleet",
-        help="ingresses among stand-ins, with traffic and an auditor",
+        help="run ingresses and stand-ins with generated traffic, and audit the run",
         epilog="Fault scripts: TOML with [[fault]] tables; actions: " + ", ".join(ACTIONS),
     )
-    f.add_argument("--seconds", type=float, default=10.0, help="length of the traffic (default 10)")
-    f.add_argument("--rate", type=float, default=120.0, help="first tries a second (default 120)")
+    f.add_argument("--seconds", type=float, default=10.0, help="duration of the traffic in seconds (default 10)")
+    f.add_argument("--rate", type=float, default=120.0, help="first attempts per second (default 120)")
     f.add_argument("--ingresses", type=int, default=3)
     f.add_argument("--servers", type=int, default=10)
     f.add_argument("--seed", type=int, default=1)
-    f.add_argument("--port", type=int, default=8080, help="of the first ingress; 0 takes free ones")
-    f.add_argument("--move", type=float, default=0.0, help="all members come through the next ingress after so long")
-    f.add_argument("--deployment", choices=DEPLOYMENTS, default="matching", help="classes, plans and limits")
-    f.add_argument("--folders", action="store_true", help="a state folder for each ingress")
-    f.add_argument("--faults", metavar="FILE", help="a fault script")
-    f.add_argument("--records", metavar="FILE", help="write what stand-ins recorded, a JSON line each")
-    whole = sub.add_parser("system", help="the whole system: core machines, proxies, and stand-ins around them")
+    f.add_argument("--port", type=int, default=8080, help="port of the first ingress; 0 selects unused ports")
+    f.add_argument(
+        "--move",
+        type=float,
+        default=0.0,
+        help="seconds after which all members use the next ingress; 0: each member has its own mix",
+    )
+    f.add_argument(
+        "--deployment", choices=DEPLOYMENTS, default="matching", help="request classes, plans and limits to use"
+    )
+    f.add_argument("--folders", action="store_true", help="give each ingress a state folder")
+    f.add_argument("--faults", metavar="FILE", help="fault script to play")
+    f.add_argument("--records", metavar="FILE", help="write the recorded events to FILE, one JSON line each")
+    whole = sub.add_parser("system", help="run the whole system: core machines, proxies and their stand-ins")
     whole.add_argument(
         "--hold",
         type=float,
         default=0.0,
         metavar="SECONDS",
-        help="no story: stay up for so long, with one configuration in force",
+        help="skip the scenario and serve one configuration for this many seconds",
     )
-    c = sub.add_parser("counter", help="the counter service alone")
+    c = sub.add_parser("counter", help="run the counter service alone")
     c.add_argument("--parts", type=int, default=1)
-    c.add_argument("--per-s", type=float, default=0.0, help="calls a second of each part; 0 for no bound")
-    m = sub.add_parser("match", help="one match server alone")
+    c.add_argument("--per-s", type=float, default=0.0, help="calls per second of each part; 0: unlimited")
+    m = sub.add_parser("match", help="run one match server alone")
     m.add_argument("--name", default="s-0")
     m.add_argument("--cores", type=int, default=3)
-    m.add_argument("--work", type=float, default=0.03, help="mean seconds of a core for a request")
-    d = sub.add_parser("discovery", help="discovery alone, with servers given as NAME=HOST:PORT")
+    m.add_argument("--work", type=float, default=0.03, help="mean core seconds per request")
+    d = sub.add_parser("discovery", help="run discovery alone, with servers given as NAME=HOST:PORT")
     d.add_argument("servers", nargs="*")
     for one in (c, m, d):
         one.add_argument("--port", type=int, default=0)
         one.add_argument("--records", metavar="FILE")
-    a = sub.add_parser("audit", help="judge a file of records")
+    a = sub.add_parser("audit", help="audit a file of records")
     a.add_argument("file")
-    a.add_argument("--deployment", choices=DEPLOYMENTS, default="matching", help="that the records are of")
+    a.add_argument("--deployment", choices=DEPLOYMENTS, default="matching", help="deployment that produced the records")
     return p
 
 
 async def table(fleet: Fleet) -> None:
-    """Show what happens, once a second: redrawn in a terminal, a plain line elsewhere."""
+    """Print the state of a fleet once a second: a redrawn table in a terminal, one line elsewhere."""
     live, began = sys.stdout.isatty(), asyncio.get_running_loop().time()
     while True:
         await asyncio.sleep(1.0)
@@ -140,7 +147,7 @@
 
 
 def sink_of(path: str | None) -> AbstractContextManager[TextIO | None]:
-    """Return the file that records go to, or a context without one."""
+    """Return a context of the opened records file, or of None without a path."""
     return Path(path).open("w", encoding="utf-8", buffering=1) if path else nullcontext()
 
 
@@ -171,7 +178,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """0: all rules kept; 1: some broken; 2: cannot be started."""
+    """Run a command; return 0 if all rules were kept, 1 if one was broken, 2 if the command cannot start."""
     args = parser().parse_args(argv)
     try:
         if args.command == "audit":
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -1,12 +1,16 @@
-"""The auditor: judges the five rules and the quotas from what the stand-ins recorded.
-
-The rules, each judged without any statement of the ingress's: every request has exactly one final answer in time, made
-for it (`lost`); nothing that may have run is run again where that has an effect (`twice`); nothing new goes
-to a server longer than the grace after it was to drain (`drain`); a cold server gets no more work than a
-multiple of what it can do (`cold`); no member gets more than its ceiling (`ceiling`). Units beyond quotas
-are a figure, and a broken rule (`quota`) only where a bound is stated. An answer 500 is a fault of the ingress
-whatever was wrong (`fault`); in a calm run, with nothing wrong, so is every other 5xx but a 503, and no member may be
-refused again and again while half of its quota is unused (`starved`).
+"""The auditor: checks the rules and the quotas against the events that the stand-ins recorded.
+
+No rule relies on anything that an ingress reports. The rules are:
+
+- `lost`: each request gets exactly one final answer, in time, and the answer is for that request.
+- `twice`: a request that may have run is not run again if a repetition has an effect.
+- `drain`: a draining server gets no new request after the grace period.
+- `cold`: a cold server gets at most a multiple of the work that it can do.
+- `ceiling`: no member gets more than its ceiling.
+- `quota`: units beyond a quota are reported as a figure; they break the rule only if the plan states a bound.
+- `fault`: an answer with status 500 is always a fault of the ingress. In a run without faults, so is each other 5xx
+  status except 503.
+- `starved`: in a run without faults, no member is refused repeatedly while half of its quota is unused.
 """
 
 from __future__ import annotations
@@ -20,7 +24,7 @@
 
 
 def audit(records: Iterable[Record], rules: Rules) -> Verdict:
-    """Judge a whole run. Records may come in any order; cost: sorting them."""
+    """Audit a whole run. Records may come in any order; they are sorted by time first."""
     ordered = sorted(records, key=lambda r: r.at)
     asked: dict[str, Asked] = {}
     for r in ordered:
@@ -42,7 +46,7 @@
 
 
 def _lost(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
-    """Yield requests without exactly one answer in time, made for them."""
+    """Yield requests that did not get exactly one answer of their own in time."""
     crashes: dict[str, list[float]] = defaultdict(list)
     answers: dict[str, list[Answered]] = defaultdict(list)
     for record in ordered:
@@ -55,14 +59,14 @@
         whole = [answer for answer in answers[request.id] if answer.status > 0]
         due = request.at + request.budget + rules.late
         if not whole and any(request.at <= at <= due for at in crashes[request.ingress]):
-            continue  # its ingress died under it
+            continue  # the ingress was killed while it handled the request
         why = _wrong_answers(request, whole, due)
         if why:
             yield Breach("lost", request.at, f"{request.id} at {request.ingress}: {why}")
 
 
 def _wrong_answers(request: Asked, whole: list[Answered], due: float) -> str:
-    """Return what is wrong with a request's whole answers; empty for nothing."""
+    """Return what is wrong with the complete answers to a request, or an empty string."""
     if not whole:
         return "no answer"
     if len(whole) > 1:
@@ -70,12 +74,12 @@
     if whole[0].at > due:
         return f"answered {whole[0].at - due:.3f} s too late"
     if whole[0].status == 200 and whole[0].body.split(" ")[-1] != request.id:
-        return f"the answer was made for {whole[0].body!r}"
+        return f"the answer belongs to another request: {whole[0].body!r}"
     return ""
 
 
 def _lost_with_connection(ordered: list[Record], rules: Rules) -> Iterator[Breach]:
-    """Yield requests that an ingress had taken, and whose connection it ended without having crashed."""
+    """Yield requests that an ingress forwarded and whose connection it then closed without being killed."""
     begun: dict[str, float] = {}
     kills = _Kills(rules)
     for record in ordered:
@@ -84,52 +88,56 @@
         elif isinstance(record, Began):
             begun.setdefault(record.id, record.at)
         elif isinstance(record, Withdrawn) and begun.get(record.id, record.at) < record.at:
-            since = begun.pop(record.id)  # what it began, it began for the ingress that it is withdrawn from first
+            since = begun.pop(record.id)  # the attempt belongs to the ingress of the first withdrawal
             if not kills.killed_since(record.ingress, since):
-                yield Breach("lost", record.at, f"{record.id} at {record.ingress}: taken, and its connection ended")
+                yield Breach(
+                    "lost",
+                    record.at,
+                    f"{record.id} at {record.ingress}: connection closed after the request was forwarded",
+                )
 
 
 class _Kills:
-    """Ingresses that were killed, by what is recorded so far."""
+    """Ingresses that were killed, according to the records read so far."""
 
     def __init__(self, rules: Rules) -> None:
         self._rules = rules
-        self._crashed: dict[str, float] = {}  # when last
-        self._dying: set[str] = set()  # signalled, and the end not seen yet
+        self._crashed: dict[str, float] = {}  # time of the last record of a crash
+        self._dying: set[str] = set()  # signalled, but not yet seen to have ended
 
     def crashed(self, record: Crashed) -> None:
-        """Take in that an ingress was signalled, or that its end was seen."""
+        """Record that an ingress was signalled or was seen to have ended."""
         self._crashed[record.ingress] = record.at
         (self._dying.add if record.dying else self._dying.discard)(record.ingress)
 
     def killed_since(self, ingress: str, begun: float) -> bool:
-        """Return whether an ingress was killed after something began for it."""
-        # What a process sent before its kill is read late where the reader waits for the processor.
+        """Return whether an ingress was killed after the time at which one of its attempts began."""
+        # Bytes that a process sent before it was killed are read later if the reader waits for a CPU.
         return ingress in self._dying or self._crashed.get(ingress, -1.0) >= begun - self._rules.late
 
 
 class _Repeats:
-    """Effects and attempts of each operation, and those that a killed ingress has orphaned."""
+    """Counts the effects and attempts of each operation, and the attempts orphaned by a killed ingress."""
 
     def __init__(self, rules: Rules) -> None:
         self._rules = rules
         self._effects: Tally[str] = Tally()
         self._sent: Tally[str] = Tally()
-        self._orphans: Tally[str] = Tally()  # attempts that ran, or may yet, for an ingress that was killed
+        self._orphans: Tally[str] = Tally()  # attempts of a killed ingress that ran or may still run
         self._kills = _Kills(rules)
         self._begun: dict[str, float] = {}
 
     def crashed(self, record: Crashed) -> None:
-        """Take in that an ingress was killed."""
+        """Record that an ingress was killed."""
         self._kills.crashed(record)
 
     def withdrawn(self, record: Withdrawn, request: Asked) -> None:
-        """Take in that a request was withdrawn from an ingress that is gone."""
+        """Record that a request was withdrawn from an ingress that no longer accepts connections."""
         if record.id in self._begun:
             self._orphans[request.op] += self._kills.killed_since(record.ingress, self._begun.pop(record.id))
 
     def ran(self, record: Ran, request: Asked) -> Iterator[Breach]:
-        """Take in that an effect came; yield it where it came too often."""
+        """Record an effect; yield a breach if the operation had more effects than allowed."""
         if self._rules.effects[request.cls] == "safe":
             return
         self._effects[request.op] += 1
@@ -138,9 +146,9 @@
             yield Breach("twice", record.at, f"{request.op}: effect {count} times, last at {record.server}")
 
     def began(self, record: Began, request: Asked) -> Iterator[Breach]:
-        """Take in that a server began an attempt; yield it where that may not be sent again."""
+        """Record an attempt at a server; yield a breach if the operation must not be sent again."""
         if record.id in self._begun and self._kills.killed_since(request.ingress, self._begun[record.id]):
-            self._orphans[request.op] += 1  # sent again to the same ingress, which was up again by then
+            self._orphans[request.op] += 1  # sent again to the same ingress after its restart
         self._begun[record.id] = record.at
         if self._rules.effects[request.cls] != "unsafe" or record.turned_away:
             return
@@ -151,7 +159,7 @@
 
 
 def _twice(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
-    """Yield effects that came twice. A retry after an ingress was killed under the first is at the front's own risk."""
+    """Yield repeated effects. A retry after a kill of the ingress during the first attempt is at the front's risk."""
     repeats = _Repeats(rules)
     for record in ordered:
         if isinstance(record, Crashed):
@@ -215,7 +223,7 @@
 
 
 def _starved(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
-    """Members refused while half of their quota is unused, by what came to the servers."""
+    """Yield members that were refused while half of their quota was unused, measured at the servers."""
     stores: dict[tuple[int, str], _Store] = defaultdict(_Store)
     refused: Tally[tuple[int, str]] = Tally()
     tries = Tally((a.member, a.plan) for a in asked.values())
@@ -240,7 +248,7 @@
 
 
 class _Store:
-    """A leaky bucket: what is in it beyond the burst went over."""
+    """A leaky bucket: units above the burst are beyond the limit."""
 
     __slots__ = ("level", "at")
 
@@ -256,7 +264,10 @@
 def _units(
     ordered: list[Record], asked: dict[str, Asked], rules: Rules
 ) -> tuple[dict[str, float], dict[str, float], list[Breach]]:
-    """Units beyond quota and ceiling, taken when a request first comes to a server."""
+    """Return the largest excess over quota and ceiling by plan, and the breaches.
+
+    A request counts when it first reaches a server.
+    """
     quota: dict[tuple[int, str], _Store] = defaultdict(_Store)
     ceiling: dict[tuple[int, str], _Store] = defaultdict(_Store)
     over: dict[str, float] = {}
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A client's side of HTTP: one request on one new connection."""
+"""An HTTP client that opens a new connection for each request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Caller:
-    """Sends requests; `count` names those to proxies."""
+    """Sends requests; `count` numbers the requests to proxies, for their attempt ids."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -19,7 +19,7 @@
     async def call(
         self, address: str, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> Message:
-        """Return the whole answer. Raises OSError, TimeoutError or EOFError where there is none."""
+        """Return the complete answer. Raises OSError, TimeoutError or EOFError if there is none."""
         async with asyncio.timeout(ANSWER_S):
             host, _, port = address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -1,7 +1,7 @@
-"""The counter service: adds to named counts that live for a while, with the faults that it may have.
+"""The counter service: named totals with a limited lifetime, and the faults that can be injected.
 
-`POST /v2/numbers/NAME?delta=N&life_ms=N` answers 200 with the total. Names are spread over parts by their
-hash; each part serves its calls one behind another at a bounded rate.
+`POST /v2/numbers/NAME?delta=N&life_ms=N` answers 200 with the total. The hash of a name selects the part that serves
+it; each part serves its calls one after another at a limited rate.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Counter(Service):
-    """`per_s`: calls a second that each part serves, 0 for no bound; `delay`: seconds before each answer."""
+    """The service. `per_s`: calls per second of each part, 0 for no limit; `delay`: seconds before each answer."""
 
     def __init__(
         self,
@@ -35,37 +35,37 @@
         self.records = records or Records()
         self.rng = random.Random(seed)
         self.parts, self.per_s, self.delay, self.clock = parts, per_s, delay, clock
-        self.counts: dict[str, tuple[float, float]] = {}  # total, until when it is kept
+        self.counts: dict[str, tuple[float, float]] = {}  # by name: total, and time at which it expires
         self.busy_until = [0.0] * parts
         self.calls = 0
         # Faults.
         self.silenced = asyncio.Event()
         self.silenced.set()
         self.refusing = False
-        self.lose_share = self.spoil_share = 0.0  # of answers that are lost, or garbled, after the add
-        self.life_cut = 1.0  # the share of its lifetime for which a new name is really kept
-        self.repeat_old = False  # answers give the total before the one that was true
+        self.lose_share = self.spoil_share = 0.0  # fractions of answers that are lost or garbled after the addition
+        self.life_cut = 1.0  # fraction of the requested lifetime for which a new name is kept
+        self.repeat_old = False  # answers carry the total before the addition
 
     def totals(self) -> dict[str, float]:
-        """Return what stands in each name now."""
+        """Return the current total of each name."""
         now = self.clock()
         return {name: total for name, (total, until) in self.counts.items() if until > now}
 
     def silence(self, on: bool) -> None:
-        """While silent, calls are read and wait: they are added and answered when it ends."""
+        """Start or end silence: calls that are read meanwhile are applied and answered after its end."""
         if on:
             self.silenced.clear()
         else:
             self.silenced.set()
 
     def restart_from_zero(self) -> None:
-        """Every connection is reset and every count forgotten."""
+        """Reset all connections and forget all totals."""
         self.counts.clear()
         for connection in list(self.connections):
             connection.reset()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
-        """Add to a number and answer with its totals, unless a fault says otherwise."""
+        """Add to a total and answer with the new one, unless a fault is active."""
         await self.silenced.wait()
         call = self.parse(message)
         if call is None:
@@ -75,7 +75,7 @@
         name, amount, life_ms = call
         await self.turn(name)
         if connection.gone():
-            return None  # its caller may think what it likes: nothing was added
+            return None  # the caller has disconnected, and nothing was added
         before, total = self.add(name, amount, life_ms)
         self.calls += 1
         if self.rng.random() < self.lose_share:
@@ -86,7 +86,7 @@
         return answer(200, b"%.6f" % (before if self.repeat_old else total))
 
     async def turn(self, name: str) -> None:
-        """Wait for the call's turn at its part."""
+        """Wait until the part that serves the name has finished its earlier calls."""
         wait = self.delay
         if self.per_s > 0:
             part = zlib.crc32(name.encode()) % self.parts
@@ -97,7 +97,7 @@
             await asyncio.sleep(wait)
 
     def add(self, name: str, amount: float, life_ms: int) -> tuple[float, float]:
-        """Return the totals before and after."""
+        """Add to a total; return the totals before and after."""
         now = self.clock()
         before, until = self.counts.get(name, (0.0, 0.0))
         if until <= now:
@@ -108,7 +108,7 @@
 
     @staticmethod
     def parse(message: Message) -> tuple[str, float, int] | None:
-        """Return name, amount and lifetime in ms of a call, None for what is no call."""
+        """Return the name, amount and lifetime in ms of a call, or None if the call is invalid."""
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
         name = path.removeprefix("/v2/numbers/")
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -1,7 +1,7 @@
-"""Deployments that the stand-ins can play: what members ask for, what ingresses are configured with, what is judged by.
+"""Deployments that the stand-ins can run: the traffic of members, the settings of ingresses and the audited limits.
 
-They differ in what an ingress must not take for granted: whether the dear class may be sent again, whether plans have
-ceilings, whether members learn when to come back, how much a cold server bears.
+They differ in properties that an ingress must not assume: whether the most valuable class may be sent again, whether
+plans have ceilings, whether members are told when to retry, and how much load a cold server can take.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """`members` by plan. A cold server falls over at `cold_multiple` of what it can do, over `cold_window` seconds."""
+    """A deployment. `members` gives the number of members by plan.
+
+    A cold server fails at `cold_multiple` times the work that it can do within `cold_window` seconds.
+    """
 
     name: str
     classes: Mapping[str, ClassShape]
@@ -27,7 +30,7 @@
     retry_after: bool = False
     cold_multiple: float = 4.0
     cold_window: float = 1.5
-    worth: Mapping[str, float] = field(default_factory=dict)  # by class; 1 where it is not named
+    worth: Mapping[str, float] = field(default_factory=dict)  # by class; 1 for a class that is missing
 
 
 MATCHING = Deployment(
@@ -42,7 +45,7 @@
     Shape(cores=3, work=0.03, cold=0.3, cold_s=5.0),
 )
 
-# The dear class must never run twice and is half of the traffic; no plan has a ceiling.
+# The most valuable class is not idempotent and is half of the traffic; no plan has a ceiling.
 BILLING = Deployment(
     "billing",
     {"share-read": ClassShape("safe", 0.51), "settle-post": ClassShape("unsafe", 0.49, 4.0)},
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of match servers, whole or as a watch of changes."""
+"""Discovery: serves the list of match servers, complete or as a stream of changes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def chunk(text: bytes) -> bytes:
-    """Return a chunk of a streamed answer."""
+    """Encode one chunk of a streamed answer."""
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
 class Discovery(Service):
-    """`put` changes the list; watches are notified at once, unless it is silent."""
+    """The service. `put` changes the list and wakes the watches, unless the service is silenced."""
 
     def __init__(self, records: Records | None = None, clock: Callable[[], float] = time.time) -> None:
         super().__init__()
@@ -35,7 +35,7 @@
     def put(
         self, name: str, address: str, status: str = "SERVING", zone: str = "z0", cell: int = 0, born: float = 0.0
     ) -> None:
-        """Set a server's entry; status DELETED takes it off the list."""
+        """Set a server's entry; status DELETED removes it from the list."""
         entry = {
             "name": name,
             "address": address,
@@ -56,7 +56,7 @@
         self.wake = asyncio.Event()
 
     def listing(self) -> dict[str, Any]:
-        """Return the whole list in discovery's form."""
+        """Return the complete list in the format of the protocol."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     def silence(self, on: bool) -> None:
@@ -82,7 +82,7 @@
         return None
 
     async def watch(self, connection: Connection, index: int) -> None:
-        """Send the changes after `index`, an object a line, until the connection ends."""
+        """Send the changes after `index`, one JSON object per line, until the connection ends."""
         while not connection.gone():
             wake = self.wake
             if not self.silent and index < self.index:
@@ -98,6 +98,6 @@
                     connection.writer.write(chunk(b"\n"))
 
     def notify(self, entries: list[dict[str, Any]]) -> None:
-        """Record the entries that an ingress has been sent."""
+        """Record the entries that have been sent to an ingress."""
         for entry in entries:
             self.records.add(Told(self.clock(), entry["name"], entry["status"]))
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,11 +1,11 @@
-"""Fault scripts: what goes wrong and when, read from TOML and checked before anything starts.
+"""Fault scripts: faults with their times, read from TOML and validated before the run starts.
 
 [[fault]]
-at = 2.0             # seconds after the traffic begins
+at = 2.0             # seconds after the start of the traffic
 do = "match.silence"  # one of ACTIONS
-target = 3           # number of the server, ingress or hall, where the action takes one
-for = 1.5            # seconds until it ends, where the action has an end
-value = 0.2          # share or seconds, where the action takes one
+target = 3           # number of the server, ingress or hall, if the action takes one
+for = 1.5            # seconds until the fault ends, if the action has an end
+value = 0.2          # fraction, factor or seconds, if the action takes one
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-LONGEST = 1e6  # seconds: nothing is played for longer
+LONGEST = 1e6  # upper limit of each number of a script, in seconds for times
 
 
 class Action(NamedTuple):
-    """What a fault's keys may be."""
+    """The optional keys that an action takes."""
 
     target: bool = False
     ends: bool = False
@@ -57,7 +57,7 @@
 
 
 class Fault(NamedTuple):
-    """One line of a script; `lasts` 0: for good."""
+    """One entry of a script; `lasts` is in seconds, and 0 means that the fault does not end."""
 
     at: float
     do: str
@@ -67,11 +67,11 @@
 
 
 class ScriptError(Exception):
-    """What is wrong with a script: file, fault, key, what was expected."""
+    """A script is invalid; the message names the file, the fault, the key and the expected value."""
 
 
 def read_script(path: str | Path) -> list[Fault]:
-    """Return a script's faults in order of time. Raises ScriptError."""
+    """Return the faults of a script, ordered by time. Raises ScriptError."""
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -105,7 +105,7 @@
 
 
 async def play(script: list[Fault], switch: Callable[[Fault, bool], Any]) -> None:
-    """Switch each fault on, and off when it ends; `switch` may return something to wait for."""
+    """Switch each fault on at its time, and off at its end. A coroutine that `switch` returns is awaited."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     steps = [(f.at, f, True) for f in script] + [(f.at + f.lasts, f, False) for f in script if f.lasts > 0]
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback: ingress processes among stand-ins, traffic, a fault script, an auditor."""
+"""A fleet on loopback: ingress processes and stand-ins, with traffic, a fault script and an audit of the run."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from standins.relay import Relay
 from standins.verdict import Rules, Verdict
 
-COUNTER_CALLS_PER_S = 2000.0  # that each part of the counter takes
-UP_FOR_S = 1000.0  # that servers have been up as the fleet starts
+COUNTER_CALLS_PER_S = 2000.0  # capacity of each part of the counter
+UP_FOR_S = 1000.0  # age of the servers at the start of the fleet, so that they are warm
 
 
 class Fleet:
-    """Everything that `make run` starts; use it as `async with`."""
+    """Starts and stops all stand-ins and ingresses, as an async context manager."""
 
     def __init__(self, options: Options, folder: Path, records: Records | None = None) -> None:
-        """Prepare a fleet. Raises ScriptError where a fault's target is not there."""
+        """Prepare a fleet. Raises ScriptError if the target of a fault does not exist."""
         check_targets(options, options.faults)
         self.options = options
         self.records = records or Records()
         self.folder = folder
         self.counter = self._new_counter(options.seed)
-        self.other_counter = self._new_counter(options.seed + 1)  # of a split
+        self.other_counter = self._new_counter(options.seed + 1)  # serves the ingresses that a fault moves away
         self.discovery = Discovery(self.records)
         self.keys = Keys()
         self.servers = [
@@ -74,7 +74,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Start the stand-ins, then the ingresses, and wait until these are ready."""
+        """Start the stand-ins, then the ingresses, and wait until the ingresses are ready."""
         await self._start_standins()
         ports = free_ports(self.options.ingresses, self.options.port)
         peers = await self._start_relay()
@@ -94,18 +94,20 @@
         for number, server in enumerate(self.servers):
             await server.start()
             server.born -= UP_FOR_S
-            self.records.all.pop()  # a start would make it cold
+            self.records.all.pop()  # the record of the start would make the auditor treat the server as cold
             self.list_server(number)
 
     async def _start_relay(self) -> list[tuple[str, int]]:
-        """Start the relay; return where the ingresses are to listen for their peers."""
+        """Start the relay; return the addresses on which the ingresses listen for datagrams of their peers."""
         options = self.options
         sockets = hold_ports(options.ingresses, 0, socket.SOCK_DGRAM)
         peers = [(HOST, s.getsockname()[1]) for s in sockets]
         self.relay = Relay(peers, options.seed, options.loss, options.delay)
         self._faults.relay = self.relay
         try:
-            await self.relay.start()  # its own ports are drawn from the same range: it must not draw one of these
+            await (
+                self.relay.start()
+            )  # the relay draws its ports from the same range, so these stay bound until it has started
         finally:
             for s in sockets:
                 s.close()
@@ -139,7 +141,7 @@
         )
 
     async def run(self, watch: Callable[[], Coroutine[Any, Any, None]] | None = None) -> Verdict:
-        """Play the traffic and the faults; return the auditor's verdict."""
+        """Run the traffic and the fault script; return the auditor's verdict."""
         assert self.front is not None
         watching = asyncio.create_task(watch()) if watch else None
         playing = asyncio.create_task(play(list(self.options.faults), self._faults.switch))
@@ -164,7 +166,7 @@
         )
 
     async def stop(self) -> None:
-        """End all that was started, the ingresses in order."""
+        """Stop the ingresses gracefully, then the stand-ins."""
         for task in self._faults.tasks:
             task.cancel()
         await asyncio.gather(*(ingress.end() for ingress in self.ingresses))
@@ -174,13 +176,13 @@
         await asyncio.gather(*(service.stop() for service in services))
 
     def list_server(self, number: int, status: str = "SERVING") -> None:
-        """Put a server on discovery's list."""
+        """Set the status of a server in discovery's list."""
         server = self.servers[number]
         self.discovery.put(server.name, server.address, status, f"z{number % HALLS}", number, server.born)
 
 
 def children_cpu() -> float:
-    """CPU seconds of the processes that have ended and been waited for."""
+    """Return the CPU seconds of all child processes that have ended and been waited for."""
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     return used.ru_utime + used.ru_stime
 
@@ -188,7 +190,7 @@
 async def run_fleet(
     options: Options, watch: Callable[[Fleet], Coroutine[Any, Any, None]] | None = None, records: Records | None = None
 ) -> tuple[Verdict, float, int]:
-    """Start, run and stop a fleet; return the verdict, CPU seconds of the ingresses, and the requests sent."""
+    """Start, run and stop a fleet; return the verdict, the ingresses' CPU seconds and the number of requests sent."""
     before = children_cpu()
     with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
         async with Fleet(options, Path(folder), records) as fleet:
--- a/standins/fleet_faults.py
+++ b/standins/fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a fleet: what a script switches on and off at its stand-ins and ingresses."""
+"""Applies the faults of a script to the stand-ins and ingresses of a fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def check_targets(options: Options, faults: Sequence[Fault]) -> None:
-    """Raise ScriptError where a fault's target is not there."""
+    """Raise ScriptError if the target of a fault does not exist."""
     counts = {"match": options.servers, "hall": HALLS}
     for fault in faults:
         count = counts.get(fault.do.partition(".")[0], options.ingresses)
@@ -30,7 +30,7 @@
 
 
 class FaultSwitch:
-    """Switches faults of one fleet on and off."""
+    """Switches the faults of one fleet on and off."""
 
     def __init__(
         self,
@@ -43,7 +43,10 @@
         ingresses: list[IngressProcess],
         list_server: Callable[[int, str], None],
     ) -> None:
-        """`other_counter`: that of a split; `list_server` puts a server on discovery's list with a status."""
+        """Prepare the switch.
+
+        `other_counter` serves the ingresses that a fault moves away; `list_server` sets a server's status in discovery.
+        """
         self.relay: Relay | None = None
         self.tasks: set[asyncio.Task[Any]] = set()  # restarts in progress
         self._options = options
@@ -56,7 +59,7 @@
         self._list_server = list_server
 
     def switch(self, fault: Fault, on: bool) -> Any:
-        """Switch one fault on or off; return what takes time, to be waited for."""
+        """Switch one fault on or off; return a coroutine to await if that takes time, else None."""
         where, _, what = fault.do.partition(".")
         if where == "counter":
             self._switch_counter(what, fault, on)
@@ -100,13 +103,13 @@
         switches[what]()
 
     def _delay_counter_of(self, fault: Fault, on: bool) -> None:
-        """Let one ingress meet the same counts, only late."""
+        """Point one ingress to a counter with the same totals that answers late."""
         self._other_counter.counts = self._counter.counts
         self._other_counter.delay = fault.value if on else COUNTER_DELAY_S
         self._move_counter_of(fault, on)
 
     def _move_counter_of(self, fault: Fault, on: bool) -> None:
-        """Let one ingress use the other counter."""
+        """Point one ingress to the other counter, or back."""
         counter = self._other_counter if on else self._counter
         self._ingresses[fault.target].move_counter(counter.address)
 
@@ -134,17 +137,17 @@
         self._list_server(number, "DRAINING" if on else "SERVING")
 
     async def _revive(self, number: int) -> None:
-        """Start the same server anew, cold; one that runs goes on."""
+        """Start a stopped server again, cold. A server that still runs is left alone."""
         server = self._servers[number]
         if server.server is not None:
             return
         await server.start(server.port)
         self._list_server(number, "SERVING")
 
-    # Halls and ingresses.
+    # Halls (the zones of the fleet) and ingresses.
 
     async def _lose_hall(self, hall: int) -> None:
-        """End all that stands in a hall at once: servers, ingresses, and in the first one what the counter knew."""
+        """Kill all servers and ingresses of a hall at once. Hall 0 includes the counter, whose totals are lost."""
         ingresses = self._ingresses[hall::HALLS]
         self._record_crashes(ingresses, dying=True)
         await asyncio.gather(
@@ -156,7 +159,7 @@
             self._counter.restart_from_zero()
 
     async def _regain_hall(self, hall: int) -> None:
-        """Start the hall's servers again, cold and with nothing known."""
+        """Start the servers of a hall again, cold, and those of its ingresses that do not run."""
         for number in range(hall, len(self._servers), HALLS):
             await self._revive(number)
         for ingress in self._ingresses[hall::HALLS]:
@@ -168,10 +171,10 @@
             self._records.add(Crashed(time.time(), str(ingress.number), dying))
 
     async def _end_ingress(self, what: str, number: int) -> None:
-        """Kill an ingress and start it again, or restart it in order while the script goes on."""
+        """Kill an ingress and start it again, or restart it gracefully in the background."""
         ingress = self._ingresses[number]
         if what == "kill":
-            self._record_crashes([ingress], dying=True)  # its requests may end before its end is seen, or after
+            self._record_crashes([ingress], dying=True)  # its requests may end before or after its end is seen
             await ingress.end(signal.SIGKILL)
             self._record_crashes([ingress], dying=False)
             await ingress.start()
--- a/standins/fleet_options.py
+++ b/standins/fleet_options.py
@@ -1,4 +1,4 @@
-"""The size of a fleet, and what its ingresses are configured with."""
+"""The options of a fleet, and the settings of its ingresses."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from standins.verdict import PlanRule
 
 SEMANTICS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-HALLS = 2  # servers and ingresses of odd numbers stand in another than those of even ones
+HALLS = 2  # number of halls; servers and ingresses belong to the hall `number % HALLS`
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """The size and the length of a run. `port` is the first ingress's; 0 takes free ones.
+    """The size and the duration of a run. `port` is that of the first ingress; 0 selects unused ports.
 
-    What is left out is the deployment's own.
+    `members`, `shape` and `plans` default to those of the deployment. `loss` and `delay` configure the relay.
     """
 
     ingresses: int = 3
@@ -30,13 +30,13 @@
     port: int = 0
     members: Mapping[str, int] = field(default_factory=dict)
     faults: tuple[Fault, ...] = ()
-    shape: Shape = None  # type: ignore[assignment]  # set below
+    shape: Shape = None  # type: ignore[assignment]  # replaced in __post_init__
     loss: float = 0.01
     delay: float = 0.01
     move_s: float = 0.0
     plans: Mapping[str, PlanRule] = field(default_factory=dict)
     deployment: Deployment = MATCHING
-    folders: bool = False  # a state folder for each ingress
+    folders: bool = False  # give each ingress a state folder
 
     def __post_init__(self) -> None:
         for name in ("members", "shape", "plans"):
@@ -45,7 +45,7 @@
 
 
 def settings(o: Options, me: int) -> dict[str, Any]:
-    """Return an ingress's configuration."""
+    """Return the settings of ingress number `me`."""
     d = o.deployment
     classes = [
         {
--- a/standins/front.py
+++ b/standins/front.py
@@ -1,6 +1,6 @@
-"""A front with members: it deals their requests out among the ingresses of each member's set, and they retry.
+"""A load generator: sends the requests of members to ingresses of each member's ingress set, with retries.
 
-What is asked, when and through which ingress is drawn from the seed before the run begins.
+The requests, their times and their ingresses are drawn from the seed before the run starts.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from standins.records import Answered, Asked, Records, Withdrawn
 
 HOST = "127.0.0.1"
-GRACE_S = 0.5  # beyond a request's time before the front stops waiting
+GRACE_S = 0.5  # the front waits for an answer until this long after the request's budget
 RETRIES = 1
 
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What members ask for. `rate`: requests a second of all together, `burst` times as many while it lasts."""
+    """The traffic of a run. `rate` is the number of first attempts per second of all members together."""
 
     seconds: float
     rate: float
@@ -43,11 +43,11 @@
     retry_share: float = 0.8
     spread: int = 3
     seed: int = 0
-    move_s: float = 0.0  # all members come through the next ingress after so long; 0: each has its own mix
+    move_s: float = 0.0  # interval after which all members use the next ingress; 0: each member has its own mix
 
 
 class Plan(NamedTuple):
-    """One request to come: `at` seconds after the start."""
+    """A request to be sent `at` seconds after the start."""
 
     at: float
     op: str
@@ -61,7 +61,7 @@
 
 
 def draw(traffic: Traffic, ingresses: int) -> list[Plan]:
-    """All first attempts of a run, in order."""
+    """Return the first attempts of a run, ordered by time."""
     rng = random.Random(f"{traffic.seed} front")
     members = [(plan, n) for plan, count in traffic.members.items() for n in range(count)]
     weights = [1.0 / (n + 1) ** traffic.skew for _, n in members]
@@ -101,7 +101,7 @@
 
 
 class Front:
-    """Sends what was drawn, and keeps what came of it in records."""
+    """Sends the drawn requests and records the answers."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         self.tally: dict[int, int] = {}
 
     async def run(self) -> None:
-        """Send the whole of the traffic; return when each attempt has ended."""
+        """Send all requests; return when each attempt has ended."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.TaskGroup() as group:
@@ -128,7 +128,7 @@
         self.close()
 
     async def follow(self, plan: Plan) -> None:
-        """One thing to do, with the retries that a member allows itself after a refusal."""
+        """Perform one operation, with the retries that a member makes after a refusal."""
         ingress = plan.ingress
         for attempt in range(RETRIES + 1):
             answered = await self.ask(plan, f"{plan.op}.{attempt}", ingress, attempt > 0)
@@ -140,7 +140,7 @@
             ingress = (plan.first + self.rng.randrange(plan.spread)) % len(self.ingresses)
 
     async def ask(self, plan: Plan, name: str, ingress: int, again: bool) -> Answered | None:
-        """Send one attempt. An ingress that takes no connections is passed over for the next."""
+        """Send one attempt. If an ingress accepts no connection, the next one is used."""
         raw = self.message(plan, name, again)
         for step in range(len(self.ingresses)):
             number = (ingress + step) % len(self.ingresses)
@@ -160,7 +160,7 @@
     async def exchange(
         self, plan: Plan, name: str, number: int, line: Line, raw: bytes, again: bool, used: bool
     ) -> Answered | None:
-        """Send one attempt to one ingress; return None where it was never taken."""
+        """Send one attempt to one ingress; return None if the ingress did not accept it."""
         budget = self.traffic.classes[plan.cls].budget
         asked = Asked(
             self.clock(), name, plan.op, str(number), plan.member, plan.plan, plan.cls, plan.units, budget, again
@@ -171,7 +171,7 @@
         try:
             async with asyncio.timeout(budget + GRACE_S):
                 got = await self.once(line, raw)
-                if got is None and used:  # closed between requests: once more on a new connection
+                if got is None and used:  # closed while idle: send once more on a new connection
                     new = await self.connect(number)
                     if new is None:
                         self.records.add(Withdrawn(self.clock(), name, str(number)))
@@ -195,7 +195,7 @@
 
     @staticmethod
     async def once(line: Line, raw: bytes) -> Message | None:
-        """Send a request and return its answer, None where the connection ends first."""
+        """Send a request and return its answer, or None if the connection ends first."""
         try:
             line.writer.write(raw)
             return await read_message(line.reader)
@@ -204,14 +204,14 @@
             return None
 
     async def connect(self, number: int) -> Line | None:
-        """Return a new connection to an ingress, None where none can be had."""
+        """Return a new connection to an ingress, or None if the ingress accepts none."""
         try:
             return Line(*await asyncio.open_connection(*self.ingresses[number], limit=MAX_HEAD))
         except OSError:
             return None
 
     def message(self, plan: Plan, name: str, again: bool) -> bytes:
-        """Return a request's bytes."""
+        """Encode a request."""
         cls = self.traffic.classes[plan.cls]
         lines = [
             f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{plan.member:016x} HTTP/1.1",
--- a/standins/http.py
+++ b/standins/http.py
@@ -1,6 +1,6 @@
-"""A small HTTP/1.1 server for stand-ins: requests in turn on a connection, answers that may be faulty.
+"""A small HTTP/1.1 server for stand-ins that can inject faulty answers. A connection serves one request at a time.
 
-Heads hold at most 64 KiB and bodies 1 MiB; anything larger or malformed ends the connection.
+The limits are 64 KiB for a head and 1 MiB for a body; a larger or malformed message ends the connection.
 """
 
 from __future__ import annotations
@@ -32,45 +32,45 @@
 
 
 async def read_message(reader: asyncio.StreamReader, first: bytes = b"") -> Message:
-    """Return the next whole message. Raises IncompleteReadError at the end, ValueError for what is no message.
+    """Return the next complete message. Raises IncompleteReadError at the end, ValueError for a malformed message.
 
-    `first`: bytes of it that have been read already.
+    `first`: bytes of the message that have been read already.
     """
     try:
         head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     except asyncio.LimitOverrunError as error:
-        raise ValueError("the head is too long") from error
+        raise ValueError("message head is too long") from error
     line, *rest = head[:-4].split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (part.partition(":") for part in rest)}
     length = int(headers.get("content-length", "0"))
     if not 0 <= length <= MAX_BODY or len(line.split(" ")) < 3:
-        raise ValueError(f"no message: {line[:80]!r}")
+        raise ValueError(f"malformed message: {line[:80]!r}")
     return Message(line, headers, await reader.readexactly(length) if length else b"")
 
 
 def answer(status: int, body: bytes = b"", headers: Mapping[str, str] | None = None) -> bytes:
-    """Return a whole answer in bytes."""
+    """Encode an answer."""
     lines = "".join(f"{k}: {v}\r\n" for k, v in (headers or {}).items())
     return f"HTTP/1.1 {status} X\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 class Connection:
-    """One connection to a service, as `handle` sees it."""
+    """One connection of a client to a service."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def reset(self) -> None:
-        """End it with a reset: what was sent and not read is lost."""
+        """Reset the connection; data that the client has not read yet is lost."""
         self.writer.transport.abort()
 
     def gone(self) -> bool:
-        """Whether the other side has ended it."""
+        """Return whether the connection has ended."""
         return self.reader.at_eof() or self.writer.transport.is_closing()
 
 
 class Service:
-    """Listens on loopback; subclasses say what comes back."""
+    """A server on loopback; subclasses implement `handle`."""
 
     def __init__(self) -> None:
         self.host, self.port = "127.0.0.1", 0
@@ -81,16 +81,16 @@
 
     @property
     def address(self) -> str:
-        """Return where the service listens, `host:port`."""
+        """Return the address of the service, `host:port`."""
         return f"{self.host}:{self.port}"
 
     async def start(self, port: int = 0) -> None:
-        """Listen; OSError where the port cannot be had."""
+        """Start to listen. Raises OSError if the port is not available."""
         self.server = await asyncio.start_server(self._serve, self.host, port, limit=MAX_HEAD)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening and reset every connection, as a process that dies does."""
+        """Stop listening and reset all connections, as if the process had been killed."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -105,7 +105,7 @@
         return await read_message(connection.reader)
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
-        """Return the answer, or None where nothing more comes on this connection."""
+        """Return the answer, or None to end the connection."""
         raise NotImplementedError
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/standins/ingress_process.py
+++ b/standins/ingress_process.py
@@ -1,4 +1,4 @@
-"""An ingress of a fleet: one `python -m thistleusher` with its configuration file and log."""
+"""An ingress process of a fleet, with its configuration file and log."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class IngressProcess:
-    """One `python -m thistleusher`."""
+    """One process of `python -m thistleusher`."""
 
     def __init__(self, number: int, port: int, config: dict[str, Any], folder: Path, keeps: bool = False) -> None:
-        """Prepare an ingress; with `keeps` it has a state folder of its own."""
+        """Write the configuration. With `keeps`, the ingress has a state folder."""
         self.number = number
         self.port = port
         self._arguments: list[str] = []
@@ -35,7 +35,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start the process and wait until it is ready. Raises TimeoutError."""
+        """Start the process without waiting until it is ready."""
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -48,14 +48,14 @@
             )
 
     def move_counter(self, address: str) -> None:
-        """Have it follow its counter elsewhere, by SIGHUP."""
+        """Change the counter's address in the configuration file and make the process reload it by SIGHUP."""
         config = json.loads(self.path.read_text())
         self.path.write_text(json.dumps({**config, "counter": address}))
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGHUP)
 
     async def ready(self) -> None:
-        """Wait for `GET /healthz` to say 200; TimeoutError, with the end of its log, where it never does."""
+        """Wait until `GET /healthz` answers 200. Raises TimeoutError with the end of the log otherwise."""
         try:
             async with asyncio.timeout(READY_S):
                 ready = await self._ready_before_its_end()
@@ -63,7 +63,7 @@
             ready = False
         if not ready:
             tail = self.log.read_text(errors="replace")[-500:]
-            raise TimeoutError(f"ingress {self.number} does not come up: {tail}")
+            raise TimeoutError(f"ingress {self.number} did not become ready: {tail}")
 
     async def _ready_before_its_end(self) -> bool:
         """Wait until the ingress is ready or its process has ended; return whether it is ready."""
@@ -74,7 +74,7 @@
         return True
 
     async def healthy(self) -> bool:
-        """Return whether the ingress says that it is ready."""
+        """Return whether `GET /healthz` answers 200."""
         try:
             reader, writer = await asyncio.open_connection(HOST, self.port)
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -85,7 +85,7 @@
         return b" 200 " in line
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> None:
-        """Signal it and wait; what does not leave in time is killed."""
+        """Signal the process and wait for its end; kill it after a time-out."""
         if self.process is None or self.process.returncode is not None:
             return
         with suppress(ProcessLookupError):
--- a/standins/match.py
+++ b/standins/match.py
@@ -1,7 +1,7 @@
-"""Match servers: cores, a bounded queue, a cold start, keyed repeats that are dropped, drains, load probes.
+"""Match servers with cores, a bounded queue, a cold start, deduplication by key, draining and load probes.
 
-A request takes a slot for its work divided by the server's present speed; it is waited for, not computed.
-Everything that ran is recorded, so that a test can count effects that happened twice.
+A request occupies a core for its work divided by the current speed of the server; the work is a sleep, not computation.
+Each effect is recorded, so that a test can count repeated effects.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What a match server can do. Times in seconds; `work` is the mean time of a warm core per request."""
+    """The capacity of a match server. Times are in seconds; `work` is the mean time per request on a warm core."""
 
     cores: int = 3
     queue: int = 60
@@ -31,14 +31,14 @@
 
 
 class Keys:
-    """Keys of requests whose effect has happened or is under way; servers of one group share them."""
+    """Idempotency keys of requests whose effect has happened; the servers of one group share them."""
 
     def __init__(self, window: float = KEY_WINDOW_S, clock: Callable[[], float] = time.time) -> None:
         self.window, self.clock = window, clock
         self.seen: dict[str, float] = {}
 
     def claim(self, key: str) -> bool:
-        """Whether this is the first within the window."""
+        """Return whether the key has not been claimed within the window, and claim it."""
         now = self.clock()
         while self.seen and (oldest := next(iter(self.seen))) and self.seen[oldest] < now - self.window:
             del self.seen[oldest]
@@ -49,7 +49,7 @@
 
 
 class MatchServer(Service):
-    """One server. Requests without `X-Call-Id` are answered 404, as no client sent them."""
+    """One server. A request without `X-Call-Id` is answered 404, since no client of a fleet sends one."""
 
     def __init__(
         self,
@@ -68,38 +68,38 @@
         self.born = 0.0
         # Faults.
         self.draining = False
-        self.slow = 1.0  # times the usual work
+        self.slow = 1.0  # factor by which the work of a request is multiplied
         self.error_share = self.shape.error_share
-        self.reset_share = 0.0  # of requests whose connection is reset after they ran
-        self.cut_share = 0.0  # of requests whose connection is reset as their first byte comes
+        self.reset_share = 0.0  # fraction of requests whose connection is reset after their effect
+        self.cut_share = 0.0  # fraction of requests whose connection is reset at their first byte
         self.cuts = random.Random(f"{seed} {name} cuts")
         self.awake = asyncio.Event()
         self.awake.set()
 
     async def start(self, port: int = 0) -> None:
-        """Serve; the server is cold from now on."""
+        """Start to serve; the server is cold at first."""
         await super().start(port)
         self.born = self.clock()
         self.records.add(Up(self.born, self.name, self.shape.cores, self.shape.cold, self.shape.cold_s))
 
     def silence(self, on: bool) -> None:
-        """While silent, nothing that comes is answered; it goes on when that ends."""
+        """Start or end silence: requests that arrive meanwhile are served after its end."""
         (self.awake.clear if on else self.awake.set)()
 
     def close_idle(self) -> None:
-        """End every connection that carries no request, without an answer."""
+        """Close all connections if no request is in flight."""
         if self.inflight == 0:
             for connection in list(self.connections):
                 connection.writer.close()
 
     def speed(self) -> float:
-        """Share of its capacity that the server has since its start."""
+        """Return the fraction of its full capacity that the server has reached since its start."""
         s = self.shape
         grown = (self.clock() - self.born) / s.cold_s if s.cold_s > 0 else 1.0
         return min(1.0, s.cold + (1 - s.cold) * grown)
 
     async def next(self, connection: Connection) -> Message:
-        """Return the next request, unless the connection is cut instead."""
+        """Return the next request. Raises ConnectionResetError if a fault resets the connection instead."""
         first = await connection.reader.readexactly(1)
         if self.cuts.random() < self.cut_share:
             connection.reset()
@@ -107,7 +107,7 @@
         return await read_message(connection.reader, first)
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
-        """Answer a health check, or do a request's work."""
+        """Answer a health check or a load probe, or serve a request."""
         path = message.target.partition("?")[0]
         if path in ("/healthz", "/load"):
             load = f"TEXT inflight={self.inflight}, queue={self.waiting}"
@@ -130,7 +130,7 @@
             self.inflight -= 1
 
     async def run(self, name: str, key: str, work: float, draw: random.Random, connection: Connection) -> bytes | None:
-        """Wait for a slot, do the work, and return the answer."""
+        """Wait for a core, do the work and return the answer, or None if a fault resets the connection."""
         self.waiting += 1
         try:
             await self.slots.acquire()
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,7 +1,7 @@
-"""Ports of loopback for processes that start a moment later.
+"""Selects loopback ports for processes that start shortly afterwards.
 
-They are taken from below the range that the system gives to connections, so that no connection takes one between its
-choice and its use; processes that run at the same time begin to look in different places.
+The ports lie below the operating system's ephemeral range, so that no outgoing connection takes a port between its
+selection and its use. Processes that run at the same time start their search at different ports.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 HOST = "127.0.0.1"
 FIRST_PORT = 10_000
-PORT_COUNT = 22_000  # the system's own range begins at 32,768
-SPREAD = 7_919  # between the first ports of processes with consecutive ids
+PORT_COUNT = 22_000  # the ephemeral range of the operating system starts at 32,768
+SPREAD = 7_919  # distance between the first ports of processes with consecutive ids
 
 _offsets = itertools.count(os.getpid() * SPREAD)
 
 
 def unused_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """Return a port that nothing uses now; a later call of this process returns another. Raises OSError for none."""
+    """Return an unused port, a different one for each call in this process. Raises OSError if there is none."""
     for offset in itertools.islice(_offsets, PORT_COUNT):
         port = FIRST_PORT + offset % PORT_COUNT
         with socket.socket(socket.AF_INET, kind) as trial:
@@ -32,7 +32,7 @@
 
 
 def hold_ports(count: int, first: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[socket.socket]:
-    """Bind sockets to ports of loopback, from `first` on where that is not 0. OSError names a port that is taken."""
+    """Bind sockets to loopback ports, starting at `first` unless it is 0. Raises OSError that names a used port."""
     sockets = []
     for n in range(count):
         s = socket.socket(socket.AF_INET, kind)
@@ -47,7 +47,7 @@
 
 
 def free_ports(count: int, first: int) -> list[int]:
-    """Return unused ports, from `first` on where that is not 0. Raises OSError where one of those is taken."""
+    """Return unused ports, starting at `first` unless it is 0. Raises OSError if one of them is in use."""
     if not first:
         return [unused_port() for _ in range(count)]
     sockets = hold_ports(count, first)
--- a/standins/records.py
+++ b/standins/records.py
@@ -1,6 +1,6 @@
-"""What stand-ins write down, for the auditor: one small tuple an event, on one clock.
+"""The events that stand-ins record for the auditor: one named tuple per event.
 
-Times are Unix seconds. Records are judged without any statement of the ingress's own.
+Times are Unix seconds of one clock. No record contains anything that an ingress reports about itself.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Asked(NamedTuple):
-    """A front has written a request's last byte. `op` is the same for all attempts at one thing to do."""
+    """The front has sent a request. `op` is the same for all attempts of one operation; `budget` is in seconds."""
 
     at: float
     id: str
@@ -26,7 +26,7 @@
 
 
 class Answered(NamedTuple):
-    """A whole answer has come; status 0: the connection ended without one, -1: the front stopped waiting."""
+    """An attempt has ended. Status 0: the connection ended without an answer; -1: the front stopped waiting."""
 
     at: float
     id: str
@@ -36,7 +36,7 @@
 
 
 class Withdrawn(NamedTuple):
-    """A request was never taken: its idle connection had been ended, and no new one came up."""
+    """An ingress did not accept a request: its idle connection had been closed, and a new one was refused."""
 
     at: float
     id: str
@@ -44,7 +44,7 @@
 
 
 class Began(NamedTuple):
-    """A request's last byte has come to a match server. `work`: seconds of one warm core it asks for."""
+    """A match server has received a request. `work`: seconds that it takes on one warm core."""
 
     at: float
     id: str
@@ -55,7 +55,7 @@
 
 
 class Ran(NamedTuple):
-    """A request's effect has happened at a match server; a repeat that was dropped has none."""
+    """The effect of a request has happened at a match server; a repetition dropped by its key has none."""
 
     at: float
     id: str
@@ -74,7 +74,7 @@
 
 
 class Told(NamedTuple):
-    """Discovery has written a server's status to an ingress."""
+    """Discovery has sent a server's status to an ingress."""
 
     at: float
     server: str
@@ -82,7 +82,7 @@
 
 
 class Added(NamedTuple):
-    """The counter has added to a name."""
+    """The counter has added an amount to the total of a name."""
 
     at: float
     name: str
@@ -91,9 +91,9 @@
 
 
 class Crashed(NamedTuple):
-    """A fault script ended an ingress: `ingress` may lose what it held.
+    """A fault script killed an ingress, which may lose its requests and its state in memory.
 
-    `dying`: it was signalled, and its end was not seen yet; a second record follows as soon as it is.
+    `dying`: the process was signalled but not yet seen to have ended; a second record follows when it is.
     """
 
     at: float
@@ -106,14 +106,14 @@
 
 
 class Records:
-    """All records of a run, in memory and, where a file is given, a JSON line each."""
+    """All records of a run, in memory and, with a sink, as one JSON line each."""
 
     def __init__(self, sink: TextIO | None = None) -> None:
         self.all: list[Record] = []
         self.sink = sink
 
     def add(self, record: Record) -> None:
-        """Append a record, and write it where there is a file."""
+        """Append a record, and write it to the sink if there is one."""
         self.all.append(record)
         if self.sink is not None:
             self.sink.write(json.dumps([type(record).__name__, *record]) + "\n")
@@ -124,7 +124,7 @@
 
 
 def read_records(lines: Iterable[str], name: str = "records") -> list[Record]:
-    """Return the records of JSON lines. Raises ValueError with the line that is none."""
+    """Parse records from JSON lines. Raises ValueError that names the first invalid line."""
     out: list[Record] = []
     for number, line in enumerate(lines, 1):
         try:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,6 +1,6 @@
-"""A relay of datagrams between ingresses that loses and delays them.
+"""A relay that drops and delays datagrams between ingresses.
 
-Each ingress has one address here, which the others send to and from which its own datagrams come.
+Each ingress has one address at the relay: the others send to it, and the ingress's own datagrams come from it.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class Door(asyncio.DatagramProtocol):
-    """The relay's socket that stands for one ingress."""
+    """The socket of the relay that represents one ingress."""
 
     def __init__(self, relay: Relay, number: int) -> None:
         self.relay, self.number = relay, number
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Remember the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Carry a datagram of a known sender."""
+        """Forward a datagram from a known sender; ignore all others."""
         sender = self.relay.numbers.get((addr[0], addr[1]))
         if sender is not None:
             self.relay.carry(sender, self.number, data)
 
 
 class Relay:
-    """`loss`: share of datagrams that are lost; `delay`: seconds at most by which each is late."""
+    """The relay. `loss`: fraction of datagrams that are dropped; `delay`: maximum delay of each, in seconds."""
 
     def __init__(self, targets: Sequence[Address], seed: int = 0, loss: float = 0.0, delay: float = 0.0) -> None:
         self.targets = list(targets)
@@ -41,19 +41,19 @@
         self.loss, self.delay = loss, delay
         self.draws = {
             (a, b): random.Random(f"{seed} {a} {b}") for a in range(len(targets)) for b in range(len(targets))
-        }  # one stream a pair: what others send changes nothing
+        }  # one generator per pair, so that the draws do not depend on the traffic of other pairs
         self.cut: set[int] = set()
         self.doors: list[Door] = []
         self.carried = self.lost = 0
 
     @property
     def addresses(self) -> list[str]:
-        """Return what each ingress gets as `peers`."""
+        """Return the relay's address for each ingress, as used in the setting `peers`."""
         assert all(d.transport is not None for d in self.doors)
         return [f"{HOST}:{d.transport.get_extra_info('sockname')[1]}" for d in self.doors if d.transport]
 
     async def start(self) -> None:
-        """Open a door for each ingress."""
+        """Open a socket for each ingress."""
         loop = asyncio.get_running_loop()
         for number in range(len(self.targets)):
             door = Door(self, number)
@@ -61,11 +61,11 @@
             self.doors.append(door)
 
     def isolate(self, number: int, on: bool) -> None:
-        """Nothing goes to or from one ingress."""
+        """Drop all datagrams to and from one ingress, or stop doing so."""
         (self.cut.add if on else self.cut.discard)(number)
 
     def carry(self, sender: int, target: int, data: bytes) -> None:
-        """Deliver a datagram after its delay, or lose it."""
+        """Deliver a datagram after its delay, or drop it."""
         draw = self.draws[sender, target]
         lost, late = draw.random() < self.loss, draw.random() * self.delay
         if lost or sender in self.cut or target in self.cut:
@@ -83,7 +83,7 @@
             transport.sendto(data, self.targets[target])
 
     def stop(self) -> None:
-        """Close all doors."""
+        """Close all sockets."""
         for door in self.doors:
             if door.transport is not None:
                 door.transport.close()
--- a/standins/system.py
+++ b/standins/system.py
@@ -1,7 +1,7 @@
-"""The whole system on loopback: three core machines, three proxies, and stand-ins for what is around them.
+"""The whole system on loopback: three core machines, three proxies, and stand-ins for their environment.
 
-The stand-ins are the platform, backends, an operator and clients. Written from the users' pages. Each machine has an
-address of its own in 127.0.0.0/8.
+The stand-ins are the platform, backends, an operator and clients; they follow the users' documentation only. Each
+machine has its own address in 127.0.0.0/8.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class System:
-    """All processes and stand-ins; `say` gets a line for each thing that happens."""
+    """All processes and stand-ins; `say` is called with one line for each step of the scenario."""
 
     def __init__(self, folder: Path, say: Callable[[str], None] = print) -> None:
         self.folder = folder
@@ -60,7 +60,7 @@
             await service.stop()
 
     async def until(self, what: str, holds: Callable[[], Awaitable[bool]], seconds: float = 15.0) -> None:
-        """Wait until something holds; TimeoutError names what did not."""
+        """Wait until a condition holds. Raises TimeoutError that names the condition."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while True:
@@ -72,7 +72,7 @@
             await asyncio.sleep(POLL_S)
 
     async def order(self, method: str, target: str, body: bytes = b"") -> Message:
-        """Take an operator's call from machine to machine until one answers with 200 or says that it is wrong."""
+        """Send an operator's call to one core machine after another until one answers 200, 400 or 404."""
         for ip in itertools.islice(itertools.cycle(CORES), ORDER_ATTEMPTS):
             with contextlib.suppress(*NO_ANSWER):
                 answer = await self._call_control(ip, method, target, body)
@@ -82,7 +82,7 @@
         raise TimeoutError(f"no core machine answers {method} {target}")
 
     async def _call_control(self, ip: str, method: str, target: str, body: bytes) -> Message:
-        """Call a core machine, and the one that it redirects to."""
+        """Call a core machine, and follow a redirect."""
         answer = await self.caller.call(f"{ip}:{CONTROL}", method, target, {}, body)
         if answer.status == 307:
             where = answer.headers["location"].removeprefix("http://").partition("/")[0]
@@ -100,7 +100,7 @@
         key: str = "key-large",
         method: str = "GET",
     ) -> dict[int, int]:
-        """Send requests over all proxies at once; return how often each status came."""
+        """Send requests to all proxies concurrently; return the number of answers by status."""
         ips = itertools.islice(itertools.cycle(FRONTS), count)
         answers = await asyncio.gather(*(self.caller.ask(ip, target, key, method) for ip in ips))
         return dict(Counter(answer.status for answer in answers))
--- a/standins/system_backends.py
+++ b/standins/system_backends.py
@@ -1,4 +1,4 @@
-"""Backends of the whole system, and the platform that lists them."""
+"""Stand-ins for the backends of the whole system and for the platform that lists them."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class Run(NamedTuple):
-    """A request that a backend ran."""
+    """A request that a backend has run."""
 
     attempt: str
     backend: str
-    line: str  # the first of the request
+    line: str  # request line
 
 
 class Backend(Service):
-    """One backend: says who it is, seals what it answers, rejects what expects another."""
+    """A backend: names and seals its answers, and rejects requests that expect another instance."""
 
     def __init__(self, name: str, service: str, ip: str, runs: list[Run]) -> None:
         super().__init__()
@@ -35,7 +35,7 @@
         self.tenants: dict[str, int] = {}
 
     def entry(self) -> dict[str, Any]:
-        """Return its entry in the platform's list."""
+        """Return the backend's entry in the platform's list."""
         return {
             "target": self.service,
             "address": self.address,
@@ -61,7 +61,7 @@
 
 
 class Platform(Service):
-    """The platform's list, some backends a page."""
+    """The platform: serves the backend list in pages of `PAGE_ROWS` entries."""
 
     def __init__(self, backends: list[Backend]) -> None:
         super().__init__()
--- a/standins/system_process.py
+++ b/standins/system_process.py
@@ -12,7 +12,7 @@
 
 from standins.system_topology import CONTROL, CORES, DIRECTORY, FRONT, READY, REGIONS, zone_of
 
-BINDS = {  # ports that a program listens on for calls from outside, by what they serve
+BINDS = {  # by program: names and ports of the listeners for calls from outside
     "proxy": {"front": FRONT, "ready": READY, "directory": DIRECTORY},
     "control": {"control": CONTROL},
     "registry": {},
@@ -21,7 +21,7 @@
 
 @dataclass
 class Process:
-    """One program on one machine; its folder outlives it."""
+    """One program on one machine; its folder persists across restarts."""
 
     program: str
     ip: str
@@ -31,7 +31,7 @@
     started_before: bool = False
 
     async def start(self) -> None:
-        """Write its settings and start it; only the first start may found the core."""
+        """Write the settings and start the process; only its first start may bootstrap the core."""
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / "boot.conf"
         path.write_text(self._settings())
@@ -72,7 +72,7 @@
         return "\n".join(lines) + "\n"
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """Send a signal and wait for the end; return the exit code."""
+        """Send a signal and wait until the process ends; return its exit code, or 0 if it was never started."""
         if self.process is None:
             return 0
         with contextlib.suppress(ProcessLookupError):
--- a/standins/system_story.py
+++ b/standins/system_story.py
@@ -1,7 +1,7 @@
-"""A short story of the whole system, step by step, and its verdict: what `make run` shows.
+"""A scenario of the whole system in steps, with a verdict, as run by `make run`.
 
-Requests are served, a backend drained, a configuration changed, a quota held and a core machine killed; no request ran
-twice, at the wrong backend or after its route was taken back.
+Requests are served, a backend is drained, a configuration is changed, a quota is enforced and a core machine is killed.
+No request may run twice, at the wrong backend or after its route has been removed.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 
 async def story(system: System) -> None:
-    """Play all steps. Raises AssertionError or TimeoutError where something does not hold."""
+    """Run all steps. Raises AssertionError or TimeoutError if an expectation fails."""
     assert (await system.put(configuration(1))).status == 200
-    system.say("configuration 00000001 is acknowledged: it is on two disks")
+    system.say("configuration 00000001 is acknowledged, so it is on two disks")
     await wait_until_ready(system)
     await resolve(system)
     await serve(system)
@@ -44,7 +44,7 @@
 
 
 async def resolve(system: System) -> None:
-    """Ask the directory for a client's proxies."""
+    """Query the directory for the proxies of a client."""
     found: dict[str, Any] = {}
 
     async def listed() -> bool:
@@ -53,12 +53,12 @@
         found.update(json.loads(answer.body))
         return bool(found["addresses"] == [f"{FRONTS[2]}:{FRONT}"])
 
-    await system.until("the directory names the proxy of the client's region", listed)
+    await system.until("the directory returns the proxy of the client's region", listed)
     system.say(f"/resolve for a client in r-2: {found}")
 
 
 async def serve(system: System) -> None:
-    """Serve requests, and reject what has no tenant or no route."""
+    """Check that requests are served, and that those without a tenant or a route are rejected."""
 
     async def served() -> bool:
         return (await system.served(6)).get(200) == 6
@@ -73,14 +73,14 @@
 
 
 async def hold_quota(system: System) -> None:
-    """Send far more than a tenant's quota."""
+    """Send many more requests than a tenant's quota allows."""
     tally = await system.served(200, key="key-small")
-    system.say(f"200 at once of a tenant that may send 40: {tally}")
+    system.say(f"200 concurrent requests of a tenant with a burst of 40: {tally}")
     assert tally[429] >= 100 and tally.get(200, 0) <= 60, tally
 
 
 async def drain(system: System) -> None:
-    """Drain a backend."""
+    """Drain a backend and wait until it gets no more requests."""
     drained = system.backends[0]
     drained.phase = "draining"
 
@@ -92,12 +92,12 @@
         await system.served(30, "/pay/1", method="POST")
         return runs() == before
 
-    await system.until("the draining backend gets nothing", idle)
-    system.say(f"{drained.name} drains: nothing more reaches it")
+    await system.until("the draining backend gets no requests", idle)
+    system.say(f"{drained.name} is draining: it gets no more requests")
 
 
 async def change_configuration(system: System) -> None:
-    """Send a route to another service."""
+    """Change the target of a route to another service."""
     assert (await system.put(configuration(2, "pages"))).status == 200
 
     async def moved() -> bool:
@@ -106,26 +106,26 @@
         return all("pages" in run.backend for run in system.runs[mark:])
 
     await system.until("the changed route is in force", moved)
-    system.say("configuration 00000002 sends /read/ to another service, at all proxies")
+    system.say("configuration 00000002 routes /read/ to another service at all proxies")
 
 
 async def reject_configuration(system: System) -> None:
-    """Send a configuration that is invalid."""
+    """Check that an invalid configuration is rejected."""
     invalid = configuration(3)
     invalid["routes"]["read"]["target"] = "nobody"
     answer = await system.put(invalid)
     assert answer.status == 400, answer
-    system.say(f"an invalid one is refused: {json.loads(answer.body)['error']}")
+    system.say(f"an invalid configuration is rejected: {json.loads(answer.body)['error']}")
 
 
 async def lose_core_machine(system: System) -> None:
-    """Kill all programs of a core machine, change the configuration, and start them again."""
+    """Kill all processes of a core machine, change the configuration, and start them again."""
     for (program, ip), process in system.processes.items():
         if ip == CORES[0]:
             await process.end(signal.SIGKILL)
             system.say(f"{program} on {ip} is killed")
     assert (await system.put(configuration(4, "ledger"))).status == 200
-    system.say("configuration 00000004 is acknowledged all the same")
+    system.say("configuration 00000004 is acknowledged without that machine")
     stored = json.loads((await system.order("GET", "/Config.Read")).body)
     assert stored["version"] == "00000004", stored
 
@@ -134,7 +134,7 @@
         tally = await system.served(30)
         return tally == {200: 30} and all("ledger" in run.backend for run in system.runs[mark:])
 
-    await system.until("served by the new configuration", served_again)
+    await system.until("requests are routed by the new configuration", served_again)
     for program in ("control", "registry"):
         await system.processes[program, CORES[0]].start()
 
@@ -146,14 +146,14 @@
 
 
 async def end_proxy(system: System) -> None:
-    """End a proxy in order."""
+    """Stop a proxy gracefully."""
     code = await system.processes["proxy", FRONTS[0]].end()
     assert code == 0, code
-    system.say("a proxy that is terminated ends with exit code 0")
+    system.say("a proxy stopped by SIGTERM ends with exit code 0")
 
 
 async def hold(system: System, seconds: float) -> None:
-    """Stay in service with one configuration for a while."""
+    """Serve one configuration for some seconds."""
     await system.put(configuration(1))
     await wait_until_ready(system)
     system.say(f"in service for {seconds:g} s: directory {FRONTS[0]}:{DIRECTORY}, host {HOST}, key key-large")
@@ -161,7 +161,7 @@
 
 
 async def run(hold_s: float = 0.0) -> int:
-    """Play the story, or stay in service; return 0 where all held, 1 where something did not."""
+    """Run the scenario, or serve for `hold_s` seconds; return 0 on success, 1 on a failed expectation."""
     with tempfile.TemporaryDirectory(prefix="system-") as folder:
         try:
             async with System(Path(folder)) as system:
--- a/standins/system_topology.py
+++ b/standins/system_topology.py
@@ -1,4 +1,4 @@
-"""Addresses, zones and ports of the whole system on loopback, and its operator's configurations."""
+"""Addresses, zones and ports of the whole system on loopback, and the operator's configurations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 FRONTS = ("127.0.41.11", "127.0.42.11", "127.0.43.11")
 ZONES = {"127.0.41": "z-1", "127.0.42": "z-2", "127.0.43": "z-3"}
 REGIONS = {"z-1": "r-1", "z-2": "r-1", "z-3": "r-2"}
-CONTROL, FRONT, READY, DIRECTORY = 18381, 18388, 18384, 18383  # ports
+CONTROL, FRONT, READY, DIRECTORY = 18381, 18388, 18384, 18383  # listening ports
 HOST = "shop.example"
 
 
@@ -18,7 +18,7 @@
 
 
 def configuration(version: int, service: str = "ledger", rate: float = 40.0) -> dict[str, Any]:
-    """Return a configuration as an operator sends it."""
+    """Return a configuration in the format of the operator's API."""
     route = {
         "hostname": HOST,
         "variant": "pure",
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -1,4 +1,4 @@
-"""What a run is judged by, and the verdict: broken rules and figures."""
+"""The limits that the auditor checks, and its verdict: broken rules and figures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanRule:
-    """A plan's quota and ceiling, units and units a second; 0 for none. The errors are units allowed beyond."""
+    """A plan's quota and ceiling, in units and units per second; 0 for no limit.
+
+    The errors are the units allowed beyond them; without an `error`, the quota is only reported.
+    """
 
     rate: float
     burst: float
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What is judged by. Times in seconds; `effects` gives safe, keyed or unsafe by class."""
+    """Limits of the auditor. Times are in seconds; `effects` gives safe, keyed or unsafe by class."""
 
     plans: Mapping[str, PlanRule]
     effects: Mapping[str, str]
@@ -34,11 +37,11 @@
     drain_late: float = 0.05
     cold_multiple: float = 4.0
     cold_window: float = 1.5
-    ceiling_s: float = 0.15  # what the ceiling's rate gives in this time is slack
-    passed_on: bool = False  # a server's own 500 is its answer: the library passes it on
-    calm: bool = False  # no fault was caused
-    starved_tries: int = 3  # of one member refused with room in a calm run, and
-    starved_share: float = 0.05  # share of its tries, beyond which it is starved
+    ceiling_s: float = 0.15  # tolerance: the units that the ceiling's rate allows in this time
+    passed_on: bool = False  # answers of servers with status 500 are passed through, so they are no fault
+    calm: bool = False  # no fault was injected during the run
+    starved_tries: int = 3  # refusals with unused quota that a member may get in a run without faults
+    starved_share: float = 0.05  # fraction of its attempts that may be refused so, if that is more
 
 
 class Breach(NamedTuple):
@@ -51,16 +54,16 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What one plan and class came to."""
+    """The attempts of one plan and request class, by outcome."""
 
     tries: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    times: list[float] = field(default_factory=list)
+    times: list[float] = field(default_factory=list)  # seconds, of served attempts
 
     def quantile(self, share: float) -> float:
-        """Return a quantile of the times of served attempts, in seconds; 0 with none."""
+        """Return a quantile of the response times of served attempts, in seconds; 0 without any."""
         times = sorted(self.times)
         return times[min(len(times) - 1, int(share * len(times)))] if times else 0.0
 
@@ -71,8 +74,8 @@
 
     breaches: list[Breach]
     figures: dict[tuple[str, str], Figures]
-    over: dict[str, float]  # by plan: the most units that a member had beyond its quota
-    above: dict[str, float]  # and beyond its ceiling, below 0 where it was not reached
+    over: dict[str, float]  # by plan: largest number of units that a member had beyond its quota
+    above: dict[str, float]  # by plan: the same beyond the ceiling; negative if no member reached it
 
     @property
     def kept(self) -> bool:
@@ -80,7 +83,7 @@
         return not self.breaches
 
     def lines(self) -> list[str]:
-        """Return the verdict for people, one fact a line."""
+        """Format the verdict for humans, one fact per line."""
         out = [
             f"{'plan':10} {'class':14} {'tries':>7} {'served':>7} {'refused':>7} {'failed':>7}"
             f" {'p50 ms':>7} {'p99 ms':>7}"
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak finds what it is made to find, keeps it, cuts it down, and plays it again."""
+"""The soak finds failures, stores them, minimizes them and replays them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet():
-    logging.disable(logging.CRITICAL)  # spoilt input is logged, by the thousand here
+    logging.disable(logging.CRITICAL)  # thousands of malformed inputs would be logged
     yield
     logging.disable(logging.NOTSET)
 
@@ -57,18 +57,18 @@
 def test_a_broken_reader_is_found_cut_down_and_replayed(monkeypatch, tmp_path, capsys):
     def check(data, rng):
         if b"\xff" in data and b"0" in data:
-            raise RuleBrokenError("it holds both")
+            raise RuleBrokenError("input holds both bytes")
         return len(data) % 7
 
     monkeypatch.setitem(readers.READERS, "answer", (check, readers.READERS["answer"][1]))
     case = Case("bytes", 3, {"target": "answer", "count": 5000})
     outcome = inputs.run(case)
-    assert outcome.why.startswith("it holds both") and outcome.count < 5000
+    assert outcome.why.startswith("input holds both bytes") and outcome.count < 5000
     least = inputs.smallest(case, outcome)
     assert sorted(bytes.fromhex(least.size["data"])) == [ord("0"), 0xFF]
     path = tmp_path / "found.json"
     least.write(path, outcome.why)
-    assert main(["--replay", str(path)]) == 1 and "it holds both" in capsys.readouterr().out
+    assert main(["--replay", str(path)]) == 1 and "input holds both bytes" in capsys.readouterr().out
     monkeypatch.undo()
     assert main(["--replay", str(path)]) == 0
 
@@ -90,14 +90,14 @@
     case = Case("fleet", 1, {"faults": list(range(10))})
     least, why = shrink(case, run(case), smaller, run)
     assert least.size["faults"] == [7] and why.part == "quota"
-    assert shrink(case, run(case), smaller, run, tries=3)[0].size["faults"] != [7]  # within its number of tries
+    assert shrink(case, run(case), smaller, run, tries=3)[0].size["faults"] != [7]  # the number of tries is limited
 
 
 def test_fleets_are_drawn_by_seed_and_every_script_can_be_played(tmp_path):
     assert fleets.draw(7) == fleets.draw(7) != fleets.draw(8)
     for seed in range(200):
         case = fleets.draw(seed)
-        Fleet(fleets.options_of(case), tmp_path)  # ScriptError where a target is not there
+        Fleet(fleets.options_of(case), tmp_path)  # raises ScriptError if a target does not exist
         for other in fleets.smaller(case):
             Fleet(fleets.options_of(other), tmp_path)
             assert other != case
@@ -144,9 +144,11 @@
     report = soak.run()
     assert report.cases["bytes"] >= 2 and not report.found and report.counts["bytes"] >= 1500
     assert report.lines()[0].startswith("seed 9")
-    case = Case("fleet", 4, {"ingresses": 0})  # cannot be played at all: the soak's own fault is found, too
+    case = Case("fleet", 4, {"ingresses": 0})  # invalid case: an exception of the soak itself is also reported
     calls = []
-    pool = type("Pool", (), {"submit": lambda self, *call: calls.append(call)})()  # elsewhere, while others go on
+    pool = type(
+        "Pool", (), {"submit": lambda self, *call: calls.append(call)}
+    )()  # minimized in the pool, while other cases run
     soak.take(case, type("Done", (), {"result": lambda self: play(case)})(), pool)
     kept = soak.cutting[None]
     least = Case("fleet", 4, {"ingresses": -1})
--- a/tests/standins/test_auditor.py
+++ b/tests/standins/test_auditor.py
@@ -1,4 +1,4 @@
-"""The auditor catches each broken rule, in records that break exactly one, and nothing in sound ones."""
+"""The auditor reports exactly the one rule that a set of records breaks, and nothing for a correct run."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def sound():
-    """A run with a refusal, a retry, an allowed repeat, a drain, a cold server, a crash and a full bucket."""
+    """Return a correct run with a refusal, a retry, a repetition, a drain, a cold server, a crash and a full bucket."""
     out = [Up(0.0, "cold", 2.0, 0.5, 10.0), Told(1.0, "s1", "DRAINING")]
     out += [asked(1.0, "a"), Began(1.9, "a", "s1", "", 0.1), answered(2.2, "a")]
     out += [asked(3.0, "b", "once"), answered(3.1, "b", 429)]
@@ -65,7 +65,7 @@
     assert verdict.breaches == [] and verdict.kept
     assert verdict.over["plus"] == pytest.approx(12.0)
     assert verdict.figures["basic", "once"].refused == 1 and verdict.figures["plus", "read"].served == 8
-    assert any("200.0" in line for line in verdict.lines())  # ms: the eight of plus
+    assert any("200.0" in line for line in verdict.lines())  # ms: the eight requests of plan plus
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
         ("lost", [asked(20.0, "x"), answered(20.1, "x"), answered(20.2, "x", 503)]),
         ("lost", [asked(20.0, "x"), answered(22.06, "x")]),
         ("lost", [asked(20.0, "x"), Answered(20.1, "x", 200, 0.0, "s y")]),
-        ("lost", [asked(20.0, "x"), Crashed(20.5, "1")]),  # another ingress died
+        ("lost", [asked(20.0, "x"), Crashed(20.5, "1")]),  # another ingress was killed
         ("lost", [asked(20.0, "x"), Began(20.1, "x", "s2", "", 0.1), Withdrawn(20.2, "x", "0")]),
         (
             "twice",
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("crashed,kept", [("0", True), ("1", False)])
 def test_what_ran_for_an_ingress_that_was_killed_is_not_the_next_ones_repeat(crashed, kept):
-    """The front sends a try again whose ingress died under it; one withdrawn from a live ingress is none of that."""
+    """An attempt orphaned by the kill of its ingress may be sent again; one withdrawn from a live ingress may not."""
     first = [
         asked(20.0, "x", "once"),
         Began(20.1, "x", "s2", "", 0.1),
@@ -150,7 +150,7 @@
         Ran(20.4, "x", "s3", ""),
         answered(20.5, "x"),
     ]
-    elsewhere = [Crashed(20.0, "3"), Withdrawn(20.21, "x", "3")]  # it was down before, and took nothing
+    elsewhere = [Crashed(20.0, "3"), Withdrawn(20.21, "x", "3")]  # this ingress was already down and accepted nothing
     assert ("lost" not in {b.rule for b in audit(first + elsewhere + again, RULES).breaches}) is kept
     assert ("twice" not in {b.rule for b in audit(first + again, RULES).breaches}) is kept
     same = [
@@ -163,15 +163,22 @@
         answered(20.6, "x"),
     ]
     assert ("twice" not in {b.rule for b in audit(same, RULES).breaches}) is kept
-    more = [*first, *again[:-1], Began(20.45, "x", "s4", "", 0.1), answered(20.5, "x")]  # once only
+    more = [
+        *first,
+        *again[:-1],
+        Began(20.45, "x", "s4", "", 0.1),
+        answered(20.5, "x"),
+    ]  # only one repetition is allowed
     assert "twice" in {b.rule for b in audit(more, RULES).breaches}
 
 
 @pytest.mark.parametrize("dying,kept", [(True, True), (False, False)])
 def test_what_is_read_between_a_kill_and_the_seen_end_of_the_process_is_the_dead_ones(dying, kept):
-    """A request was read 51 ms after its ingress was signalled and 330 ms before the end of the process was seen.
+    """Guards against a false `lost` when a server reads a request after the kill signal to its ingress.
 
-    The reader had stood still for 300 ms: "Crashed 738.874, Began 738.925, Withdrawn 738.944, Crashed 739.255" (s).
+    In a recorded run, the request was read 51 ms after the signal and 330 ms before the end of the process was seen,
+    because the reader had been stalled for 300 ms. Times in s: Crashed 738.874, Began 738.925, Withdrawn 738.944,
+    Crashed 739.255.
     """
     first = [asked(20.0, "x", "once"), Crashed(20.05, "0", dying), Began(20.101, "x", "s2", "", 0.1)]
     first += [Withdrawn(20.12, "x", "0"), Crashed(20.43, "0")]
@@ -182,7 +189,7 @@
         asked(21.0, "y", "once"),
         Began(21.1, "y", "s2", "", 0.1),
         Withdrawn(21.2, "y", "0"),
-    ]  # of the next process
+    ]  # belongs to the restarted process
     assert "lost" in {b.rule for b in audit([*first, *again, answered(20.8, "x"), *later], RULES).breaches}
 
 
@@ -192,7 +199,7 @@
     assert [b.rule for b in audit([asked(20.0, "x"), answered(20.1, "x", 502)], calm).breaches] == ["fault"]
     refused = [r for n in range(4) for r in (asked(20.0 + n, f"x{n}"), answered(20.1 + n, f"x{n}", 429))]
     assert [b.rule for b in audit(refused, calm).breaches] == ["starved"] and audit(refused, RULES).kept
-    assert audit(refused[:6], calm).kept  # three tries may happen
+    assert audit(refused[:6], calm).kept  # three refusals are tolerated
     spent = [
         asked(20.0, "s", units=4.0),
         Began(20.0, "s", "s2", "", 0.1),
@@ -202,7 +209,7 @@
         answered(20.0, "t"),
     ]
     soon = [r for n in range(4) for r in (asked(20.0, f"x{n}"), answered(20.5, f"x{n}", 429))]
-    assert audit(spent + soon, calm).kept  # they had no room
+    assert audit(spent + soon, calm).kept  # the quota was used up
 
 
 def test_a_quota_is_a_rule_only_where_its_error_is_stated():
@@ -217,7 +224,7 @@
 
 def test_a_try_takes_its_units_once_whatever_is_sent_again():
     more = [asked(20.0, "x", units=4.0, member=5)] + [Began(20.0 + n, "x", "s2", "", 0.1) for n in range(4)]
-    assert audit([*more, answered(21.0, "x")], RULES).over["basic"] == 0.0  # and not 4 x 4 beyond 8
+    assert audit([*more, answered(21.0, "x")], RULES).over["basic"] == 0.0  # not 4 x 4 units against a burst of 8
 
 
 def test_records_go_to_a_file_and_back(tmp_path):
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -1,4 +1,4 @@
-"""The second deployment's shape on real processes: what must never run twice, no ceilings, halls that are lost."""
+"""The billing deployment on real processes: a class that must not run twice, no ceilings, and lost halls."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def play(faults, seconds=5.0, **more):
-    """A billing fleet; its verdict, and the share of each class that was served from a time on."""
+    """Run a billing fleet; return its verdict, a function for the served fraction of a class, and the records."""
     records = Records()
     options = Options(
         ingresses=2,
@@ -53,17 +53,17 @@
 
 
 def test_connections_that_break_as_requests_come_cost_the_unsafe_class_next_to_nothing():
-    """A third of all requests meet a reset at their first byte, on every server: nothing of them has run."""
+    """Every server resets a third of its requests at the first byte: none of these has run, so all may be resent."""
     verdict, served, _ = play([Fault(0.0, "match.cuts", n, 10.0, 0.33) for n in range(6)])
     assert verdict.kept, verdict.lines()
     assert served("settle-post", since=0.5) > 0.9, verdict.lines()
 
 
 def test_a_lost_hall_breaks_no_rule_and_service_is_back_with_it():
-    """Half of the servers, one of two ingresses and what the counter knew; cold when they are back."""
+    """The lost hall holds half of the servers, one of two ingresses and the counter; its servers restart cold."""
     verdict, served, records = play([Fault(1.0, "hall.lose", 0, 1.5)], seconds=6.0)
     assert verdict.kept, verdict.lines()
-    assert served("settle-post", 1.2, 2.4) > 0.5  # the other ingress and its servers go on
+    assert served("settle-post", 1.2, 2.4) > 0.5  # the other ingress and its servers continue
     assert served("settle-post", since=4.5) > 0.9 and served("share-read", since=4.5) > 0.9, verdict.lines()
     retry_after = [a.retry_after for a in records.of(Answered) if a.status in (429, 503)]
     assert not retry_after or max(retry_after) > 0
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -1,4 +1,4 @@
-"""Fault scripts, the front's draws, and the whole fleet under faults."""
+"""Fault scripts, the requests drawn by the front, and whole fleets under faults."""
 
 from __future__ import annotations
 
--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that start a moment later."""
+"""Selection of ports for processes that start shortly afterwards."""
 
 import socket
 
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -1,4 +1,4 @@
-"""Each stand-in does what its page says, and each of its faults."""
+"""Each stand-in behaves as documented, with and without each of its faults."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         async def restart():
             opened = counter.opened
             counter.restart_from_zero()
-            await until(lambda: counter.opened == opened + 4)  # the client's lines are up again
+            await until(lambda: counter.opened == opened + 4)  # the client's connections are open again
 
         async def once():
             client.add(7, 1.0, 60.0)
@@ -83,12 +83,14 @@
         counter.silence(True)
         assert (await once()).outcome is Outcome.TIMEOUT and counter.totals() == {"7": 4.0}
         counter.silence(False)
-        await until(lambda: counter.totals() == {"7": 5.0})  # it had been written: it counts later
+        await until(
+            lambda: counter.totals() == {"7": 5.0}
+        )  # the call had been sent, so it is applied after the silence
         await restart()
         assert (await once())[1::2] == (Outcome.OK, 1.0)
         counter.life_cut = 0.0
         await restart()
-        assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # it answers and forgets
+        assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # the counter answers but keeps no total
         client.close()
         await counter.stop()
 
@@ -102,8 +104,8 @@
         await counter.start()
         began = loop.time()
         await asyncio.gather(*(add(counter.port, str(n)) for n in range(10)))
-        assert counter.busy_until[0] >= began + 0.1 - 1e-6  # ten turns of 10 ms, one behind another
-        assert loop.time() - began >= 0.09  # and each was waited for: timers ring up to a millisecond early
+        assert counter.busy_until[0] >= began + 0.1 - 1e-6  # ten calls of 10 ms each, one after another
+        assert loop.time() - began >= 0.09  # each call was waited for; timers may fire up to a millisecond early
         await counter.stop()
 
     run(main())
@@ -118,10 +120,10 @@
             await s.start()
         ask = [await Caller.connect(s.port) for s in servers]
         assert (await ask[0].ask(call("r1", "pay")))[2] == b"s0 r1"
-        assert (await ask[1].ask(call("r1", "pay")))[0] == 200  # the same key elsewhere: no effect
+        assert (await ask[1].ask(call("r1", "pay")))[0] == 200  # the same key at another server has no effect
         assert [(r.id, r.server) for s in servers for r in s.records.of(Ran)] == [("r1", "s0")]
         clock.now += 16
-        await ask[1].ask(call("r2", "pay"))  # beyond the window it has one
+        await ask[1].ask(call("r2", "pay"))  # after the window the key has an effect again
         assert len(list(servers[1].records.of(Ran))) == 1
         status, headers, body = await ask[0].ask(b"GET /load HTTP/1.1\r\n\r\n")
         assert status == 200 and headers["x-load-report"].encode() == body and b"inflight=0" in body
@@ -141,7 +143,7 @@
         assert server.speed() == 0.25
         clock.now += 5
         assert server.speed() == pytest.approx(0.625)
-        await server.slots.acquire()  # its one core is taken
+        await server.slots.acquire()  # its only core is busy
         first, second = await Caller.connect(server.port), await Caller.connect(server.port)
         first.writer.write(call("r1"))
         await until(lambda: server.waiting == 1)
@@ -156,7 +158,7 @@
         first.writer.write(call("r4"))
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await first.answer()
-        assert [r.id for r in server.records.of(Ran)] == ["r1", "r4"]  # the reset one had run
+        assert [r.id for r in server.records.of(Ran)] == ["r1", "r4"]  # r4 ran before its connection was reset
         server.reset_share = 0.0
         server.silence(True)
         second.writer.write(call("r5"))
@@ -207,7 +209,7 @@
         await relay.start()
         addresses = [(a.split(":")[0], int(a.split(":")[1])) for a in relay.addresses]
         socks[0].sendto(b"hello", addresses[2])
-        await loop.sock_recv(socks[2], 0)  # it is there
+        await loop.sock_recv(socks[2], 0)  # the datagram has arrived
         data, sender = socks[2].recvfrom(100)
         assert data == b"hello" and sender == addresses[0]
         relay.isolate(1, True)
--- a/tests/standins/test_system.py
+++ b/tests/standins/test_system.py
@@ -1,4 +1,4 @@
-"""The three programs as processes on loopback, with stand-ins: what `make run` shows holds."""
+"""The scenario of `make run` passes: the three programs as processes on loopback, with stand-ins."""
 
 import asyncio
 
