--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -50,12 +50,12 @@
         figures.setdefault(name, []).append((used() - before) / count * 1000)
 
     async with System(folder, lambda text: None) as system:
-        await system.put(configuration(1, rate=1e6))
+        await system.replace_configuration(configuration(1, rate=1e6))
 
         async def serves() -> bool:
-            return (await system.caller.ask(FRONTS[0])).status == 200
+            return (await system.caller.ask_proxy(FRONTS[0])).status == 200
 
-        await system.until("the system serves", serves)
+        await system.wait_until("the system serves", serves)
         pids = {key: p.process.pid for key, p in system.processes.items() if p.process is not None}
         proxy = pids["proxy", FRONTS[0]]
         registries = [pids["registry", ip] for ip in CORES]
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -46,8 +46,8 @@
             print(f"soak: {error}", file=sys.stderr)
             return 2
         outcome, took = play(case)
-        print(f"{case.kind}, seed {case.seed}: {outcome.why or 'nothing found'} ({took:.1f} s)")
-        return 1 if outcome.why else 0
+        print(f"{case.kind}, seed {case.seed}: {outcome.failure or 'nothing found'} ({took:.1f} s)")
+        return 1 if outcome.failure else 0
     for key, low in (("minutes", 0.0), ("workers", 1)):
         if not getattr(args, key) >= low:
             print(f"soak: --{key}: expected {low} or more, got {getattr(args, key)}", file=sys.stderr)
--- a/soak/case.py
+++ b/soak/case.py
@@ -25,22 +25,22 @@
     seed: int
     size: dict[str, Any] = field(default_factory=dict)
 
-    def but(self, **changes: Any) -> Case:
+    def with_size(self, **changes: Any) -> Case:
         """Return the case with changed parameters in `size`."""
         return replace(self, size={**self.size, **changes})
 
-    def write(self, path: Path, why: str) -> None:
+    def write(self, path: Path, failure: str) -> None:
         """Write the case to a file, with the failure that it showed."""
         path.parent.mkdir(parents=True, exist_ok=True)
-        path.write_text(json.dumps({**asdict(self), "found": why}, indent=1) + "\n", encoding="utf-8")
+        path.write_text(json.dumps({**asdict(self), "found": failure}, indent=1) + "\n", encoding="utf-8")
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The result of a case: `why` describes the failure and is empty for none; `part` names the check that failed."""
+    """The result of a case: `failure` is empty if the case passed; `check` names the check that failed."""
 
-    why: str = ""
-    part: str = ""
+    failure: str = ""
+    check: str = ""
     count: int = 1  # number of requests, schedules or inputs that the case tried
 
 
--- a/soak/client_reader.py
+++ b/soak/client_reader.py
@@ -16,22 +16,22 @@
 from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
 
-class _Decided:
+class _AcceptingIngress:
     """An ingress that answers each request immediately with status 200."""
 
     def __init__(self, parsed: Settings) -> None:
         self.settings, self.serving, self.driver = parsed, {"b"}, self
         self.scheduler = asyncio.get_running_loop()
-        self.taken: list[Any] = []
+        self.accepted: list[Any] = []
 
     def handle_request(self, call: Any, reply: Callable[[int, bytes, bytes], None]) -> None:
-        self.taken.append(call)
+        self.accepted.append(call)
         reply(200, b"", call.request.id.encode())
 
     def client_disconnected(self, call: Any) -> None: ...
 
 
-class _Answers:
+class _ResponseParser:
     """Parses the responses as a client does, and collects their statuses."""
 
     def __init__(self) -> None:
@@ -42,12 +42,12 @@
         self.statuses.append(self.parser.get_status_code())
 
 
-def request(data: bytes, rng: random.Random) -> Hashable:
+def check_client_request(data: bytes, rng: random.Random) -> Hashable:
     """Feed client bytes to one connection; return the first statuses and whether further input is discarded."""
     parsed = shared_settings()
 
     async def main() -> Hashable:
-        ingress = _Decided(parsed)
+        ingress = _AcceptingIngress(parsed)
         server = IngressServer(asyncio.get_running_loop(), ingress, 8)  # type: ignore[arg-type]
         connection, transport = ClientConnection(server), Transport()
         connection.connection_made(transport)  # type: ignore[arg-type]
@@ -55,10 +55,10 @@
         if len(connection.body) > MAX_BODY_BYTES or len(connection.url) > MAX_HEAD_BYTES + 65536:
             raise RuleBrokenError("connection buffers more than its limits")
         statuses = _statuses(bytes(transport.written))
-        if statuses.count(200) < len(ingress.taken) and not connection.closing:
-            raise RuleBrokenError(f"{len(ingress.taken)} requests taken, answers {statuses}")
-        for call in ingress.taken:
-            _check_taken(call, parsed)
+        if statuses.count(200) < len(ingress.accepted) and not connection.closing:
+            raise RuleBrokenError(f"{len(ingress.accepted)} requests accepted, answers {statuses}")
+        for call in ingress.accepted:
+            _check_accepted(call, parsed)
         connection.connection_lost(None)
         server.close()
         return tuple(statuses[:4]), connection.discarding_input
@@ -79,7 +79,7 @@
 
 def _statuses(written: bytes) -> list[int]:
     """Return the statuses of the answers. Raises RuleBrokenError if a client cannot parse them, or for a 500."""
-    client = _Answers()
+    client = _ResponseParser()
     try:
         client.parser.feed_data(written)
     except httptools.HttpParserError as error:
@@ -89,7 +89,7 @@
     return client.statuses
 
 
-def _check_taken(call: Any, parsed: Settings) -> None:
+def _check_accepted(call: Any, parsed: Settings) -> None:
     """Raise RuleBrokenError if an accepted request has invalid values or is forwarded as a different one."""
     r = call.request
     if not (
--- a/soak/file_readers.py
+++ b/soak/file_readers.py
@@ -14,10 +14,10 @@
 from thistleusher.net.config import read_config
 
 
-def file_check(read: Callable[[str], object], plain: type[Exception]) -> Check:
+def make_file_check(read: Callable[[str], object], error_type: type[Exception]) -> Check:
     """Return the check of a file reader.
 
-    The reader may reject a file only with an error of type `plain`, whose text is one line that names the file.
+    The reader may reject a file only with an error of type `error_type`, whose text is one line that names the file.
     """
 
     def check(data: bytes, rng: random.Random) -> Hashable:
@@ -25,7 +25,7 @@
         path.write_bytes(data)
         try:
             read(str(path))
-        except plain as error:
+        except error_type as error:
             text = str(error)
             if "\n" in text.strip() or path.name not in text:
                 raise RuleBrokenError(f"error does not name the file in one line: {text!r}") from error
@@ -44,11 +44,11 @@
 def read_script_file(path: str) -> None:
     """Read a fault script. Raises RuleBrokenError if it accepts a number out of range."""
     for fault in read_script(path):
-        if not all(0 <= figure < 1e300 for figure in (fault.at, fault.lasts, fault.value)):
+        if not all(0 <= figure < 1e300 for figure in (fault.at, fault.duration_s, fault.value)):
             raise RuleBrokenError(f"fault accepted with a number out of range: {fault!r}")
 
 
-def records(data: bytes, rng: random.Random) -> Hashable:
+def check_records(data: bytes, rng: random.Random) -> Hashable:
     """Read a file of records; return their number, or the error."""
     try:
         return len(read_records(data.decode("utf-8", "replace").splitlines(), "file"))
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -17,16 +17,16 @@
 from standins.deployments import DEPLOYMENTS
 from standins.faults import ACTIONS, Fault
 from standins.fleet import Fleet
-from standins.fleet_options import HALLS, Options, settings
-from standins.match import Shape
+from standins.fleet_options import HALL_COUNT, Options, settings
+from standins.match import ServerCapacity
 from standins.records import Answered, Records
 from standins.verdict import PlanRule
 from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumptions, bound_of
 
-LATE_S = 0.15  # delay that a busy machine may add to a datagram
-JOINT_S = 2.0  # per ingress: restarts within this time may have left all ingresses down at once
-VALUES = {
+MACHINE_DELAY_S = 0.15  # delay that a busy machine may add to a datagram
+JOINT_RESTART_S = 2.0  # per ingress; if all restart within this time, they may have been down at once
+VALUE_RANGES = {
     "counter.lose": (0.05, 0.4),
     "counter.spoil": (0.05, 0.4),
     "counter.delay": (0.005, 0.2),
@@ -39,7 +39,7 @@
     "relay.loss": (0.01, 0.3),
     "relay.delay": (0.0, 0.5),
 }
-OFTEN = (
+FREQUENT_ACTIONS = (
     "match.errors",
     "match.resets",
     "match.cuts",
@@ -47,9 +47,9 @@
     "ingress.kill",
     "hall.lose",
     "counter.silence",
-)  # drawn more often than the others, since they endanger the rules
-GROWTH_MB = 40.0  # growth of resident memory during a run that is judged as a leak
-MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
+)  # the faults that are most likely to break a rule
+MAX_MEMORY_GROWTH_MB = 40.0  # growth of resident memory during a run that is judged as a leak
+RESIDENT_MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
 
 
 def draw(seed: int, seconds: float = 6.0) -> Case:
@@ -58,10 +58,10 @@
     ingresses, servers = rng.randint(3, 7), rng.randint(4, 20)
     faults = []
     for _ in range(rng.randint(2, 12)):
-        do = rng.choice(list(ACTIONS)) if rng.random() < 0.6 else rng.choice(OFTEN)
+        do = rng.choice(list(ACTIONS)) if rng.random() < 0.6 else rng.choice(FREQUENT_ACTIONS)
         action = ACTIONS[do]
-        many = servers if do.startswith("match.") else HALLS if do.startswith("hall.") else ingresses
-        low, high = VALUES.get(do, (0.0, 0.0))
+        many = servers if do.startswith("match.") else HALL_COUNT if do.startswith("hall.") else ingresses
+        low, high = VALUE_RANGES.get(do, (0.0, 0.0))
         faults.append(
             [
                 round(rng.uniform(0.0, seconds * 0.8), 2),
@@ -93,12 +93,12 @@
     """Return the fleet options of a case, with the bounds that apply under its script."""
     s = case.size
     faults = tuple(
-        Fault(float(at), str(do), int(target), float(lasts), float(value))
-        for at, do, target, lasts, value in s["faults"]
+        Fault(float(at), str(do), int(target), float(duration_s), float(value))
+        for at, do, target, duration_s, value in s["faults"]
     )
     deployment = DEPLOYMENTS[s.get("deployment", "matching")]
     few, many = list(deployment.plans)[-1], list(deployment.plans)[0]
-    plain = Options(
+    without_bounds = Options(
         ingresses=s["ingresses"],
         servers=s["servers"],
         seconds=s["seconds"],
@@ -107,19 +107,22 @@
         loss=0.0,
         members={many: s["basic"], few: s["plus"]},
         faults=faults,
-        move_s=s["move"],
-        shape=Shape(cores=8, work=0.005),
+        switch_interval_s=s["move"],
+        capacity=ServerCapacity(cores=8, work=0.005),
         deployment=deployment,
         folders=bool(s.get("folders", False)),
     )
-    return Options(**{name: getattr(plain, name) for name in Options.__dataclass_fields__} | {"plans": rules(plain)})
+    return Options(
+        **{name: getattr(without_bounds, name) for name in Options.__dataclass_fields__}
+        | {"plans": plan_rules(without_bounds)}
+    )
 
 
-def rules(o: Options) -> dict[str, PlanRule]:
+def plan_rules(o: Options) -> dict[str, PlanRule]:
     """Return the plans with the errors that the quota bound allows under the script."""
     ingress_settings, _ = nested_settings(settings(o, 0))
     loss = max((f.value for f in o.faults if f.do == "relay.loss"), default=0.0)
-    delay = sum(f.value for f in o.faults if f.do == "relay.delay") + LATE_S
+    delay = sum(f.value for f in o.faults if f.do == "relay.delay") + MACHINE_DELAY_S
     cut = any(f.do == "relay.isolate" for f in o.faults)
     restarted = restarts(o)
     assumed = Assumptions(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
@@ -134,7 +137,7 @@
             rule.ceiling_rate,
             rule.ceiling_burst,
             quota + len(restarted) * b.quota_restart,
-            (b.ceiling or 0.0) + joint(restarted, o.ingresses) * (b.ceiling_restart or 0.0),
+            (b.ceiling or 0.0) + joint_restarts(restarted, o.ingresses) * (b.ceiling_restart or 0.0),
         )
     return out
 
@@ -144,16 +147,18 @@
     restarted = [f for f in o.faults if f.do.startswith("ingress.")]
     for f in o.faults:
         if f.do == "hall.lose":
-            restarted += [Fault(f.at + f.lasts, "ingress.kill", n) for n in range(f.target, o.ingresses, HALLS)]
+            restarted += [
+                Fault(f.at + f.duration_s, "ingress.kill", n) for n in range(f.target, o.ingresses, HALL_COUNT)
+            ]
     return sorted(restarted)
 
 
-def joint(restarted: list[Fault], ingresses: int) -> int:
+def joint_restarts(restarted: list[Fault], ingresses: int) -> int:
     """Return how often all ingresses may have been down at once, since each of them restarted within a short time."""
     count, recent = 0, dict[int, float]()
     for f in sorted(restarted):
         recent[f.target] = f.at
-        if len(recent) == ingresses and f.at - min(recent.values()) < JOINT_S * ingresses:
+        if len(recent) == ingresses and f.at - min(recent.values()) < JOINT_RESTART_S * ingresses:
             count += 1
             recent.clear()
     return count
@@ -167,15 +172,15 @@
     records = Records()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         async with Fleet(options_of(case), Path(folder), records) as fleet:
-            before = memory(fleet)
+            before = memory_and_descriptors(fleet)
             verdict = await fleet.run()
-            after = memory(fleet)
+            after = memory_and_descriptors(fleet)
             ended = [i.number for i in fleet.ingresses if i.process is None or i.process.returncode not in (None, 0)]
-            touched = {f.target for f in restarts(fleet.options)}
+            restarted_ingresses = {f.target for f in restarts(fleet.options)}
             sent = fleet.front.sent if fleet.front else 0
             logs = {i.number: i.log.read_text(errors="replace") for i in fleet.ingresses}
     for number in ended:
-        if number not in touched:
+        if number not in restarted_ingresses:
             return Outcome(f"ingress {number} ended, but no fault restarted it: {logs[number][-300:]}", "process", sent)
     for number, text in logs.items():
         lines = [line for line in text.splitlines() if " ERROR " in line or "Traceback" in line]
@@ -189,14 +194,14 @@
     if faults:
         return Outcome(f"{len(faults)} answers with status 500, first to {faults[0].id}", "status", sent)
     for number, (mb, descriptors) in after.items():
-        if number in before and mb - before[number][0] > GROWTH_MB:
+        if number in before and mb - before[number][0] > MAX_MEMORY_GROWTH_MB:
             return Outcome(f"ingress {number} grew from {before[number][0]:.0f} to {mb:.0f} MB", "memory", sent)
         if descriptors > 1024:
             return Outcome(f"ingress {number} has {descriptors} open descriptors", "descriptors", sent)
     return Outcome(count=sent)
 
 
-def memory(fleet: Fleet) -> dict[int, tuple[float, int]]:
+def memory_and_descriptors(fleet: Fleet) -> dict[int, tuple[float, int]]:
     """Return the resident megabytes and open descriptors of each running ingress, if `/proc` provides them."""
     out = {}
     for i in fleet.ingresses:
@@ -204,7 +209,7 @@
             continue
         home = Path(f"/proc/{i.process.pid}")
         try:
-            found = MEMORY.search((home / "status").read_text())
+            found = RESIDENT_MEMORY.search((home / "status").read_text())
             out[i.number] = (int(found[1]) / 1024 if found else 0.0, len(list((home / "fd").iterdir())))
         except OSError:
             continue
@@ -231,25 +236,25 @@
     return Outcome(f"the fleet did not end within {limit:.0f} s, or an ingress did not become ready: {why}", "ends")
 
 
-def smaller(case: Case) -> list[Case]:
+def smaller_cases(case: Case) -> list[Case]:
     """Return smaller cases, the largest reductions first: fewer faults, a shorter run, a smaller fleet."""
     s: dict[str, Any] = case.size
     faults: list[list[Any]] = s["faults"]
     out = []
     half = len(faults) // 2
     if half:
-        out += [case.but(faults=faults[:half]), case.but(faults=faults[half:])]
+        out += [case.with_size(faults=faults[:half]), case.with_size(faults=faults[half:])]
     if len(faults) > 1:
-        out += [case.but(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
+        out += [case.with_size(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
     last = max((f[0] + f[3] for f in faults), default=0.0)
     if s["seconds"] > last + 1.5:
-        out.append(case.but(seconds=round(last + 1.0, 2)))
+        out.append(case.with_size(seconds=round(last + 1.0, 2)))
     targets = [f[2] for f in faults if f[1].startswith("match.")]
     if s["servers"] > max(targets, default=0) + 4:
-        out.append(case.but(servers=max(4, max(targets, default=0) + 1)))
+        out.append(case.with_size(servers=max(4, max(targets, default=0) + 1)))
     targets = [f[2] for f in faults if not f[1].startswith(("match.", "hall."))]
     if s["ingresses"] > max(3, max(targets, default=0) + 1):
-        out.append(case.but(ingresses=max(3, max(targets, default=0) + 1)))
+        out.append(case.with_size(ingresses=max(3, max(targets, default=0) + 1)))
     if s["basic"] + s["plus"] > 4:
-        out.append(case.but(basic=min(2, s["basic"]), plus=min(2, s["plus"])))
+        out.append(case.with_size(basic=min(2, s["basic"]), plus=min(2, s["plus"])))
     return out
--- a/soak/inputs.py
+++ b/soak/inputs.py
@@ -6,7 +6,7 @@
 import traceback
 
 from soak.case import Case, Outcome
-from soak.mutate import Corpus, cut_down, mutated
+from soak.mutate import Corpus, minimize_bytes, mutate
 from soak.reader_tools import RuleBrokenError
 from soak.readers import READERS
 
@@ -21,19 +21,19 @@
     target = str(case.size["target"])
     check, given = READERS[target]
     if "data" in case.size:
-        why = fails(target, bytes.fromhex(str(case.size["data"])), case.seed)
+        why = failure_of(target, bytes.fromhex(str(case.size["data"])), case.seed)
         return Outcome(why, target)
     rng, corpus, count = random.Random(case.seed), Corpus(given), int(case.size["count"])
     for n in range(count):
-        data, at = mutated(rng, corpus.inputs), rng.getrandbits(32)
+        data, at = mutate(rng, corpus.inputs), rng.getrandbits(32)
         try:
-            corpus.learn(data, check(data, random.Random(at)))
+            corpus.add_if_new(data, check(data, random.Random(at)))
         except Exception as error:
             return Outcome(f"{description(error)}; data {data.hex()} at {at}", target, n + 1)
     return Outcome(count=count)
 
 
-def fails(target: str, data: bytes, seed: int) -> str:
+def failure_of(target: str, data: bytes, seed: int) -> str:
     """Return the error that one input causes, or an empty string."""
     try:
         READERS[target][0](data, random.Random(seed))
@@ -50,14 +50,14 @@
     return f"{type(error).__name__}: {str(error)[:200]} at {last.filename.rpartition('/')[2]}:{last.lineno} {last.name}"
 
 
-def smallest(case: Case, outcome: Outcome) -> Case:
+def minimize(case: Case, outcome: Outcome) -> Case:
     """Return a case of the failed input alone, reduced to the bytes that still cause an error of the same kind."""
-    text = outcome.why.rpartition("; data ")[2]
+    text = outcome.failure.rpartition("; data ")[2]
     if "data" in case.size:
         target, data, seed = str(case.size["target"]), bytes.fromhex(str(case.size["data"])), case.seed
     else:
         hexed, _, at = text.partition(" at ")
-        target, data, seed = outcome.part, bytes.fromhex(hexed), int(at)
-    kind = fails(target, data, seed).partition(":")[0]
-    least = cut_down(data, lambda d: bool(kind) and fails(target, d, seed).partition(":")[0] == kind)
+        target, data, seed = outcome.check, bytes.fromhex(hexed), int(at)
+    kind = failure_of(target, data, seed).partition(":")[0]
+    least = minimize_bytes(data, lambda d: bool(kind) and failure_of(target, d, seed).partition(":")[0] == kind)
     return Case("bytes", seed, {"target": target, "data": least.hex()})
--- a/soak/moments.py
+++ b/soak/moments.py
@@ -14,10 +14,10 @@
 
 from soak.case import Case, Outcome
 
-DAY_S = 86_400.0
-MOVED = Path(__file__).parent / "moved"
+MAX_OFFSET_S = 86_400.0
+SITECUSTOMIZE_FOLDER = Path(__file__).parent / "moved"
 # Cases of kind `suite` run these tests with varied counts and seeds; the tests pass all times explicitly.
-ELSEWHERE = {
+EXCLUDED = {
     "tests/quota/test_escrow.py",
     "tests/quota/test_failures.py",
     "tests/quota/test_bootstrap.py",
@@ -25,20 +25,20 @@
 }
 
 
-def files() -> list[str]:
+def test_files() -> list[str]:
     """Return the test files to run, sorted."""
-    return sorted({p.as_posix() for p in Path("tests").rglob("test_*.py")} - ELSEWHERE)
+    return sorted({p.as_posix() for p in Path("tests").rglob("test_*.py")} - EXCLUDED)
 
 
 def draw(seed: int) -> Case:
     """Draw a test file and a clock offset."""
     rng = random.Random(seed)
-    return Case("moment", seed, {"test": rng.choice(files()), "moved": round(rng.uniform(0.0, DAY_S), 3)})
+    return Case("moment", seed, {"test": rng.choice(test_files()), "moved": round(rng.uniform(0.0, MAX_OFFSET_S), 3)})
 
 
 def run(case: Case) -> Outcome:
     """Run pytest on the test file with the shifted clock."""
-    path = os.pathsep.join(filter(None, (str(MOVED), os.environ.get("PYTHONPATH"))))
+    path = os.pathsep.join(filter(None, (str(SITECUSTOMIZE_FOLDER), os.environ.get("PYTHONPATH"))))
     env = {**os.environ, "PYTHONPATH": path, "MOVED_CLOCK_S": str(float(case.size["moved"]))}
     try:
         done = subprocess.run(
@@ -55,6 +55,6 @@
     return Outcome()
 
 
-def smaller(case: Case) -> list[Case]:
+def smaller_cases(case: Case) -> list[Case]:
     """Return the case without a clock offset, which shows whether the time of day matters."""
-    return [case.but(moved=0.0)] if case.size["moved"] else []
+    return [case.with_size(moved=0.0)] if case.size["moved"] else []
--- a/soak/mutate.py
+++ b/soak/mutate.py
@@ -11,7 +11,7 @@
 import random
 from collections.abc import Callable, Hashable, Sequence
 
-WORDS = (
+TOKENS = (
     b"\r\n",
     b"\r\n\r\n",
     b"\n",
@@ -64,10 +64,10 @@
     b"\x05",
     b"\x06",
 )
-MOST = 200_000
+MAX_INPUT_BYTES = 200_000
 
 
-def mutated(rng: random.Random, corpus: Sequence[bytes]) -> bytes:
+def mutate(rng: random.Random, corpus: Sequence[bytes]) -> bytes:
     """Return an input of the corpus with one to eight mutations."""
     data = bytearray(rng.choice(corpus))
     for _ in range(rng.randint(1, 8)):
@@ -78,9 +78,9 @@
         elif kind == 1:
             del data[at : min(to, at + rng.choice((1, 4, 64, 4096)))]
         elif kind == 2:
-            data[at:at] = rng.choice(WORDS)
+            data[at:at] = rng.choice(TOKENS)
         elif kind == 3:
-            data[at:to] = rng.choice(WORDS)
+            data[at:to] = rng.choice(TOKENS)
         elif kind == 4:
             data[at:at] = data[at:to] * rng.choice((1, 1, 2, 50))
         elif kind == 5:
@@ -90,11 +90,11 @@
             data[at:at] = rng.randbytes(rng.randint(1, 9))
         else:
             data += rng.choice(corpus)
-        del data[MOST:]
+        del data[MAX_INPUT_BYTES:]
     return bytes(data)
 
 
-def cut_down(data: bytes, fails: Callable[[bytes], bool], tries: int = 600) -> bytes:
+def minimize_bytes(data: bytes, fails: Callable[[bytes], bool], tries: int = 600) -> bytes:
     """Return a smaller input that still fails, by removing halves, quarters and so on (Zeller's ddmin)."""
     step = max(1, len(data) // 2)
     while tries > 0:
@@ -115,12 +115,12 @@
 class Corpus:
     """The inputs to mutate: the given ones, and up to a limit those that gave a new result."""
 
-    def __init__(self, given: Sequence[bytes], most: int = 500) -> None:
-        self.inputs, self.seen, self.most = list(given), set[Hashable](), most
+    def __init__(self, given: Sequence[bytes], max_inputs: int = 500) -> None:
+        self.inputs, self.seen_results, self.max_inputs = list(given), set[Hashable](), max_inputs
 
-    def learn(self, data: bytes, shown: Hashable) -> None:
+    def add_if_new(self, data: bytes, result: Hashable) -> None:
         """Add an input if its result has not been seen before."""
-        if shown not in self.seen:
-            self.seen.add(shown)
-            if len(self.inputs) < self.most and len(data) < 20_000:
+        if result not in self.seen_results:
+            self.seen_results.add(result)
+            if len(self.inputs) < self.max_inputs and len(data) < 20_000:
                 self.inputs.append(data)
--- a/soak/readers.py
+++ b/soak/readers.py
@@ -11,10 +11,10 @@
 import struct
 
 from soak.case import CaseError, read_case
-from soak.client_reader import request
-from soak.file_readers import file_check, read_configuration_file, read_script_file, records
+from soak.client_reader import check_client_request
+from soak.file_readers import check_records, make_file_check, read_configuration_file, read_script_file
 from soak.reader_tools import Check
-from soak.service_readers import answer, counter, datagram, discovery
+from soak.service_readers import check_backend_answer, check_counter, check_datagram, check_discovery
 from standins.faults import ScriptError
 from standins.fleet_options import Options, settings
 from thistleusher.core.datagrams import USAGE_ENTRY, USAGE_MARK, encode_customer
@@ -55,7 +55,7 @@
 
 READERS: dict[str, tuple[Check, tuple[bytes, ...]]] = {
     "request": (
-        request,
+        check_client_request,
         (
             _CALL,
             _CALL.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked") + b"\r\n0\r\n\r\n",
@@ -64,7 +64,7 @@
         ),
     ),
     "answer": (
-        answer,
+        check_backend_answer,
         (
             _OK,
             _OK + _OK,
@@ -72,16 +72,19 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n",
         ),
     ),
-    "counter": (counter, (_OK * 3, _OK.replace(b"12.5", b"-1.0"), b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")),
+    "counter": (
+        check_counter,
+        (_OK * 3, _OK.replace(b"12.5", b"-1.0"), b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"),
+    ),
     "discovery": (
-        discovery,
+        check_discovery,
         (
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(_LIST), _LIST),
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(_LIST), _LIST),
         ),
     ),
     "datagram": (
-        datagram,
+        check_datagram,
         (
             USAGE_MARK + USAGE_ENTRY.pack(encode_customer(1, 7), 8, 8, 50),
             b"\x02" + _LIFE + _ROW,
@@ -94,15 +97,15 @@
             HANDSHAKE_MARK + struct.pack(">QQQB", 1, 2, 1, 7),
         ),
     ),
-    "config": (file_check(read_configuration_file, InvalidConfigurationError), (_configuration(),)),
+    "config": (make_file_check(read_configuration_file, InvalidConfigurationError), (_configuration(),)),
     "counters": (
-        file_check(read_counters, InvalidConfigurationError),
+        make_file_check(read_counters, InvalidConfigurationError),
         (b'counters = ["10.2.0.2:6400", "10.2.0.3:6400"]\n',),
     ),
     "script": (
-        file_check(read_script_file, ScriptError),
+        make_file_check(read_script_file, ScriptError),
         (_SCRIPT, _SCRIPT + b'[[fault]]\nat = 1\ndo = "counter.restart"\n'),
     ),
-    "records": (records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
-    "case": (file_check(read_case, CaseError), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
+    "records": (check_records, (b'["Told", 1.0, "s-0", "SERVING"]\n["Added", 1.0, "n", 2.0, 2.0]\n',)),
+    "case": (make_file_check(read_case, CaseError), (b'{"kind": "fleet", "seed": 7, "size": {"faults": []}}\n',)),
 }
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -21,7 +21,7 @@
 from soak.case import Case, Outcome
 from soak.shrink import shrink
 
-FLEETS = 0.5  # maximum fraction of the workers that run fleets; at least one may
+FLEET_WORKER_FRACTION = 0.5  # maximum fraction of the workers that run fleets; one worker may always do so
 
 
 @dataclass(slots=True)
@@ -57,15 +57,17 @@
     return outcome, time.monotonic() - began
 
 
-def cut(case: Case, outcome: Outcome, tries: int = 40) -> tuple[Case, Outcome]:
+def minimize(case: Case, outcome: Outcome, tries: int = 40) -> tuple[Case, Outcome]:
     """Minimize a case; return the smallest one found that fails in the same check, and its outcome."""
-    if outcome.part in ("soak", "worker"):  # not a fault of the program under test
+    if outcome.check in ("soak", "worker"):  # not a fault of the program under test
         return case, outcome
     if case.kind == "bytes":
-        least = inputs.smallest(case, outcome)
+        least = inputs.minimize(case, outcome)
         return least, play(least)[0]
-    smaller = {"fleet": fleets.smaller, "suite": suites.smaller, "moment": moments.smaller}[case.kind]
-    return shrink(case, outcome, smaller, lambda c: play(c)[0], tries)
+    smaller_cases = {"fleet": fleets.smaller_cases, "suite": suites.smaller_cases, "moment": moments.smaller_cases}[
+        case.kind
+    ]
+    return shrink(case, outcome, smaller_cases, lambda c: play(c)[0], tries)
 
 
 class Soak:
@@ -78,66 +80,69 @@
         workers: int,
         kinds: tuple[str, ...],
         folder: Path,
-        go_on: bool = False,
-        say: Callable[[str], None] = print,
-        shrinks: int = 40,
+        keep_going: bool = False,
+        log: Callable[[str], None] = print,
+        max_shrink_runs: int = 40,
     ) -> None:
         self.rng, self.minutes, self.workers, self.kinds = random.Random(seed), minutes, workers, kinds
-        self.folder, self.go_on, self.say, self.shrinks = folder, go_on, say, shrinks
+        self.folder, self.keep_going, self.log, self.max_shrink_runs = folder, keep_going, log, max_shrink_runs
         self.report = Report(seed)
-        self.grow = 1.0
-        self.cutting: dict[
+        self.count_factor = 1.0
+        self.minimizations: dict[
             Future[Any], tuple[Path, int]
         ] = {}  # cases being minimized: path of the file, and index in the report
 
-    def draw(self, fleets_out: int) -> Case | None:
+    def draw(self, running_fleets: int) -> Case | None:
         """Draw the next case; return None if only fleets are allowed and enough of them are running."""
-        may = [k for k in self.kinds if k != "fleet" or fleets_out < max(1, int(FLEETS * self.workers))]
-        if not may:
+        allowed_kinds = [
+            k for k in self.kinds if k != "fleet" or running_fleets < max(1, int(FLEET_WORKER_FRACTION * self.workers))
+        ]
+        if not allowed_kinds:
             return None
-        kind, seed = self.rng.choice(may), self.rng.getrandbits(48)
+        kind, seed = self.rng.choice(allowed_kinds), self.rng.getrandbits(48)
         if kind == "fleet":
             return fleets.draw(seed)
         if kind == "bytes":
-            return inputs.draw(seed, int(1500 * self.grow))
+            return inputs.draw(seed, int(1500 * self.count_factor))
         if kind == "moment":
             return moments.draw(seed)
-        return suites.draw(seed, self.grow)
+        return suites.draw(seed, self.count_factor)
 
     def run(self) -> Report:
         """Run until the time is up or a case fails, then wait for the running cases; return the report."""
         end = time.monotonic() + 60 * self.minutes
-        out: dict[Future[Any], Case] = {}
-        said = 0.0
+        running: dict[Future[Any], Case] = {}
+        last_progress_at = 0.0
         with ProcessPoolExecutor(self.workers, mp_context=get_context("spawn")) as pool:
             while True:
                 now = time.monotonic()
-                more = now < end and (self.go_on or not self.report.found)
-                while more and len(out) + len(self.cutting) < self.workers:
-                    case = self.draw(sum(c.kind == "fleet" for c in out.values()))
+                more = now < end and (self.keep_going or not self.report.found)
+                while more and len(running) + len(self.minimizations) < self.workers:
+                    case = self.draw(sum(c.kind == "fleet" for c in running.values()))
                     if case is None:
                         break
-                    out[pool.submit(play, case)] = case
-                if not out and not self.cutting:
+                    running[pool.submit(play, case)] = case
+                if not running and not self.minimizations:
                     break
-                done, _ = wait([*out, *self.cutting], timeout=1.0, return_when=FIRST_COMPLETED)
+                done, _ = wait([*running, *self.minimizations], timeout=1.0, return_when=FIRST_COMPLETED)
                 for future in done:
-                    if future in self.cutting:
-                        self.keep(*self.cutting.pop(future), future)
+                    if future in self.minimizations:
+                        self.store_minimized(*self.minimizations.pop(future), future)
                     else:
-                        self.take(out.pop(future), future, pool)
-                if now - said > 10.0:
-                    said = now
+                        self.record_result(running.pop(future), future, pool)
+                if now - last_progress_at > 10.0:
+                    last_progress_at = now
                     left = f"{max(0.0, end - now):.0f} s left"
-                    self.say(
+                    self.log(
                         f"{left}; "
                         + ", ".join(f"{k} {n}" for k, n in sorted(self.report.cases.items()))
                         + f"; found {len(self.report.found)}"
                     )
-                self.grow = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)  # later cases get larger counts
+                # Later cases get larger counts.
+                self.count_factor = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)
         return self.report
 
-    def take(self, case: Case, future: Future[Any], pool: ProcessPoolExecutor) -> None:
+    def record_result(self, case: Case, future: Future[Any], pool: ProcessPoolExecutor) -> None:
         """Record the result of a case. A failed case is written to a file and minimized in the background."""
         try:
             outcome, took = future.result()
@@ -147,24 +152,24 @@
         r.cases[case.kind] += 1
         r.counts[case.kind] += outcome.count
         r.core_s += took
-        if not outcome.why:
+        if not outcome.failure:
             return
         path = self.folder / f"{case.kind}-{case.seed}.json"
-        case.write(path, outcome.why)  # before the minimization, which may be interrupted
-        r.found.append((path, outcome.why))
-        self.say(f"found: {path}: {outcome.why.strip().splitlines()[0][:300]}; minimizing it")
-        if outcome.part != "worker":
-            self.cutting[pool.submit(cut, case, outcome, self.shrinks)] = (path, len(r.found) - 1)
+        case.write(path, outcome.failure)  # before the minimization, which may be interrupted
+        r.found.append((path, outcome.failure))
+        self.log(f"found: {path}: {outcome.failure.strip().splitlines()[0][:300]}; minimizing it")
+        if outcome.check != "worker":
+            self.minimizations[pool.submit(minimize, case, outcome, self.max_shrink_runs)] = (path, len(r.found) - 1)
 
-    def keep(self, path: Path, number: int, future: Future[Any]) -> None:
+    def store_minimized(self, path: Path, number: int, future: Future[Any]) -> None:
         """Replace the file of a failed case with the minimized case."""
         try:
             least, why = future.result()
         except Exception as error:  # the worker died: keep the original case
-            self.say(f"{path}: not minimized: {type(error).__name__}: {error}")
+            self.log(f"{path}: not minimized: {type(error).__name__}: {error}")
             return
-        if not why.why:
-            self.say("failure not reproduced; the original case is kept")
+        if not why.failure:
+            self.log("failure not reproduced; the original case is kept")
             return
-        least.write(path, why.why)
-        self.report.found[number] = (path, why.why)
+        least.write(path, why.failure)
+        self.report.found[number] = (path, why.failure)
--- a/soak/service_readers.py
+++ b/soak/service_readers.py
@@ -17,17 +17,17 @@
 from thistleusher.services.http_responses import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseReader
 
 
-def answer(data: bytes, rng: random.Random) -> Hashable:
+def check_backend_answer(data: bytes, rng: random.Random) -> Hashable:
     """Feed bytes from a backend; return the first statuses, the reader's error and whether an answer is incomplete."""
-    reader, whole = ResponseReader(), []
+    reader, answers = ResponseReader(), []
     for part in chunks(data, rng):
-        whole += reader.feed(part)
-    for a in whole:
+        answers += reader.feed(part)
+    for a in answers:
         if len(a.body) > MAX_BODY_BYTES or not 200 <= a.status <= 999:
             raise RuleBrokenError(f"answer accepted with invalid values: status {a.status}, {len(a.body)} bytes")
     if len(reader.body) > MAX_BODY_BYTES or reader.bytes_read > 3 * MAX_BODY_BYTES + 3 * MAX_HEAD_BYTES + 65536:
         raise RuleBrokenError("reader buffers more than its limits")
-    return tuple(a.status for a in whole[:3]), reader.error[:30], reader.partial
+    return tuple(a.status for a in answers[:3]), reader.error[:30], reader.partial
 
 
 class _Channel:
@@ -45,7 +45,7 @@
     def connection_ended(self, link: Any) -> None: ...
 
 
-def counter(data: bytes, rng: random.Random) -> Hashable:
+def check_counter(data: bytes, rng: random.Random) -> Hashable:
     """Feed bytes from the counter; check that each call gets exactly one result and that totals are finite numbers."""
 
     async def main() -> Hashable:
@@ -66,7 +66,7 @@
     return shared_loop().run_until_complete(main())
 
 
-def discovery(data: bytes, rng: random.Random) -> Hashable:
+def check_discovery(data: bytes, rng: random.Random) -> Hashable:
     """Feed bytes from discovery; check that each accepted list is valid."""
 
     async def main() -> Hashable:
@@ -91,7 +91,7 @@
     return shared_loop().run_until_complete(main())
 
 
-def datagram(data: bytes, rng: random.Random) -> Hashable:
+def check_datagram(data: bytes, rng: random.Random) -> Hashable:
     """Feed datagrams of at most 256 bytes, interleaved with requests of one customer; check the ingress's state."""
     parsed, now = shared_settings(), 5000.0
     gateway = make_gateway(parsed, 1, now)
--- a/soak/shrink.py
+++ b/soak/shrink.py
@@ -10,17 +10,17 @@
 def shrink(
     case: Case,
     outcome: Outcome,
-    smaller: Callable[[Case], Sequence[Case]],
+    smaller_cases: Callable[[Case], Sequence[Case]],
     run: Callable[[Case], Outcome],
     tries: int = 40,
 ) -> tuple[Case, Outcome]:
     """Replace the case greedily by the first smaller one that still fails, until none does or `tries` are used up."""
     best, found = case, outcome
     while tries > 0:
-        for other in smaller(best):
+        for other in smaller_cases(best):
             tries -= 1
             again = run(other)
-            if again.why and again.part == found.part:
+            if again.failure and again.check == found.check:
                 best, found = other, again
                 break
             if tries <= 0:
--- a/soak/suites.py
+++ b/soak/suites.py
@@ -18,10 +18,12 @@
 PASSED = re.compile(r"(\d+) passed")
 
 
-def draw(seed: int, grow: float = 1.0) -> Case:
-    """Draw one of the tests. `grow`: factor on the default counts."""
+def draw(seed: int, count_factor: float = 1.0) -> Case:
+    """Draw one of the tests. `count_factor`: factor on the default counts."""
     test = random.Random(seed).choice(TESTS)
-    return Case("suite", seed, {"test": test, "examples": int(1200 * grow), "schedules": int(120 * grow)})
+    return Case(
+        "suite", seed, {"test": test, "examples": int(1200 * count_factor), "schedules": int(120 * count_factor)}
+    )
 
 
 def run(case: Case) -> Outcome:
@@ -49,8 +51,8 @@
     return Outcome(count=count if passed else 0)
 
 
-def smaller(case: Case) -> list[Case]:
+def smaller_cases(case: Case) -> list[Case]:
     """Return the case with half the counts; the tests themselves shrink their inputs."""
     if case.size["schedules"] < 8:
         return []
-    return [case.but(examples=case.size["examples"] // 2, schedules=case.size["schedules"] // 2)]
+    return [case.with_size(examples=case.size["examples"] // 2, schedules=case.size["schedules"] // 2)]
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -22,7 +22,7 @@
 from standins.fleet_options import Options
 from standins.http import Service
 from standins.ingress_process import HOST
-from standins.match import MatchServer, Shape
+from standins.match import MatchServer, ServerCapacity
 from standins.records import Records, read_records
 from standins.verdict import Rules
 
@@ -91,10 +91,10 @@
     while True:
         await asyncio.sleep(1.0)
         assert fleet.front is not None
-        t = fleet.front.tally
+        t = fleet.front.status_counts
         at = asyncio.get_running_loop().time() - began
         head = (
-            f"{at:5.1f} s  sent {fleet.front.sent}  out {fleet.front.out}  200: {t.get(200, 0)}"
+            f"{at:5.1f} s  sent {fleet.front.sent}  out {fleet.front.in_flight}  200: {t.get(200, 0)}"
             f"  429: {t.get(429, 0)}  503: {t.get(503, 0)}"
             f"  other: {sum(n for s, n in t.items() if s not in (200, 429, 503))}"
             f"  counter calls {fleet.counter.calls}"
@@ -124,7 +124,7 @@
         args.seed,
         args.port,
         faults=tuple(read_script(args.faults)) if args.faults else (),
-        move_s=args.move,
+        switch_interval_s=args.move,
         deployment=DEPLOYMENTS[args.deployment],
         folders=args.folders,
     )
@@ -159,7 +159,7 @@
         if args.command == "counter":
             service = Counter(records, parts=args.parts, per_s=args.per_s)
         elif args.command == "match":
-            service = MatchServer(args.name, records, Shape(cores=args.cores, work=args.work))
+            service = MatchServer(args.name, records, ServerCapacity(cores=args.cores, work=args.work))
         else:
             service = discovery = Discovery(records)
             for entry in args.servers:
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -33,19 +33,21 @@
         elif isinstance(r, Withdrawn):
             asked.pop(r.id, None)
     breaches = [
-        *_lost(ordered, asked, rules),
-        *_twice(ordered, asked, rules),
-        *_drains(ordered, rules),
-        *_cold(ordered, rules),
-        *_faults(ordered, asked, rules),
+        *_find_lost(ordered, asked, rules),
+        *_find_repeated(ordered, asked, rules),
+        *_find_drain_breaches(ordered, rules),
+        *_find_cold_overloads(ordered, rules),
+        *_find_server_errors(ordered, asked, rules),
     ]
-    if rules.calm:
-        breaches += _starved(ordered, asked, rules)
-    over, above, beyond = _units(ordered, asked, rules)
-    return Verdict(sorted([*breaches, *beyond], key=lambda b: b.at), _figures(ordered, asked), over, above)
+    if rules.fault_free:
+        breaches += _find_starved(ordered, asked, rules)
+    quota_excess, ceiling_excess, beyond = _measure_excess(ordered, asked, rules)
+    return Verdict(
+        sorted([*breaches, *beyond], key=lambda b: b.at), _figures(ordered, asked), quota_excess, ceiling_excess
+    )
 
 
-def _lost(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
+def _find_lost(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
     """Yield requests that did not get exactly one answer of their own in time."""
     crashes: dict[str, list[float]] = defaultdict(list)
     answers: dict[str, list[Answered]] = defaultdict(list)
@@ -54,10 +56,10 @@
             answers[record.id].append(record)
         elif isinstance(record, Crashed):
             crashes[record.ingress].append(record.at)
-    yield from _lost_with_connection(ordered, rules)
+    yield from _find_dropped(ordered, rules)
     for request in asked.values():
         whole = [answer for answer in answers[request.id] if answer.status > 0]
-        due = request.at + request.budget + rules.late
+        due = request.at + request.budget + rules.answer_slack
         if not whole and any(request.at <= at <= due for at in crashes[request.ingress]):
             continue  # the ingress was killed while it handled the request
         why = _wrong_answers(request, whole, due)
@@ -78,13 +80,13 @@
     return ""
 
 
-def _lost_with_connection(ordered: list[Record], rules: Rules) -> Iterator[Breach]:
+def _find_dropped(ordered: list[Record], rules: Rules) -> Iterator[Breach]:
     """Yield requests that an ingress forwarded and whose connection it then closed without being killed."""
     begun: dict[str, float] = {}
-    kills = _Kills(rules)
+    kills = _IngressKills(rules)
     for record in ordered:
         if isinstance(record, Crashed):
-            kills.crashed(record)
+            kills.on_crashed(record)
         elif isinstance(record, Began):
             begun.setdefault(record.id, record.at)
         elif isinstance(record, Withdrawn) and begun.get(record.id, record.at) < record.at:
@@ -97,7 +99,7 @@
                 )
 
 
-class _Kills:
+class _IngressKills:
     """Ingresses that were killed, according to the records read so far."""
 
     def __init__(self, rules: Rules) -> None:
@@ -105,7 +107,7 @@
         self._crashed: dict[str, float] = {}  # time of the last record of a crash
         self._dying: set[str] = set()  # signalled, but not yet seen to have ended
 
-    def crashed(self, record: Crashed) -> None:
+    def on_crashed(self, record: Crashed) -> None:
         """Record that an ingress was signalled or was seen to have ended."""
         self._crashed[record.ingress] = record.at
         (self._dying.add if record.dying else self._dying.discard)(record.ingress)
@@ -113,10 +115,10 @@
     def killed_since(self, ingress: str, begun: float) -> bool:
         """Return whether an ingress was killed after the time at which one of its attempts began."""
         # Bytes that a process sent before it was killed are read later if the reader waits for a CPU.
-        return ingress in self._dying or self._crashed.get(ingress, -1.0) >= begun - self._rules.late
+        return ingress in self._dying or self._crashed.get(ingress, -1.0) >= begun - self._rules.answer_slack
 
 
-class _Repeats:
+class _OperationAttempts:
     """Counts the effects and attempts of each operation, and the attempts orphaned by a killed ingress."""
 
     def __init__(self, rules: Rules) -> None:
@@ -124,19 +126,19 @@
         self._effects: Tally[str] = Tally()
         self._sent: Tally[str] = Tally()
         self._orphans: Tally[str] = Tally()  # attempts of a killed ingress that ran or may still run
-        self._kills = _Kills(rules)
+        self._kills = _IngressKills(rules)
         self._begun: dict[str, float] = {}
 
-    def crashed(self, record: Crashed) -> None:
+    def on_crashed(self, record: Crashed) -> None:
         """Record that an ingress was killed."""
-        self._kills.crashed(record)
+        self._kills.on_crashed(record)
 
-    def withdrawn(self, record: Withdrawn, request: Asked) -> None:
+    def on_withdrawn(self, record: Withdrawn, request: Asked) -> None:
         """Record that a request was withdrawn from an ingress that no longer accepts connections."""
         if record.id in self._begun:
             self._orphans[request.op] += self._kills.killed_since(record.ingress, self._begun.pop(record.id))
 
-    def ran(self, record: Ran, request: Asked) -> Iterator[Breach]:
+    def on_ran(self, record: Ran, request: Asked) -> Iterator[Breach]:
         """Record an effect; yield a breach if the operation had more effects than allowed."""
         if self._rules.effects[request.cls] == "safe":
             return
@@ -145,7 +147,7 @@
         if count > 1 + self._orphans[request.op]:
             yield Breach("twice", record.at, f"{request.op}: effect {count} times, last at {record.server}")
 
-    def began(self, record: Began, request: Asked) -> Iterator[Breach]:
+    def on_began(self, record: Began, request: Asked) -> Iterator[Breach]:
         """Record an attempt at a server; yield a breach if the operation must not be sent again."""
         if record.id in self._begun and self._kills.killed_since(request.ingress, self._begun[record.id]):
             self._orphans[request.op] += 1  # sent again to the same ingress after its restart
@@ -158,25 +160,25 @@
             yield Breach("twice", record.at, f"{request.op}: unsafe, sent {count} times, last to {record.server}")
 
 
-def _twice(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
+def _find_repeated(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterator[Breach]:
     """Yield repeated effects. A retry after a kill of the ingress during the first attempt is at the front's risk."""
-    repeats = _Repeats(rules)
+    repeats = _OperationAttempts(rules)
     for record in ordered:
         if isinstance(record, Crashed):
-            repeats.crashed(record)
+            repeats.on_crashed(record)
             continue
         request = asked.get(record.id) if isinstance(record, Ran | Began | Withdrawn) else None
         if request is None:
             continue
         if isinstance(record, Withdrawn):
-            repeats.withdrawn(record, request)
+            repeats.on_withdrawn(record, request)
         elif isinstance(record, Ran):
-            yield from repeats.ran(record, request)
+            yield from repeats.on_ran(record, request)
         elif isinstance(record, Began):
-            yield from repeats.began(record, request)
+            yield from repeats.on_began(record, request)
 
 
-def _drains(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
+def _find_drain_breaches(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
     since: dict[str, float] = {}
     for r in ordered:
         if isinstance(r, Told):
@@ -186,11 +188,11 @@
                 since.setdefault(r.server, r.at)
         elif isinstance(r, Began) and r.server in since:
             late = r.at - since[r.server] - rules.drain_grace
-            if late > rules.drain_late:
+            if late > rules.drain_slack:
                 yield Breach("drain", r.at, f"{r.id} came to {r.server} {late:.3f} s after the grace")
 
 
-def _cold(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
+def _find_cold_overloads(ordered: list[Record], rules: Rules) -> Iterable[Breach]:
     up: dict[str, Up] = {}
     window: dict[str, list[Began]] = defaultdict(list)
     for r in ordered:
@@ -213,18 +215,18 @@
                 )
 
 
-def _faults(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
+def _find_server_errors(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
     for r in ordered:
         if not isinstance(r, Answered) or r.id not in asked:
             continue
-        failed = rules.calm and r.status > 500 and r.status not in REFUSALS
-        if failed or (r.status == 500 and not rules.passed_on):
+        failed = rules.fault_free and r.status > 500 and r.status not in REFUSALS
+        if failed or (r.status == 500 and not rules.passes_server_errors):
             yield Breach("fault", r.at, f"{r.id} at {asked[r.id].ingress}: status {r.status}")
 
 
-def _starved(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
+def _find_starved(ordered: list[Record], asked: dict[str, Asked], rules: Rules) -> Iterable[Breach]:
     """Yield members that were refused while half of their quota was unused, measured at the servers."""
-    stores: dict[tuple[int, str], _Store] = defaultdict(_Store)
+    stores: dict[tuple[int, str], _LeakyBucket] = defaultdict(_LeakyBucket)
     refused: Tally[tuple[int, str]] = Tally()
     tries = Tally((a.member, a.plan) for a in asked.values())
     seen: set[str] = set()
@@ -232,22 +234,23 @@
         a = asked.get(r.id) if isinstance(r, Began | Answered) else None
         if a is None:
             continue
-        p, who = rules.plans[a.plan], (a.member, a.plan)
+        p, member_key = rules.plans[a.plan], (a.member, a.plan)
         if isinstance(r, Began) and r.id not in seen:
             seen.add(r.id)
-            stores[who].pour(r.at, a.units, p.rate)
+            stores[member_key].add_units(r.at, a.units, p.rate)
         elif isinstance(r, Answered) and r.status == 429 and p.rate > 0:
-            refused[who] += stores[who].pour(r.at, 0.0, p.rate) <= p.burst / 2
-    for who, count in sorted(refused.items()):
-        if count > max(rules.starved_tries, rules.starved_share * tries[who]):
+            refused[member_key] += stores[member_key].add_units(r.at, 0.0, p.rate) <= p.burst / 2
+    for member_key, count in sorted(refused.items()):
+        if count > max(rules.starved_min_refusals, rules.starved_fraction * tries[member_key]):
             yield Breach(
                 "starved",
                 ordered[-1].at,
-                f"member {who[0]} of {who[1]}: {count} of {tries[who]} tries" " refused with half of its quota unused",
+                f"member {member_key[0]} of {member_key[1]}: {count} of {tries[member_key]} tries"
+                " refused with half of its quota unused",
             )
 
 
-class _Store:
+class _LeakyBucket:
     """A leaky bucket: units above the burst are beyond the limit."""
 
     __slots__ = ("level", "at")
@@ -255,23 +258,23 @@
     def __init__(self) -> None:
         self.level, self.at = 0.0, 0.0
 
-    def pour(self, at: float, units: float, rate: float) -> float:
+    def add_units(self, at: float, units: float, rate: float) -> float:
         self.level = max(0.0, self.level - rate * (at - self.at)) + units
         self.at = at
         return self.level
 
 
-def _units(
+def _measure_excess(
     ordered: list[Record], asked: dict[str, Asked], rules: Rules
 ) -> tuple[dict[str, float], dict[str, float], list[Breach]]:
     """Return the largest excess over quota and ceiling by plan, and the breaches.
 
     A request counts when it first reaches a server.
     """
-    quota: dict[tuple[int, str], _Store] = defaultdict(_Store)
-    ceiling: dict[tuple[int, str], _Store] = defaultdict(_Store)
-    over: dict[str, float] = {}
-    above: dict[str, float] = {}
+    quota: dict[tuple[int, str], _LeakyBucket] = defaultdict(_LeakyBucket)
+    ceiling: dict[tuple[int, str], _LeakyBucket] = defaultdict(_LeakyBucket)
+    quota_excess: dict[str, float] = {}
+    ceiling_excess: dict[str, float] = {}
     breaches: list[Breach] = []
     seen: set[str] = set()
     for r in ordered:
@@ -279,10 +282,10 @@
             continue
         seen.add(r.id)
         a = asked[r.id]
-        p, who = rules.plans[a.plan], (a.member, a.plan)
+        p, member_key = rules.plans[a.plan], (a.member, a.plan)
         if p.rate > 0:
-            beyond = quota[who].pour(r.at, a.units, p.rate) - p.burst
-            over[a.plan] = max(over.get(a.plan, 0.0), beyond)
+            beyond = quota[member_key].add_units(r.at, a.units, p.rate) - p.burst
+            quota_excess[a.plan] = max(quota_excess.get(a.plan, 0.0), beyond)
             if p.error is not None and beyond > p.error:
                 breaches.append(
                     Breach(
@@ -293,13 +296,13 @@
                     )
                 )
         if p.ceiling_rate > 0:
-            beyond = ceiling[who].pour(r.at, a.units, p.ceiling_rate) - p.ceiling_burst
-            above[a.plan] = max(above.get(a.plan, -p.ceiling_burst), beyond)
-            if beyond > rules.ceiling_s * p.ceiling_rate + p.ceiling_error:
+            beyond = ceiling[member_key].add_units(r.at, a.units, p.ceiling_rate) - p.ceiling_burst
+            ceiling_excess[a.plan] = max(ceiling_excess.get(a.plan, -p.ceiling_burst), beyond)
+            if beyond > rules.ceiling_slack_s * p.ceiling_rate + p.ceiling_error:
                 breaches.append(
                     Breach("ceiling", r.at, f"member {a.member} of {a.plan}: {beyond:.2f} units" f" beyond its ceiling")
                 )
-    return over, above, breaches
+    return quota_excess, ceiling_excess, breaches
 
 
 def _figures(ordered: list[Record], asked: dict[str, Asked]) -> dict[tuple[str, str], Figures]:
@@ -313,7 +316,7 @@
         f = out[a2.plan, a2.cls]
         if r.status == 200:
             f.served += 1
-            f.times.append(r.at - a2.at)
+            f.response_times.append(r.at - a2.at)
         elif r.status in REFUSALS:
             f.refused += 1
         else:
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -7,20 +7,20 @@
 from standins.http import Message, read_message
 from standins.system_topology import FRONT, HOST
 
-ANSWER_S = 4.0
+ANSWER_TIMEOUT_S = 4.0
 
 
 class Caller:
-    """Sends requests; `count` numbers the requests to proxies, for their attempt ids."""
+    """Sends requests; `requests_sent` counts those to proxies and numbers their attempt ids."""
 
     def __init__(self) -> None:
-        self.count = 0
+        self.requests_sent = 0
 
     async def call(
         self, address: str, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> Message:
         """Return the complete answer. Raises OSError, TimeoutError or EOFError if there is none."""
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             host, _, port = address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             try:
@@ -31,12 +31,12 @@
             finally:
                 writer.close()
 
-    async def ask(self, ip: str, target: str = "/read/1", key: str = "key-large", method: str = "GET") -> Message:
+    async def ask_proxy(self, ip: str, target: str = "/read/1", key: str = "key-large", method: str = "GET") -> Message:
         """Send one request to a proxy; return the answer."""
-        self.count += 1
+        self.requests_sent += 1
         return await self.call(
             f"{ip}:{FRONT}",
             method,
             target,
-            {"X-Attempt-Id": f"a{self.count:08x}", "X-Deadline-Ms": "2500", "Authorization": f"Token {key}"},
+            {"X-Attempt-Id": f"a{self.requests_sent:08x}", "X-Deadline-Ms": "2500", "Authorization": f"Token {key}"},
         )
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -16,7 +16,7 @@
 from standins.http import Connection, Message, Service, answer
 from standins.records import Added, Records
 
-MAX_LIFE_MS, MAX_AMOUNT, MAX_NAME = 60_000, 1e9, 64
+MAX_LIFETIME_MS, MAX_AMOUNT, MAX_NAME = 60_000, 1e9, 64
 
 
 class Counter(Service):
@@ -39,12 +39,12 @@
         self.busy_until = [0.0] * parts
         self.calls = 0
         # Faults.
-        self.silenced = asyncio.Event()
-        self.silenced.set()
+        self.answering = asyncio.Event()
+        self.answering.set()
         self.refusing = False
-        self.lose_share = self.spoil_share = 0.0  # fractions of answers that are lost or garbled after the addition
-        self.life_cut = 1.0  # fraction of the requested lifetime for which a new name is kept
-        self.repeat_old = False  # answers carry the total before the addition
+        self.lost_answer_fraction = self.garbled_answer_fraction = 0.0  # the addition has been made in both cases
+        self.lifetime_factor = 1.0  # fraction of the requested lifetime for which a new name is kept
+        self.answers_previous_total = False  # answers carry the total before the addition
 
     def totals(self) -> dict[str, float]:
         """Return the current total of each name."""
@@ -54,9 +54,9 @@
     def silence(self, on: bool) -> None:
         """Start or end silence: calls that are read meanwhile are applied and answered after its end."""
         if on:
-            self.silenced.clear()
+            self.answering.clear()
         else:
-            self.silenced.set()
+            self.answering.set()
 
     def restart_from_zero(self) -> None:
         """Reset all connections and forget all totals."""
@@ -66,26 +66,26 @@
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
         """Add to a total and answer with the new one, unless a fault is active."""
-        await self.silenced.wait()
-        call = self.parse(message)
+        await self.answering.wait()
+        call = self.parse_call(message)
         if call is None:
             return answer(400, b"no such call")
         if self.refusing:
             return answer(503, b"")
         name, amount, life_ms = call
-        await self.turn(name)
-        if connection.gone():
+        await self.wait_for_turn(name)
+        if connection.has_ended():
             return None  # the caller has disconnected, and nothing was added
         before, total = self.add(name, amount, life_ms)
         self.calls += 1
-        if self.rng.random() < self.lose_share:
+        if self.rng.random() < self.lost_answer_fraction:
             connection.reset()
             return None
-        if self.rng.random() < self.spoil_share:
+        if self.rng.random() < self.garbled_answer_fraction:
             return answer(200, b"\xff%.3f" % total)
-        return answer(200, b"%.6f" % (before if self.repeat_old else total))
+        return answer(200, b"%.6f" % (before if self.answers_previous_total else total))
 
-    async def turn(self, name: str) -> None:
+    async def wait_for_turn(self, name: str) -> None:
         """Wait until the part that serves the name has finished its earlier calls."""
         wait = self.delay
         if self.per_s > 0:
@@ -101,13 +101,13 @@
         now = self.clock()
         before, until = self.counts.get(name, (0.0, 0.0))
         if until <= now:
-            before, until = 0.0, now + life_ms * self.life_cut / 1000
+            before, until = 0.0, now + life_ms * self.lifetime_factor / 1000
         self.counts[name] = (before + amount, until)
         self.records.add(Added(now, name, amount, before + amount))
         return before, before + amount
 
     @staticmethod
-    def parse(message: Message) -> tuple[str, float, int] | None:
+    def parse_call(message: Message) -> tuple[str, float, int] | None:
         """Return the name, amount and lifetime in ms of a call, or None if the call is invalid."""
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
@@ -119,4 +119,4 @@
             return None
         if method != "POST" or name == path or not 1 <= len(name) <= MAX_NAME or life < 1:
             return None
-        return (name, amount, min(life, MAX_LIFE_MS)) if abs(amount) <= MAX_AMOUNT else None
+        return (name, amount, min(life, MAX_LIFETIME_MS)) if abs(amount) <= MAX_AMOUNT else None
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from standins.front import ClassShape
-from standins.match import Shape
+from standins.front import RequestClass
+from standins.match import ServerCapacity
 from standins.verdict import PlanRule
 
 
@@ -22,10 +22,10 @@
     """
 
     name: str
-    classes: Mapping[str, ClassShape]
+    classes: Mapping[str, RequestClass]
     plans: Mapping[str, PlanRule]
     members: Mapping[str, int]
-    shape: Shape
+    capacity: ServerCapacity
     max_attempts: int = 3
     retry_after: bool = False
     cold_multiple: float = 4.0
@@ -36,22 +36,22 @@
 MATCHING = Deployment(
     "matching",
     {
-        "browse": ClassShape("safe", 0.7),
-        "send-message": ClassShape("keyed", 0.25),
-        "charge": ClassShape("unsafe", 0.05),
+        "browse": RequestClass("safe", 0.7),
+        "send-message": RequestClass("keyed", 0.25),
+        "charge": RequestClass("unsafe", 0.05),
     },
     {"basic": PlanRule(2.4, 10.0), "plus": PlanRule(16.0, 36.0, 29.0, 65.0)},
     {"basic": 40, "plus": 8},
-    Shape(cores=3, work=0.03, cold=0.3, cold_s=5.0),
+    ServerCapacity(cores=3, work=0.03, cold=0.3, cold_s=5.0),
 )
 
 # The most valuable class is not idempotent and is half of the traffic; no plan has a ceiling.
 BILLING = Deployment(
     "billing",
-    {"share-read": ClassShape("safe", 0.51), "settle-post": ClassShape("unsafe", 0.49, 4.0)},
+    {"share-read": RequestClass("safe", 0.51), "settle-post": RequestClass("unsafe", 0.49, 4.0)},
     {"klein": PlanRule(1.6, 7.0), "mittel": PlanRule(5.2, 24.0), "gross": PlanRule(21.0, 42.0)},
     {"klein": 30, "mittel": 16, "gross": 4},
-    Shape(cores=2, work=0.03, cold=0.22, cold_s=6.0),
+    ServerCapacity(cores=2, work=0.03, cold=0.22, cold_s=6.0),
     max_attempts=5,
     retry_after=True,
     cold_multiple=2.0,
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -11,10 +11,10 @@
 from standins.http import Connection, Message, Service, answer
 from standins.records import Records, Told
 
-BEAT_S = 2.0
+KEEP_ALIVE_INTERVAL_S = 2.0
 
 
-def chunk(text: bytes) -> bytes:
+def encode_chunk(text: bytes) -> bytes:
     """Encode one chunk of a streamed answer."""
     return b"%x\r\n%s\r\n" % (len(text), text)
 
@@ -33,7 +33,7 @@
         self.wake = asyncio.Event()
 
     def put(
-        self, name: str, address: str, status: str = "SERVING", zone: str = "z0", cell: int = 0, born: float = 0.0
+        self, name: str, address: str, status: str = "SERVING", zone: str = "z0", cell: int = 0, started_at: float = 0.0
     ) -> None:
         """Set a server's entry; status DELETED removes it from the list."""
         entry = {
@@ -44,7 +44,7 @@
             "group": cell,
             "status": status,
             "weight": 1.0,
-            "since_ms": round(born * 1000),
+            "since_ms": round(started_at * 1000),
         }
         self.index += 1
         self.changes.append((self.index, entry))
@@ -83,19 +83,19 @@
 
     async def watch(self, connection: Connection, index: int) -> None:
         """Send the changes after `index`, one JSON object per line, until the connection ends."""
-        while not connection.gone():
+        while not connection.has_ended():
             wake = self.wake
             if not self.silent and index < self.index:
                 entries = [e for n, e in self.changes if n > index]
                 index = self.index
                 text = json.dumps({"index": index, "snapshot": False, "endpoints": entries}) + "\n"
-                connection.writer.write(chunk(text.encode()))
+                connection.writer.write(encode_chunk(text.encode()))
                 self.notify(entries)
             try:
-                await asyncio.wait_for(wake.wait(), BEAT_S)
+                await asyncio.wait_for(wake.wait(), KEEP_ALIVE_INTERVAL_S)
             except TimeoutError:
                 if not self.silent:
-                    connection.writer.write(chunk(b"\n"))
+                    connection.writer.write(encode_chunk(b"\n"))
 
     def notify(self, entries: list[dict[str, Any]]) -> None:
         """Record the entries that have been sent to an ingress."""
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-LONGEST = 1e6  # upper limit of each number of a script, in seconds for times
+MAX_NUMBER = 1e6  # upper limit of each number of a script, in seconds for times
 
 
 class Action(NamedTuple):
@@ -57,12 +57,12 @@
 
 
 class Fault(NamedTuple):
-    """One entry of a script; `lasts` is in seconds, and 0 means that the fault does not end."""
+    """One entry of a script. A fault with a `duration_s` of 0 does not end."""
 
     at: float
     do: str
     target: int = 0
-    lasts: float = 0.0
+    duration_s: float = 0.0
     value: float = 0.0
 
 
@@ -81,10 +81,10 @@
     faults = data.get("fault", [])
     if not isinstance(faults, list) or data.keys() - {"fault"}:
         raise ScriptError(f"{path}: expected [[fault]] tables only")
-    return sorted(_fault(f"{path}: fault {n}", f) for n, f in enumerate(faults, 1))
+    return sorted(_parse_fault(f"{path}: fault {n}", f) for n, f in enumerate(faults, 1))
 
 
-def _fault(where: str, data: dict[str, Any]) -> Fault:
+def _parse_fault(where: str, data: dict[str, Any]) -> Fault:
     action = ACTIONS.get(str(data.get("do")))
     if action is None:
         raise ScriptError(f"{where}: do: expected one of {', '.join(ACTIONS)}, got {data.get('do')!r}")
@@ -97,8 +97,8 @@
             raise ScriptError(f"{where}: {key}: missing")
     for key in ("at", "for", "value"):
         value = data.get(key, 0)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= LONGEST:
-            raise ScriptError(f"{where}: {key}: expected a number of 0 or more, to {LONGEST:g}, got {value!r:.40}")
+        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_NUMBER:
+            raise ScriptError(f"{where}: {key}: expected a number of 0 or more, to {MAX_NUMBER:g}, got {value!r:.40}")
     if isinstance(target := data.get("target", 0), bool) or not isinstance(target, int) or target < 0:
         raise ScriptError(f"{where}: target: expected a whole number of 0 or more, got {target!r}")
     return Fault(float(data["at"]), str(data["do"]), target, float(data.get("for", 0)), float(data.get("value", 0)))
@@ -108,7 +108,7 @@
     """Switch each fault on at its time, and off at its end. A coroutine that `switch` returns is awaited."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    steps = [(f.at, f, True) for f in script] + [(f.at + f.lasts, f, False) for f in script if f.lasts > 0]
+    steps = [(f.at, f, True) for f in script] + [(f.at + f.duration_s, f, False) for f in script if f.duration_s > 0]
     for at, fault, on in sorted(steps, key=lambda s: s[0]):
         await asyncio.sleep(max(0.0, began + at - loop.time()))
         if asyncio.iscoroutine(waiting := switch(fault, on)):
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -16,17 +16,17 @@
 from standins.discovery import Discovery
 from standins.faults import play
 from standins.fleet_faults import COUNTER_DELAY_S, FaultSwitch, check_targets
-from standins.fleet_options import HALLS, Options, settings
+from standins.fleet_options import HALL_COUNT, Options, settings
 from standins.front import Front, Traffic
 from standins.ingress_process import HOST, IngressProcess
-from standins.match import Keys, MatchServer
-from standins.ports import free_ports, hold_ports
+from standins.match import IdempotencyKeys, MatchServer
+from standins.ports import bind_ports, free_ports
 from standins.records import Records
 from standins.relay import Relay
 from standins.verdict import Rules, Verdict
 
 COUNTER_CALLS_PER_S = 2000.0  # capacity of each part of the counter
-UP_FOR_S = 1000.0  # age of the servers at the start of the fleet, so that they are warm
+INITIAL_SERVER_AGE_S = 1000.0  # age of the servers at the start of the fleet, so that they are warm
 
 
 class Fleet:
@@ -39,11 +39,12 @@
         self.records = records or Records()
         self.folder = folder
         self.counter = self._new_counter(options.seed)
-        self.other_counter = self._new_counter(options.seed + 1)  # serves the ingresses that a fault moves away
+        self.second_counter = self._new_counter(options.seed + 1)  # serves the ingresses that a fault moves away
         self.discovery = Discovery(self.records)
-        self.keys = Keys()
+        self.keys = IdempotencyKeys()
         self.servers = [
-            MatchServer(f"s-{n}", self.records, options.shape, self.keys, options.seed) for n in range(options.servers)
+            MatchServer(f"s-{n}", self.records, options.capacity, self.keys, options.seed)
+            for n in range(options.servers)
         ]
         self.ingresses: list[IngressProcess] = []
         self.relay: Relay | None = None
@@ -52,11 +53,11 @@
             options,
             self.records,
             self.counter,
-            self.other_counter,
+            self.second_counter,
             self.discovery,
             self.servers,
             self.ingresses,
-            self.list_server,
+            self.set_server_status,
         )
 
     def _new_counter(self, seed: int) -> Counter:
@@ -84,23 +85,23 @@
             self.ingresses.append(ingress)
             await ingress.start()
         for ingress in self.ingresses:
-            await ingress.ready()
+            await ingress.wait_until_ready()
         self.front = Front([(HOST, port) for port in ports], self._traffic(), self.records)
 
     async def _start_standins(self) -> None:
         await self.counter.start()
-        await self.other_counter.start()
+        await self.second_counter.start()
         await self.discovery.start()
         for number, server in enumerate(self.servers):
             await server.start()
-            server.born -= UP_FOR_S
+            server.started_at -= INITIAL_SERVER_AGE_S
             self.records.all.pop()  # the record of the start would make the auditor treat the server as cold
-            self.list_server(number)
+            self.set_server_status(number)
 
     async def _start_relay(self) -> list[tuple[str, int]]:
         """Start the relay; return the addresses on which the ingresses listen for datagrams of their peers."""
         options = self.options
-        sockets = hold_ports(options.ingresses, 0, socket.SOCK_DGRAM)
+        sockets = bind_ports(options.ingresses, 0, socket.SOCK_DGRAM)
         peers = [(HOST, s.getsockname()[1]) for s in sockets]
         self.relay = Relay(peers, options.seed, options.loss, options.delay)
         self._faults.relay = self.relay
@@ -137,7 +138,7 @@
             options.deployment.classes,
             seed=options.seed,
             spread=options.ingresses,
-            move_s=options.move_s,
+            switch_interval_s=options.switch_interval_s,
         )
 
     async def run(self, watch: Callable[[], Coroutine[Any, Any, None]] | None = None) -> Verdict:
@@ -160,7 +161,7 @@
         return Rules(
             self.options.plans,
             {name: shape.effect for name, shape in deployment.classes.items()},
-            calm=not self.options.faults,
+            fault_free=not self.options.faults,
             cold_multiple=deployment.cold_multiple,
             cold_window=deployment.cold_window,
         )
@@ -172,16 +173,16 @@
         await asyncio.gather(*(ingress.end() for ingress in self.ingresses))
         if self.relay is not None:
             self.relay.stop()
-        services = (self.counter, self.other_counter, self.discovery, *self.servers)
+        services = (self.counter, self.second_counter, self.discovery, *self.servers)
         await asyncio.gather(*(service.stop() for service in services))
 
-    def list_server(self, number: int, status: str = "SERVING") -> None:
+    def set_server_status(self, number: int, status: str = "SERVING") -> None:
         """Set the status of a server in discovery's list."""
         server = self.servers[number]
-        self.discovery.put(server.name, server.address, status, f"z{number % HALLS}", number, server.born)
+        self.discovery.put(server.name, server.address, status, f"z{number % HALL_COUNT}", number, server.started_at)
 
 
-def children_cpu() -> float:
+def child_cpu_seconds() -> float:
     """Return the CPU seconds of all child processes that have ended and been waited for."""
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     return used.ru_utime + used.ru_stime
@@ -191,9 +192,9 @@
     options: Options, watch: Callable[[Fleet], Coroutine[Any, Any, None]] | None = None, records: Records | None = None
 ) -> tuple[Verdict, float, int]:
     """Start, run and stop a fleet; return the verdict, the ingresses' CPU seconds and the number of requests sent."""
-    before = children_cpu()
+    before = child_cpu_seconds()
     with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
         async with Fleet(options, Path(folder), records) as fleet:
             verdict = await fleet.run((lambda: watch(fleet)) if watch else None)
             sent = fleet.front.sent if fleet.front else 0
-    return verdict, children_cpu() - before, sent
+    return verdict, child_cpu_seconds() - before, sent
--- a/standins/fleet_faults.py
+++ b/standins/fleet_faults.py
@@ -11,7 +11,7 @@
 from standins.counter import Counter
 from standins.discovery import Discovery
 from standins.faults import Fault, ScriptError
-from standins.fleet_options import HALLS, Options
+from standins.fleet_options import HALL_COUNT, Options
 from standins.ingress_process import IngressProcess
 from standins.match import MatchServer
 from standins.records import Crashed, Records
@@ -22,7 +22,7 @@
 
 def check_targets(options: Options, faults: Sequence[Fault]) -> None:
     """Raise ScriptError if the target of a fault does not exist."""
-    counts = {"match": options.servers, "hall": HALLS}
+    counts = {"match": options.servers, "hall": HALL_COUNT}
     for fault in faults:
         count = counts.get(fault.do.partition(".")[0], options.ingresses)
         if fault.target >= count:
@@ -37,26 +37,26 @@
         options: Options,
         records: Records,
         counter: Counter,
-        other_counter: Counter,
+        second_counter: Counter,
         discovery: Discovery,
         servers: list[MatchServer],
         ingresses: list[IngressProcess],
-        list_server: Callable[[int, str], None],
+        set_server_status: Callable[[int, str], None],
     ) -> None:
         """Prepare the switch.
 
-        `other_counter` serves the ingresses that a fault moves away; `list_server` sets a server's status in discovery.
+        `second_counter` serves the ingresses that a fault moves away. `set_server_status` changes discovery's list.
         """
         self.relay: Relay | None = None
         self.tasks: set[asyncio.Task[Any]] = set()  # restarts in progress
         self._options = options
         self._records = records
         self._counter = counter
-        self._other_counter = other_counter
+        self._second_counter = second_counter
         self._discovery = discovery
         self._servers = servers
         self._ingresses = ingresses
-        self._list_server = list_server
+        self._set_server_status = set_server_status
 
     def switch(self, fault: Fault, on: bool) -> Any:
         """Switch one fault on or off; return a coroutine to await if that takes time, else None."""
@@ -70,9 +70,9 @@
         elif where == "relay":
             self._switch_relay(what, fault, on)
         elif where == "ingress":
-            return self._end_ingress(what, fault.target)
+            return self._kill_or_restart_ingress(what, fault.target)
         elif where == "hall":
-            return self._lose_hall(fault.target) if on else self._regain_hall(fault.target)
+            return self._lose_hall(fault.target) if on else self._restore_hall(fault.target)
         return None
 
     def _switch_relay(self, what: str, fault: Fault, on: bool) -> None:
@@ -92,41 +92,41 @@
             "silence": lambda: counter.silence(on),
             "refuse": lambda: setattr(counter, "refusing", on),
             "restart": counter.restart_from_zero,
-            "lose": lambda: setattr(counter, "lose_share", value),
-            "spoil": lambda: setattr(counter, "spoil_share", value),
-            "forget": lambda: setattr(counter, "life_cut", fault.value if on else 1.0),
-            "old": lambda: setattr(counter, "repeat_old", on),
-            "late": lambda: self._delay_counter_of(fault, on),
-            "split": lambda: self._move_counter_of(fault, on),
+            "lose": lambda: setattr(counter, "lost_answer_fraction", value),
+            "spoil": lambda: setattr(counter, "garbled_answer_fraction", value),
+            "forget": lambda: setattr(counter, "lifetime_factor", fault.value if on else 1.0),
+            "old": lambda: setattr(counter, "answers_previous_total", on),
+            "late": lambda: self._delay_counter(fault, on),
+            "split": lambda: self._select_counter(fault, on),
             "delay": lambda: setattr(counter, "delay", fault.value if on else COUNTER_DELAY_S),
         }
         switches[what]()
 
-    def _delay_counter_of(self, fault: Fault, on: bool) -> None:
+    def _delay_counter(self, fault: Fault, on: bool) -> None:
         """Point one ingress to a counter with the same totals that answers late."""
-        self._other_counter.counts = self._counter.counts
-        self._other_counter.delay = fault.value if on else COUNTER_DELAY_S
-        self._move_counter_of(fault, on)
+        self._second_counter.counts = self._counter.counts
+        self._second_counter.delay = fault.value if on else COUNTER_DELAY_S
+        self._select_counter(fault, on)
 
-    def _move_counter_of(self, fault: Fault, on: bool) -> None:
+    def _select_counter(self, fault: Fault, on: bool) -> None:
         """Point one ingress to the other counter, or back."""
-        counter = self._other_counter if on else self._counter
-        self._ingresses[fault.target].move_counter(counter.address)
+        counter = self._second_counter if on else self._counter
+        self._ingresses[fault.target].set_counter_address(counter.address)
 
     # Match servers.
 
     def _switch_server(self, what: str, fault: Fault, on: bool) -> Any:
         if what == "kill":
-            return self._servers[fault.target].stop() if on else self._revive(fault.target)
+            return self._servers[fault.target].stop() if on else self._start_server_again(fault.target)
         server = self._servers[fault.target]
         value = fault.value if on else 0.0
         switches: dict[str, Callable[[], None]] = {
             "drain": lambda: self._drain(fault.target, on),
             "silence": lambda: server.silence(on),
-            "slow": lambda: setattr(server, "slow", fault.value if on else 1.0),
-            "errors": lambda: setattr(server, "error_share", value),
-            "resets": lambda: setattr(server, "reset_share", value),
-            "cuts": lambda: setattr(server, "cut_share", value),
+            "slow": lambda: setattr(server, "work_factor", fault.value if on else 1.0),
+            "errors": lambda: setattr(server, "error_fraction", value),
+            "resets": lambda: setattr(server, "reset_fraction", value),
+            "cuts": lambda: setattr(server, "cut_fraction", value),
             "close_idle": server.close_idle,
         }
         switches[what]()
@@ -134,35 +134,35 @@
 
     def _drain(self, number: int, on: bool) -> None:
         self._servers[number].draining = False
-        self._list_server(number, "DRAINING" if on else "SERVING")
+        self._set_server_status(number, "DRAINING" if on else "SERVING")
 
-    async def _revive(self, number: int) -> None:
+    async def _start_server_again(self, number: int) -> None:
         """Start a stopped server again, cold. A server that still runs is left alone."""
         server = self._servers[number]
         if server.server is not None:
             return
         await server.start(server.port)
-        self._list_server(number, "SERVING")
+        self._set_server_status(number, "SERVING")
 
     # Halls (the zones of the fleet) and ingresses.
 
     async def _lose_hall(self, hall: int) -> None:
         """Kill all servers and ingresses of a hall at once. Hall 0 includes the counter, whose totals are lost."""
-        ingresses = self._ingresses[hall::HALLS]
+        ingresses = self._ingresses[hall::HALL_COUNT]
         self._record_crashes(ingresses, dying=True)
         await asyncio.gather(
             *(ingress.end(signal.SIGKILL) for ingress in ingresses),
-            *(server.stop() for server in self._servers[hall::HALLS]),
+            *(server.stop() for server in self._servers[hall::HALL_COUNT]),
         )
         self._record_crashes(ingresses, dying=False)
         if hall == 0:
             self._counter.restart_from_zero()
 
-    async def _regain_hall(self, hall: int) -> None:
+    async def _restore_hall(self, hall: int) -> None:
         """Start the servers of a hall again, cold, and those of its ingresses that do not run."""
-        for number in range(hall, len(self._servers), HALLS):
-            await self._revive(number)
-        for ingress in self._ingresses[hall::HALLS]:
+        for number in range(hall, len(self._servers), HALL_COUNT):
+            await self._start_server_again(number)
+        for ingress in self._ingresses[hall::HALL_COUNT]:
             if ingress.process is None or ingress.process.returncode is not None:
                 await ingress.start()
 
@@ -170,7 +170,7 @@
         for ingress in ingresses:
             self._records.add(Crashed(time.time(), str(ingress.number), dying))
 
-    async def _end_ingress(self, what: str, number: int) -> None:
+    async def _kill_or_restart_ingress(self, what: str, number: int) -> None:
         """Kill an ingress and start it again, or restart it gracefully in the background."""
         ingress = self._ingresses[number]
         if what == "kill":
--- a/standins/fleet_options.py
+++ b/standins/fleet_options.py
@@ -8,18 +8,18 @@
 
 from standins.deployments import MATCHING, Deployment
 from standins.faults import Fault
-from standins.match import Shape
+from standins.match import ServerCapacity
 from standins.verdict import PlanRule
 
 SEMANTICS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-HALLS = 2  # number of halls; servers and ingresses belong to the hall `number % HALLS`
+HALL_COUNT = 2  # number of halls; servers and ingresses belong to the hall `number % HALL_COUNT`
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
     """The size and the duration of a run. `port` is that of the first ingress; 0 selects unused ports.
 
-    `members`, `shape` and `plans` default to those of the deployment. `loss` and `delay` configure the relay.
+    `members`, `capacity` and `plans` default to those of the deployment. `loss` and `delay` configure the relay.
     """
 
     ingresses: int = 3
@@ -30,16 +30,16 @@
     port: int = 0
     members: Mapping[str, int] = field(default_factory=dict)
     faults: tuple[Fault, ...] = ()
-    shape: Shape = None  # type: ignore[assignment]  # replaced in __post_init__
+    capacity: ServerCapacity = None  # type: ignore[assignment]  # replaced in __post_init__
     loss: float = 0.01
     delay: float = 0.01
-    move_s: float = 0.0
+    switch_interval_s: float = 0.0
     plans: Mapping[str, PlanRule] = field(default_factory=dict)
     deployment: Deployment = MATCHING
     folders: bool = False  # give each ingress a state folder
 
     def __post_init__(self) -> None:
-        for name in ("members", "shape", "plans"):
+        for name in ("members", "capacity", "plans"):
             if not getattr(self, name):
                 object.__setattr__(self, name, getattr(self.deployment, name))
 
@@ -92,7 +92,7 @@
             "drainGrace": 1.0,
             "fallMultiple": d.cold_multiple,
             "tipAfter": d.cold_window,
-            "startCapacity": o.shape.cold,
-            "cold": o.shape.cold_s,
+            "startCapacity": o.capacity.cold,
+            "cold": o.capacity.cold_s,
         },
     }
--- a/standins/front.py
+++ b/standins/front.py
@@ -17,12 +17,12 @@
 from standins.records import Answered, Asked, Records, Withdrawn
 
 HOST = "127.0.0.1"
-GRACE_S = 0.5  # the front waits for an answer until this long after the request's budget
-RETRIES = 1
+ANSWER_GRACE_S = 0.5  # the front waits for an answer until this long after the request's budget
+MAX_RETRIES = 1
 
 
 @dataclass(frozen=True, slots=True)
-class ClassShape:
+class RequestClass:
     """One class of requests: `effect` is safe, keyed or unsafe; `budget` in seconds."""
 
     effect: str
@@ -37,16 +37,16 @@
     seconds: float
     rate: float
     members: Mapping[str, int]  # by plan
-    classes: Mapping[str, ClassShape]
-    most_units: int = 4
+    classes: Mapping[str, RequestClass]
+    max_units: int = 4
     skew: float = 0.5
     retry_share: float = 0.8
     spread: int = 3
     seed: int = 0
-    move_s: float = 0.0  # interval after which all members use the next ingress; 0: each member has its own mix
+    switch_interval_s: float = 0.0  # all members use the next ingress after this time; 0: each has its own mix
 
 
-class Plan(NamedTuple):
+class PlannedRequest(NamedTuple):
     """A request to be sent `at` seconds after the start."""
 
     at: float
@@ -60,31 +60,31 @@
     spread: int
 
 
-def draw(traffic: Traffic, ingresses: int) -> list[Plan]:
+def draw_requests(traffic: Traffic, ingresses: int) -> list[PlannedRequest]:
     """Return the first attempts of a run, ordered by time."""
     rng = random.Random(f"{traffic.seed} front")
     members = [(plan, n) for plan, count in traffic.members.items() for n in range(count)]
     weights = [1.0 / (n + 1) ** traffic.skew for _, n in members]
     numbers = {m: k for k, m in enumerate(members)}
     names, shares = list(traffic.classes), [c.share for c in traffic.classes.values()]
-    at, out = 0.0, list[Plan]()
+    at, out = 0.0, list[PlannedRequest]()
     while (at := at + rng.expovariate(traffic.rate)) < traffic.seconds:
         plan, n = rng.choices(members, weights)[0]
         member = numbers[plan, n]
         spread = min(traffic.spread, ingresses)
         first = member % ingresses
         step = min(int(rng.expovariate(1.0)), spread - 1)
-        if traffic.move_s > 0:
-            step = int(at // traffic.move_s) % spread
+        if traffic.switch_interval_s > 0:
+            step = int(at // traffic.switch_interval_s) % spread
         ingress = (first + step) % ingresses
         out.append(
-            Plan(
+            PlannedRequest(
                 at,
                 f"op{len(out)}",
                 member,
                 plan,
                 rng.choices(names, shares)[0],
-                rng.randint(1, traffic.most_units),
+                rng.randint(1, traffic.max_units),
                 ingress,
                 first,
                 spread,
@@ -93,7 +93,7 @@
     return out
 
 
-class Line(NamedTuple):
+class IngressConnection(NamedTuple):
     """A connection to an ingress."""
 
     reader: asyncio.StreamReader
@@ -112,26 +112,26 @@
     ) -> None:
         self.ingresses, self.traffic, self.clock = list(ingresses), traffic, clock
         self.records = records or Records()
-        self.idle: list[list[Line]] = [[] for _ in ingresses]
+        self.idle: list[list[IngressConnection]] = [[] for _ in ingresses]
         self.rng = random.Random(f"{traffic.seed} retries")
-        self.sent = self.out = 0
-        self.tally: dict[int, int] = {}
+        self.sent = self.in_flight = 0
+        self.status_counts: dict[int, int] = {}
 
     async def run(self) -> None:
         """Send all requests; return when each attempt has ended."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.TaskGroup() as group:
-            for plan in draw(self.traffic, len(self.ingresses)):
+            for plan in draw_requests(self.traffic, len(self.ingresses)):
                 await asyncio.sleep(began + plan.at - loop.time())
-                group.create_task(self.follow(plan))
+                group.create_task(self.perform(plan))
         self.close()
 
-    async def follow(self, plan: Plan) -> None:
+    async def perform(self, plan: PlannedRequest) -> None:
         """Perform one operation, with the retries that a member makes after a refusal."""
         ingress = plan.ingress
-        for attempt in range(RETRIES + 1):
-            answered = await self.ask(plan, f"{plan.op}.{attempt}", ingress, attempt > 0)
+        for attempt in range(MAX_RETRIES + 1):
+            answered = await self.send_attempt(plan, f"{plan.op}.{attempt}", ingress, attempt > 0)
             if answered is None or answered.status not in (429, 503):
                 return
             if self.rng.random() >= self.traffic.retry_share:
@@ -139,26 +139,33 @@
             await asyncio.sleep(answered.retry_after or 0.1 + 0.1 * self.rng.random())
             ingress = (plan.first + self.rng.randrange(plan.spread)) % len(self.ingresses)
 
-    async def ask(self, plan: Plan, name: str, ingress: int, again: bool) -> Answered | None:
+    async def send_attempt(self, plan: PlannedRequest, name: str, ingress: int, again: bool) -> Answered | None:
         """Send one attempt. If an ingress accepts no connection, the next one is used."""
         raw = self.message(plan, name, again)
         for step in range(len(self.ingresses)):
             number = (ingress + step) % len(self.ingresses)
             used = bool(self.idle[number])
-            line = self.idle[number].pop() if used else await self.connect(number)
-            if line is None:
+            connection = self.idle[number].pop() if used else await self.connect(number)
+            if connection is None:
                 continue
-            self.out += 1
+            self.in_flight += 1
             try:
-                answered = await self.exchange(plan, name, number, line, raw, again, used)
+                answered = await self.send_to_ingress(plan, name, number, connection, raw, again, used)
             finally:
-                self.out -= 1
+                self.in_flight -= 1
             if answered is not None:
                 return answered
         return None
 
-    async def exchange(
-        self, plan: Plan, name: str, number: int, line: Line, raw: bytes, again: bool, used: bool
+    async def send_to_ingress(
+        self,
+        plan: PlannedRequest,
+        name: str,
+        number: int,
+        connection: IngressConnection,
+        raw: bytes,
+        again: bool,
+        used: bool,
     ) -> Answered | None:
         """Send one attempt to one ingress; return None if the ingress did not accept it."""
         budget = self.traffic.classes[plan.cls].budget
@@ -169,48 +176,48 @@
         self.sent += 1
         status, after, body = 0, 0.0, ""
         try:
-            async with asyncio.timeout(budget + GRACE_S):
-                got = await self.once(line, raw)
+            async with asyncio.timeout(budget + ANSWER_GRACE_S):
+                got = await self.send_on_connection(connection, raw)
                 if got is None and used:  # closed while idle: send once more on a new connection
                     new = await self.connect(number)
                     if new is None:
                         self.records.add(Withdrawn(self.clock(), name, str(number)))
                         return None
-                    line = new
-                    got = await self.once(line, raw)
+                    connection = new
+                    got = await self.send_on_connection(connection, raw)
                 if got is not None:
                     status, body = got.status, got.body.decode("latin-1")
                     after = float(got.headers.get("retry-after", "0"))
                     if got.headers.get("connection") == "close":
-                        line.writer.close()
+                        connection.writer.close()
                     else:
-                        self.idle[number].append(line)
+                        self.idle[number].append(connection)
         except TimeoutError:
             status = -1
-            line.writer.transport.abort()
+            connection.writer.transport.abort()
         answered = Answered(self.clock(), name, status, after, body)
         self.records.add(answered)
-        self.tally[status] = self.tally.get(status, 0) + 1
+        self.status_counts[status] = self.status_counts.get(status, 0) + 1
         return answered
 
     @staticmethod
-    async def once(line: Line, raw: bytes) -> Message | None:
+    async def send_on_connection(connection: IngressConnection, raw: bytes) -> Message | None:
         """Send a request and return its answer, or None if the connection ends first."""
         try:
-            line.writer.write(raw)
-            return await read_message(line.reader)
+            connection.writer.write(raw)
+            return await read_message(connection.reader)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
-            line.writer.close()
+            connection.writer.close()
             return None
 
-    async def connect(self, number: int) -> Line | None:
+    async def connect(self, number: int) -> IngressConnection | None:
         """Return a new connection to an ingress, or None if the ingress accepts none."""
         try:
-            return Line(*await asyncio.open_connection(*self.ingresses[number], limit=MAX_HEAD))
+            return IngressConnection(*await asyncio.open_connection(*self.ingresses[number], limit=MAX_HEAD))
         except OSError:
             return None
 
-    def message(self, plan: Plan, name: str, again: bool) -> bytes:
+    def message(self, plan: PlannedRequest, name: str, again: bool) -> bytes:
         """Encode a request."""
         cls = self.traffic.classes[plan.cls]
         lines = [
@@ -233,7 +240,7 @@
     def close(self) -> None:
         """Close the idle connections."""
         for lines in self.idle:
-            for line in lines:
+            for connection in lines:
                 with contextlib.suppress(Exception):
-                    line.writer.close()
+                    connection.writer.close()
             lines.clear()
--- a/standins/http.py
+++ b/standins/http.py
@@ -64,7 +64,7 @@
         """Reset the connection; data that the client has not read yet is lost."""
         self.writer.transport.abort()
 
-    def gone(self) -> bool:
+    def has_ended(self) -> bool:
         """Return whether the connection has ended."""
         return self.reader.at_eof() or self.writer.transport.is_closing()
 
@@ -75,7 +75,7 @@
     def __init__(self) -> None:
         self.host, self.port = "127.0.0.1", 0
         self.connections: set[Connection] = set()
-        self.opened = 0
+        self.connections_opened = 0
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -100,7 +100,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def next(self, connection: Connection) -> Message:
+    async def next_message(self, connection: Connection) -> Message:
         """Return the next request on a connection."""
         return await read_message(connection.reader)
 
@@ -114,9 +114,9 @@
         self.tasks.add(task)
         connection = Connection(reader, writer)
         self.connections.add(connection)
-        self.opened += 1
+        self.connections_opened += 1
         try:
-            while (reply := await self.handle(await self.next(connection), connection)) is not None:
+            while (reply := await self.handle(await self.next_message(connection), connection)) is not None:
                 writer.write(reply)
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError, ValueError, asyncio.CancelledError):
--- a/standins/match.py
+++ b/standins/match.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class ServerCapacity:
     """The capacity of a match server. Times are in seconds; `work` is the mean time per request on a warm core."""
 
     cores: int = 3
@@ -27,10 +27,10 @@
     work: float = 0.02
     cold: float = 1.0
     cold_s: float = 0.0
-    error_share: float = 0.0
+    error_fraction: float = 0.0
 
 
-class Keys:
+class IdempotencyKeys:
     """Idempotency keys of requests whose effect has happened; the servers of one group share them."""
 
     def __init__(self, window: float = KEY_WINDOW_S, clock: Callable[[], float] = time.time) -> None:
@@ -55,36 +55,36 @@
         self,
         name: str,
         records: Records | None = None,
-        shape: Shape | None = None,
-        keys: Keys | None = None,
+        capacity: ServerCapacity | None = None,
+        keys: IdempotencyKeys | None = None,
         seed: int = 0,
         clock: Callable[[], float] = time.time,
     ) -> None:
         super().__init__()
-        self.name, self.records, self.shape = name, records or Records(), shape or Shape()
-        self.keys, self.seed, self.clock = keys or Keys(clock=clock), seed, clock
-        self.slots = asyncio.Semaphore(self.shape.cores)
+        self.name, self.records, self.capacity = name, records or Records(), capacity or ServerCapacity()
+        self.keys, self.seed, self.clock = keys or IdempotencyKeys(clock=clock), seed, clock
+        self.slots = asyncio.Semaphore(self.capacity.cores)
         self.inflight = self.waiting = 0
-        self.born = 0.0
+        self.started_at = 0.0
         # Faults.
         self.draining = False
-        self.slow = 1.0  # factor by which the work of a request is multiplied
-        self.error_share = self.shape.error_share
-        self.reset_share = 0.0  # fraction of requests whose connection is reset after their effect
-        self.cut_share = 0.0  # fraction of requests whose connection is reset at their first byte
-        self.cuts = random.Random(f"{seed} {name} cuts")
-        self.awake = asyncio.Event()
-        self.awake.set()
+        self.work_factor = 1.0  # factor by which the work of a request is multiplied
+        self.error_fraction = self.capacity.error_fraction
+        self.reset_fraction = 0.0  # fraction of requests whose connection is reset after their effect
+        self.cut_fraction = 0.0  # fraction of requests whose connection is reset at their first byte
+        self.cut_rng = random.Random(f"{seed} {name} cuts")
+        self.answering = asyncio.Event()
+        self.answering.set()
 
     async def start(self, port: int = 0) -> None:
         """Start to serve; the server is cold at first."""
         await super().start(port)
-        self.born = self.clock()
-        self.records.add(Up(self.born, self.name, self.shape.cores, self.shape.cold, self.shape.cold_s))
+        self.started_at = self.clock()
+        self.records.add(Up(self.started_at, self.name, self.capacity.cores, self.capacity.cold, self.capacity.cold_s))
 
     def silence(self, on: bool) -> None:
         """Start or end silence: requests that arrive meanwhile are served after its end."""
-        (self.awake.clear if on else self.awake.set)()
+        (self.answering.clear if on else self.answering.set)()
 
     def close_idle(self) -> None:
         """Close all connections if no request is in flight."""
@@ -94,14 +94,14 @@
 
     def speed(self) -> float:
         """Return the fraction of its full capacity that the server has reached since its start."""
-        s = self.shape
-        grown = (self.clock() - self.born) / s.cold_s if s.cold_s > 0 else 1.0
+        s = self.capacity
+        grown = (self.clock() - self.started_at) / s.cold_s if s.cold_s > 0 else 1.0
         return min(1.0, s.cold + (1 - s.cold) * grown)
 
-    async def next(self, connection: Connection) -> Message:
+    async def next_message(self, connection: Connection) -> Message:
         """Return the next request. Raises ConnectionResetError if a fault resets the connection instead."""
         first = await connection.reader.readexactly(1)
-        if self.cuts.random() < self.cut_share:
+        if self.cut_rng.random() < self.cut_fraction:
             connection.reset()
             raise ConnectionResetError
         return await read_message(connection.reader, first)
@@ -117,12 +117,12 @@
             return answer(404)
         key = message.headers.get("idempotency-key", "")
         draw = random.Random(f"{self.seed} {name}")
-        work = draw.expovariate(1 / self.shape.work)
-        full = self.waiting >= self.shape.queue or self.draining
+        work = draw.expovariate(1 / self.capacity.work)
+        full = self.waiting >= self.capacity.queue or self.draining
         self.records.add(Began(self.clock(), name, self.name, key, work, full))
         if full:
             return answer(503, b"", {"X-Rejected": "1"})
-        await self.awake.wait()
+        await self.answering.wait()
         self.inflight += 1
         try:
             return await self.run(name, key, work, draw, connection)
@@ -137,14 +137,14 @@
         finally:
             self.waiting -= 1
         try:
-            await asyncio.sleep(work * self.slow / self.speed())
+            await asyncio.sleep(work * self.work_factor / self.speed())
         finally:
             self.slots.release()
-        if draw.random() < self.error_share:
+        if draw.random() < self.error_fraction:
             return answer(500, b"")
         if not key or self.keys.claim(key):
             self.records.add(Ran(self.clock(), name, self.name, key))
-        if draw.random() < self.reset_share:
+        if draw.random() < self.reset_fraction:
             connection.reset()
             return None
         return answer(200, f"{self.name} {name}".encode(), {"Content-Type": "text/plain"})
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -13,9 +13,9 @@
 HOST = "127.0.0.1"
 FIRST_PORT = 10_000
 PORT_COUNT = 22_000  # the ephemeral range of the operating system starts at 32,768
-SPREAD = 7_919  # distance between the first ports of processes with consecutive ids
+PROCESS_STRIDE = 7_919  # distance between the first ports of processes with consecutive ids
 
-_offsets = itertools.count(os.getpid() * SPREAD)
+_offsets = itertools.count(os.getpid() * PROCESS_STRIDE)
 
 
 def unused_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
@@ -31,7 +31,7 @@
     raise OSError(f"{HOST}: no unused port between {FIRST_PORT} and {FIRST_PORT + PORT_COUNT}")
 
 
-def hold_ports(count: int, first: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[socket.socket]:
+def bind_ports(count: int, first: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[socket.socket]:
     """Bind sockets to loopback ports, starting at `first` unless it is 0. Raises OSError that names a used port."""
     sockets = []
     for n in range(count):
@@ -50,7 +50,7 @@
     """Return unused ports, starting at `first` unless it is 0. Raises OSError if one of them is in use."""
     if not first:
         return [unused_port() for _ in range(count)]
-    sockets = hold_ports(count, first)
+    sockets = bind_ports(count, first)
     ports = [s.getsockname()[1] for s in sockets]
     for s in sockets:
         s.close()
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -14,7 +14,7 @@
 Address = tuple[str, int]
 
 
-class Door(asyncio.DatagramProtocol):
+class RelaySocket(asyncio.DatagramProtocol):
     """The socket of the relay that represents one ingress."""
 
     def __init__(self, relay: Relay, number: int) -> None:
@@ -29,7 +29,7 @@
         """Forward a datagram from a known sender; ignore all others."""
         sender = self.relay.numbers.get((addr[0], addr[1]))
         if sender is not None:
-            self.relay.carry(sender, self.number, data)
+            self.relay.forward(sender, self.number, data)
 
 
 class Relay:
@@ -39,51 +39,51 @@
         self.targets = list(targets)
         self.numbers = {address: n for n, address in enumerate(targets)}
         self.loss, self.delay = loss, delay
-        self.draws = {
+        self.generators = {
             (a, b): random.Random(f"{seed} {a} {b}") for a in range(len(targets)) for b in range(len(targets))
         }  # one generator per pair, so that the draws do not depend on the traffic of other pairs
-        self.cut: set[int] = set()
-        self.doors: list[Door] = []
-        self.carried = self.lost = 0
+        self.isolated: set[int] = set()
+        self.sockets: list[RelaySocket] = []
+        self.forwarded = self.lost = 0
 
     @property
     def addresses(self) -> list[str]:
         """Return the relay's address for each ingress, as used in the setting `peers`."""
-        assert all(d.transport is not None for d in self.doors)
-        return [f"{HOST}:{d.transport.get_extra_info('sockname')[1]}" for d in self.doors if d.transport]
+        assert all(d.transport is not None for d in self.sockets)
+        return [f"{HOST}:{d.transport.get_extra_info('sockname')[1]}" for d in self.sockets if d.transport]
 
     async def start(self) -> None:
         """Open a socket for each ingress."""
         loop = asyncio.get_running_loop()
         for number in range(len(self.targets)):
-            door = Door(self, number)
-            await loop.create_datagram_endpoint(lambda door=door: door, local_addr=(HOST, 0))  # type: ignore[misc]
-            self.doors.append(door)
+            endpoint = RelaySocket(self, number)
+            await loop.create_datagram_endpoint(lambda endpoint=endpoint: endpoint, local_addr=(HOST, 0))  # type: ignore[misc]
+            self.sockets.append(endpoint)
 
     def isolate(self, number: int, on: bool) -> None:
         """Drop all datagrams to and from one ingress, or stop doing so."""
-        (self.cut.add if on else self.cut.discard)(number)
+        (self.isolated.add if on else self.isolated.discard)(number)
 
-    def carry(self, sender: int, target: int, data: bytes) -> None:
+    def forward(self, sender: int, target: int, data: bytes) -> None:
         """Deliver a datagram after its delay, or drop it."""
-        draw = self.draws[sender, target]
+        draw = self.generators[sender, target]
         lost, late = draw.random() < self.loss, draw.random() * self.delay
-        if lost or sender in self.cut or target in self.cut:
+        if lost or sender in self.isolated or target in self.isolated:
             self.lost += 1
         elif late > 0:
-            asyncio.get_running_loop().call_later(late, self.hand_over, sender, target, data)
+            asyncio.get_running_loop().call_later(late, self.deliver, sender, target, data)
         else:
-            self.hand_over(sender, target, data)
+            self.deliver(sender, target, data)
 
-    def hand_over(self, sender: int, target: int, data: bytes) -> None:
+    def deliver(self, sender: int, target: int, data: bytes) -> None:
         """Send a datagram to its target."""
-        transport = self.doors[sender].transport
+        transport = self.sockets[sender].transport
         if transport is not None and not transport.is_closing():
-            self.carried += 1
+            self.forwarded += 1
             transport.sendto(data, self.targets[target])
 
     def stop(self) -> None:
         """Close all sockets."""
-        for door in self.doors:
-            if door.transport is not None:
-                door.transport.close()
+        for endpoint in self.sockets:
+            if endpoint.transport is not None:
+                endpoint.transport.close()
--- a/standins/system.py
+++ b/standins/system.py
@@ -22,18 +22,18 @@
 from standins.system_topology import CONTROL, CORES, FRONTS
 
 SERVICES = ("ledger", "pages")
-ORDER_ATTEMPTS = 60
-ORDER_PAUSE_S = 0.1
-POLL_S = 0.05
-NO_ANSWER = (OSError, EOFError, TimeoutError, ValueError)
+CONTROL_CALL_ATTEMPTS = 60
+CONTROL_CALL_PAUSE_S = 0.1
+POLL_INTERVAL_S = 0.05
+NO_ANSWER_ERRORS = (OSError, EOFError, TimeoutError, ValueError)
 
 
 class System:
-    """All processes and stand-ins; `say` is called with one line for each step of the scenario."""
+    """All processes and stand-ins; `log_step` is called with one line for each step of the scenario."""
 
-    def __init__(self, folder: Path, say: Callable[[str], None] = print) -> None:
+    def __init__(self, folder: Path, log_step: Callable[[str], None] = print) -> None:
         self.folder = folder
-        self.say = say
+        self.log_step = log_step
         self.runs: list[Run] = []
         self.backends = [
             Backend(f"i-{service}-{n}", service, f"{ip.rpartition('.')[0]}.{50 + k}", self.runs)
@@ -59,29 +59,29 @@
         for service in (*self.backends, self.platform):
             await service.stop()
 
-    async def until(self, what: str, holds: Callable[[], Awaitable[bool]], seconds: float = 15.0) -> None:
+    async def wait_until(self, what: str, holds: Callable[[], Awaitable[bool]], seconds: float = 15.0) -> None:
         """Wait until a condition holds. Raises TimeoutError that names the condition."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while True:
-            with contextlib.suppress(*NO_ANSWER):
+            with contextlib.suppress(*NO_ANSWER_ERRORS):
                 if await holds():
                     return
             if loop.time() > end:
                 raise TimeoutError(what)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def order(self, method: str, target: str, body: bytes = b"") -> Message:
+    async def call_control(self, method: str, target: str, body: bytes = b"") -> Message:
         """Send an operator's call to one core machine after another until one answers 200, 400 or 404."""
-        for ip in itertools.islice(itertools.cycle(CORES), ORDER_ATTEMPTS):
-            with contextlib.suppress(*NO_ANSWER):
-                answer = await self._call_control(ip, method, target, body)
+        for ip in itertools.islice(itertools.cycle(CORES), CONTROL_CALL_ATTEMPTS):
+            with contextlib.suppress(*NO_ANSWER_ERRORS):
+                answer = await self._call_machine(ip, method, target, body)
                 if answer.status in (200, 400, 404):
                     return answer
-            await asyncio.sleep(ORDER_PAUSE_S)
+            await asyncio.sleep(CONTROL_CALL_PAUSE_S)
         raise TimeoutError(f"no core machine answers {method} {target}")
 
-    async def _call_control(self, ip: str, method: str, target: str, body: bytes) -> Message:
+    async def _call_machine(self, ip: str, method: str, target: str, body: bytes) -> Message:
         """Call a core machine, and follow a redirect."""
         answer = await self.caller.call(f"{ip}:{CONTROL}", method, target, {}, body)
         if answer.status == 307:
@@ -89,11 +89,11 @@
             answer = await self.caller.call(where, method, target, {}, body)
         return answer
 
-    async def put(self, config: dict[str, Any]) -> Message:
+    async def replace_configuration(self, config: dict[str, Any]) -> Message:
         """Send a configuration; return the answer."""
-        return await self.order("POST", "/Config.Replace", json.dumps(config).encode())
+        return await self.call_control("POST", "/Config.Replace", json.dumps(config).encode())
 
-    async def served(
+    async def send_requests(
         self,
         count: int,
         target: str = "/read/1",
@@ -102,5 +102,5 @@
     ) -> dict[int, int]:
         """Send requests to all proxies concurrently; return the number of answers by status."""
         ips = itertools.islice(itertools.cycle(FRONTS), count)
-        answers = await asyncio.gather(*(self.caller.ask(ip, target, key, method) for ip in ips))
+        answers = await asyncio.gather(*(self.caller.ask_proxy(ip, target, key, method) for ip in ips))
         return dict(Counter(answer.status for answer in answers))
--- a/standins/system_story.py
+++ b/standins/system_story.py
@@ -17,10 +17,10 @@
 from standins.system_topology import CORES, DIRECTORY, FRONT, FRONTS, HOST, READY, configuration
 
 
-async def story(system: System) -> None:
+async def run_scenario(system: System) -> None:
     """Run all steps. Raises AssertionError or TimeoutError if an expectation fails."""
-    assert (await system.put(configuration(1))).status == 200
-    system.say("configuration 00000001 is acknowledged, so it is on two disks")
+    assert (await system.replace_configuration(configuration(1))).status == 200
+    system.log_step("configuration 00000001 is acknowledged, so it is on two disks")
     await wait_until_ready(system)
     await resolve(system)
     await serve(system)
@@ -40,7 +40,7 @@
         answers = [await system.caller.call(f"{ip}:{READY}", "GET", "/readiness") for ip in FRONTS]
         return all(answer.status == 200 for answer in answers)
 
-    await system.until("all proxies ready", ready)
+    await system.wait_until("all proxies ready", ready)
 
 
 async def resolve(system: System) -> None:
@@ -53,29 +53,29 @@
         found.update(json.loads(answer.body))
         return bool(found["addresses"] == [f"{FRONTS[2]}:{FRONT}"])
 
-    await system.until("the directory returns the proxy of the client's region", listed)
-    system.say(f"/resolve for a client in r-2: {found}")
+    await system.wait_until("the directory returns the proxy of the client's region", listed)
+    system.log_step(f"/resolve for a client in r-2: {found}")
 
 
 async def serve(system: System) -> None:
     """Check that requests are served, and that those without a tenant or a route are rejected."""
 
     async def served() -> bool:
-        return (await system.served(6)).get(200) == 6
+        return (await system.send_requests(6)).get(200) == 6
 
-    await system.until("requests are counted and served", served)
-    tally = await system.served(120)
-    system.say(f"120 requests over three proxies: {tally}")
+    await system.wait_until("requests are counted and served", served)
+    tally = await system.send_requests(120)
+    system.log_step(f"120 requests over three proxies: {tally}")
     assert tally == {200: 120}, tally
-    assert (await system.served(1, key="key-nobody"))[401]
-    assert (await system.served(1, "/nowhere/"))[404]
-    system.say("an unknown key gets 401, a path without a route 404")
+    assert (await system.send_requests(1, key="key-nobody"))[401]
+    assert (await system.send_requests(1, "/nowhere/"))[404]
+    system.log_step("an unknown key gets 401, a path without a route 404")
 
 
 async def hold_quota(system: System) -> None:
     """Send many more requests than a tenant's quota allows."""
-    tally = await system.served(200, key="key-small")
-    system.say(f"200 concurrent requests of a tenant with a burst of 40: {tally}")
+    tally = await system.send_requests(200, key="key-small")
+    system.log_step(f"200 concurrent requests of a tenant with a burst of 40: {tally}")
     assert tally[429] >= 100 and tally.get(200, 0) <= 60, tally
 
 
@@ -89,33 +89,33 @@
 
     async def idle() -> bool:
         before = runs()
-        await system.served(30, "/pay/1", method="POST")
+        await system.send_requests(30, "/pay/1", method="POST")
         return runs() == before
 
-    await system.until("the draining backend gets no requests", idle)
-    system.say(f"{drained.name} is draining: it gets no more requests")
+    await system.wait_until("the draining backend gets no requests", idle)
+    system.log_step(f"{drained.name} is draining: it gets no more requests")
 
 
 async def change_configuration(system: System) -> None:
     """Change the target of a route to another service."""
-    assert (await system.put(configuration(2, "pages"))).status == 200
+    assert (await system.replace_configuration(configuration(2, "pages"))).status == 200
 
     async def moved() -> bool:
         mark = len(system.runs)
-        await system.served(30)
+        await system.send_requests(30)
         return all("pages" in run.backend for run in system.runs[mark:])
 
-    await system.until("the changed route is in force", moved)
-    system.say("configuration 00000002 routes /read/ to another service at all proxies")
+    await system.wait_until("the changed route is in force", moved)
+    system.log_step("configuration 00000002 routes /read/ to another service at all proxies")
 
 
 async def reject_configuration(system: System) -> None:
     """Check that an invalid configuration is rejected."""
     invalid = configuration(3)
     invalid["routes"]["read"]["target"] = "nobody"
-    answer = await system.put(invalid)
+    answer = await system.replace_configuration(invalid)
     assert answer.status == 400, answer
-    system.say(f"an invalid configuration is rejected: {json.loads(answer.body)['error']}")
+    system.log_step(f"an invalid configuration is rejected: {json.loads(answer.body)['error']}")
 
 
 async def lose_core_machine(system: System) -> None:
@@ -123,18 +123,18 @@
     for (program, ip), process in system.processes.items():
         if ip == CORES[0]:
             await process.end(signal.SIGKILL)
-            system.say(f"{program} on {ip} is killed")
-    assert (await system.put(configuration(4, "ledger"))).status == 200
-    system.say("configuration 00000004 is acknowledged without that machine")
-    stored = json.loads((await system.order("GET", "/Config.Read")).body)
+            system.log_step(f"{program} on {ip} is killed")
+    assert (await system.replace_configuration(configuration(4, "ledger"))).status == 200
+    system.log_step("configuration 00000004 is acknowledged without that machine")
+    stored = json.loads((await system.call_control("GET", "/Config.Read")).body)
     assert stored["version"] == "00000004", stored
 
     async def served_again() -> bool:
         mark = len(system.runs)
-        tally = await system.served(30)
+        tally = await system.send_requests(30)
         return tally == {200: 30} and all("ledger" in run.backend for run in system.runs[mark:])
 
-    await system.until("requests are routed by the new configuration", served_again)
+    await system.wait_until("requests are routed by the new configuration", served_again)
     for program in ("control", "registry"):
         await system.processes[program, CORES[0]].start()
 
@@ -149,14 +149,14 @@
     """Stop a proxy gracefully."""
     code = await system.processes["proxy", FRONTS[0]].end()
     assert code == 0, code
-    system.say("a proxy stopped by SIGTERM ends with exit code 0")
+    system.log_step("a proxy stopped by SIGTERM ends with exit code 0")
 
 
 async def hold(system: System, seconds: float) -> None:
     """Serve one configuration for some seconds."""
-    await system.put(configuration(1))
+    await system.replace_configuration(configuration(1))
     await wait_until_ready(system)
-    system.say(f"in service for {seconds:g} s: directory {FRONTS[0]}:{DIRECTORY}, host {HOST}, key key-large")
+    system.log_step(f"in service for {seconds:g} s: directory {FRONTS[0]}:{DIRECTORY}, host {HOST}, key key-large")
     await asyncio.sleep(seconds)
 
 
@@ -168,7 +168,7 @@
                 if hold_s > 0:
                     await hold(system, hold_s)
                     return 0
-                await story(system)
+                await run_scenario(system)
         except (AssertionError, TimeoutError) as error:
             print(f"verdict: broken: {error!r}")
             return 1
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -32,16 +32,16 @@
 
     plans: Mapping[str, PlanRule]
     effects: Mapping[str, str]
-    late: float = 0.05
+    answer_slack: float = 0.05
     drain_grace: float = 1.0
-    drain_late: float = 0.05
+    drain_slack: float = 0.05
     cold_multiple: float = 4.0
     cold_window: float = 1.5
-    ceiling_s: float = 0.15  # tolerance: the units that the ceiling's rate allows in this time
-    passed_on: bool = False  # answers of servers with status 500 are passed through, so they are no fault
-    calm: bool = False  # no fault was injected during the run
-    starved_tries: int = 3  # refusals with unused quota that a member may get in a run without faults
-    starved_share: float = 0.05  # fraction of its attempts that may be refused so, if that is more
+    ceiling_slack_s: float = 0.15  # tolerance: the units that the ceiling's rate allows in this time
+    passes_server_errors: bool = False  # answers of servers with status 500 are passed through, so they are no fault
+    fault_free: bool = False  # no fault was injected during the run
+    starved_min_refusals: int = 3  # refusals with unused quota that a member may get in a run without faults
+    starved_fraction: float = 0.05  # fraction of its attempts that may be refused so, if that is more
 
 
 class Breach(NamedTuple):
@@ -60,12 +60,14 @@
     served: int = 0
     refused: int = 0
     failed: int = 0
-    times: list[float] = field(default_factory=list)  # seconds, of served attempts
+    response_times: list[float] = field(default_factory=list)  # seconds, of served attempts
 
-    def quantile(self, share: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Return a quantile of the response times of served attempts, in seconds; 0 without any."""
-        times = sorted(self.times)
-        return times[min(len(times) - 1, int(share * len(times)))] if times else 0.0
+        response_times = sorted(self.response_times)
+        return (
+            response_times[min(len(response_times) - 1, int(fraction * len(response_times)))] if response_times else 0.0
+        )
 
 
 @dataclass(slots=True)
@@ -74,8 +76,8 @@
 
     breaches: list[Breach]
     figures: dict[tuple[str, str], Figures]
-    over: dict[str, float]  # by plan: largest number of units that a member had beyond its quota
-    above: dict[str, float]  # by plan: the same beyond the ceiling; negative if no member reached it
+    quota_excess: dict[str, float]  # by plan: largest number of units that a member had beyond its quota
+    ceiling_excess: dict[str, float]  # by plan: the same beyond the ceiling; negative if no member reached it
 
     @property
     def kept(self) -> bool:
@@ -93,9 +95,9 @@
                 f"{plan:10} {cls:14} {f.tries:7} {f.served:7} {f.refused:7} {f.failed:7}"
                 f" {f.quantile(0.5) * 1000:7.1f} {f.quantile(0.99) * 1000:7.1f}"
             )
-        for plan, units in sorted(self.over.items()):
+        for plan, units in sorted(self.quota_excess.items()):
             out.append(f"beyond quota, worst member of {plan}: {units:.2f} units")
-        for plan, units in sorted(self.above.items()):
+        for plan, units in sorted(self.ceiling_excess.items()):
             out.append(f"beyond ceiling, worst member of {plan}: {units:.2f} units")
         counts = Tally(b.rule for b in self.breaches)
         for rule in RULES:
--- a/tests/client/test_loopback.py
+++ b/tests/client/test_loopback.py
@@ -37,9 +37,9 @@
             async with Client(SERVERS, HOST, region="r-1", zone="z-1", key="key-large") as client:
 
                 async def counted() -> bool:
-                    return (await system.served(30)).get(200) == 30
+                    return (await system.send_requests(30)).get(200) == 30
 
-                await system.until("requests are counted and served at all proxies", counted)
+                await system.wait_until("requests are counted and served at all proxies", counted)
                 paid, read = [], []
                 for wave in range(10):
                     calls = [asyncio.ensure_future(pay(client, 4 * wave + n)) for n in range(4)]
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -16,7 +16,7 @@
 
 from standins.auditor import audit
 from standins.counter import Counter
-from standins.front import ClassShape, Front, Traffic
+from standins.front import Front, RequestClass, Traffic
 from standins.records import Added
 from standins.verdict import PlanRule, Rules
 from tests.embed.forms import FORMS, HOST, INSTANCES, Script
@@ -152,9 +152,9 @@
         counter = Counter(seed=3, delay=0.001)
         await counter.start()
         classes = {
-            "browse": ClassShape("safe", 0.65, 2.0),
-            "send-message": ClassShape("keyed", 0.25, 2.0),
-            "charge": ClassShape("unsafe", 0.1, 2.0),
+            "browse": RequestClass("safe", 0.65, 2.0),
+            "send-message": RequestClass("keyed", 0.25, 2.0),
+            "charge": RequestClass("unsafe", 0.1, 2.0),
         }
         traffic = Traffic(3.0, 150.0, {"basic": 30, "plus": 6}, classes, seed=9)
         async with FORMS[form](None, counter, folder=tmp_path, timeout=0.08) as fleet:
@@ -169,9 +169,9 @@
                     await asyncio.sleep(0.005)
 
             await sent(60)  # faults come after so many requests, whatever the time
-            counter.lose_share, counter.spoil_share = 0.2, 0.2
+            counter.lost_answer_fraction, counter.garbled_answer_fraction = 0.2, 0.2
             await sent(120)
-            counter.lose_share = counter.spoil_share = 0.0
+            counter.lost_answer_fraction = counter.garbled_answer_fraction = 0.0
             counter.silence(True)
             await sent(200)
             counter.silence(False)
@@ -186,11 +186,11 @@
         rules = Rules(
             {"basic": PlanRule(2.4, 10.0), "plus": PlanRule(16.0, 36.0, 29.0, 65.0)},
             EFFECTS,
-            passed_on=form == "middleware",
+            passes_server_errors=form == "middleware",
         )
         verdict = audit(fleet.records.all, rules)
         assert verdict.kept, verdict.lines()
-        assert front.sent > 360 and front.tally[200] > 150 and front.tally.get(429, 0) > 0
+        assert front.sent > 360 and front.status_counts[200] > 150 and front.status_counts.get(429, 0) > 0
         return verdict
 
     asyncio.run(asyncio.wait_for(main(), 60))
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -17,9 +17,9 @@
     "faults,crowded",
     [
         ((), 0.01),
-        ((Fault(1.0, "counter.silence", lasts=2.0),), 0.1),
-        ((Fault(1.0, "counter.split", 0, lasts=2.0),), 0.02),
-        ((Fault(1.0, "relay.loss", value=0.7, lasts=2.0),), 0.1),
+        ((Fault(1.0, "counter.silence", duration_s=2.0),), 0.1),
+        ((Fault(1.0, "counter.split", 0, duration_s=2.0),), 0.02),
+        ((Fault(1.0, "relay.loss", value=0.7, duration_s=2.0),), 0.1),
         (tuple(Fault(1.0, "ingress.kill", n) for n in range(0, INGRESSES, 3)), 0.1),
     ],
     ids=["calm", "counter silent", "counter split", "70% lost", "four killed at once"],
@@ -36,7 +36,7 @@
         )
         assert verdict.kept, verdict.lines()
         assert fleets[0].front is not None
-        answered = fleets[0].front.tally
+        answered = fleets[0].front.status_counts
         assert sent > 250 and answered.get(200, 0) > 100
         assert answered.get(503, 0) <= crowded * sent, answered
 
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -10,7 +10,7 @@
 from standins.faults import Fault
 from standins.fleet import run_fleet
 from standins.fleet_options import Options, settings
-from standins.match import Shape
+from standins.match import ServerCapacity
 from standins.records import Added, Records
 from standins.verdict import PlanRule
 from thistleusher.core.settings_parser import nested_settings
@@ -20,41 +20,44 @@
 AWAY = 3.5
 AT_A_TIME = 4  # fleets
 SCENARIOS = {
-    "silence": [Fault(1.0, "counter.silence", lasts=AWAY)],
+    "silence": [Fault(1.0, "counter.silence", duration_s=AWAY)],
     "split": [Fault(1.0, "counter.split", 0, AWAY)],
     "split and cut off": [Fault(1.0, "counter.split", 0, AWAY), Fault(1.0, "relay.isolate", 0, AWAY)],
     "replaced twice": [Fault(1.5, "counter.restart"), Fault(2.3, "counter.restart"), Fault(4.0, "counter.restart")],
-    "forgets": [Fault(1.0, "counter.forget", lasts=AWAY, value=0.1)],
-    "late and losing": [Fault(1.0, "counter.lose", lasts=AWAY, value=0.2), Fault(2.0, "counter.old", lasts=1.0)],
+    "forgets": [Fault(1.0, "counter.forget", duration_s=AWAY, value=0.1)],
+    "late and losing": [
+        Fault(1.0, "counter.lose", duration_s=AWAY, value=0.2),
+        Fault(2.0, "counter.old", duration_s=1.0),
+    ],
     "late for one ingress": [Fault(1.0, "counter.late", 0, AWAY, 0.2)],
     "all restart in a silence": [
-        Fault(1.0, "counter.silence", lasts=AWAY),
+        Fault(1.0, "counter.silence", duration_s=AWAY),
         *(Fault(2.0 + n / 1000, "ingress.kill", n) for n in range(3)),
     ],
-    "silent from the first request": [Fault(0.0, "counter.silence", lasts=SECONDS)],
+    "silent from the first request": [Fault(0.0, "counter.silence", duration_s=SECONDS)],
     "all restart three times in a silence": [
-        Fault(0.5, "counter.silence", lasts=5.0),
+        Fault(0.5, "counter.silence", duration_s=5.0),
         *(Fault(at + n / 1000, "ingress.kill", n) for at in (1.0, 2.2, 3.4) for n in range(3)),
     ],
     "all restart three times in a silence, with folders": [
-        Fault(0.5, "counter.silence", lasts=5.0),
+        Fault(0.5, "counter.silence", duration_s=5.0),
         *(Fault(at + n / 1000, "ingress.kill", n) for at in (1.0, 2.2, 3.4) for n in range(3)),
     ],
     "split, replaced and restarted, with folders": [
         Fault(0.8, "counter.split", 0, AWAY),
         Fault(2.0, "counter.restart"),
-        Fault(5.0, "counter.silence", lasts=0.7),
+        Fault(5.0, "counter.silence", duration_s=0.7),
         *(Fault(at + n / 3, "ingress.kill", n) for at in (1.5, 4.4) for n in range(3)),
     ],
     "one restarts all the time in a silence": [
-        Fault(0.5, "counter.silence", lasts=5.0),
+        Fault(0.5, "counter.silence", duration_s=5.0),
         *(Fault(1.0 + n * 0.4, "ingress.kill", 1) for n in range(10)),
     ],
     "planned restarts through the tier": [Fault(0.5 + 1.7 * n, "ingress.restart", n) for n in range(3)],
     "silence, restarts and lossy peers": [
-        Fault(0.5, "relay.loss", lasts=5.0, value=0.2),
-        Fault(0.5, "relay.delay", lasts=5.0, value=0.5),
-        Fault(1.0, "counter.silence", lasts=AWAY),
+        Fault(0.5, "relay.loss", duration_s=5.0, value=0.2),
+        Fault(0.5, "relay.delay", duration_s=5.0, value=0.5),
+        Fault(1.0, "counter.silence", duration_s=AWAY),
         Fault(1.5, "ingress.restart", 1),
         Fault(2.5, "ingress.kill", 2),
     ],
@@ -92,9 +95,9 @@
         rate=120.0,
         loss=0.0,
         faults=tuple(SCENARIOS[scenario]),
-        move_s=1.0,
+        switch_interval_s=1.0,
         members={"basic": 6, "plus": 2},
-        shape=Shape(cores=8, work=0.005),
+        capacity=ServerCapacity(cores=8, work=0.005),
         folders="folders" in scenario,
     )
     rules = stated(Options(**size), scenario)
@@ -118,7 +121,7 @@
 def test_members_that_move_every_second_stay_within_the_stated_errors(scenario):
     verdict, sent, added = group(list(SCENARIOS).index(scenario) // AT_A_TIME)[scenario]
     assert verdict.kept, verdict.lines()
-    assert sent > 500 and verdict.over["plus"] > -36.0 and added > 40
+    assert sent > 500 and verdict.quota_excess["plus"] > -36.0 and added > 40
     assert sum(f.served for f in verdict.figures.values()) > 60, verdict.lines()
 
 
@@ -130,8 +133,8 @@
             rate=250.0,
             loss=0.0,
             members={"basic": 5000},
-            shape=Shape(cores=8, work=0.002),
-            faults=(Fault(1.5, "counter.silence", lasts=2.0),),
+            capacity=ServerCapacity(cores=8, work=0.002),
+            faults=(Fault(1.5, "counter.silence", duration_s=2.0),),
         )
         rules = stated(Options(**size), "silence")
         records = Records()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -13,7 +13,7 @@
 from soak import fleets, inputs, moments, readers, suites
 from soak.__main__ import main
 from soak.case import KINDS, Case, CaseError, Outcome, read_case
-from soak.mutate import Corpus, cut_down, mutated
+from soak.mutate import Corpus, minimize_bytes, mutate
 from soak.reader_tools import RuleBrokenError
 from soak.runner import Soak, play
 from soak.shrink import shrink
@@ -33,7 +33,7 @@
 def test_what_was_found_once_does_not_come_again(path):
     case = read_case(path)
     assert case.kind == "bytes"  # fleets take seconds each: `python -m soak --replay FILE`
-    assert play(case)[0].why == ""
+    assert play(case)[0].failure == ""
 
 
 @pytest.mark.parametrize("target", sorted(readers.READERS))
@@ -47,10 +47,10 @@
 
 def test_mutation_is_fixed_by_its_seed_and_what_shows_something_new_is_kept():
     corpus = [b"abc" * 10, b"xyz"]
-    assert all(mutated(random.Random(n), corpus) == mutated(random.Random(n), corpus) for n in range(50))
+    assert all(mutate(random.Random(n), corpus) == mutate(random.Random(n), corpus) for n in range(50))
     kept = Corpus(corpus)
     for shown in ("one", "two", "one"):
-        kept.learn(shown.encode(), shown)
+        kept.add_if_new(shown.encode(), shown)
     assert kept.inputs == [*corpus, b"one", b"two"]
 
 
@@ -63,19 +63,19 @@
     monkeypatch.setitem(readers.READERS, "answer", (check, readers.READERS["answer"][1]))
     case = Case("bytes", 3, {"target": "answer", "count": 5000})
     outcome = inputs.run(case)
-    assert outcome.why.startswith("input holds both bytes") and outcome.count < 5000
-    least = inputs.smallest(case, outcome)
+    assert outcome.failure.startswith("input holds both bytes") and outcome.count < 5000
+    least = inputs.minimize(case, outcome)
     assert sorted(bytes.fromhex(least.size["data"])) == [ord("0"), 0xFF]
     path = tmp_path / "found.json"
-    least.write(path, outcome.why)
+    least.write(path, outcome.failure)
     assert main(["--replay", str(path)]) == 1 and "input holds both bytes" in capsys.readouterr().out
     monkeypatch.undo()
     assert main(["--replay", str(path)]) == 0
 
 
 def test_cutting_down_keeps_what_matters():
-    assert cut_down(b"a" * 300 + b"needle" + b"b" * 300, lambda d: b"needle" in d) == b"needle"
-    assert cut_down(b"abc", lambda d: True) == b""
+    assert minimize_bytes(b"a" * 300 + b"needle" + b"b" * 300, lambda d: b"needle" in d) == b"needle"
+    assert minimize_bytes(b"abc", lambda d: True) == b""
 
 
 def test_shrinking_takes_the_smallest_that_fails_by_the_same_part():
@@ -83,14 +83,16 @@
         faults = case.size["faults"]
         return Outcome("x", "quota") if 7 in faults else Outcome("y", "lost") if faults else Outcome()
 
-    def smaller(case):
+    def smaller_cases(case):
         faults = case.size["faults"]
-        return [case.but(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
+        return [case.with_size(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
 
     case = Case("fleet", 1, {"faults": list(range(10))})
-    least, why = shrink(case, run(case), smaller, run)
-    assert least.size["faults"] == [7] and why.part == "quota"
-    assert shrink(case, run(case), smaller, run, tries=3)[0].size["faults"] != [7]  # the number of tries is limited
+    least, why = shrink(case, run(case), smaller_cases, run)
+    assert least.size["faults"] == [7] and why.check == "quota"
+    assert shrink(case, run(case), smaller_cases, run, tries=3)[0].size["faults"] != [
+        7
+    ]  # the number of tries is limited
 
 
 def test_fleets_are_drawn_by_seed_and_every_script_can_be_played(tmp_path):
@@ -98,7 +100,7 @@
     for seed in range(200):
         case = fleets.draw(seed)
         Fleet(fleets.options_of(case), tmp_path)  # raises ScriptError if a target does not exist
-        for other in fleets.smaller(case):
+        for other in fleets.smaller_cases(case):
             Fleet(fleets.options_of(other), tmp_path)
             assert other != case
     assert {f[1] for s in range(200) for f in fleets.draw(s).size["faults"]} == set(fleets.ACTIONS)
@@ -120,11 +122,11 @@
         },
     )
     outcome, _ = play(case)
-    assert outcome.why == "" and outcome.count > 60
-    sound = fleets.rules
-    monkeypatch.setattr(fleets, "rules", lambda o: {n: replace(r, error=-5.0) for n, r in sound(o).items()})
+    assert outcome.failure == "" and outcome.count > 60
+    sound = fleets.plan_rules
+    monkeypatch.setattr(fleets, "plan_rules", lambda o: {n: replace(r, error=-5.0) for n, r in sound(o).items()})
     outcome, _ = play(case)
-    assert outcome.part == "quota" and "beyond its quota" in outcome.why
+    assert outcome.check == "quota" and "beyond its quota" in outcome.failure
 
 
 def test_restarts_of_all_within_a_short_time_count_as_joint():
@@ -133,14 +135,14 @@
     def kills(*at):
         return [Fault(t, "ingress.kill", n) for n, t in at]
 
-    assert fleets.joint(kills((0, 1.0), (1, 1.1), (2, 1.2)), 3) == 1
-    assert fleets.joint(kills((0, 1.0), (1, 1.1)), 3) == 0
-    assert fleets.joint(kills((0, 1.0), (1, 1.1), (2, 1.2), (0, 2.0), (1, 2.0), (2, 2.0)), 3) == 2
+    assert fleets.joint_restarts(kills((0, 1.0), (1, 1.1), (2, 1.2)), 3) == 1
+    assert fleets.joint_restarts(kills((0, 1.0), (1, 1.1)), 3) == 0
+    assert fleets.joint_restarts(kills((0, 1.0), (1, 1.1), (2, 1.2), (0, 2.0), (1, 2.0), (2, 2.0)), 3) == 2
 
 
 def test_a_soak_stops_at_the_first_failure_keeps_it_and_says_so(tmp_path, monkeypatch):
     said = []
-    soak = Soak(9, 0.02, 2, ("bytes",), tmp_path, say=said.append)
+    soak = Soak(9, 0.02, 2, ("bytes",), tmp_path, log=said.append)
     report = soak.run()
     assert report.cases["bytes"] >= 2 and not report.found and report.counts["bytes"] >= 1500
     assert report.lines()[0].startswith("seed 9")
@@ -149,11 +151,11 @@
     pool = type(
         "Pool", (), {"submit": lambda self, *call: calls.append(call)}
     )()  # minimized in the pool, while other cases run
-    soak.take(case, type("Done", (), {"result": lambda self: play(case)})(), pool)
-    kept = soak.cutting[None]
+    soak.record_result(case, type("Done", (), {"result": lambda self: play(case)})(), pool)
+    kept = soak.minimizations[None]
     least = Case("fleet", 4, {"ingresses": -1})
     assert calls[0][1] == case and kept == (tmp_path / "fleet-4.json", 0)
-    soak.keep(*kept, type("Done", (), {"result": lambda self: (least, Outcome("smaller", "soak"))})())
+    soak.store_minimized(*kept, type("Done", (), {"result": lambda self: (least, Outcome("smaller", "soak"))})())
     assert read_case(tmp_path / "fleet-4.json") == least and report.found[0][1] == "smaller"
     assert report.found and "FOUND" in report.lines()[-1]
     assert json.loads((tmp_path / "fleet-4.json").read_text())["found"] == "smaller"
@@ -161,10 +163,10 @@
 
 def test_suites_run_with_their_seed(monkeypatch):
     case = suites.draw(3, 2.0)
-    assert case.size["examples"] == 2400 and suites.smaller(case)[0].size["schedules"] == 120
+    assert case.size["examples"] == 2400 and suites.smaller_cases(case)[0].size["schedules"] == 120
     good = Case("suite", 5, {"test": "tests/quota/test_placement.py", "examples": 10, "schedules": 8})
     assert suites.run(good) == Outcome(count=8)
-    assert suites.run(good.but(test="tests/no_such_test.py")).why
+    assert suites.run(good.with_size(test="tests/no_such_test.py")).failure
 
 
 def test_a_test_that_hangs_on_the_hour_is_found_and_one_that_does_not_is_not(tmp_path):
@@ -179,10 +181,10 @@
     )
     case = Case("moment", 1, {"test": str(path), "moved": 7200.0})
     found = moments.run(case)
-    assert "test_hour" in found.why and found.part == str(path)
-    assert [moments.run(c) for c in moments.smaller(case)] == [Outcome()]
-    drawn = [moments.draw(n).size for n in range(20 * len(moments.files()))]  # enough for each file to be drawn
-    assert {d["test"] for d in drawn} == set(moments.files()) and max(d["moved"] for d in drawn) > 80_000
+    assert "test_hour" in found.failure and found.check == str(path)
+    assert [moments.run(c) for c in moments.smaller_cases(case)] == [Outcome()]
+    drawn = [moments.draw(n).size for n in range(20 * len(moments.test_files()))]  # enough for each file to be drawn
+    assert {d["test"] for d in drawn} == set(moments.test_files()) and max(d["moved"] for d in drawn) > 80_000
 
 
 @pytest.mark.parametrize(
--- a/tests/standins/test_auditor.py
+++ b/tests/standins/test_auditor.py
@@ -63,7 +63,7 @@
 def test_a_sound_run_breaks_nothing():
     verdict = audit(sound(), RULES)
     assert verdict.breaches == [] and verdict.kept
-    assert verdict.over["plus"] == pytest.approx(12.0)
+    assert verdict.quota_excess["plus"] == pytest.approx(12.0)
     assert verdict.figures["basic", "once"].refused == 1 and verdict.figures["plus", "read"].served == 8
     assert any("200.0" in line for line in verdict.lines())  # ms: the eight requests of plan plus
 
@@ -194,12 +194,12 @@
 
 
 def test_a_calm_run_has_no_failures_and_starves_nobody():
-    calm = replace(RULES, calm=True)
+    fault_free = replace(RULES, fault_free=True)
     assert audit([asked(20.0, "x"), answered(20.1, "x", 502)], RULES).kept
-    assert [b.rule for b in audit([asked(20.0, "x"), answered(20.1, "x", 502)], calm).breaches] == ["fault"]
+    assert [b.rule for b in audit([asked(20.0, "x"), answered(20.1, "x", 502)], fault_free).breaches] == ["fault"]
     refused = [r for n in range(4) for r in (asked(20.0 + n, f"x{n}"), answered(20.1 + n, f"x{n}", 429))]
-    assert [b.rule for b in audit(refused, calm).breaches] == ["starved"] and audit(refused, RULES).kept
-    assert audit(refused[:6], calm).kept  # three refusals are tolerated
+    assert [b.rule for b in audit(refused, fault_free).breaches] == ["starved"] and audit(refused, RULES).kept
+    assert audit(refused[:6], fault_free).kept  # three refusals are tolerated
     spent = [
         asked(20.0, "s", units=4.0),
         Began(20.0, "s", "s2", "", 0.1),
@@ -209,7 +209,7 @@
         answered(20.0, "t"),
     ]
     soon = [r for n in range(4) for r in (asked(20.0, f"x{n}"), answered(20.5, f"x{n}", 429))]
-    assert audit(spent + soon, calm).kept  # the quota was used up
+    assert audit(spent + soon, fault_free).kept  # the quota was used up
 
 
 def test_a_quota_is_a_rule_only_where_its_error_is_stated():
@@ -219,12 +219,14 @@
     assert audit(more, RULES).kept
     stated = Rules({"basic": PlanRule(2.0, 8.0, error=7.0)}, RULES.effects)
     verdict = audit(more, stated)
-    assert [b.rule for b in verdict.breaches] == ["quota"] and verdict.over["basic"] == pytest.approx(8.0)
+    assert [b.rule for b in verdict.breaches] == ["quota"] and verdict.quota_excess["basic"] == pytest.approx(8.0)
 
 
 def test_a_try_takes_its_units_once_whatever_is_sent_again():
     more = [asked(20.0, "x", units=4.0, member=5)] + [Began(20.0 + n, "x", "s2", "", 0.1) for n in range(4)]
-    assert audit([*more, answered(21.0, "x")], RULES).over["basic"] == 0.0  # not 4 x 4 units against a burst of 8
+    assert (
+        audit([*more, answered(21.0, "x")], RULES).quota_excess["basic"] == 0.0
+    )  # not 4 x 4 units against a burst of 8
 
 
 def test_records_go_to_a_file_and_back(tmp_path):
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -12,11 +12,11 @@
 from standins.faults import Fault
 from standins.fleet import run_fleet
 from standins.fleet_options import Options, settings
-from standins.match import Shape
+from standins.match import ServerCapacity
 from standins.records import Answered, Asked, Records
 from thistleusher.core.settings_parser import nested_settings
 
-SHAPE = Shape(cores=8, work=0.005, cold=0.22, cold_s=2.0)
+CAPACITY = ServerCapacity(cores=8, work=0.005, cold=0.22, cold_s=2.0)
 
 
 def play(faults, seconds=5.0, **more):
@@ -29,7 +29,7 @@
         rate=120.0,
         loss=0.0,
         deployment=BILLING,
-        shape=SHAPE,
+        capacity=CAPACITY,
         members={"mittel": 40, "gross": 60},
         faults=tuple(faults),
         **more,
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -13,7 +13,7 @@
 from standins.faults import ACTIONS, Fault, ScriptError, play, read_script
 from standins.fleet import Fleet, run_fleet
 from standins.fleet_options import Options
-from standins.front import Traffic, draw
+from standins.front import Traffic, draw_requests
 from standins.records import Crashed, Ran, Records
 from tests.net.sockets import run
 
@@ -67,7 +67,7 @@
             seen.append((fault.do, on))
             return slow() if fault.do == "b" else None
 
-        await play([Fault(0.0, "a", lasts=0.03), Fault(0.01, "b")], switch)
+        await play([Fault(0.0, "a", duration_s=0.03), Fault(0.01, "b")], switch)
         assert seen == [("a", True), ("b", True), "waited for", ("a", False)]
 
     run(main())
@@ -75,8 +75,10 @@
 
 def test_traffic_is_the_same_for_a_seed_and_spreads_over_ingresses():
     traffic = Traffic(5.0, 200.0, {"basic": 5, "plus": 2}, MATCHING.classes, seed=4)
-    plans = draw(traffic, 3)
-    assert plans == draw(traffic, 3) and plans != draw(Traffic(5.0, 200.0, {"basic": 5}, MATCHING.classes, seed=5), 3)
+    plans = draw_requests(traffic, 3)
+    assert plans == draw_requests(traffic, 3) and plans != draw_requests(
+        Traffic(5.0, 200.0, {"basic": 5}, MATCHING.classes, seed=5), 3
+    )
     assert 800 < len(plans) < 1200 and {p.ingress for p in plans} == {0, 1, 2}
     assert {(p.plan, p.cls) for p in plans} == {(p, c) for p in ("basic", "plus") for c in MATCHING.classes}
 
@@ -85,7 +87,7 @@
 def test_a_fleet_keeps_the_rules_under_each_script(script):
     async def main():
         faults = tuple(
-            f._replace(at=f.at / 2, lasts=f.lasts / 2) for f in read_script(f"examples/faults/{script}.toml")
+            f._replace(at=f.at / 2, duration_s=f.duration_s / 2) for f in read_script(f"examples/faults/{script}.toml")
         )
         records = Records()
         verdict, cpu, sent = await run_fleet(
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -9,7 +9,7 @@
 
 from standins.counter import Counter
 from standins.discovery import Discovery
-from standins.match import Keys, MatchServer, Shape
+from standins.match import IdempotencyKeys, MatchServer, ServerCapacity
 from standins.records import Began, Ran, Told
 from standins.relay import Relay
 from tests.net.sockets import HOST, call, run, until
@@ -62,22 +62,22 @@
         client = Client(loop, (HOST, counter.port), 0.3, replies.put_nowait)
 
         async def restart():
-            opened = counter.opened
+            opened = counter.connections_opened
             counter.restart_from_zero()
-            await until(lambda: counter.opened == opened + 4)  # the client's connections are open again
+            await until(lambda: counter.connections_opened == opened + 4)  # the client's connections are open again
 
         async def once():
             client.add(7, 1.0, 60.0)
             return await replies.get()
 
         assert (await once())[1::2] == (Outcome.OK, 1.0)
-        counter.lose_share = 1.0
+        counter.lost_answer_fraction = 1.0
         assert (await once()).outcome is Outcome.TIMEOUT and counter.totals() == {"7": 2.0}
-        counter.lose_share, counter.spoil_share = 0.0, 1.0
+        counter.lost_answer_fraction, counter.garbled_answer_fraction = 0.0, 1.0
         assert (await once()).outcome is Outcome.ERROR and counter.totals() == {"7": 3.0}
-        counter.spoil_share, counter.repeat_old = 0.0, True
+        counter.garbled_answer_fraction, counter.answers_previous_total = 0.0, True
         assert (await once())[1::2] == (Outcome.OK, 3.0) and counter.totals() == {"7": 4.0}
-        counter.repeat_old, counter.refusing = False, True
+        counter.answers_previous_total, counter.refusing = False, True
         assert (await once()).outcome is Outcome.FULL and counter.totals() == {"7": 4.0}
         counter.refusing = False
         counter.silence(True)
@@ -88,7 +88,7 @@
         )  # the call had been sent, so it is applied after the silence
         await restart()
         assert (await once())[1::2] == (Outcome.OK, 1.0)
-        counter.life_cut = 0.0
+        counter.lifetime_factor = 0.0
         await restart()
         assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # the counter answers but keeps no total
         client.close()
@@ -114,8 +114,8 @@
 def test_a_match_server_runs_keyed_requests_once_and_says_what_it_ran():
     async def main():
         clock = Clock()
-        keys = Keys(15.0, clock)
-        servers = [MatchServer(f"s{n}", shape=Shape(work=0.001), keys=keys, clock=clock) for n in range(2)]
+        keys = IdempotencyKeys(15.0, clock)
+        servers = [MatchServer(f"s{n}", capacity=ServerCapacity(work=0.001), keys=keys, clock=clock) for n in range(2)]
         for s in servers:
             await s.start()
         ask = [await Caller.connect(s.port) for s in servers]
@@ -137,8 +137,8 @@
 def test_a_match_servers_queue_cold_start_and_faults():
     async def main():
         clock = Clock()
-        shape = Shape(cores=1, queue=1, work=0.001, cold=0.25, cold_s=10.0)
-        server = MatchServer("s0", shape=shape, clock=clock)
+        capacity = ServerCapacity(cores=1, queue=1, work=0.001, cold=0.25, cold_s=10.0)
+        server = MatchServer("s0", capacity=capacity, clock=clock)
         await server.start()
         assert server.speed() == 0.25
         clock.now += 5
@@ -152,14 +152,14 @@
         assert [b.turned_away for b in server.records.of(Began)] == [False, True]
         server.slots.release()
         assert (await first.answer())[0] == 200
-        server.error_share = 1.0
+        server.error_fraction = 1.0
         assert (await first.ask(call("r3")))[0] == 500
-        server.error_share, server.reset_share = 0.0, 1.0
+        server.error_fraction, server.reset_fraction = 0.0, 1.0
         first.writer.write(call("r4"))
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await first.answer()
         assert [r.id for r in server.records.of(Ran)] == ["r1", "r4"]  # r4 ran before its connection was reset
-        server.reset_share = 0.0
+        server.reset_fraction = 0.0
         server.silence(True)
         second.writer.write(call("r5"))
         await until(lambda: len(list(server.records.of(Began))) == 5)
@@ -219,11 +219,11 @@
 
         def lost(seed):
             fresh = Relay([s.getsockname() for s in socks], seed=seed, loss=0.2)
-            fresh.hand_over = lambda *a: None
+            fresh.deliver = lambda *a: None
             out = []
             for _ in range(1000):
                 before = fresh.lost
-                fresh.carry(0, 1, b"x")
+                fresh.forward(0, 1, b"x")
                 out.append(fresh.lost - before)
             return out
 
--- a/tests/standins/test_system.py
+++ b/tests/standins/test_system.py
@@ -5,7 +5,7 @@
 import pytest
 
 from standins.system import System
-from standins.system_story import story
+from standins.system_story import run_scenario
 
 
 @pytest.mark.usefixtures("system_addresses")
@@ -14,7 +14,7 @@
 
     async def play():
         async with System(tmp_path, lines.append) as system:
-            await story(system)
+            await run_scenario(system)
 
     asyncio.run(play())
     assert len(lines) >= 12
