--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -71,7 +71,7 @@
                     found[what] += int(count)
     for breach in verdict.breaches:
         found[f"rule {breach.rule}"] += 1
-        print(f"seed {seed}: {breach.rule}: {breach.what}", flush=True)
+        print(f"seed {seed}: {breach.rule}: {breach.message}", flush=True)
     return sum(f[1] == "ingress.kill" for f in one.size["faults"])
 
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from soak.case import KINDS, CaseError, read_case
-from soak.runner import Soak, play
+from soak.runner import Soak, run_case
 
 
 def parser() -> argparse.ArgumentParser:
@@ -45,7 +45,7 @@
         except CaseError as error:
             print(f"soak: {error}", file=sys.stderr)
             return 2
-        outcome, took = play(case)
+        outcome, took = run_case(case)
         print(f"{case.kind}, seed {case.seed}: {outcome.failure or 'nothing found'} ({took:.1f} s)")
         return 1 if outcome.failure else 0
     for key, low in (("minutes", 0.0), ("workers", 1)):
--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -25,7 +25,7 @@
 from thistleusher.quota.bound import Assumptions, bound_of
 
 MACHINE_DELAY_S = 0.15  # delay that a busy machine may add to a datagram
-JOINT_RESTART_S = 2.0  # per ingress; if all restart within this time, they may have been down at once
+JOINT_RESTART_S = 2.0  # all ingresses may be down at once if they restart within this time per ingress
 VALUE_RANGES = {
     "counter.lose": (0.05, 0.4),
     "counter.spoil": (0.05, 0.4),
@@ -47,7 +47,7 @@
     "ingress.kill",
     "hall.lose",
     "counter.silence",
-)  # the faults that are most likely to break a rule
+)  # actions that are drawn more often, since they are the most likely to break a rule
 MAX_MEMORY_GROWTH_MB = 40.0  # growth of resident memory during a run that is judged as a leak
 RESIDENT_MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
 
@@ -60,13 +60,13 @@
     for _ in range(rng.randint(2, 12)):
         do = rng.choice(list(ACTIONS)) if rng.random() < 0.6 else rng.choice(FREQUENT_ACTIONS)
         action = ACTIONS[do]
-        many = servers if do.startswith("match.") else HALL_COUNT if do.startswith("hall.") else ingresses
+        target_count = servers if do.startswith("match.") else HALL_COUNT if do.startswith("hall.") else ingresses
         low, high = VALUE_RANGES.get(do, (0.0, 0.0))
         faults.append(
             [
                 round(rng.uniform(0.0, seconds * 0.8), 2),
                 do,
-                rng.randrange(many) if action.target else 0,
+                rng.randrange(target_count) if action.target else 0,
                 round(rng.uniform(0.2, seconds * 0.6), 2) if action.ends else 0.0,
                 round(rng.uniform(low, high), 3) if action.value else 0.0,
             ]
@@ -97,7 +97,7 @@
         for at, do, target, duration_s, value in s["faults"]
     )
     deployment = DEPLOYMENTS[s.get("deployment", "matching")]
-    few, many = list(deployment.plans)[-1], list(deployment.plans)[0]
+    last_plan, first_plan = list(deployment.plans)[-1], list(deployment.plans)[0]
     without_bounds = Options(
         ingresses=s["ingresses"],
         servers=s["servers"],
@@ -105,7 +105,7 @@
         rate=s["rate"],
         seed=case.seed % 2**31,
         loss=0.0,
-        members={many: s["basic"], few: s["plus"]},
+        members={first_plan: s["basic"], last_plan: s["plus"]},
         faults=faults,
         switch_interval_s=s["move"],
         capacity=ServerCapacity(cores=8, work=0.005),
@@ -164,7 +164,7 @@
     return count
 
 
-async def play(case: Case) -> Outcome:
+async def run_once(case: Case) -> Outcome:
     """Run a case and return its first failure.
 
     The checks, in order: processes that ended, logged errors, the auditor's rules, status 500, memory and descriptors.
@@ -189,8 +189,8 @@
             return Outcome(f"ingress {number} logged: {text[at:at + 1500]}", "log", sent)
     if not verdict.kept:
         rules_broken = sorted({b.rule for b in verdict.breaches})
-        return Outcome("; ".join(f"{b.rule}: {b.what}" for b in verdict.breaches[:4]), "+".join(rules_broken), sent)
-    faults = [r for r in records.of(Answered) if r.status == 500]
+        return Outcome("; ".join(f"{b.rule}: {b.message}" for b in verdict.breaches[:4]), "+".join(rules_broken), sent)
+    faults = [r for r in records.of_kind(Answered) if r.status == 500]
     if faults:
         return Outcome(f"{len(faults)} answers with status 500, first to {faults[0].id}", "status", sent)
     for number, (mb, descriptors) in after.items():
@@ -221,7 +221,7 @@
     limit = float(case.size["seconds"]) + 60.0
 
     async def main() -> Outcome:
-        return await asyncio.wait_for(play(case), limit)
+        return await asyncio.wait_for(run_once(case), limit)
 
     why = ""
     for _ in range(4):
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -42,7 +42,7 @@
         return out
 
 
-def play(case: Case) -> tuple[Outcome, float]:
+def run_case(case: Case) -> tuple[Outcome, float]:
     """Run a case; return its outcome and duration in seconds. An exception of the soak itself is also a failure."""
     began = time.monotonic()
     logging.disable(logging.CRITICAL)  # thousands of malformed inputs would be logged
@@ -63,11 +63,11 @@
         return case, outcome
     if case.kind == "bytes":
         least = inputs.minimize(case, outcome)
-        return least, play(least)[0]
+        return least, run_case(least)[0]
     smaller_cases = {"fleet": fleets.smaller_cases, "suite": suites.smaller_cases, "moment": moments.smaller_cases}[
         case.kind
     ]
-    return shrink(case, outcome, smaller_cases, lambda c: play(c)[0], tries)
+    return shrink(case, outcome, smaller_cases, lambda c: run_case(c)[0], tries)
 
 
 class Soak:
@@ -121,7 +121,7 @@
                     case = self.draw(sum(c.kind == "fleet" for c in running.values()))
                     if case is None:
                         break
-                    running[pool.submit(play, case)] = case
+                    running[pool.submit(run_case, case)] = case
                 if not running and not self.minimizations:
                     break
                 done, _ = wait([*running, *self.minimizations], timeout=1.0, return_when=FIRST_COMPLETED)
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -59,8 +59,8 @@
     f.add_argument("--folders", action="store_true", help="give each ingress a state folder")
     f.add_argument("--faults", metavar="FILE", help="fault script to play")
     f.add_argument("--records", metavar="FILE", help="write the recorded events to FILE, one JSON line each")
-    whole = sub.add_parser("system", help="run the whole system: core machines, proxies and their stand-ins")
-    whole.add_argument(
+    system = sub.add_parser("system", help="run the whole system: core machines, proxies and their stand-ins")
+    system.add_argument(
         "--hold",
         type=float,
         default=0.0,
@@ -85,7 +85,7 @@
     return p
 
 
-async def table(fleet: Fleet) -> None:
+async def print_progress(fleet: Fleet) -> None:
     """Print the state of a fleet once a second: a redrawn table in a terminal, one line elsewhere."""
     live, began = sys.stdout.isatty(), asyncio.get_running_loop().time()
     while True:
@@ -110,7 +110,7 @@
             print(head, flush=True)
 
 
-async def fleet(args: argparse.Namespace) -> int:
+async def run_fleet_command(args: argparse.Namespace) -> int:
     """Run a fleet and print its verdict; return the exit code."""
     for key, low in (("ingresses", 1), ("servers", 1), ("seconds", 0.1), ("rate", 0.1)):
         if getattr(args, key) < low:
@@ -135,9 +135,9 @@
             + CURL.format(host=HOST, port=f.ingresses[0].port, spread=args.ingresses),
             flush=True,
         )
-        await table(f)
+        await print_progress(f)
 
-    with sink_of(args.records) as sink:
+    with open_sink(args.records) as sink:
         records = Records(sink)
         verdict, cpu, sent = await run_fleet(options, watch, records)
     print("\n".join(verdict.lines()))
@@ -146,14 +146,14 @@
     return 0 if verdict.kept else 1
 
 
-def sink_of(path: str | None) -> AbstractContextManager[TextIO | None]:
+def open_sink(path: str | None) -> AbstractContextManager[TextIO | None]:
     """Return a context of the opened records file, or of None without a path."""
     return Path(path).open("w", encoding="utf-8", buffering=1) if path else nullcontext()
 
 
-async def serve(args: argparse.Namespace) -> int:
+async def serve_command(args: argparse.Namespace) -> int:
     """Run one stand-in until it is interrupted."""
-    with sink_of(args.records) as sink:
+    with open_sink(args.records) as sink:
         records = Records(sink)
         service: Service
         if args.command == "counter":
@@ -194,7 +194,7 @@
         if args.command == "system":
             return uvloop.run(system_story.run(args.hold))
         with suppress(KeyboardInterrupt):
-            return uvloop.run(fleet(args) if args.command == "fleet" else serve(args))
+            return uvloop.run(run_fleet_command(args) if args.command == "fleet" else serve_command(args))
     except (ScriptError, OSError, ValueError) as error:
         print(f"standins: {error}", file=sys.stderr)
         return 2
--- a/standins/auditor.py
+++ b/standins/auditor.py
@@ -58,25 +58,25 @@
             crashes[record.ingress].append(record.at)
     yield from _find_dropped(ordered, rules)
     for request in asked.values():
-        whole = [answer for answer in answers[request.id] if answer.status > 0]
+        complete = [answer for answer in answers[request.id] if answer.status > 0]
         due = request.at + request.budget + rules.answer_slack
-        if not whole and any(request.at <= at <= due for at in crashes[request.ingress]):
+        if not complete and any(request.at <= at <= due for at in crashes[request.ingress]):
             continue  # the ingress was killed while it handled the request
-        why = _wrong_answers(request, whole, due)
+        why = _wrong_answers(request, complete, due)
         if why:
             yield Breach("lost", request.at, f"{request.id} at {request.ingress}: {why}")
 
 
-def _wrong_answers(request: Asked, whole: list[Answered], due: float) -> str:
+def _wrong_answers(request: Asked, complete: list[Answered], due: float) -> str:
     """Return what is wrong with the complete answers to a request, or an empty string."""
-    if not whole:
+    if not complete:
         return "no answer"
-    if len(whole) > 1:
-        return f"{len(whole)} answers"
-    if whole[0].at > due:
-        return f"answered {whole[0].at - due:.3f} s too late"
-    if whole[0].status == 200 and whole[0].body.split(" ")[-1] != request.id:
-        return f"the answer belongs to another request: {whole[0].body!r}"
+    if len(complete) > 1:
+        return f"{len(complete)} answers"
+    if complete[0].at > due:
+        return f"answered {complete[0].at - due:.3f} s too late"
+    if complete[0].status == 200 and complete[0].body.split(" ")[-1] != request.id:
+        return f"the answer belongs to another request: {complete[0].body!r}"
     return ""
 
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -104,7 +104,7 @@
     return Fault(float(data["at"]), str(data["do"]), target, float(data.get("for", 0)), float(data.get("value", 0)))
 
 
-async def play(script: list[Fault], switch: Callable[[Fault, bool], Any]) -> None:
+async def play_script(script: list[Fault], switch: Callable[[Fault, bool], Any]) -> None:
     """Switch each fault on at its time, and off at its end. A coroutine that `switch` returns is awaited."""
     loop = asyncio.get_running_loop()
     began = loop.time()
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -14,7 +14,7 @@
 from standins.auditor import audit
 from standins.counter import Counter
 from standins.discovery import Discovery
-from standins.faults import play
+from standins.faults import play_script
 from standins.fleet_faults import COUNTER_DELAY_S, FaultSwitch, check_targets
 from standins.fleet_options import HALL_COUNT, Options, settings
 from standins.front import Front, Traffic
@@ -145,7 +145,7 @@
         """Run the traffic and the fault script; return the auditor's verdict."""
         assert self.front is not None
         watching = asyncio.create_task(watch()) if watch else None
-        playing = asyncio.create_task(play(list(self.options.faults), self._faults.switch))
+        playing = asyncio.create_task(play_script(list(self.options.faults), self._faults.switch))
         try:
             await self.front.run()
         finally:
--- a/standins/front.py
+++ b/standins/front.py
@@ -122,26 +122,26 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.TaskGroup() as group:
-            for plan in draw_requests(self.traffic, len(self.ingresses)):
-                await asyncio.sleep(began + plan.at - loop.time())
-                group.create_task(self.perform(plan))
+            for planned in draw_requests(self.traffic, len(self.ingresses)):
+                await asyncio.sleep(began + planned.at - loop.time())
+                group.create_task(self.perform(planned))
         self.close()
 
-    async def perform(self, plan: PlannedRequest) -> None:
+    async def perform(self, planned: PlannedRequest) -> None:
         """Perform one operation, with the retries that a member makes after a refusal."""
-        ingress = plan.ingress
+        ingress = planned.ingress
         for attempt in range(MAX_RETRIES + 1):
-            answered = await self.send_attempt(plan, f"{plan.op}.{attempt}", ingress, attempt > 0)
+            answered = await self.send_attempt(planned, f"{planned.op}.{attempt}", ingress, attempt > 0)
             if answered is None or answered.status not in (429, 503):
                 return
             if self.rng.random() >= self.traffic.retry_share:
                 return
             await asyncio.sleep(answered.retry_after or 0.1 + 0.1 * self.rng.random())
-            ingress = (plan.first + self.rng.randrange(plan.spread)) % len(self.ingresses)
+            ingress = (planned.first + self.rng.randrange(planned.spread)) % len(self.ingresses)
 
-    async def send_attempt(self, plan: PlannedRequest, name: str, ingress: int, again: bool) -> Answered | None:
+    async def send_attempt(self, planned: PlannedRequest, name: str, ingress: int, again: bool) -> Answered | None:
         """Send one attempt. If an ingress accepts no connection, the next one is used."""
-        raw = self.message(plan, name, again)
+        raw = self.message(planned, name, again)
         for step in range(len(self.ingresses)):
             number = (ingress + step) % len(self.ingresses)
             used = bool(self.idle[number])
@@ -150,7 +150,7 @@
                 continue
             self.in_flight += 1
             try:
-                answered = await self.send_to_ingress(plan, name, number, connection, raw, again, used)
+                answered = await self.send_to_ingress(planned, name, number, connection, raw, again, used)
             finally:
                 self.in_flight -= 1
             if answered is not None:
@@ -159,7 +159,7 @@
 
     async def send_to_ingress(
         self,
-        plan: PlannedRequest,
+        planned: PlannedRequest,
         name: str,
         number: int,
         connection: IngressConnection,
@@ -168,9 +168,18 @@
         used: bool,
     ) -> Answered | None:
         """Send one attempt to one ingress; return None if the ingress did not accept it."""
-        budget = self.traffic.classes[plan.cls].budget
+        budget = self.traffic.classes[planned.cls].budget
         asked = Asked(
-            self.clock(), name, plan.op, str(number), plan.member, plan.plan, plan.cls, plan.units, budget, again
+            self.clock(),
+            name,
+            planned.op,
+            str(number),
+            planned.member,
+            planned.plan,
+            planned.cls,
+            planned.units,
+            budget,
+            again,
         )
         self.records.add(asked)
         self.sent += 1
@@ -217,20 +226,20 @@
         except OSError:
             return None
 
-    def message(self, plan: PlannedRequest, name: str, again: bool) -> bytes:
+    def message(self, planned: PlannedRequest, name: str, again: bool) -> bytes:
         """Encode a request."""
-        cls = self.traffic.classes[plan.cls]
+        cls = self.traffic.classes[planned.cls]
         lines = [
-            f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{plan.member:016x} HTTP/1.1",
+            f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{planned.member:016x} HTTP/1.1",
             "Host: backend.local",
             f"X-Call-Id: {name}",
-            f"X-Call-Class: {plan.cls}",
-            f"X-Tier: {plan.plan}",
+            f"X-Call-Class: {planned.cls}",
+            f"X-Tier: {planned.plan}",
             f"X-Budget: {round(cls.budget * 1000)}m",
-            f"X-Call-Terms: units={plan.units},spread={plan.spread},first={plan.first}",
+            f"X-Call-Terms: units={planned.units},spread={planned.spread},first={planned.first}",
         ]
         if cls.effect == "keyed":
-            lines.append(f"Idempotency-Key: {plan.op}")
+            lines.append(f"Idempotency-Key: {planned.op}")
         if again:
             lines.append("X-Again: 1")
         if cls.effect != "safe":
--- a/standins/records.py
+++ b/standins/records.py
@@ -118,7 +118,7 @@
         if self.sink is not None:
             self.sink.write(json.dumps([type(record).__name__, *record]) + "\n")
 
-    def of(self, kind: type[Any]) -> Iterator[Any]:
+    def of_kind(self, kind: type[Any]) -> Iterator[Any]:
         """Return the records of one kind."""
         return (r for r in self.all if type(r) is kind)
 
--- a/standins/verdict.py
+++ b/standins/verdict.py
@@ -49,7 +49,7 @@
 
     rule: str
     at: float
-    what: str
+    message: str
 
 
 @dataclass(slots=True)
@@ -102,5 +102,5 @@
         counts = Tally(b.rule for b in self.breaches)
         for rule in RULES:
             out.append(f"rule {rule:8} {'kept' if not counts[rule] else f'BROKEN {counts[rule]} times'}")
-        out += [f"  {b.rule}: {b.what}" for b in self.breaches[:20]]
+        out += [f"  {b.rule}: {b.message}" for b in self.breaches[:20]]
         return out
--- a/tests/embed/test_both_forms.py
+++ b/tests/embed/test_both_forms.py
@@ -105,7 +105,7 @@
             await fleet.quiet()
         await fleet.advance(1.0)
         logs = [list(r.log) for r in fleet.recorders]
-        added = [(a.name, a.amount, a.total) for a in counter.records.of(Added)]
+        added = [(a.name, a.amount, a.total) for a in counter.records.of_kind(Added)]
         totals = counter.totals()
     await counter.stop()
     return Played(answers, logs, added, totals)
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -103,7 +103,7 @@
     rules = stated(Options(**size), scenario)
     records = Records()
     verdict, _, sent = await run_fleet(Options(**size, plans=rules), records=records)
-    return verdict, sent, sum(1 for _ in records.of(Added))
+    return verdict, sent, sum(1 for _ in records.of_kind(Added))
 
 
 @functools.cache
@@ -142,7 +142,7 @@
         assert verdict.kept and sent > 800, verdict.lines()
         served = sum(f.served for f in verdict.figures.values())
         assert served > 0.9 * sent, verdict.lines()  # nearly all are within their quotas
-        back = [a.at for a in records.of(Added)]
+        back = [a.at for a in records.of_kind(Added)]
         assert len(back) <= 1.2 * sent  # no herd: what was let in meanwhile goes with later requests
 
     asyncio.run(asyncio.wait_for(main(), 60))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -15,7 +15,7 @@
 from soak.case import KINDS, Case, CaseError, Outcome, read_case
 from soak.mutate import Corpus, minimize_bytes, mutate
 from soak.reader_tools import RuleBrokenError
-from soak.runner import Soak, play
+from soak.runner import Soak, run_case
 from soak.shrink import shrink
 from standins.fleet import Fleet
 
@@ -33,7 +33,7 @@
 def test_what_was_found_once_does_not_come_again(path):
     case = read_case(path)
     assert case.kind == "bytes"  # fleets take seconds each: `python -m soak --replay FILE`
-    assert play(case)[0].failure == ""
+    assert run_case(case)[0].failure == ""
 
 
 @pytest.mark.parametrize("target", sorted(readers.READERS))
@@ -121,11 +121,11 @@
             "faults": [[0.3, "counter.silence", 0, 1.0, 0.0], [0.5, "relay.loss", 0, 0.5, 0.2]],
         },
     )
-    outcome, _ = play(case)
+    outcome, _ = run_case(case)
     assert outcome.failure == "" and outcome.count > 60
     sound = fleets.plan_rules
     monkeypatch.setattr(fleets, "plan_rules", lambda o: {n: replace(r, error=-5.0) for n, r in sound(o).items()})
-    outcome, _ = play(case)
+    outcome, _ = run_case(case)
     assert outcome.check == "quota" and "beyond its quota" in outcome.failure
 
 
@@ -151,7 +151,7 @@
     pool = type(
         "Pool", (), {"submit": lambda self, *call: calls.append(call)}
     )()  # minimized in the pool, while other cases run
-    soak.record_result(case, type("Done", (), {"result": lambda self: play(case)})(), pool)
+    soak.record_result(case, type("Done", (), {"result": lambda self: run_case(case)})(), pool)
     kept = soak.minimizations[None]
     least = Case("fleet", 4, {"ingresses": -1})
     assert calls[0][1] == case and kept == (tmp_path / "fleet-4.json", 0)
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from standins.deployments import MATCHING
-from standins.faults import ACTIONS, Fault, ScriptError, play, read_script
+from standins.faults import ACTIONS, Fault, ScriptError, play_script, read_script
 from standins.fleet import Fleet, run_fleet
 from standins.fleet_options import Options
 from standins.front import Traffic, draw_requests
@@ -67,7 +67,7 @@
             seen.append((fault.do, on))
             return slow() if fault.do == "b" else None
 
-        await play([Fault(0.0, "a", duration_s=0.03), Fault(0.01, "b")], switch)
+        await play_script([Fault(0.0, "a", duration_s=0.03), Fault(0.01, "b")], switch)
         assert seen == [("a", True), ("b", True), "waited for", ("a", False)]
 
     run(main())
@@ -94,8 +94,8 @@
             Options(servers=6, seconds=4.0, rate=60.0, faults=faults, loss=0.0), records=records
         )
         assert verdict.kept, verdict.lines()
-        assert sent > 150 and cpu > 0 and sum(1 for _ in records.of(Ran)) > 50
-        assert sum(1 for _ in records.of(Crashed)) == {"restarts": 2, "lost-hall": 4}.get(script, 0)
+        assert sent > 150 and cpu > 0 and sum(1 for _ in records.of_kind(Ran)) > 50
+        assert sum(1 for _ in records.of_kind(Crashed)) == {"restarts": 2, "lost-hall": 4}.get(script, 0)
 
     asyncio.run(asyncio.wait_for(main(), 60))
 
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -48,7 +48,7 @@
         assert counter.totals() == {} and (await add(counter.port)).endswith(b"2.000000")
         for bad in (dict(delta="x"), dict(delta="2e9"), dict(life="0"), dict(name="n" * 65), dict(name="")):
             assert b" 400 " in await add(counter.port, **bad)
-        assert len(list(counter.records.of(type(counter.records.all[0])))) == 3
+        assert len(list(counter.records.of_kind(type(counter.records.all[0])))) == 3
         await counter.stop()
 
     run(main())
@@ -121,10 +121,10 @@
         ask = [await Caller.connect(s.port) for s in servers]
         assert (await ask[0].ask(call("r1", "pay")))[2] == b"s0 r1"
         assert (await ask[1].ask(call("r1", "pay")))[0] == 200  # the same key at another server has no effect
-        assert [(r.id, r.server) for s in servers for r in s.records.of(Ran)] == [("r1", "s0")]
+        assert [(r.id, r.server) for s in servers for r in s.records.of_kind(Ran)] == [("r1", "s0")]
         clock.now += 16
         await ask[1].ask(call("r2", "pay"))  # after the window the key has an effect again
-        assert len(list(servers[1].records.of(Ran))) == 1
+        assert len(list(servers[1].records.of_kind(Ran))) == 1
         status, headers, body = await ask[0].ask(b"GET /load HTTP/1.1\r\n\r\n")
         assert status == 200 and headers["x-load-report"].encode() == body and b"inflight=0" in body
         assert (await ask[0].ask(b"GET /x HTTP/1.1\r\n\r\n"))[0] == 404
@@ -149,7 +149,7 @@
         await until(lambda: server.waiting == 1)
         status, headers, _ = await second.ask(call("r2"))
         assert (status, headers["x-rejected"]) == (503, "1")
-        assert [b.turned_away for b in server.records.of(Began)] == [False, True]
+        assert [b.turned_away for b in server.records.of_kind(Began)] == [False, True]
         server.slots.release()
         assert (await first.answer())[0] == 200
         server.error_fraction = 1.0
@@ -158,12 +158,12 @@
         first.writer.write(call("r4"))
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await first.answer()
-        assert [r.id for r in server.records.of(Ran)] == ["r1", "r4"]  # r4 ran before its connection was reset
+        assert [r.id for r in server.records.of_kind(Ran)] == ["r1", "r4"]  # r4 ran before its connection was reset
         server.reset_fraction = 0.0
         server.silence(True)
         second.writer.write(call("r5"))
-        await until(lambda: len(list(server.records.of(Began))) == 5)
-        assert "r5" not in [r.id for r in server.records.of(Ran)]
+        await until(lambda: len(list(server.records.of_kind(Began))) == 5)
+        assert "r5" not in [r.id for r in server.records.of_kind(Ran)]
         server.silence(False)
         assert (await second.answer())[0] == 200
         server.close_idle()
@@ -191,7 +191,7 @@
         discovery.put("s0", "127.0.0.1:1", "DELETED")
         await until(lambda: len(heard) == 3)
         assert [e.phase for h in heard for e, _ in h.entries] == [Phase.RUNNING, Phase.STOPPING, Phase.DELETED]
-        assert [t.status for t in discovery.records.of(Told)] == ["SERVING", "DRAINING", "DELETED"]
+        assert [t.status for t in discovery.records.of_kind(Told)] == ["SERVING", "DRAINING", "DELETED"]
         follower.close()
         await discovery.stop()
 
