--- a/soak/fleets.py
+++ b/soak/fleets.py
@@ -1,6 +1,7 @@
-"""Random fault scripts on real fleets of processes, judged by the auditor and by what the processes say of themselves.
+"""Random fault scripts on real fleets, checked by the auditor and by the logs and resource use of the processes.
 
-The bound on quotas and ceilings is that of `thistleusher.quota.bound` for what the script does: loss, delay, restarts.
+Quotas and ceilings are checked against the bound of `thistleusher.quota.bound` for the loss, delay and restarts that
+the script causes.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from standins.deployments import DEPLOYMENTS
 from standins.faults import ACTIONS, Fault
 from standins.fleet import Fleet
-from standins.fleet_options import HALLS, Options, settings
-from standins.match import Shape
+from standins.fleet_options import HALL_COUNT, Options, settings
+from standins.match import ServerCapacity
 from standins.records import Answered, Records
 from standins.verdict import PlanRule
 from thistleusher.core.settings_parser import nested_settings
 from thistleusher.quota.bound import Assumptions, bound_of
 
-LATE_S = 0.15  # that a busy machine may add to a datagram's way
-JOINT_S = 2.0  # restarts of ingresses within it may be of all at once
-VALUES = {
+MACHINE_DELAY_S = 0.15  # delay that a busy machine may add to a datagram
+JOINT_RESTART_S = 2.0  # all ingresses may be down at once if they restart within this time per ingress
+VALUE_RANGES = {
     "counter.lose": (0.05, 0.4),
     "counter.spoil": (0.05, 0.4),
     "counter.delay": (0.005, 0.2),
@@ -38,7 +39,7 @@
     "relay.loss": (0.01, 0.3),
     "relay.delay": (0.0, 0.5),
 }
-OFTEN = (
+FREQUENT_ACTIONS = (
     "match.errors",
     "match.resets",
     "match.cuts",
@@ -46,26 +47,26 @@
     "ingress.kill",
     "hall.lose",
     "counter.silence",
-)  # where rules are at stake
-GROWTH_MB = 40.0  # of memory over a run, beyond which a process counts as one that grows without end
-MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
+)  # actions that are drawn more often, since they are the most likely to break a rule
+MAX_MEMORY_GROWTH_MB = 40.0  # growth of resident memory during a run that is judged as a leak
+RESIDENT_MEMORY = re.compile(r"VmRSS:\s+(\d+) kB")
 
 
 def draw(seed: int, seconds: float = 6.0) -> Case:
-    """Draw a fleet, its traffic and a script that may overlap itself."""
+    """Draw a fleet, its traffic and a script whose faults may overlap."""
     rng = random.Random(seed)
     ingresses, servers = rng.randint(3, 7), rng.randint(4, 20)
     faults = []
     for _ in range(rng.randint(2, 12)):
-        do = rng.choice(list(ACTIONS)) if rng.random() < 0.6 else rng.choice(OFTEN)
+        do = rng.choice(list(ACTIONS)) if rng.random() < 0.6 else rng.choice(FREQUENT_ACTIONS)
         action = ACTIONS[do]
-        many = servers if do.startswith("match.") else HALLS if do.startswith("hall.") else ingresses
-        low, high = VALUES.get(do, (0.0, 0.0))
+        target_count = servers if do.startswith("match.") else HALL_COUNT if do.startswith("hall.") else ingresses
+        low, high = VALUE_RANGES.get(do, (0.0, 0.0))
         faults.append(
             [
                 round(rng.uniform(0.0, seconds * 0.8), 2),
                 do,
-                rng.randrange(many) if action.target else 0,
+                rng.randrange(target_count) if action.target else 0,
                 round(rng.uniform(0.2, seconds * 0.6), 2) if action.ends else 0.0,
                 round(rng.uniform(low, high), 3) if action.value else 0.0,
             ]
@@ -89,36 +90,39 @@
 
 
 def options_of(case: Case) -> Options:
-    """Return the stand-ins' options for a case, with the errors that are stated for it."""
+    """Return the fleet options of a case, with the bounds that apply under its script."""
     s = case.size
     faults = tuple(
-        Fault(float(at), str(do), int(target), float(lasts), float(value))
-        for at, do, target, lasts, value in s["faults"]
+        Fault(float(at), str(do), int(target), float(duration_s), float(value))
+        for at, do, target, duration_s, value in s["faults"]
     )
     deployment = DEPLOYMENTS[s.get("deployment", "matching")]
-    few, many = list(deployment.plans)[-1], list(deployment.plans)[0]
-    plain = Options(
+    last_plan, first_plan = list(deployment.plans)[-1], list(deployment.plans)[0]
+    without_bounds = Options(
         ingresses=s["ingresses"],
         servers=s["servers"],
         seconds=s["seconds"],
         rate=s["rate"],
         seed=case.seed % 2**31,
         loss=0.0,
-        members={many: s["basic"], few: s["plus"]},
+        members={first_plan: s["basic"], last_plan: s["plus"]},
         faults=faults,
-        move_s=s["move"],
-        shape=Shape(cores=8, work=0.005),
+        switch_interval_s=s["move"],
+        capacity=ServerCapacity(cores=8, work=0.005),
         deployment=deployment,
         folders=bool(s.get("folders", False)),
     )
-    return Options(**{name: getattr(plain, name) for name in Options.__dataclass_fields__} | {"plans": rules(plain)})
+    return Options(
+        **{name: getattr(without_bounds, name) for name in Options.__dataclass_fields__}
+        | {"plans": plan_rules(without_bounds)}
+    )
 
 
-def rules(o: Options) -> dict[str, PlanRule]:
-    """Each plan with the errors that the bound states under the script."""
+def plan_rules(o: Options) -> dict[str, PlanRule]:
+    """Return the plans with the errors that the quota bound allows under the script."""
     ingress_settings, _ = nested_settings(settings(o, 0))
     loss = max((f.value for f in o.faults if f.do == "relay.loss"), default=0.0)
-    delay = sum(f.value for f in o.faults if f.do == "relay.delay") + LATE_S
+    delay = sum(f.value for f in o.faults if f.do == "relay.delay") + MACHINE_DELAY_S
     cut = any(f.do == "relay.isolate" for f in o.faults)
     restarted = restarts(o)
     assumed = Assumptions(min(0.9, loss), delay, outage=o.seconds + 2.0, folders=o.folders)
@@ -133,46 +137,51 @@
             rule.ceiling_rate,
             rule.ceiling_burst,
             quota + len(restarted) * b.quota_restart,
-            (b.ceiling or 0.0) + joint(restarted, o.ingresses) * (b.ceiling_restart or 0.0),
+            (b.ceiling or 0.0) + joint_restarts(restarted, o.ingresses) * (b.ceiling_restart or 0.0),
         )
     return out
 
 
 def restarts(o: Options) -> list[Fault]:
-    """Each beginning of an ingress anew, with its number as the target."""
+    """Return the restarts of ingresses that the script causes, with the ingress number as the target."""
     restarted = [f for f in o.faults if f.do.startswith("ingress.")]
     for f in o.faults:
         if f.do == "hall.lose":
-            restarted += [Fault(f.at + f.lasts, "ingress.kill", n) for n in range(f.target, o.ingresses, HALLS)]
+            restarted += [
+                Fault(f.at + f.duration_s, "ingress.kill", n) for n in range(f.target, o.ingresses, HALL_COUNT)
+            ]
     return sorted(restarted)
 
 
-def joint(restarted: list[Fault], ingresses: int) -> int:
-    """How often all ingresses may have been down together: every one of them restarted within a short time."""
+def joint_restarts(restarted: list[Fault], ingresses: int) -> int:
+    """Return how often all ingresses may have been down at once, since each of them restarted within a short time."""
     count, recent = 0, dict[int, float]()
     for f in sorted(restarted):
         recent[f.target] = f.at
-        if len(recent) == ingresses and f.at - min(recent.values()) < JOINT_S * ingresses:
+        if len(recent) == ingresses and f.at - min(recent.values()) < JOINT_RESTART_S * ingresses:
             count += 1
             recent.clear()
     return count
 
 
-async def play(case: Case) -> Outcome:
-    """Run it; what it shows first: an end of a process, the auditor's rules, status 500, errors logged, growth."""
+async def run_once(case: Case) -> Outcome:
+    """Run a case and return its first failure.
+
+    The checks, in order: processes that ended, logged errors, the auditor's rules, status 500, memory and descriptors.
+    """
     records = Records()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         async with Fleet(options_of(case), Path(folder), records) as fleet:
-            before = memory(fleet)
+            before = memory_and_descriptors(fleet)
             verdict = await fleet.run()
-            after = memory(fleet)
+            after = memory_and_descriptors(fleet)
             ended = [i.number for i in fleet.ingresses if i.process is None or i.process.returncode not in (None, 0)]
-            touched = {f.target for f in restarts(fleet.options)}
+            restarted_ingresses = {f.target for f in restarts(fleet.options)}
             sent = fleet.front.sent if fleet.front else 0
             logs = {i.number: i.log.read_text(errors="replace") for i in fleet.ingresses}
     for number in ended:
-        if number not in touched:
-            return Outcome(f"ingress {number} ended by itself: {logs[number][-300:]}", "process", sent)
+        if number not in restarted_ingresses:
+            return Outcome(f"ingress {number} ended, but no fault restarted it: {logs[number][-300:]}", "process", sent)
     for number, text in logs.items():
         lines = [line for line in text.splitlines() if " ERROR " in line or "Traceback" in line]
         if lines:
@@ -180,27 +189,27 @@
             return Outcome(f"ingress {number} logged: {text[at:at + 1500]}", "log", sent)
     if not verdict.kept:
         rules_broken = sorted({b.rule for b in verdict.breaches})
-        return Outcome("; ".join(f"{b.rule}: {b.what}" for b in verdict.breaches[:4]), "+".join(rules_broken), sent)
-    faults = [r for r in records.of(Answered) if r.status == 500]
+        return Outcome("; ".join(f"{b.rule}: {b.message}" for b in verdict.breaches[:4]), "+".join(rules_broken), sent)
+    faults = [r for r in records.of_kind(Answered) if r.status == 500]
     if faults:
         return Outcome(f"{len(faults)} answers with status 500, first to {faults[0].id}", "status", sent)
     for number, (mb, descriptors) in after.items():
-        if number in before and mb - before[number][0] > GROWTH_MB:
+        if number in before and mb - before[number][0] > MAX_MEMORY_GROWTH_MB:
             return Outcome(f"ingress {number} grew from {before[number][0]:.0f} to {mb:.0f} MB", "memory", sent)
         if descriptors > 1024:
-            return Outcome(f"ingress {number} holds {descriptors} descriptors", "descriptors", sent)
+            return Outcome(f"ingress {number} has {descriptors} open descriptors", "descriptors", sent)
     return Outcome(count=sent)
 
 
-def memory(fleet: Fleet) -> dict[int, tuple[float, int]]:
-    """Resident megabytes and open descriptors of each ingress that runs, where the system gives them."""
+def memory_and_descriptors(fleet: Fleet) -> dict[int, tuple[float, int]]:
+    """Return the resident megabytes and open descriptors of each running ingress, if `/proc` provides them."""
     out = {}
     for i in fleet.ingresses:
         if i.process is None or i.process.returncode is not None:
             continue
         home = Path(f"/proc/{i.process.pid}")
         try:
-            found = MEMORY.search((home / "status").read_text())
+            found = RESIDENT_MEMORY.search((home / "status").read_text())
             out[i.number] = (int(found[1]) / 1024 if found else 0.0, len(list((home / "fd").iterdir())))
         except OSError:
             continue
@@ -208,11 +217,11 @@
 
 
 def run(case: Case) -> Outcome:
-    """Play it in a loop of its own; a fleet that does not end is a failure of its own."""
+    """Run a case in a new event loop; a fleet that does not end in time is a failure."""
     limit = float(case.size["seconds"]) + 60.0
 
     async def main() -> Outcome:
-        return await asyncio.wait_for(play(case), limit)
+        return await asyncio.wait_for(run_once(case), limit)
 
     why = ""
     for _ in range(4):
@@ -220,30 +229,32 @@
             return asyncio.run(main())
         except TimeoutError as error:
             why = str(error)
-        if "could not bind" not in why:  # else another fleet took a port between its choice and its use
+        if (
+            "could not bind" not in why
+        ):  # otherwise another fleet took a port between its selection and its use: try again
             break
-    return Outcome(f"the fleet did not end within {limit:.0f} s, or an ingress does not come up: {why}", "ends")
+    return Outcome(f"the fleet did not end within {limit:.0f} s, or an ingress did not become ready: {why}", "ends")
 
 
-def smaller(case: Case) -> list[Case]:
-    """Return smaller cases, the largest cuts first: fewer faults, a shorter run, a smaller fleet."""
+def smaller_cases(case: Case) -> list[Case]:
+    """Return smaller cases, the largest reductions first: fewer faults, a shorter run, a smaller fleet."""
     s: dict[str, Any] = case.size
     faults: list[list[Any]] = s["faults"]
     out = []
     half = len(faults) // 2
     if half:
-        out += [case.but(faults=faults[:half]), case.but(faults=faults[half:])]
+        out += [case.with_size(faults=faults[:half]), case.with_size(faults=faults[half:])]
     if len(faults) > 1:
-        out += [case.but(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
+        out += [case.with_size(faults=faults[:n] + faults[n + 1 :]) for n in range(len(faults))]
     last = max((f[0] + f[3] for f in faults), default=0.0)
     if s["seconds"] > last + 1.5:
-        out.append(case.but(seconds=round(last + 1.0, 2)))
+        out.append(case.with_size(seconds=round(last + 1.0, 2)))
     targets = [f[2] for f in faults if f[1].startswith("match.")]
     if s["servers"] > max(targets, default=0) + 4:
-        out.append(case.but(servers=max(4, max(targets, default=0) + 1)))
+        out.append(case.with_size(servers=max(4, max(targets, default=0) + 1)))
     targets = [f[2] for f in faults if not f[1].startswith(("match.", "hall."))]
     if s["ingresses"] > max(3, max(targets, default=0) + 1):
-        out.append(case.but(ingresses=max(3, max(targets, default=0) + 1)))
+        out.append(case.with_size(ingresses=max(3, max(targets, default=0) + 1)))
     if s["basic"] + s["plus"] > 4:
-        out.append(case.but(basic=min(2, s["basic"]), plus=min(2, s["plus"])))
+        out.append(case.with_size(basic=min(2, s["basic"]), plus=min(2, s["plus"])))
     return out
--- a/soak/mutate.py
+++ b/soak/mutate.py
@@ -1,8 +1,9 @@
-"""Inputs made from good ones: cut, doubled, flipped and spliced, with words that matter to what reads them.
+"""Mutates valid inputs: deletes, duplicates, flips and splices bytes, and inserts tokens with a meaning to readers.
 
-Guided by behaviour in place of coverage: an input that brings about a result not seen before is kept and built upon.
-Weighed: atheris (coverage by instrumentation, a native build for each Python), hypothesis (shrinks well, but no
-feedback, and each reader's grammar has to be written out). The readers are small; what they answer tells them apart.
+The mutation is guided by results instead of code coverage: an input that gives a new result joins the corpus. The
+alternatives were atheris, which needs instrumentation and a native build for each Python, and hypothesis, which shrinks
+well but has no feedback and needs a grammar for each reader. The readers are small enough to be distinguished by their
+results.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import random
 from collections.abc import Callable, Hashable, Sequence
 
-WORDS = (
+TOKENS = (
     b"\r\n",
     b"\r\n\r\n",
     b"\n",
@@ -63,11 +64,11 @@
     b"\x05",
     b"\x06",
 )
-MOST = 200_000
+MAX_INPUT_BYTES = 200_000
 
 
-def mutated(rng: random.Random, corpus: Sequence[bytes]) -> bytes:
-    """One input, up to eight changes away from one of the corpus."""
+def mutate(rng: random.Random, corpus: Sequence[bytes]) -> bytes:
+    """Return an input of the corpus with one to eight mutations."""
     data = bytearray(rng.choice(corpus))
     for _ in range(rng.randint(1, 8)):
         at, to = sorted(rng.randrange(len(data) + 1) for _ in range(2))
@@ -77,9 +78,9 @@
         elif kind == 1:
             del data[at : min(to, at + rng.choice((1, 4, 64, 4096)))]
         elif kind == 2:
-            data[at:at] = rng.choice(WORDS)
+            data[at:at] = rng.choice(TOKENS)
         elif kind == 3:
-            data[at:to] = rng.choice(WORDS)
+            data[at:to] = rng.choice(TOKENS)
         elif kind == 4:
             data[at:at] = data[at:to] * rng.choice((1, 1, 2, 50))
         elif kind == 5:
@@ -89,12 +90,12 @@
             data[at:at] = rng.randbytes(rng.randint(1, 9))
         else:
             data += rng.choice(corpus)
-        del data[MOST:]
+        del data[MAX_INPUT_BYTES:]
     return bytes(data)
 
 
-def cut_down(data: bytes, fails: Callable[[bytes], bool], tries: int = 600) -> bytes:
-    """Return a smaller input that still fails, by leaving out halves, quarters and so on (Zeller's ddmin)."""
+def minimize_bytes(data: bytes, fails: Callable[[bytes], bool], tries: int = 600) -> bytes:
+    """Return a smaller input that still fails, by removing halves, quarters and so on (Zeller's ddmin)."""
     step = max(1, len(data) // 2)
     while tries > 0:
         at, shorter = 0, False
@@ -112,14 +113,14 @@
 
 
 class Corpus:
-    """Inputs worth building upon: the given ones, and each that showed something new."""
+    """The inputs to mutate: the given ones, and up to a limit those that gave a new result."""
 
-    def __init__(self, given: Sequence[bytes], most: int = 500) -> None:
-        self.inputs, self.seen, self.most = list(given), set[Hashable](), most
+    def __init__(self, given: Sequence[bytes], max_inputs: int = 500) -> None:
+        self.inputs, self.seen_results, self.max_inputs = list(given), set[Hashable](), max_inputs
 
-    def learn(self, data: bytes, shown: Hashable) -> None:
-        """Add an input that showed something new."""
-        if shown not in self.seen:
-            self.seen.add(shown)
-            if len(self.inputs) < self.most and len(data) < 20_000:
+    def add_if_new(self, data: bytes, result: Hashable) -> None:
+        """Add an input if its result has not been seen before."""
+        if result not in self.seen_results:
+            self.seen_results.add(result)
+            if len(self.inputs) < self.max_inputs and len(data) < 20_000:
                 self.inputs.append(data)
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -1,7 +1,7 @@
-"""Plays cases on all cores until the time is up: the first failure, or all of them, cut down and written to files.
+"""Runs cases on all cores until the time is up or the first failure; minimizes failed cases and writes them to files.
 
-Fleets take about two cores each, so fewer of them play at a time than of the rest. A worker is a process of its own:
-what a case leaks or breaks stays in it. A case that does not come back within its limit counts as a failure.
+A fleet takes about two cores, so that fewer fleets than other cases run concurrently. Each worker is a process, which
+isolates leaks and crashes of a case. A case that does not end within its time limit is a failure.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from soak.case import Case, Outcome
 from soak.shrink import shrink
 
-FLEETS = 0.5  # of the workers, that fleets may have at a time, one at least
+FLEET_WORKER_FRACTION = 0.5  # maximum fraction of the workers that run fleets; one worker may always do so
 
 
 @dataclass(slots=True)
 class Report:
-    """What a soak came to."""
+    """The result of a soak."""
 
     seed: int
     cases: Counter[str] = field(default_factory=Counter)
@@ -35,17 +35,17 @@
     found: list[tuple[Path, str]] = field(default_factory=list)
 
     def lines(self) -> list[str]:
-        """For people, one fact a line."""
+        """Format the report for humans, one fact per line."""
         out = [f"seed {self.seed}: {self.core_s:.0f} s of worker time"]
         out += [f"  {kind:8} {n:6} cases, {self.counts[kind]:9} tried" for kind, n in sorted(self.cases.items())]
         out += [f"  FOUND {path}: {why.strip().splitlines()[0][:300]}" for path, why in self.found]
         return out
 
 
-def play(case: Case) -> tuple[Outcome, float]:
-    """One case; its outcome and the seconds it took. A fault of the soak itself is an outcome, too."""
+def run_case(case: Case) -> tuple[Outcome, float]:
+    """Run a case; return its outcome and duration in seconds. An exception of the soak itself is also a failure."""
     began = time.monotonic()
-    logging.disable(logging.CRITICAL)  # spoilt input is logged, by the thousand here
+    logging.disable(logging.CRITICAL)  # thousands of malformed inputs would be logged
     try:
         outcome = {"fleet": fleets.run, "bytes": inputs.run, "suite": suites.run, "moment": moments.run}[case.kind](
             case
@@ -57,19 +57,21 @@
     return outcome, time.monotonic() - began
 
 
-def cut(case: Case, outcome: Outcome, tries: int = 40) -> tuple[Case, Outcome]:
-    """Return the smallest case found that fails alike."""
-    if outcome.part in ("soak", "worker"):  # not the program's
+def minimize(case: Case, outcome: Outcome, tries: int = 40) -> tuple[Case, Outcome]:
+    """Minimize a case; return the smallest one found that fails in the same check, and its outcome."""
+    if outcome.check in ("soak", "worker"):  # not a fault of the program under test
         return case, outcome
     if case.kind == "bytes":
-        least = inputs.smallest(case, outcome)
-        return least, play(least)[0]
-    smaller = {"fleet": fleets.smaller, "suite": suites.smaller, "moment": moments.smaller}[case.kind]
-    return shrink(case, outcome, smaller, lambda c: play(c)[0], tries)
+        least = inputs.minimize(case, outcome)
+        return least, run_case(least)[0]
+    smaller_cases = {"fleet": fleets.smaller_cases, "suite": suites.smaller_cases, "moment": moments.smaller_cases}[
+        case.kind
+    ]
+    return shrink(case, outcome, smaller_cases, lambda c: run_case(c)[0], tries)
 
 
 class Soak:
-    """`minutes` of cases drawn from `seed`, by `workers` processes; `kinds` as in `case.KINDS`."""
+    """Runs cases drawn from `seed` for `minutes` in `workers` processes; `kinds` is a subset of `soak.case.KINDS`."""
 
     def __init__(
         self,
@@ -78,91 +80,96 @@
         workers: int,
         kinds: tuple[str, ...],
         folder: Path,
-        go_on: bool = False,
-        say: Callable[[str], None] = print,
-        shrinks: int = 40,
+        keep_going: bool = False,
+        log: Callable[[str], None] = print,
+        max_shrink_runs: int = 40,
     ) -> None:
         self.rng, self.minutes, self.workers, self.kinds = random.Random(seed), minutes, workers, kinds
-        self.folder, self.go_on, self.say, self.shrinks = folder, go_on, say, shrinks
+        self.folder, self.keep_going, self.log, self.max_shrink_runs = folder, keep_going, log, max_shrink_runs
         self.report = Report(seed)
-        self.grow = 1.0
-        self.cutting: dict[Future[Any], tuple[Path, int]] = {}  # cases that are being cut down
-
-    def draw(self, fleets_out: int) -> Case | None:
-        """Draw the next case; None where only fleets are asked for and enough of them are running."""
-        may = [k for k in self.kinds if k != "fleet" or fleets_out < max(1, int(FLEETS * self.workers))]
-        if not may:
+        self.count_factor = 1.0
+        self.minimizations: dict[
+            Future[Any], tuple[Path, int]
+        ] = {}  # cases being minimized: path of the file, and index in the report
+
+    def draw(self, running_fleets: int) -> Case | None:
+        """Draw the next case; return None if only fleets are allowed and enough of them are running."""
+        allowed_kinds = [
+            k for k in self.kinds if k != "fleet" or running_fleets < max(1, int(FLEET_WORKER_FRACTION * self.workers))
+        ]
+        if not allowed_kinds:
             return None
-        kind, seed = self.rng.choice(may), self.rng.getrandbits(48)
+        kind, seed = self.rng.choice(allowed_kinds), self.rng.getrandbits(48)
         if kind == "fleet":
             return fleets.draw(seed)
         if kind == "bytes":
-            return inputs.draw(seed, int(1500 * self.grow))
+            return inputs.draw(seed, int(1500 * self.count_factor))
         if kind == "moment":
             return moments.draw(seed)
-        return suites.draw(seed, self.grow)
+        return suites.draw(seed, self.count_factor)
 
     def run(self) -> Report:
-        """Until the time is up, or the first failure. What is out by then is waited for."""
+        """Run until the time is up or a case fails, then wait for the running cases; return the report."""
         end = time.monotonic() + 60 * self.minutes
-        out: dict[Future[Any], Case] = {}
-        said = 0.0
+        running: dict[Future[Any], Case] = {}
+        last_progress_at = 0.0
         with ProcessPoolExecutor(self.workers, mp_context=get_context("spawn")) as pool:
             while True:
                 now = time.monotonic()
-                more = now < end and (self.go_on or not self.report.found)
-                while more and len(out) + len(self.cutting) < self.workers:
-                    case = self.draw(sum(c.kind == "fleet" for c in out.values()))
+                more = now < end and (self.keep_going or not self.report.found)
+                while more and len(running) + len(self.minimizations) < self.workers:
+                    case = self.draw(sum(c.kind == "fleet" for c in running.values()))
                     if case is None:
                         break
-                    out[pool.submit(play, case)] = case
-                if not out and not self.cutting:
+                    running[pool.submit(run_case, case)] = case
+                if not running and not self.minimizations:
                     break
-                done, _ = wait([*out, *self.cutting], timeout=1.0, return_when=FIRST_COMPLETED)
+                done, _ = wait([*running, *self.minimizations], timeout=1.0, return_when=FIRST_COMPLETED)
                 for future in done:
-                    if future in self.cutting:
-                        self.keep(*self.cutting.pop(future), future)
+                    if future in self.minimizations:
+                        self.store_minimized(*self.minimizations.pop(future), future)
                     else:
-                        self.take(out.pop(future), future, pool)
-                if now - said > 10.0:
-                    said = now
+                        self.record_result(running.pop(future), future, pool)
+                if now - last_progress_at > 10.0:
+                    last_progress_at = now
                     left = f"{max(0.0, end - now):.0f} s left"
-                    self.say(
+                    self.log(
                         f"{left}; "
                         + ", ".join(f"{k} {n}" for k, n in sorted(self.report.cases.items()))
                         + f"; found {len(self.report.found)}"
                     )
-                self.grow = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)  # growing counts
+                # Later cases get larger counts.
+                self.count_factor = min(20.0, 1.0 + sum(self.report.cases.values()) / 50)
         return self.report
 
-    def take(self, case: Case, future: Future[Any], pool: ProcessPoolExecutor) -> None:
-        """Count a case that has ended; what failed is kept, and cut down while others go on."""
+    def record_result(self, case: Case, future: Future[Any], pool: ProcessPoolExecutor) -> None:
+        """Record the result of a case. A failed case is written to a file and minimized in the background."""
         try:
             outcome, took = future.result()
-        except Exception as error:  # the worker died
+        except Exception as error:  # the worker process died
             outcome, took = Outcome(f"{type(error).__name__}: {error}", "worker"), 0.0
         r = self.report
         r.cases[case.kind] += 1
         r.counts[case.kind] += outcome.count
         r.core_s += took
-        if not outcome.why:
+        if not outcome.failure:
             return
         path = self.folder / f"{case.kind}-{case.seed}.json"
-        case.write(path, outcome.why)  # before it is cut down: that may be ended
-        r.found.append((path, outcome.why))
-        self.say(f"found: {path}: {outcome.why.strip().splitlines()[0][:300]}; cutting it down")
-        if outcome.part != "worker":
-            self.cutting[pool.submit(cut, case, outcome, self.shrinks)] = (path, len(r.found) - 1)
-
-    def keep(self, path: Path, number: int, future: Future[Any]) -> None:
-        """Put the smallest case that fails alike in the place of the one that was drawn."""
+        case.write(path, outcome.failure)  # before the minimization, which may be interrupted
+        r.found.append((path, outcome.failure))
+        self.log(f"found: {path}: {outcome.failure.strip().splitlines()[0][:300]}; minimizing it")
+        if outcome.check != "worker":
+            self.minimizations[pool.submit(minimize, case, outcome, self.max_shrink_runs)] = (path, len(r.found) - 1)
+
+    def store_minimized(self, path: Path, number: int, future: Future[Any]) -> None:
+        """Replace the file of a failed case with the minimized case."""
         try:
             least, why = future.result()
-        except Exception as error:  # the worker died: the case stays as it was
-            self.say(f"{path}: not cut down: {type(error).__name__}: {error}")
+        except Exception as error:  # the worker died: keep the original case
+            self.log(f"{path}: not minimized: {type(error).__name__}: {error}")
             return
-        if not why.why:
-            self.say("it does not come again: kept as it was")
+        if not why.failure:
+            self.log("failure not reproduced; the original case is kept")
             return
-        least.write(path, why.why)
-        self.report.found[number] = (path, why.why)
+        least.write(path, why.failure)
+        self.report.found[number] = (path, why.failure)
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Commands of the stand-ins: a whole fleet, single services, the auditor over a file of records."""
+"""Commands of the stand-ins: run a fleet, run one service, or audit a file of records."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from standins.fleet_options import Options
 from standins.http import Service
 from standins.ingress_process import HOST
-from standins.match import MatchServer, Shape
+from standins.match import MatchServer, ServerCapacity
 from standins.records import Records, read_records
 from standins.verdict import Rules
 
@@ -38,56 +38,63 @@
     sub = p.add_subparsers(dest="command", required=True)
     f = sub.add_parser(
         "fleet",
-        help="ingresses among stand-ins, with traffic and an auditor",
+        help="run ingresses and stand-ins with generated traffic, and audit the run",
         epilog="Fault scripts: TOML with [[fault]] tables; actions: " + ", ".join(ACTIONS),
     )
-    f.add_argument("--seconds", type=float, default=10.0, help="length of the traffic (default 10)")
-    f.add_argument("--rate", type=float, default=120.0, help="first tries a second (default 120)")
+    f.add_argument("--seconds", type=float, default=10.0, help="duration of the traffic in seconds (default 10)")
+    f.add_argument("--rate", type=float, default=120.0, help="first attempts per second (default 120)")
     f.add_argument("--ingresses", type=int, default=3)
     f.add_argument("--servers", type=int, default=10)
     f.add_argument("--seed", type=int, default=1)
-    f.add_argument("--port", type=int, default=8080, help="of the first ingress; 0 takes free ones")
-    f.add_argument("--move", type=float, default=0.0, help="all members come through the next ingress after so long")
-    f.add_argument("--deployment", choices=DEPLOYMENTS, default="matching", help="classes, plans and limits")
-    f.add_argument("--folders", action="store_true", help="a state folder for each ingress")
-    f.add_argument("--faults", metavar="FILE", help="a fault script")
-    f.add_argument("--records", metavar="FILE", help="write what stand-ins recorded, a JSON line each")
-    whole = sub.add_parser("system", help="the whole system: core machines, proxies, and stand-ins around them")
-    whole.add_argument(
+    f.add_argument("--port", type=int, default=8080, help="port of the first ingress; 0 selects unused ports")
+    f.add_argument(
+        "--move",
+        type=float,
+        default=0.0,
+        help="seconds after which all members use the next ingress; 0: each member has its own mix",
+    )
+    f.add_argument(
+        "--deployment", choices=DEPLOYMENTS, default="matching", help="request classes, plans and limits to use"
+    )
+    f.add_argument("--folders", action="store_true", help="give each ingress a state folder")
+    f.add_argument("--faults", metavar="FILE", help="fault script to play")
+    f.add_argument("--records", metavar="FILE", help="write the recorded events to FILE, one JSON line each")
+    system = sub.add_parser("system", help="run the whole system: core machines, proxies and their stand-ins")
+    system.add_argument(
         "--hold",
         type=float,
         default=0.0,
         metavar="SECONDS",
-        help="no story: stay up for so long, with one configuration in force",
+        help="skip the scenario and serve one configuration for this many seconds",
     )
-    c = sub.add_parser("counter", help="the counter service alone")
+    c = sub.add_parser("counter", help="run the counter service alone")
     c.add_argument("--parts", type=int, default=1)
-    c.add_argument("--per-s", type=float, default=0.0, help="calls a second of each part; 0 for no bound")
-    m = sub.add_parser("match", help="one match server alone")
+    c.add_argument("--per-s", type=float, default=0.0, help="calls per second of each part; 0: unlimited")
+    m = sub.add_parser("match", help="run one match server alone")
     m.add_argument("--name", default="s-0")
     m.add_argument("--cores", type=int, default=3)
-    m.add_argument("--work", type=float, default=0.03, help="mean seconds of a core for a request")
-    d = sub.add_parser("discovery", help="discovery alone, with servers given as NAME=HOST:PORT")
+    m.add_argument("--work", type=float, default=0.03, help="mean core seconds per request")
+    d = sub.add_parser("discovery", help="run discovery alone, with servers given as NAME=HOST:PORT")
     d.add_argument("servers", nargs="*")
     for one in (c, m, d):
         one.add_argument("--port", type=int, default=0)
         one.add_argument("--records", metavar="FILE")
-    a = sub.add_parser("audit", help="judge a file of records")
+    a = sub.add_parser("audit", help="audit a file of records")
     a.add_argument("file")
-    a.add_argument("--deployment", choices=DEPLOYMENTS, default="matching", help="that the records are of")
+    a.add_argument("--deployment", choices=DEPLOYMENTS, default="matching", help="deployment that produced the records")
     return p
 
 
-async def table(fleet: Fleet) -> None:
-    """Show what happens, once a second: redrawn in a terminal, a plain line elsewhere."""
+async def print_progress(fleet: Fleet) -> None:
+    """Print the state of a fleet once a second: a redrawn table in a terminal, one line elsewhere."""
     live, began = sys.stdout.isatty(), asyncio.get_running_loop().time()
     while True:
         await asyncio.sleep(1.0)
         assert fleet.front is not None
-        t = fleet.front.tally
+        t = fleet.front.status_counts
         at = asyncio.get_running_loop().time() - began
         head = (
-            f"{at:5.1f} s  sent {fleet.front.sent}  out {fleet.front.out}  200: {t.get(200, 0)}"
+            f"{at:5.1f} s  sent {fleet.front.sent}  out {fleet.front.in_flight}  200: {t.get(200, 0)}"
             f"  429: {t.get(429, 0)}  503: {t.get(503, 0)}"
             f"  other: {sum(n for s, n in t.items() if s not in (200, 429, 503))}"
             f"  counter calls {fleet.counter.calls}"
@@ -103,7 +110,7 @@
             print(head, flush=True)
 
 
-async def fleet(args: argparse.Namespace) -> int:
+async def run_fleet_command(args: argparse.Namespace) -> int:
     """Run a fleet and print its verdict; return the exit code."""
     for key, low in (("ingresses", 1), ("servers", 1), ("seconds", 0.1), ("rate", 0.1)):
         if getattr(args, key) < low:
@@ -117,7 +124,7 @@
         args.seed,
         args.port,
         faults=tuple(read_script(args.faults)) if args.faults else (),
-        move_s=args.move,
+        switch_interval_s=args.move,
         deployment=DEPLOYMENTS[args.deployment],
         folders=args.folders,
     )
@@ -128,9 +135,9 @@
             + CURL.format(host=HOST, port=f.ingresses[0].port, spread=args.ingresses),
             flush=True,
         )
-        await table(f)
+        await print_progress(f)
 
-    with sink_of(args.records) as sink:
+    with open_sink(args.records) as sink:
         records = Records(sink)
         verdict, cpu, sent = await run_fleet(options, watch, records)
     print("\n".join(verdict.lines()))
@@ -139,20 +146,20 @@
     return 0 if verdict.kept else 1
 
 
-def sink_of(path: str | None) -> AbstractContextManager[TextIO | None]:
-    """Return the file that records go to, or a context without one."""
+def open_sink(path: str | None) -> AbstractContextManager[TextIO | None]:
+    """Return a context of the opened records file, or of None without a path."""
     return Path(path).open("w", encoding="utf-8", buffering=1) if path else nullcontext()
 
 
-async def serve(args: argparse.Namespace) -> int:
+async def serve_command(args: argparse.Namespace) -> int:
     """Run one stand-in until it is interrupted."""
-    with sink_of(args.records) as sink:
+    with open_sink(args.records) as sink:
         records = Records(sink)
         service: Service
         if args.command == "counter":
             service = Counter(records, parts=args.parts, per_s=args.per_s)
         elif args.command == "match":
-            service = MatchServer(args.name, records, Shape(cores=args.cores, work=args.work))
+            service = MatchServer(args.name, records, ServerCapacity(cores=args.cores, work=args.work))
         else:
             service = discovery = Discovery(records)
             for entry in args.servers:
@@ -171,7 +178,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """0: all rules kept; 1: some broken; 2: cannot be started."""
+    """Run a command; return 0 if all rules were kept, 1 if one was broken, 2 if the command cannot start."""
     args = parser().parse_args(argv)
     try:
         if args.command == "audit":
@@ -187,7 +194,7 @@
         if args.command == "system":
             return uvloop.run(system_story.run(args.hold))
         with suppress(KeyboardInterrupt):
-            return uvloop.run(fleet(args) if args.command == "fleet" else serve(args))
+            return uvloop.run(run_fleet_command(args) if args.command == "fleet" else serve_command(args))
     except (ScriptError, OSError, ValueError) as error:
         print(f"standins: {error}", file=sys.stderr)
         return 2
--- a/standins/counter.py
+++ b/standins/counter.py
@@ -1,7 +1,7 @@
-"""The counter service: adds to named counts that live for a while, with the faults that it may have.
+"""The counter service: named totals with a limited lifetime, and the faults that can be injected.
 
-`POST /v2/numbers/NAME?delta=N&life_ms=N` answers 200 with the total. Names are spread over parts by their
-hash; each part serves its calls one behind another at a bounded rate.
+`POST /v2/numbers/NAME?delta=N&life_ms=N` answers 200 with the total. The hash of a name selects the part that serves
+it; each part serves its calls one after another at a limited rate.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from standins.http import Connection, Message, Service, answer
 from standins.records import Added, Records
 
-MAX_LIFE_MS, MAX_AMOUNT, MAX_NAME = 60_000, 1e9, 64
+MAX_LIFETIME_MS, MAX_AMOUNT, MAX_NAME = 60_000, 1e9, 64
 
 
 class Counter(Service):
-    """`per_s`: calls a second that each part serves, 0 for no bound; `delay`: seconds before each answer."""
+    """The service. `per_s`: calls per second of each part, 0 for no limit; `delay`: seconds before each answer."""
 
     def __init__(
         self,
@@ -35,58 +35,58 @@
         self.records = records or Records()
         self.rng = random.Random(seed)
         self.parts, self.per_s, self.delay, self.clock = parts, per_s, delay, clock
-        self.counts: dict[str, tuple[float, float]] = {}  # total, until when it is kept
+        self.counts: dict[str, tuple[float, float]] = {}  # by name: total, and time at which it expires
         self.busy_until = [0.0] * parts
         self.calls = 0
         # Faults.
-        self.silenced = asyncio.Event()
-        self.silenced.set()
+        self.answering = asyncio.Event()
+        self.answering.set()
         self.refusing = False
-        self.lose_share = self.spoil_share = 0.0  # of answers that are lost, or garbled, after the add
-        self.life_cut = 1.0  # the share of its lifetime for which a new name is really kept
-        self.repeat_old = False  # answers give the total before the one that was true
+        self.lost_answer_fraction = self.garbled_answer_fraction = 0.0  # the addition has been made in both cases
+        self.lifetime_factor = 1.0  # fraction of the requested lifetime for which a new name is kept
+        self.answers_previous_total = False  # answers carry the total before the addition
 
     def totals(self) -> dict[str, float]:
-        """Return what stands in each name now."""
+        """Return the current total of each name."""
         now = self.clock()
         return {name: total for name, (total, until) in self.counts.items() if until > now}
 
     def silence(self, on: bool) -> None:
-        """While silent, calls are read and wait: they are added and answered when it ends."""
+        """Start or end silence: calls that are read meanwhile are applied and answered after its end."""
         if on:
-            self.silenced.clear()
+            self.answering.clear()
         else:
-            self.silenced.set()
+            self.answering.set()
 
     def restart_from_zero(self) -> None:
-        """Every connection is reset and every count forgotten."""
+        """Reset all connections and forget all totals."""
         self.counts.clear()
         for connection in list(self.connections):
             connection.reset()
 
     async def handle(self, message: Message, connection: Connection) -> bytes | None:
-        """Add to a number and answer with its totals, unless a fault says otherwise."""
-        await self.silenced.wait()
-        call = self.parse(message)
+        """Add to a total and answer with the new one, unless a fault is active."""
+        await self.answering.wait()
+        call = self.parse_call(message)
         if call is None:
             return answer(400, b"no such call")
         if self.refusing:
             return answer(503, b"")
         name, amount, life_ms = call
-        await self.turn(name)
-        if connection.gone():
-            return None  # its caller may think what it likes: nothing was added
+        await self.wait_for_turn(name)
+        if connection.has_ended():
+            return None  # the caller has disconnected, and nothing was added
         before, total = self.add(name, amount, life_ms)
         self.calls += 1
-        if self.rng.random() < self.lose_share:
+        if self.rng.random() < self.lost_answer_fraction:
             connection.reset()
             return None
-        if self.rng.random() < self.spoil_share:
+        if self.rng.random() < self.garbled_answer_fraction:
             return answer(200, b"\xff%.3f" % total)
-        return answer(200, b"%.6f" % (before if self.repeat_old else total))
+        return answer(200, b"%.6f" % (before if self.answers_previous_total else total))
 
-    async def turn(self, name: str) -> None:
-        """Wait for the call's turn at its part."""
+    async def wait_for_turn(self, name: str) -> None:
+        """Wait until the part that serves the name has finished its earlier calls."""
         wait = self.delay
         if self.per_s > 0:
             part = zlib.crc32(name.encode()) % self.parts
@@ -97,18 +97,18 @@
             await asyncio.sleep(wait)
 
     def add(self, name: str, amount: float, life_ms: int) -> tuple[float, float]:
-        """Return the totals before and after."""
+        """Add to a total; return the totals before and after."""
         now = self.clock()
         before, until = self.counts.get(name, (0.0, 0.0))
         if until <= now:
-            before, until = 0.0, now + life_ms * self.life_cut / 1000
+            before, until = 0.0, now + life_ms * self.lifetime_factor / 1000
         self.counts[name] = (before + amount, until)
         self.records.add(Added(now, name, amount, before + amount))
         return before, before + amount
 
     @staticmethod
-    def parse(message: Message) -> tuple[str, float, int] | None:
-        """Return name, amount and lifetime in ms of a call, None for what is no call."""
+    def parse_call(message: Message) -> tuple[str, float, int] | None:
+        """Return the name, amount and lifetime in ms of a call, or None if the call is invalid."""
         method, target, _ = message.line.split(" ", 2)
         path, _, query = target.partition("?")
         name = path.removeprefix("/v2/numbers/")
@@ -119,4 +119,4 @@
             return None
         if method != "POST" or name == path or not 1 <= len(name) <= MAX_NAME or life < 1:
             return None
-        return (name, amount, min(life, MAX_LIFE_MS)) if abs(amount) <= MAX_AMOUNT else None
+        return (name, amount, min(life, MAX_LIFETIME_MS)) if abs(amount) <= MAX_AMOUNT else None
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback: ingress processes among stand-ins, traffic, a fault script, an auditor."""
+"""A fleet on loopback: ingress processes and stand-ins, with traffic, a fault script and an audit of the run."""
 
 from __future__ import annotations
 
@@ -14,36 +14,37 @@
 from standins.auditor import audit
 from standins.counter import Counter
 from standins.discovery import Discovery
-from standins.faults import play
+from standins.faults import play_script
 from standins.fleet_faults import COUNTER_DELAY_S, FaultSwitch, check_targets
-from standins.fleet_options import HALLS, Options, settings
+from standins.fleet_options import HALL_COUNT, Options, settings
 from standins.front import Front, Traffic
 from standins.ingress_process import HOST, IngressProcess
-from standins.match import Keys, MatchServer
-from standins.ports import free_ports, hold_ports
+from standins.match import IdempotencyKeys, MatchServer
+from standins.ports import bind_ports, free_ports
 from standins.records import Records
 from standins.relay import Relay
 from standins.verdict import Rules, Verdict
 
-COUNTER_CALLS_PER_S = 2000.0  # that each part of the counter takes
-UP_FOR_S = 1000.0  # that servers have been up as the fleet starts
+COUNTER_CALLS_PER_S = 2000.0  # capacity of each part of the counter
+INITIAL_SERVER_AGE_S = 1000.0  # age of the servers at the start of the fleet, so that they are warm
 
 
 class Fleet:
-    """Everything that `make run` starts; use it as `async with`."""
+    """Starts and stops all stand-ins and ingresses, as an async context manager."""
 
     def __init__(self, options: Options, folder: Path, records: Records | None = None) -> None:
-        """Prepare a fleet. Raises ScriptError where a fault's target is not there."""
+        """Prepare a fleet. Raises ScriptError if the target of a fault does not exist."""
         check_targets(options, options.faults)
         self.options = options
         self.records = records or Records()
         self.folder = folder
         self.counter = self._new_counter(options.seed)
-        self.other_counter = self._new_counter(options.seed + 1)  # of a split
+        self.second_counter = self._new_counter(options.seed + 1)  # serves the ingresses that a fault moves away
         self.discovery = Discovery(self.records)
-        self.keys = Keys()
+        self.keys = IdempotencyKeys()
         self.servers = [
-            MatchServer(f"s-{n}", self.records, options.shape, self.keys, options.seed) for n in range(options.servers)
+            MatchServer(f"s-{n}", self.records, options.capacity, self.keys, options.seed)
+            for n in range(options.servers)
         ]
         self.ingresses: list[IngressProcess] = []
         self.relay: Relay | None = None
@@ -52,11 +53,11 @@
             options,
             self.records,
             self.counter,
-            self.other_counter,
+            self.second_counter,
             self.discovery,
             self.servers,
             self.ingresses,
-            self.list_server,
+            self.set_server_status,
         )
 
     def _new_counter(self, seed: int) -> Counter:
@@ -74,7 +75,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Start the stand-ins, then the ingresses, and wait until these are ready."""
+        """Start the stand-ins, then the ingresses, and wait until the ingresses are ready."""
         await self._start_standins()
         ports = free_ports(self.options.ingresses, self.options.port)
         peers = await self._start_relay()
@@ -84,28 +85,30 @@
             self.ingresses.append(ingress)
             await ingress.start()
         for ingress in self.ingresses:
-            await ingress.ready()
+            await ingress.wait_until_ready()
         self.front = Front([(HOST, port) for port in ports], self._traffic(), self.records)
 
     async def _start_standins(self) -> None:
         await self.counter.start()
-        await self.other_counter.start()
+        await self.second_counter.start()
         await self.discovery.start()
         for number, server in enumerate(self.servers):
             await server.start()
-            server.born -= UP_FOR_S
-            self.records.all.pop()  # a start would make it cold
-            self.list_server(number)
+            server.started_at -= INITIAL_SERVER_AGE_S
+            self.records.all.pop()  # the record of the start would make the auditor treat the server as cold
+            self.set_server_status(number)
 
     async def _start_relay(self) -> list[tuple[str, int]]:
-        """Start the relay; return where the ingresses are to listen for their peers."""
+        """Start the relay; return the addresses on which the ingresses listen for datagrams of their peers."""
         options = self.options
-        sockets = hold_ports(options.ingresses, 0, socket.SOCK_DGRAM)
+        sockets = bind_ports(options.ingresses, 0, socket.SOCK_DGRAM)
         peers = [(HOST, s.getsockname()[1]) for s in sockets]
         self.relay = Relay(peers, options.seed, options.loss, options.delay)
         self._faults.relay = self.relay
         try:
-            await self.relay.start()  # its own ports are drawn from the same range: it must not draw one of these
+            await (
+                self.relay.start()
+            )  # the relay draws its ports from the same range, so these stay bound until it has started
         finally:
             for s in sockets:
                 s.close()
@@ -135,14 +138,14 @@
             options.deployment.classes,
             seed=options.seed,
             spread=options.ingresses,
-            move_s=options.move_s,
+            switch_interval_s=options.switch_interval_s,
         )
 
     async def run(self, watch: Callable[[], Coroutine[Any, Any, None]] | None = None) -> Verdict:
-        """Play the traffic and the faults; return the auditor's verdict."""
+        """Run the traffic and the fault script; return the auditor's verdict."""
         assert self.front is not None
         watching = asyncio.create_task(watch()) if watch else None
-        playing = asyncio.create_task(play(list(self.options.faults), self._faults.switch))
+        playing = asyncio.create_task(play_script(list(self.options.faults), self._faults.switch))
         try:
             await self.front.run()
         finally:
@@ -158,29 +161,29 @@
         return Rules(
             self.options.plans,
             {name: shape.effect for name, shape in deployment.classes.items()},
-            calm=not self.options.faults,
+            fault_free=not self.options.faults,
             cold_multiple=deployment.cold_multiple,
             cold_window=deployment.cold_window,
         )
 
     async def stop(self) -> None:
-        """End all that was started, the ingresses in order."""
+        """Stop the ingresses gracefully, then the stand-ins."""
         for task in self._faults.tasks:
             task.cancel()
         await asyncio.gather(*(ingress.end() for ingress in self.ingresses))
         if self.relay is not None:
             self.relay.stop()
-        services = (self.counter, self.other_counter, self.discovery, *self.servers)
+        services = (self.counter, self.second_counter, self.discovery, *self.servers)
         await asyncio.gather(*(service.stop() for service in services))
 
-    def list_server(self, number: int, status: str = "SERVING") -> None:
-        """Put a server on discovery's list."""
+    def set_server_status(self, number: int, status: str = "SERVING") -> None:
+        """Set the status of a server in discovery's list."""
         server = self.servers[number]
-        self.discovery.put(server.name, server.address, status, f"z{number % HALLS}", number, server.born)
+        self.discovery.put(server.name, server.address, status, f"z{number % HALL_COUNT}", number, server.started_at)
 
 
-def children_cpu() -> float:
-    """CPU seconds of the processes that have ended and been waited for."""
+def child_cpu_seconds() -> float:
+    """Return the CPU seconds of all child processes that have ended and been waited for."""
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     return used.ru_utime + used.ru_stime
 
@@ -188,10 +191,10 @@
 async def run_fleet(
     options: Options, watch: Callable[[Fleet], Coroutine[Any, Any, None]] | None = None, records: Records | None = None
 ) -> tuple[Verdict, float, int]:
-    """Start, run and stop a fleet; return the verdict, CPU seconds of the ingresses, and the requests sent."""
-    before = children_cpu()
+    """Start, run and stop a fleet; return the verdict, the ingresses' CPU seconds and the number of requests sent."""
+    before = child_cpu_seconds()
     with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
         async with Fleet(options, Path(folder), records) as fleet:
             verdict = await fleet.run((lambda: watch(fleet)) if watch else None)
             sent = fleet.front.sent if fleet.front else 0
-    return verdict, children_cpu() - before, sent
+    return verdict, child_cpu_seconds() - before, sent
--- a/standins/front.py
+++ b/standins/front.py
@@ -1,6 +1,6 @@
-"""A front with members: it deals their requests out among the ingresses of each member's set, and they retry.
+"""A load generator: sends the requests of members to ingresses of each member's ingress set, with retries.
 
-What is asked, when and through which ingress is drawn from the seed before the run begins.
+The requests, their times and their ingresses are drawn from the seed before the run starts.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from standins.records import Answered, Asked, Records, Withdrawn
 
 HOST = "127.0.0.1"
-GRACE_S = 0.5  # beyond a request's time before the front stops waiting
-RETRIES = 1
+ANSWER_GRACE_S = 0.5  # the front waits for an answer until this long after the request's budget
+MAX_RETRIES = 1
 
 
 @dataclass(frozen=True, slots=True)
-class ClassShape:
+class RequestClass:
     """One class of requests: `effect` is safe, keyed or unsafe; `budget` in seconds."""
 
     effect: str
@@ -32,22 +32,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What members ask for. `rate`: requests a second of all together, `burst` times as many while it lasts."""
+    """The traffic of a run. `rate` is the number of first attempts per second of all members together."""
 
     seconds: float
     rate: float
     members: Mapping[str, int]  # by plan
-    classes: Mapping[str, ClassShape]
-    most_units: int = 4
+    classes: Mapping[str, RequestClass]
+    max_units: int = 4
     skew: float = 0.5
     retry_share: float = 0.8
     spread: int = 3
     seed: int = 0
-    move_s: float = 0.0  # all members come through the next ingress after so long; 0: each has its own mix
+    switch_interval_s: float = 0.0  # all members use the next ingress after this time; 0: each has its own mix
 
 
-class Plan(NamedTuple):
-    """One request to come: `at` seconds after the start."""
+class PlannedRequest(NamedTuple):
+    """A request to be sent `at` seconds after the start."""
 
     at: float
     op: str
@@ -60,31 +60,31 @@
     spread: int
 
 
-def draw(traffic: Traffic, ingresses: int) -> list[Plan]:
-    """All first attempts of a run, in order."""
+def draw_requests(traffic: Traffic, ingresses: int) -> list[PlannedRequest]:
+    """Return the first attempts of a run, ordered by time."""
     rng = random.Random(f"{traffic.seed} front")
     members = [(plan, n) for plan, count in traffic.members.items() for n in range(count)]
     weights = [1.0 / (n + 1) ** traffic.skew for _, n in members]
     numbers = {m: k for k, m in enumerate(members)}
     names, shares = list(traffic.classes), [c.share for c in traffic.classes.values()]
-    at, out = 0.0, list[Plan]()
+    at, out = 0.0, list[PlannedRequest]()
     while (at := at + rng.expovariate(traffic.rate)) < traffic.seconds:
         plan, n = rng.choices(members, weights)[0]
         member = numbers[plan, n]
         spread = min(traffic.spread, ingresses)
         first = member % ingresses
         step = min(int(rng.expovariate(1.0)), spread - 1)
-        if traffic.move_s > 0:
-            step = int(at // traffic.move_s) % spread
+        if traffic.switch_interval_s > 0:
+            step = int(at // traffic.switch_interval_s) % spread
         ingress = (first + step) % ingresses
         out.append(
-            Plan(
+            PlannedRequest(
                 at,
                 f"op{len(out)}",
                 member,
                 plan,
                 rng.choices(names, shares)[0],
-                rng.randint(1, traffic.most_units),
+                rng.randint(1, traffic.max_units),
                 ingress,
                 first,
                 spread,
@@ -93,7 +93,7 @@
     return out
 
 
-class Line(NamedTuple):
+class IngressConnection(NamedTuple):
     """A connection to an ingress."""
 
     reader: asyncio.StreamReader
@@ -101,7 +101,7 @@
 
 
 class Front:
-    """Sends what was drawn, and keeps what came of it in records."""
+    """Sends the drawn requests and records the answers."""
 
     def __init__(
         self,
@@ -112,118 +112,134 @@
     ) -> None:
         self.ingresses, self.traffic, self.clock = list(ingresses), traffic, clock
         self.records = records or Records()
-        self.idle: list[list[Line]] = [[] for _ in ingresses]
+        self.idle: list[list[IngressConnection]] = [[] for _ in ingresses]
         self.rng = random.Random(f"{traffic.seed} retries")
-        self.sent = self.out = 0
-        self.tally: dict[int, int] = {}
+        self.sent = self.in_flight = 0
+        self.status_counts: dict[int, int] = {}
 
     async def run(self) -> None:
-        """Send the whole of the traffic; return when each attempt has ended."""
+        """Send all requests; return when each attempt has ended."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.TaskGroup() as group:
-            for plan in draw(self.traffic, len(self.ingresses)):
-                await asyncio.sleep(began + plan.at - loop.time())
-                group.create_task(self.follow(plan))
+            for planned in draw_requests(self.traffic, len(self.ingresses)):
+                await asyncio.sleep(began + planned.at - loop.time())
+                group.create_task(self.perform(planned))
         self.close()
 
-    async def follow(self, plan: Plan) -> None:
-        """One thing to do, with the retries that a member allows itself after a refusal."""
-        ingress = plan.ingress
-        for attempt in range(RETRIES + 1):
-            answered = await self.ask(plan, f"{plan.op}.{attempt}", ingress, attempt > 0)
+    async def perform(self, planned: PlannedRequest) -> None:
+        """Perform one operation, with the retries that a member makes after a refusal."""
+        ingress = planned.ingress
+        for attempt in range(MAX_RETRIES + 1):
+            answered = await self.send_attempt(planned, f"{planned.op}.{attempt}", ingress, attempt > 0)
             if answered is None or answered.status not in (429, 503):
                 return
             if self.rng.random() >= self.traffic.retry_share:
                 return
             await asyncio.sleep(answered.retry_after or 0.1 + 0.1 * self.rng.random())
-            ingress = (plan.first + self.rng.randrange(plan.spread)) % len(self.ingresses)
+            ingress = (planned.first + self.rng.randrange(planned.spread)) % len(self.ingresses)
 
-    async def ask(self, plan: Plan, name: str, ingress: int, again: bool) -> Answered | None:
-        """Send one attempt. An ingress that takes no connections is passed over for the next."""
-        raw = self.message(plan, name, again)
+    async def send_attempt(self, planned: PlannedRequest, name: str, ingress: int, again: bool) -> Answered | None:
+        """Send one attempt. If an ingress accepts no connection, the next one is used."""
+        raw = self.message(planned, name, again)
         for step in range(len(self.ingresses)):
             number = (ingress + step) % len(self.ingresses)
             used = bool(self.idle[number])
-            line = self.idle[number].pop() if used else await self.connect(number)
-            if line is None:
+            connection = self.idle[number].pop() if used else await self.connect(number)
+            if connection is None:
                 continue
-            self.out += 1
+            self.in_flight += 1
             try:
-                answered = await self.exchange(plan, name, number, line, raw, again, used)
+                answered = await self.send_to_ingress(planned, name, number, connection, raw, again, used)
             finally:
-                self.out -= 1
+                self.in_flight -= 1
             if answered is not None:
                 return answered
         return None
 
-    async def exchange(
-        self, plan: Plan, name: str, number: int, line: Line, raw: bytes, again: bool, used: bool
+    async def send_to_ingress(
+        self,
+        planned: PlannedRequest,
+        name: str,
+        number: int,
+        connection: IngressConnection,
+        raw: bytes,
+        again: bool,
+        used: bool,
     ) -> Answered | None:
-        """Send one attempt to one ingress; return None where it was never taken."""
-        budget = self.traffic.classes[plan.cls].budget
+        """Send one attempt to one ingress; return None if the ingress did not accept it."""
+        budget = self.traffic.classes[planned.cls].budget
         asked = Asked(
-            self.clock(), name, plan.op, str(number), plan.member, plan.plan, plan.cls, plan.units, budget, again
+            self.clock(),
+            name,
+            planned.op,
+            str(number),
+            planned.member,
+            planned.plan,
+            planned.cls,
+            planned.units,
+            budget,
+            again,
         )
         self.records.add(asked)
         self.sent += 1
         status, after, body = 0, 0.0, ""
         try:
-            async with asyncio.timeout(budget + GRACE_S):
-                got = await self.once(line, raw)
-                if got is None and used:  # closed between requests: once more on a new connection
+            async with asyncio.timeout(budget + ANSWER_GRACE_S):
+                got = await self.send_on_connection(connection, raw)
+                if got is None and used:  # closed while idle: send once more on a new connection
                     new = await self.connect(number)
                     if new is None:
                         self.records.add(Withdrawn(self.clock(), name, str(number)))
                         return None
-                    line = new
-                    got = await self.once(line, raw)
+                    connection = new
+                    got = await self.send_on_connection(connection, raw)
                 if got is not None:
                     status, body = got.status, got.body.decode("latin-1")
                     after = float(got.headers.get("retry-after", "0"))
                     if got.headers.get("connection") == "close":
-                        line.writer.close()
+                        connection.writer.close()
                     else:
-                        self.idle[number].append(line)
+                        self.idle[number].append(connection)
         except TimeoutError:
             status = -1
-            line.writer.transport.abort()
+            connection.writer.transport.abort()
         answered = Answered(self.clock(), name, status, after, body)
         self.records.add(answered)
-        self.tally[status] = self.tally.get(status, 0) + 1
+        self.status_counts[status] = self.status_counts.get(status, 0) + 1
         return answered
 
     @staticmethod
-    async def once(line: Line, raw: bytes) -> Message | None:
-        """Send a request and return its answer, None where the connection ends first."""
+    async def send_on_connection(connection: IngressConnection, raw: bytes) -> Message | None:
+        """Send a request and return its answer, or None if the connection ends first."""
         try:
-            line.writer.write(raw)
-            return await read_message(line.reader)
+            connection.writer.write(raw)
+            return await read_message(connection.reader)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
-            line.writer.close()
+            connection.writer.close()
             return None
 
-    async def connect(self, number: int) -> Line | None:
-        """Return a new connection to an ingress, None where none can be had."""
+    async def connect(self, number: int) -> IngressConnection | None:
+        """Return a new connection to an ingress, or None if the ingress accepts none."""
         try:
-            return Line(*await asyncio.open_connection(*self.ingresses[number], limit=MAX_HEAD))
+            return IngressConnection(*await asyncio.open_connection(*self.ingresses[number], limit=MAX_HEAD))
         except OSError:
             return None
 
-    def message(self, plan: Plan, name: str, again: bool) -> bytes:
-        """Return a request's bytes."""
-        cls = self.traffic.classes[plan.cls]
+    def message(self, planned: PlannedRequest, name: str, again: bool) -> bytes:
+        """Encode a request."""
+        cls = self.traffic.classes[planned.cls]
         lines = [
-            f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{plan.member:016x} HTTP/1.1",
+            f"{'GET' if cls.effect == 'safe' else 'POST'} /api/{planned.member:016x} HTTP/1.1",
             "Host: backend.local",
             f"X-Call-Id: {name}",
-            f"X-Call-Class: {plan.cls}",
-            f"X-Tier: {plan.plan}",
+            f"X-Call-Class: {planned.cls}",
+            f"X-Tier: {planned.plan}",
             f"X-Budget: {round(cls.budget * 1000)}m",
-            f"X-Call-Terms: units={plan.units},spread={plan.spread},first={plan.first}",
+            f"X-Call-Terms: units={planned.units},spread={planned.spread},first={planned.first}",
         ]
         if cls.effect == "keyed":
-            lines.append(f"Idempotency-Key: {plan.op}")
+            lines.append(f"Idempotency-Key: {planned.op}")
         if again:
             lines.append("X-Again: 1")
         if cls.effect != "safe":
@@ -233,7 +249,7 @@
     def close(self) -> None:
         """Close the idle connections."""
         for lines in self.idle:
-            for line in lines:
+            for connection in lines:
                 with contextlib.suppress(Exception):
-                    line.writer.close()
+                    connection.writer.close()
             lines.clear()
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -1,4 +1,4 @@
-"""Each stand-in does what its page says, and each of its faults."""
+"""Each stand-in behaves as documented, with and without each of its faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from standins.counter import Counter
 from standins.discovery import Discovery
-from standins.match import Keys, MatchServer, Shape
+from standins.match import IdempotencyKeys, MatchServer, ServerCapacity
 from standins.records import Began, Ran, Told
 from standins.relay import Relay
 from tests.net.sockets import HOST, call, run, until
@@ -48,7 +48,7 @@
         assert counter.totals() == {} and (await add(counter.port)).endswith(b"2.000000")
         for bad in (dict(delta="x"), dict(delta="2e9"), dict(life="0"), dict(name="n" * 65), dict(name="")):
             assert b" 400 " in await add(counter.port, **bad)
-        assert len(list(counter.records.of(type(counter.records.all[0])))) == 3
+        assert len(list(counter.records.of_kind(type(counter.records.all[0])))) == 3
         await counter.stop()
 
     run(main())
@@ -62,33 +62,35 @@
         client = Client(loop, (HOST, counter.port), 0.3, replies.put_nowait)
 
         async def restart():
-            opened = counter.opened
+            opened = counter.connections_opened
             counter.restart_from_zero()
-            await until(lambda: counter.opened == opened + 4)  # the client's lines are up again
+            await until(lambda: counter.connections_opened == opened + 4)  # the client's connections are open again
 
         async def once():
             client.add(7, 1.0, 60.0)
             return await replies.get()
 
         assert (await once())[1::2] == (Outcome.OK, 1.0)
-        counter.lose_share = 1.0
+        counter.lost_answer_fraction = 1.0
         assert (await once()).outcome is Outcome.TIMEOUT and counter.totals() == {"7": 2.0}
-        counter.lose_share, counter.spoil_share = 0.0, 1.0
+        counter.lost_answer_fraction, counter.garbled_answer_fraction = 0.0, 1.0
         assert (await once()).outcome is Outcome.ERROR and counter.totals() == {"7": 3.0}
-        counter.spoil_share, counter.repeat_old = 0.0, True
+        counter.garbled_answer_fraction, counter.answers_previous_total = 0.0, True
         assert (await once())[1::2] == (Outcome.OK, 3.0) and counter.totals() == {"7": 4.0}
-        counter.repeat_old, counter.refusing = False, True
+        counter.answers_previous_total, counter.refusing = False, True
         assert (await once()).outcome is Outcome.FULL and counter.totals() == {"7": 4.0}
         counter.refusing = False
         counter.silence(True)
         assert (await once()).outcome is Outcome.TIMEOUT and counter.totals() == {"7": 4.0}
         counter.silence(False)
-        await until(lambda: counter.totals() == {"7": 5.0})  # it had been written: it counts later
+        await until(
+            lambda: counter.totals() == {"7": 5.0}
+        )  # the call had been sent, so it is applied after the silence
         await restart()
         assert (await once())[1::2] == (Outcome.OK, 1.0)
-        counter.life_cut = 0.0
+        counter.lifetime_factor = 0.0
         await restart()
-        assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # it answers and forgets
+        assert [(await once()).total for _ in range(2)] == [1.0, 1.0]  # the counter answers but keeps no total
         client.close()
         await counter.stop()
 
@@ -102,8 +104,8 @@
         await counter.start()
         began = loop.time()
         await asyncio.gather(*(add(counter.port, str(n)) for n in range(10)))
-        assert counter.busy_until[0] >= began + 0.1 - 1e-6  # ten turns of 10 ms, one behind another
-        assert loop.time() - began >= 0.09  # and each was waited for: timers ring up to a millisecond early
+        assert counter.busy_until[0] >= began + 0.1 - 1e-6  # ten calls of 10 ms each, one after another
+        assert loop.time() - began >= 0.09  # each call was waited for; timers may fire up to a millisecond early
         await counter.stop()
 
     run(main())
@@ -112,17 +114,17 @@
 def test_a_match_server_runs_keyed_requests_once_and_says_what_it_ran():
     async def main():
         clock = Clock()
-        keys = Keys(15.0, clock)
-        servers = [MatchServer(f"s{n}", shape=Shape(work=0.001), keys=keys, clock=clock) for n in range(2)]
+        keys = IdempotencyKeys(15.0, clock)
+        servers = [MatchServer(f"s{n}", capacity=ServerCapacity(work=0.001), keys=keys, clock=clock) for n in range(2)]
         for s in servers:
             await s.start()
         ask = [await Caller.connect(s.port) for s in servers]
         assert (await ask[0].ask(call("r1", "pay")))[2] == b"s0 r1"
-        assert (await ask[1].ask(call("r1", "pay")))[0] == 200  # the same key elsewhere: no effect
-        assert [(r.id, r.server) for s in servers for r in s.records.of(Ran)] == [("r1", "s0")]
+        assert (await ask[1].ask(call("r1", "pay")))[0] == 200  # the same key at another server has no effect
+        assert [(r.id, r.server) for s in servers for r in s.records.of_kind(Ran)] == [("r1", "s0")]
         clock.now += 16
-        await ask[1].ask(call("r2", "pay"))  # beyond the window it has one
-        assert len(list(servers[1].records.of(Ran))) == 1
+        await ask[1].ask(call("r2", "pay"))  # after the window the key has an effect again
+        assert len(list(servers[1].records.of_kind(Ran))) == 1
         status, headers, body = await ask[0].ask(b"GET /load HTTP/1.1\r\n\r\n")
         assert status == 200 and headers["x-load-report"].encode() == body and b"inflight=0" in body
         assert (await ask[0].ask(b"GET /x HTTP/1.1\r\n\r\n"))[0] == 404
@@ -135,33 +137,33 @@
 def test_a_match_servers_queue_cold_start_and_faults():
     async def main():
         clock = Clock()
-        shape = Shape(cores=1, queue=1, work=0.001, cold=0.25, cold_s=10.0)
-        server = MatchServer("s0", shape=shape, clock=clock)
+        capacity = ServerCapacity(cores=1, queue=1, work=0.001, cold=0.25, cold_s=10.0)
+        server = MatchServer("s0", capacity=capacity, clock=clock)
         await server.start()
         assert server.speed() == 0.25
         clock.now += 5
         assert server.speed() == pytest.approx(0.625)
-        await server.slots.acquire()  # its one core is taken
+        await server.slots.acquire()  # its only core is busy
         first, second = await Caller.connect(server.port), await Caller.connect(server.port)
         first.writer.write(call("r1"))
         await until(lambda: server.waiting == 1)
         status, headers, _ = await second.ask(call("r2"))
         assert (status, headers["x-rejected"]) == (503, "1")
-        assert [b.turned_away for b in server.records.of(Began)] == [False, True]
+        assert [b.turned_away for b in server.records.of_kind(Began)] == [False, True]
         server.slots.release()
         assert (await first.answer())[0] == 200
-        server.error_share = 1.0
+        server.error_fraction = 1.0
         assert (await first.ask(call("r3")))[0] == 500
-        server.error_share, server.reset_share = 0.0, 1.0
+        server.error_fraction, server.reset_fraction = 0.0, 1.0
         first.writer.write(call("r4"))
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await first.answer()
-        assert [r.id for r in server.records.of(Ran)] == ["r1", "r4"]  # the reset one had run
-        server.reset_share = 0.0
+        assert [r.id for r in server.records.of_kind(Ran)] == ["r1", "r4"]  # r4 ran before its connection was reset
+        server.reset_fraction = 0.0
         server.silence(True)
         second.writer.write(call("r5"))
-        await until(lambda: len(list(server.records.of(Began))) == 5)
-        assert "r5" not in [r.id for r in server.records.of(Ran)]
+        await until(lambda: len(list(server.records.of_kind(Began))) == 5)
+        assert "r5" not in [r.id for r in server.records.of_kind(Ran)]
         server.silence(False)
         assert (await second.answer())[0] == 200
         server.close_idle()
@@ -189,7 +191,7 @@
         discovery.put("s0", "127.0.0.1:1", "DELETED")
         await until(lambda: len(heard) == 3)
         assert [e.phase for h in heard for e, _ in h.entries] == [Phase.RUNNING, Phase.STOPPING, Phase.DELETED]
-        assert [t.status for t in discovery.records.of(Told)] == ["SERVING", "DRAINING", "DELETED"]
+        assert [t.status for t in discovery.records.of_kind(Told)] == ["SERVING", "DRAINING", "DELETED"]
         follower.close()
         await discovery.stop()
 
@@ -207,7 +209,7 @@
         await relay.start()
         addresses = [(a.split(":")[0], int(a.split(":")[1])) for a in relay.addresses]
         socks[0].sendto(b"hello", addresses[2])
-        await loop.sock_recv(socks[2], 0)  # it is there
+        await loop.sock_recv(socks[2], 0)  # the datagram has arrived
         data, sender = socks[2].recvfrom(100)
         assert data == b"hello" and sender == addresses[0]
         relay.isolate(1, True)
@@ -217,11 +219,11 @@
 
         def lost(seed):
             fresh = Relay([s.getsockname() for s in socks], seed=seed, loss=0.2)
-            fresh.hand_over = lambda *a: None
+            fresh.deliver = lambda *a: None
             out = []
             for _ in range(1000):
                 before = fresh.lost
-                fresh.carry(0, 1, b"x")
+                fresh.forward(0, 1, b"x")
                 out.append(fresh.lost - before)
             return out
 
