--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -30,7 +30,7 @@
 def simulate(servers: int, full_scan_max: int, requests: int = 20_000) -> tuple[float, float, float]:
     """Return microseconds per choice, and the mean and 99th percentile of the slowdown.
 
-    `scan` is the largest number of backends that the policy scans in full instead of sampling.
+    `full_scan_max` is the largest number of backends that the policy scans in full instead of sampling.
     """
     fleet_module.FULL_SCAN_MAX = full_scan_max
     rng = random.Random(servers)
--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -8,7 +8,7 @@
 class DeliberateFault(NamedTuple):
     """One fault: the point that it concerns (0: all points), the correct source text, and the faulty text.
 
-    `also` holds further replacements, for a fault that has no effect while a second guard is in place.
+    `further_edits` holds more pairs of texts, for a fault that has no effect while a second guard is in place.
     """
 
     point: int
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -24,8 +24,8 @@
 TARGET_PROXIES = 2800
 TARGET_CHARGES = 750_000
 SIZES = [30, 100, 300, 1000]
-CONTENT_PARTS = (16, 4, 1)  # Divisors of the target size of the configuration and the backend list.
-FEW_PROXIES = 4  # Number of proxies in the runs with a large configuration; each has its own process.
+CONTENT_DIVISORS = (16, 4, 1)  # Divisors of the target size of the configuration and the backend list.
+CONTENT_PROXIES = 4  # Number of proxies in the runs with a large configuration; each has its own process.
 CHARGE_PROXIES = 100
 CHARGE_RATES = [2, 10, 30]  # Charges per second and proxy.
 
@@ -47,11 +47,11 @@
         self._path.write_text(json.dumps(content, indent=1) + "\n")
 
 
-def split(results: Results, prefixes: tuple[str, ...]) -> tuple[Results, Results]:
+def split_figures(results: Results, prefixes: tuple[str, ...]) -> tuple[Results, Results]:
     """Split the results into the figures whose names start with one of the prefixes, and all other figures."""
-    chosen = [(size, {n: v for n, v in figures.items() if n.startswith(prefixes)}) for size, figures in results]
+    matching = [(size, {n: v for n, v in figures.items() if n.startswith(prefixes)}) for size, figures in results]
     others = [(size, {n: v for n, v in figures.items() if not n.startswith(prefixes)}) for size, figures in results]
-    return chosen, others
+    return matching, others
 
 
 def measure_sizes(report: Report, options: argparse.Namespace) -> None:
@@ -69,7 +69,7 @@
     """Measure the system by the number of charges per second."""
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         charges = uvloop.run(measure_charges(Path(folder), CHARGE_PROXIES, options.each, CHARGE_RATES))
-    core, proxy = split(charges, ("control", "registry"))
+    core, proxy = split_figures(charges, ("control", "registry"))
     by_charges = [(rate * CHARGE_PROXIES, figures) for rate, figures in core]
     report.add("core, by charges a second", by_charges, TARGET_CHARGES)
     report.add("proxy, by its charges a second", proxy, round(TARGET_CHARGES / TARGET_PROXIES))
@@ -84,19 +84,19 @@
 def measure_contents(report: Report, options: argparse.Namespace) -> None:
     """Measure the system by the size of its configuration and backend list."""
     by_tenants: Results = []
-    for part in CONTENT_PARTS:
-        content = Content(ROUTES // part, SERVICES, TENANTS // part, BACKENDS // part)
+    for divisor in CONTENT_DIVISORS:
+        content = Content(ROUTES // divisor, SERVICES, TENANTS // divisor, BACKENDS // divisor)
         with tempfile.TemporaryDirectory(prefix="scale-") as folder:
             try:
-                figures = uvloop.run(measure(Path(folder), FEW_PROXIES, 1, content))
+                figures = uvloop.run(measure(Path(folder), CONTENT_PROXIES, 1, content))
             except TimeoutError as error:
                 print(f"{content}: {error}", flush=True)
                 figures = {"given up: an order was not acknowledged": 1.0}
         by_tenants.append((content.tenants, figures))
-        report.add(f"content, by tenants, {FEW_PROXIES} proxies", by_tenants, TENANTS)
+        report.add(f"content, by tenants, {CONTENT_PROXIES} proxies", by_tenants, TENANTS)
 
 
-PARTS = {
+MEASUREMENTS = {
     "sizes": measure_sizes,
     "charges": measure_charge_rates,
     "state": measure_state_sizes,
@@ -109,7 +109,7 @@
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="*", default=SIZES)
     parser.add_argument("--each", type=int, default=50, help="number of hollow proxies per process")
-    parser.add_argument("--parts", nargs="*", default=list(PARTS))
+    parser.add_argument("--parts", nargs="*", default=list(MEASUREMENTS))
     parser.add_argument("--out", type=Path, default=Path(tempfile.gettempdir()) / "scale.json")
     return parser.parse_args()
 
@@ -120,7 +120,7 @@
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     report = Report(options.out)
-    for name, measure_part in PARTS.items():
+    for name, measure_part in MEASUREMENTS.items():
         if name in options.parts:
             measure_part(report, options)
     return 0
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -27,21 +27,21 @@
         raise ValueError(f"expected a value for each of two different sizes or more, got {len(sizes)}, {len(values)}")
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
-    joint = sum((size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True))
-    per_proxy = joint / spread
+    squared_deviations = sum((size - mean_size) ** 2 for size in sizes)
+    co_deviations = sum((size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True))
+    per_proxy = co_deviations / squared_deviations
     return Slope(mean_value - per_proxy * mean_size, per_proxy)
 
 
-def quantile(values: Sequence[float], part: float) -> float:
-    """Return a quantile of the values; `part` is between 0 and 1. NaN if there are no values."""
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """Return a quantile of the values; `fraction` is between 0 and 1. NaN if there are no values."""
     if not values:
         return math.nan
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def figure(value: float) -> str:
+def format_value(value: float) -> str:
     """Return a value with three significant digits, without an exponent."""
     if math.isnan(value):
         return "-"
@@ -58,13 +58,13 @@
     names = list(dict.fromkeys(name for _, figures in results for name in figures))
     width = max([len(name) for name in names], default=0)
     sizes = [size for size, _ in results]
-    head = [f"{'figure':{width}}", *(f"{size:>10}" for size in sizes), f"{'slope':>12}", f"{f'at {target}':>10}"]
-    lines = [" ".join(head)]
+    header = [f"{'figure':{width}}", *(f"{size:>10}" for size in sizes), f"{'slope':>12}", f"{f'at {target}':>10}"]
+    lines = [" ".join(header)]
     for name in names:
         values = [figures.get(name, math.nan) for _, figures in results]
         points = [(size, value) for size, value in zip(sizes, values, strict=True) if not math.isnan(value)]
-        cells = [f"{figure(value):>10}" for value in values]
+        cells = [f"{format_value(value):>10}" for value in values]
         slope = fit(*zip(*points, strict=True)) if len({size for size, _ in points}) > 1 else None
-        ends = ["-", "-"] if slope is None else [f"{slope.per_proxy:.3g}", figure(slope.at(target))]
-        lines.append(" ".join([f"{name:{width}}", *cells, f"{ends[0]:>12}", f"{ends[1]:>10}"]))
+        extrapolation = ["-", "-"] if slope is None else [f"{slope.per_proxy:.3g}", format_value(slope.at(target))]
+        lines.append(" ".join([f"{name:{width}}", *cells, f"{extrapolation[0]:>12}", f"{extrapolation[1]:>10}"]))
     return lines
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,7 +20,7 @@
 import uvloop
 from absl import logging
 
-from benchmarks.scale.inputs import address_of, settings, zone_of
+from benchmarks.scale.inputs import proxy_address, proxy_zone, settings
 from thistleusher.common.node_settings import CONTROL, PROXY, REGISTRY, RING
 from thistleusher.common.process import TICK_S, SettingsFile
 from thistleusher.proxy.commands import ApplyConfiguration, Command, DeliverChargeAnswer
@@ -29,7 +29,7 @@
 from thistleusher.proxy.ring_socket import RingSocket
 from thistleusher.transport import links
 
-MOST_TIMES = 200_000  # Maximum number of response times of charges that a proxy stores; bounds its memory.
+MAX_VERDICT_TIMES = 200_000  # Maximum number of response times of charges that a proxy stores; bounds its memory.
 
 
 class Traffic:
@@ -38,13 +38,13 @@
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
 
-    def add(self, where: str, way: str, size: int, messages: int) -> None:
-        """Add bytes and messages that were exchanged with a program (`where`) in a direction (`way`)."""
-        for name, value in ((f"{where} bytes {way}", size), (f"{where} messages {way}", messages)):
+    def add(self, program: str, direction: str, size: int, messages: int) -> None:
+        """Add bytes and messages that were exchanged with a program in a direction, "in" or "out"."""
+        for name, value in ((f"{program} bytes {direction}", size), (f"{program} messages {direction}", messages)):
             self.counts[name] = self.counts.get(name, 0) + value
 
 
-class Measured(links.Link):
+class CountedLink(links.Link):
     """A persistent connection whose bytes and messages are counted.
 
     Received keep-alive messages are counted as bytes but not as messages.
@@ -54,35 +54,35 @@
     ports: dict[int, str] = {}
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_open: Any, on_message: Any, on_end: Any) -> None:
-        def counted(link: links.Link, message: Any) -> None:
-            self.traffic.add(self.where, "in", 0, 1)
+        def count_message(link: links.Link, message: Any) -> None:
+            self.traffic.add(self.program, "in", 0, 1)
             on_message(link, message)
 
-        super().__init__(loop, on_open, counted, on_end)
-        self.where = "peer"
+        super().__init__(loop, on_open, count_message, on_end)
+        self.program = "peer"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Determine the program at the other end from its port."""
-        self.where = self.ports.get(transport.get_extra_info("peername")[1], "peer")
+        self.program = self.ports.get(transport.get_extra_info("peername")[1], "peer")
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
         """Count and process received bytes."""
-        self.traffic.add(self.where, "in", len(data), 0)
+        self.traffic.add(self.program, "in", len(data), 0)
         super().data_received(data)
 
     def write(self, data: bytes) -> None:
         """Count and send a message."""
-        self.traffic.add(self.where, "out", len(data), 1)
+        self.traffic.add(self.program, "out", len(data), 1)
         super().write(data)
 
 
-class MeasuredHeartbeats(RingSocket):
+class CountedRingSocket(RingSocket):
     """The socket of the ring's heartbeats, with its received datagrams counted."""
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Count and process a heartbeat."""
-        Measured.traffic.add("ring", "in", len(data), 1)
+        CountedLink.traffic.add("ring", "in", len(data), 1)
         super().datagram_received(data, addr)
 
 
@@ -91,14 +91,14 @@
 
     def __init__(self, settings: SettingsFile, seed: int) -> None:
         super().__init__(settings)
-        self.ring_socket = MeasuredHeartbeats(self._on_heartbeat)
+        self.ring_socket = CountedRingSocket(self._on_heartbeat)
         self.random = random.Random(seed)
         self.rate = 0.0
-        self.asked: dict[str, float] = {}
-        self.number = 0
+        self.pending_charges: dict[str, float] = {}
+        self.charge_count = 0
         self.in_force: dict[str, float] = {}  # Time at which each configuration version took effect.
         self.counters: list[tuple[float, str]] = []  # Time of the first echo of each counter, and the counter.
-        self.complete: float | None = None  # Time at which the proxy was first ready and had a counter.
+        self.ready_at: float | None = None  # Time at which the proxy was first ready and had a counter.
         self.verdict_times: list[float] = []
         self.tenants: list[str] = []
 
@@ -112,8 +112,8 @@
     def begin(self) -> None:
         """Connect to the core; ticks and charges start at random moments, so that the proxies are not in step."""
         self._connect_to_core(self.node_settings.core_ips)
-        self.loop.call_later(TICK_S * self.random.random(), self._turn)
-        self.loop.call_later(self.random.random(), self._spend)
+        self.loop.call_later(TICK_S * self.random.random(), self._run_tick)
+        self.loop.call_later(self.random.random(), self._send_charge)
 
     def close(self) -> None:
         """Close all connections; otherwise a task that opens one would outlive its event loop."""
@@ -121,37 +121,37 @@
         self.control.close()
         self.registries.close()
 
-    def _turn(self) -> None:
+    def _run_tick(self) -> None:
         self.tick()
-        self.loop.call_later(TICK_S, self._turn)
+        self.loop.call_later(TICK_S, self._run_tick)
 
-    def _spend(self) -> None:
+    def _send_charge(self) -> None:
         if self.rate <= 0 or not self.tenants:
-            self.loop.call_later(0.5, self._spend)
+            self.loop.call_later(0.5, self._send_charge)
             return
-        self.number += 1
-        request = f"{self.node_settings.node_name}/{self.number}"
-        self.asked[request] = time.monotonic()
+        self.charge_count += 1
+        request = f"{self.node_settings.node_name}/{self.charge_count}"
+        self.pending_charges[request] = time.monotonic()
         charge = ChargeTenant(request, self.random.choice(self.tenants), 1)
         self._execute(self.cluster_view.charge(time.monotonic(), charge))
-        self.loop.call_later(self.random.expovariate(self.rate), self._spend)
+        self.loop.call_later(self.random.expovariate(self.rate), self._send_charge)
 
     def _execute(self, outputs: list[Command]) -> None:
         now = time.monotonic()
-        for out in outputs:
-            if isinstance(out, DeliverChargeAnswer):
-                sent = self.asked.pop(out.answer.request, None)
-                if sent is not None and len(self.verdict_times) < MOST_TIMES:
-                    self.verdict_times.append(now - sent)
+        for command in outputs:
+            if isinstance(command, DeliverChargeAnswer):
+                sent_at = self.pending_charges.pop(command.answer.request, None)
+                if sent_at is not None and len(self.verdict_times) < MAX_VERDICT_TIMES:
+                    self.verdict_times.append(now - sent_at)
         super()._execute(outputs)
-        for out in outputs:
-            if isinstance(out, ApplyConfiguration):
-                self.in_force[out.configuration.config.version] = time.monotonic()
-                self.tenants = list(out.configuration.config.tenants)
+        for command in outputs:
+            if isinstance(command, ApplyConfiguration):
+                self.in_force[command.configuration.config.version] = time.monotonic()
+                self.tenants = list(command.configuration.config.tenants)
         if self.cluster_view.counter and (not self.counters or self.counters[-1][1] != self.cluster_view.counter):
             self.counters.append((now, self.cluster_view.counter))
-        if self.complete is None and self.cluster_view.counter and self.is_ready():
-            self.complete = now
+        if self.ready_at is None and self.cluster_view.counter and self.is_ready():
+            self.ready_at = now
 
 
 class HollowProcess:
@@ -165,10 +165,12 @@
         """Start the proxies, and execute commands until the end of standard input."""
         for number in range(self.first, self.first + self.count):
             path = self.folder / f"proxy-{number}.conf"
-            path.write_text(settings(f"proxy-{number}", "proxy", address_of(number), zone_of(number), self.folder))
+            path.write_text(
+                settings(f"proxy-{number}", "proxy", proxy_address(number), proxy_zone(number), self.folder)
+            )
             self.proxies.append(HollowProxy(SettingsFile(path), number))
         node_settings = self.proxies[0].node_settings
-        Measured.ports = {node_settings.port(CONTROL): "control", node_settings.port(REGISTRY): "registry"}
+        CountedLink.ports = {node_settings.port(CONTROL): "control", node_settings.port(REGISTRY): "registry"}
         for proxy in self.proxies:
             await proxy.open()
         reader = asyncio.StreamReader()
@@ -198,13 +200,13 @@
             "proxies": len(self.proxies),
             "cpu_s": times.user + times.system,
             "peak_mb": int(status["VmHWM"].split()[0]) / 1024,
-            "traffic": Measured.traffic.counts,
-            "complete": [proxy.complete for proxy in self.proxies],
+            "traffic": CountedLink.traffic.counts,
+            "complete": [proxy.ready_at for proxy in self.proxies],
             "counters": [proxy.counters[-1] if proxy.counters else None for proxy in self.proxies],
             "list_numbers": [proxy.cluster_view.registry.state.number for proxy in self.proxies],
             "in_force": [proxy.in_force for proxy in self.proxies],
             "verdicts": [seconds for proxy in self.proxies for seconds in proxy.verdict_times[-400:]],
-            "unanswered": sum(len(proxy.asked) for proxy in self.proxies),
+            "unanswered": sum(len(proxy.pending_charges) for proxy in self.proxies),
         }
 
 
@@ -212,7 +214,7 @@
     """Run the hollow proxies that the command line selects."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    links.Link = Measured  # type: ignore[misc]
+    links.Link = CountedLink  # type: ignore[misc]
     folder, first, count = sys.argv[1:4]
     uvloop.run(HollowProcess(Path(folder), int(first), int(count)).run())
 
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.inputs import PAGE, backends, changed, configuration, settings
+from benchmarks.scale.inputs import PAGE_SIZE, change_routes, random_backends, random_configuration, settings
 from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.configuration import items as config_items
 from thistleusher.proxy.decisions import Decisions
@@ -26,7 +26,7 @@
 from thistleusher.transport.state_updates import Publisher, State, Subscriber
 
 ROUTES, SERVICES, TENANTS, BACKENDS = 16_000, 360, 160_000, 10_000
-PARTS = (16, 4, 1)  # Divisors of the target size.
+TARGET_DIVISORS = (16, 4, 1)  # Divisors of the target size.
 SUBSCRIBERS = (30, 100, 300, 1000)
 SENDERS = (30, 100, 300)
 TARGET_SUBSCRIBERS = 2800
@@ -41,10 +41,10 @@
     return pages * 4096 / MB
 
 
-def timed(work: Callable[[], object]) -> float:
+def timed(call: Callable[[], object]) -> float:
     """Return the CPU seconds that a function call takes."""
     began = time.process_time()
-    work()
+    call()
     return time.process_time() - began
 
 
@@ -62,7 +62,7 @@
         self.configuration = config_items.ConfigurationFollower()
         self.decisions = decisions()
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Process an encoded update."""
         update = decode(data)
         assert isinstance(update, StateUpdate)
@@ -73,38 +73,37 @@
         self.decisions.apply_configuration(0.0, self.configuration.index.config)
 
 
-def configuration_state(part: int) -> Figures:
-    """Measure the target configuration divided by `part`: its sizes, and its cost and that of a change.
+def configuration_state(divisor: int) -> Figures:
+    """Measure a configuration of the target size divided by `divisor`: its sizes, and its cost and that of a change.
 
     The cost is that of the control process and of a proxy.
     """
-    config = configuration(ROUTES // part, SERVICES, TENANTS // part)
+    config = random_configuration(ROUTES // divisor, SERVICES, TENANTS // divisor)
     body = json.dumps(config, separators=(",", ":")).encode()
     size = {name: len(json.dumps(config[name], separators=(",", ":"))) / MB for name in ("routes", "tenants")}
-    again = json.dumps(changed(config, 2), separators=(",", ":")).encode()
+    second_body = json.dumps(change_routes(config, 2), separators=(",", ":")).encode()
     del config
     state = State()
     before = resident_mb()
     first_s = timed(lambda: state.apply(1, config_items.changes(state, 1, body)))
     control_mb = resident_mb() - before
-    whole = encode(state.update_since(0))
-    second_s = timed(lambda: state.apply(2, config_items.changes(state, 2, again)))
+    complete_state = encode(state.update_since(0))
+    second_s = timed(lambda: state.apply(2, config_items.changes(state, 2, second_body)))
     change = encode(state.update_since(1))
     proxy = ConfiguredProxy()
     before = resident_mb()
-    whole_s = timed(lambda: proxy.take(whole))
+    whole_s = timed(lambda: proxy.receive(complete_state))
     proxy_mb = resident_mb() - before
-    change_s = timed(lambda: proxy.take(change))
-    from thistleusher.configuration.validation import (
-        read_configuration,  # after the proxy's figures, as a proxy does not load it
-    )
+    change_s = timed(lambda: proxy.receive(change))
+    # Imported after the proxy's figures are taken, as a proxy does not load this module.
+    from thistleusher.configuration.validation import read_configuration
 
     return {
         "document MB": len(body) / MB,
         "of it routes MB": size["routes"],
         "of it tenants MB": size["tenants"],
-        "whole state, message MB": len(whole) / MB,
-        "whole state, compressed MB": len(zlib.compress(whole, 6)) / MB,
+        "whole state, message MB": len(complete_state) / MB,
+        "whole state, compressed MB": len(zlib.compress(complete_state, 6)) / MB,
         "change, message bytes": len(change),
         "control: check s": timed(lambda: read_configuration(body)),
         "control: first document to items s": first_s,
@@ -118,18 +117,21 @@
     }
 
 
-def list_state(part: int) -> Figures:
-    """Measure the target backend list divided by `part`: the cost of reading it, and of the list in a proxy.
+def list_state(divisor: int) -> Figures:
+    """Measure a backend list of the target size divided by `divisor`: the cost of reading it and of using it.
 
     The registry reads the list page by page, at the platform's permitted rate of calls.
     """
-    count = BACKENDS // part
-    rows = backends(count, [f"s-{n}" for n in range(SERVICES)])
+    count = BACKENDS // divisor
+    rows = random_backends(count, [f"s-{n}" for n in range(SERVICES)])
     pages = [
         json.dumps(
-            {"instances": rows[start : start + PAGE], "next_token": str(start + PAGE) if start + PAGE < count else None}
+            {
+                "instances": rows[start : start + PAGE_SIZE],
+                "next_token": str(start + PAGE_SIZE) if start + PAGE_SIZE < count else None,
+            }
         ).encode()
-        for start in range(0, count, PAGE)
+        for start in range(0, count, PAGE_SIZE)
     ]
     poller = BackendPoller(0.0, 47.0)
     now = read_s = 0.0
@@ -143,16 +145,16 @@
     state = State()
     state.apply(1, {f"b:{name}": entry for name, entry in changes.items()})
     state.apply(2, {f"b:{rows[0]['id']}": {**(changes[rows[0]["id"]] or {}), "p": "draining"}})
-    deciding = decisions()
+    proxy_decisions = decisions()
     before = resident_mb()
-    places = {
+    listed_backends = {
         name: ListedBackend(name, entry["s"], read_address(entry["a"]), entry["z"], "r-0", entry["c"], False, 0.0)
         for name, entry in changes.items()
         if entry is not None
     }
-    first_s = timed(lambda: deciding.apply_backends(0.0, places))
+    first_s = timed(lambda: proxy_decisions.apply_backends(0.0, listed_backends))
     proxy_mb = resident_mb() - before
-    places.pop(next(iter(places)))
+    listed_backends.pop(next(iter(listed_backends)))
     return {
         "registry: pages": len(pages),
         "registry: seconds of a reading": now,
@@ -162,7 +164,7 @@
         "one backend, message bytes": len(encode(state.update_since(1))),
         "proxy: take in s": first_s,
         "proxy: memory MB": proxy_mb,
-        "proxy: one backend less s": timed(lambda: deciding.apply_backends(1.0, dict(places))),
+        "proxy: one backend less s": timed(lambda: proxy_decisions.apply_backends(1.0, dict(listed_backends))),
     }
 
 
@@ -211,8 +213,12 @@
 
 
 STATES: dict[str, tuple[Callable[[int], Figures], dict[int, int], int]] = {
-    "configuration, by tenants": (configuration_state, {TENANTS // part: part for part in PARTS}, TENANTS),
-    "list, by backends": (list_state, {BACKENDS // part: part for part in PARTS}, BACKENDS),
+    "configuration, by tenants": (
+        configuration_state,
+        {TENANTS // divisor: divisor for divisor in TARGET_DIVISORS},
+        TENANTS,
+    ),
+    "list, by backends": (list_state, {BACKENDS // divisor: divisor for divisor in TARGET_DIVISORS}, BACKENDS),
     "publisher, by followers": (
         publisher_state,
         {n: n for n in (*SUBSCRIBERS, TARGET_SUBSCRIBERS)},
@@ -228,13 +234,13 @@
     for name, (_, sizes, target) in STATES.items():
         results = []
         for size, argument in sizes.items():
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "benchmarks.scale.state", name, str(argument)],
                 check=True,
                 capture_output=True,
                 text=True,
             )
-            results.append((size, json.loads(done.stdout)))
+            results.append((size, json.loads(completed.stdout)))
         found[name] = results, target
     return found
 
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.scale.fit import fit, quantile, table
-from benchmarks.scale.inputs import CHANGED_ROUTES, address_of, changed, configuration, settings
+from benchmarks.scale.inputs import CHANGED_ROUTES, change_routes, proxy_address, random_configuration, settings
 from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.configuration.validation import read_configuration
 
@@ -41,14 +41,14 @@
 
 
 def test_a_thousand_proxies_have_addresses_of_their_own_and_sound_settings(tmp_path):
-    assert len({address_of(n) for n in range(1000)}) == 1000
-    boot = read_node_settings(settings("proxy-999", "proxy", address_of(999), "z-12", tmp_path))
+    assert len({proxy_address(n) for n in range(1000)}) == 1000
+    boot = read_node_settings(settings("proxy-999", "proxy", proxy_address(999), "z-12", tmp_path))
     assert boot.region == "r-2" and len(boot.core_ips) == 3 and len(boot.zones) == 21
 
 
 def test_configurations_are_valid_and_a_change_is_of_a_few_routes():
-    first = configuration(60, 12, 300)
-    second = changed(first, 2)
+    first = random_configuration(60, 12, 300)
+    second = change_routes(first, 2)
     for config in (first, second):
         read_configuration(json.dumps(config).encode())
     assert second["version"] == "00000002"
