--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -18,7 +18,7 @@
 from collections import Counter
 from pathlib import Path
 
-from soak.draw_case import Case
+from soak.case import Case
 from soak.fleets import options_of
 from standins.fleet import Fleet
 from standins.records import Records
