--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -67,9 +67,9 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Deselect the listed tests by their complete ids; `--deselect` would also match ids with the same prefix."""
     listed = {entry.test for entry in read_list(FILE.read_text())}
-    left_out = [item for item in items if item.nodeid in listed]
+    deselected = [item for item in items if item.nodeid in listed]
     items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=left_out)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def run_listed(entries: list[KnownRed]) -> dict[str, str]:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -46,11 +46,11 @@
     cpu = time.process_time() - began
     ingress_seconds = (seconds - 1.0) * instances
     return {
-        "first": first_second / instances,
+        "first_second": first_second / instances,
         "messages": (w.messages_sent - first_second) / ingress_seconds,
         "bytes": w.bytes_sent / seconds / instances,
-        "spilt": w.overflowed,
-        "vain": len(w.rejected_within_quota) / w.asked,
+        "overflowed": w.overflowed,
+        "rejected_within_quota": len(w.rejected_within_quota) / w.asked,
         "cpu": cpu / (asked + w.asked),
     }
 
@@ -68,8 +68,8 @@
         r = simulate(size, args.seconds, args.rate)
         base = base or r["cpu"]
         print(
-            f"{size:9} {r['first']:14.1f} {r['messages']:13.1f} {r['bytes']:8.0f} {r['spilt']:21.0f}"
-            f" {100 * r['vain']:21.1f}% {r['cpu'] / base:11.2f}"
+            f"{size:9} {r['first_second']:14.1f} {r['messages']:13.1f} {r['bytes']:8.0f} {r['overflowed']:21.0f}"
+            f" {100 * r['rejected_within_quota']:21.1f}% {r['cpu'] / base:11.2f}"
         )
 
 
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -32,7 +32,7 @@
     ).encode()
 
 
-async def ask(count: int, first: int) -> None:
+async def send_requests(count: int, first: int) -> None:
     """Send `count` requests to the first proxy over several connections.
 
     Raises ValueError if the share that is served is below `cost.MIN_SERVED_FRACTION`.
@@ -65,14 +65,14 @@
         pids = {key: p.process.pid for key, p in system.processes.items() if p.process is not None}
         proxy = pids["proxy", FRONTS[0]]
         registries = [pids["registry", ip] for ip in CORES]
-        await ask(count // 4, 10_000_000)
+        await send_requests(count // 4, 10_000_000)
         for round_index in range(rounds):
             for name in (cost.PASS_THROUGH, "daemon"):
                 process, port = bench.forms[name]
                 work = partial(cost.load, port, count, cost.LOAD_CUSTOMERS, round_index * count)
                 await record_cpu(name, process.cpu_seconds, work)
             before = sum(map(cpu_seconds, registries))
-            await record_cpu("proxy", lambda: cpu_seconds(proxy), partial(ask, count, round_index * count))
+            await record_cpu("proxy", lambda: cpu_seconds(proxy), partial(send_requests, count, round_index * count))
             used = sum(map(cpu_seconds, registries)) - before
             figures.setdefault("registries", []).append(used / count * 1000)
     return figures
