--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -22,7 +22,7 @@
 from thistleusher.transport.state_updates import State
 
 REPEATS = 5
-SIZES = ((100, 1_000), (1_000, 10_000), (16_000, 160_000))  # routes, tenants
+SIZES = ((100, 1_000), (1_000, 10_000), (16_000, 160_000))  # Pairs of the numbers of routes and tenants.
 ROUTES_PER_HOST = 20
 ROUTES_PER_SERVICE = 4
 COLUMNS = (
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,7 +13,7 @@
 
 from tests.quota.world import CounterModel, World
 
-CEILING_SET_SIZE = 5
+CEILING_SET_SIZE = 5  # Size of the ingress set of a customer whose plan has a ceiling.
 
 
 def simulate(instances: int, seconds: float, rate: float) -> dict[str, float]:
--- a/benchmarks/simnet_faults.py
+++ b/benchmarks/simnet_faults.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 COPIED_FOLDERS = ("thistleusher", "simnet", "tests", "benchmarks", "docs")
-SEARCH_DEPTH = 4
+SEARCH_DEPTH = 4  # Depth of the search, as for `python -m simnet --search`.
 NAMED_TESTS = ("control", "transport/test_state_updates.py", "simnet/test_search.py")
 
 
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -25,7 +25,7 @@
 
 START_TIME = 5000.0
 RETENTION_S = 1e9  # Retention period of idle customers; long enough that none is evicted during a run.
-FLUSH_S = 600.0
+FLUSH_S = 600.0  # Time limit in seconds for a flush of the writer.
 
 
 class NoTimer:
