--- a/benchmarks/configuration_items.py
+++ b/benchmarks/configuration_items.py
@@ -1,9 +1,9 @@
-"""Bytes and processor time of a configuration as items: the whole, and a change of one route.
+"""Measure bytes and CPU time of a configuration as items: the complete configuration and a change to one route.
 
     python -m benchmarks.configuration_items
 
-Prints a row of a table for docs/hardening/items.md per size. Times are processor time of this process, the median of
-`REPEATS` runs (the whole build and the check: of one run each).
+Prints one row per size of the table in docs/hardening/items.md. Times are CPU times of this process, the median of
+`REPEATS` runs; the check, the first conversion to items and both updates are measured once.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from thistleusher.transport.state_updates import State
 
 REPEATS = 5
-SIZES = ((100, 1_000), (1_000, 10_000), (16_000, 160_000))  # routes, tenants
-HOSTS_PER_ROUTES = 20
+SIZES = ((100, 1_000), (1_000, 10_000), (16_000, 160_000))  # Pairs of the numbers of routes and tenants.
+ROUTES_PER_HOST = 20
 ROUTES_PER_SERVICE = 4
 COLUMNS = (
     "routes",
@@ -43,14 +43,14 @@
 
 
 class Timed(NamedTuple):
-    """What a call gave, and its processor time in seconds."""
+    """The result of a call and its CPU time in seconds."""
 
     result: Any
     seconds: float
 
 
 def timed(call: Callable[[], Any], repeats: int = 1) -> Timed:
-    """Return a call's result and its median time."""
+    """Return a call's last result and the median of its CPU times."""
     times = []
     for _ in range(repeats):
         begin = time.process_time()
@@ -60,13 +60,13 @@
 
 
 def configuration(number: int, routes: int, tenants: int) -> dict[str, Any]:
-    """Return a configuration with fields as the operator sends them."""
+    """Return a configuration document with the fields that an operator sends."""
     services = routes // ROUTES_PER_SERVICE
     return {
         "version": f"{number:08x}",
         "routes": {
             f"r-{n:07d}": {
-                "hostname": f"host{n // HOSTS_PER_ROUTES}.example",
+                "hostname": f"host{n // ROUTES_PER_HOST}.example",
                 "path_prefix": f"/prefix{n}/",
                 "variant": "pure",
                 "deadline_ms": 3000,
@@ -113,12 +113,12 @@
 
 
 def size(items: Mapping[str, Any]) -> int:
-    """Return the bytes of items as a message has them."""
+    """Return the encoded size of items in a message, in bytes."""
     return len(msgspec.msgpack.encode(items))
 
 
 def row(routes: int, tenants: int) -> list[str]:
-    """Measure one size, and return its row."""
+    """Measure one size and return the cells of its row."""
     table = configuration(1, routes, tenants)
     document = json.dumps(table, separators=(",", ":")).encode()
     table["version"] = f"{2:08x}"
@@ -130,33 +130,33 @@
     whole = timed(lambda: changed_items(state, 1, document))
     state.apply(1, whole.result)
     build = timed(lambda: follower.update(state, whole.result))
-    one = timed(lambda: changed_items(state, 2, second), REPEATS)
+    one_route = timed(lambda: changed_items(state, 2, second), REPEATS)
     parts = orders.parse(second).parts
     assert parts is not None
-    differing = timed(lambda: changed_items_for_parts(state, parts), REPEATS)
-    state.apply(2, one.result)
-    update = timed(lambda: follower.update(state, one.result))
-    put_together = timed(lambda: assemble(state), REPEATS)
-    assert build.result and update.result and json.loads(put_together.result) == table
+    compared = timed(lambda: changed_items_for_parts(state, parts), REPEATS)
+    state.apply(2, one_route.result)
+    update = timed(lambda: follower.update(state, one_route.result))
+    assembled = timed(lambda: assemble(state), REPEATS)
+    assert build.result and update.result and json.loads(assembled.result) == table
     return [
         f"{routes:,}",
         f"{tenants:,}",
         f"{len(document) / 1000:,.0f}",
         f"{len(zlib.compress(document, 6)) / 1000:,.0f}",
         f"{size(whole.result) / 1000:,.0f}",
-        f"{size(one.result):,}",
+        f"{size(one_route.result):,}",
         f"{check.seconds:.3f}",
         f"{whole.seconds:.3f}",
-        f"{one.seconds:.3f}",
-        f"{differing.seconds:.3f}",
+        f"{one_route.seconds:.3f}",
+        f"{compared.seconds:.3f}",
         f"{build.seconds:.3f}",
         f"{update.seconds * 1000:.2f}",
-        f"{put_together.seconds:.3f}",
+        f"{assembled.seconds:.3f}",
     ]
 
 
 def main() -> None:
-    """Print all sizes, as rows of a table."""
+    """Print a table with one row per size."""
     print("| " + " | ".join(COLUMNS) + " |")
     print("|" + " --- |" * len(COLUMNS))
     for routes, tenants in SIZES:
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -1,9 +1,9 @@
-"""Units beyond quota and ceiling, and service kept, under each failure of the counter.
+"""Measure units beyond quota and ceiling, and the share of requests served, under each failure of the counter.
 
 `python -m benchmarks.counter_loss` takes about a minute.
 
-Scripted time, three ingresses, one member whose requests ask for about six times its quota; a minute of the failure
-with `--length 60` (the default). CI plays the same failures for half as long.
+Simulated time, three ingresses, and one customer whose requests ask for about six times its quota. The failure lasts
+`--length` seconds (default 60). CI simulates the same failures for half as long.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 def main() -> int:
-    """Print a line for each failure and plan."""
+    """Print a line for each failure and plan. "Stated" is the documented bound."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.counter_loss", description=__doc__)
-    parser.add_argument("--length", type=float, default=60.0, help="seconds that the failure lasts")
+    parser.add_argument("--length", type=float, default=60.0, help="duration of the failure in seconds")
     parser.add_argument("--seeds", type=int, default=5)
     args = parser.parse_args()
     print(
@@ -31,13 +31,13 @@
             for seed in range(args.seeds):
                 for home in (failures.moving(2.0), failures.spread(seed)):
                     w, bound = failures.run_fault(fault, home, plan, seed, args.length, rate)
-                    over = w.excess(plan)
-                    quota, ceiling = max(quota, over[0]), max(ceiling, over[1])
+                    excess = w.excess(plan)
+                    quota, ceiling = max(quota, excess[0]), max(ceiling, excess[1])
                     served, fair = served + w.served, fair + w.fair
-            stated = failures.stated_bound(fault, bound)
-            top = "-" if bound.ceiling is None else f"{bound.ceiling:.0f}"
+            stated_bound = failures.stated_bound(fault, bound)
+            stated_ceiling = "-" if bound.ceiling is None else f"{bound.ceiling:.0f}"
             print(
-                f"{fault.__name__:24} {plan:6} {quota:13.1f} {stated:7.0f} {ceiling:15.1f} {top:>7}"
+                f"{fault.__name__:24} {plan:6} {quota:13.1f} {stated:7.0f} {ceiling:15.1f} {stated_ceiling:>7}"
                 f" {served / fair:15.2f}",
                 flush=True,
             )
@@ -45,10 +45,10 @@
         for fault in (failures.silence, failures.split_in_three):
             w, bound = failures.run_worst_case(fault, plan, args.length, rate)
             quota, ceiling = w.excess(plan)
-            top = "-" if bound.ceiling is None else f"{bound.ceiling:.0f}"
+            stated_ceiling = "-" if bound.ceiling is None else f"{bound.ceiling:.0f}"
             print(
                 f"{fault.__name__ + ', at once':24} {plan:6} {quota:13.1f} {failures.stated_bound(fault, bound):7.0f}"
-                f" {ceiling:15.1f} {top:>7}",
+                f" {ceiling:15.1f} {stated_ceiling:>7}",
                 flush=True,
             )
     return 0
--- a/benchmarks/scale/state.py
+++ b/benchmarks/scale/state.py
@@ -1,4 +1,4 @@
-"""What the state of the target size costs one process: a configuration, a list of backends, updates, charges."""
+"""Measure the cost of the target state in one process: configuration, backend list, updates and charges."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.inputs import PAGE, backends, changed, configuration, settings
+from benchmarks.scale.inputs import PAGE_SIZE, change_routes, random_backends, random_configuration, settings
 from thistleusher.common.settings_reader import read_node_settings
 from thistleusher.configuration import items as config_items
 from thistleusher.proxy.decisions import Decisions
@@ -26,7 +26,7 @@
 from thistleusher.transport.state_updates import Publisher, State, Subscriber
 
 ROUTES, SERVICES, TENANTS, BACKENDS = 16_000, 360, 160_000, 10_000
-PARTS = (16, 4, 1)  # of the target
+TARGET_DIVISORS = (16, 4, 1)  # Divisors of the target size.
 SUBSCRIBERS = (30, 100, 300, 1000)
 SENDERS = (30, 100, 300)
 TARGET_SUBSCRIBERS = 2800
@@ -36,34 +36,34 @@
 
 
 def resident_mb() -> float:
-    """Return the memory of this process now."""
+    """Return the resident memory of this process in MiB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * 4096 / MB
 
 
-def timed(work: Callable[[], object]) -> float:
-    """Return the processor seconds that some work takes."""
+def timed(call: Callable[[], object]) -> float:
+    """Return the CPU seconds that a function call takes."""
     began = time.process_time()
-    work()
+    call()
     return time.process_time() - began
 
 
 def decisions() -> Decisions:
-    """Return a proxy's decisions."""
+    """Return the decision component of a proxy."""
     boot = read_node_settings(settings("proxy-0", "proxy", "127.0.0.1", "z-0", Path("/")))
     return Decisions(boot.node_name, boot.zone, boot.region, boot.bounds, random.Random(1), 0.0)
 
 
 class ConfiguredProxy:
-    """What a proxy does with updates of the control state, without connections."""
+    """The part of a proxy that processes updates of the control state, without connections."""
 
     def __init__(self) -> None:
         self.subscriber = Subscriber("proxy-0")
         self.configuration = config_items.ConfigurationFollower()
         self.decisions = decisions()
 
-    def take(self, data: bytes) -> None:
-        """Take an update as it comes from a connection."""
+    def receive(self, data: bytes) -> None:
+        """Process an encoded update."""
         update = decode(data)
         assert isinstance(update, StateUpdate)
         changed, _ = self.subscriber.apply(update)
@@ -73,35 +73,37 @@
         self.decisions.apply_configuration(0.0, self.configuration.index.config)
 
 
-def configuration_state(part: int) -> Figures:
-    """Return the sizes of a part of the target's configuration, and what it and a change cost control and a proxy."""
-    config = configuration(ROUTES // part, SERVICES, TENANTS // part)
+def configuration_state(divisor: int) -> Figures:
+    """Measure a configuration of the target size divided by `divisor`: its sizes, and its cost and that of a change.
+
+    The cost is that of the control process and of a proxy.
+    """
+    config = random_configuration(ROUTES // divisor, SERVICES, TENANTS // divisor)
     body = json.dumps(config, separators=(",", ":")).encode()
     size = {name: len(json.dumps(config[name], separators=(",", ":"))) / MB for name in ("routes", "tenants")}
-    again = json.dumps(changed(config, 2), separators=(",", ":")).encode()
+    second_body = json.dumps(change_routes(config, 2), separators=(",", ":")).encode()
     del config
     state = State()
     before = resident_mb()
     first_s = timed(lambda: state.apply(1, config_items.changed_items(state, 1, body)))
     control_mb = resident_mb() - before
-    whole = encode(state.update_since(0))
-    second_s = timed(lambda: state.apply(2, config_items.changed_items(state, 2, again)))
+    complete_state = encode(state.update_since(0))
+    second_s = timed(lambda: state.apply(2, config_items.changed_items(state, 2, second_body)))
     change = encode(state.update_since(1))
     proxy = ConfiguredProxy()
     before = resident_mb()
-    whole_s = timed(lambda: proxy.take(whole))
+    whole_s = timed(lambda: proxy.receive(complete_state))
     proxy_mb = resident_mb() - before
-    change_s = timed(lambda: proxy.take(change))
-    from thistleusher.configuration.validation import (
-        read_configuration,  # after the proxy's figures, as a proxy does not load it
-    )
+    change_s = timed(lambda: proxy.receive(change))
+    # Imported after the proxy's figures are taken, as a proxy does not load this module.
+    from thistleusher.configuration.validation import read_configuration
 
     return {
         "document MB": len(body) / MB,
         "of it routes MB": size["routes"],
         "of it tenants MB": size["tenants"],
-        "whole state, message MB": len(whole) / MB,
-        "whole state, compressed MB": len(zlib.compress(whole, 6)) / MB,
+        "whole state, message MB": len(complete_state) / MB,
+        "whole state, compressed MB": len(zlib.compress(complete_state, 6)) / MB,
         "change, message bytes": len(change),
         "control: check s": timed(lambda: read_configuration(body)),
         "control: first document to items s": first_s,
@@ -115,15 +117,21 @@
     }
 
 
-def list_state(part: int) -> Figures:
-    """Return what a part of the target's list of backends costs: a reading the registry, and the list a proxy."""
-    count = BACKENDS // part
-    rows = backends(count, [f"s-{n}" for n in range(SERVICES)])
+def list_state(divisor: int) -> Figures:
+    """Measure a backend list of the target size divided by `divisor`: the cost of reading it and of using it.
+
+    The registry reads the list page by page, at the platform's permitted rate of calls.
+    """
+    count = BACKENDS // divisor
+    rows = random_backends(count, [f"s-{n}" for n in range(SERVICES)])
     pages = [
         json.dumps(
-            {"instances": rows[start : start + PAGE], "next_token": str(start + PAGE) if start + PAGE < count else None}
+            {
+                "instances": rows[start : start + PAGE_SIZE],
+                "next_token": str(start + PAGE_SIZE) if start + PAGE_SIZE < count else None,
+            }
         ).encode()
-        for start in range(0, count, PAGE)
+        for start in range(0, count, PAGE_SIZE)
     ]
     poller = BackendPoller(0.0, 47.0)
     now = read_s = 0.0
@@ -137,16 +145,16 @@
     state = State()
     state.apply(1, {f"b:{name}": entry for name, entry in changes.items()})
     state.apply(2, {f"b:{rows[0]['id']}": {**(changes[rows[0]["id"]] or {}), "p": "draining"}})
-    deciding = decisions()
+    proxy_decisions = decisions()
     before = resident_mb()
-    places = {
+    listed_backends = {
         name: ListedBackend(name, entry["s"], read_address(entry["a"]), entry["z"], "r-0", entry["c"], False, 0.0)
         for name, entry in changes.items()
         if entry is not None
     }
-    first_s = timed(lambda: deciding.apply_backends(0.0, places))
+    first_s = timed(lambda: proxy_decisions.apply_backends(0.0, listed_backends))
     proxy_mb = resident_mb() - before
-    places.pop(next(iter(places)))
+    listed_backends.pop(next(iter(listed_backends)))
     return {
         "registry: pages": len(pages),
         "registry: seconds of a reading": now,
@@ -156,12 +164,15 @@
         "one backend, message bytes": len(encode(state.update_since(1))),
         "proxy: take in s": first_s,
         "proxy: memory MB": proxy_mb,
-        "proxy: one backend less s": timed(lambda: deciding.apply_backends(1.0, dict(places))),
+        "proxy: one backend less s": timed(lambda: proxy_decisions.apply_backends(1.0, dict(listed_backends))),
     }
 
 
 def publisher_state(subscribers: int) -> Figures:
-    """Return the cost of a change of the registry's state for its followers; the state is as at the target."""
+    """Measure the cost of publishing a change of the registry's state to all subscribers.
+
+    The ratio of backends to proxies is that of the target.
+    """
     members = {
         f"m:proxy-{n}": {"front": "127.0.0.1:80", "ip": "127.0.0.1", "zone": "z-0", "region": "r-0", "up": True}
         for n in range(subscribers)
@@ -179,7 +190,7 @@
 
 
 def counter_state(senders: int) -> Figures:
-    """Return the counter's memory once each sender has sent as many charges as are remembered."""
+    """Measure memory and CPU time of the counter after each sender has sent the maximum number of recorded charges."""
     counts = QuotaCounter(0.0)
     tenants = [f"t-{n}" for n in range(1000)]
     counts.configure(dict.fromkeys(tenants, (1e6, 1e6)), {})
@@ -202,8 +213,12 @@
 
 
 STATES: dict[str, tuple[Callable[[int], Figures], dict[int, int], int]] = {
-    "configuration, by tenants": (configuration_state, {TENANTS // part: part for part in PARTS}, TENANTS),
-    "list, by backends": (list_state, {BACKENDS // part: part for part in PARTS}, BACKENDS),
+    "configuration, by tenants": (
+        configuration_state,
+        {TENANTS // divisor: divisor for divisor in TARGET_DIVISORS},
+        TENANTS,
+    ),
+    "list, by backends": (list_state, {BACKENDS // divisor: divisor for divisor in TARGET_DIVISORS}, BACKENDS),
     "publisher, by followers": (
         publisher_state,
         {n: n for n in (*SUBSCRIBERS, TARGET_SUBSCRIBERS)},
@@ -214,18 +229,18 @@
 
 
 def measure_states() -> dict[str, tuple[list[tuple[int, Figures]], int]]:
-    """Measure each state in a process of its own, as memory is measured."""
+    """Measure each state and size in a separate process, so that memory figures are independent of each other."""
     found: dict[str, tuple[list[tuple[int, Figures]], int]] = {}
     for name, (_, sizes, target) in STATES.items():
         results = []
         for size, argument in sizes.items():
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "benchmarks.scale.state", name, str(argument)],
                 check=True,
                 capture_output=True,
                 text=True,
             )
-            results.append((size, json.loads(done.stdout)))
+            results.append((size, json.loads(completed.stdout)))
         found[name] = results, target
     return found
 
--- a/benchmarks/take_over.py
+++ b/benchmarks/take_over.py
@@ -1,10 +1,12 @@
-"""Seconds from a loss to the next acknowledged change, and from a replacement to full tolerance, on the simulated core.
+"""Measure fail-over and replacement times of the simulated core.
 
 python -m benchmarks.take_over [--days 200]
 
-An operator sends a change at the very moment of the loss and goes on as the users' page says: another machine after a
-failure or a second of silence. Full tolerance after a replacement: the successor has its predecessor's vote, and what
-was acknowledged is on the disks of as many voters as the leader's view names, in two zones. One line a kind and size.
+Prints one line per kind of loss or replacement and number of machines. For a loss, the time runs until the next change
+is acknowledged: an operator sends the change at the moment of the loss and tries another machine after a failure or
+after one second without an answer. For a replacement, the time runs from the start of the new machine until the core
+has its full fault tolerance again: the new machine has the vote of the old one, and all acknowledged changes are on the
+disks of as many voters as the leader's view names, in at least two zones.
 """
 
 from __future__ import annotations
@@ -19,19 +21,19 @@
 from simnet.core.faults.injector import FaultInjector
 from simnet.core.machine import Machine
 
-MOST_S = 20.0  # counted for what has not come to be by then
-LOOK_S = 0.01
-SUCCESSOR_S = 1.0  # from an unplanned loss to its successor's start
-STARTED_S = 0.2  # from a planned successor's start until the old machine is terminated
+MAX_WAIT_S = 20.0  # Time limit of a run; the value that is counted for a run that does not finish by then.
+POLL_INTERVAL_S = 0.01  # Interval of simulated time at which a condition is checked.
+REPLACEMENT_DELAY_S = 1.0  # Time from an unplanned loss to the start of the replacement.
+TERMINATION_DELAY_S = 0.2  # Time from the start of a planned replacement to the termination of the old machine.
 
 
 class Loss(NamedTuple):
-    """A kind of loss: as the table names it, and as the simulation does."""
+    """A kind of loss: its name in the table, and the kind, options and duration of the simulated fault."""
 
     name: str
     kind: str
-    how: tuple[str, ...] = ()
-    for_s: float = 3.0
+    options: tuple[str, ...] = ()
+    duration_s: float = 3.0
 
 
 LOSSES = (
@@ -48,96 +50,96 @@
 )
 
 
-def founded(seed: int, machines: int) -> Cluster:
-    """Return a core in calm, with one configuration, at a moment that the seed draws."""
-    core = Cluster(seed, machines)
-    core.version = 1
-    core.clock.at(2.5, lambda: core.operators.put(1, "c1"))
-    core.clock.run(4.0 + 2.0 * core.rng.random())
-    return core
+def running_core(seed: int, machines: int) -> Cluster:
+    """Return a core without faults and with one configuration, at a moment that depends on the seed."""
+    cluster = Cluster(seed, machines)
+    cluster.version = 1
+    cluster.clock.at(2.5, lambda: cluster.operators.put(1, "c1"))
+    cluster.clock.run(4.0 + 2.0 * cluster.rng.random())
+    return cluster
 
 
-def wait_until(core: Cluster, so: Callable[[], bool]) -> float:
-    """Let time pass until something is so, `MOST_S` at most; return the seconds that it took."""
-    begin = core.clock.now
-    while not so() and core.clock.now < begin + MOST_S:
-        core.clock.run(core.clock.now + LOOK_S)
-    return core.clock.now - begin
+def wait_until(cluster: Cluster, condition: Callable[[], bool]) -> float:
+    """Run the simulation until a condition holds, for at most `MAX_WAIT_S`; return the simulated seconds."""
+    begin = cluster.clock.now
+    while not condition() and cluster.clock.now < begin + MAX_WAIT_S:
+        cluster.clock.run(cluster.clock.now + POLL_INTERVAL_S)
+    return cluster.clock.now - begin
 
 
-def after_loss(seed: int, loss: Loss, machines: int) -> float:
-    """Play one loss; return the seconds until a change that is sent at its moment is acknowledged."""
-    core = founded(seed, machines)
-    leader = core.leader()
+def recovery_time(seed: int, loss: Loss, machines: int) -> float:
+    """Simulate one loss; return the seconds until a change that is sent at the same moment is acknowledged."""
+    cluster = running_core(seed, machines)
+    leader = cluster.leader()
     assert leader is not None
     if loss.kind == "roll_term":
-        core.terminate(leader)
+        cluster.terminate(leader)
     elif loss.kind == "after_ack_wipe":
-        core.end(leader, power=True, wipe=True, restart_s=loss.for_s)
+        cluster.end(leader, power=True, wipe=True, restart_s=loss.duration_s)
     else:
-        FaultInjector(core, strict=False).inject(Fault(core.clock.now, loss.kind, loss.for_s, loss.how))
-    core.version = 2
-    core.operators.put(2, "c2")
-    return wait_until(core, lambda: core.history.acknowledged == 2)
+        FaultInjector(cluster, strict=False).inject(Fault(cluster.clock.now, loss.kind, loss.duration_s, loss.options))
+    cluster.version = 2
+    cluster.operators.put(2, "c2")
+    return wait_until(cluster, lambda: cluster.history.acknowledged == 2)
 
 
-def tolerates_all_losses(core: Cluster, old: Machine) -> bool:
-    """Return whether the core bears as many losses as ever."""
-    leader = core.lease_holder()
+def has_full_tolerance(cluster: Cluster, old: Machine) -> bool:
+    """Return whether the core has its full fault tolerance again after the replacement of `old`."""
+    leader = cluster.lease_holder()
     if leader is None or leader.node is None or leader.node.view is None:
         return False
     view = leader.node.view
-    machines = [core.machines[a] for a in view.voters]
-    holders = [core.machines[a] for a in view.replica_set]
+    machines = [cluster.machines[a] for a in view.voters]
+    holders = [cluster.machines[a] for a in view.replica_set]
     return (
         old.address not in view.voters
         and all(m.node is not None for m in machines)
-        and len(holders) > core.tolerance
-        and all((m.disk.item("config") or {"v": -1})["v"] >= core.history.acknowledged for m in holders)
+        and len(holders) > cluster.tolerance
+        and all((m.disk.item("config") or {"v": -1})["v"] >= cluster.history.acknowledged for m in holders)
         and len({m.zone for m in holders}) > 1
     )
 
 
-def after_replacement(seed: int, role: str, planned: bool, machines: int) -> float:
-    """Play one exchange of a machine; return the seconds from its successor's start to full tolerance."""
-    core = founded(seed, machines)
-    leader = core.leader()
+def replacement_time(seed: int, role: str, planned: bool, machines: int) -> float:
+    """Simulate one replacement; return the seconds from the start of the new machine to full fault tolerance."""
+    cluster = running_core(seed, machines)
+    leader = cluster.leader()
     assert leader is not None and leader.node is not None and leader.node.view is not None
     view = leader.node.view
     witness = next(a for a in view.voters if a not in view.replica_set)
-    old = {"leader": leader, "replica": core.machines[view.replicas[0]], "witness": core.machines[witness]}[role]
+    old = {"leader": leader, "replica": cluster.machines[view.replicas[0]], "witness": cluster.machines[witness]}[role]
     if not planned:
-        core.remove(old)
-        core.clock.run(core.clock.now + SUCCESSOR_S)
-    core.add(old.zone)
-    started = core.clock.now
+        cluster.remove(old)
+        cluster.clock.run(cluster.clock.now + REPLACEMENT_DELAY_S)
+    cluster.add(old.zone)
+    started = cluster.clock.now
     if planned:
-        core.clock.run(started + STARTED_S)
+        cluster.clock.run(started + TERMINATION_DELAY_S)
         old.removed = True
-        core.terminate(old, restart_s=None)
-    wait_until(core, lambda: tolerates_all_losses(core, old))
-    return core.clock.now - started
+        cluster.terminate(old, restart_s=None)
+    wait_until(cluster, lambda: has_full_tolerance(cluster, old))
+    return cluster.clock.now - started
 
 
-def show(name: str, machines: int, times: list[float]) -> None:
-    """Print one line."""
+def print_times(name: str, machines: int, times: list[float]) -> None:
+    """Print the median and the maximum of the times in seconds."""
     print(f"{name:34} {machines:8}  {statistics.median(times):6.2f} {max(times):6.2f}", flush=True)
 
 
 def main() -> None:
-    """Print a line a kind."""
+    """Print a line per kind of loss or replacement and number of machines."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--days", type=int, default=200)
     options = parser.parse_args()
     seeds = range(options.days)
-    print(f"{'loss, or exchange':34} machines  median  worst (s)")
+    print(f"{'loss or replacement':34} machines  median  worst (s)")
     for machines in (3, 5):
         for loss in LOSSES:
-            show(loss.name, machines, [after_loss(seed, loss, machines) for seed in seeds])
+            print_times(loss.name, machines, [recovery_time(seed, loss, machines) for seed in seeds])
         for planned in (True, False):
             for role in ("leader", "replica", "witness"):
-                name = f"{'planned' if planned else 'unplanned'} exchange of a {role}"
-                show(name, machines, [after_replacement(seed, role, planned, machines) for seed in seeds])
+                name = f"{'planned' if planned else 'unplanned'} replacement: {role}"
+                print_times(name, machines, [replacement_time(seed, role, planned, machines) for seed in seeds])
 
 
 if __name__ == "__main__":
