--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -34,7 +34,7 @@
                     excess = w.excess(plan)
                     quota, ceiling = max(quota, excess[0]), max(ceiling, excess[1])
                     served, fair = served + w.served, fair + w.fair
-            stated_bound = failures.stated_bound(fault, bound)
+            stated = failures.stated_bound(fault, bound)
             stated_ceiling = "-" if bound.ceiling is None else f"{bound.ceiling:.0f}"
             print(
                 f"{fault.__name__:24} {plan:6} {quota:13.1f} {stated:7.0f} {ceiling:15.1f} {stated_ceiling:>7}"
