--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -27,9 +27,7 @@
 KILL_INTERVAL_S = 0.7  # Base interval between two kills of one ingress, whose start takes 0.3 s.
 PORT_ATTEMPTS = 4  # Maximum attempts to start a deployment whose ports another process has taken.
 # The log line that each incarnation with a state folder writes at its start, and the names of its counts.
-START_LINE = re.compile(
-    r"state: incarnation (\d+): (\d+) members and (\d+) reservations restored; skipped records: (\d+) corrupt"
-)
+START_LINE = re.compile(r"state: life (\d+), (\d+) members put back, (\d+) rooms, (\d+) records spoilt")
 RESTORED = ("customers restored", "reservations restored", "records corrupt")
 
 
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -215,8 +215,8 @@
     act = w.act
     w.act = lambda n, a: logs.append(a.text) if isinstance(a, actions.Log) else act(n, a)
     w.traffic(0.5, 30.0, lambda at: 1)
-    assert [t for t in logs if "counter lost" in t] and lost > 0
-    assert len([t for t in logs if "counter lost" in t]) == 1  # logged once
+    assert [t for t in logs if "forgets" in t] and lost > 0
+    assert len([t for t in logs if "forgets" in t]) == 1  # logged once
 
 
 def within_a_window(w, seconds=0.6):
--- a/thistleusher/policy/admission.py
+++ b/thistleusher/policy/admission.py
@@ -158,7 +158,7 @@
             self._call_failed(now, call, event, health)
             return
         if health.is_down():
-            self.actions.append(Log(f"counter is available again after {health.misses} failed calls"))
+            self.actions.append(Log(f"counter answers again after {health.misses} misses"))
         health.record_answer(now, event.elapsed / self.settings.counter_timeout)
         total = event.total
         if event.outcome is not Outcome.OK:  # added, but the total is unreadable: use its lower bound
@@ -172,7 +172,7 @@
         customer = call.customer
         health.record_miss(now)
         if health.misses == DOWN_MISSES:
-            self.actions.append(Log("counter does not answer: admitting requests by local shares"))
+            self.actions.append(Log("counter gives no answer: admitting by local shares"))
         customer.pending += call.units - call.charged
         if event.outcome is Outcome.TIMEOUT:
             customer.add_unconfirmed(call.window, call.units)
--- a/thistleusher/policy/totals.py
+++ b/thistleusher/policy/totals.py
@@ -79,7 +79,7 @@
         """
         lost = customer.acknowledged
         if now - self.last_loss_at > LOSS_LOG_S:
-            self.actions.append(Log(f"counter lost {lost:.1f} units of a count; reporting them again"))
+            self.actions.append(Log(f"counter forgets: {lost:.1f} units of a name are gone; they are told anew"))
         self.last_loss_at = now
         customer.mark_unreported()
 
--- a/thistleusher/state/snapshotter.py
+++ b/thistleusher/state/snapshotter.py
@@ -148,9 +148,9 @@
         self, incarnation: IncarnationRecord, recovered: RecoveredMembers, reservations: list[SavedReservation]
     ) -> None:
         if self.store.is_copy:
-            log.warning("state: %s is a copy: units not written back by its original are ignored", self.store.folder)
+            log.warning("state: %s is a copy: what its original had not written back is left out", self.store.folder)
         log.info(
-            "state: incarnation %d: %d members and %d reservations restored; skipped records: %d corrupt%s",
+            "state: life %d, %d members put back, %d rooms, %d records spoilt%s",
             incarnation.number,
             len(recovered.members),
             len(reservations),
--- a/thistleusher/state/writer.py
+++ b/thistleusher/state/writer.py
@@ -165,5 +165,5 @@
             self._oldest_at = batch.oldest_at
             self._condition.notify_all()
             if self.failures == 1 or retry >= MAX_RETRY_S:
-                log.warning("state: commit failed, %d records waiting: %s", len(self.pending), error)
+                log.warning("state: not committed, %d members wait: %s", len(self.pending), error)
             self._condition.wait_for(lambda: self._stopped, retry)
