--- a/thistleusher/core/driver.py
+++ b/thistleusher/core/driver.py
@@ -203,7 +203,7 @@
         if in_flight.attempt is not None:
             in_flight.attempt.expire()
         if not in_flight.answered:
-            log.info("request %s: no decision by its deadline, answered by the driver", in_flight.request.id)
+            log.info("request %s: answered by the watchdog", in_flight.request.id)
             self._answer_without_decision(in_flight)
             self.submit(events.ClientGone(in_flight.request.id))
         self._remove_if_done(in_flight)
