--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -96,7 +96,7 @@
     assert more == pytest.approx(0.0) and w.let > 20 and next(w.steps) > 60
 
 
-@pytest.mark.parametrize("early", [True, False])
+@pytest.mark.parametrize("commit_first", [True, False])
 def test_at_every_point_what_was_let_in_is_counted_once_or_stated(commit_first):
     """If records are committed before actions are carried out, no unit is lost to the count; else at most one request.
 
