--- a/soak/runner.py
+++ b/soak/runner.py
@@ -1,4 +1,6 @@
-"""Runs cases on all cores until the time is up or the first failure; minimizes failed cases and writes them to files.
+"""Runs cases on all cores until the time is up, or until the first failure; minimizes failed cases and stores them.
+
+With `--go-on`, failures do not stop the run.
 
 A fleet takes about two cores, so that fewer fleets than other cases run concurrently. Each worker is a process, which
 isolates leaks and crashes of a case. A case that does not end within its time limit is a failure.
--- a/standins/fleet_faults.py
+++ b/standins/fleet_faults.py
@@ -103,7 +103,7 @@
         switches[what]()
 
     def _delay_counter(self, fault: Fault, on: bool) -> None:
-        """Point one ingress to a counter with the same totals that answers late."""
+        """Point one ingress to a counter that has the same totals but answers late."""
         self._second_counter.counts = self._counter.counts
         self._second_counter.delay = fault.value if on else COUNTER_DELAY_S
         self._select_counter(fault, on)
