--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -1,4 +1,4 @@
-"""A small service that limits its members to quotas: run it under any ASGI server."""
+"""An example service that enforces quotas for its customers. It runs under any ASGI server."""
 
 from starlette.applications import Starlette
 from starlette.middleware import Middleware
@@ -23,7 +23,7 @@
         ClassSettings("send-message", Effect.UNSAFE, objective=1.5, deadline=7.5),
     ),
     plans=(
-        PlanSettings("basic", rate=2.0, burst=8.0),  # units a second, units at once
+        PlanSettings("basic", rate=2.0, burst=8.0),  # Rate in units per second, burst in units.
         PlanSettings("plus", rate=16.0, burst=36.0),
     ),
     max_units=4.0,
@@ -35,7 +35,7 @@
 
 
 def identify(scope):
-    """Return who asks for what, from the request's own headers."""
+    """Return the customer, plan, class and units of a request, from its path, headers and method."""
     if scope["path"] == "/health":
         return PASS
     member = dict(scope["headers"]).get(b"x-member", b"").decode("latin-1")
@@ -46,7 +46,7 @@
 
 
 async def matches(request):
-    """Search, and settle what the search really cost."""
+    """Search, and settle the charge with the actual cost of the search."""
     found = ["one", "two"]
     request.scope["thistleusher.admission"].settle(0.5 * len(found))
     return JSONResponse(found)
@@ -57,7 +57,7 @@
     return JSONResponse({"sent": True})
 
 
-ingress = EmbeddedIngress(SETTINGS)  # counter="10.2.0.2:6400" shares quotas with other processes
+ingress = EmbeddedIngress(SETTINGS)  # To share quotas with other processes, add counter="10.2.0.2:6400".
 app = Starlette(
     routes=[
         Route("/matches", matches),
