--- a/simnet/core/history.py
+++ b/simnet/core/history.py
@@ -8,7 +8,7 @@
 from thistleusher.transport.state_updates import State
 
 CONFIG = "config"  # name of the configuration item, whose value is {"v": number, "z": contents}
-NO_NUMBER = -1  # number that stands for the lack of a configuration
+NO_NUMBER = -1  # number of a state without a configuration
 
 
 class Order(NamedTuple):
--- a/simnet/system/backends.py
+++ b/simnet/system/backends.py
@@ -52,7 +52,7 @@
     """Receives a notification when a request arrives at a backend."""
 
     def request_arrived(self, name: str, route: str, tenant: str, backend: Backend, work: Work) -> None:
-        """Handle the begin of a backend's work on a request."""
+        """Handle the start of a backend's work on a request."""
 
 
 class Backends:
--- a/simnet/system/clients.py
+++ b/simnet/system/clients.py
@@ -13,11 +13,12 @@
 
 MEAN_REQUEST_INTERVAL_S = 0.06  # mean time between two requests to one proxy
 EFFECTFUL_SHARE = 0.4  # fraction of requests on the route that is not idempotent
+# Fractions of requests from the tenant with a quota: by default, while recovery is checked, and during a `HOT` fault.
 USUAL_LIMITED_SHARE = 0.35
-CALM_LIMITED_SHARE = 0.1
+RECOVERY_LIMITED_SHARE = 0.1
 HIGH_LIMITED_SHARE = 0.9
 USUAL_LEAVE_SHARE = 0.05  # fraction of requests whose client disconnects within `MAX_LEAVE_DELAY_S`
-HIGH_LEAVE_SHARE = 0.9
+HIGH_LEAVE_SHARE = 0.9  # the same fraction during a `CLIENTS_LEAVE` fault
 MAX_LEAVE_DELAY_S = 0.3
 
 
--- a/simnet/system/days.py
+++ b/simnet/system/days.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from simnet.errors import RuleViolationError
-from simnet.system.clients import CALM_LIMITED_SHARE
+from simnet.system.clients import RECOVERY_LIMITED_SHARE
 from simnet.system.faults import Fault, FaultInjector, FaultKind
 from simnet.system.rules import FAULT_FREE_S
 from simnet.system.world import World
@@ -80,7 +80,7 @@
     times = [work.at for work in day.planned]
     measurement_from = max([MIN_DAY_S, *ends, *times]) + FAULT_FREE_S + RECOVERY_S
     world.clock.run(measurement_from)
-    world.clients.limited_share = CALM_LIMITED_SHARE
+    world.clients.limited_share = RECOVERY_LIMITED_SHARE
     world.rules.reset_counts()
     world.clock.run(measurement_from + MEASUREMENT_S)
     _check_recovery(world)
--- a/simnet/system/network.py
+++ b/simnet/system/network.py
@@ -1,8 +1,8 @@
 """Connections and datagrams between simulated processes.
 
 A connection delivers messages in order. A partition delays them until it ends. The connection lasts until one of its
-two processes ends, or until a partition exceeds `SILENCE_S`; messages in flight are then lost. Each message is encoded
-and decoded by the codec, as on a real connection. Datagrams may be lost.
+two processes ends, or until a partition exceeds `MAX_PARTITION_S`; messages in flight are then lost. Each message is
+encoded and decoded by the codec, as on a real connection. Datagrams may be lost.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from thistleusher.transport.codec import decode, encode
 from thistleusher.transport.messages import AnyMessage, Hello
 
-SILENCE_S = 1.5  # a connection is closed if it stays partitioned for longer than this
+MAX_PARTITION_S = 1.5  # a connection is closed if it stays partitioned for longer than this
 DATAGRAM_LOSS = 0.02  # fraction of datagrams that are lost
 JITTER = 0.3  # maximum extra delay of a message, as a fraction of the one-way delay
 
@@ -68,7 +68,7 @@
                 self._partitioned_until(listener.machine, process.machine),
             )
             if name in process.connections:
-                if until > self._clock.now + SILENCE_S:
+                if until > self._clock.now + MAX_PARTITION_S:
                     self._disconnect(process, listener)
             elif listener.running and until <= self._clock.now:
                 self._connect(process, name)
--- a/simnet/system/rules.py
+++ b/simnet/system/rules.py
@@ -211,7 +211,7 @@
             self.acknowledged = Acknowledgement(version, self._clock.now)
 
     def evacuation_acknowledged(self, zone: str, on: bool) -> None:
-        """Record that the begin or the end of an evacuation was acknowledged to the operator."""
+        """Record that the start or the end of an evacuation was acknowledged to the operator."""
         self.evacuations[zone] = Evacuation(on, self._clock.now)
 
     def version_due(self) -> int:
--- a/simnet/system/topology.py
+++ b/simnet/system/topology.py
@@ -11,7 +11,7 @@
 RATE_PER_S = BURST = 40.0  # quota of `LIMITED_TENANT`, the only tenant with a limit
 LIMITED_TENANT, UNLIMITED_TENANT = "t", "free"
 PURE_ROUTE, EFFECTFUL_ROUTE = "pure", "once"
-SERVICE = "s"
+SERVICE = "s"  # the only service; both routes lead to it
 DEADLINE_S = 2.0  # deadline of each client request
 TOLERANCE = 1  # number of core machines that may be lost at the same time
 
