--- a/tests/compatibility/fixtures.py
+++ b/tests/compatibility/fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures made by the code of release 0.2 before its names changed, and values in a form that no name is part of."""
+"""Loads fixtures that release 0.2 wrote, and converts values to forms that do not depend on names in the code."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def as_json(value: Any) -> Any:
-    """Return a value as JSON reads it back, so that it compares with a fixture."""
+    """Return a value after a round trip through JSON, so that it can be compared with a fixture."""
     return json.loads(json.dumps(value))
 
 
 def field_names(value: Any) -> tuple[str, ...] | None:
-    """Return the names of a record's fields in their order; None for what is no record."""
+    """Return the names of a record's fields in order, or None if the value is not a record."""
     for attribute in ("__struct_fields__", "_fields", "__dataclass_fields__"):
         if not isinstance(value, type) and hasattr(value, attribute):
             return tuple(getattr(value, attribute))
@@ -29,7 +29,7 @@
 
 
 def positional(value: Any) -> Any:
-    """Return a record as the list of its fields' values, at any depth: the same whatever its fields are called."""
+    """Return a record as the list of its fields' values, at any depth; the result does not depend on field names."""
     names = field_names(value)
     if names is not None:
         return [positional(getattr(value, name)) for name in names]
@@ -37,7 +37,7 @@
 
 
 def named(value: Any) -> Any:
-    """Return a record as a table by its fields' names, at any depth."""
+    """Return a record as a dictionary keyed by field name, at any depth."""
     names = field_names(value)
     if names is not None:
         return {name: named(getattr(value, name)) for name in names}
--- a/tests/compatibility/test_control_store.py
+++ b/tests/compatibility/test_control_store.py
@@ -1,4 +1,4 @@
-"""The control process's disk: a store written by release 0.2 is read, and what is written now is the same bytes."""
+"""Stores of control processes: a store that release 0.2 wrote can be read, and this release writes the same bytes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     "evac:b1": (13, None),
 }
 LEASES = {"registry": ("10.0.0.2", 9), "counter": ("10.0.0.3", 1)}
-WRITES = (  # each in a transaction of its own, by position
+WRITES = (  # fields in positional order; each element is written in its own transaction
     Records(5, None, None, 0, None, False, {"registry": ("10.0.0.1", 8)}),
     Records(None, ViewRecord(6, "10.0.0.2", (), {"10.0.0.2": "b"}), None, 0, None, False, None),
     Records(None, None, Position(6, 9, 6), 2, {"gone": (9, [1, 2])}, True, None),
@@ -32,7 +32,7 @@
 
 
 def write(folder: Path, writes: tuple[Records, ...] = WRITES) -> None:
-    """Write records to a folder, as the control process does."""
+    """Write records to a folder as the control process does; fail if any write fails."""
     done = threading.Semaphore(0)
     ends: list[bool] = []
 
@@ -52,7 +52,7 @@
 
 
 def raw(folder: Path) -> dict[str, str]:
-    """All keys and values of a store as hexadecimal text, in the order of the keys."""
+    """Return all keys and values of a store as hexadecimal text, in key order."""
     environment = lmdb.open(str(folder), max_dbs=0, lock=False)
     with environment.begin() as transaction:
         found = {bytes(key).hex(): bytes(value).hex() for key, value in transaction.cursor()}
@@ -61,7 +61,7 @@
 
 
 def stored(folder: Path) -> list[object]:
-    """What a process reads at its start, by position."""
+    """Return the records that a process reads when it starts, with fields by position."""
     storage = Storage(folder, 32.0, lambda token, ok: None)
     found = positional(storage.read())
     storage.close()
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """A copy of the store that release 0.2 wrote."""
+    """Return a copy of the store that release 0.2 wrote."""
     return Path(shutil.copytree(FOLDER / "control_store", tmp_path / "store"))
 
 
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -1,6 +1,6 @@
-"""Datagrams between ingresses: fleets in scripted time exchange the same bytes and decide the same as in release 0.2.
+"""Datagrams between ingresses: in scripted time, their bytes and all decisions are the same as in release 0.2.
 
-Each datagram begins with a mark that says what it is; all marks occur in some scene.
+The first byte of each datagram, the mark, identifies its type. Every mark occurs in at least one scene.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Watch:
-    """Digests of all that a fleet's ingresses want done: datagrams by their marks, and everything in one."""
+    """Digests of the actions of all ingresses: one per datagram mark, and one over all actions."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -29,10 +29,10 @@
         world.act = self.act  # type: ignore[method-assign]
 
     def act(self, instance: int, action: Any) -> None:
-        """Record an action, by position, and have it carried out."""
+        """Record an action with its fields by position, then execute it."""
         values = tuple(action)
         line = repr((self._world.now, instance, *(v.value if isinstance(v, Enum) else v for v in values))).encode()
-        if not (len(values) == 1 and isinstance(values[0], str) and " " in values[0]):  # no line for people on call
+        if not (len(values) == 1 and isinstance(values[0], str) and " " in values[0]):  # log texts are excluded
             self._add("all", line)
         for value in values:
             if isinstance(value, bytes):
@@ -48,7 +48,7 @@
 
 
 def traffic(world: World, seconds: float, rate: float, width: int, members: int = 30) -> None:
-    """Requests of both plans through sets that lie all round the numbering."""
+    """Send requests of both plans through ingress sets that start at varied instance numbers and may wrap round."""
     due = 0.0
     while (due := due + world.rng.expovariate(rate)) < seconds:
         member = world.rng.randrange(members)
@@ -66,12 +66,12 @@
 
 
 def calm(world: World) -> None:
-    """All is well."""
+    """Run without failures."""
     traffic(world, 4.0, 60.0, 2)
 
 
 def counter_fails(world: World) -> None:
-    """The counter falls silent, is away for a while, and answers again."""
+    """The counter stops answering for a while, then answers again."""
     traffic(world, 1.5, 60.0, 2)
     world.counters[0].silent = True
     traffic(world, 3.0, 60.0, 2)
@@ -80,7 +80,7 @@
 
 
 def restarts(world: World) -> None:
-    """One ingress is killed and another ends in order, while the counter is silent; both come back."""
+    """While the counter is silent, one ingress is killed and another shuts down in order; both restart."""
     world.counters[0].silent = True
     traffic(world, 2.0, 150.0, 3, members=4)
     world.kill(1)
@@ -92,7 +92,7 @@
 
 
 def one_restarts_often(world: World) -> None:
-    """One ingress is killed every 200 ms under one member's load: it asks its peers what went between them."""
+    """One ingress is killed every 200 ms under one member's load; each restart reconciles it with its peers."""
     world.counters[0].silent = True
     traffic(world, 4.0, 60.0, 3, members=1)
     for _ in range(10):
@@ -102,7 +102,7 @@
 
 
 def losses(world: World) -> None:
-    """Two datagrams in ten are lost, and one ingress is cut off for a while."""
+    """20 % of the datagrams are lost, and one ingress is isolated for a while."""
     world.loss = 0.2
     world.counters[0].silent = True
     traffic(world, 1.5, 60.0, 2)
@@ -113,7 +113,7 @@
 
 
 def large_fleet(world: World) -> None:
-    """Sixty ingresses: accounts have owners, which are asked; answers come late, then the counter falls silent."""
+    """Sixty ingresses query the owners of accounts; replies are delayed, then the counter stops answering."""
     world.inbox = 100.0
     traffic(world, 2.0, 250.0, 5)
     world.delay = 0.4
@@ -136,7 +136,7 @@
 
 
 def record(scene: str) -> dict[str, list[int | str]]:
-    """Play a scene; returns the digests of its datagrams by mark."""
+    """Run a scene; return the number and digest of its datagrams for each mark, and of all actions."""
     play, instances = SCENES[scene]
     world = World(11, instances)
     watch = Watch(world)
--- a/tests/compatibility/test_ingress_state.py
+++ b/tests/compatibility/test_ingress_state.py
@@ -1,4 +1,4 @@
-"""An ingress's state folder: one that release 0.2 wrote is read; what is written now has the same tables and bytes."""
+"""State folders of ingresses: one that release 0.2 wrote can be read; this release writes the same tables and bytes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 )
 LIST = EndpointListRecord(1_700_000_006.0, 41, PLACES)
 EVERY = (*MEMBERS, *ROOMS, LEARNT, LIST)
-READERS = (  # by the order of EVERY
+READERS = (  # in the order of EVERY
     records.decode_member,
     records.decode_member,
     records.decode_reservation,
@@ -50,7 +50,7 @@
 
 
 def write(folder: Path) -> None:
-    """Write a folder, as an ingress does in one incarnation."""
+    """Write a state folder as an ingress does during one incarnation."""
     store = Store(folder, NAME, "full")
     store.start_incarnation(NAME, BEGAN)
     store.commit([(("member", m.key), records.encode(m)) for m in MEMBERS])
@@ -64,7 +64,7 @@
 
 
 def dump(folder: Path) -> dict[str, Any]:
-    """All tables and rows. Left out of an incarnation's record: the file's inode, and so the checksum."""
+    """Return all tables and rows; incarnation records omit the file's inode and the checksum that depends on it."""
     database = sqlite3.connect(f"file:{folder / DATABASE_FILE}?immutable=1", uri=True)
     schema = [sql for (sql,) in database.execute("SELECT sql FROM sqlite_master ORDER BY name")]
     rows = {}
@@ -83,7 +83,7 @@
 
 
 def read(folder: Path) -> dict[str, Any]:
-    """What an ingress reads at its start, by position, and whether anything was spoilt."""
+    """Return the records that an ingress reads when it starts, by position, and whether any record is corrupt."""
     store = Store(folder, NAME)
     assert store.previous is not None
     incarnation = positional(store.previous)
@@ -102,13 +102,13 @@
 
 
 def packed() -> list[str]:
-    """The bytes of every kind of record, with their checksums."""
+    """Return the encoded bytes of every kind of record as hexadecimal text, including checksums."""
     return [records.encode(record).hex() for record in EVERY]
 
 
 @pytest.fixture
 def folder(tmp_path):
-    """A copy of the folder that release 0.2 wrote."""
+    """Return a copy of the folder that release 0.2 wrote."""
     return Path(shutil.copytree(FOLDER / "ingress_state", tmp_path / "state"))
 
 
@@ -124,7 +124,7 @@
 def test_a_folder_of_before_is_written_on(folder):
     before = (folder / DATABASE_FILE).stat().st_ino
     store = Store(folder, NAME)
-    incarnation = store.start_incarnation(NAME, BEGAN)  # the clock was set back: named after all before it
+    incarnation = store.start_incarnation(NAME, BEGAN)  # clock set back: start time still above earlier ones
     assert positional(incarnation) == [NAME, 2, BEGAN + 0.001, before, 1, 0.0]
     store.close()
 
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes keep their bytes: every tag, every field, in the order and of the types of release 0.2."""
+"""Messages between processes have the same bytes as in release 0.2: tags, and order and types of fields."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def shape(kind: Any) -> str:
-    """A field's type, with records as the list of their fields' types."""
+    """Return a field's type as text; a record is shown as the list of its fields' types."""
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return "[" + ", ".join(shape(field.type) for field in msgspec.structs.fields(kind)) + "]"
     arguments = [shape(each) for each in get_args(kind)]
--- a/tests/compatibility/test_public_forms.py
+++ b/tests/compatibility/test_public_forms.py
@@ -1,7 +1,7 @@
-"""What users, operators and the platform rely on: settings, documents, the deploy file, log events, names of libraries.
+"""Public interfaces are unchanged: settings, documents, deploy files, log events and names exported by libraries.
 
-The examples are those of the users' pages. What they are read as is compared with names of fields where these are
-names on the wire or in a file.
+The inputs are the examples of the users' pages. The parsed results are compared with field names if these names appear
+on the wire or in a file, and by position otherwise.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 FORMS = FOLDER / "forms"
-PORTS = ("prepare", "probe", "close_idle")  # methods that the decision module calls, not users
+PORTS = ("prepare", "probe", "close_idle")  # methods called by the decision module, not by users
 
 
 def text(name: str) -> str:
@@ -41,17 +41,17 @@
 
 
 def node_settings() -> Any:
-    """The settings file of a process of the system."""
+    """Return the parsed settings file of one of the system's processes."""
     return named(read_node_settings(text("boot.conf")))
 
 
 def configuration() -> Any:
-    """An operator's document with routes, services, limits and tenants."""
+    """Return a parsed operator's document with routes, services, limits and tenants."""
     return named(read_configuration(text("configuration.json").encode()))
 
 
 def configuration_items() -> Any:
-    """The same as items of the control state, and put together again."""
+    """Return the same document as items of the control state, and as reassembled from them."""
     changed = config_items.changed_items(State(), 7, text("configuration.json").encode())
     state = State()
     state.merge(1, {name: (1, value) for name, value in changed.items()})
@@ -61,46 +61,46 @@
 
 
 def ingress_settings() -> Any:
-    """An ingress's settings as the simulator's first message has them."""
+    """Return an ingress's settings as parsed from the simulator's first message."""
     return positional(read_settings(text("born.txt").strip().split(" ")[3:]))
 
 
 def ingress_configuration() -> Any:
-    """An ingress's configuration file."""
+    """Return an ingress's parsed configuration file."""
     return positional(read_config({"PROXY_CONFIG": str(FORMS / "config.json")}))
 
 
 def operator_file() -> Any:
-    """Every key of the operator's file with its value."""
+    """Return every key of the operator's file with its value."""
     return [list(each)[:2] for each in read_operator_file(str(FORMS / "operator.toml")).effective_values()]
 
 
 def state_file() -> Any:
-    """The older file of the state folder."""
+    """Return the parsed options file of the state folder in its older format."""
     return positional(read_options(str(FORMS / "state.toml")))
 
 
 def wire() -> Any:
-    """Replies on the simulator's wire to a script that has every event of its page."""
+    """Return the replies to a script with every event that the simulator's protocol page lists, without log lines."""
     sink = io.StringIO()
     wirehost.serve(io.StringIO(text("wire.txt")), sink)
     return [line for line in sink.getvalue().splitlines() if not line.startswith("EMIT ")]
 
 
 def log_events() -> Any:
-    """Number, level and fields of each event of the log."""
+    """Return the number, level and format fields of each log event."""
     return {str(e.value.number): [e.value.level, re.findall(r"%\w", e.value.text)] for e in Event}
 
 
 def library(module: Any) -> Any:
-    """The names of a library: what it exports, their parameters, members and methods."""
+    """Return the names that a library exports, with their parameters, members and methods."""
     return {name: public(getattr(module, name)) for name in sorted(module.__all__)}
 
 
 def public(value: Any) -> Any:
-    """What may be used of an exported value: members of an enum, parameters of a call, methods of a class.
+    """Return the public interface of a value: members of an enum, parameters of a callable, methods of a class.
 
-    `PORTS` are left out.
+    The methods in `PORTS` are excluded.
     """
     if isinstance(value, type) and issubclass(value, Enum):
         return [member.name for member in value]
@@ -114,7 +114,7 @@
 
 
 def bases(kind: type) -> list[type]:
-    """The bases of a class that are this project's own."""
+    """Return the class and its base classes that this project defines."""
     package = kind.__module__.partition(".")[0]
     return [base for base in kind.__mro__ if base.__module__.partition(".")[0] == package]
 
--- a/tests/compatibility/test_simulated_runs.py
+++ b/tests/compatibility/test_simulated_runs.py
@@ -1,9 +1,9 @@
 """Simulated runs are the same as in release 0.2: virtual times, bytes sent, bytes written and log events of each seed.
 
-Those with clients that leave, and with slow backends, are as when they were added.
+Runs with clients that leave or with slow backends are compared with recordings made when these faults were added.
 
-What is seen here lies below any name that may change: the queue of due events (`heapq`), the encoder of the codec, and
-the encoder of simulated disks; log events count by their numbers.
+The recording does not depend on names that may change: it patches the queue of due events (`heapq`), the encoder of the
+codec and the encoder of simulated disks, and identifies log events by their numbers.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from thistleusher.transport import codec
 
 SEEDS = range(10)
-ADDED_FAULTS = (FaultKind.SLOW, FaultKind.CLIENTS_LEAVE)  # since release 0.2
+ADDED_FAULTS = (FaultKind.SLOW, FaultKind.CLIENTS_LEAVE)  # kinds added after release 0.2
 FORMER_FAULTS = tuple(kind for kind in FaultKind if kind not in ADDED_FAULTS)
 
 
 def play_clients_that_stay(seed: int) -> None:
-    """Play a seed's day of the system as release 0.2 has it, where no client leaves."""
+    """Run a seed's simulated day of the system as in release 0.2, in which no client leaves."""
     days.run_day(World(seed, leave_share=0.0), days.draw(seed, FORMER_FAULTS))
 
 
@@ -39,14 +39,14 @@
 
 
 class Recorder:
-    """Digests of what a run does, by kind, and how many there were of each."""
+    """Counts and digests of a run's events by kind."""
 
     def __init__(self) -> None:
         self._digests: dict[str, Any] = {}
         self._counts: dict[str, int] = {}
 
     def add(self, kind: str, data: bytes) -> None:
-        """Take in one thing that has happened, after those before it; `all` keeps the order between kinds."""
+        """Append one event to the digest of its kind and to `all`, which covers the order across kinds."""
         for name in (kind, "all"):
             digest = self._digests.setdefault(name, hashlib.sha256())
             digest.update(len(data).to_bytes(4) + kind.encode() + data)
@@ -57,7 +57,7 @@
 
 
 class RecordingEncoder:
-    """In place of the codec's encoder: what is sent is recorded."""
+    """Replaces the codec's encoder and records the messages that are sent."""
 
     def __init__(self, encoder: msgspec.msgpack.Encoder, recorder: Recorder) -> None:
         self._encoder, self._recorder = encoder, recorder
@@ -69,7 +69,7 @@
 
 
 def record(run: Callable[[int], Any], seed: int, patch: Callable[[Any, str, Any], None]) -> dict[str, list[int | str]]:
-    """Play a seed's day; `patch(owner, name, value)` sets an attribute for as long as it takes."""
+    """Run a seed's day and return its digests; `patch(owner, name, value)` sets an attribute for the duration."""
     recorder = Recorder()
     pop, encode, make_note = heapq.heappop, msgspec.msgpack.encode, LogEvent.__new__
 
@@ -99,7 +99,7 @@
 
 
 def _without_prose(field: Any) -> Any:
-    """Return a field of a log event by position; a reason in words, which may be put better, counts as such."""
+    """Return a field of a log event by position; prose, which may be reworded, is replaced by a placeholder."""
     return "(words)" if isinstance(field, str) and " " in field else positional(field)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What tests of several packages share so that they can run in several processes at once."""
+"""Fixtures that let tests of several packages run in parallel processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def system_addresses():
-    """Wait until no other test process uses the fixed addresses of `standins.system`; hold them for one test."""
+    """Reserve the fixed addresses of `standins.system` for one test; waits until no other test process uses them."""
     with SYSTEM_LOCK.open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
--- a/tests/docs/test_doc_comments.py
+++ b/tests/docs/test_doc_comments.py
@@ -1,8 +1,8 @@
-"""Code spans in the doc comments of the product name types, constants, modules and members that exist.
+"""Code spans in the product's doc comments refer to types, constants, modules and members that exist.
 
-Looked at are spans that look like the name of a type (`CamelCase`), a constant (`UPPER_CASE`), a member of a type
-(`Type.member`) or a module (`package.module`, or `module` of the same package with a member). Other words in spans are
-names of parameters and fields, values and texts, which nothing tells apart.
+Only spans that look like the name of a type (`CamelCase`), a constant (`UPPER_CASE`), a member of a type
+(`Type.member`) or a module (`package.module`, or `module` of the same package with a member) are checked. Other spans
+hold names of parameters and fields, values or texts, and cannot be told apart by their form.
 """
 
 import ast
@@ -22,7 +22,7 @@
 TYPE = re.compile(r"[A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*")
 CONSTANT = re.compile(r"[A-Z][A-Z0-9]+(_[A-Z0-9]+)*")
 DOTTED_NAME = re.compile(r"[A-Za-z_]\w*(\.[A-Za-z_]\w*)+")
-NOT_OURS = {"Connection", "PROXY_CONFIG"}  # a header of HTTP, a variable of the environment
+NOT_OURS = {"Connection", "PROXY_CONFIG"}  # an HTTP header and an environment variable
 DOCUMENTED = ast.Module | ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef
 
 
@@ -33,17 +33,17 @@
 
 
 def doc_comments(tree: ast.Module) -> Iterator[str]:
-    """Return the doc comments of a module, its types and functions."""
+    """Return the doc comments of a module and of its types and functions."""
     return (ast.get_docstring(node) or "" for node in ast.walk(tree) if isinstance(node, DOCUMENTED))
 
 
 def spans_of(tree: ast.Module) -> set[str]:
-    """Return the code spans of a module's doc comments; a call counts as the name of what is called."""
+    """Return the code spans of a module's doc comments; a call is reduced to the name of the called function."""
     return {ARGUMENTS.sub("", span) for text in doc_comments(tree) for span in CODE_SPAN.findall(text)}
 
 
 def assigned_names(body: list[ast.stmt]) -> set[str]:
-    """Return the names that statements assign, with those in tuples of targets."""
+    """Return the names that statements assign, including names in tuples of targets."""
     targets = [target for node in body if isinstance(node, ast.Assign) for target in node.targets]
     targets += [node.target for node in body if isinstance(node, ast.AnnAssign)]
     return {each.id for target in targets for each in ast.walk(target) if isinstance(each, ast.Name)}
@@ -57,13 +57,13 @@
             names.add(node.name)
         if isinstance(node, ast.Import | ast.ImportFrom):
             names |= {alias.asname or alias.name for alias in node.names}
-        if isinstance(node, ast.If):  # imports for type checks
+        if isinstance(node, ast.If):  # imports used only for type checks
             names |= defined_names(node.body)
     return names
 
 
 def own_members(node: ast.ClassDef) -> set[str]:
-    """Return what a class defines: methods, fields, and the attributes that its methods assign."""
+    """Return the names of a class's methods, fields, and attributes assigned in methods."""
     attributes = {
         each.attr
         for each in ast.walk(node)
@@ -84,7 +84,7 @@
 
 
 def members_of_class(name: str) -> set[str]:
-    """Return the members of all classes of a name, with those of their base classes in the product."""
+    """Return the members of all classes with a given name, including members inherited from the product's classes."""
     members = set()
     for node in classes().get(name, []):
         members |= own_members(node)
@@ -106,13 +106,13 @@
 
 
 def is_module(parts: list[str]) -> bool:
-    """Return whether the path of a package or module, below the product's own, exists."""
+    """Return whether a package or module exists at a path below the product's package."""
     path = PACKAGE.joinpath(*parts)
     return path.is_dir() or path.with_suffix(".py").is_file()
 
 
 def resolves(parts: list[str]) -> bool:
-    """Return whether a path names a module, a module's member, or a member of a module's class."""
+    """Return whether a dotted path names a module, a member of a module, or a member of a class in a module."""
     for length in range(len(parts), 0, -1):
         if not is_module(parts[:length]):
             continue
@@ -133,8 +133,8 @@
 def exists(span: str, file: Path) -> bool:
     """Return whether a dotted name in a file's doc comments exists.
 
-    A module is named from the product's package or from the file's own. What starts with neither a module nor a type
-    is an object of the surroundings, as `loop.time`, or a placeholder, and passes.
+    A module may be named relative to the product's package or to the file's own package. A name that starts with
+    neither a module nor a type is accepted: it denotes an external object, such as `loop.time`, or a placeholder.
     """
     parts = span.removeprefix("thistleusher.").split(".")
     if TYPE.fullmatch(parts[0]):
@@ -146,7 +146,7 @@
 
 
 def wrong_spans(spans: set[str], file: Path) -> list[str]:
-    """Return the spans that look like a name of the product and are none."""
+    """Return the spans that look like a name of the product but do not exist in it."""
     plain = {span for span in spans if TYPE.fullmatch(span) or CONSTANT.fullmatch(span)}
     dotted = {span for span in spans if DOTTED_NAME.fullmatch(span)}
     wrong = plain - known_names() - NOT_OURS
@@ -159,7 +159,7 @@
 
 
 def test_spans_are_found():
-    """Were no spans seen, the test above would pass on anything."""
+    """Guards against an extraction that finds no spans, with which the test above would always pass."""
     spans = set().union(*(spans_of(tree_of(file)) for file in FILES))
     assert sum(bool(TYPE.fullmatch(span)) for span in spans) > 30
     assert sum(bool(CONSTANT.fullmatch(span)) for span in spans) > 50
--- a/tests/docs/test_module_names.py
+++ b/tests/docs/test_module_names.py
@@ -1,4 +1,4 @@
-"""The pages for newcomers name modules and types that exist."""
+"""The introductory pages refer to modules and types that exist."""
 
 import ast
 import re
@@ -16,7 +16,7 @@
 
 
 def current_text(page: str) -> str:
-    """Return a page without fenced blocks and without the first column of tables of former names, which are gone."""
+    """Return a page without fenced blocks and without the column of former names in tables of renames."""
     lines = FENCED_BLOCK.sub("", (ROOT / page).read_text()).splitlines()
     former = False
     kept = []
@@ -37,7 +37,7 @@
 
 
 def members_of(file: Path) -> set[str]:
-    """Return what a module defines or imports at its top level, and the members of its classes as `Class.member`."""
+    """Return the names that a module defines or imports at top level, and its classes' members as `Class.member`."""
     members = set()
     for node in ast.parse(file.read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -61,7 +61,7 @@
 
 
 def exists(name: str) -> bool:
-    """Return whether a name is a module, or a module with the member that follows it."""
+    """Return whether a dotted name denotes a module or a member of a module."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         path = PACKAGE.joinpath(*parts[:length])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small hand-driven ingress for the tests."""
+"""A gateway that tests drive one event at a time, with scripted replies of the counter."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class Ingress:
-    """Drives one gateway; a healthy counter of its own unless a test sets another."""
+    """Drives one gateway on a scripted clock.
+
+    `counter` sets how the counter replies: "up" (the default), "silent", "refusing" or "timeout".
+    """
 
     def __init__(self, backends: int = 4, now: float = 100.0, born: float = 0.0, seed: int = 1, **more: Any) -> None:
         args: dict[str, Any] = dict(
@@ -56,7 +59,7 @@
         )
 
     def give(self, event: Event) -> list[Action]:
-        """Hand in one event and what the counter answers to it; returns all actions."""
+        """Deliver one event, then the counter's replies to the resulting adds; return all actions."""
         todo, seen = [event], []
         while todo:
             for a in self.gw.handle(self.now, todo.pop(0)):
@@ -67,7 +70,7 @@
         return seen
 
     def count(self, a: CounterAdd) -> events.CounterReply:
-        """What the counter says to one add."""
+        """Return the counter's reply to one add."""
         if self.counter == "refusing":
             return events.CounterReply(a.name, Outcome.CONNECT_FAILED, 0.001, 0.0)
         if self.counter == "timeout":
@@ -84,7 +87,7 @@
         expires: float = 6.0,
         width: int = 2,
     ) -> list[Action]:
-        """One request; its id is r1, r2, ..."""
+        """Deliver one request; the ids of successive requests are r1, r2, ..."""
         self.n += 1
         return self.give(events.Request(f"r{self.n}", cls, plan, customer, expires, units, width))
 
@@ -97,14 +100,14 @@
         true: float = 0.0,
         done: bool | None = None,
     ) -> list[Action]:
-        """The outcome of an attempt."""
+        """Deliver the outcome of an attempt."""
         ok = outcome is Outcome.OK if done is None else done
         return self.give(
             events.AttemptEnded(attempt.request, n, attempt.backend, outcome, elapsed, ok, true_units=true)
         )
 
     def beat(self, seconds: float) -> list[Action]:
-        """Let time pass in beats of the gateway's timer."""
+        """Advance the clock by `seconds` in steps of 0.05 s and fire the timer at each step; return all actions."""
         out: list[Action] = []
         stop = self.now + seconds
         while self.now < stop - 1e-9:
@@ -114,12 +117,12 @@
 
 
 def only(actions: list[Action], kind: type) -> Any:
-    """The one action of a kind."""
+    """Return the only action of a kind; fail if there is not exactly one."""
     found = [a for a in actions if isinstance(a, kind)]
     assert len(found) == 1, actions
     return found[0]
 
 
 def some(actions: list[Action], kind: type) -> list[Any]:
-    """All actions of a kind."""
+    """Return all actions of a kind."""
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/scripted_loop.py
+++ b/tests/scripted_loop.py
@@ -1,4 +1,4 @@
-"""An event loop on a scripted clock, and a transport in memory: nothing sleeps and no socket is opened."""
+"""An event loop on a scripted clock and an in-memory transport; neither sleeps or opens a socket."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ScriptedClock(selectors.BaseSelector):
-    """A selector without files: to wait is to set the clock forward."""
+    """A selector without file descriptors; `select` advances the clock by the time-out instead of waiting."""
 
     now = 1000.0
 
@@ -29,7 +29,7 @@
 
 
 class ScriptedLoop(asyncio.SelectorEventLoop):
-    """An event loop on a scripted clock, without a socket."""
+    """An event loop on a scripted clock that opens no socket."""
 
     def __init__(self) -> None:
         self.script = ScriptedClock()
@@ -46,26 +46,30 @@
 
 
 class WireWorld(Protocol):
-    """What a wire asks of its surroundings."""
+    """The environment that a `Wire` needs."""
 
     loop: ScriptedLoop
-    frozen: bool  # whether the process stands still, so that nothing is read
+    frozen: bool  # whether the process is suspended, so that it reads nothing
 
 
 class Wire(asyncio.Transport):
-    """A transport in memory: what is written goes to `heard`, what `deliver` brings waits while the process stands."""
+    """An in-memory transport.
+
+    Written data is passed to `heard`. Data passed to `deliver` is queued while the process is suspended or has paused
+    reading.
+    """
 
     def __init__(self, world: WireWorld, protocol: Any, heard: Callable[[bytes], None]) -> None:
         super().__init__()
         self.world, self.protocol, self.heard = world, protocol, heard
-        self.ended = self.cut = False  # by the process; by the other side
-        self.closing = False  # once the other side has taken what it is owed
+        self.ended = self.cut = False  # closed by the process; closed by the other side
+        self.closing = False  # whether the transport closes once the other side has received all written data
         self.eof = False
-        self.unread: list[bytes | None] = []  # None: the other side's end
-        self.buffered = 0  # bytes that the other side has not taken yet
-        self.paused = False  # the process reads nothing for now
+        self.unread: list[bytes | None] = []  # None marks the end of the connection
+        self.buffered = 0  # bytes that the other side has not received yet
+        self.paused = False  # whether the process has paused reading
 
-    # The process's side.
+    # Methods that the process calls.
 
     def write(self, data: Any) -> None:
         if not self.ended and not self.cut:
@@ -100,7 +104,7 @@
             self.ended = True
             self.world.loop.call_soon(self.protocol.connection_lost, None)
 
-    # The socket below it.
+    # Methods of the underlying socket.
 
     def recv(self, count: int, flags: int) -> bytes:
         if not self.unread:
@@ -110,16 +114,16 @@
     def shutdown(self, how: int) -> None:
         return
 
-    # The other side.
+    # Methods that the test calls in place of the other side.
 
     def taken(self, count: int) -> None:
-        """The other side has taken some of what the process has written."""
+        """Record that the other side has received `count` of the bytes written by the process."""
         self.buffered = max(0, self.buffered - count)
         if self.closing and not self.buffered:
             self.abort()
 
     def deliver(self, data: bytes | None) -> None:
-        """Bytes for the process, or the connection's end; read at once unless the process stands still."""
+        """Deliver bytes, or None for the end of the connection; read at once unless the process is suspended."""
         if self.cut:
             return
         self.cut = data is None
@@ -128,13 +132,13 @@
             self.read()
 
     def finish(self) -> None:
-        """The other side closes in order, and may not have taken what was written to it."""
+        """Close the connection in order from the other side, which may not have received all written data."""
         self.cut = True
         if not self.protocol.eof_received():
             self.close()
 
     def read(self) -> None:
-        """The process reads all that has come, in one batch: bytes first, then the end."""
+        """Pass all queued data to the process in one batch: the bytes first, then the end of the connection."""
         if self.paused or self.world.frozen:
             return
         unread, self.unread = self.unread, []
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""No verdict hangs on the hour: tests take time by hand, and those that read the wall clock say here why they may."""
+"""No test result depends on the time of day: tests use scripted clocks, and `ALLOWED` justifies each exception."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def readers(path: Path) -> set[int]:
-    """Lines of a file that name a wall clock."""
+    """Return the line numbers in a file that refer to a wall clock."""
     return {
         node.lineno
         for node in ast.walk(ast.parse(path.read_text()))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports go downward only: no circle of modules or packages, and nothing above `core` and `policy` in them."""
+"""Imports have no cycles among modules or packages; `core` and `policy` import no package of a higher layer."""
 
 import ast
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 def module_name(path: Path) -> str:
-    """Return the dotted name of a module's file."""
+    """Return the dotted name of the module in a file."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
@@ -22,7 +22,7 @@
 
 
 def imported(source: str) -> set[str]:
-    """Return the project's modules that a source imports when it is loaded; not those imported later by a function."""
+    """Return the project's modules that a source imports at load time; imports inside functions are not included."""
     found = set()
     for node in ast.parse(source).body:
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -39,7 +39,7 @@
 
 
 def by_package(modules: Mapping[str, set[str]]) -> dict[str, set[str]]:
-    """Return which packages import which others."""
+    """Return, for each package, the other packages that it imports."""
     packages: dict[str, set[str]] = {}
     for module, targets in modules.items():
         own = package_of(module)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -24,7 +24,7 @@
 
 
 class Recorder:
-    """A fake decision module that records events and returns the given actions."""
+    """A fake decision module that records events and returns the given actions for each."""
 
     def __init__(self, answer=()):
         self.events, self.answer, self.settings = [], list(answer), None
