--- a/thistleusher/common/events.py
+++ b/thistleusher/common/events.py
@@ -33,7 +33,7 @@
         101,
         "info",
         "%s shuts down: %s",
-        "A signal has begun a graceful shutdown.",
+        "The process has received SIGTERM or SIGINT and shuts down gracefully.",
         "None if it was planned; otherwise find out which user or process sent the signal.",
     )
     STOPPED = Entry(
@@ -56,14 +56,14 @@
         120,
         "error",
         "internal error in %s: %s",
-        "A fault of the program. Only the call, message or tick named is lost; the process goes on.",
+        "Unexpected exception. Only the named call, message or timer tick is lost; the process continues.",
         "Report it with the surrounding log lines. Restart the process if it recurs.",
     )
     MESSAGE_REJECTED = Entry(
         121,
         "warning",
         "message from %s rejected: %s",
-        "A peer sent bytes that are no message, or a message that is not accepted here; its connection was closed.",
+        "A peer sent malformed bytes or a message that this process does not accept; the connection was closed.",
         "Compare the releases of both processes; check whether another program connects to the port.",
     )
     # Control.
@@ -98,7 +98,7 @@
         210,
         "info",
         "change %d committed by the leader and all replicas: %s",
-        "A change of the control state is durable.",
+        "A change of the control state is durable: the leader and all replicas have stored it.",
     )
     CONFIGURATION_REJECTED = Entry(
         211,
@@ -143,7 +143,7 @@
         311,
         "warning",
         "platform call failed: %s",
-        "A call to the platform failed, or its answer could not be read; the last complete list stays in effect.",
+        "A call to the platform failed or its response could not be parsed; the last complete list stays in effect.",
         "If it persists, check the platform's API and the route to it: until then new backends are not detected.",
     )
     BACKEND_DRAINING = Entry(
@@ -160,7 +160,7 @@
         314,
         "warning",
         "%s has acknowledged list %d, not %d, for %s s",
-        "A subscriber whose connection is open makes no progress; said again, less and less often, while it lasts.",
+        "A connected subscriber acknowledges no newer list; logged at growing intervals while this lasts.",
         "Check 401 and 120 in that process's log; restart it if it does not catch up.",
     )
     # Proxy.
@@ -187,7 +187,7 @@
         430,
         "info",
         "state transferred to %s, which had %d and %d",
-        "A proxy that this one watches had fallen behind and was given a copy of both states.",
+        "A proxy that this proxy monitors had fallen behind and was sent a copy of both states.",
         "If it recurs, check that the named proxy can reach the core machines.",
     )
 
