--- a/tests/embed/test_asgi.py
+++ b/tests/embed/test_asgi.py
@@ -18,7 +18,7 @@
 from thistleusher.embed import PASS, Call, QuotaMiddleware
 
 
-def test_requests_are_served_refused_and_told_what_is_left():
+def test_responses_report_verdict_and_remaining_quota():
     async def main():
         async def act(scope, receive, send):
             await send_response(send, 200, b"units " + dict(scope["headers"])[b"x-call-id"])
@@ -57,7 +57,7 @@
     run(main())
 
 
-def test_an_app_that_raises_answers_twice_says_nothing_or_stops_midway():
+def test_invalid_app_behaviour_is_reported_as_a_failure():
     async def main():
         async def act(scope, receive, send):
             name = dict(scope["headers"])[b"x-call-id"]
--- a/tests/embed/test_asgi_endings.py
+++ b/tests/embed/test_asgi_endings.py
@@ -14,7 +14,7 @@
 from thistleusher.embed import Call, EmbeddedIngress, QuotaMiddleware
 
 
-def test_a_stream_goes_on_past_its_time_once_it_has_begun():
+def test_started_stream_continues_past_its_deadline():
     async def main():
         go, begun = asyncio.Event(), asyncio.Event()
 
@@ -38,7 +38,7 @@
     run(main())
 
 
-def test_an_app_that_never_answers_is_answered_for_even_if_it_will_not_end():
+def test_app_that_never_responds_or_ends_gets_a_response_sent_for_it():
     async def main():
         stubborn = asyncio.Event()
 
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("midway", [False, True])
-def test_a_client_that_leaves_gets_no_answer_and_its_slot_comes_back(midway):
+def test_disconnected_client_gets_no_response_and_its_slot_is_released(midway):
     async def main():
         inside, left = asyncio.Event(), asyncio.Event()
 
--- a/tests/embed/test_asgi_mapping.py
+++ b/tests/embed/test_asgi_mapping.py
@@ -74,7 +74,7 @@
     run(main())
 
 
-def test_two_middlewares_one_inside_the_other_are_a_plain_error_and_two_beside_each_other_are_not():
+def test_nested_middlewares_are_rejected_and_independent_ones_are_accepted():
     async def main():
         async def act(scope, receive, send):
             await send_response(send)
@@ -92,7 +92,7 @@
     run(main())
 
 
-def test_a_closed_ingress_under_a_middleware_is_a_plain_error():
+def test_middleware_over_a_closed_ingress_raises_a_clear_error():
     async def main():
         async def act(scope, receive, send):
             await send_response(send)
--- a/tests/embed/test_clients.py
+++ b/tests/embed/test_clients.py
@@ -42,7 +42,7 @@
         await ingress.close()
 
 
-def test_urllib3_waits_as_told_in_place_of_raising():
+def test_urllib3_waits_for_retry_after_instead_of_raising():
     def ask(port):
         waited = []
 
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("verdict", [v for v in Verdict if v is not Verdict.SERVED])
-def test_every_verdict_has_its_words(verdict):
+def test_every_verdict_has_a_description(verdict):
     body = json.loads(problem_of(Final(verdict, 0.431)))
     known = verdict in (Verdict.OVER_QUOTA, Verdict.NO_ROOM)
     assert body["reason"] and body["status"] >= 400 and ("retry_in" in body) == known
--- a/tests/embed/test_crash.py
+++ b/tests/embed/test_crash.py
@@ -48,7 +48,7 @@
         await self.reading
 
 
-def test_after_a_crash_the_counts_are_what_was_sent_on_and_peers_know_the_stores():
+def test_counts_after_a_crash_equal_the_forwarded_units_and_peers_know_the_usage():
     async def main():
         counter = Counter()
         await counter.start()
--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -64,7 +64,7 @@
     )
 
 
-def test_a_member_is_held_to_its_quota_and_refused_with_a_time_to_come_back():
+def test_member_is_held_to_its_quota_and_refused_with_a_retry_time():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
         async with make_ingress(counter=counter) as ingress:
@@ -84,7 +84,7 @@
     run(main())
 
 
-def test_true_units_are_settled_and_what_cannot_be_meant_is_refused():
+def test_true_units_are_settled_and_invalid_units_rejected():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
         async with make_ingress(counter=counter) as ingress:
@@ -283,7 +283,7 @@
     run(main())
 
 
-def test_misuse_ends_in_plain_errors():
+def test_misuse_raises_clear_errors():
     async def main():
         ingress = make_ingress()
         with pytest.raises(RuntimeError, match="not open"):
@@ -322,7 +322,7 @@
     run(main())
 
 
-def test_closing_answers_what_waits_and_ends_what_runs():
+def test_closing_answers_waiting_requests_and_ends_running_ones():
     async def main():
         counter = Counter()
         await counter.start()
@@ -380,7 +380,7 @@
     run(main())
 
 
-def test_the_memory_counter_gives_back_what_has_lived_its_time():
+def test_memory_counter_expires_counts_after_their_lifetime():
     now = [1000.0]
     counter = MemoryCounter(lambda: now[0])
     for name in range(1000):
--- a/tests/gossip/test_fleet.py
+++ b/tests/gossip/test_fleet.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("fault,rejected,wide,narrow", FAULTS, ids=["calm", *(f.__name__ for f, *_ in FAULTS[1:])])
-def test_a_fleet_of_sixty_serves_through(fault, rejected, wide, narrow):
+def test_sixty_ingresses_keep_serving_within_the_bounds_during_faults(fault, rejected, wide, narrow):
     w = fleet()
     load(w, 6.0)
     fault(w)
@@ -119,14 +119,14 @@
     assert w.excess("plus")[1] <= bound_of(settings(0, FLEET), settings(0).plans[1], Assumptions(), NARROW).ceiling
 
 
-def test_all_begin_together_without_a_storm():
+def test_simultaneous_start_does_not_overflow_inboxes():
     w = fleet(offsets=tuple(n * 0.1 / FLEET for n in range(FLEET)))
     load(w, 5.0)
     assert w.overflowed == 0 and w.messages_sent / 5 / FLEET <= 60
     assert rejected_share(w) <= 0.02
 
 
-def test_a_hot_member_with_half_of_the_traffic_fills_nobodys_inbox():
+def test_hot_member_with_half_of_the_traffic_overflows_no_inbox():
     w = fleet()
     load(w, 6.0, hot=0.5)
     assert w.overflowed == 0
@@ -135,7 +135,7 @@
     )
 
 
-def test_a_member_who_moves_to_another_set_keeps_its_quota():
+def test_member_that_moves_to_another_ingress_set_keeps_its_quota():
     """The account moves to another owner, which starts with a full bucket: one extra burst, once."""
     w = fleet()
     for second in range(12):
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("width", [1, FLEET])
-def test_sets_of_one_and_sets_of_all(width):
+def test_quota_is_kept_for_sets_of_one_and_of_all_ingresses(width):
     w = fleet()
     for n in range(200):
         w.at(
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("instances", [16, 60, 200])
-def test_what_an_ingress_says_does_not_grow_with_the_fleet(instances):
+def test_messages_per_ingress_do_not_grow_with_the_number_of_ingresses(instances):
     """Each ingress gets eight requests a second, whatever their number; a third of the ingress sets are large."""
     w = World(2, instances)  # all ingresses have just started
     w.use_counter(CounterModel(4.0 * instances))
@@ -187,7 +187,7 @@
     assert w.messages_sent / 3 / instances <= 60 and w.overflowed == 0 and rejected_share(w) <= 0.01
 
 
-def test_a_wide_member_cut_off_from_its_owner_and_the_counter_is_let_in_once_an_ingress():
+def test_wide_member_without_owner_and_counter_is_admitted_once_per_ingress():
     """Each ingress admits one request, the term W x u (width x largest request) of the bound.
 
     Rejecting all would be the effect of shares below one unit; admitting without a limit would exceed the bound.
@@ -202,7 +202,7 @@
     assert w.excess("basic")[0] <= bound_of(settings(0, FLEET), BASIC, Assumptions()).quota_cut_off
 
 
-def test_the_bound_says_what_it_assumes_of_a_large_fleet():
+def test_bound_states_its_assumptions_for_large_deployments():
     parsed = settings(0, 200)
     wide, narrow = bound_of(parsed, BASIC, Assumptions(), 120), bound_of(parsed, parsed.plans[1], Assumptions(), 13)
     few = bound_of(settings(0, 3), parsed.plans[1], Assumptions(), 3)
@@ -213,7 +213,7 @@
     assert "inboxes" not in "".join(format_table(settings(0, 3), Assumptions()))
 
 
-def test_a_ceiling_is_kept_while_peers_are_deaf_and_a_crowded_counter_answers_few():
+def test_ceiling_is_kept_if_peers_receive_nothing_and_an_overloaded_counter_answers_few_calls():
     """Guards against treating occasional counter totals as messages of peers.
 
     With that fault each ingress admitted requests by its own bucket alone for a minute.
@@ -231,7 +231,7 @@
     "width,lost,quiet,per_s",
     [(4, 1.0, True, 240.0), (4, 1.0, False, 30.0), (8, 0.7, True, 240.0), (13, 1.0, True, 240.0)],
 )
-def test_a_spike_in_the_very_second_in_which_messages_are_lost_does_not_pass_a_ceiling(width, lost, quiet, per_s):
+def test_ceiling_is_kept_in_a_spike_that_coincides_with_message_loss(width, lost, quiet, per_s):
     """Guards against enforcing a ceiling by peers' messages of the last second instead of by shares.
 
     By such messages the four cases exceeded the ceiling by 110, 41, 16 and 48 units; by shares they do not.
@@ -247,7 +247,7 @@
     assert w.excess("plus")[1] <= CEILING_SLACK
 
 
-def test_a_request_waits_for_shares_that_the_others_have():
+def test_request_waits_for_shares_transferred_from_peers():
     """One of twelve ingresses gets all requests of a customer, each for four units.
 
     If requests were rejected immediately, only 26 of 30 would be served, as peers' transfers arrive too late for the
@@ -261,7 +261,7 @@
     assert w.served >= 28 and w.excess("plus")[1] <= CEILING_SLACK and w.slowest <= 0.35
 
 
-def test_what_lost_messages_told_of_leaves_nobody_in_debt():
+def test_usage_in_lost_messages_does_not_cause_a_deficit():
     """Guards against charging the usage of a whole period of lost messages at once when messages arrive again.
 
     With that fault six seconds of usage were charged at once, and buckets stayed at -20 to -43 units for five seconds.
--- a/tests/gossip/test_outbox.py
+++ b/tests/gossip/test_outbox.py
@@ -8,7 +8,7 @@
 from thistleusher.gossip.outbox import BURST_S, CONTACT_S, KEEP_ALIVE_S, LAZY_DELAY_S
 
 
-def test_no_traffic_makes_an_outbox_send_more_than_its_budget():
+def test_outbox_never_exceeds_its_send_budget():
     rng, box, sent, now = random.Random(4), Outbox(50.0, 28, 0.0), [], 0.0
     for _ in range(200):  # 20 s of ticks; in each of them there are updates for all of 40 peers
         for _ in range(100):
@@ -21,7 +21,7 @@
     assert max(per) <= min(per) + 2  # the longest waiting peer is served first, so no peer starves
 
 
-def test_what_waits_is_merged_and_a_message_holds_so_many():
+def test_waiting_updates_are_merged_and_entries_per_message_bounded():
     box = Outbox(50.0, 3, 0.0)
     for _ in range(10):
         for key in range(4):
@@ -30,7 +30,7 @@
     assert box.take(0.1) == [(1, [3])] and box.take(0.2) == []
 
 
-def test_a_reconciliation_waits_for_others_to_go_with_but_not_for_ever():
+def test_lazy_update_waits_for_other_updates_up_to_the_maximum_delay():
     box = Outbox(50.0, 28, 0.0)
     box.mark_changed(0.0, 7, [1], lazy=True)
     assert box.take(0.1) == []
@@ -40,7 +40,7 @@
     assert box.take(0.2 + LAZY_DELAY_S) == [(1, [7])]
 
 
-def test_peers_with_common_members_get_keep_alives_and_nobody_else():
+def test_only_peers_with_common_members_get_keep_alives_for_a_limited_time():
     box = Outbox(50.0, 28, 0.0)
     box.keep_contact(0.0, [1])
     sent_at = [n / 10 for n in range(100) if box.take(n / 10)]
--- a/tests/gossip/test_owners.py
+++ b/tests/gossip/test_owners.py
@@ -14,14 +14,14 @@
 
 
 @pytest.mark.parametrize("first,width", [(190, 120), (0, 200), (199, 2), (5, 3)])
-def test_all_of_a_set_agree_on_its_owner_also_where_it_wraps_round(first, width):
+def test_ingresses_of_a_set_agree_on_its_owner_also_if_it_wraps_round(first, width):
     members = {(first + n) % 200 for n in range(width)}
     for key in range(200):
         owners = {Owners(200, me).owner_of(0.0, key, first, width) for me in members}
         assert len(owners) == 1 and owners <= members
 
 
-def test_owners_lie_evenly():
+def test_owners_are_distributed_evenly():
     found = [Owners(200, 0).owner_of(0.0, key, 0, 200) for key in range(20_000)]
     assert max(found.count(n) for n in range(200)) < 150
 
--- a/tests/gossip/test_queries.py
+++ b/tests/gossip/test_queries.py
@@ -30,7 +30,7 @@
     "payload",
     [b"", QUERY_MARK, QUERY_MARK + bytes(5), QUERY_MARK + bytes(13), QUERY_MARK + bytes(14), QUERY_MARK + b"\xff" * 13],
 )
-def test_what_cannot_be_a_query_is_none(payload):
+def test_invalid_queries_are_rejected(payload):
     assert gossip().receive_query(0.0, 3, payload) is None  # also sets of no ingress, and of more than exist
 
 
@@ -58,7 +58,7 @@
     assert owner.receive_query(0.2 + REPLY_CACHE_S + 0.1, 3, message).answer == b"" and len(owner.replies.received) == 1
 
 
-def test_requests_wait_for_transfers_in_their_order_for_so_long_and_so_many():
+def test_pending_requests_are_taken_in_order_and_bounded_in_time_and_number():
     pending = PendingRequests()
     assert (
         pending.next_deadline() is None
@@ -71,7 +71,7 @@
     assert len(pending.expire(1.0)) == MAX_PENDING and pending.add("more", 2.0)
 
 
-def test_a_late_admission_is_given_back():
+def test_late_admission_by_the_owner_is_refunded():
     asker = gossip(3)
     message = asker.create_query(0.0, 9, request(), 0)
     assert message is not None and asker.expired_requests(0.28) == ["r1"] and asker.timer_delay(0.3) is None
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -64,7 +64,7 @@
     run(main())
 
 
-def test_a_silent_watch_is_opened_anew(monkeypatch):
+def test_silent_watch_is_reopened(monkeypatch):
     monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
     monkeypatch.setattr(discovery_module, "RECEIVE_TIMEOUT_S", 0.05)
 
@@ -76,7 +76,7 @@
     run(main())
 
 
-def test_discovery_is_retried_for_ever(monkeypatch):
+def test_discovery_is_retried_indefinitely(monkeypatch):
     monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
 
     async def main():
@@ -91,7 +91,7 @@
     run(main())
 
 
-def test_discovery_that_moves_is_asked_for_the_whole_list_and_the_old_one_stays_until_then():
+def test_old_discovery_source_stays_active_until_the_new_one_has_sent_the_complete_list():
     """Versions need not continue from one service to the other, so only the whole list shows removed backends."""
 
     async def main():
@@ -122,7 +122,7 @@
     run(main())
 
 
-def test_a_list_that_could_not_be_taken_in_is_asked_for_again(monkeypatch):
+def test_list_that_could_not_be_applied_is_requested_again(monkeypatch):
     monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
 
     async def main():
@@ -160,6 +160,6 @@
         {"index": 1, "snapshot": True, "endpoints": [entry("b0", 80) | {"weight": float("nan")}]},
     ],
 )
-def test_what_is_no_list_is_rejected(message):
+def test_malformed_lists_are_rejected(message):
     with pytest.raises(ValueError):
         parse_backend_list(message)
--- a/tests/net/test_ingress.py
+++ b/tests/net/test_ingress.py
@@ -106,7 +106,7 @@
     run(main())
 
 
-def test_a_backend_that_stops_with_its_connection_works_on_for_nobody():
+def test_cancelled_attempt_is_done_if_the_backend_stops_with_its_connection():
     async def main():
         backend = await Peer.start(None)
         rig = Rig(in_turn("b0"), cancel_stops_work=True)
@@ -171,7 +171,7 @@
     run(main())
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_refusal_contains_a_retry_time():
     async def main():
         waits = [0.25, 0.0]
         rig = Rig(lambda e: [actions.Refuse(e.id, waits.pop(0))] if isinstance(e, events.Request) else [])
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("state", ["DELETED", None])
-def test_what_is_gone_from_the_list_gets_nothing(state):
+def test_backend_removed_from_the_list_gets_no_requests(state):
     async def main():
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
@@ -254,7 +254,7 @@
 
 
 @pytest.mark.parametrize("figure,units", [(b"3", 3.0), (b"1e300", 0.0), (b"nan", 0.0), (b"-2", 0.0), (b"x", 0.0)])
-def test_a_figure_on_use_that_cannot_be_meant_is_left_out(figure, units):
+def test_implausible_usage_figures_are_ignored(figure, units):
     async def main():
         backend = await Peer.start(ok(b"fine", b"X-Cost-Units: " + figure))
         rig = Rig(in_turn("b0"))
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -14,7 +14,7 @@
 IDLE = 15.0
 
 
-def test_it_is_active_for_a_while_after_a_connection_broke():
+def test_guard_is_active_for_a_limited_time_after_a_broken_connection():
     guard = LastByteGuard(IDLE)
     assert not guard.is_active(0.0)
     guard.record_broken_connection(100.0)
@@ -130,7 +130,7 @@
     run(main())
 
 
-def test_what_breaks_after_the_last_byte_may_have_run():
+def test_request_may_have_run_if_the_connection_breaks_after_the_last_byte():
     async def act(peer, number, reader, writer):
         await read_message(reader)
         peer.complete += 1
@@ -183,7 +183,7 @@
     run(main())
 
 
-def test_a_client_that_leaves_while_the_last_byte_waits_has_nothing_run():
+def test_request_is_not_run_if_the_client_disconnects_before_the_last_byte_is_sent():
     async def act(peer, number, reader, writer):
         await peer.answer(reader, writer)
 
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("begun", [b"GET /api/0000", call(cls="pay", body=b"12345")[:-1]])
-def test_a_request_that_does_not_come_whole_is_not_waited_for(monkeypatch, begun):
+def test_incomplete_request_is_rejected_after_a_timeout(monkeypatch, begun):
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def main():
@@ -148,7 +148,7 @@
     run(main())
 
 
-def test_connections_that_say_nothing_or_no_more_are_closed(monkeypatch):
+def test_silent_and_idle_connections_are_closed(monkeypatch):
     """Clients that never send a byte, or stay idle after a request, would otherwise use up the descriptors."""
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.01)
 
@@ -295,7 +295,7 @@
     run(main())
 
 
-def test_a_client_too_many_is_answered_when_none_is_idle():
+def test_surplus_client_is_answered_if_no_connection_is_idle():
     async def main():
         rig = Rig(lambda event: [])
         rig.server.max_connections = 1
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("longest,end", [(1.0, 1.0 + KILL_DELAY_S - RESERVE_S), (7.5, KILL_AFTER_S - RESERVE_S)])
-def test_it_ends_before_it_may_be_killed(longest, end):
+def test_shutdown_ends_before_the_kill_deadline(longest, end):
     shutdown, now = GracefulShutdown(100.0, longest), 100.0
     while shutdown.accepts_requests(now):
         shutdown.request_arrived(now)
@@ -29,14 +29,14 @@
     assert now - 100.0 == pytest.approx(end - MIN_REQUEST_S, abs=0.02) and shutdown.time_left(100.0 + end) == 0.0
 
 
-def test_it_ends_as_soon_as_no_requests_come():
+def test_shutdown_ends_as_soon_as_no_requests_arrive():
     shutdown = GracefulShutdown(100.0, 7.5)
     shutdown.request_arrived(100.4)
     assert shutdown.accepts_requests(100.4 + QUIET_PERIOD_S - 0.01)
     assert not shutdown.accepts_requests(100.4 + QUIET_PERIOD_S + 0.01)
 
 
-def test_what_is_left_for_a_request_shrinks_to_nothing():
+def test_time_left_for_a_request_decreases_to_zero():
     shutdown = GracefulShutdown(100.0, 7.5)
     assert shutdown.time_left(100.0) == pytest.approx(KILL_AFTER_S - RESERVE_S)
     assert (
@@ -46,7 +46,7 @@
     )
 
 
-def test_kept_connections_go_on_being_served_until_nobody_asks_any_more():
+def test_kept_connections_are_served_until_no_more_requests_arrive():
     """The front may be unable to open new connections; if these were closed, its requests would have no target."""
 
     async def main():
@@ -88,7 +88,7 @@
     run(main())
 
 
-def test_what_was_taken_before_is_answered_though_the_listener_is_closed():
+def test_accepted_requests_are_answered_after_the_listener_is_closed():
     async def main():
         go = asyncio.Event()
 
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -31,7 +31,7 @@
         (ok(BIG), Outcome.RESET),
     ],
 )
-def test_only_a_whole_200_is_served(answer, outcome):
+def test_only_a_complete_200_response_is_served(answer, outcome):
     async def main():
         async def act(seen):
             seen.writer.write(answer)
@@ -70,7 +70,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-def test_a_spoilt_answer_on_a_connection_that_stays_open_is_a_failed_attempt(answer):
+def test_malformed_response_on_an_open_connection_is_a_failed_attempt(answer):
     """The request may have run. The response must not be served, and its rest is not waited for until the deadline."""
 
     async def main():
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("surplus", [ok(b"a copy"), b"noise", b"HTTP/1.1 200 OK\r\nContent-", b"\xff\r\n\r\n"])
-def test_what_comes_behind_an_answer_belongs_to_no_request(surplus):
+def test_bytes_after_a_response_belong_to_no_request(surplus):
     """The end of an attempt may start the next one at once, which must not get this connection from the pool."""
 
     async def main():
@@ -348,7 +348,7 @@
     run(main())
 
 
-def test_sockets_stay_within_their_number():
+def test_number_of_sockets_is_bounded():
     async def main():
         backends = [await Peer.start() for _ in range(3)]
         rig = Rig(
--- a/tests/quota/test_bootstrap.py
+++ b/tests/quota/test_bootstrap.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("moment", range(50))
-def test_a_fleet_that_starts_together_serves_at_every_moment_of_an_epoch(moment):
+def test_ingresses_that_start_together_serve_at_any_time_of_an_epoch(moment):
     offsets = (AT_ONCE, tuple(n / 100 for n in range(6)))[moment % 2]
     w = start_world(offsets, moment * epoch_length(TERMS) / 50, rate=23.0 * len(offsets))
     assert rejected_share(w) < 0.03 and w.fair > 300, rejected_share(w)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("moment", range(0, 50, 7))
-def test_quotas_without_a_ceiling_too(moment):
+def test_ingresses_that_start_together_serve_plans_without_a_ceiling(moment):
     w = start_world(AT_ONCE, moment * epoch_length(TERMS) / 50, "basic", 12.0)
     assert rejected_share(w) < 0.03 and w.served > 30
     assert_within_bound(w, "basic")
@@ -51,7 +51,7 @@
     ids=["within 3 s", "a minute later", "never", "six"],
 )
 @pytest.mark.parametrize("plan", ["plus", "basic"])
-def test_who_waits_for_others_serves_part_at_once_and_all_after_the_epoch(offsets, most, plan):
+def test_ingress_that_awaits_peers_serves_a_share_immediately_and_fully_after_the_epoch(offsets, most, plan):
     w = start_world(offsets, 1.3, plan, 70.0 if plan == "plus" else 12.0)
     assert rejected_share(w) < most + 0.1 * (plan == "basic"), rejected_share(w)
     w.rejected_within_quota.clear()
@@ -64,7 +64,7 @@
     assert_within_bound(w, plan)
 
 
-def test_clocks_half_a_second_apart_and_a_lossy_network():
+def test_start_with_clock_skew_and_packet_loss_stays_within_the_bound():
     for moment in range(10):
         w = World(moment, 3, 5000.0 + moment / 2, offsets=AT_ONCE, skews=(0.0, 0.5, 0.25))
         w.counters[0].silent = True
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("down", [0.1, 1.0])
 @pytest.mark.parametrize("times", [1, 3])
-def test_all_killed_at_once_with_their_shares_spent(down, times):
+def test_simultaneous_kill_after_shares_are_spent_stays_within_the_bound(down, times):
     w = World(7)
     w.counters[0].silent = True
     send_requests(w, 6.0, members=1, rate=120.0)  # the quota is spent
@@ -95,7 +95,7 @@
     assert_within_bound(w, joint=times)
 
 
-def test_whoever_restarts_alone_gets_nothing_more_and_is_served_after_a_round_trip():
+def test_repeated_restarts_of_one_ingress_do_not_raise_the_ceiling_excess():
     w = World(8)
     w.counters[0].silent = True
     send_requests(w, 8.0, members=1, rate=60.0)
@@ -127,7 +127,7 @@
     assert w.served - served >= 1
 
 
-def test_planned_restarts_one_after_another_keep_touch_and_shares():
+def test_rolling_restarts_keep_contact_and_shares():
     w = World(10)
     send_requests(w, 4.0, members=4, rate=40.0)
     for n in range(3):
@@ -150,7 +150,7 @@
     assert_within_bound(w)
 
 
-def test_a_shutdown_writes_back_what_no_count_includes_and_transfers_the_shares():
+def test_shutdown_writes_back_pending_units_and_transfers_shares():
     w = World(11)
     w.counters[0].silent = True
     for _ in range(12):
--- a/tests/quota/test_bound.py
+++ b/tests/quota/test_bound.py
@@ -13,7 +13,7 @@
 from thistleusher.quota.bound import Assumptions, bound_of
 
 
-def test_the_bound_command_prints_figures_by_plan_and_says_what_is_wrong(tmp_path):
+def test_bound_command_prints_figures_by_plan_and_reports_errors(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"settings": settings(Options(), 0)}))
 
@@ -57,7 +57,7 @@
         Assumptions(**assumed)
 
 
-def test_the_bound_grows_with_what_it_depends_on_and_is_nothing_for_one_ingress():
+def test_bound_grows_with_its_inputs_and_is_zero_for_one_ingress():
     parsed, _ = nested_settings(settings(Options(), 0))
     plus = parsed.plans[1]
     base = bound_of(parsed, plus, Assumptions())
--- a/tests/quota/test_escrow.py
+++ b/tests/quota/test_escrow.py
@@ -26,14 +26,14 @@
     phases=[Phase.generate, Phase.shrink],
 )
 @given(steps=st.lists(STEP, min_size=5, max_size=60))
-def test_a_set_never_admits_more_than_one_bucket_would(terms, steps):
+def test_ingress_set_never_admits_more_than_one_bucket(terms, steps):
     s = IngressSet(terms)
     for step in steps:
         s.step(*step)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_long_runs_of_a_member_that_moves_under_loss_and_delay(seed):
+def test_moving_member_stays_within_one_bucket_under_loss_and_delay(seed):
     rng = random.Random(seed)
     s = IngressSet(PLUS)
     home, in_transit = 0, []
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("number", range(20))
-def test_pressed_everywhere_through_restarts_and_messages_that_outlive_their_senders(number):
+def test_load_on_all_ingresses_stays_within_one_bucket_despite_restarts_and_stale_messages(number):
     """Requests exhaust each ingress's headroom, so that a share that were counted twice would be spent twice."""
     rng = random.Random(number + 20 * int(SEED or 0))
     s = IngressSet(PLUS)
@@ -83,7 +83,7 @@
     assert s.served > 100  # the run was under load
 
 
-def test_a_member_that_comes_to_one_ingress_gets_the_whole_allowance_in_a_few_messages():
+def test_member_of_one_ingress_gets_most_of_the_allowance_within_a_few_messages():
     s = IngressSet(PLUS)
     assert s.ask(1, 4.0) and s.ask(1, 4.0) and not s.ask(1, 4.0)  # a third of 30
     s.settle()
@@ -97,7 +97,7 @@
     assert s.nodes[1].allowances[0, 7].fraction() > 0.55
 
 
-def test_service_follows_a_member_that_moves_and_stays_close_to_one_bucket():
+def test_moving_member_is_served_nearly_as_much_as_by_one_bucket():
     s = IngressSet(PLUS)
     got, level, best = 0.0, 0.0, 0.0
     for n in range(6000):  # a minute at 100 units a second; the customer changes the ingress every 2 s
@@ -112,7 +112,7 @@
     assert got > 0.75 * best, (got, best)
 
 
-def test_a_lost_transfer_is_made_up_for_by_the_next_and_a_copy_changes_nothing():
+def test_next_transfer_replaces_a_lost_one_and_a_duplicate_has_no_effect():
     s = IngressSet(PLUS)
     while s.ask(1, 4.0):
         pass
@@ -154,7 +154,7 @@
     assert s.nodes[1].allowances[0, 7].fraction() == pytest.approx(1 / 3, abs=0.01)
 
 
-def test_headroom_that_was_spent_before_a_restart_is_not_spent_again():
+def test_headroom_spent_before_a_restart_is_not_available_again():
     s = IngressSet(PLUS)
     s.now = START - START % epoch_length(PLUS) + epoch_length(PLUS) + 0.5
     while s.ask(1, 1.0):
@@ -170,7 +170,7 @@
     assert a.share > 0 and a.headroom < left  # all of it came from the peers' headroom
 
 
-def test_what_others_admitted_lowers_the_headroom_when_it_is_used_again():
+def test_usage_admitted_by_peers_lowers_the_headroom_and_limits_the_deficit():
     node = EscrowTable(3, 0, 0.0, (PLUS,))
     assert not node.admit(START, 0, 7, 0, 3, 4.0, spent=20.0)  # the headroom is a third of the 10 unspent units
     assert node.admit(START, 0, 7, 0, 3, 3.0, spent=20.0)
@@ -179,7 +179,7 @@
     assert not node.admit(START + 5.0, 0, 7, 0, 3, 1.0, spent=0.0)
 
 
-def test_a_set_that_changes_counts_from_the_next_epoch():
+def test_changed_ingress_set_takes_effect_in_the_next_epoch():
     s = IngressSet(PLUS)
     s.ask(1, 1.0)
     a = s.nodes[1].allowances[0, 7]
@@ -190,7 +190,7 @@
     assert a.members == (1,) and a.fraction() == 1.0
 
 
-def test_plans_without_terms_are_let_through_and_idle_allowances_forgotten():
+def test_plans_without_terms_are_admitted_and_idle_allowances_evicted():
     node = EscrowTable(3, 0, 0.0, (None, PLUS))
     assert node.admit(START, 0, 7, 0, 3, 4.0, 0.0) and not node.allowances
     for member in range(100):
@@ -215,7 +215,7 @@
         TRANSFER_MARK + INCARNATION + TRANSFER_FORMAT.pack(encode_customer(0, 7), 77, 0, 3, 4096, 0xFFFF),
     ],
 )
-def test_messages_that_cannot_be_used_change_nothing(payload):
+def test_invalid_messages_are_ignored(payload):
     node = EscrowTable(3, 0, 0.0, (PLUS,))
     node.admit(START, 0, 7, 0, 3, 1.0, 0.0)
     a = node.allowances[0, 7]
--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -16,7 +16,7 @@
 LENGTH = 30.0
 
 
-def test_the_bound_is_stated_with_the_decisions_own_times():
+def test_bound_uses_the_timeouts_of_the_decision_module():
     assert (bound.DOWN_MISSES, bound.PEER_TIMEOUT_S) == (health.DOWN_MISSES, usage_replication.CONTACT_TIMEOUT_S)
 
 
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("home", [moving(2.0), spread()], ids=["moving", "spread"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
-def test_a_plus_member_passes_neither_ceiling_nor_quota_by_more_than_stated(fault, home):
+def test_plus_member_exceeds_ceiling_and_quota_by_at_most_the_bound(fault, home):
     w, bound = run_fault(fault, home, "plus")
     quota, ceiling = w.excess()
     assert ceiling <= bound.ceiling, (ceiling, bound)
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("fault", [silence, split_in_three], ids=lambda f: f.__name__)
 @pytest.mark.parametrize("plan", ["plus", "basic"])
-def test_the_worst_case_comes_near_the_bound_and_does_not_pass_it(fault, plan):
+def test_worst_case_approaches_the_bound_without_exceeding_it(fault, plan):
     w, bound = run_worst_case(fault, plan, rate=40.0 if plan == "plus" else 6.0)
     quota, ceiling = w.excess(plan)
     assert stated_bound(fault, bound) / 3 < quota <= stated_bound(fault, bound), (quota, bound)
@@ -187,14 +187,14 @@
 
 @pytest.mark.parametrize("home", [moving(2.0), spread()], ids=["moving", "spread"])
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
-def test_a_basic_member_passes_its_quota_by_no_more_than_stated(fault, home):
+def test_basic_member_exceeds_its_quota_by_at_most_the_bound(fault, home):
     w, bound = run_fault(fault, home, "basic", rate=6.0)
     quota, _ = w.excess("basic")
     assert quota <= stated_bound(fault, bound), (quota, bound)
     assert w.kept() > 0.4, w.kept()
 
 
-def test_a_calm_counter_lets_a_member_have_its_quota_wherever_it_comes_through():
+def test_member_gets_its_quota_through_any_ingress_while_the_counter_answers():
     for home in (moving(2.0), spread(), lambda at: 1):
         w = World()
         w.traffic(40.0, 40.0, home)
@@ -202,7 +202,7 @@
         assert w.kept() > 0.8 and quota < 8.0 and ceiling <= 0.0
 
 
-def test_a_replaced_counter_is_noticed_and_gets_again_what_it_lost():
+def test_counter_replacement_is_detected_and_logged_once():
     w = World()
     while w.now % 2.25 > 0.01 or not w.served:  # stop at an arbitrary time after the first admitted request
         w.traffic(0.01, 40.0, lambda at: 1)
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("counted", [True, False])
-def test_an_uncertain_add_is_repeated_only_if_it_did_not_count(counted):
+def test_unanswered_add_is_repeated_only_if_it_was_not_counted(counted):
     w = World()
     c = within_a_window(w)
     w.counters[1].lose, w.counters[1].silent = float(counted), not counted
@@ -245,7 +245,7 @@
     assert total + c.pending == pytest.approx(7.0)  # all admitted units are in the count or pending
 
 
-def test_what_a_replaced_counter_lost_is_written_back_once():
+def test_units_lost_with_a_replaced_counter_are_written_back_once():
     w = World()
     c = within_a_window(w)
     for _ in range(3):
@@ -259,7 +259,7 @@
     assert total + c.pending == pytest.approx(15.0)
 
 
-def test_while_the_counter_is_down_a_ceiling_is_not_passed_even_by_bursts_at_all_ingresses_at_once():
+def test_simultaneous_bursts_at_all_ingresses_stay_within_the_ceiling_while_the_counter_is_down():
     w = World()
     silence(w)
     w.traffic(20.0, 40.0, spread())
@@ -276,7 +276,7 @@
     assert quota > 5.0 and ceiling <= 0.0
 
 
-def test_idle_peers_answer_that_they_are_there():
+def test_idle_peers_acknowledge_updates_and_stop_sending_without_them():
     w = World()
     w.traffic(5.0, 20.0, lambda at: 1)
     gateway = w.gateways[1]
@@ -331,7 +331,7 @@
         assert w.slowest <= 2 * TIMEOUT, (seed, w.slowest)
 
 
-def test_five_thousand_members_fall_back_and_come_back_without_a_herd():
+def test_recovery_from_an_outage_adds_at_most_one_counter_call_per_request_for_5000_members():
     w = World(2)
     w.traffic(3.0, 400.0, spread(), "basic", members=5000)
     w.counters[0].silent = True
@@ -346,7 +346,7 @@
     assert quota <= bound_of(settings(0), BASIC, Assumptions(outage=5.0)).quota_cut_off
 
 
-def test_peers_are_not_flooded_by_wants_however_many_members_are_held_back():
+def test_messages_to_peers_stay_within_the_rate_limit_while_200_members_demand_shares():
     w = World(3)
     w.traffic(3.0, 200.0, spread(), members=200)
     silence(w)
--- a/tests/quota/test_handshakes.py
+++ b/tests/quota/test_handshakes.py
@@ -14,7 +14,7 @@
 EPOCH = epoch_length(TERMS)
 
 
-def test_two_incarnations_in_the_wrong_order():
+def test_transfers_of_an_earlier_incarnation_are_ignored_if_they_arrive_late():
     s = IngressSet(TERMS)
     s.now = START - START % EPOCH + EPOCH + 1.0
     while s.ask(1, 4.0):
@@ -59,7 +59,7 @@
     return sent
 
 
-def test_all_are_reconciled_after_one_exchange_and_then_silent():
+def test_all_ingresses_are_reconciled_after_one_exchange_and_send_no_more_handshakes():
     bootstraps = bootstraps_of(5, [100.0, 100.01, 100.02, 100.03, 100.04])
     exchange_handshakes(bootstraps, 100.1)
     everybody = tuple(range(5))
@@ -67,7 +67,7 @@
     assert exchange_handshakes(bootstraps, 101.0) == 0
 
 
-def test_one_that_never_starts_gets_handshakes_less_and_less_often_and_not_for_ever():
+def test_handshakes_to_an_absent_ingress_back_off_and_stop():
     bootstraps = bootstraps_of(3, [100.0] * 3)
     sent, now = 0, 100.0
     while (wait := bootstraps[0].handshake_delay(now)) is not None:
@@ -81,7 +81,7 @@
     )
 
 
-def test_a_restart_that_a_peer_has_seen_is_no_joint_start():
+def test_restart_known_to_a_peer_does_not_count_as_simultaneous_start():
     bootstraps = bootstraps_of(3, [100.0] * 3)
     exchange_handshakes(bootstraps, 100.0)
     bootstraps[1] = Bootstrap(3, 1, 101.0, 6.0)
@@ -103,7 +103,7 @@
     assert not bootstraps[2].started_together((0, 1, 2)) and bootstraps[0].started_together((0, 1, 2))
 
 
-def test_an_earlier_incarnation_is_listened_to_once_the_later_one_has_long_been_silent():
+def test_earlier_incarnation_is_accepted_after_the_later_one_times_out():
     a = Bootstrap(2, 0, 100.0, 6.0)
     late, early = Bootstrap(2, 1, 100.0, 6.0), Bootstrap(2, 1, 40.0, 6.0)  # its clock was set back
     assert a.receive(100.0, 1, late.handshake(100.0, 0)) is not None
@@ -125,7 +125,7 @@
         TRANSFER_MARK + bytes(HEADER_BYTES - 2),
     ],
 )
-def test_handshakes_that_cannot_be_used_change_nothing(payload):
+def test_invalid_handshakes_are_ignored(payload):
     node = IngressSet(TERMS).nodes[0]
     assert (
         node.receive(START, 1, payload) == []
--- a/tests/quota/test_loopback.py
+++ b/tests/quota/test_loopback.py
@@ -125,7 +125,7 @@
     assert sum(f.served for f in verdict.figures.values()) > 60, verdict.lines()
 
 
-def test_five_thousand_members_fall_back_and_come_back_over_sockets():
+def test_outage_of_the_counter_with_5000_members_over_sockets_stays_within_bounds():
     async def main():
         size = dict(
             servers=6,
--- a/tests/quota/test_outages.py
+++ b/tests/quota/test_outages.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("pause", [1.0, RETENTION_S - 0.1, RETENTION_S + 0.1, 3 * RETENTION_S])
-def test_an_outage_a_pause_and_an_outage(pause):
+def test_requests_are_served_in_two_outages_separated_by_a_pause(pause):
     async def main():
         clock, backend, counter = [1000.0], await Peer.start(ok(b"fine")), Counter()
         await counter.start()
--- a/tests/quota/test_reservations.py
+++ b/tests/quota/test_reservations.py
@@ -87,7 +87,7 @@
     phases=[Phase.generate, Phase.shrink],
 )
 @given(steps=st.lists(PERSISTENT_STEP, min_size=5, max_size=60))
-def test_kills_at_any_moment_admit_no_more_than_one_bucket_would(steps):
+def test_kills_at_any_time_admit_no_more_than_one_bucket(steps):
     s = PersistentSet()
     for kind, *args in steps:
         if kind == "record":
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("number", range(60))
-def test_pressed_everywhere_between_kills_and_records_that_are_committed_or_not(number):
+def test_load_on_all_ingresses_stays_within_one_bucket_despite_kills_and_uncommitted_records(number):
     rng = random.Random(number + 60 * int(SEED or 0))
     s = set_with_records()
     for _ in range(80):
@@ -166,7 +166,7 @@
     return s
 
 
-def test_all_killed_again_and_again_get_nothing_twice():
+def test_repeated_simultaneous_kills_stay_within_one_bucket():
     s = set_with_records()
     run_under_load(s, 5.0)
     for _ in range(5):
@@ -176,7 +176,7 @@
     assert s.bucket.worst > 0.85 * PLUS.burst  # the run was under load
 
 
-def test_a_member_that_was_quiet_has_headroom_at_once_after_a_kill_and_without_a_record_none():
+def test_idle_member_has_headroom_immediately_after_a_kill_only_with_a_record():
     def after_a_kill(reserves):
         s = set_with_records()
         s.now += EPOCH / 10
@@ -192,7 +192,7 @@
     assert after_a_kill(True) >= int(RESERVED_FRACTION * GUARANTEED_FRACTION * PLUS.burst / 3) * 3 > 5
 
 
-def test_a_record_costs_a_pressed_member_next_to_nothing_and_a_hung_disk_what_is_left_alone():
+def test_records_cost_a_loaded_member_at_most_3_percent_and_a_hung_disk_the_reservation():
     plain, recorded, hung = set_with_records(), set_with_records(), set_with_records()
     base = run_under_load(plain, 10.0, reserves=False)
     assert run_under_load(recorded, 10.0) > 0.97 * base
@@ -218,7 +218,7 @@
     assert r.reserved(11.5) == 1.0
 
 
-def test_records_wait_for_the_one_before_and_outlive_an_allowance_until_they_are_deleted():
+def test_records_are_written_one_at_a_time_and_outlive_an_allowance_until_they_are_deleted():
     escrow = EscrowTable(3, 0, 0.0, (PLUS,))
     escrow.restore((), None)
     assert escrow.admit(1000.0, 0, 7, 0, 3, 1.0, 0.0)
@@ -240,7 +240,7 @@
     assert not escrow.reservations.evicted
 
 
-def test_a_record_of_another_set_or_of_an_epoch_that_is_over_adds_nothing():
+def test_record_of_another_ingress_set_or_an_expired_epoch_adds_no_headroom():
     def headroom(record, active):
         escrow = EscrowTable(3, 0, 1000.0, (SIMULTANEOUS_START,))
         escrow.restore([record], active)
--- a/tests/state/test_crash_points.py
+++ b/tests/state/test_crash_points.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("commit_first", [True, False])
-def test_at_every_point_what_was_let_in_is_counted_once_or_stated(commit_first):
+def test_count_errors_stay_within_the_stated_bounds_at_every_crash_point(commit_first):
     """If records are committed before actions are carried out, no unit is lost to the count; else at most one request.
 
     Units may be counted twice for one request whose charge was in flight and for a write-back in progress. The next
@@ -114,6 +114,6 @@
     assert max(w.excess("basic")[0] for w, _ in ends) <= (0.0 if commit_first else UNITS)
 
 
-def test_without_a_folder_units_are_lost_to_the_count():
+def test_units_are_missing_from_the_count_without_a_folder():
     ends = [run_with_kill(k, True, restores=False) for k in range(next(run_with_kill(-1, True)[0].steps))]
     assert min(more for _, more in ends) < -2 * UNITS
--- a/tests/state/test_program.py
+++ b/tests/state/test_program.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("kept", [True, False])
-def test_a_killed_ingress_knows_its_members_again_while_the_counter_is_silent(tmp_path, kept):
+def test_killed_ingress_restores_its_members_while_the_counter_is_silent(tmp_path, kept):
     async def main():
         backend, counter = await Peer.start(ok(b"fine")), Counter()
         await counter.start()
@@ -74,7 +74,7 @@
     run(main())
 
 
-def test_after_a_kill_the_last_list_serves_while_discovery_is_gone(tmp_path):
+def test_last_endpoint_list_is_used_after_a_kill_while_discovery_is_unavailable(tmp_path):
     async def main():
         backend, counter = await Peer.start(ok(b"fine")), Counter()
         await counter.start()
@@ -120,7 +120,7 @@
     run(main())
 
 
-def test_nothing_of_it_is_imported_where_no_folder_is_given():
+def test_state_package_is_not_imported_without_a_folder():
     code = (
         "import sys, thistleusher.__main__, thistleusher.net.daemon\n"
         "assert not {'sqlite3', 'msgspec', 'thistleusher.state'} & set(sys.modules)\n"
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -33,7 +33,7 @@
     ),
     st.data(),
 )
-def test_a_record_is_decoded_again_and_one_with_a_flipped_bit_is_not(record, data):
+def test_record_round_trips_and_a_flipped_bit_is_rejected(record, data):
     whole = encode(record)
     assert decode_member(whole) == record
     at, bit = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(0, 7))
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -47,7 +47,7 @@
         (dict(at=1.0, pending=0.0), "expired"),
     ],
 )
-def test_a_record_that_says_nothing_is_skipped_and_counted(more, why):
+def test_record_without_usable_content_is_skipped_and_counted(more, why):
     found = recovered(**more)
     assert not found.members and found.skipped == {why: 1}
 
@@ -57,7 +57,7 @@
     assert found.at == 100.0 - 3600 and found.level == 3.0 and found.window == -1 and found.reported_window == -1
 
 
-def test_a_day_later_only_what_was_not_written_back_is_left():
+def test_only_pending_units_remain_after_a_day():
     assert recovered(now=100.0 + 86400).members[0].pending == 2.5
     assert not recovered(now=100.0 + 86400, pending=0.0).members
 
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -119,7 +119,7 @@
     return w.excess("plus")[1], w.served - before
 
 
-def test_all_killed_together_in_an_outage_get_no_second_ceiling(tmp_path):
+def test_simultaneous_kill_in_an_outage_grants_no_second_ceiling(tmp_path):
     with_folders = [outage_with_kills(tmp_path, True, seed) for seed in range(2)]
     without = [outage_with_kills(tmp_path, False, seed) for seed in range(2)]
     assert max(over for over, _ in with_folders) <= 0.0 < min(over for over, _ in without), (with_folders, without)
--- a/tests/state/test_snapshotter.py
+++ b/tests/state/test_snapshotter.py
@@ -79,7 +79,7 @@
     assert snapshotter.close()
 
 
-def test_what_a_slow_disk_has_no_capacity_for_waits_with_the_decisions(tmp_path):
+def test_records_beyond_the_capacity_of_a_slow_disk_wait_in_the_decision_module(tmp_path):
     w, disk = World(5, 2), SlowDisk()
     snapshotter = snapshotter_with_disk(tmp_path, w, disk, most=20)
     for m in range(50):
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 100, 4096, 20_000])
-def test_a_torn_tail_costs_what_it_held_and_nothing_before(tmp_path, cut):
+def test_torn_tail_loses_only_its_own_records(tmp_path, cut):
     store = Store(tmp_path / "a", "n0")
     store.start_incarnation("n0", 1.0)
     for n in range(20):
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("sync", ["off", "normal", "full"])
-def test_what_was_committed_survives_a_kill_and_a_commit_is_whole_or_not_there(tmp_path, sync):
+def test_commits_are_atomic_and_survive_a_kill(tmp_path, sync):
     for attempt in range(3):
         program = subprocess.Popen(
             [sys.executable, "-c", KILLED, str(tmp_path / "a"), sync], stdout=subprocess.PIPE, text=True
--- a/tests/state/test_writer.py
+++ b/tests/state/test_writer.py
@@ -6,7 +6,7 @@
 from thistleusher.state.writer import Writer
 
 
-def test_a_disk_that_hangs_delays_nobody_and_the_latest_record_is_committed():
+def test_hung_disk_delays_no_caller_and_the_latest_record_is_committed():
     disk, now = SlowDisk(), [0.0]
     writer = Writer(disk, interval=0.0, max_pending=3, clock=lambda: now[0])
     assert writer.put(1, b"a") and disk.commit_started.wait(10.0)
@@ -19,7 +19,7 @@
     assert disk.batches == [{1: b"a"}, {1: b"c", 2: b"d", 3: None}]
 
 
-def test_what_a_full_disk_did_not_take_is_retried_behind_what_came_since():
+def test_newer_records_replace_older_ones_retried_after_a_full_disk():
     disk = SlowDisk()
     disk.failures_left = 2
     writer = Writer(disk, interval=0.0)
