--- a/thistleusher/client/client.py
+++ b/thistleusher/client/client.py
@@ -86,7 +86,7 @@
             yield piece
 
     def close(self) -> None:
-        """Close the connection unless the whole body has been read."""
+        """Close the connection unless the body has been read completely."""
         self.stream.close()
 
 
--- a/thistleusher/configuration/items.py
+++ b/thistleusher/configuration/items.py
@@ -11,7 +11,7 @@
 JSON values are stored as canonical text. Numbers of any size and any nesting are preserved, equal values have equal
 texts, and a document is assembled without parsing the values.
 
-Guarantee: the document that `assemble` returns is equal as JSON to the one that was sent under its number.
+Guarantee: the document that `assemble` returns is equal as JSON to the document that was sent under its number.
 
 Cost of a new configuration: at the leader, one pass over the document and a comparison with each item; elsewhere, only
 the items that differ. A subscriber's update costs one step per changed item and a copy of a record of five fields; its
--- a/thistleusher/control/membership.py
+++ b/thistleusher/control/membership.py
@@ -93,7 +93,7 @@
 
 
 def _outgoing(voters: Mapping[str, str], observation: Observation) -> list[str]:
-    """Return the voters to be replaced: first those that are leaving, then the silent ones, longest silence first."""
+    """Return the voters to be replaced: first the leaving voters, then the silent voters, longest silence first."""
     leaving = sorted(name for name in voters if name in observation.leaving and name != observation.me)
     silent_s = observation.silent_s
     silent = [name for name in voters if silent_s.get(name, 0.0) > VOTER_REPLACEMENT_TIMEOUT_S and name not in leaving]
--- a/thistleusher/control/storage.py
+++ b/thistleusher/control/storage.py
@@ -3,7 +3,7 @@
 A write that hangs delays only the writes behind it; the caller that waits for it decides on a time-out. An error is
 reported as a failed write, of which nothing is on disk. Each item of the state is a record of its own, so that a change
 writes no more than its own size and a complete copy replaces all items in one transaction. The map is small, and is
-opened without `writemap`, which would sync the whole map at each commit.
+opened without `writemap`, which would sync the entire map at each commit.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 POSITION_KEY = b"position"
 LEASES_KEY = b"leases"
 ITEM_PREFIX = b"i:"  # prefix of an item's key, followed by the item's name
-OLD_COPY_KEY = b"copy"  # key under which releases before 0.2 stored the whole state
+OLD_COPY_KEY = b"copy"  # key under which releases before 0.2 stored the complete state
 
 DECODE_ERRORS = (ValueError, KeyError, TypeError, msgpack.exceptions.UnpackException, msgspec.ValidationError)
 
@@ -56,8 +56,8 @@
     def read(self) -> StoredState:
         """Return the state that earlier incarnations stored.
 
-        If any record cannot be decoded, the whole state counts as lost: a machine that has lost its state is safe, but
-        one that knows only some of its promises is not.
+        If any record cannot be decoded, the complete state counts as lost: a machine that has lost its state is safe,
+        but a machine that knows only some of its promises is not.
         """
         with self._environment.begin() as transaction:
             raw = {bytes(key): bytes(value) for key, value in transaction.cursor()}
@@ -142,7 +142,7 @@
 
 
 def _decode_old_copy(raw: bytes, stored: StoredState) -> None:
-    """Fill in the whole state from one record, the format of releases before 0.2."""
+    """Fill in the complete state from one record, the format of releases before 0.2."""
     table = msgpack.unpackb(raw, strict_map_key=False)
     state = table["s"]
     stored.position = Position(table["e"], state["n"], 0)
--- a/thistleusher/gossip/messages.py
+++ b/thistleusher/gossip/messages.py
@@ -36,7 +36,7 @@
     plan: int
     customer: int
     first: int  # first ingress of the customer's ingress set
-    width: int  # number of ingresses in the set
+    width: int  # number of ingresses in the customer's ingress set
     units: float
 
     def encode(self) -> bytes:
--- a/thistleusher/gossip/owners.py
+++ b/thistleusher/gossip/owners.py
@@ -2,9 +2,9 @@
 
 If a customer's set has a hundred ingresses, each of them sees the customer about once a minute. None of them knows the
 customer's usage, an update would have to go to all of them, and a share would be less than one request. So one ingress
-of the set, the owner, is queried before a request is forwarded. The owner charges the customer's count, or admits the
-request from its own account, which is complete because all of the customer's requests pass through it. The technique is
-combining (Yew, Tzeng, Lawrie 1987) at an owner found by consistent hashing (Karger et al. 1997).
+of the ingress set, the owner, is queried before a request is forwarded. The owner charges the customer's count, or
+admits the request from its own account, which is complete because all of the customer's requests pass through it. The
+technique is combining (Yew, Tzeng, Lawrie 1987) at an owner found by consistent hashing (Karger et al. 1997).
 
 Guarantee: an owner that sends no message during `MAX_MISSES` consecutive queries is skipped for `OWNER_SKIP_S`. The
 next candidate takes its place and starts with a full bucket. So each change of owners can admit one burst too much, but
--- a/thistleusher/gossip/pending.py
+++ b/thistleusher/gossip/pending.py
@@ -1,8 +1,8 @@
 """Requests that wait for shares demanded from peers; bounded in number, each for a bounded time. Pure.
 
-An ingress whose share of a ceiling is too small demands more from the peers of the set, and their transfers arrive one
-round trip later. A request that is rejected immediately would miss them although the set has headroom. So the request
-waits, is reconsidered after each transfer, and gets a final decision at its deadline.
+An ingress whose share of a ceiling is too small demands more from the peers of the ingress set, and their transfers
+arrive one round trip later. A request that is rejected immediately would miss them although the ingress set has
+headroom. So the request waits, is reconsidered after each transfer, and gets a final decision at its deadline.
 
 Guarantee: a request is held once, and leaves with `take` or `expire`, at its deadline at the latest. Cost: constant per
 request; a transfer costs one check of each waiting request, at most `MAX_PENDING`.
--- a/thistleusher/net/backend_connection.py
+++ b/thistleusher/net/backend_connection.py
@@ -120,7 +120,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse a read; only its first response can be the response to the exchange.
 
-        The connection is reused only after the whole read has been checked: surplus bytes after the response, such as
+        The connection is reused only after the entire read has been checked: surplus bytes after the response, such as
         a duplicate or noise, would otherwise be taken for the response to the next request.
         """
         self.pool.read_count += 1
--- a/thistleusher/net/backend_list.py
+++ b/thistleusher/net/backend_list.py
@@ -24,7 +24,7 @@
     """The endpoint list, or a change to it."""
 
     version: int
-    complete: bool  # whether this is the whole list rather than a change
+    complete: bool  # whether this is the complete list rather than a change
     entries: tuple[ListedBackend, ...]
 
 
--- a/thistleusher/net/client_connection.py
+++ b/thistleusher/net/client_connection.py
@@ -20,7 +20,7 @@
 MAX_PIPELINED_REQUESTS = 16  # requests read ahead on one connection
 LINGER_S = 0.5  # time for a client to close its side after the last response has been written
 MAX_LINGER_BYTES = 256 * 1024  # input that is read and discarded while lingering
-PROCESS_PAUSE_S = 1.0  # a timer that fires later than this shows that the whole process was suspended
+PROCESS_PAUSE_S = 1.0  # a timer that fires later than this shows that the process was suspended
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
--- a/thistleusher/net/discovery.py
+++ b/thistleusher/net/discovery.py
@@ -23,7 +23,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to discovery: reads the whole list first if no version is known, then a watch of its changes.
+    """One connection to discovery: reads the complete list first if no version is known, then a watch of its changes.
 
     Changes are JSON objects, one per line. `ended` is set to the reason once the connection is no longer usable.
     """
@@ -46,7 +46,7 @@
         self._request()
 
     def _request(self) -> None:
-        """Request the whole list, or a watch of the changes since the known version."""
+        """Request the complete list, or a watch of the changes since the known version."""
         assert self.transport is not None
         query = b"" if self.version is None else b"?stream=1&index=%d" % self.version
         host, port = self.address
@@ -68,7 +68,7 @@
             self.end(f"status {self.parser.get_status_code()}")
 
     def on_body(self, data: bytes) -> None:
-        """Process the complete lines of a watch; buffer a whole list until its response is complete."""
+        """Process the complete lines of a watch; buffer a complete list until its response ends."""
         self.buffer += data
         if self.version is not None:
             *lines, rest = self.buffer.split(b"\n")
@@ -87,7 +87,7 @@
                 self.end(f"invalid message: {error}")
 
     def on_message_complete(self) -> None:
-        """Apply the whole list, and start a watch of the changes since its version."""
+        """Apply the complete list, and start a watch of the changes since its version."""
         if self.version is not None:
             self.end("watch ended by discovery")
             return
@@ -132,7 +132,7 @@
                 reason = await self._watch(DiscoveryConnection(self._on_message, self.address, self.version))
             except (OSError, TimeoutError) as error:
                 reason = f"connect: {error!r}"
-            except Exception:  # any fault must lead to a new watch: otherwise the list would stay stale for ever
+            except Exception:  # any fault must lead to a new watch: otherwise the list would never be updated again
                 log.exception("discovery: the watch failed")
                 reason = "internal error"
             log.info("discovery: %s", reason)
@@ -162,8 +162,9 @@
 class DiscoveryClient:
     """Passes on the lists of the active discovery source.
 
-    After a move to another address, versions need not continue those of the old source. So the new source is asked for
-    the whole list, and becomes active once it has sent it. Until then the old source stays active.
+    After a move to another address, the new source's version numbers need not continue the old ones. So the complete
+    list is requested from the new source, which becomes active once the list has arrived. Until then the old source
+    stays active.
     """
 
     def __init__(
@@ -175,7 +176,7 @@
         self.latest_source = self.active_source
 
     def move(self, address: Address) -> None:
-        """Switch to discovery at another address, once it has sent the whole list."""
+        """Switch to discovery at another address once it has sent the complete list."""
         if address == self.latest_source.address:
             return
         if self.latest_source is not self.active_source:
--- a/thistleusher/net/exchange.py
+++ b/thistleusher/net/exchange.py
@@ -60,7 +60,7 @@
         self.stall_timeout = stall_timeout
         self.connection: ExchangeConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.written = False  # whether the whole request has been written, so that it may have run
+        self.written = False  # whether the request has been written completely, so that it may have run
         self.ended = False
         self.read_count_at_start = 0  # the pool's `read_count` when the exchange started
 
--- a/thistleusher/net/last_byte_guard.py
+++ b/thistleusher/net/last_byte_guard.py
@@ -1,7 +1,7 @@
 """Decides when the last byte of a request is delayed until its connection has proved to be open.
 
-A backend runs a request once its last byte has arrived. If the connection closes at about the time the whole request is
-written, the request may have run, so a request of a non-idempotent class has failed for good. So if connections have
+A backend runs a request once its last byte has arrived. If the connection closes at about the time the last byte
+is written, the request may have run, so a request of a non-idempotent class has failed for good. So if connections have
 recently closed during requests, the last byte is written `LAST_BYTE_DELAY_S` after the rest, and only if the connection
 is still open: a request whose connection breaks before that has certainly not run.
 
--- a/thistleusher/policy/attempts.py
+++ b/thistleusher/policy/attempts.py
@@ -70,7 +70,7 @@
         self.actions.append(Attempt(request.event.id, best.entry.backend))
 
     def dispatch(self, now: float) -> None:
-        """Send queued requests while slots are free. Only `sweep` visits the whole queue."""
+        """Send queued requests while slots are free. Only `sweep` visits the entire queue."""
         for _ in range(len(self.queue)):
             if not self.fleet.has_free_slot(now):
                 break
@@ -87,7 +87,7 @@
                 self.send(now, request)
 
     def sweep(self, now: float) -> None:
-        """Eject silent backends, cancel attempts there that can move, and visit the whole queue."""
+        """Eject silent backends, cancel attempts there that can move, and visit the entire queue."""
         self.timer_set = False
         for backend in self.fleet.eject_silent(now, SILENT_FACTOR):
             for name in backend.outstanding:
--- a/thistleusher/proxy/cluster_view.py
+++ b/thistleusher/proxy/cluster_view.py
@@ -223,8 +223,8 @@
     def _discarding_on_fault(self, copy: Subscriber) -> Iterator[None]:
         """Discard a copy of a state if an exception keeps its newest changes from being applied.
 
-        Its number would claim otherwise that they are in force. The exception propagates to the link, which logs it
-        and closes; the next subscription then requests the whole state.
+        Otherwise the copy's number would claim that these changes are in effect. The exception propagates to the
+        link, which logs it and closes; the next subscription then requests the complete state.
         """
         try:
             yield
@@ -300,7 +300,7 @@
         return reply
 
     def _apply_list_changes(self, now: float, changed: dict[str, Any], is_reload: bool) -> None:
-        """Apply changed items of the list; on `is_reload` they are the whole list, so other backends are removed."""
+        """Apply changed items of the list; on `is_reload` they are the complete list, so other backends are removed."""
         if any(name.startswith(MEMBERS) for name in changed):
             members = self.members()
             self.ring.set_members(now, members)
--- a/thistleusher/proxy/decisions.py
+++ b/thistleusher/proxy/decisions.py
@@ -260,7 +260,7 @@
     def _cancel_if_late(self, now: float, attempt: SilentAttempt) -> None:
         """Cancel a late attempt at a silent backend if another backend can take its request.
 
-        Without such a backend the attempt goes on: its answer may still arrive, and there is no alternative.
+        Without such a backend the attempt continues: its answer may still arrive, and there is no alternative.
         """
         request = self.requests.get(attempt.request)
         if request is None or not request.match.route.idempotent:
--- a/thistleusher/proxy/requests.py
+++ b/thistleusher/proxy/requests.py
@@ -47,7 +47,7 @@
 class RequestState:
     """State of a request that has not had its final answer yet.
 
-    The first five attributes are those that `policy.fleet` reads (`core.decision_ports.RoutedRequest`).
+    `policy.fleet` reads the first five attributes (`core.decision_ports.RoutedRequest`).
     """
 
     __slots__ = (
--- a/thistleusher/quota/bound.py
+++ b/thistleusher/quota/bound.py
@@ -53,7 +53,7 @@
 
     plan: str
     width: int
-    staleness: float  # seconds until all ingresses that are in touch know what one of them has admitted
+    staleness: float  # seconds until all connected ingresses know what one of them has admitted
     quota_in_touch: float  # excess while the ingresses receive each other's messages
     quota_cut_off: float  # excess while the ingresses do not receive each other's messages
     quota_split: float  # excess while an ingress is cut off and gets totals from a counter of its own
@@ -90,11 +90,11 @@
 def bound_of(settings: Settings, plan: PlanSettings, assumed: Assumptions, width: int = 0) -> Bound:
     """Return the maximum excess of a customer whose requests come through `width` ingresses (0: all of them).
 
-    In touch: for `staleness` seconds an ingress does not know what the others admit, at most a burst and its refill
+    In contact: for `staleness` seconds an ingress does not know what the others admit, at most a burst and its refill
     each. Cut off from its peers: each ingress has its share, or one whole request if the share is smaller. The ceiling
-    is escrowed from the moment an ingress considers the counter down or its peers out of touch; until then each
+    is escrowed from the moment an ingress considers the counter down or its peers unreachable; until then each
     ingress admits what its bucket allows. If calls are rare, detecting that the counter is down takes longer than
-    `detection_time`, but then all ingresses are in touch and at most `unseen` is unknown. A large deployment enforces
+    `detection_time`, but then all ingresses are in contact and at most `unseen` is unknown. A large deployment enforces
     ceilings by shares at all times, except for what is admitted on a counter total, so these bounds hold there with a
     margin.
 
--- a/thistleusher/quota/demands.py
+++ b/thistleusher/quota/demands.py
@@ -22,7 +22,7 @@
 
 
 class DemandQueue:
-    """Allowances that are short of headroom; the one that has waited longest is sent first."""
+    """Allowances that are short of headroom; the demand of the longest-waiting allowance is sent first."""
 
     def __init__(self, me: int, interval: float, interval_per_peer: float | None) -> None:
         """Create an empty queue.
@@ -49,14 +49,14 @@
             self.pending[key] = min(shortfall, 2 * shortfall / self._peers_per_demand(allowance))
 
     def _peers_per_demand(self, allowance: Allowance) -> int:
-        """Return how many peers of the set get one demand: all, or a few at a time in a large deployment."""
+        """Return how many peers of the ingress set get one demand: all, or a few at a time in a large deployment."""
         others = len(allowance.members) - 1
         if self.interval_per_peer is None or allowance.unreconciled:
             return others
         return min(others, MAX_PEERS_PER_DEMAND)
 
     def _next_peers(self, allowance: Allowance) -> list[int]:
-        """Return the next peers of the set in rotation, and advance the rotation by their number."""
+        """Return the next peers of the ingress set in rotation, and advance the rotation by their number."""
         others = [peer for peer in allowance.members if peer != self.me]
         count = self._peers_per_demand(allowance)
         allowance.last_asked = (allowance.last_asked + count) % max(1, len(others))
--- a/thistleusher/quota/escrow.py
+++ b/thistleusher/quota/escrow.py
@@ -5,13 +5,13 @@
 
 Guarantees, if messages are lost, delayed, duplicated or reordered, and if ingresses restart without state:
 
-- the shares in effect at all ingresses of a set add up to at most 1, and their headroom to at most the burst;
-- therefore, between any two times, the set admits at most the burst plus the rate times the time between them.
+- the shares in effect at all ingresses of an ingress set add up to at most 1, and their headroom to at most the burst;
+- therefore, between any two times, the ingress set admits at most the burst plus the rate times the time between them.
 
 A share is a fraction of both the burst and the rate (`quota.allowance`). Shares follow the traffic: an ingress that is
 short of headroom demands more (`quota.demands`), and its peers transfer shares to it (`quota.transfers`). Messages of
 superseded incarnations are ignored (`quota.incarnations`). An ingress that starts is reconciled with each peer of an
-ingress set before it holds its whole share there (`quota.bootstrap`). With a state folder, headroom survives a kill
+ingress set before it holds its full share there (`quota.bootstrap`). With a state folder, headroom survives a kill
 (`quota.reservations`); the burst of a simultaneous start is only for ingresses whose folder has no earlier incarnation.
 
 Assumes synchronized clocks: a skew of s seconds adds s x rate to the second bound. Cost: constant per request.
--- a/thistleusher/quota/messages.py
+++ b/thistleusher/quota/messages.py
@@ -76,7 +76,7 @@
     customer: int
     epoch: int
     first: int  # first ingress of the customer's ingress set
-    width: int  # number of ingresses in the set
+    width: int  # number of ingresses in the customer's ingress set
     share: int
     grains: int
 
--- a/thistleusher/registry/proxy_shares.py
+++ b/thistleusher/registry/proxy_shares.py
@@ -120,7 +120,7 @@
     # Admissions before the counter's start.
 
     def expect_reports(self, proxy_names: Iterable[str]) -> None:
-        """Await the reports of proxies that have a share or are listed, except those that are already known."""
+        """Await the reports of proxies that have a share or are listed, except proxies that are already known."""
         for proxy_name in proxy_names:
             if proxy_name not in self.proxies:
                 self.proxies[proxy_name] = ProxyState()
--- a/thistleusher/state/store.py
+++ b/thistleusher/state/store.py
@@ -214,7 +214,7 @@
     def integrity_errors(self) -> str:
         """Return damage to the structure of the database file, in one line that is empty if there is none.
 
-        The whole file is read.
+        Reads the entire file.
         """
         try:
             found = "; ".join(row[0] for row in self.db.execute("PRAGMA quick_check(3)"))
