--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -102,7 +102,7 @@
     run(main())
 
 
-def test_an_error_in_the_body_is_the_hosts_and_counts_against_the_app():
+def test_exception_in_the_host_body_propagates_and_counts_as_app_failure():
     async def main():
         async with make_ingress() as ingress:
             with pytest.raises(KeyError):
@@ -127,7 +127,7 @@
     run(main())
 
 
-def test_an_answer_that_has_begun_has_all_the_time_it_takes():
+def test_started_response_may_exceed_the_deadline():
     async def main():
         async with make_ingress() as ingress:
             async with ingress.admit(CALL._replace(budget=0.02)) as admission:
@@ -186,7 +186,7 @@
     run(main())
 
 
-def test_cancelled_in_the_moment_of_admission_it_never_runs(caplog):
+def test_request_cancelled_during_admission_never_runs(caplog):
     async def main():
         async with make_ingress() as ingress:
             ran = []
@@ -214,7 +214,7 @@
     run(main())
 
 
-def test_what_has_failed_is_not_run_again_whatever_the_settings_say():
+def test_failed_request_is_not_retried_regardless_of_max_attempts():
     async def main():
         async with EmbeddedIngress(settings(max_attempts=3), clock=lambda: 1000.0, seed=1) as ingress:
             admission = ingress.admit(CALL)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -39,7 +39,7 @@
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode() + b"\n"
 
 
-def test_the_watch_goes_on_after_a_garbled_line_and_after_its_end(monkeypatch):
+def test_watch_is_resumed_after_a_malformed_line_and_after_its_end(monkeypatch):
     monkeypatch.setattr(discovery_module, "RETRY_DELAY_S", 0.001)
 
     async def main():
--- a/tests/net/test_ingress.py
+++ b/tests/net/test_ingress.py
@@ -13,7 +13,7 @@
 from thistleusher.net import socket_state
 
 
-def test_a_request_is_served_byte_for_byte_and_goes_on_unchanged():
+def test_request_and_response_are_forwarded_byte_for_byte():
     async def main():
         payload = bytes(range(256)) * 4
         backend = await Peer.start(ok(payload, b"X-Cost-Units: 3"))
@@ -63,7 +63,7 @@
     run(main())
 
 
-def test_the_watchdog_answers_what_the_module_keeps_too_long():
+def test_watchdog_answers_requests_that_the_module_holds_too_long():
     async def main():
         rig = Rig(lambda event: [])
         client = await rig.start()
@@ -90,7 +90,7 @@
     run(main())
 
 
-def test_nothing_goes_out_for_a_client_that_has_gone():
+def test_no_attempt_is_sent_for_a_disconnected_client():
     async def main():
         backend = await Peer.start()
         rig = Rig(lambda e: [actions.Attempt("r1", "b0")] if isinstance(e, events.TimerFired) else [])
@@ -121,7 +121,7 @@
     run(main())
 
 
-def test_the_end_of_a_client_is_seen_behind_requests_that_nobody_reads():
+def test_client_disconnect_is_detected_behind_unread_requests():
     async def main():
         backend = await Peer.start(None)
         rig = Rig(in_turn("b0"), cancel_stops_work=True)
@@ -216,7 +216,7 @@
     run(main())
 
 
-def test_a_drain_that_comes_while_connecting_keeps_every_byte_back():
+def test_no_byte_is_sent_to_a_backend_that_drains_while_connecting():
     async def main():
         draining, other = await Peer.start(), await Peer.start()
         rig = Rig(in_turn("b0", "b1"))
@@ -265,7 +265,7 @@
     run(main())
 
 
-def test_a_backend_that_left_while_draining_leaves_nothing_behind():
+def test_removed_draining_backend_leaves_no_state():
     async def main():
         backend = await Peer.start()
         rig = Rig(in_turn("b0"))
--- a/tests/net/test_last_byte_guard.py
+++ b/tests/net/test_last_byte_guard.py
@@ -165,7 +165,7 @@
     run(main())
 
 
-def test_a_backend_that_begins_to_drain_while_the_last_byte_waits_gets_nothing():
+def test_last_byte_is_not_sent_to_a_backend_that_starts_draining():
     async def act(peer, number, reader, writer):
         await reader.read(1)
         peer.rig.ingress.serving.discard("b0")
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -31,7 +31,7 @@
     run(main())
 
 
-def test_connections_go_on_coming_during_the_notice_and_held_requests_are_finished():
+def test_connections_are_accepted_during_the_notice_and_pending_requests_finished():
     async def main():
         go, over = asyncio.Event(), asyncio.Event()
 
@@ -65,7 +65,7 @@
     run(main())
 
 
-def test_sigterm_ends_the_program_in_order_with_what_it_holds_answered(tmp_path):
+def test_sigterm_shuts_down_after_pending_requests_are_answered(tmp_path):
     async def main():
         go = asyncio.Event()
 
--- a/tests/net/test_server.py
+++ b/tests/net/test_server.py
@@ -310,7 +310,7 @@
     run(main())
 
 
-def test_a_connection_that_comes_while_draining_does_not_keep_the_program():
+def test_connection_accepted_while_draining_does_not_delay_shutdown():
     async def main():
         backend = await Peer.start(None)
         rig = Rig(in_turn("b0"))
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -70,7 +70,7 @@
     run(main())
 
 
-def test_a_request_gets_the_time_that_is_left_and_then_is_rejected():
+def test_shutdown_limits_the_time_of_a_request_and_then_rejects_requests():
     async def main():
         backend = await Peer.start(ok())
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
@@ -116,7 +116,7 @@
     run(main())
 
 
-def test_health_checks_neither_prolong_it_nor_push_out_clients():
+def test_health_checks_neither_prolong_shutdown_nor_displace_clients():
     async def main():
         backend = await Peer.start(ok())
         rig = Rig(lambda e: [actions.Attempt(e.id, "b0")] if isinstance(e, events.Request) else [])
--- a/tests/quota/test_placement.py
+++ b/tests/quota/test_placement.py
@@ -31,7 +31,7 @@
     assert all(900 < count < 1100 for count in Tally(one.of(n) for n in NAMES).values())
 
 
-def test_a_counter_that_comes_or_goes_moves_its_own_names_only():
+def test_added_or_removed_counter_moves_only_its_own_names():
     small, large = Placement(ADDRESSES[:2]), Placement(ADDRESSES)
     moved = 0
     for name in NAMES:
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -62,7 +62,7 @@
     assert not recovered(now=100.0 + 86400, pending=0.0).members
 
 
-def test_a_copy_writes_nothing_back_and_another_plan_keeps_what_was_used():
+def test_copied_record_writes_nothing_back_and_a_plan_change_keeps_the_usage():
     assert recovered(is_copy=True).members[0].pending == 0.0
     other = recover_members(110.0, [member(plan="basic", rate=2.0, burst=8.0, level=1.0)], PLANS, 60.0).members[0]
     assert other.level == BASIC.burst - 7.0 and other.window == -1
--- a/tests/state/test_restarts.py
+++ b/tests/state/test_restarts.py
@@ -38,7 +38,7 @@
     assert kept <= 4.0 < without, (kept, without)
 
 
-def test_what_peers_admitted_meanwhile_comes_with_their_next_update():
+def test_usage_admitted_by_peers_arrives_with_their_next_update():
     w = World(3, 2)
     w.counters[0].silent = True
     for g in w.gateways:
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -84,7 +84,7 @@
     store.close()
 
 
-def test_a_copied_folder_is_noticed(tmp_path):
+def test_copied_folder_is_detected(tmp_path):
     store = Store(tmp_path / "a", "n0")
     store.start_incarnation("n0", 1.0)
     store.close()
@@ -156,7 +156,7 @@
         store.close()
 
 
-def test_a_folder_that_has_reached_its_bound_says_so_and_keeps_what_it_has(tmp_path):
+def test_full_folder_reports_its_limit_and_keeps_existing_records(tmp_path):
     store = Store(tmp_path / "a", "n0", max_bytes=0.2 * (1 << 20))
     store.start_incarnation("n0", 1.0)
     store.commit([(("member", n), encode(member(n))) for n in range(100)])
