--- a/tests/quota/test_failures.py
+++ b/tests/quota/test_failures.py
@@ -265,7 +265,7 @@
     w.traffic(20.0, 40.0, spread())
     assert all(g.counters.by_number[0].is_silent(w.now) for g in w.gateways)
     w.run(3.0)  # the quota is full again
-    for n in range(3):  # and the ingresses are in touch
+    for n in range(3):  # the ingresses exchange messages
         w.ask(n, 0)
     w.run(0.12)
     for _ in range(36):
