--- a/tests/embed/test_ingress.py
+++ b/tests/embed/test_ingress.py
@@ -64,7 +64,7 @@
     )
 
 
-def test_a_member_is_held_to_its_quota_and_refused_with_a_time_to_come_back():
+def test_member_is_held_to_its_quota_and_refused_with_a_retry_time():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
         async with make_ingress(counter=counter) as ingress:
@@ -84,7 +84,7 @@
     run(main())
 
 
-def test_true_units_are_settled_and_what_cannot_be_meant_is_refused():
+def test_true_units_are_settled_and_invalid_units_rejected():
     async def main():
         counter = MemoryCounter(lambda: 1000.0)
         async with make_ingress(counter=counter) as ingress:
@@ -102,7 +102,7 @@
     run(main())
 
 
-def test_an_error_in_the_body_is_the_hosts_and_counts_against_the_app():
+def test_exception_in_the_host_body_propagates_and_counts_as_app_failure():
     async def main():
         async with make_ingress() as ingress:
             with pytest.raises(KeyError):
@@ -127,7 +127,7 @@
     run(main())
 
 
-def test_an_answer_that_has_begun_has_all_the_time_it_takes():
+def test_started_response_may_exceed_the_deadline():
     async def main():
         async with make_ingress() as ingress:
             async with ingress.admit(CALL._replace(budget=0.02)) as admission:
@@ -186,7 +186,7 @@
     run(main())
 
 
-def test_cancelled_in_the_moment_of_admission_it_never_runs(caplog):
+def test_request_cancelled_during_admission_never_runs(caplog):
     async def main():
         async with make_ingress() as ingress:
             ran = []
@@ -214,7 +214,7 @@
     run(main())
 
 
-def test_what_has_failed_is_not_run_again_whatever_the_settings_say():
+def test_failed_request_is_not_retried_regardless_of_max_attempts():
     async def main():
         async with EmbeddedIngress(settings(max_attempts=3), clock=lambda: 1000.0, seed=1) as ingress:
             admission = ingress.admit(CALL)
@@ -283,7 +283,7 @@
     run(main())
 
 
-def test_misuse_ends_in_plain_errors():
+def test_misuse_raises_clear_errors():
     async def main():
         ingress = make_ingress()
         with pytest.raises(RuntimeError, match="not open"):
@@ -322,7 +322,7 @@
     run(main())
 
 
-def test_closing_answers_what_waits_and_ends_what_runs():
+def test_closing_answers_waiting_requests_and_ends_running_ones():
     async def main():
         counter = Counter()
         await counter.start()
@@ -380,7 +380,7 @@
     run(main())
 
 
-def test_the_memory_counter_gives_back_what_has_lived_its_time():
+def test_memory_counter_expires_counts_after_their_lifetime():
     now = [1000.0]
     counter = MemoryCounter(lambda: now[0])
     for name in range(1000):
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -47,7 +47,7 @@
         (dict(at=1.0, pending=0.0), "expired"),
     ],
 )
-def test_a_record_that_says_nothing_is_skipped_and_counted(more, why):
+def test_record_without_usable_content_is_skipped_and_counted(more, why):
     found = recovered(**more)
     assert not found.members and found.skipped == {why: 1}
 
@@ -57,12 +57,12 @@
     assert found.at == 100.0 - 3600 and found.level == 3.0 and found.window == -1 and found.reported_window == -1
 
 
-def test_a_day_later_only_what_was_not_written_back_is_left():
+def test_only_pending_units_remain_after_a_day():
     assert recovered(now=100.0 + 86400).members[0].pending == 2.5
     assert not recovered(now=100.0 + 86400, pending=0.0).members
 
 
-def test_a_copy_writes_nothing_back_and_another_plan_keeps_what_was_used():
+def test_copied_record_writes_nothing_back_and_a_plan_change_keeps_the_usage():
     assert recovered(is_copy=True).members[0].pending == 0.0
     other = recover_members(110.0, [member(plan="basic", rate=2.0, burst=8.0, level=1.0)], PLANS, 60.0).members[0]
     assert other.level == BASIC.burst - 7.0 and other.window == -1
