--- a/thistleusher/registry/proxy_shares.py
+++ b/thistleusher/registry/proxy_shares.py
@@ -195,9 +195,8 @@
             return
         before, self.deducted_share = self.deducted_share, self.share_out_of_contact(now)
         total_share = max(before, self.deducted_share)
-        if (
-            elapsed_s >= SHARE_DEDUCTION_START_S
-        ):  # No message was processed, so every proxy may have been out of contact.
+        # No message was processed for this long, so every proxy may have been out of contact.
+        if elapsed_s >= SHARE_DEDUCTION_START_S:
             total_share = min(1.0, sum(proxy.share for proxy in self.proxies.values()))
         self._deduct(Deduction(self.refreshed_at, now, total_share))
         self.refreshed_at = now
