--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -1,4 +1,4 @@
-"""A program that a benchmark runs, and what it has used by the operating system's account."""
+"""A process that a benchmark runs, with its CPU time and memory as the operating system reports them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time of a process, user and system, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 class MeasuredProcess:
-    """A Python module that runs as a program of its own."""
+    """A Python module that runs as a separate process."""
 
     def __init__(self, *arguments: str, environment: dict[str, str] | None = None) -> None:
         self.process = subprocess.Popen(
@@ -28,22 +28,22 @@
         )
 
     def first_line(self) -> str:
-        """Return the first line that it prints, once it does."""
+        """Wait for the next line on the process's standard output and return it."""
         assert self.process.stdout is not None
         return self.process.stdout.readline().decode().strip()
 
     def cpu_seconds(self) -> float:
-        """Return the processor time that it has used."""
+        """Return the CPU time of the process, user and system, in seconds."""
         return cpu_seconds(self.process.pid)
 
     def memory_mb(self) -> float:
-        """Return its resident memory."""
+        """Return the resident memory of the process in MiB, 0 if it is not known."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
     def end(self) -> None:
-        """Kill it."""
+        """Kill the process and wait for its exit."""
         self.process.kill()
         self.process.wait()
--- a/benchmarks/serve.py
+++ b/benchmarks/serve.py
@@ -1,7 +1,7 @@
-"""What the benchmarks measure, each as a program of its own: `python -m benchmarks.serve FORM CONFIG`.
+"""Run one form that the benchmarks measure as a separate process: `python -m benchmarks.serve FORM CONFIG`.
 
-`app` is a bare ASGI host and application, `middleware` the same with the library, `passthrough` a proxy that parses
-and relays and does nothing else. The daemon is `python -m thistleusher` itself.
+`app` is a bare ASGI server with an application, `middleware` the same with the library, and `passthrough` a proxy that
+only parses and relays. The daemon is not among them; it is `python -m thistleusher`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HostConnection(asyncio.Protocol):
-    """HTTP/1.1 to ASGI, one request at a time, with as little as that takes."""
+    """A minimal HTTP/1.1 connection of an ASGI server; handles one request at a time."""
 
     def __init__(self, app: Application) -> None:
         self._app = app
@@ -33,33 +33,33 @@
         self._out: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to answer on."""
+        """Store the transport for responses."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of a request."""
+        """Parse received bytes of a request."""
         self._parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._url = b""
         self._body = b""
         self._headers = []
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Append a fragment of the request target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header field."""
         self._headers.append((name.lower(), value))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a fragment of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Have the application answer the request."""
+        """Start a task in which the application handles the request."""
         path, _, query = self._url.partition(b"?")
         scope = {
             "type": "http",
@@ -90,19 +90,19 @@
 
 
 async def app(scope: Any, receive: Any, send: Any) -> None:
-    """Answer every request with the same four bytes."""
+    """Respond to every request with the same four bytes."""
     await send({"type": "http.response.start", "status": 200, "headers": [(b"content-length", b"4")]})
     await send({"type": "http.response.body", "body": b"fine"})
 
 
 class RelayFront(asyncio.Protocol):
-    """A client's connection with one of its own to the backend; both sides are parsed, and bytes relayed."""
+    """A client connection with its own connection to the backend; bytes in both directions are parsed and relayed."""
 
     def __init__(self, backend: tuple[str, int]) -> None:
         self._backend = backend
         self._parser = httptools.HttpRequestParser(self)
         self._back: RelayBack | None = None
-        self._waiting: list[bytes] = []  # until the backend's connection stands
+        self._waiting: list[bytes] = []  # Bytes received before the connection to the backend is open.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Connect to the backend."""
@@ -116,7 +116,7 @@
             back.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Relay a part of a request."""
+        """Parse and relay received bytes of a request, or buffer them until the backend is connected."""
         self._parser.feed_data(data)
         if self._back is None:
             self._waiting.append(data)
@@ -124,36 +124,37 @@
             self._back.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the backend's connection."""
+        """Close the connection to the backend."""
         if self._back is not None:
             self._back.transport.close()
 
 
 class RelayBack(asyncio.Protocol):
-    """The connection to the backend that belongs to a client's."""
+    """The backend connection that belongs to one client connection."""
 
     def __init__(self, front: RelayFront) -> None:
         self._front = front
         self._parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to send on."""
+        """Store the transport for requests."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Relay a part of an answer."""
+        """Parse and relay received bytes of a response."""
         self._parser.feed_data(data)
         self._front.transport.write(data)
 
 
 async def connection_factory(form: str, config: dict[str, Any]) -> ConnectionFactory:
-    """Return what makes connections of a form: 'passthrough', 'app' or 'middleware'."""
+    """Return the protocol factory of a form: "passthrough", "app" or "middleware"."""
     if form == "passthrough":
         host, port = config["backend"].split(":")
         return lambda: RelayFront((host, int(port)))
     if form == "app":
         return lambda: HostConnection(app)
-    from thistleusher.embed import EmbeddedIngress, QuotaMiddleware, nested_settings  # the other forms are without it
+    # Imported here so that the library does not add to the memory of the other forms.
+    from thistleusher.embed import EmbeddedIngress, QuotaMiddleware, nested_settings
 
     ingress = EmbeddedIngress(nested_settings(config["settings"])[0], counter=config.get("counter"), seed=1)
     await ingress.open()
