--- a/benchmarks/control_faults.py
+++ b/benchmarks/control_faults.py
@@ -13,14 +13,14 @@
 
     point: int
     name: str
-    right: str
-    wrong: str
-    also: tuple[tuple[str, str], ...] = ()
+    correct: str
+    faulty: str
+    further_edits: tuple[tuple[str, str], ...] = ()
 
     @property
     def edits(self) -> tuple[tuple[str, str], ...]:
         """All replacements, as pairs of the correct and the faulty text."""
-        return ((self.right, self.wrong), *self.also)
+        return ((self.correct, self.faulty), *self.further_edits)
 
 
 EVERYWHERE = "everywhere = pending.on_own_disk and pending.on_replicas >= set(leadership.view.replicas)"
--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -27,7 +27,7 @@
             stderr=subprocess.DEVNULL,
         )
 
-    def first_line(self) -> str:
+    def read_line(self) -> str:
         """Wait for the next line on the process's standard output and return it."""
         assert self.process.stdout is not None
         return self.process.stdout.readline().decode().strip()
@@ -43,7 +43,7 @@
                 return int(line.split()[1]) / 1024
         return 0.0
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill the process and wait for its exit."""
         self.process.kill()
         self.process.wait()
